--- a/packages/cli/replica-commands.ts
+++ b/packages/cli/replica-commands.ts
@@ -5,7 +5,7 @@
 import type { Output } from './output.js';
 
 const TIMEOUT_MS = 5000;
-const NOT_OWNER = 503;
+const NOT_LEADER = 503;
 
 /** What a controller answers to operators who ask for its replicas. */
 interface ReplicasAnswer {
@@ -47,8 +47,8 @@
   }
 }
 
-function whyNot(status: number, { error, owner }: ReplicasAnswer): string {
+function whyNot(status: number, { error, owner: leader }: ReplicasAnswer): string {
   const hint =
-    status !== NOT_OWNER ? '' : owner ? `; ask ${owner}` : '; no controller owns them now';
+    status !== NOT_LEADER ? '' : leader ? `; ask ${leader}` : '; no controller owns them now';
   return `${status} ${error ?? 'an answer that cannot be used'}${hint}`;
 }
--- a/packages/controller/bad-input.test.ts
+++ b/packages/controller/bad-input.test.ts
@@ -22,8 +22,8 @@
   const runtime = cluster.serviceRuntime('users', 'users', USERS_HOST);
   await cluster.start();
   await cluster.world.runUntil(5);
-  const owner = cluster.ownership.current()?.owner;
-  const { index } = cluster.controllers.find(({ name }) => name === owner)!;
+  const leader = cluster.ownership.current()?.owner;
+  const { index } = cluster.controllers.find(({ name }) => name === leader)!;
   const address = formatAddress(serviceAddress(index));
   const user = new UserClient(address, 5000, runtime);
   /** Lets time pass until the requests are answered. */
@@ -118,13 +118,13 @@
     assert.equal(status, 201);
   }
   await cluster.world.runUntil(60);
-  const owner = cluster.ownership.current()?.owner;
-  cluster.controllers.find(({ name }) => name === owner)!.process.restart(1);
+  const leader = cluster.ownership.current()?.owner;
+  cluster.controllers.find(({ name }) => name === leader)!.process.restart(1);
   await cluster.world.runUntil(75);
   const small = aJob({ id: 'j-5', team: 'red', rank: 0, gpus: 0 });
   cluster.storage.upload({ job: small, runS: [5], failsAfterS: null });
   const other = formatAddress(
-    serviceAddress(cluster.controllers.find(({ name }) => name !== owner)!.index),
+    serviceAddress(cluster.controllers.find(({ name }) => name !== leader)!.index),
   );
   const client = new UserClient(other, 5000, runtime);
   const { status } = await ask(() => client.submit(small));
--- a/packages/controller/cancellation-recorder.test.ts
+++ b/packages/controller/cancellation-recorder.test.ts
@@ -25,8 +25,8 @@
   cluster.storage.upload({ job, runS: [1000], failsAfterS: null });
   await cluster.start();
   await cluster.world.runUntil(10);
-  const owner = cluster.ownership.current()?.owner;
-  const followers = cluster.controllers.filter(({ name }) => name !== owner);
+  const leader = cluster.ownership.current()?.owner;
+  const followers = cluster.controllers.filter(({ name }) => name !== leader);
   void userAt(followers[0]).submit(job);
   await cluster.world.runUntil(60);
   return { cluster, followers, userAt };
--- a/packages/controller/cancellation-relay.ts
+++ b/packages/controller/cancellation-relay.ts
@@ -1,12 +1,12 @@
 import type { CancellationNotice, Frame } from '#peer';
-import type { PartOwner } from './owner.js';
+import type { ShardLeader } from './owner.js';
 import type { ControllerServices } from './services.js';
 
 type Services = Pick<ControllerServices, 'runtime' | 'cancellations'>;
 
 export interface CancellationRelayOptions extends Services {
   /** Null while nothing is owned here. */
-  owner: () => PartOwner | null;
+  leader: () => ShardLeader | null;
   /** Tells all peers. */
   send: (frame: Frame) => void;
 }
@@ -33,9 +33,9 @@
 
   /** Ends the tasks of all jobs whose cancellation was asked for, if this controller owns. */
   endTasks(): void {
-    const owner = this.options.owner();
-    if (!owner?.ready) return;
-    for (const { job } of this.options.cancellations.requests(this.now())) owner.abort(job);
+    const leader = this.options.leader();
+    if (!leader?.ready) return;
+    for (const { job } of this.options.cancellations.requests(this.now())) leader.abort(job);
   }
 
   /** What a peer is told on a new connection. */
--- a/packages/controller/cloud.test.ts
+++ b/packages/controller/cloud.test.ts
@@ -4,7 +4,7 @@
 import type { CapacityPlanner, FleetState } from '#core';
 import { CloudDuty } from './cloud.js';
 import { makeLog } from './log.js';
-import type { PartOwner } from './owner.js';
+import type { ShardLeader } from './owner.js';
 import { aFleet, aMachine, STD } from '../testing/samples.js';
 import { FREE_LOOPBACK_PORT, serveCbor } from '../testing/standins/index.js';
 
@@ -39,10 +39,10 @@
 function anOwner(
   fleet: FleetState,
   planner: Pick<CapacityPlanner, 'plan' | 'rentalRefused'>,
-): PartOwner {
+): ShardLeader {
   const term = { term: 1 };
   const state = { ready: true, first: true, startedAt: -1000 };
-  return { fleet, planner, term, ...state, requestRound: () => {} } as unknown as PartOwner;
+  return { fleet, planner, term, ...state, requestRound: () => {} } as unknown as ShardLeader;
 }
 
 async function callsOf(permission: Permission): Promise<string[]> {
@@ -51,7 +51,7 @@
   const fleet = aFleet();
   fleet.machines.noteFailed(aMachine(fleet, 'n-1'));
   let plans = 0;
-  const owner = anOwner(fleet, {
+  const leader = anOwner(fleet, {
     plan: () => {
       plans++;
       return {
@@ -65,7 +65,7 @@
   const duty = new CloudDuty({
     runtime: nodeRuntime,
     cloud: cloud as unknown as CloudClient,
-    owner,
+    leader,
     name: 'c-0',
     rps: 1000,
     listLagS: 0.01,
@@ -121,7 +121,7 @@
   fleet.machines.noteType(STD);
   const stop = new AbortController();
   const refused: string[] = [];
-  const owner = anOwner(fleet, {
+  const leader = anOwner(fleet, {
     plan: () => ({ rent: refused.length === 0 ? kinds : [], release: [], consolidation: null }),
     rentalRefused: ({ zone }) => {
       refused.push(zone);
@@ -133,7 +133,7 @@
   const duty = new CloudDuty({
     runtime: nodeRuntime,
     cloud: client,
-    owner,
+    leader,
     name: 'c-0',
     rps: 100,
     listLagS: 1,
--- a/packages/controller/cloud.ts
+++ b/packages/controller/cloud.ts
@@ -5,7 +5,7 @@
 import type { Log } from './log.js';
 import { MachineCatalog } from './machine-catalog.js';
 import { MachineList } from './machine-list.js';
-import type { PartOwner } from './owner.js';
+import type { ShardLeader } from './owner.js';
 import { Rentals } from './rentals.js';
 import { uselessMachines } from './useless-machines.js';
 
@@ -22,7 +22,7 @@
 export interface CloudDutyOptions {
   runtime: Runtime;
   cloud: CloudClient;
-  owner: PartOwner;
+  leader: ShardLeader;
   /** This controller's name. */
   name: string;
   /** Requests a second that the cloud allows to all controllers together. */
@@ -47,7 +47,7 @@
   /** The step that is under way; resolved if none is. */
   private current: Promise<void> = Promise.resolve();
   private readonly clock: Clock;
-  private readonly owner: PartOwner;
+  private readonly leader: ShardLeader;
   private readonly fleet: FleetState;
   private readonly log: Log;
   private readonly access: CloudAccess;
@@ -56,10 +56,10 @@
   private readonly rentals: Rentals;
 
   constructor(private readonly options: CloudDutyOptions) {
-    const { cloud, owner, rps } = options;
+    const { cloud, leader, rps } = options;
     this.clock = options.runtime.clock;
-    ({ owner: this.owner, log: this.log } = options);
-    this.fleet = owner.fleet;
+    ({ leader: this.leader, log: this.log } = options);
+    this.fleet = leader.fleet;
     this.access = { cloud, budget: new Budget(this.clock, rps * RATE_SHARE) };
     const { clock, fleet } = this;
     const parts = { ...options, ...this.access, clock, fleet };
@@ -116,13 +116,13 @@
 
   /** After a take-over, first hear what is there. */
   private settled(now: number): boolean {
-    const { owner, options, list } = this;
-    const listenS = owner.first ? 0 : LISTEN_PERIODS * options.reportS;
-    return owner.ready && list.known && now - owner.startedAt > listenS;
+    const { leader, options, list } = this;
+    const listenS = leader.first ? 0 : LISTEN_PERIODS * options.reportS;
+    return leader.ready && list.known && now - leader.startedAt > listenS;
   }
 
   private async carryOutPlan(now: number, signal: AbortSignal): Promise<void> {
-    const { rent, release, consolidation } = this.owner.planner.plan(now);
+    const { rent, release, consolidation } = this.leader.planner.plan(now);
     if (consolidation !== null && this.options.mayRelease()) this.consolidate(consolidation, now);
     if (release.length > 0) {
       for (const machine of release) giveBack(this.fleet, machine, now);
@@ -133,7 +133,7 @@
 
   private consolidate(consolidation: Consolidation, now: number): void {
     startConsolidation(this.fleet, consolidation, now);
-    this.owner.requestRound();
+    this.leader.requestRound();
     const { machine, moves } = consolidation;
     this.log.info({ machine: machine.name, replicas: moves.length }, 'emptied');
   }
@@ -154,6 +154,6 @@
     for (const name of names) this.fleet.removeMachine(name, now);
     this.list.noteReleased(names, now);
     this.log.info({ machines: names }, 'released');
-    this.owner.requestRound();
+    this.leader.requestRound();
   }
 }
--- a/packages/controller/controller.ts
+++ b/packages/controller/controller.ts
@@ -4,22 +4,22 @@
 import { CloudClient, type Runtime } from '#wire';
 import { Admission } from './admission.js';
 import { CancellationRelay } from './cancellation-relay.js';
-import type { Entitlement } from './entitlement.js';
+import type { LeaderLeaseState } from './entitlement.js';
 import { makeHttpServer } from './http-interface.js';
 import type { HttpServer } from './http-server.js';
 import { LagMonitor } from './lag.js';
 import type { Log } from './log.js';
 import { MetricsEndpoint } from './metrics-endpoint.js';
-import { entitlementLimits, OwnerEntitlement } from './owner-entitlement.js';
+import { leaderLeaseLimits, LeaderLease } from './owner-entitlement.js';
 import type { MoveSettings } from './operator.js';
 import { leavesWorkersStranded, nextForWorkers } from './owner-reach.js';
-import { OwnerTerms } from './owner-terms.js';
-import type { PartOwner } from './owner.js';
+import { LeadershipTerms } from './owner-terms.js';
+import type { ShardLeader } from './owner.js';
 import { loadPartMover } from './part-moves.js';
 import { PeerCoordinator } from './peer-coordinator.js';
 import { loadReplicaSupport } from './replica-support.js';
 import { makePeerLink } from './peer-link.js';
-import { type ControllerServices, makeServices, OWNED_PART } from './services.js';
+import { type ControllerServices, makeServices, ONLY_SHARD } from './services.js';
 import type { Settings } from './settings.js';
 import { socketShares } from './sockets.js';
 import { StandbyRenewal } from './standby-renewal.js';
@@ -41,9 +41,9 @@
   private readonly cancellationRelay: CancellationRelay;
   private readonly peers: PeerLink;
   private readonly statuses: StatusExchange;
-  private readonly entitlement: OwnerEntitlement;
+  private readonly leaderLease: LeaderLease;
   private readonly standby: StandbyRenewal;
-  private readonly terms: OwnerTerms;
+  private readonly terms: LeadershipTerms;
   private readonly lag: LagMonitor;
   private readonly admission: Admission;
   private readonly vitals: Vitals;
@@ -61,25 +61,25 @@
     const { deployment } = settings;
     this.reportS = deployment.workers.report_s;
     this.sockets = socketShares(deployment.limits.sockets, settings.peers.length);
-    this.state = accessState(runtime, settings, () => this.owner() !== null);
-    this.services = makeServices(runtime, settings, log, this.state, () => this.hesitates());
+    this.state = accessState(runtime, settings, () => this.leader() !== null);
+    this.services = makeServices(runtime, settings, log, this.state, () => this.defersCampaign());
     const cloudTimeoutMs = CLOUD_TIMEOUT * this.reportS * 1000;
     this.cloud = new CloudClient(runtime, settings.external.cloud, cloudTimeoutMs);
     this.cancellationRelay = new CancellationRelay({
       ...this.services,
-      owner: () => this.owner(),
+      leader: () => this.leader(),
       send: (frame) => this.peers.send(frame),
     });
     this.peers = makePeerLink(runtime, settings, () => this.cancellationRelay.greeting());
     this.statuses = this.makeStatusExchange();
-    const limits = entitlementLimits(settings);
-    const judging = { ...this.services, statuses: this.statuses, limits };
-    this.entitlement = new OwnerEntitlement(judging);
-    this.standby = new StandbyRenewal(judging);
+    const limits = leaderLeaseLimits(settings);
+    const leaseInputs = { ...this.services, statuses: this.statuses, limits };
+    this.leaderLease = new LeaderLease(leaseInputs);
+    this.standby = new StandbyRenewal(leaseInputs);
     this.admission = new Admission({ ...this.services, reportS: this.reportS });
     this.vitals = this.makeVitals();
     this.metrics = this.makeMetrics();
-    this.terms = this.makeOwnerTerms();
+    this.terms = this.makeLeadershipTerms();
     this.lag = new LagMonitor(runtime);
     this.unownedReports = new UnownedReports(clock, this.reportS);
     this.coordinator = this.makePeerCoordinator();
@@ -125,7 +125,7 @@
       this.httpServer.run(signal),
       this.state.world.run(signal),
       this.state.jobs.run(signal),
-      this.services.ownership.run(signal),
+      this.services.election.run(signal),
       this.peers.run(signal),
       this.coordinator.run(signal),
       this.terms.run(signal),
@@ -136,36 +136,36 @@
 
   private loadMoves(limits: MoveSettings): Promise<PartMover> {
     const { services, state, statuses, terms, settings } = this;
-    const { silenceS } = entitlementLimits(settings);
+    const { silenceS } = leaderLeaseLimits(settings);
     const { world } = state;
-    const part = OWNED_PART;
+    const part = ONLY_SHARD;
     return loadPartMover({ ...services, world, statuses, terms, part, silenceS }, limits);
   }
 
   /** The owner of the present term, null while nothing is owned here. */
-  private owner(): PartOwner | null {
+  private leader(): ShardLeader | null {
     return this.terms.current;
   }
 
-  private entitled(): Entitlement {
-    return this.entitlement.of(this.owner());
+  private leaderLeaseState(): LeaderLeaseState {
+    return this.leaderLease.stateFor(this.leader());
   }
 
   /** Others should own: the controller that our workers would try after us is silent, and others are not. */
-  private hesitates(): boolean {
+  private defersCampaign(): boolean {
     const { host_name, peers } = this.settings;
     const names = peers.map((peer) => peer.host_name);
     const next = nextForWorkers(host_name, names);
     return leavesWorkersStranded(next === null ? null : this.statuses.statusOf(next), {
       now: this.runtime.clock.now(),
       peers: this.statuses.statuses(),
-      silenceS: entitlementLimits(this.settings).silenceS,
+      silenceS: leaderLeaseLimits(this.settings).silenceS,
     });
   }
 
   private makeStatusExchange(): StatusExchange {
     return new StatusExchange({
-      life: Math.floor(this.runtime.random() * Number.MAX_SAFE_INTEGER),
+      incarnation: Math.floor(this.runtime.random() * Number.MAX_SAFE_INTEGER),
       peers: this.settings.peers.map((peer) => peer.host_name),
       cancellations: this.services.cancellations,
       sendTo: (peer, frame) => this.peers.sendTo(peer, frame),
@@ -174,7 +174,7 @@
 
   private makePeerCoordinator(): PeerCoordinator {
     const { peers, statuses, unownedReports, cancellationRelay, standby } = this;
-    const owner = () => this.owner();
+    const leader = () => this.leader();
     return new PeerCoordinator({
       ...this.services,
       peers,
@@ -182,7 +182,7 @@
       unownedReports,
       cancellationRelay,
       standby,
-      owner,
+      leader,
     });
   }
 
@@ -197,7 +197,7 @@
         stateChanges: client.changes,
       }),
       connections: () => this.httpServer.connections,
-      onLook: (look) => this.log.info({ owner: this.owner() !== null, ...look }, 'vitals'),
+      onLook: (look) => this.log.info({ owner: this.leader() !== null, ...look }, 'vitals'),
     });
   }
 
@@ -209,15 +209,15 @@
       vitals: this.vitals,
       client: this.state.client,
       admission: this.admission,
-      owner: () => this.owner(),
+      leader: () => this.leader(),
     });
   }
 
-  private makeOwnerTerms(): OwnerTerms {
-    return new OwnerTerms({
+  private makeLeadershipTerms(): LeadershipTerms {
+    return new LeadershipTerms({
       ...this.services,
       cloud: this.cloud,
-      entitlement: () => this.entitled(),
+      leaderLeaseState: () => this.leaderLeaseState(),
       onRound: (roundMs) => {
         this.vitals.rounds++;
         this.vitals.roundMs += roundMs;
@@ -241,9 +241,9 @@
       metrics,
       lag,
       admission,
-      owner: () => this.owner(),
-      entitledOwner: () => (this.entitled() === 'none' ? null : this.owner()),
-      silenceS: entitlementLimits(settings).silenceS,
+      leader: () => this.leader(),
+      activeLeader: () => (this.leaderLeaseState() === 'none' ? null : this.leader()),
+      silenceS: leaderLeaseLimits(settings).silenceS,
     });
   }
 }
--- a/packages/controller/entitlement.test.ts
+++ b/packages/controller/entitlement.test.ts
@@ -2,19 +2,19 @@
 import { test } from 'node:test';
 import fc from 'fast-check';
 import { aPeerStatus, SEEDED, STATED_TERM as TERM } from '#testing';
-import { cutFromWorkers, EntitlementJudge, OwnerView } from './entitlement.js';
+import { isIsolatedFromWorkers, LeaderLeaseCheck, LeaderLeaseView } from './entitlement.js';
 import type { PeerStatus } from './peer-status.js';
 import { checkTimes, graceAfterLoss } from './time-bounds.js';
 
 const LIMITS = { peerCount: 2, silenceS: 2, graceS: 12 };
 
 /** An owner that the state service has refused since second 10. */
-function viewAt(now: number, peers: (PeerStatus | null)[], over: Partial<OwnerView> = {}) {
+function viewAt(now: number, peers: (PeerStatus | null)[], over: Partial<LeaderLeaseView> = {}) {
   return {
     now,
     term: TERM,
-    grantedUntil: 13,
-    grantAliveAt: 10,
+    leaseProvenUntil: 13,
+    leaseRenewedAt: 10,
     jobsCurrentAt: 10,
     jobsRevision: 100,
     failingSince: 10,
@@ -23,21 +23,21 @@
   };
 }
 
-function judgeOnce(view: OwnerView) {
-  return new EntitlementJudge(LIMITS).judge(view);
+function judgeOnce(view: LeaderLeaseView) {
+  return new LeaderLeaseCheck(LIMITS).evaluate(view);
 }
 
 test('an owner goes on through an outage for as long as all peers state that nobody is served', () => {
-  const judge = new EntitlementJudge(LIMITS);
+  const judge = new LeaderLeaseCheck(LIMITS);
   for (let now = 10; now < 200; now++) {
     const expected = now < 13 ? 'granted' : 'attested';
-    assert.equal(judge.judge(viewAt(now, [aPeerStatus(now), aPeerStatus(now)])), expected);
+    assert.equal(judge.evaluate(viewAt(now, [aPeerStatus(now), aPeerStatus(now)])), expected);
   }
   // Once one falls silent, the time since the last proof is bounded.
   const silent = (now: number) => viewAt(now, [aPeerStatus(now), aPeerStatus(199)]);
-  assert.equal(judge.judge(silent(205)), 'grace');
-  assert.equal(judge.judge(silent(209)), 'grace');
-  assert.equal(judge.judge(silent(211)), 'none');
+  assert.equal(judge.evaluate(silent(205)), 'grace');
+  assert.equal(judge.evaluate(silent(209)), 'grace');
+  assert.equal(judge.evaluate(silent(211)), 'none');
 });
 
 test('what one peer does not state falls back to the bound after the loss', () => {
@@ -45,7 +45,7 @@
     ['never heard', null],
     ['nothing read of ours', { ...aPeerStatus(20), asOf: -Infinity }],
     ['restarted without the records', aPeerStatus(20, { loaded: false })],
-    ['may own', aPeerStatus(20, { mayOwn: true })],
+    ['may own', aPeerStatus(20, { mayLead: true })],
     ['too many cancellations to tell', aPeerStatus(20, { cancelledSince: Infinity })],
     ['its last request was served', aPeerStatus(20, { refused: false })],
   ];
@@ -68,7 +68,7 @@
   // Guards against an owner whose requests were swallowed by a cut: with every failure noticed only a
   // second later, a peer always seemed to be served after its newest failure, and it went on for good.
   assert.equal(judgeOnce(viewAt(20, [null, { ...served, servedAt: 19.9 }])), 'none');
-  const newer = aPeerStatus(12, { holder: { term: TERM + 1, name: 'c-1' } });
+  const newer = aPeerStatus(12, { newestLeader: { term: TERM + 1, name: 'c-1' } });
   assert.equal(judgeOnce(viewAt(20, [aPeerStatus(20), newer])), 'none');
   // Guards against a fleet that dies: two seconds of refusal alone counted for the whole outage that
   // followed, though by then nobody was served.
@@ -77,7 +77,7 @@
 });
 
 test('a grant alone does not entitle once cancellations may be unknown for too long', () => {
-  const over = { grantedUntil: 100, grantAliveAt: 99 };
+  const over = { leaseProvenUntil: 100, leaseRenewedAt: 99 };
   assert.equal(judgeOnce(viewAt(21, [null, null], over)), 'granted');
   assert.equal(judgeOnce(viewAt(23, [null, null], over)), 'none');
 });
@@ -88,11 +88,11 @@
       fc.double({ min: 0, max: 100, noNaN: true }),
       fc.nat(100),
       fc.nat(100),
-      (now, jobsCurrentAt, grantAliveAt) => {
-        const view = viewAt(now, [null, null], { jobsCurrentAt, grantAliveAt });
+      (now, jobsCurrentAt, leaseRenewedAt) => {
+        const view = viewAt(now, [null, null], { jobsCurrentAt, leaseRenewedAt });
         const out = judgeOnce(view);
         if (now >= jobsCurrentAt + LIMITS.graceS) assert.equal(out, 'none');
-        if (now >= Math.max(13, grantAliveAt + LIMITS.graceS)) assert.equal(out, 'none');
+        if (now >= Math.max(13, leaseRenewedAt + LIMITS.graceS)) assert.equal(out, 'none');
       },
     ),
     SEEDED,
@@ -100,8 +100,8 @@
 });
 
 test('a single controller has nobody to ask and goes on', () => {
-  const judge = new EntitlementJudge({ ...LIMITS, peerCount: 0 });
-  assert.equal(judge.judge(viewAt(500, [])), 'attested');
+  const judge = new LeaderLeaseCheck({ ...LIMITS, peerCount: 0 });
+  assert.equal(judge.evaluate(viewAt(500, [])), 'attested');
   assert.equal(judgeOnce(viewAt(500, [])), 'none', 'peers are missing in the settings');
 });
 
@@ -121,9 +121,9 @@
 test('an owner yields when its workers ask its peers for it, and only then', () => {
   // Guards against a fleet whose leases all run out while its owner keeps the part but is cut from
   // the workers, and against resigning over a few lost machines or a fleet that is gone.
-  assert.equal(cutFromWorkers(40, 0, 10), true);
-  assert.equal(cutFromWorkers(40, 0, 0), false, 'nobody asks');
-  assert.equal(cutFromWorkers(40, 30, 10), false, 'a zone is out of reach');
-  assert.equal(cutFromWorkers(40, 4, 4), false, 'as many are heard here');
-  assert.equal(cutFromWorkers(0, 0, 0), false);
+  assert.equal(isIsolatedFromWorkers(40, 0, 10), true);
+  assert.equal(isIsolatedFromWorkers(40, 0, 0), false, 'nobody asks');
+  assert.equal(isIsolatedFromWorkers(40, 30, 10), false, 'a zone is out of reach');
+  assert.equal(isIsolatedFromWorkers(40, 4, 4), false, 'as many are heard here');
+  assert.equal(isIsolatedFromWorkers(0, 0, 0), false);
 });
--- a/packages/controller/entitlement.ts
+++ b/packages/controller/entitlement.ts
@@ -7,18 +7,18 @@
  * Each is known for certain as of some moment; after the later of these moments the owner goes on for
  * a bounded time. All times are steady seconds of this process.
  */
-export interface OwnerView extends ProofView {
+export interface LeaderLeaseView extends ProofView {
   /** The grant surely lives until then, so nobody else can own. */
-  grantedUntil: number;
+  leaseProvenUntil: number;
   /** When the last renewal of the grant that succeeded was sent: nobody else could own then. */
-  grantAliveAt: number;
+  leaseRenewedAt: number;
   /** When the newest request was sent that brought all cancellations in. */
   jobsCurrentAt: number;
   /** When the first of our requests that failed since the last success was sent. */
   failingSince: number;
 }
 
-export interface EntitlementLimits {
+export interface LeaderLeaseLimits {
   /** Controllers besides this one. */
   peerCount: number;
   /** A peer that was not heard for this long is out of reach. */
@@ -33,27 +33,27 @@
  * - `grace`: nothing is proven now, but it was a short time ago;
  * - `none`: workers must be turned away.
  */
-export type Entitlement = 'granted' | 'attested' | 'grace' | 'none';
+export type LeaderLeaseState = 'granted' | 'attested' | 'grace' | 'none';
 
 /** Judges the owner of one term; make a new one for each. */
-export class EntitlementJudge {
+export class LeaderLeaseCheck {
   private readonly proof: PeerProof;
 
-  constructor(private readonly limits: EntitlementLimits) {
+  constructor(private readonly limits: LeaderLeaseLimits) {
     this.proof = new PeerProof(limits.peerCount);
   }
 
-  judge(view: OwnerView): Entitlement {
+  evaluate(view: LeaderLeaseView): LeaderLeaseState {
     const { now } = view;
     const { graceS, silenceS } = this.limits;
     this.proof.note(view);
     const informedAt = Math.max(view.jobsCurrentAt, this.proof.informedAt);
     if (now >= informedAt + graceS) return 'none';
-    if (now < view.grantedUntil) return 'granted';
+    if (now < view.leaseProvenUntil) return 'granted';
     if (view.peers.some((peer) => isSuccessor(view, peer, silenceS))) return 'none';
-    const soleAt = Math.max(view.grantAliveAt, this.proof.soleAt);
-    if (now >= soleAt + graceS) return 'none';
-    const attestedAt = Math.min(this.proof.soleAt, this.proof.informedAt);
+    const soleLeaderAt = Math.max(view.leaseRenewedAt, this.proof.soleLeaderAt);
+    if (now >= soleLeaderAt + graceS) return 'none';
+    const attestedAt = Math.min(this.proof.soleLeaderAt, this.proof.informedAt);
     return now < attestedAt + silenceS ? 'attested' : 'grace';
   }
 }
@@ -72,7 +72,7 @@
   silenceS: number,
 ): boolean {
   if (peer === null) return false;
-  if (peer.frame.holder.term > view.term) return true;
+  if (peer.frame.newestLeader.term > view.term) return true;
   const reachable = view.now - peer.heardAt <= silenceS;
   // Whether we have failed again since doesn't matter: a cut that swallows requests shows their
   // failure only when they time out.
@@ -89,6 +89,10 @@
  * An owner that its workers can't reach holds its term while all their leases run out. It hears next to
  * none of the machines that should report, and its peers hear some of those ask for it.
  */
-export function cutFromWorkers(machines: number, heard: number, heardByPeers: number): boolean {
+export function isIsolatedFromWorkers(
+  machines: number,
+  heard: number,
+  heardByPeers: number,
+): boolean {
   return hearsNextToNone(machines, heard) && heardByPeers > Math.max(heard, machines / 16);
 }
--- a/packages/controller/http-interface.ts
+++ b/packages/controller/http-interface.ts
@@ -5,7 +5,7 @@
 import { HttpServer } from './http-server.js';
 import type { LagMonitor } from './lag.js';
 import type { MetricsEndpoint } from './metrics-endpoint.js';
-import type { PartOwner } from './owner.js';
+import type { ShardLeader } from './owner.js';
 import { mountReplicas } from './replica-endpoint.js';
 import { ReportHandler } from './report-handler.js';
 import type { ControllerServices } from './services.js';
@@ -32,9 +32,9 @@
   lag: LagMonitor;
   admission: Admission;
   /** Null while nothing is owned here. */
-  owner: () => PartOwner | null;
+  leader: () => ShardLeader | null;
   /** Null while no owner here may answer workers. */
-  entitledOwner: () => PartOwner | null;
+  activeLeader: () => ShardLeader | null;
 }
 
 /** The server for workers, users and health checks, with all its routes. */
@@ -52,7 +52,7 @@
       health.mount(app);
       metrics.mount(app);
       users.mount(app);
-      mountReplicas(app, { ...services, owner: options.owner });
+      mountReplicas(app, { ...services, leader: options.leader });
     },
     onReport: (body, res) => {
       const answered = metrics.timeReport();
--- a/packages/controller/metrics-endpoint.ts
+++ b/packages/controller/metrics-endpoint.ts
@@ -3,7 +3,7 @@
 import type { Clock } from '#wire';
 import type { Admission } from './admission.js';
 import { Metrics } from './metrics.js';
-import type { PartOwner } from './owner.js';
+import type { ShardLeader } from './owner.js';
 import type { OptionalReplicaSupport } from './replica-support.js';
 import type { Vitals } from './vitals.js';
 
@@ -15,7 +15,7 @@
   admission: Admission;
   replicas: OptionalReplicaSupport;
   /** Null while nothing is owned here. */
-  owner: () => PartOwner | null;
+  leader: () => ShardLeader | null;
 }
 
 /** Serves `/metrics`. The metrics are loaded with the first request for them; until then none is kept. */
@@ -64,11 +64,11 @@
   }
 
   private register(metrics: Metrics): void {
-    const { vitals, client, admission, owner } = this.options;
+    const { vitals, client, admission, leader } = this.options;
     metrics.gauge('total', 'Counts since the start', 'of', () => vitals.totals());
     metrics.gauge('held', 'What the process holds now', 'of', () => vitals.held());
     metrics.gauge('term', 'Term of the part that is owned here, 0 if none', null, () => ({
-      '': owner()?.term.term ?? 0,
+      '': leader()?.term.term ?? 0,
     }));
     const budgetHelp = "Left of this controller's part of the state service's rates";
     metrics.gauge('budget', budgetHelp, 'of', () => client.left());
@@ -78,36 +78,36 @@
       'team_index',
       'Index of each team',
       'team',
-      () => owner()?.fleetSummary().index ?? {},
+      () => leader()?.fleetSummary().index ?? {},
     );
     metrics.gauge(
       'waiting',
       'Tasks that wait for a place',
       'class',
-      () => owner()?.fleetSummary().waiting ?? {},
+      () => leader()?.fleetSummary().waiting ?? {},
     );
     const awaitingHelp = 'Jobs that await others which are not done';
     metrics.gauge('awaiting_jobs', awaitingHelp, null, () => ({
-      '': owner()?.fleet.jobs.awaiting ?? 0,
+      '': leader()?.fleet.jobs.awaiting ?? 0,
     }));
     const suspectHelp = 'Jobs whose tasks fail on every machine tried';
     metrics.gauge('suspect_jobs', suspectHelp, null, () => ({
-      '': owner()?.fleet.failures.suspects.size ?? 0,
+      '': leader()?.fleet.failures.suspects.size ?? 0,
     }));
     metrics.gauge(
       'machines',
       'Machines by state',
       'state',
-      () => owner()?.fleetSummary().machines ?? {},
+      () => leader()?.fleetSummary().machines ?? {},
     );
     this.registerReplicas(metrics);
   }
 
   private registerReplicas(metrics: Metrics): void {
-    const { replicas, owner } = this.options;
+    const { replicas, leader } = this.options;
     const { support } = replicas;
     if (support === null) return;
-    const phases = () => owner()?.replicaGroups?.countByPhase() ?? {};
+    const phases = () => leader()?.replicaGroups?.countByPhase() ?? {};
     metrics.gauge('replicas', 'Replicas of several members, by phase', 'phase', phases);
     const recoveries = () => support.metrics.recoveries();
     const recoveriesHelp = 'Times that a replica became whole again, by why it was not';
--- a/packages/controller/owner-entitlement.ts
+++ b/packages/controller/owner-entitlement.ts
@@ -1,5 +1,5 @@
-import { Entitlement, EntitlementJudge, EntitlementLimits } from './entitlement.js';
-import type { PartOwner } from './owner.js';
+import { LeaderLeaseState, LeaderLeaseCheck, LeaderLeaseLimits } from './entitlement.js';
+import type { ShardLeader } from './owner.js';
 import type { PlatformSettings } from './platform-settings.js';
 import type { ControllerServices } from './services.js';
 import type { StatusExchange } from './status-exchange.js';
@@ -8,36 +8,36 @@
 /** Report periods after which a peer that was not heard counts as out of reach. */
 const SILENCE_PERIODS = 2;
 
-type Services = Pick<ControllerServices, 'runtime' | 'settings' | 'client' | 'jobs' | 'ownership'>;
+type Services = Pick<ControllerServices, 'runtime' | 'settings' | 'client' | 'jobs' | 'election'>;
 
-export interface OwnerEntitlementOptions extends Services {
-  limits: EntitlementLimits;
+export interface LeaderLeaseOptions extends Services {
+  limits: LeaderLeaseLimits;
   statuses: StatusExchange;
 }
 
 /** Judges the present owner by all that this controller knows. */
-export class OwnerEntitlement {
+export class LeaderLease {
   /** The term that the judge was made for. */
   private term = 0;
-  private judge: EntitlementJudge;
+  private check: LeaderLeaseCheck;
 
-  constructor(private readonly options: OwnerEntitlementOptions) {
-    this.judge = new EntitlementJudge(options.limits);
+  constructor(private readonly options: LeaderLeaseOptions) {
+    this.check = new LeaderLeaseCheck(options.limits);
   }
 
   /** Whether the owner may answer workers now; null if nothing is owned here. */
-  of(owner: PartOwner | null): Entitlement {
-    if (owner === null) return 'none';
-    if (owner.term.term !== this.term) {
-      this.term = owner.term.term;
-      this.judge = new EntitlementJudge(this.options.limits);
+  stateFor(leader: ShardLeader | null): LeaderLeaseState {
+    if (leader === null) return 'none';
+    if (leader.term.term !== this.term) {
+      this.term = leader.term.term;
+      this.check = new LeaderLeaseCheck(this.options.limits);
     }
-    const { runtime, client, jobs, ownership, statuses } = this.options;
-    return this.judge.judge({
+    const { runtime, client, jobs, election, statuses } = this.options;
+    return this.check.evaluate({
       now: runtime.clock.now(),
-      term: owner.term.term,
-      grantedUntil: ownership.provenUntil,
-      grantAliveAt: ownership.soleAt,
+      term: leader.term.term,
+      leaseProvenUntil: election.provenUntil,
+      leaseRenewedAt: election.soleLeaderAt,
       jobsCurrentAt: jobs.cache.syncedAt,
       jobsRevision: jobs.cache.completeTo,
       failingSince: client.failingSince,
@@ -47,7 +47,7 @@
 }
 
 /** How many peers must be heard, and how old what they state may be. */
-export function entitlementLimits({ deployment }: PlatformSettings): EntitlementLimits {
+export function leaderLeaseLimits({ deployment }: PlatformSettings): LeaderLeaseLimits {
   const { nodes, workers } = deployment;
   return {
     peerCount: nodes - 1,
--- a/packages/controller/owner-reach.test.ts
+++ b/packages/controller/owner-reach.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { leavesWorkersStranded, mayReachOwner, nextForWorkers } from './owner-reach.js';
+import { leavesWorkersStranded, mayReachLeader, nextForWorkers } from './owner-reach.js';
 import type { PeerStatus } from './peer-status.js';
 
 const NOW = 30;
@@ -11,8 +11,8 @@
   return { heardAt, asOf: heardAt, servedAt: heardAt, frame };
 }
 
-function mayReach(owner: PeerStatus | null, ...others: (PeerStatus | null)[]): boolean {
-  return mayReachOwner({ now: NOW, owner, peers: [owner, ...others], silenceS: SILENCE_S });
+function mayReach(leader: PeerStatus | null, ...others: (PeerStatus | null)[]): boolean {
+  return mayReachLeader({ now: NOW, leader, peers: [leader, ...others], silenceS: SILENCE_S });
 }
 
 test('workers are sent to an owner that is heard, or of which nothing is known yet', () => {
--- a/packages/controller/owner-reach.ts
+++ b/packages/controller/owner-reach.ts
@@ -6,10 +6,10 @@
 }
 
 /** The owner of the part as another controller knows it; steady seconds. */
-export interface OwnerReachView {
+export interface LeaderReachView {
   now: number;
   /** The owner's latest statement; null if it was never heard. */
-  owner: PeerStatus | null;
+  leader: PeerStatus | null;
   /** The latest statement of each other controller; null if it was never heard. */
   peers: (PeerStatus | null)[];
   /** A controller that was not heard for this long is out of reach. */
@@ -21,9 +21,9 @@
  * answer from an owner that is silent or cut off, which may be the rest of its lease; elsewhere it soon finds
  * the next owner.
  */
-export function mayReachOwner({ now, owner, peers, silenceS }: OwnerReachView): boolean {
-  if (owner === null) return true;
-  if (isHeard(owner, now, silenceS)) return !owner.frame.unheard;
+export function mayReachLeader({ now, leader, peers, silenceS }: LeaderReachView): boolean {
+  if (leader === null) return true;
+  if (isHeard(leader, now, silenceS)) return !leader.frame.unheard;
   // Cut off from all peers, this controller can't tell whether the owner is silent for others too.
   return !peers.some((peer) => isHeard(peer, now, silenceS));
 }
@@ -49,7 +49,7 @@
  */
 export function leavesWorkersStranded(
   next: PeerStatus | null,
-  { now, peers, silenceS }: Omit<OwnerReachView, 'owner'>,
+  { now, peers, silenceS }: Omit<LeaderReachView, 'leader'>,
 ): boolean {
   if (isHeard(next, now, silenceS)) return false;
   return peers.some((peer) => isHeard(peer, now, silenceS));
--- a/packages/controller/owner-records.ts
+++ b/packages/controller/owner-records.ts
@@ -18,7 +18,7 @@
 /** Resolves with all records under a prefix as of a moment after the call. */
 export type ReadRecords = (prefix: string, signal: AbortSignal) => Promise<Entry[]>;
 
-export interface OwnerRecordsOptions {
+export interface RecordLoaderOptions {
   client: StateClient;
   readRecords: ReadRecords;
   jobs: JobTable;
@@ -34,8 +34,8 @@
 }
 
 /** Reads what earlier owners have recorded into the fleet state of a new term. */
-export class OwnerRecords {
-  constructor(private readonly options: OwnerRecordsOptions) {}
+export class RecordLoader {
+  constructor(private readonly options: RecordLoaderOptions) {}
 
   /** Returns how many machines were recorded; throws TermBroken if the records contradict each other. */
   async load(signal: AbortSignal): Promise<number> {
--- a/packages/controller/owner-terms.ts
+++ b/packages/controller/owner-terms.ts
@@ -3,9 +3,9 @@
 import { listAll, type Term } from '#store';
 import { aborted, type CloudClient, pause } from '#wire';
 import { CloudDuty } from './cloud.js';
-import type { Entitlement } from './entitlement.js';
+import type { LeaderLeaseState } from './entitlement.js';
 import type { ReadRecords } from './owner-records.js';
-import { PartOwner } from './owner.js';
+import { ShardLeader } from './owner.js';
 import { TermBroken } from './recorder.js';
 import type { ControllerServices } from './services.js';
 
@@ -14,16 +14,16 @@
  * owner's records are nearly all changes that there are. Each has its least share to itself; up to the most it
  * may use what the others leave.
  */
-const OWNER_WRITES = { least: 0.6, most: 0.8 };
-const OTHERS_MOST = 0.3;
-const ALL_OTHERS_LEAST = 0.3;
+const LEADER_WRITES = { least: 0.6, most: 0.8 };
+const FOLLOWER_MAX_WRITES = 0.3;
+const ALL_FOLLOWERS_MIN_WRITES = 0.3;
 /** Share of a report period from a failed load of the records to the next. */
 const RELOAD_PAUSE = 1 / 5;
 
-export interface OwnerTermsOptions extends ControllerServices {
+export interface LeadershipTermsOptions extends ControllerServices {
   cloud: CloudClient;
   /** Whether the present owner may answer workers. */
-  entitlement: () => Entitlement;
+  leaderLeaseState: () => LeaderLeaseState;
   /** Told how long each scheduling round took. */
   onRound: (roundMs: number) => void;
   /** Connections that may be open for direct commands. */
@@ -31,9 +31,9 @@
 }
 
 /** Runs an owner, and what it does at the cloud, while this controller holds the part. */
-export class OwnerTerms {
+export class LeadershipTerms {
   /** The owner of the present term, null while nothing is owned here. */
-  current: PartOwner | null = null;
+  current: ShardLeader | null = null;
   /** Its dealings with the cloud. */
   private cloud: CloudDuty | null = null;
   /** Aborts when the present term ends. */
@@ -43,12 +43,12 @@
   /** What is still ending, too. */
   private readonly running = new Set<Promise<void>>();
 
-  constructor(private readonly options: OwnerTermsOptions) {}
+  constructor(private readonly options: LeadershipTermsOptions) {}
 
   /** Follows the ownership until the signal aborts; resolves once the last term has ended. */
   async run(signal: AbortSignal): Promise<void> {
     this.shareWrites(false);
-    const terms = this.options.ownership.term
+    const terms = this.options.election.term
       .pipe(filter((term) => term?.term !== this.term?.id))
       .subscribe((term) => this.change(term, signal));
     await aborted(signal);
@@ -78,7 +78,7 @@
     log.info({ term: term.term }, 'term begins');
     const end = new AbortController();
     this.term = { id: term.term, end };
-    const done = this.own(term, AbortSignal.any([signal, end.signal]));
+    const done = this.lead(term, AbortSignal.any([signal, end.signal]));
     this.running.add(done);
     void done.finally(() => this.running.delete(done));
   }
@@ -87,25 +87,25 @@
     const { settings, client } = this.options;
     const others = settings.deployment.nodes - 1;
     if (others === 0) return;
-    const least = Math.min(OTHERS_MOST, ALL_OTHERS_LEAST / others);
-    client.shareWrites(owns ? OWNER_WRITES : { least, most: OTHERS_MOST });
+    const least = Math.min(FOLLOWER_MAX_WRITES, ALL_FOLLOWERS_MIN_WRITES / others);
+    client.shareWrites(owns ? LEADER_WRITES : { least, most: FOLLOWER_MAX_WRITES });
   }
 
-  private async own(term: Term, signal: AbortSignal): Promise<void> {
+  private async lead(term: Term, signal: AbortSignal): Promise<void> {
     const { runtime, settings, log } = this.options;
     while (!signal.aborted) {
-      const owner = this.makeOwner(term);
-      this.current = owner;
+      const leader = this.makeLeader(term);
+      this.current = leader;
       const end = new AbortController();
       const attempt = AbortSignal.any([signal, end.signal]);
       // Every call to a worker listens to it.
       setMaxListeners(0, attempt);
-      this.cloud = this.makeCloudDuty(owner);
+      this.cloud = this.makeCloudDuty(leader);
       const cloud = this.cloud.run(attempt);
       try {
-        await owner.run(attempt);
+        await leader.run(attempt);
       } catch (err) {
-        if (signal.aborted || this.givesUp(owner, err)) return;
+        if (signal.aborted || this.givesUp(leader, err)) return;
         log.debug({ err: String(err) }, 'owner starts anew');
         const delayMs = RELOAD_PAUSE * settings.deployment.workers.report_s * 1000;
         await pause(runtime.clock, delayMs, signal);
@@ -117,17 +117,17 @@
   }
 
   /** A fleet state that has given orders knows what may still arrive; it can't be made anew in its term. */
-  private givesUp(owner: PartOwner, err: unknown): boolean {
-    if (!(err instanceof TermBroken) && !owner.ready) return false;
-    this.options.log.info({ why: String(err), term: owner.term.term }, 'term given up');
-    this.options.ownership.resign();
+  private givesUp(leader: ShardLeader, err: unknown): boolean {
+    if (!(err instanceof TermBroken) && !leader.ready) return false;
+    this.options.log.info({ why: String(err), term: leader.term.term }, 'term given up');
+    this.options.election.resign();
     return true;
   }
 
-  private makeOwner(term: Term): PartOwner {
-    const { runtime, settings, client, commits, jobs, types, replicas, entitlement, log } =
+  private makeLeader(term: Term): ShardLeader {
+    const { runtime, settings, client, commits, jobs, types, replicas, leaderLeaseState, log } =
       this.options;
-    return new PartOwner({
+    return new ShardLeader({
       runtime,
       settings,
       client,
@@ -137,28 +137,28 @@
       term,
       types: () => types.all(),
       replicas,
-      entitled: () => entitlement() !== 'none',
+      holdsLeaderLease: () => leaderLeaseState() !== 'none',
       onRound: this.options.onRound,
       directSockets: this.options.directSockets,
       log,
     });
   }
 
-  private makeCloudDuty(owner: PartOwner): CloudDuty {
-    const { runtime, settings, client, cloud, types, entitlement, log } = this.options;
+  private makeCloudDuty(leader: ShardLeader): CloudDuty {
+    const { runtime, settings, client, cloud, types, leaderLeaseState, log } = this.options;
     const { deployment, host_name } = settings;
     return new CloudDuty({
       runtime,
       cloud,
-      owner,
+      leader,
       name: host_name,
       rps: deployment.cloud.rps,
       listLagS: deployment.cloud.list_lag_s,
       reportS: deployment.workers.report_s,
       leaseS: deployment.workers.lease_s,
       onTypes: (listed, signal) => types.publish(listed, signal),
-      mayRent: () => ['granted', 'attested'].includes(entitlement()),
-      mayRelease: () => entitlement() === 'granted' && !client.failing,
+      mayRent: () => ['granted', 'attested'].includes(leaderLeaseState()),
+      mayRelease: () => leaderLeaseState() === 'granted' && !client.failing,
       log,
     });
   }
--- a/packages/controller/owner.ts
+++ b/packages/controller/owner.ts
@@ -11,7 +11,7 @@
 import { JobIntake } from './job-intake.js';
 import { JobTable } from './jobs.js';
 import type { Log } from './log.js';
-import { OwnerRecords, type ReadRecords } from './owner-records.js';
+import { RecordLoader, type ReadRecords } from './owner-records.js';
 import { stopOnNotices } from './notices.js';
 import type { Pacer } from './pacer.js';
 import { Recorder } from './recorder.js';
@@ -24,7 +24,7 @@
 /** Rounds in a report period if nothing asks for more. */
 const ROUND_TICKS = 4;
 
-export interface PartOwnerOptions {
+export interface ShardLeaderOptions {
   runtime: Runtime;
   settings: Settings;
   client: StateClient;
@@ -35,7 +35,7 @@
   term: Term;
   types: () => MachineType[];
   replicas: OptionalReplicaSupport;
-  entitled: () => boolean;
+  holdsLeaderLease: () => boolean;
   /** Told how long each scheduling round took. */
   onRound: (ms: number) => void;
   /** Connections that may be open for direct commands. */
@@ -44,7 +44,7 @@
 }
 
 /** One term of owning a part: its fleet state, the recorder behind it and the duties that drive it. */
-export class PartOwner {
+export class ShardLeader {
   readonly fleet: FleetState;
   readonly planner: CapacityPlanner;
   readonly scheduler: Scheduler;
@@ -70,7 +70,7 @@
   first = false;
   private summaryAt = -Infinity;
 
-  constructor(private readonly options: PartOwnerOptions) {
+  constructor(private readonly options: ShardLeaderOptions) {
     const { runtime, settings, client, term, log } = options;
     this.clock = runtime.clock;
     this.startedAt = this.clock.now();
@@ -140,7 +140,7 @@
   }
 
   private pushDirect(signal: AbortSignal): void {
-    if (this.options.entitled()) this.direct.push(signal);
+    if (this.options.holdsLeaderLease()) this.direct.push(signal);
   }
 
   /** Stops deciding; resolves once nothing that was decided is on its way to the state service. */
@@ -170,7 +170,7 @@
     const { client, readRecords, jobs, types } = this.options;
     const { fleet, recorder } = this;
     for (const type of types()) fleet.machines.noteType(type);
-    const records = new OwnerRecords({
+    const records = new RecordLoader({
       client,
       readRecords,
       jobs,
--- a/packages/controller/part-moves.ts
+++ b/packages/controller/part-moves.ts
@@ -1,7 +1,7 @@
 import type { PartMover } from '#parts';
 import { MACHINES, type PrefixCache, PROGRESS } from '#store';
 import type { MoveSettings } from './operator.js';
-import type { OwnerTerms } from './owner-terms.js';
+import type { LeadershipTerms } from './owner-terms.js';
 import type { ControllerServices } from './services.js';
 import type { StatusExchange } from './status-exchange.js';
 
@@ -12,7 +12,7 @@
   /** Holds the records of the part and of its moves. */
   world: PrefixCache;
   statuses: StatusExchange;
-  terms: OwnerTerms;
+  terms: LeadershipTerms;
   part: number;
   /** A controller that was not heard for this long is out of reach; seconds. */
   silenceS: number;
@@ -32,17 +32,17 @@
     name: settings.host_name,
     limits,
     lookMs: (settings.deployment.workers.report_s * 1000) / LOOKS,
-    owner: () => movableOwner(terms),
+    leader: () => transferableLeader(terms),
     obstacle: (controller) => obstacleTo(controller, options),
-    canOwn: () => jobs.cache.ready && !client.failing,
+    canLead: () => jobs.cache.ready && !client.failing,
     ahead,
   });
 }
 
-function movableOwner(terms: OwnerTerms) {
-  const owner = terms.current;
-  if (owner === null) return null;
-  const { term, ready } = owner;
+function transferableLeader(terms: LeadershipTerms) {
+  const leader = terms.current;
+  if (leader === null) return null;
+  const { term, ready } = leader;
   return { term, ready, pause: () => terms.pause(), resume: () => terms.resume() };
 }
 
--- a/packages/controller/peer-coordinator.ts
+++ b/packages/controller/peer-coordinator.ts
@@ -1,9 +1,9 @@
 import type { Frame, PeerLink } from '#peer';
 import { type Clock, pause } from '#wire';
 import type { CancellationRelay } from './cancellation-relay.js';
-import { cutFromWorkers, hearsNextToNone } from './entitlement.js';
+import { isIsolatedFromWorkers, hearsNextToNone } from './entitlement.js';
 import { countAllTasks, countChangedTasks, countHeard } from './fleet-summary.js';
-import type { PartOwner } from './owner.js';
+import type { ShardLeader } from './owner.js';
 import type { PeerStatus } from './peer-status.js';
 import type { ControllerServices } from './services.js';
 import type { StandbyRenewal } from './standby-renewal.js';
@@ -26,7 +26,7 @@
 
 type Services = Pick<
   ControllerServices,
-  'runtime' | 'settings' | 'client' | 'jobs' | 'ownership' | 'log'
+  'runtime' | 'settings' | 'client' | 'jobs' | 'election' | 'log'
 >;
 
 export interface PeerCoordinatorOptions extends Services {
@@ -36,7 +36,7 @@
   cancellationRelay: CancellationRelay;
   standby: StandbyRenewal;
   /** Null while nothing is owned here. */
-  owner: () => PartOwner | null;
+  leader: () => ShardLeader | null;
 }
 
 /**
@@ -62,7 +62,7 @@
       statuses.receive(from, frame, this.clock.now());
       standby.note();
       cancellationRelay.endTasks();
-      this.yieldToNewer(frame.holder);
+      this.stepDownForNewerLeader(frame.newestLeader);
     } else if (frame.kind === 'counts') {
       for (const { job, done, running } of frame.jobs) jobs.noteCounts(job, done, running);
     } else if (frame.kind === 'abort') cancellationRelay.heard(frame);
@@ -70,36 +70,36 @@
 
   /** Tells the peers twice in a report period until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
-    const { jobs, cancellationRelay, owner: currentOwner } = this.options;
+    const { jobs, cancellationRelay, leader: currentLeader } = this.options;
     let round = 0;
     while (!signal.aborted) {
       // First of all, so that the peers hear at once that we own no longer.
-      this.yieldIfCut();
+      this.stepDownIfIsolated();
       this.sendStatus();
       this.renewDeadConnections();
       cancellationRelay.endTasks();
-      const owner = currentOwner();
-      if (owner && round % COUNT_ROUNDS === 0) {
+      const leader = currentLeader();
+      if (leader && round % COUNT_ROUNDS === 0) {
         // Cancellations that others took must be known, however quiet the users are here.
         jobs.cache.sync().catch(() => {});
         const isFull = (round / COUNT_ROUNDS) % ALL_COUNTS_ROUNDS === 0;
-        if (owner.ready) this.sendCounts(owner, isFull ? 'all' : 'changed');
+        if (leader.ready) this.sendCounts(leader, isFull ? 'all' : 'changed');
       }
-      if (owner) round++;
+      if (leader) round++;
       await pause(this.clock, (this.reportS * 1000) / STATUS_ROUNDS, signal);
     }
   }
 
   private sendStatus(): void {
-    const { client, jobs, ownership, owner, unownedReports, statuses } = this.options;
+    const { client, jobs, election, leader, unownedReports, statuses } = this.options;
     const now = this.clock.now();
     const own = {
       servedAgoMs: (now - client.lastOkAt) * 1000,
       refused: client.failing,
       loaded: jobs.cache.ready,
-      owner: owner() !== null,
-      mayOwn: ownership.mayOwn,
-      holder: ownership.newestHolder,
+      leading: leader() !== null,
+      mayLead: election.mayLead,
+      newestLeader: election.newestLeader,
       unheard: this.isUnheard(now),
       unownedReports: unownedReports.count(),
       jobsRevision: jobs.cache.completeTo,
@@ -124,10 +124,10 @@
     return now - heardAt <= CURRENT_PERIODS * this.reportS;
   }
 
-  private sendCounts(owner: PartOwner, which: 'all' | 'changed'): void {
+  private sendCounts(leader: ShardLeader, which: 'all' | 'changed'): void {
     const { jobs, peers } = this.options;
     const count = which === 'all' ? countAllTasks : countChangedTasks;
-    const counts = count(owner.fleet);
+    const counts = count(leader.fleet);
     for (const { job, done, running } of counts) jobs.noteCounts(job, done, running);
     for (let i = 0; i < counts.length; i += COUNTS_A_FRAME) {
       peers.send({ kind: 'counts', jobs: counts.slice(i, i + COUNTS_A_FRAME) });
@@ -135,12 +135,15 @@
   }
 
   /** A peer has seen a newer owner, so our term is over. */
-  private yieldToNewer(holder: { term: number; name: string }): void {
-    const { owner, log, ownership } = this.options;
-    const term = owner()?.term.term;
-    if (term === undefined || holder.term <= term) return;
-    log.info({ term, newer: holder.term, owner: holder.name }, 'a newer owner is known');
-    ownership.resign();
+  private stepDownForNewerLeader(newestLeader: { term: number; name: string }): void {
+    const { leader, log, election } = this.options;
+    const term = leader()?.term.term;
+    if (term === undefined || newestLeader.term <= term) return;
+    log.info(
+      { term, newer: newestLeader.term, owner: newestLeader.name },
+      'a newer owner is known',
+    );
+    election.resign();
   }
 
   /**
@@ -149,9 +152,9 @@
    * them ever reaches would let all their leases run out.
    */
   private heardWorkers(now: number): { machines: number; heard: number } | null {
-    const owner = this.options.owner();
-    if (!owner?.ready || now - owner.startedAt < (HEARD_PERIODS + 1) * this.reportS) return null;
-    return countHeard(owner.fleet, now, HEARD_PERIODS * this.reportS);
+    const leader = this.options.leader();
+    if (!leader?.ready || now - leader.startedAt < (HEARD_PERIODS + 1) * this.reportS) return null;
+    return countHeard(leader.fleet, now, HEARD_PERIODS * this.reportS);
   }
 
   private isUnheard(now: number): boolean {
@@ -160,20 +163,20 @@
   }
 
   /** Leaves the part to a controller that the workers can reach. */
-  private yieldIfCut(): void {
-    const { settings, ownership, log } = this.options;
-    const owner = this.options.owner();
-    if (!owner?.ready) return;
+  private stepDownIfIsolated(): void {
+    const { settings, election, log } = this.options;
+    const leader = this.options.leader();
+    if (!leader?.ready) return;
     const now = this.clock.now();
-    const allSilent = this.workerSilence.look(owner.fleet, now);
+    const allSilent = this.workerSilence.look(leader.fleet, now);
     const workers = this.heardWorkers(now);
     const heardByPeers = this.countHeardByPeers(now);
     const askElsewhere =
-      workers !== null && cutFromWorkers(workers.machines, workers.heard, heardByPeers);
+      workers !== null && isIsolatedFromWorkers(workers.machines, workers.heard, heardByPeers);
     if (!(askElsewhere || allSilent) || !this.canBeReplaced(now)) return;
-    const term = owner.term.term;
+    const term = leader.term.term;
     log.info({ term, ...workers, heardByPeers, allSilent }, 'cut from the workers');
-    ownership.resign(settings.deployment.workers.lease_s);
+    election.resign(settings.deployment.workers.lease_s);
   }
 
   /**
@@ -202,5 +205,5 @@
 
 /** The state service refuses the peer, which has no claim under way. */
 function awaitsService({ frame }: PeerStatus): boolean {
-  return frame.refused && !frame.mayOwn;
+  return frame.refused && !frame.mayLead;
 }
--- a/packages/controller/peer-proof.ts
+++ b/packages/controller/peer-proof.ts
@@ -17,7 +17,7 @@
  */
 export class PeerProof {
   /** Nobody owned a newer term as of this moment. */
-  soleAt = -Infinity;
+  soleLeaderAt = -Infinity;
   /** All that each peer had confirmed is known as of this moment. */
   private readonly informedBy: number[];
 
@@ -32,19 +32,19 @@
 
   /** Takes in what the statements prove by now. */
   note(view: ProofView): void {
-    this.noteSole(view);
-    this.noteInformed(view);
+    this.recordSoleLeader(view);
+    this.recordInformed(view);
   }
 
-  noteSole(view: ProofView): void {
+  recordSoleLeader(view: ProofView): void {
     const { now, peers } = view;
     // Peers that the settings don't name can't attest anything.
     if (peers.length !== this.peerCount) return;
-    const soleAt = peers.map((peer) => soleAsOf(view, peer));
-    this.soleAt = Math.max(this.soleAt, Math.min(now, ...soleAt));
+    const soleLeaderAt = peers.map((peer) => soleLeaderAsOf(view, peer));
+    this.soleLeaderAt = Math.max(this.soleLeaderAt, Math.min(now, ...soleLeaderAt));
   }
 
-  noteInformed(view: ProofView): void {
+  recordInformed(view: ProofView): void {
     const { peers } = view;
     if (peers.length !== this.peerCount) return;
     peers.forEach((peer, i) => {
@@ -57,10 +57,10 @@
  * The peer does not own, has no claim under way, and is refused by the state service, so that it can't
  * claim.
  */
-function soleAsOf(view: ProofView, peer: PeerStatus | null): number {
+function soleLeaderAsOf(view: ProofView, peer: PeerStatus | null): number {
   if (peer === null) return -Infinity;
-  const { refused, mayOwn, holder } = peer.frame;
-  return refused && !mayOwn && holder.term <= view.term ? peer.asOf : -Infinity;
+  const { refused, mayLead, newestLeader } = peer.frame;
+  return refused && !mayLead && newestLeader.term <= view.term ? peer.asOf : -Infinity;
 }
 
 /** The peer lists all cancellations that it knows or may have recorded, those of its earlier lives too. */
--- a/packages/controller/peer-status.test.ts
+++ b/packages/controller/peer-status.test.ts
@@ -5,18 +5,22 @@
 
 const OWN_LIFE = 7;
 
-function statusOf(life: number, sequence: number, echo: StatusReference | null): StatusFrame {
+function statusOf(
+  incarnation: number,
+  sequence: number,
+  echo: StatusReference | null,
+): StatusFrame {
   return {
     kind: 'status',
-    life,
+    incarnation,
     sequence,
     echo,
     servedAgoMs: 500,
     refused: false,
     loaded: true,
-    owner: false,
-    mayOwn: false,
-    holder: { term: 0, name: '' },
+    leading: false,
+    mayLead: false,
+    newestLeader: { term: 0, name: '' },
     unheard: false,
     unownedReports: 0,
     jobsRevision: 0,
@@ -34,13 +38,13 @@
   assert.equal(status?.asOf, 100);
   assert.equal(status?.heardAt, 130);
   assert.equal(status?.servedAt, 129.5);
-  assert.deepEqual(table.echoFor('c-1'), { life: 1, sequence: 1 });
+  assert.deepEqual(table.echoFor('c-1'), { incarnation: 1, sequence: 1 });
 });
 
 test('an echo of an earlier life of ours, or none, proves nothing', () => {
   const table = new PeerStatusTable(OWN_LIFE, ['c-1']);
   table.beginRound(100);
-  table.heard('c-1', statusOf(1, 1, { life: 6, sequence: 1 }), 101);
+  table.heard('c-1', statusOf(1, 1, { incarnation: 6, sequence: 1 }), 101);
   assert.equal(table.get('c-1')?.asOf, -Infinity);
   table.heard('c-1', statusOf(1, 2, null), 102);
   assert.equal(table.get('c-1')?.asOf, -Infinity);
@@ -52,12 +56,12 @@
   assert.ok(!table.heard('c-1', statusOf(1, 4, null), 11));
   assert.ok(table.heard('c-1', statusOf(2, 1, null), 12));
   assert.ok(!table.heard('c-1', statusOf(1, 6, null), 13));
-  assert.equal(table.get('c-1')?.frame.life, 2);
+  assert.equal(table.get('c-1')?.frame.incarnation, 2);
 });
 
 test('every peer that the settings name has a place, heard or not', () => {
   const table = new PeerStatusTable(OWN_LIFE, ['c-1', 'c-2']);
   table.heard('c-2', statusOf(1, 1, null), 10);
   assert.equal(table.all()[0], null);
-  assert.equal(table.all()[1]?.frame.life, 1);
+  assert.equal(table.all()[1]?.frame.incarnation, 1);
 });
--- a/packages/controller/peer-status.ts
+++ b/packages/controller/peer-status.ts
@@ -3,7 +3,7 @@
 /** Status rounds whose sending time is kept; older echoes say nothing of use. */
 const ROUNDS_KEPT = 64;
 /** Former lives of a peer that are remembered, so that what they still have under way is known as old. */
-const LIVES_KEPT = 16;
+const INCARNATIONS_KEPT = 16;
 
 /** What a peer last stated, with the times at which that was so; steady seconds of this process. */
 export interface PeerStatus {
@@ -25,14 +25,14 @@
  */
 export class PeerStatusTable {
   private readonly statuses = new Map<string, PeerStatus>();
-  private readonly formerLives = new Map<string, number[]>();
+  private readonly formerIncarnations = new Map<string, number[]>();
   /** Sending time of each of our latest rounds, by sequence. */
   private readonly sentAt = new Map<number, number>();
   private sequence = 0;
 
   constructor(
     /** Tells this process from its earlier lives. */
-    private readonly life: number,
+    private readonly incarnation: number,
     private readonly peers: readonly string[],
   ) {}
 
@@ -41,21 +41,22 @@
     this.sequence++;
     this.sentAt.set(this.sequence, now);
     this.sentAt.delete(this.sequence - ROUNDS_KEPT);
-    return { life: this.life, sequence: this.sequence };
+    return { incarnation: this.incarnation, sequence: this.sequence };
   }
 
   /** What a frame to this peer echoes. */
   echoFor(peer: string): StatusReference | null {
     const frame = this.statuses.get(peer)?.frame;
-    return frame ? { life: frame.life, sequence: frame.sequence } : null;
+    return frame ? { incarnation: frame.incarnation, sequence: frame.sequence } : null;
   }
 
   /** Takes a frame in; false if it is older than what is known of the peer. */
   heard(peer: string, frame: StatusFrame, now: number): boolean {
     const known = this.statuses.get(peer)?.frame;
-    if (known?.life === frame.life) {
+    if (known?.incarnation === frame.incarnation) {
       if (frame.sequence <= known.sequence) return false;
-    } else if (known && !this.beginLife(peer, known.life, frame.life)) return false;
+    } else if (known && !this.beginIncarnation(peer, known.incarnation, frame.incarnation))
+      return false;
     this.statuses.set(peer, {
       frame,
       heardAt: now,
@@ -75,15 +76,15 @@
   }
 
   /** Whether the frame's life is a new one of the peer. */
-  private beginLife(peer: string, last: number, next: number): boolean {
-    const former = this.formerLives.get(peer) ?? [];
+  private beginIncarnation(peer: string, last: number, next: number): boolean {
+    const former = this.formerIncarnations.get(peer) ?? [];
     if (former.includes(next)) return false;
-    this.formerLives.set(peer, [...former, last].slice(-LIVES_KEPT));
+    this.formerIncarnations.set(peer, [...former, last].slice(-INCARNATIONS_KEPT));
     return true;
   }
 
   private whenSent(echo: StatusReference | null): number {
-    if (echo === null || echo.life !== this.life) return -Infinity;
+    if (echo === null || echo.incarnation !== this.incarnation) return -Infinity;
     return this.sentAt.get(echo.sequence) ?? -Infinity;
   }
 }
--- a/packages/controller/rentals.ts
+++ b/packages/controller/rentals.ts
@@ -2,7 +2,7 @@
 import { type Clock, NoAnswer, RENT_AT_ONCE } from '#wire';
 import type { CloudAccess } from './cloud-access.js';
 import type { Log } from './log.js';
-import type { PartOwner } from './owner.js';
+import type { ShardLeader } from './owner.js';
 
 /** Share of a type's boot time for which a refused kind of machine is not asked for again. */
 const REFUSED_FOR = 1 / 3;
@@ -11,7 +11,7 @@
 
 export interface RentalsOptions extends CloudAccess {
   clock: Clock;
-  owner: PartOwner;
+  leader: ShardLeader;
   /** This controller's name. */
   name: string;
   /** Nobody else can own the part now, so what is rented is not rented twice. */
@@ -53,18 +53,18 @@
   }
 
   private nextRequest(): string {
-    const { name, owner } = this.options;
-    return `${name}-${owner.term.term}-${++this.requests}`;
+    const { name, leader } = this.options;
+    return `${name}-${leader.term.term}-${++this.requests}`;
   }
 
   private rented(request: string, rental: Rental, names: string[]): void {
-    const { clock, owner, log } = this.options;
-    const { machines } = owner.fleet;
+    const { clock, leader, log } = this.options;
+    const { machines } = leader.fleet;
     const { type, zone, spot, count } = rental;
     const now = clock.now();
     if (names.length < count) {
       const bootS = machines.types.get(type)?.bootS ?? 0;
-      owner.planner.rentalRefused(rental, now + bootS * REFUSED_FOR);
+      leader.planner.rentalRefused(rental, now + bootS * REFUSED_FOR);
     }
     for (const name of names) {
       machines.register({ name, addr: '', type, zone, spot }, 'booting', now);
--- a/packages/controller/replica-endpoint.test.ts
+++ b/packages/controller/replica-endpoint.test.ts
@@ -3,18 +3,18 @@
 import type { AddressInfo } from 'node:net';
 import { after, test } from 'node:test';
 import express from 'express';
-import type { PartOwner } from './owner.js';
+import type { ShardLeader } from './owner.js';
 import { mountReplicas } from './replica-endpoint.js';
 import type { ReplicaSupport } from './replica-support.js';
 
 const ROW = { job: 'j-1', replica: 0, generation: 7, phase: 'whole' };
 const SUPPORT = { rows: () => [ROW] } as unknown as ReplicaSupport;
-const OWNER = { replicaGroups: {} } as unknown as PartOwner;
+const OWNER = { replicaGroups: {} } as unknown as ShardLeader;
 
-async function ask(support: ReplicaSupport | null, owner: PartOwner | null) {
+async function ask(support: ReplicaSupport | null, leader: ShardLeader | null) {
   const app = express();
-  const holder = { owner: 'controller-2', grant: 1, version: 9 };
-  mountReplicas(app, { replicas: { support }, owner: () => owner, ownership: { holder } });
+  const currentLeader = { owner: 'controller-2', grant: 1, version: 9 };
+  mountReplicas(app, { replicas: { support }, leader: () => leader, election: { currentLeader } });
   const server = http.createServer(app).listen(0, '127.0.0.1');
   await new Promise((resolve) => server.once('listening', resolve));
   after(() => server.close());
--- a/packages/controller/report-handler.ts
+++ b/packages/controller/report-handler.ts
@@ -8,8 +8,8 @@
   type Report,
 } from '#wire';
 import { readBody, reply } from './http-bodies.js';
-import { mayReachOwner } from './owner-reach.js';
-import type { PartOwner } from './owner.js';
+import { mayReachLeader } from './owner-reach.js';
+import type { ShardLeader } from './owner.js';
 import type { ControllerServices } from './services.js';
 import { WorkerConnections } from './sockets.js';
 import type { StandbyRenewal } from './standby-renewal.js';
@@ -20,11 +20,11 @@
 /** A token that every worker drops. */
 const NO_TOKEN = 0;
 
-type Services = Pick<ControllerServices, 'runtime' | 'settings' | 'jobs' | 'ownership' | 'log'>;
+type Services = Pick<ControllerServices, 'runtime' | 'settings' | 'jobs' | 'election' | 'log'>;
 
 export interface ReportHandlerOptions extends Services {
   /** The owner of the present term if it may answer workers now. */
-  entitledOwner: () => PartOwner | null;
+  activeLeader: () => ShardLeader | null;
   standby: StandbyRenewal;
   statuses: StatusExchange;
   /** A controller that was not heard for this long is out of reach. */
@@ -48,11 +48,11 @@
       return;
     }
     this.options.vitals.reports++;
-    const owner = this.options.entitledOwner();
-    if (owner === null) this.answerAsOther(report, res);
-    else if (this.isNewer(report, owner.fleet.fencing.newestToken)) this.resign(report, res);
-    else if (owner.ready) this.answer(owner, report, res);
-    else this.renewLease(owner.term.term, report, res);
+    const leader = this.options.activeLeader();
+    if (leader === null) this.answerAsOther(report, res);
+    else if (this.isNewer(report, leader.fleet.fencing.newestToken)) this.resign(report, res);
+    else if (leader.ready) this.answer(leader, report, res);
+    else this.renewLease(leader.term.term, report, res);
   }
 
   /** Not the owner, or not entitled. */
@@ -69,24 +69,26 @@
 
   private resign({ machine, token }: Report, res: ServerResponse): void {
     this.options.log.info({ machine, token }, 'a newer token is out');
-    this.options.ownership.resign();
+    this.options.election.resign();
     reply(res, 421, redirectToWire(null));
   }
 
   private redirect(report: Report, res: ServerResponse): void {
-    const { settings, ownership, unownedReports } = this.options;
+    const { settings, election, unownedReports } = this.options;
     unownedReports.note(report.machine);
-    const { holder } = ownership;
-    if (!holder || holder.owner === settings.host_name) reply(res, 503, { error: 'no owner yet' });
-    else if (this.mayReach(holder.owner)) reply(res, 421, redirectToWire(holder.owner));
+    const { currentLeader } = election;
+    if (!currentLeader || currentLeader.owner === settings.host_name)
+      reply(res, 503, { error: 'no owner yet' });
+    else if (this.mayReach(currentLeader.owner))
+      reply(res, 421, redirectToWire(currentLeader.owner));
     else reply(res, 503, { error: 'the owner is out of reach' });
   }
 
-  private mayReach(owner: string): boolean {
+  private mayReach(leader: string): boolean {
     const { runtime, statuses, silenceS } = this.options;
-    return mayReachOwner({
+    return mayReachLeader({
       now: runtime.clock.now(),
-      owner: statuses.statusOf(owner),
+      leader: statuses.statusOf(leader),
       peers: statuses.statuses(),
       silenceS,
     });
@@ -103,9 +105,9 @@
     reply(res, 200, answerToWire(term, stops));
   }
 
-  private answer(owner: PartOwner, report: Report, res: ServerResponse): void {
+  private answer(leader: ShardLeader, report: Report, res: ServerResponse): void {
     const { machine } = report;
-    const answer = owner.report(report);
+    const answer = leader.report(report);
     if (answer === null) {
       // A late copy: its worker must drop the answer, which is not counted as a renewal.
       reply(res, 200, answerToWire(NO_TOKEN, []));
--- a/packages/controller/services.ts
+++ b/packages/controller/services.ts
@@ -1,5 +1,5 @@
 import { NO_QUOTA, teamWeight } from '#core';
-import { GroupCommit, Ownership, StateClient } from '#store';
+import { GroupCommit, LeaderElection, StateClient } from '#store';
 import type { Runtime } from '#wire';
 import { Cancellations } from './cancellations.js';
 import { JobTable } from './jobs.js';
@@ -10,7 +10,7 @@
 import type { StateAccess } from './state-access.js';
 
 /** The part that holds all machines. */
-export const OWNED_PART = 0;
+export const ONLY_SHARD = 0;
 
 /** Cancellations whose records are remembered, to be told to peers that have not read them. */
 const RECORDED_CANCELLATIONS = 2000;
@@ -28,7 +28,7 @@
   client: StateClient;
   /** Users' changes of jobs, which share transactions. */
   commits: GroupCommit;
-  ownership: Ownership;
+  election: LeaderElection;
   jobs: JobTable;
   types: MachineTypes;
   cancellations: Cancellations;
@@ -53,19 +53,19 @@
   settings: Settings,
   log: Log,
   { client, world, jobs }: StateAccess,
-  hesitates: () => boolean,
+  defersCampaign: () => boolean,
 ): ControllerServices {
   const { workers } = settings.deployment;
   const memoryS = CANCELLATION_MEMORY * workers.cancel_s;
   const cancellations = new Cancellations(RECORDED_CANCELLATIONS, memoryS);
-  const ownership = new Ownership({
+  const election = new LeaderElection({
     client,
     runtime,
     cache: world,
     name: settings.host_name,
-    part: OWNED_PART,
+    part: ONLY_SHARD,
     ttlS: settings.operator.ownerTtlS,
-    hesitates,
+    defersCampaign,
   });
   return {
     runtime,
@@ -78,7 +78,7 @@
       maxQueue: Math.ceil(client.limits.writeRps * COMMIT_QUEUE_S),
       weightOf: submissionWeights(settings),
     }),
-    ownership,
+    election,
     jobs: new JobTable(jobs, cancellations),
     types: new MachineTypes(client, world),
     cancellations,
--- a/packages/controller/standby.ts
+++ b/packages/controller/standby.ts
@@ -1,11 +1,11 @@
-import { EntitlementLimits, isSuccessor, SuccessorView } from './entitlement.js';
+import { LeaderLeaseLimits, isSuccessor, SuccessorView } from './entitlement.js';
 import { PeerProof, ProofView } from './peer-proof.js';
 import type { PeerStatus } from './peer-status.js';
 
 /** What a controller that does not own knows; steady seconds of this process. */
 export interface StandbyView extends ProofView, SuccessorView {
   /** This controller owns, or a claim of its may still be carried out. */
-  mayOwn: boolean;
+  mayLead: boolean;
   /** When the newest request was sent that brought all cancellations in. */
   jobsCurrentAt: number;
 }
@@ -17,34 +17,34 @@
  * each. The argument is that of an owner in an outage (docs/safety.md, point 7), and besides that the owner
  * of the term has ended: otherwise it would count the leases that we renew as run out.
  */
-export class StandbyJudge {
+export class StandbyRenewalCheck {
   private readonly proof: PeerProof;
   /** The life of the owner's process in which it owned the term, once it has stated so. */
-  private ownerLife: number | null = null;
+  private leaderIncarnation: number | null = null;
 
-  constructor(private readonly limits: EntitlementLimits) {
+  constructor(private readonly limits: LeaderLeaseLimits) {
     this.proof = new PeerProof(limits.peerCount);
   }
 
   /** Takes in the peers' statements; to be called whenever one has come. */
-  note(view: StandbyView, owner: PeerStatus | null): void {
-    const ownsTerm = owner?.frame.owner && owner.frame.holder.term === view.term;
-    if (ownsTerm) this.ownerLife = owner.frame.life;
-    if (this.ownerHasEnded(owner)) this.proof.note(view);
-    else this.proof.noteInformed(view);
+  note(view: StandbyView, leader: PeerStatus | null): void {
+    const ownsTerm = leader?.frame.leading && leader.frame.newestLeader.term === view.term;
+    if (ownsTerm) this.leaderIncarnation = leader.frame.incarnation;
+    if (this.leaderHasEnded(leader)) this.proof.note(view);
+    else this.proof.recordInformed(view);
   }
 
-  mayRenew(view: StandbyView, owner: PeerStatus | null): boolean {
+  mayRenew(view: StandbyView, leader: PeerStatus | null): boolean {
     const { graceS, silenceS } = this.limits;
-    if (view.mayOwn || !this.ownerHasEnded(owner)) return false;
+    if (view.mayLead || !this.leaderHasEnded(leader)) return false;
     if (view.peers.some((peer) => isSuccessor(view, peer, silenceS))) return false;
     const informedAt = Math.max(view.jobsCurrentAt, this.proof.informedAt);
-    return view.now < Math.min(informedAt, this.proof.soleAt) + graceS;
+    return view.now < Math.min(informedAt, this.proof.soleLeaderAt) + graceS;
   }
 
   /** The process that owned the term has a new life, or states that it owns no longer. */
-  private ownerHasEnded(owner: PeerStatus | null): boolean {
-    if (owner === null || this.ownerLife === null) return false;
-    return owner.frame.life !== this.ownerLife || !owner.frame.mayOwn;
+  private leaderHasEnded(leader: PeerStatus | null): boolean {
+    if (leader === null || this.leaderIncarnation === null) return false;
+    return leader.frame.incarnation !== this.leaderIncarnation || !leader.frame.mayLead;
   }
 }
--- a/packages/controller/state-access.ts
+++ b/packages/controller/state-access.ts
@@ -6,7 +6,7 @@
 /** How long the state service may hold a request of a watch. */
 const WATCH_MS = 10_000;
 /** Shares of a report period for which changes of jobs gather, at the owner and elsewhere. */
-const OWNER_GATHERS = 1 / 50;
+const LEADER_BATCHING = 1 / 50;
 const OTHERS_GATHER = 1 / 2;
 /** Share of the state service's rates that one controller may use, among others and alone. */
 const STATE_SHARE = 0.55;
@@ -47,7 +47,7 @@
 export function accessState(
   runtime: Runtime,
   { external, deployment }: Settings,
-  owning: () => boolean,
+  leading: () => boolean,
 ): StateAccess {
   const { nodes, state, workers } = deployment;
   const reportMs = workers.report_s * 1000;
@@ -58,7 +58,7 @@
   const leastSpacingMs = (nodes * 1000) / (limits.rps * SYNC_RATE_SHARE);
   const syncSpacingMs = Math.max(leastSpacingMs, reportMs * SYNC_SPACING);
   const caching = { client, runtime, watchMs: WATCH_MS, syncSpacingMs };
-  const gatherMs = () => reportMs * (owning() ? OWNER_GATHERS : OTHERS_GATHER);
+  const gatherMs = () => reportMs * (leading() ? LEADER_BATCHING : OTHERS_GATHER);
   return {
     client,
     world: new PrefixCache({ ...caching, prefix: WORLD }),
--- a/packages/controller/status-exchange.ts
+++ b/packages/controller/status-exchange.ts
@@ -8,9 +8,9 @@
   | 'servedAgoMs'
   | 'refused'
   | 'loaded'
-  | 'owner'
-  | 'mayOwn'
-  | 'holder'
+  | 'leading'
+  | 'mayLead'
+  | 'newestLeader'
   | 'unheard'
   | 'unownedReports'
   | 'jobsRevision'
@@ -18,7 +18,7 @@
 
 export interface StatusExchangeOptions {
   /** Tells this process from its earlier lives; 0 to Number.MAX_SAFE_INTEGER. */
-  life: number;
+  incarnation: number;
   /** Names of all other controllers. */
   peers: readonly string[];
   cancellations: Cancellations;
@@ -35,7 +35,7 @@
   private readonly table: PeerStatusTable;
 
   constructor(private readonly options: StatusExchangeOptions) {
-    this.table = new PeerStatusTable(options.life, options.peers);
+    this.table = new PeerStatusTable(options.incarnation, options.peers);
   }
 
   /** The latest statement of each peer, null where none came. */
--- a/packages/controller/submission-check.test.ts
+++ b/packages/controller/submission-check.test.ts
@@ -11,9 +11,9 @@
   const runtime = cluster.serviceRuntime('users', 'users', USERS_HOST);
   await cluster.start();
   await cluster.world.runUntil(5);
-  const owner = cluster.ownership.current()?.owner;
+  const leader = cluster.ownership.current()?.owner;
   const [here, there] = cluster.controllers
-    .filter(({ name }) => name !== owner)
+    .filter(({ name }) => name !== leader)
     .map(({ index }) => new UserClient(formatAddress(serviceAddress(index)), 5000, runtime));
   const good = aJob({ id: 'j-1' });
   const bodies = {
--- a/packages/controller/user-burst.test.ts
+++ b/packages/controller/user-burst.test.ts
@@ -13,8 +13,8 @@
   const runtime = cluster.serviceRuntime('users', 'users', USERS_HOST);
   await cluster.start();
   await cluster.world.runUntil(5);
-  const owner = cluster.ownership.current()?.owner;
-  const follower = cluster.controllers.find(({ name }) => name !== owner)!;
+  const leader = cluster.ownership.current()?.owner;
+  const follower = cluster.controllers.find(({ name }) => name !== leader)!;
   const address = formatAddress(serviceAddress(follower.index));
   const aUser = () => new UserClient(address, 20_000, runtime);
   return { cluster, aUser, now: () => cluster.world.now };
--- a/packages/core/fleet-tables.ts
+++ b/packages/core/fleet-tables.ts
@@ -16,7 +16,7 @@
   /** The owner's term, which is also its token (docs/safety.md, points 1 and 3). */
   term: number;
   /** When the part was claimed, in seconds of the steady clock. */
-  claimedAt: number;
+  electedAt: number;
   listener?: FleetListener;
   /** Source of jitter for retries; without it waits have their full length. */
   random?: Random;
@@ -30,7 +30,7 @@
 export class FleetTables {
   readonly settings: FleetSettings;
   readonly term: number;
-  readonly claimedAt: number;
+  readonly electedAt: number;
   readonly listener: FleetListener;
   readonly unrecorded = new UnrecordedChanges();
   readonly jobs: JobRegistry;
@@ -46,7 +46,7 @@
   constructor(options: FleetOptions) {
     this.settings = options.settings;
     this.term = options.term;
-    this.claimedAt = options.claimedAt;
+    this.electedAt = options.electedAt;
     this.listener = options.listener ?? NO_LISTENER;
     this.makeReplicas = options.makeReplicas;
     const isBestEffort = options.isBestEffort ?? (() => false);
--- a/packages/core/machine-leases.ts
+++ b/packages/core/machine-leases.ts
@@ -51,9 +51,9 @@
 
   /** Latest moment at which the worker's lease can still run, in seconds of the steady clock. */
   latestEnd({ termConfirmed, answeredAt }: Machine): number {
-    const { settings, claimedAt } = this.tables;
-    const byFormerOwner = termConfirmed ? -Infinity : claimedAt + settings.formerOwnerS;
-    return Math.max(answeredAt, byFormerOwner) + this.durationS;
+    const { settings, electedAt } = this.tables;
+    const byFormerLeader = termConfirmed ? -Infinity : electedAt + settings.formerLeaderS;
+    return Math.max(answeredAt, byFormerLeader) + this.durationS;
   }
 }
 
--- a/packages/core/model.ts
+++ b/packages/core/model.ts
@@ -184,7 +184,7 @@
   /** For how long tasks of a gang that is being stopped wait for each other. */
   gangPeerS: number;
   /** How long an earlier owner may have gone on answering after losing its term. */
-  formerOwnerS: number;
+  formerLeaderS: number;
   /** Half-life of service received. */
   halfLifeS: number;
   /** Bytes in JSON that the record of a machine may have. */
--- a/packages/parts/move-requests.ts
+++ b/packages/parts/move-requests.ts
@@ -17,7 +17,7 @@
 export interface PartStatus {
   part: number;
   /** Null while nobody owns it. */
-  owner: { name: string; term: number } | null;
+  leader: { name: string; term: number } | null;
   /** The move under way; `unreadable` if its record is damaged or of a later version. */
   move: MoveRecord | 'unreadable' | null;
   /** How the last move ended; null if there was none. */
@@ -43,14 +43,14 @@
   /** Rejects with NoAnswer or StateRefused, as all others do. */
   async status(): Promise<PartStatus> {
     const { part, api } = this;
-    const [owner, move, lastMove] = await Promise.all([
+    const [leader, move, lastMove] = await Promise.all([
       api.get(partKey(part)),
       api.get(moveKey(part)),
       api.get(moveResultKey(part)),
     ]);
     return {
       part,
-      owner: owner && { name: (owner.value as PartRecord).owner, term: owner.version },
+      leader: leader && { name: (leader.value as PartRecord).owner, term: leader.version },
       move: move && (decodeMove(move.value) ?? 'unreadable'),
       lastMove: lastMove && (lastMove.value as MoveResult),
     };
@@ -59,11 +59,11 @@
   /** Asks for a move and waits for its end, or for so many seconds. */
   async move(to: string, reason: string, withinS: number): Promise<RequestOutcome> {
     const { part, api, clock } = this;
-    const { owner } = await this.status();
-    if (owner === null) return { kind: 'not-moved', why: 'nobody owns the part now' };
-    if (owner.name === to) return { kind: 'not-moved', why: `${to} owns the part already` };
-    const value: MoveRecord = { fromTerm: owner.term, to, reason, phase: 'requested' };
-    const conditions = moveConditions(part, owner.term, 0);
+    const { leader } = await this.status();
+    if (leader === null) return { kind: 'not-moved', why: 'nobody owns the part now' };
+    if (leader.name === to) return { kind: 'not-moved', why: `${to} owns the part already` };
+    const value: MoveRecord = { fromTerm: leader.term, to, reason, phase: 'requested' };
+    const conditions = moveConditions(part, leader.term, 0);
     const out = await api.txn(conditions, [{ put: moveKey(part), value }]);
     if (!out.ok) return { kind: 'not-moved', why: await this.describeConflict() };
     const untilS = clock.now() + withinS;
@@ -89,8 +89,8 @@
   }
 
   private async outcome(to: string): Promise<RequestOutcome> {
-    const { owner, lastMove } = await this.status();
-    if (owner?.name === to) return { kind: 'moved', term: owner.term };
+    const { leader, lastMove } = await this.status();
+    if (leader?.name === to) return { kind: 'moved', term: leader.term };
     return { kind: 'not-moved', why: lastMove?.why || 'the part has changed its owner since' };
   }
 
--- a/packages/parts/move-target.ts
+++ b/packages/parts/move-target.ts
@@ -21,7 +21,7 @@
   /** This controller's name. */
   name: string;
   /** A grant that is surely alive; null while there is none. */
-  grant: number | null;
+  leaseId: number | null;
   /** Version of the part's key as last seen; 0 while nobody owns the part. */
   partVersion: number;
   /** The move's record as the watch has shown it last; null if there is none. */
@@ -50,28 +50,28 @@
 const WAIT: TargetAction = { kind: 'wait' };
 
 /** A transaction that makes this controller the owner may still be carried out. */
-export function mayTakePart({ phase }: TargetState): boolean {
+export function mayTakeShard({ phase }: TargetState): boolean {
   return phase === 'switching';
 }
 
 /** What to do next; what was sent without an answer is sent again as it was. */
 export function stepTarget(state: TargetState, view: TargetView): TargetStep {
   const settled = settle(state, view);
-  const { move, name, grant, partVersion } = view;
+  const { move, name, leaseId, partVersion } = view;
   const record = move?.record ?? null;
   const isOurs = record !== null && record.to === name && record.fromTerm === partVersion;
-  if (!isOurs || !view.ready || grant === null) return { state: settled, action: WAIT };
-  if (record.phase === 'requested' || (record.phase === 'prepared' && record.grant !== grant)) {
-    return { state: settled, action: preparation(record, grant, view) };
+  if (!isOurs || !view.ready || leaseId === null) return { state: settled, action: WAIT };
+  if (record.phase === 'requested' || (record.phase === 'prepared' && record.grant !== leaseId)) {
+    return { state: settled, action: preparation(record, leaseId, view) };
   }
-  if (record.phase !== 'quiesced' || record.grant !== grant)
+  if (record.phase !== 'quiesced' || record.grant !== leaseId)
     return { state: settled, action: WAIT };
   const switching = {
     phase: 'switching',
     moveVersion: move!.version,
     fromTerm: partVersion,
   } as const;
-  return { state: switching, action: takeover(record, grant, view) };
+  return { state: switching, action: takeover(record, leaseId, view) };
 }
 
 /** Once a condition of the switch is seen to have changed, it can't be carried out any more. */
@@ -83,10 +83,10 @@
 
 function preparation(
   { fromTerm, to, reason }: MoveRecord,
-  grant: number,
+  leaseId: number,
   { part, move }: TargetView,
 ): TargetAction {
-  const value: MoveRecord = { fromTerm, to, reason, phase: 'prepared', grant };
+  const value: MoveRecord = { fromTerm, to, reason, phase: 'prepared', grant: leaseId };
   const transaction = {
     conditions: moveConditions(part, fromTerm, move!.version),
     changes: [{ put: moveKey(part), value }],
@@ -96,14 +96,14 @@
 
 function takeover(
   { fromTerm, to, reason }: MoveRecord,
-  grant: number,
+  leaseId: number,
   { part, move, name }: TargetView,
 ): TargetAction {
-  const value: PartRecord = { owner: name, grant };
+  const value: PartRecord = { owner: name, grant: leaseId };
   const result: MoveResult = { outcome: 'moved', to, reason, why: '' };
   const transaction = {
     conditions: moveConditions(part, fromTerm, move!.version),
-    changes: [{ put: partKey(part), value, lease: grant }, ...endMove(part, result)],
+    changes: [{ put: partKey(part), value, lease: leaseId }, ...endMove(part, result)],
   };
   return { kind: 'switch', transaction };
 }
--- a/packages/parts/part-mover.ts
+++ b/packages/parts/part-mover.ts
@@ -1,5 +1,11 @@
 import { type Runtime, WakeablePause } from '#wire';
-import { type Ownership, partKey, type PrefixCache, type StateClient, type Term } from '#store';
+import {
+  type LeaderElection,
+  partKey,
+  type PrefixCache,
+  type StateClient,
+  type Term,
+} from '#store';
 import { decodeMove, moveKey, type SeenMove } from './move-record.js';
 import type { MoveLimits } from './move-source.js';
 import type { RecordsAhead } from './record-copy.js';
@@ -7,7 +13,7 @@
 import { TargetDuty } from './target-duty.js';
 
 /** The owner of a part as far as a move concerns it. */
-export interface MovableOwner {
+export interface TransferableLeader {
   readonly term: Term;
   /** Its records are read, and it decides. */
   readonly ready: boolean;
@@ -28,7 +34,7 @@
   client: StateClient;
   /** Holds the records of the part and of its moves. */
   world: PrefixCache;
-  ownership: Ownership;
+  election: LeaderElection;
   /** This controller's name. */
   name: string;
   part: number;
@@ -36,11 +42,11 @@
   /** From one look to the next if nothing happens. */
   lookMs: number;
   /** The owner here; null while nothing is owned. */
-  owner: () => MovableOwner | null;
+  leader: () => TransferableLeader | null;
   /** What keeps a controller from becoming the owner now; null if nothing does. */
   obstacle: (controller: string) => string | null;
   /** This controller is served and knows all jobs. */
-  canOwn: () => boolean;
+  canLead: () => boolean;
   /** Reads what a new owner reads, to be done before the part is taken. */
   ahead: Pick<RecordsAhead, 'prepare' | 'forget'>;
   log: MoveLog;
--- a/packages/parts/source-duty.ts
+++ b/packages/parts/source-duty.ts
@@ -9,7 +9,7 @@
   stepSource,
   successorPossibleSince,
 } from './move-source.js';
-import type { MovableOwner, PartMoverOptions } from './part-mover.js';
+import type { TransferableLeader, PartMoverOptions } from './part-mover.js';
 import { sendTransaction } from './send-transaction.js';
 
 /** Carries out what the owner of the part has to do for a move. */
@@ -31,16 +31,16 @@
 
   /** Does what is due; true if there may be more to do at once. */
   async step(move: SeenMove | null, signal: AbortSignal): Promise<boolean> {
-    const owner = this.options.owner();
-    const term = owner?.ready ? owner.term.term : 0;
+    const leader = this.options.leader();
+    const term = leader?.ready ? leader.term.term : 0;
     if (term !== this.term) this.beginTerm(term);
-    if (owner === null || term === 0) return false;
+    if (leader === null || term === 0) return false;
     const { part, name, obstacle, limits } = this.options;
     const view = { part, term, name, obstacle, limits, move, paused: this.paused };
     const { state, action } = stepSource(this.state, { ...view, now: this.clock.now() });
     // Before anything is sent: from then on the grant may prove nothing.
     this.setState(state);
-    return this.act(action, owner, signal);
+    return this.act(action, leader, signal);
   }
 
   private beginTerm(term: number): void {
@@ -51,12 +51,12 @@
 
   private setState(state: SourceState): void {
     this.state = state;
-    this.options.ownership.handover.successorPossibleSince = successorPossibleSince(state);
+    this.options.election.transfer.successorPossibleSince = successorPossibleSince(state);
   }
 
   private async act(
     action: SourceAction,
-    owner: MovableOwner,
+    leader: TransferableLeader,
     signal: AbortSignal,
   ): Promise<boolean> {
     const { client, world } = this.options;
@@ -64,61 +64,61 @@
       case 'wait':
         return false;
       case 'pause':
-        this.pause(owner, action.to);
+        this.pause(leader, action.to);
         return false;
       case 'resume':
-        this.resume(owner);
+        this.resume(leader);
         return true;
       case 'read':
-        return this.read(owner, signal);
+        return this.read(leader, signal);
       case 'refuse':
         this.log('part not moved', { to: action.to, why: action.why });
         await sendTransaction(client, world, action.transaction, signal);
         return false;
       case 'quiesce':
       case 'retract':
-        return this.send(action.transaction, owner, signal);
+        return this.send(action.transaction, leader, signal);
     }
   }
 
-  private pause(owner: MovableOwner, to: string): void {
+  private pause(leader: TransferableLeader, to: string): void {
     this.paused = false;
     this.pausedAt = this.clock.now();
     this.log('part to be moved', { to });
-    void owner.pause().then(() => {
-      if (!this.isCurrent(owner)) return;
+    void leader.pause().then(() => {
+      if (!this.isCurrent(leader)) return;
       this.paused = true;
       this.wake();
     });
   }
 
-  private resume(owner: MovableOwner): void {
+  private resume(leader: TransferableLeader): void {
     this.paused = false;
     const pausedMs = Math.round((this.clock.now() - this.pausedAt) * 1000);
     this.log('part kept', { pausedMs });
-    owner.resume();
+    leader.resume();
   }
 
   private async send(
     transaction: Transaction,
-    owner: MovableOwner,
+    leader: TransferableLeader,
     signal: AbortSignal,
   ): Promise<boolean> {
     const { client, world } = this.options;
     const outcome = await sendTransaction(client, world, transaction, signal);
-    if (!this.isCurrent(owner)) return false;
+    if (!this.isCurrent(leader)) return false;
     const { state, action } = sourceAnswered(this.state, outcome, this.options);
     this.setState(state);
-    if (action.kind === 'resume') this.resume(owner);
+    if (action.kind === 'resume') this.resume(leader);
     return outcome.kind !== 'unknown';
   }
 
   /** Reads the move's record as the state service holds it now. */
-  private async read(owner: MovableOwner, signal: AbortSignal): Promise<boolean> {
+  private async read(leader: TransferableLeader, signal: AbortSignal): Promise<boolean> {
     const { client, part } = this.options;
     try {
       const entry = await client.call(true, signal, (api) => api.get(moveKey(part), signal));
-      if (!this.isCurrent(owner)) return false;
+      if (!this.isCurrent(leader)) return false;
       const seen = entry && { record: decodeMove(entry.value), version: entry.version };
       this.setState(sourceRead(this.state, seen));
       return true;
@@ -128,8 +128,8 @@
   }
 
   /** The term has not ended while something was awaited. */
-  private isCurrent(owner: MovableOwner): boolean {
-    return this.options.owner()?.term.term === owner.term.term;
+  private isCurrent(leader: TransferableLeader): boolean {
+    return this.options.leader()?.term.term === leader.term.term;
   }
 
   private log(message: string, fields: object): void {
--- a/packages/parts/target-duty.ts
+++ b/packages/parts/target-duty.ts
@@ -1,7 +1,7 @@
 import type { SeenMove } from './move-record.js';
 import {
   IDLE,
-  mayTakePart,
+  mayTakeShard,
   stepTarget,
   type TargetAction,
   targetAnswered,
@@ -18,16 +18,16 @@
 
   /** Does what is due; true if there may be more to do at once. */
   async step(move: SeenMove | null, signal: AbortSignal): Promise<boolean> {
-    const { ownership, part, name, canOwn, owner } = this.options;
+    const { election, part, name, canLead, leader } = this.options;
     const { state, action } = stepTarget(this.state, {
       part,
       name,
-      grant: ownership.provenGrant,
-      partVersion: ownership.holder?.version ?? 0,
+      leaseId: election.provenLeaseId,
+      partVersion: election.currentLeader?.version ?? 0,
       move,
-      ready: canOwn() && owner() === null,
+      ready: canLead() && leader() === null,
     });
-    if (move?.record?.to !== name && owner() === null) this.options.ahead.forget();
+    if (move?.record?.to !== name && leader() === null) this.options.ahead.forget();
     // Before anything is sent: from then on we may own without knowing.
     this.setState(state);
     return this.act(action, signal);
@@ -45,7 +45,7 @@
 
   private setState(state: TargetState): void {
     this.state = state;
-    this.options.ownership.handover.mayTakePart = mayTakePart(state);
+    this.options.election.transfer.mayTakeShard = mayTakeShard(state);
   }
 
   private async act(action: TargetAction, signal: AbortSignal): Promise<boolean> {
--- a/packages/peer/frames.ts
+++ b/packages/peer/frames.ts
@@ -20,7 +20,7 @@
 export interface StatusFrame {
   kind: 'status';
   /** Drawn at random when the sender's process began. */
-  life: number;
+  incarnation: number;
   /** Rises with every status frame of this life. */
   sequence: number;
   /** The newest status frame of the recipient that the sender had read; null before the first. */
@@ -32,11 +32,11 @@
   /** All job records were read in this life, so `cancelled` misses none that an earlier life made. */
   loaded: boolean;
   /** The sender owns the part. */
-  owner: boolean;
+  leading: boolean;
   /** The sender owns the part, or a claim that it sent may still be carried out. */
-  mayOwn: boolean;
+  mayLead: boolean;
   /** Newest owner of the part that the sender has seen; term 0 if none. */
-  holder: { term: number; name: string };
+  newestLeader: { term: number; name: string };
   /** The sender owns the part but hears next to none of the workers that should report to it. */
   unheard: boolean;
   /** How many workers lately reported to the sender though it does not own. */
@@ -58,7 +58,7 @@
 
 /** One status frame among those of its sender. */
 export interface StatusReference {
-  life: number;
+  incarnation: number;
   sequence: number;
 }
 
@@ -103,12 +103,19 @@
 }
 
 function writeStatus(out: PayloadWriter, frame: StatusFrame): void {
-  const { echo, holder } = frame;
-  out.u64(frame.life).u32(frame.sequence);
-  out.flags(frame.refused, frame.loaded, frame.owner, frame.mayOwn, echo !== null, frame.unheard);
-  if (echo) out.u64(echo.life).u32(echo.sequence);
+  const { echo, newestLeader } = frame;
+  out.u64(frame.incarnation).u32(frame.sequence);
+  out.flags(
+    frame.refused,
+    frame.loaded,
+    frame.leading,
+    frame.mayLead,
+    echo !== null,
+    frame.unheard,
+  );
+  if (echo) out.u64(echo.incarnation).u32(echo.sequence);
   out.u32(frame.servedAgoMs).u32(frame.unownedReports);
-  out.u64(holder.term).text(holder.name);
+  out.u64(newestLeader.term).text(newestLeader.name);
   out.u64(frame.jobsRevision).u64(frame.cancelledSince);
   out.list(frame.cancelled, (notice) => writeNotice(out, notice));
 }
@@ -159,23 +166,23 @@
 }
 
 function readStatus(payload: PayloadReader): StatusFrame {
-  const life = payload.u64();
+  const incarnation = payload.u64();
   const sequence = payload.u32();
   const flag = payload.flags();
-  const echo = flag(4) ? { life: payload.u64(), sequence: payload.u32() } : null;
+  const echo = flag(4) ? { incarnation: payload.u64(), sequence: payload.u32() } : null;
   return {
     kind: 'status',
-    life,
+    incarnation,
     sequence,
     echo,
     refused: flag(0),
     loaded: flag(1),
-    owner: flag(2),
-    mayOwn: flag(3),
+    leading: flag(2),
+    mayLead: flag(3),
     unheard: flag(5),
     servedAgoMs: payload.u32(),
     unownedReports: payload.u32(),
-    holder: { term: payload.u64(), name: payload.text() },
+    newestLeader: { term: payload.u64(), name: payload.text() },
     jobsRevision: payload.u64(),
     cancelledSince: payload.u64(),
     cancelled: payload.list(() => readNotice(payload)),
--- a/packages/store/owner-grant.ts
+++ b/packages/store/owner-grant.ts
@@ -3,7 +3,7 @@
 import { Hedge } from './hedge.js';
 
 /** How often an owner sends its renewal in the life of its grant while no answer comes. */
-const RENEWALS_IN_A_LIFE = 8;
+const RENEWALS_PER_TTL = 8;
 /** Share of a grant's life for which it is surely alive after a renewal was sent, whatever the clocks do. */
 const PROVEN_SHARE = 0.95;
 
@@ -13,7 +13,7 @@
   sentAt: number;
 }
 
-export interface OwnerGrantOptions {
+export interface ElectionLeaseOptions {
   client: StateClient;
   runtime: Runtime;
   /** Time to live. */
@@ -21,18 +21,18 @@
 }
 
 /** The grant of the state service on which the part's key hangs while this controller owns. */
-export class OwnerGrant {
+export class ElectionLease {
   /** Its number; null while there is none. */
   id: number | null = null;
   /** When the last renewal that succeeded was sent; steady seconds. */
   renewedAt = -Infinity;
   private readonly renewals: Hedge;
 
-  constructor(private readonly options: OwnerGrantOptions) {
+  constructor(private readonly options: ElectionLeaseOptions) {
     this.renewals = new Hedge({
       clock: options.runtime.clock,
-      leastDelayS: options.ttlS / RENEWALS_IN_A_LIFE,
-      maxAttempts: RENEWALS_IN_A_LIFE,
+      leastDelayS: options.ttlS / RENEWALS_PER_TTL,
+      maxAttempts: RENEWALS_PER_TTL,
     });
   }
 
@@ -46,7 +46,7 @@
     const { client, runtime, ttlS } = this.options;
     const ttlMs = Math.round(ttlS * 1000);
     const sentAt = runtime.clock.now();
-    this.id = await client.call(true, signal, (api) => api.grant(ttlMs, signal));
+    this.id = await client.call(true, signal, (api) => api.grantLease(ttlMs, signal));
     this.renewedAt = sentAt;
   }
 
@@ -71,14 +71,14 @@
   private async requestRenewal(id: number, signal: AbortSignal): Promise<Renewal> {
     const { client, runtime } = this.options;
     const sentAt = runtime.clock.now();
-    return { alive: await client.call(true, signal, (api) => api.touch(id, signal)), sentAt };
+    return { alive: await client.call(true, signal, (api) => api.renewLease(id, signal)), sentAt };
   }
 
   /** Ends it at once, with the keys that hang on it. */
-  drop(): void {
+  revoke(): void {
     const { id } = this;
     this.id = null;
     if (id === null) return;
-    this.options.client.call(true, undefined, (api) => api.drop(id)).catch(() => {});
+    this.options.client.call(true, undefined, (api) => api.revokeLease(id)).catch(() => {});
   }
 }
--- a/packages/store/ownership.test.ts
+++ b/packages/store/ownership.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { StateWorld } from '#testing';
 import { PrefixCache } from './cache.js';
-import { Ownership } from './ownership.js';
+import { LeaderElection } from './ownership.js';
 import { WORLD } from './records.js';
 
 const LIMITS = { rps: 150, writeRps: 50, valueBytes: 8192, txnOps: 24 };
@@ -17,20 +17,20 @@
   const client = state.client(runtime, { timeoutMs: TIMEOUT_MS });
   const caching = { client, runtime, watchMs: 10_000, syncSpacingMs: 500 };
   const cache = new PrefixCache({ ...caching, prefix: WORLD });
-  const ownership = new Ownership({ client, runtime, cache, name: 'c', part: 0, ttlS: TTL_S });
+  const election = new LeaderElection({ client, runtime, cache, name: 'c', part: 0, ttlS: TTL_S });
   const { signal } = new AbortController();
   void cache.run(signal);
-  void ownership.run(signal);
+  void election.run(signal);
   await state.run(5);
-  assert.ok(ownership.term.value);
-  return { state, client, ownership, term: ownership.term.value.term };
+  assert.ok(election.term.value);
+  return { state, client, ownership: election, term: election.term.value.term };
 }
 
 /** The share of owners whose term outlives a time in which nothing reaches the state service. */
 async function shareThatOutlives(stallS: number, seeds: number): Promise<number> {
   let kept = 0;
   for (let seed = 1; seed <= seeds; seed++) {
-    const { state, ownership, term } = await anOwner(seed);
+    const { state, ownership: election, term } = await anOwner(seed);
     await state.run(seed / 20);
     const end = state.network.apply({
       opener: ({ role }) => role === 'controller',
@@ -40,7 +40,7 @@
     await state.run(stallS);
     end();
     await state.run(2 * TTL_S);
-    if (ownership.term.value?.term === term) kept++;
+    if (election.term.value?.term === term) kept++;
   }
   return kept / seeds;
 }
--- a/packages/store/shared-rate.test.ts
+++ b/packages/store/shared-rate.test.ts
@@ -12,12 +12,12 @@
 
 test('an owner has its least share beside any number of others who all want more than theirs', async () => {
   const state = await StateWorld.start(LIMITS);
-  const owner = state.client(state.controller('10.0.0.1'));
-  owner.shareWrites(OWNER);
+  const leader = state.client(state.controller('10.0.0.1'));
+  leader.shareWrites(OWNER);
   let recorded = 0;
   const record = async () => {
     for (let i = 0; ; i++) {
-      const txn = owner.txn([], [{ put: `machines/${i % 9}`, value: i }], false);
+      const txn = leader.txn([], [{ put: `machines/${i % 9}`, value: i }], false);
       await txn.then(
         () => recorded++,
         (err: unknown) => assert.ok(err instanceof StateRefused),
--- a/packages/testing/move-model/controller.ts
+++ b/packages/testing/move-model/controller.ts
@@ -100,7 +100,7 @@
   const { state: target, action } = stepTarget(controller.target, {
     part: PART,
     name,
-    grant: controller.proven ? controller.grant : null,
+    leaseId: controller.proven ? controller.grant : null,
     partVersion: controller.part?.version ?? 0,
     move: controller.move,
     ready: controller.term === 0,
--- a/packages/testing/owner-load/figures.ts
+++ b/packages/testing/owner-load/figures.ts
@@ -24,7 +24,7 @@
 }
 
 const LEASE_S = 10;
-const TERM = { part: 0, term: 100, grant: 1, claimedAt: 0 };
+const TERM = { part: 0, term: 100, leaseId: 1, electedAt: 0 };
 const LIMITS: StateLimits = { rps: 150, writeRps: 50, valueBytes: 8192, txnOps: 24 };
 /** Machines whose records change together. */
 const RECORDED_TOGETHER = 8;
--- a/packages/testing/owner-model/owner.ts
+++ b/packages/testing/owner-model/owner.ts
@@ -10,7 +10,7 @@
   leaseS: LEASE_S,
   reportS: REPORT_S,
   gangPeerS: 6,
-  formerOwnerS: FORMER_OWNER_S,
+  formerLeaderS: FORMER_OWNER_S,
   halfLifeS: 3600,
   machineRecordBytes: 50 * 64,
 };
@@ -40,8 +40,8 @@
     const term = records.claim();
     const settings = { ...FLEET_SETTINGS };
     if (mistake === 'short-lease') settings.leaseS = LEASE_S / 4;
-    if (mistake === 'trusts-former-owner') settings.formerOwnerS = -LEASE_S;
-    this.fleet = new FleetState({ settings, term, claimedAt: now });
+    if (mistake === 'trusts-former-owner') settings.formerLeaderS = -LEASE_S;
+    this.fleet = new FleetState({ settings, term, electedAt: now });
     this.load(now);
     const teams = mistake === 'no-limit' ? unlimitedTeams() : TEAMS;
     this.scheduler = new Scheduler(this.fleet, teams, SCHEDULE_SETTINGS);
--- a/packages/testing/ownership/node.ts
+++ b/packages/testing/ownership/node.ts
@@ -1,10 +1,10 @@
 import {
   Cancellations,
-  EntitlementJudge,
-  type EntitlementLimits,
+  LeaderLeaseCheck,
+  type LeaderLeaseLimits,
   type PeerStatus,
   PeerStatusTable,
-  StandbyJudge,
+  StandbyRenewalCheck,
   type StandbyView,
 } from '#controller';
 import type { StatusFrame } from '#peer';
@@ -21,7 +21,7 @@
 export class NodeModel {
   readonly table: PeerStatusTable;
   readonly cancellations = new Cancellations(1000, 2 * CANCEL_S);
-  judge: EntitlementJudge | null = null;
+  judge: LeaderLeaseCheck | null = null;
   term = 0;
   renewedAt = -Infinity;
   jobsCurrentAt = -Infinity;
@@ -33,8 +33,8 @@
   lastOkAt = -Infinity;
   failingSince = Infinity;
   frozenUntil = -Infinity;
-  private standby: StandbyJudge;
-  private readonly limits: EntitlementLimits;
+  private standby: StandbyRenewalCheck;
+  private readonly limits: LeaderLeaseLimits;
 
   constructor(
     readonly name: string,
@@ -43,7 +43,7 @@
   ) {
     this.table = new PeerStatusTable(life, peers);
     this.limits = { peerCount: peers.length, silenceS: SILENCE_S, graceS: GRACE_S };
-    this.standby = new StandbyJudge(this.limits);
+    this.standby = new StandbyRenewalCheck(this.limits);
   }
 
   contact(service: ServiceModel, served: boolean, now: number): void {
@@ -74,7 +74,7 @@
   private follow(holder: Claim | null): void {
     if (holder !== null && holder.term !== this.holder.term) {
       this.holder = { term: holder.term, name: holder.node };
-      this.standby = new StandbyJudge(this.limits);
+      this.standby = new StandbyRenewalCheck(this.limits);
     }
     const own = holder !== null && holder.life === this.life;
     if (!own) {
@@ -82,7 +82,7 @@
       this.term = 0;
     } else if (this.term !== holder.term) {
       this.term = holder.term;
-      this.judge = new EntitlementJudge(this.limits);
+      this.judge = new LeaderLeaseCheck(this.limits);
     }
   }
 
@@ -99,15 +99,15 @@
     const list = this.cancellations.listSince(basis, now);
     return {
       kind: 'status',
-      life,
+      incarnation: life,
       sequence,
       echo: this.table.echoFor(peer),
       servedAgoMs: (now - this.lastOkAt) * 1000,
       refused,
       loaded,
-      owner: this.judge !== null,
-      mayOwn: this.judge !== null,
-      holder,
+      leading: this.judge !== null,
+      mayLead: this.judge !== null,
+      newestLeader: holder,
       unheard: false,
       unownedReports: 0,
       jobsRevision,
@@ -117,11 +117,11 @@
   }
 
   entitlement(now: number, { peers }: Statements) {
-    return this.judge?.judge({
+    return this.judge?.evaluate({
       now,
       term: this.term,
-      grantedUntil: this.renewedAt + GRANT_S * 0.95,
-      grantAliveAt: this.renewedAt,
+      leaseProvenUntil: this.renewedAt + GRANT_S * 0.95,
+      leaseRenewedAt: this.renewedAt,
       jobsCurrentAt: this.jobsCurrentAt,
       jobsRevision: this.jobsRevision,
       failingSince: this.failingSince,
@@ -143,7 +143,7 @@
     return {
       now,
       term: this.holder.term,
-      mayOwn: this.judge !== null,
+      mayLead: this.judge !== null,
       jobsCurrentAt: this.jobsCurrentAt,
       jobsRevision: this.jobsRevision,
       failingSince: this.failingSince,
--- a/packages/testing/ownership/statements.ts
+++ b/packages/testing/ownership/statements.ts
@@ -20,7 +20,7 @@
     case 'trusts-restarted':
       return { ...status, frame: { ...frame, loaded: true } };
     case 'renews-for-the-living':
-      return { ...status, frame: { ...frame, mayOwn: false } };
+      return { ...status, frame: { ...frame, mayLead: false } };
     default:
       return status;
   }
--- a/packages/testing/ownership/world.ts
+++ b/packages/testing/ownership/world.ts
@@ -74,7 +74,7 @@
     }
     const { frame } = message;
     node.table.heard(from, frame, now);
-    node.yieldTo(frame.holder.term);
+    node.yieldTo(frame.newestLeader.term);
     node.noteStandby(now, statementsFor(node, this.fault));
     if (this.fault === 'ignores-cancelled') return;
     for (const notice of frame.cancelled) node.cancellations.noteTold(notice, now);
--- a/packages/testing/recorder-world.ts
+++ b/packages/testing/recorder-world.ts
@@ -63,7 +63,7 @@
     client,
     fleet,
     jobs,
-    term: { part: 0, term, grant: 0, claimedAt: 0 },
+    term: { part: 0, term, leaseId: 0, electedAt: 0 },
     reportS: REPORT_S,
     log: pino({ enabled: false }),
   });
--- a/packages/testing/samples.ts
+++ b/packages/testing/samples.ts
@@ -50,12 +50,12 @@
       leaseS: 10,
       reportS: 1,
       gangPeerS: 6,
-      formerOwnerS: 12,
+      formerLeaderS: 12,
       halfLifeS: 3600,
       machineRecordBytes: 50 * 64,
     },
     term: 100,
-    claimedAt: 0,
+    electedAt: 0,
     ...own,
   });
   fleet.machines.noteType(STD);
--- a/packages/testing/standins/state/state-service.test.ts
+++ b/packages/testing/standins/state/state-service.test.ts
@@ -83,14 +83,14 @@
 
 test('a lease ends up to 100 ms late, with its keys, and an outage gives it its full time', async () => {
   const { world, api, service, commit } = await aService();
-  const lease = await world.finish(api.grant(2000));
+  const lease = await world.finish(api.grantLease(2000));
   await commit([put('l/1', 1, lease), put('l/2', 1, lease)]);
   await commit([put('l/2')]);
   await world.run(1.5);
-  assert.equal(await world.finish(api.touch(lease)), true);
+  assert.equal(await world.finish(api.renewLease(lease)), true);
   await world.run(1.5);
   service.beginOutage();
-  await assert.rejects(world.finish(api.touch(lease)), StateRefused);
+  await assert.rejects(world.finish(api.renewLease(lease)), StateRefused);
   await world.run(3);
   service.endOutage();
   await world.run(1.99);
@@ -98,7 +98,7 @@
   await world.run(0.12);
   assert.equal(service.store.get('l/1'), undefined);
   assert.ok(service.store.get('l/2'));
-  assert.equal(await world.finish(api.touch(lease)), false);
+  assert.equal(await world.finish(api.renewLease(lease)), false);
   assert.deepEqual(await commit([put('l/3', 1, lease)]), { ok: false, leaseGone: true });
 });
 
@@ -148,7 +148,7 @@
 test('one client can be refused while others are served and its watch waits', async () => {
   const { world, api, call, service } = await aService();
   const watch = api.changes('r/', 0, 60_000);
-  const lease = await world.finish(api.grant(1000));
+  const lease = await world.finish(api.grantLease(1000));
   service.refuse(CLIENT);
   await assert.rejects(world.finish(api.get('a')), { status: 503 });
   const other = await call('POST', '/multi', { apply: [{ set: 'r/1', value: 1 }] });
@@ -156,7 +156,7 @@
   await assert.rejects(world.finish(watch, 5), /not settled/);
   service.readmit(CLIENT);
   assert.notEqual(await world.finish(watch), 'too-old');
-  assert.equal(await world.finish(api.touch(lease)), false);
+  assert.equal(await world.finish(api.renewLease(lease)), false);
 });
 
 test('a transaction without an answer is carried out late, after newer ones, or at once', async () => {
--- a/packages/wire/order.ts
+++ b/packages/wire/order.ts
@@ -22,8 +22,8 @@
 }
 
 /** Where a worker should report instead; without a name it tries the next controller. */
-export function redirectToWire(owner: string | null): Record<string, unknown> {
-  return owner === null ? {} : { overseer: owner };
+export function redirectToWire(leader: string | null): Record<string, unknown> {
+  return leader === null ? {} : { overseer: leader };
 }
 
 function orderToWire(order: Order): Record<string, unknown> {
--- a/packages/wire/serving/worker.ts
+++ b/packages/wire/serving/worker.ts
@@ -40,8 +40,8 @@
 
 /** The controller that a 421 names, or null. */
 export function parseRedirect(body: unknown): string | null {
-  const owner = (body as Fields | null)?.overseer;
-  return typeof owner === 'string' ? owner : null;
+  const leader = (body as Fields | null)?.overseer;
+  return typeof leader === 'string' ? leader : null;
 }
 
 function parseOrder(raw: unknown): Order {
--- a/packages/wire/state.ts
+++ b/packages/wire/state.ts
@@ -127,21 +127,21 @@
   }
 
   /** Creates a lease; resolves with its number. */
-  async grant(ttlMs: number, signal?: AbortSignal): Promise<number> {
+  async grantLease(ttlMs: number, signal?: AbortSignal): Promise<number> {
     const res = await this.call('POST', '/grants', { body: { ttlMs }, signal });
     return (res.body as { permit: number }).permit;
   }
 
   /** False: the grant has ended. */
-  async touch(grant: number, signal?: AbortSignal): Promise<boolean> {
-    const path = `/grants/${grant}/touch`;
+  async renewLease(leaseId: number, signal?: AbortSignal): Promise<boolean> {
+    const path = `/grants/${leaseId}/touch`;
     const res = await this.call('POST', path, { signal, expected: [404] });
     return res.status === 200;
   }
 
   /** Ends a lease at once, with the keys that hang on it. */
-  async drop(grant: number, signal?: AbortSignal): Promise<void> {
-    await this.call('DELETE', `/grants/${grant}`, { signal, expected: [404] });
+  async revokeLease(leaseId: number, signal?: AbortSignal): Promise<void> {
+    await this.call('DELETE', `/grants/${leaseId}`, { signal, expected: [404] });
   }
 
   /** Waits until a key with the prefix has changed after a revision, or until the time runs out. */
