--- a/packages/cli/commands.ts
+++ b/packages/cli/commands.ts
@@ -4,7 +4,7 @@
 import { ExitCode } from './command-error.js';
 import { examples } from './help.js';
 import type { Output } from './output.js';
-import { addPartCommands } from './part-commands.js';
+import { addShardCommands } from './part-commands.js';
 import { addReplicaCommands } from './replica-commands.js';
 import { serve } from './serve.js';
 import { addSettingsCommands } from './settings-commands.js';
@@ -45,7 +45,7 @@
     });
   addSettingsCommands(program, output);
   addUserCommands(program, output);
-  addPartCommands(program, output);
+  addShardCommands(program, output);
   addReplicaCommands(program, output);
   return program;
 }
--- a/packages/cli/part-commands.test.ts
+++ b/packages/cli/part-commands.test.ts
@@ -5,7 +5,7 @@
 import { after, test } from 'node:test';
 import { fileURLToPath } from 'node:url';
 import { moveKey, moveResultKey } from '#parts';
-import { partKey } from '#store';
+import { shardKey } from '#store';
 import { nodeRuntime } from '#wire';
 import { FREE_LOOPBACK_PORT, StateService } from '../testing/standins/index.js';
 import { until } from '#testing';
@@ -28,7 +28,9 @@
   const state = new StateService(nodeRuntime, LIMITS);
   const { target } = await state.listen(FREE_LOOPBACK_PORT);
   after(() => state.close());
-  const term = state.store.apply([{ put: partKey(0), value: { owner: 'controller-0', grant: 1 } }]);
+  const term = state.store.apply([
+    { put: shardKey(0), value: { owner: 'controller-0', grant: 1 } },
+  ]);
   return { store: state.store, term, config: settingsFor(target) };
 }
 
@@ -46,7 +48,7 @@
   await Promise.race([asked, until(() => store.get(moveKey(0)) !== undefined)]);
   assert.equal((store.get(moveKey(0))!.value as { reason: string }).reason, 'a restart');
   const term = store.apply([
-    { put: partKey(0), value: { owner: 'controller-1', grant: 2 } },
+    { put: shardKey(0), value: { owner: 'controller-1', grant: 2 } },
     { delete: moveKey(0) },
   ]);
   assert.deepEqual(await asked, {
@@ -90,6 +92,12 @@
   store.apply([{ put: moveKey(0), value: { phase: 'unheard of' } }]);
   const shown = JSON.parse((await run('show', '--settings', config)).out) as { move: string };
   assert.equal(shown.move, 'unreadable');
+  assert.deepEqual(shown, {
+    part: 0,
+    owner: { name: 'controller-0', term },
+    move: 'unreadable',
+    lastMove: null,
+  });
   assert.equal((await run('withdraw', '--settings', config)).exitCode, 0);
   const record = { fromTerm: term, to: 'controller-2', reason: '', phase: 'quiesced', grant: 3 };
   store.apply([{ put: moveKey(0), value: record }]);
--- a/packages/cli/part-commands.ts
+++ b/packages/cli/part-commands.ts
@@ -1,5 +1,5 @@
 import type { Command } from 'commander';
-import { MoveRequests, type RequestOutcome } from '#parts';
+import { MoveRequests, type RequestOutcome, type ShardStatus } from '#parts';
 import { NoAnswer, nodeRuntime, StateApi, StateRefused } from '#wire';
 import type { PlatformSettings } from '#controller';
 import { CommandError, ExitCode } from './command-error.js';
@@ -8,7 +8,7 @@
 import { readSettings } from './settings-files.js';
 
 /** The part that holds all machines. */
-const PART = 0;
+const SHARD = 0;
 const TIMEOUT_MS = 2000;
 const DEFAULT_WITHIN_S = 30;
 
@@ -27,27 +27,34 @@
 ] as const;
 
 /** Adds part show, part move and part withdraw, for operators at a terminal. */
-export function addPartCommands(program: Command, output: Output): void {
-  const part = program.command('part').description('see and move the part that holds the machines');
-  addShow(part, output);
-  addMove(part, output);
-  addWithdraw(part);
+export function addShardCommands(program: Command, output: Output): void {
+  const shard = program
+    .command('part')
+    .description('see and move the part that holds the machines');
+  addShow(shard, output);
+  addMove(shard, output);
+  addWithdraw(shard);
 }
 
-function addShow(part: Command, output: Output): void {
-  part
+function addShow(shard: Command, output: Output): void {
+  shard
     .command('show')
     .description('print who owns the part, and its moves')
     .requiredOption(...SETTINGS)
     .addHelpText('after', examples('part show --settings examples/settings.toml'))
     .action(async (options: PartOptions) => {
       const status = await withRequests('part show', options, (requests) => requests.status());
-      output.out(`${JSON.stringify(status)}\n`);
+      output.out(`${JSON.stringify(shardStatusToJson(status))}\n`);
     });
 }
 
-function addMove(part: Command, output: Output): void {
-  part
+/** The names that operators' programs read. */
+function shardStatusToJson({ shard, leader, move, lastMove }: ShardStatus): object {
+  return { part: shard, owner: leader, move, lastMove };
+}
+
+function addMove(shard: Command, output: Output): void {
+  shard
     .command('move')
     .description('have another controller own the part, while jobs run on')
     .argument('<controller>', 'its host_name')
@@ -66,8 +73,8 @@
     });
 }
 
-function addWithdraw(part: Command): void {
-  part
+function addWithdraw(shard: Command): void {
+  shard
     .command('withdraw')
     .description('take a request to move the part back')
     .requiredOption(...SETTINGS)
@@ -114,7 +121,7 @@
   const { external }: PlatformSettings = readSettings({ config: settings });
   const api = new StateApi(nodeRuntime, external.state, TIMEOUT_MS);
   try {
-    return await ask(new MoveRequests(api, nodeRuntime.clock, PART));
+    return await ask(new MoveRequests(api, nodeRuntime.clock, SHARD));
   } catch (err) {
     if (!(err instanceof NoAnswer || err instanceof StateRefused)) throw err;
     const why = `no answer from the state service at ${external.state}: ${err.message}`;
--- a/packages/controller/admission.test.ts
+++ b/packages/controller/admission.test.ts
@@ -16,7 +16,7 @@
   const client = state.client(runtime, { share: SHARE });
   const commits = new GroupCommit({ client, runtime, maxQueue: 100, weightOf });
   const log = pino({ enabled: false });
-  const admission = new Admission({ runtime, client, commits, reportS: REPORT_S, log });
+  const admission = new Admission({ runtime, client, commits, heartbeatIntervalS: REPORT_S, log });
   let submitted = 0;
   const recorded: { team: string; afterS: number }[] = [];
   /** After how many seconds the user is to come again; null if the submission waits for its record. */
--- a/packages/controller/admission.ts
+++ b/packages/controller/admission.ts
@@ -19,7 +19,7 @@
   runtime: Runtime;
   client: Pick<StateClient, 'usersChangesPerS' | 'usersWaitS' | 'failingSince'>;
   commits: Pick<GroupCommit, 'ahead' | 'shareOf' | 'full'>;
-  reportS: number;
+  heartbeatIntervalS: number;
   log: Log;
 }
 
@@ -43,9 +43,10 @@
 
   /** Null if the submission may wait; else after how many seconds its user is to come again. */
   refuse(team: string): number | null {
-    const { client, commits, reportS } = this.options;
+    const { client, commits, heartbeatIntervalS } = this.options;
     const { expected, longest } = client.usersWaitS(commits.ahead(team) + 1);
-    const isInTime = expected <= MAX_WAIT_PERIODS * reportS && longest <= MAX_LONGEST_WAIT_S;
+    const isInTime =
+      expected <= MAX_WAIT_PERIODS * heartbeatIntervalS && longest <= MAX_LONGEST_WAIT_S;
     if (!commits.full && isInTime) return null;
     return this.retryAfterS(team);
   }
@@ -55,10 +56,13 @@
    * the time for which nobody has been served, so that fewer come in vain and not all return at its end.
    */
   retryAfterFailureS(): number {
-    const { runtime, client, reportS } = this.options;
+    const { runtime, client, heartbeatIntervalS } = this.options;
     const failingForS = Math.max(0, runtime.clock.now() - client.failingSince);
-    const spreadS = Math.min(FAILURE_SPREAD_PERIODS * reportS, failingForS * FAILURE_SPREAD);
-    return reportS + runtime.random() * spreadS;
+    const spreadS = Math.min(
+      FAILURE_SPREAD_PERIODS * heartbeatIntervalS,
+      failingForS * FAILURE_SPREAD,
+    );
+    return heartbeatIntervalS + runtime.random() * spreadS;
   }
 
   /** Submissions refused since the start, by team. */
@@ -95,10 +99,10 @@
   }
 
   private note(team: string, refusals: Refusals, retryAfterS: number): void {
-    const { runtime, reportS, log } = this.options;
+    const { runtime, heartbeatIntervalS, log } = this.options;
     refusals.total++;
     const now = runtime.clock.now();
-    if (now < refusals.loggedAt + LOG_PERIODS * reportS) return;
+    if (now < refusals.loggedAt + LOG_PERIODS * heartbeatIntervalS) return;
     refusals.loggedAt = now;
     log.info({ team, refused: refusals.total, retryAfterS }, 'submissions refused');
   }
--- a/packages/controller/cancellation-recorder.ts
+++ b/packages/controller/cancellation-recorder.ts
@@ -13,7 +13,7 @@
   jobs: JobTable;
   /** Jobs that were ended on request before a record said so, and since when each waits; see JobIntake. */
   unrecorded: Map<string, number>;
-  reportS: number;
+  heartbeatIntervalS: number;
   log: Log;
 }
 
@@ -27,11 +27,11 @@
 
   /** Begins to record what is due. */
   push(): void {
-    const { clock, client, unrecorded, reportS } = this.options;
+    const { clock, client, unrecorded, heartbeatIntervalS } = this.options;
     if (unrecorded.size === 0 || client.failing) return;
     const now = clock.now();
     for (const [id, waitsSince] of unrecorded) {
-      if (now < waitsSince + PATIENCE_PERIODS * reportS) continue;
+      if (now < waitsSince + PATIENCE_PERIODS * heartbeatIntervalS) continue;
       unrecorded.set(id, now);
       // What fails is tried again.
       void this.record(id).catch(() => {});
--- a/packages/controller/cancellation-relay.ts
+++ b/packages/controller/cancellation-relay.ts
@@ -26,7 +26,7 @@
   }
 
   /** A peer tells that a user has asked. */
-  heard(notice: CancellationNotice): void {
+  receive(notice: CancellationNotice): void {
     this.options.cancellations.noteTold(notice, this.now());
     this.endTasks();
   }
--- a/packages/controller/cloud.ts
+++ b/packages/controller/cloud.ts
@@ -29,7 +29,7 @@
   rps: number;
   /** How far the cloud's list of machines may be behind. */
   listLagS: number;
-  reportS: number;
+  heartbeatIntervalS: number;
   leaseS: number;
   /** Told of the machine types whenever they were asked for. */
   onTypes: (types: MachineType[], signal: AbortSignal) => Promise<void>;
@@ -70,7 +70,7 @@
 
   /** Deals with the cloud until the signal aborts; what fails is tried again. */
   async run(signal: AbortSignal): Promise<void> {
-    const { reportS } = this.options;
+    const { heartbeatIntervalS } = this.options;
     while (!signal.aborted) {
       try {
         if (!this.paused) this.current = this.step(signal);
@@ -78,9 +78,9 @@
       } catch (err) {
         if (signal.aborted) return;
         this.log.debug({ err: String(err) }, 'cloud');
-        await this.rest(reportS * FAILURE_PAUSE, signal);
+        await this.rest(heartbeatIntervalS * FAILURE_PAUSE, signal);
       }
-      await this.rest(reportS * STEP_PAUSE, signal);
+      await this.rest(heartbeatIntervalS * STEP_PAUSE, signal);
     }
   }
 
@@ -101,7 +101,7 @@
   }
 
   private async step(signal: AbortSignal): Promise<void> {
-    const { reportS, mayRent, mayRelease } = this.options;
+    const { heartbeatIntervalS, mayRent, mayRelease } = this.options;
     const now = this.clock.now();
     await this.catalog.refreshIfDue(now, signal);
     await this.list.refreshIfDue(now, signal);
@@ -109,7 +109,7 @@
     // that it was about to return for empty: it must neither rent nor release on that.
     if (!mayRent()) return;
     if (mayRelease()) await this.releaseUseless(now, signal);
-    if (!this.settled(now) || now - this.plannedAt < reportS) return;
+    if (!this.settled(now) || now - this.plannedAt < heartbeatIntervalS) return;
     this.plannedAt = now;
     await this.carryOutPlan(now, signal);
   }
@@ -117,7 +117,7 @@
   /** After a take-over, first hear what is there. */
   private settled(now: number): boolean {
     const { leader, options, list } = this;
-    const listenS = leader.first ? 0 : LISTEN_PERIODS * options.reportS;
+    const listenS = leader.first ? 0 : LISTEN_PERIODS * options.heartbeatIntervalS;
     return leader.ready && list.known && now - leader.startedAt > listenS;
   }
 
--- a/packages/controller/controller.ts
+++ b/packages/controller/controller.ts
@@ -1,5 +1,5 @@
 import { setMaxListeners } from 'node:events';
-import type { PartMover } from '#parts';
+import type { ShardMigrator } from '#parts';
 import type { PeerLink } from '#peer';
 import { CloudClient, type Runtime } from '#wire';
 import { Admission } from './admission.js';
@@ -7,7 +7,7 @@
 import type { LeaderLeaseState } from './entitlement.js';
 import { makeHttpServer } from './http-interface.js';
 import type { HttpServer } from './http-server.js';
-import { LagMonitor } from './lag.js';
+import { EventLoopDelayMonitor } from './lag.js';
 import type { Log } from './log.js';
 import { MetricsEndpoint } from './metrics-endpoint.js';
 import { leaderLeaseLimits, LeaderLease } from './owner-entitlement.js';
@@ -15,7 +15,7 @@
 import { leavesWorkersStranded, nextForWorkers } from './owner-reach.js';
 import { LeadershipTerms } from './owner-terms.js';
 import type { ShardLeader } from './owner.js';
-import { loadPartMover } from './part-moves.js';
+import { loadShardMigrator } from './part-moves.js';
 import { PeerCoordinator } from './peer-coordinator.js';
 import { loadReplicaSupport } from './replica-support.js';
 import { makePeerLink } from './peer-link.js';
@@ -25,15 +25,15 @@
 import { StandbyRenewal } from './standby-renewal.js';
 import { accessState, type StateAccess } from './state-access.js';
 import { StatusExchange } from './status-exchange.js';
-import { UnownedReports } from './unowned-reports.js';
-import { Vitals } from './vitals.js';
+import { FollowerHeartbeats } from './unowned-reports.js';
+import { ProcessStatistics } from './vitals.js';
 
 /** Report periods that a call to the cloud may take. */
 const CLOUD_TIMEOUT = 4;
 
 /** One controller: joins its parts, starts and ends them. */
 export class Controller {
-  private readonly reportS: number;
+  private readonly heartbeatIntervalS: number;
   private readonly sockets: { server: number; direct: number };
   private readonly state: StateAccess;
   private readonly services: ControllerServices;
@@ -44,11 +44,11 @@
   private readonly leaderLease: LeaderLease;
   private readonly standby: StandbyRenewal;
   private readonly terms: LeadershipTerms;
-  private readonly lag: LagMonitor;
+  private readonly eventLoopDelay: EventLoopDelayMonitor;
   private readonly admission: Admission;
-  private readonly vitals: Vitals;
+  private readonly statistics: ProcessStatistics;
   private readonly metrics: MetricsEndpoint;
-  private readonly unownedReports: UnownedReports;
+  private readonly followerHeartbeats: FollowerHeartbeats;
   private readonly coordinator: PeerCoordinator;
   private readonly httpServer: HttpServer;
 
@@ -59,11 +59,11 @@
   ) {
     const { clock } = runtime;
     const { deployment } = settings;
-    this.reportS = deployment.workers.report_s;
+    this.heartbeatIntervalS = deployment.workers.report_s;
     this.sockets = socketShares(deployment.limits.sockets, settings.peers.length);
     this.state = accessState(runtime, settings, () => this.leader() !== null);
     this.services = makeServices(runtime, settings, log, this.state, () => this.defersCampaign());
-    const cloudTimeoutMs = CLOUD_TIMEOUT * this.reportS * 1000;
+    const cloudTimeoutMs = CLOUD_TIMEOUT * this.heartbeatIntervalS * 1000;
     this.cloud = new CloudClient(runtime, settings.external.cloud, cloudTimeoutMs);
     this.cancellationRelay = new CancellationRelay({
       ...this.services,
@@ -76,12 +76,15 @@
     const leaseInputs = { ...this.services, statuses: this.statuses, limits };
     this.leaderLease = new LeaderLease(leaseInputs);
     this.standby = new StandbyRenewal(leaseInputs);
-    this.admission = new Admission({ ...this.services, reportS: this.reportS });
-    this.vitals = this.makeVitals();
+    this.admission = new Admission({
+      ...this.services,
+      heartbeatIntervalS: this.heartbeatIntervalS,
+    });
+    this.statistics = this.makeStatistics();
     this.metrics = this.makeMetrics();
     this.terms = this.makeLeadershipTerms();
-    this.lag = new LagMonitor(runtime);
-    this.unownedReports = new UnownedReports(clock, this.reportS);
+    this.eventLoopDelay = new EventLoopDelayMonitor(runtime);
+    this.followerHeartbeats = new FollowerHeartbeats(clock, this.heartbeatIntervalS);
     this.coordinator = this.makePeerCoordinator();
     this.httpServer = this.makeHttpServer();
   }
@@ -99,7 +102,7 @@
     signal.addEventListener('abort', end, { once: true });
     // What follows records must be there before the caches run.
     const { moves: limits, replicaGroups } = this.settings.operator;
-    const moves = limits === null ? null : await this.loadMoves(limits);
+    const moves = limits === null ? null : await this.loadShardMigration(limits);
     const { replicas } = this.services;
     if (replicaGroups !== null)
       replicas.support = await loadReplicaSupport(this.services, replicaGroups);
@@ -117,8 +120,8 @@
   }
 
   private start(signal: AbortSignal): Promise<void>[] {
-    this.peers.heard.subscribe(({ from, frame }) => {
-      this.vitals.peerFrames++;
+    this.peers.frames.subscribe(({ from, frame }) => {
+      this.statistics.peerFrames++;
       this.coordinator.receive(from, frame);
     });
     return [
@@ -129,17 +132,17 @@
       this.peers.run(signal),
       this.coordinator.run(signal),
       this.terms.run(signal),
-      this.lag.run(signal),
-      this.vitals.run(signal),
+      this.eventLoopDelay.run(signal),
+      this.statistics.run(signal),
     ];
   }
 
-  private loadMoves(limits: MoveSettings): Promise<PartMover> {
+  private loadShardMigration(limits: MoveSettings): Promise<ShardMigrator> {
     const { services, state, statuses, terms, settings } = this;
     const { silenceS } = leaderLeaseLimits(settings);
     const { world } = state;
-    const part = ONLY_SHARD;
-    return loadPartMover({ ...services, world, statuses, terms, part, silenceS }, limits);
+    const shard = ONLY_SHARD;
+    return loadShardMigrator({ ...services, world, statuses, terms, shard, silenceS }, limits);
   }
 
   /** The owner of the present term, null while nothing is owned here. */
@@ -173,31 +176,31 @@
   }
 
   private makePeerCoordinator(): PeerCoordinator {
-    const { peers, statuses, unownedReports, cancellationRelay, standby } = this;
+    const { peers, statuses, followerHeartbeats, cancellationRelay, standby } = this;
     const leader = () => this.leader();
     return new PeerCoordinator({
       ...this.services,
       peers,
       statuses,
-      unownedReports,
+      followerHeartbeats,
       cancellationRelay,
       standby,
       leader,
     });
   }
 
-  private makeVitals(): Vitals {
+  private makeStatistics(): ProcessStatistics {
     const { client } = this.state;
-    return new Vitals({
+    return new ProcessStatistics({
       clock: this.runtime.clock,
-      reportS: this.reportS,
+      heartbeatIntervalS: this.heartbeatIntervalS,
       counted: () => ({
         stateRequests: client.requests,
         stateRefused: client.refused,
         stateChanges: client.changes,
       }),
       connections: () => this.httpServer.connections,
-      onLook: (look) => this.log.info({ owner: this.leader() !== null, ...look }, 'vitals'),
+      onSample: (look) => this.log.info({ owner: this.leader() !== null, ...look }, 'vitals'),
     });
   }
 
@@ -205,8 +208,8 @@
     return new MetricsEndpoint({
       replicas: this.services.replicas,
       clock: this.runtime.clock,
-      reportS: this.reportS,
-      vitals: this.vitals,
+      heartbeatIntervalS: this.heartbeatIntervalS,
+      statistics: this.statistics,
       client: this.state.client,
       admission: this.admission,
       leader: () => this.leader(),
@@ -219,8 +222,8 @@
       cloud: this.cloud,
       leaderLeaseState: () => this.leaderLeaseState(),
       onRound: (roundMs) => {
-        this.vitals.rounds++;
-        this.vitals.roundMs += roundMs;
+        this.statistics.rounds++;
+        this.statistics.roundMs += roundMs;
         this.metrics.observeRound(roundMs);
       },
       directSockets: this.sockets.direct,
@@ -228,18 +231,18 @@
   }
 
   private makeHttpServer(): HttpServer {
-    const { services, settings, statuses, cancellationRelay, standby, unownedReports } = this;
-    const { vitals, metrics, lag, admission, sockets } = this;
+    const { services, settings, statuses, cancellationRelay, standby, followerHeartbeats } = this;
+    const { statistics, metrics, eventLoopDelay, admission, sockets } = this;
     return makeHttpServer({
       services,
       maxConnections: sockets.server,
       statuses,
       cancellationRelay,
       standby,
-      unownedReports,
-      vitals,
+      followerHeartbeats,
+      statistics,
       metrics,
-      lag,
+      eventLoopDelay,
       admission,
       leader: () => this.leader(),
       activeLeader: () => (this.leaderLeaseState() === 'none' ? null : this.leader()),
--- a/packages/controller/core-from-settings.ts
+++ b/packages/controller/core-from-settings.ts
@@ -26,7 +26,7 @@
   const fleet = new FleetState({
     settings: {
       leaseS: lease_s,
-      reportS: report_s,
+      heartbeatIntervalS: report_s,
       gangPeerS: gang_peer_s,
       formerLeaderS: graceAfterLoss(cancel_s, lease_s, report_s) + 2 * report_s,
       halfLifeS: settings.operator.shareHalfLifeS,
--- a/packages/controller/direct.test.ts
+++ b/packages/controller/direct.test.ts
@@ -10,7 +10,7 @@
 function addStart(fleet: FleetState, number: number, addr: string): void {
   const name = `n-${number}`;
   const machine = aMachine(fleet, name);
-  fleet.reports.handle(aReport({ machine: name, addr }), 0);
+  fleet.heartbeats.handle(aReport({ machine: name, addr }), 0);
   machine.answeredAt = nodeRuntime.clock.now();
   const job = fleet.addJob(aJob({ id: `j-${number}` }), 0, 'accepted', 0);
   fleet.assignments.assign(job, 0, machine, fleet.assignments.newAttempt(), 0).recorded = true;
--- a/packages/controller/direct.ts
+++ b/packages/controller/direct.ts
@@ -1,4 +1,4 @@
-import { CborClient, commandToWire, Order, parseReport, Runtime } from '#wire';
+import { CborClient, commandToWire, Order, parseHeartbeat, Runtime } from '#wire';
 import type { FleetState, Machine } from '#core';
 
 export interface DirectCommandsOptions {
@@ -29,7 +29,7 @@
     for (const machine of [...fleet.machinesWithCommands]) {
       // The rest goes out with the next push, or in answers to reports.
       if (this.busy.size >= maxConnections) return;
-      const orders = fleet.directOrders.take(machine, now);
+      const orders = fleet.directOrders.nextOrders(machine, now);
       if (orders.length === 0) continue;
       onOrders(machine, orders);
       void this.send(machine, orders, signal);
@@ -71,7 +71,7 @@
   private async send(machine: Machine, orders: Order[], signal: AbortSignal): Promise<void> {
     const { runtime, fleet, timeoutMs, onDone } = this.options;
     const { clock } = runtime;
-    const body = commandToWire(machine.token, machine.session, orders);
+    const body = commandToWire(machine.fencingToken, machine.agentEpoch, orders);
     const options = { timeoutMs, signal, body };
     this.busy.add(machine.name);
     try {
@@ -80,7 +80,7 @@
         fleet.directOrders.finish(
           machine,
           orders,
-          { kind: 'executed', report: parseReport(res.body) },
+          { kind: 'executed', heartbeat: parseHeartbeat(res.body) },
           clock.now(),
         );
       } else {
--- a/packages/controller/entitlement.test.ts
+++ b/packages/controller/entitlement.test.ts
@@ -106,9 +106,15 @@
 });
 
 test('the grace leaves the workers time to end before a cancellation must be over', () => {
-  const reports = { cancelS: 40, leaseS: 15, reportS: 2.5 };
-  const grace = graceAfterLoss(reports.cancelS, reports.leaseS, reports.reportS);
-  assert.ok(grace > 0 && grace + reports.leaseS + 2 * reports.reportS < reports.cancelS);
+  const heartbeats = { cancelS: 40, leaseS: 15, heartbeatIntervalS: 2.5 };
+  const grace = graceAfterLoss(
+    heartbeats.cancelS,
+    heartbeats.leaseS,
+    heartbeats.heartbeatIntervalS,
+  );
+  assert.ok(
+    grace > 0 && grace + heartbeats.leaseS + 2 * heartbeats.heartbeatIntervalS < heartbeats.cancelS,
+  );
 });
 
 test('settings that leave an owner no time to learn of a cancellation are refused', () => {
--- a/packages/controller/entitlement.ts
+++ b/packages/controller/entitlement.ts
@@ -73,7 +73,7 @@
 ): boolean {
   if (peer === null) return false;
   if (peer.frame.newestLeader.term > view.term) return true;
-  const reachable = view.now - peer.heardAt <= silenceS;
+  const reachable = view.now - peer.receivedAt <= silenceS;
   // Whether we have failed again since doesn't matter: a cut that swallows requests shows their
   // failure only when they time out.
   const servedSince = peer.servedAt > view.failingSince + silenceS / 4;
@@ -81,8 +81,8 @@
 }
 
 /** Of the machines that should report, an owner lately heard so few that most can't reach it. */
-export function hearsNextToNone(machines: number, heard: number): boolean {
-  return heard < machines / 8;
+export function reachesFewWorkers(machines: number, reachable: number): boolean {
+  return reachable < machines / 8;
 }
 
 /**
@@ -91,8 +91,10 @@
  */
 export function isIsolatedFromWorkers(
   machines: number,
-  heard: number,
-  heardByPeers: number,
+  reachable: number,
+  reachableByPeers: number,
 ): boolean {
-  return hearsNextToNone(machines, heard) && heardByPeers > Math.max(heard, machines / 16);
+  return (
+    reachesFewWorkers(machines, reachable) && reachableByPeers > Math.max(reachable, machines / 16)
+  );
 }
--- a/packages/controller/fleet-summary.ts
+++ b/packages/controller/fleet-summary.ts
@@ -57,19 +57,19 @@
  * How many machines should report, and how many did so within the time. Those whose leases have run out should, too:
  * an owner that none reaches has no others in the end.
  */
-export function countHeard(
+export function countReachable(
   fleet: FleetState,
   now: number,
   withinS: number,
-): { machines: number; heard: number } {
+): { machines: number; reachable: number } {
   let machines = 0;
-  let heard = 0;
+  let reachable = 0;
   for (const { state, answeredAt } of fleet.machines.values()) {
     if (state === 'booting') continue;
     machines++;
-    if (state === 'up' && now - answeredAt <= withinS) heard++;
+    if (state === 'up' && now - answeredAt <= withinS) reachable++;
   }
-  return { machines, heard };
+  return { machines, reachable };
 }
 
 /** Task counts of a job, for display. */
@@ -96,6 +96,6 @@
 
 function runningTasks(job: JobState): number {
   let running = 0;
-  for (const place of assignmentsOf(job)) if (place.reported === 'running') running++;
+  for (const place of assignmentsOf(job)) if (place.reportedState === 'running') running++;
   return running;
 }
--- a/packages/controller/health.test.ts
+++ b/packages/controller/health.test.ts
@@ -3,9 +3,9 @@
 import { HealthView, isHealthy } from './health.js';
 import type { PeerStatus } from './peer-status.js';
 
-function peer(heardAt: number, servedAt: number, refused: boolean): PeerStatus {
+function peer(receivedAt: number, servedAt: number, refused: boolean): PeerStatus {
   const frame = { refused } as PeerStatus['frame'];
-  return { heardAt, servedAt, asOf: heardAt, frame };
+  return { receivedAt, servedAt, asOf: receivedAt, frame };
 }
 
 /** Refused since second 10; it is second 30. */
--- a/packages/controller/health.ts
+++ b/packages/controller/health.ts
@@ -25,7 +25,9 @@
   const { now, lastOkAt, patienceS } = view;
   if (!view.loaded) return false;
   if (!view.refused || view.lastFailAt - lastOkAt < patienceS) return true;
-  const reachable = view.peers.filter((peer) => peer !== null && now - peer.heardAt <= patienceS);
+  const reachable = view.peers.filter(
+    (peer) => peer !== null && now - peer.receivedAt <= patienceS,
+  );
   // Cut off from the peers as well, this controller can't know whether they are served.
   if (reachable.length === 0) return view.peers.length === 0;
   return !reachable.some((peer) => !peer!.frame.refused && peer!.servedAt > lastOkAt + patienceS);
--- a/packages/controller/http-interface.ts
+++ b/packages/controller/http-interface.ts
@@ -3,18 +3,18 @@
 import type { CancellationRelay } from './cancellation-relay.js';
 import { HealthEndpoint } from './health-endpoint.js';
 import { HttpServer } from './http-server.js';
-import type { LagMonitor } from './lag.js';
+import type { EventLoopDelayMonitor } from './lag.js';
 import type { MetricsEndpoint } from './metrics-endpoint.js';
 import type { ShardLeader } from './owner.js';
 import { mountReplicas } from './replica-endpoint.js';
-import { ReportHandler } from './report-handler.js';
+import { HeartbeatEndpoint } from './report-handler.js';
 import type { ControllerServices } from './services.js';
 import type { StandbyRenewal } from './standby-renewal.js';
 import type { StatusExchange } from './status-exchange.js';
 import { SubmissionCheck } from './submission-check.js';
-import type { UnownedReports } from './unowned-reports.js';
+import type { FollowerHeartbeats } from './unowned-reports.js';
 import { UserApi } from './user-api.js';
-import type { Vitals } from './vitals.js';
+import type { ProcessStatistics } from './vitals.js';
 
 /** What answers to workers, users and operators depend on. */
 export interface HttpInterfaceOptions {
@@ -26,10 +26,10 @@
   silenceS: number;
   cancellationRelay: CancellationRelay;
   standby: StandbyRenewal;
-  unownedReports: UnownedReports;
-  vitals: Vitals;
+  followerHeartbeats: FollowerHeartbeats;
+  statistics: ProcessStatistics;
   metrics: MetricsEndpoint;
-  lag: LagMonitor;
+  eventLoopDelay: EventLoopDelayMonitor;
   admission: Admission;
   /** Null while nothing is owned here. */
   leader: () => ShardLeader | null;
@@ -43,7 +43,7 @@
   const { runtime, settings } = services;
   const health = new HealthEndpoint({ ...services, statuses });
   const users = makeUserApi(options, () => server.crowded);
-  const reports = new ReportHandler({ ...services, ...options });
+  const heartbeats = new HeartbeatEndpoint({ ...services, ...options });
   const server: HttpServer = new HttpServer({
     network: runtime.network,
     address: parseHostPort(settings.listen),
@@ -54,9 +54,9 @@
       users.mount(app);
       mountReplicas(app, { ...services, leader: options.leader });
     },
-    onReport: (body, res) => {
-      const answered = metrics.timeReport();
-      reports.handle(body, res);
+    onHeartbeat: (body, res) => {
+      const answered = metrics.timeHeartbeat();
+      heartbeats.handle(body, res);
       answered();
     },
   });
@@ -64,7 +64,7 @@
 }
 
 function makeUserApi(options: HttpInterfaceOptions, crowded: () => boolean): UserApi {
-  const { services, vitals, metrics, lag, admission, cancellationRelay } = options;
+  const { services, statistics, metrics, eventLoopDelay, admission, cancellationRelay } = options;
   const { runtime, client, commits, jobs, types } = services;
   return new UserApi({
     clock: runtime.clock,
@@ -74,11 +74,11 @@
     submissions: new SubmissionCheck(services),
     types: () => types.all(),
     onRequest: (kind) => {
-      vitals.questions++;
+      statistics.questions++;
       return metrics.timeQuestion(kind);
     },
     admission,
-    overloadedForS: () => lag.overloadedForS,
+    overloadedForS: () => eventLoopDelay.overloadedForS,
     onAbort: (job) => cancellationRelay.request(job),
     crowded,
   });
--- a/packages/controller/http-server.test.ts
+++ b/packages/controller/http-server.test.ts
@@ -3,7 +3,7 @@
 import { encode } from '#wire';
 import { postBytes, serveOnLoopback } from '#testing';
 import { readBody, reply } from './http-bodies.js';
-import { makeApp, mountFallbacks, withReports } from './http-server.js';
+import { makeApp, mountFallbacks, withHeartbeats } from './http-server.js';
 
 test('a body is taken in pieces, and one that is missing, too large or no CBOR is refused at once', async () => {
   const taken: unknown[] = [];
@@ -18,7 +18,7 @@
   const app = makeApp();
   app.post('/submissions', (req, res) => take(req.body, res));
   mountFallbacks(app);
-  const { port, close } = await serveOnLoopback(withReports(app, take));
+  const { port, close } = await serveOnLoopback(withHeartbeats(app, take));
   for (const path of ['/hello', '/submissions']) {
     const large = { text: 'x'.repeat(40_000) };
     assert.equal(await postBytes(port, path, encode(large)), 200);
--- a/packages/controller/http-server.ts
+++ b/packages/controller/http-server.ts
@@ -9,7 +9,7 @@
 const CROWDED = 0.9;
 
 /** Answers a report; the body is undefined if it is too large. */
-export type ReportHandler = (body: unknown, res: http.ServerResponse) => void;
+export type HeartbeatHandler = (body: unknown, res: http.ServerResponse) => void;
 
 export interface HttpServerOptions {
   network: Network;
@@ -17,7 +17,7 @@
   maxConnections: number;
   /** Adds all routes but that of reports. */
   mount: (app: Express) => void;
-  onReport: ReportHandler;
+  onHeartbeat: HeartbeatHandler;
 }
 
 /** Serves workers, users and health checks. */
@@ -30,7 +30,7 @@
     mountFallbacks(app);
     const server = http.createServer(
       { requestTimeout: 0, keepAliveTimeout: KEEP_ALIVE_MS },
-      withReports(app, options.onReport),
+      withHeartbeats(app, options.onHeartbeat),
     );
     server.maxConnections = options.maxConnections;
     this.listener = new Listener(options.network, server);
@@ -58,9 +58,10 @@
  * Reports go past express: nearly all requests to an owner are reports, and express's way to the handler
  * cost more than the handler. All else is express's.
  */
-export function withReports(app: Express, onReport: ReportHandler): http.RequestListener {
+export function withHeartbeats(app: Express, onHeartbeat: HeartbeatHandler): http.RequestListener {
   return (req, res) => {
-    if (req.method === 'POST' && req.url === '/hello') takeBody(req, (body) => onReport(body, res));
+    if (req.method === 'POST' && req.url === '/hello')
+      takeBody(req, (body) => onHeartbeat(body, res));
     else app(req, res);
   };
 }
--- a/packages/controller/machine-catalog.ts
+++ b/packages/controller/machine-catalog.ts
@@ -7,7 +7,7 @@
 
 export interface MachineCatalogOptions extends CloudAccess {
   fleet: FleetState;
-  reportS: number;
+  heartbeatIntervalS: number;
   /** Told of the machine types whenever they were asked for. */
   onTypes: (types: MachineType[], signal: AbortSignal) => Promise<void>;
 }
@@ -21,9 +21,10 @@
 
   /** Reads the catalog if no type is known or the last look is old by now. */
   async refreshIfDue(now: number, signal: AbortSignal): Promise<void> {
-    const { cloud, budget, fleet, reportS, onTypes } = this.options;
+    const { cloud, budget, fleet, heartbeatIntervalS, onTypes } = this.options;
     const { machines } = fleet;
-    if (now - this.readAt <= CATALOG_PERIODS * reportS && machines.types.size > 0) return;
+    if (now - this.readAt <= CATALOG_PERIODS * heartbeatIntervalS && machines.types.size > 0)
+      return;
     await budget.take(1, false, signal);
     const types = await cloud.catalog(signal);
     for (const type of types) machines.noteType(type);
--- a/packages/controller/machine-list.ts
+++ b/packages/controller/machine-list.ts
@@ -14,7 +14,7 @@
   fleet: FleetState;
   /** How far the cloud's list may be behind; seconds. */
   listLagS: number;
-  reportS: number;
+  heartbeatIntervalS: number;
 }
 
 /** Keeps the fleet in step with the cloud's list of machines, which lags behind what was released. */
@@ -33,8 +33,8 @@
 
   /** Reads the list if the last one is old by now. */
   async refreshIfDue(now: number, signal: AbortSignal): Promise<void> {
-    const { reportS, listLagS } = this.options;
-    const periodS = Math.max(LIST_PERIODS * reportS, listLagS * LIST_LAG_SHARE);
+    const { heartbeatIntervalS, listLagS } = this.options;
+    const periodS = Math.max(LIST_PERIODS * heartbeatIntervalS, listLagS * LIST_LAG_SHARE);
     if (now - this.listedAt > periodS) await this.refresh(signal);
   }
 
@@ -84,8 +84,8 @@
   }
 
   private forgetOldReleases(now: number): void {
-    const { listLagS, reportS } = this.options;
-    const memoryS = RELEASE_MEMORY * Math.max(listLagS, reportS);
+    const { listLagS, heartbeatIntervalS } = this.options;
+    const memoryS = RELEASE_MEMORY * Math.max(listLagS, heartbeatIntervalS);
     for (const [name, releasedAt] of this.releasedAt) {
       if (now - releasedAt > memoryS) this.releasedAt.delete(name);
     }
--- a/packages/controller/metrics-endpoint.ts
+++ b/packages/controller/metrics-endpoint.ts
@@ -5,12 +5,12 @@
 import { Metrics } from './metrics.js';
 import type { ShardLeader } from './owner.js';
 import type { OptionalReplicaSupport } from './replica-support.js';
-import type { Vitals } from './vitals.js';
+import type { ProcessStatistics } from './vitals.js';
 
 export interface MetricsEndpointOptions {
   clock: Clock;
-  reportS: number;
-  vitals: Vitals;
+  heartbeatIntervalS: number;
+  statistics: ProcessStatistics;
   client: StateClient;
   admission: Admission;
   replicas: OptionalReplicaSupport;
@@ -35,8 +35,8 @@
   }
 
   /** Times the answer to a report from now until the function that it returns is called. */
-  timeReport(): () => void {
-    return this.time((metrics, seconds) => metrics.reports.observe(seconds));
+  timeHeartbeat(): () => void {
+    return this.time((metrics, seconds) => metrics.heartbeats.observe(seconds));
   }
 
   /** Times the answer to a user's request in the same way. */
@@ -57,16 +57,16 @@
   }
 
   private async load(): Promise<Metrics> {
-    const metrics = await Metrics.load(this.options.reportS);
+    const metrics = await Metrics.load(this.options.heartbeatIntervalS);
     this.register(metrics);
     this.loaded = metrics;
     return metrics;
   }
 
   private register(metrics: Metrics): void {
-    const { vitals, client, admission, leader } = this.options;
-    metrics.gauge('total', 'Counts since the start', 'of', () => vitals.totals());
-    metrics.gauge('held', 'What the process holds now', 'of', () => vitals.held());
+    const { statistics, client, admission, leader } = this.options;
+    metrics.gauge('total', 'Counts since the start', 'of', () => statistics.totals());
+    metrics.gauge('held', 'What the process holds now', 'of', () => statistics.held());
     metrics.gauge('term', 'Term of the part that is owned here, 0 if none', null, () => ({
       '': leader()?.term.term ?? 0,
     }));
--- a/packages/controller/metrics.ts
+++ b/packages/controller/metrics.ts
@@ -15,23 +15,23 @@
  */
 export class Metrics {
   private readonly registry: Registry;
-  readonly reports: Histogram;
+  readonly heartbeats: Histogram;
   readonly questions: Histogram<'kind'>;
   readonly rounds: Histogram;
 
-  static async load(reportS: number): Promise<Metrics> {
-    return new Metrics(await import('prom-client'), reportS);
+  static async load(heartbeatIntervalS: number): Promise<Metrics> {
+    return new Metrics(await import('prom-client'), heartbeatIntervalS);
   }
 
   private constructor(
     private readonly library: typeof import('prom-client'),
-    reportS: number,
+    heartbeatIntervalS: number,
   ) {
     const { Histogram, Registry } = library;
     this.registry = new Registry();
     const registers = [this.registry];
-    const buckets = BUCKETS.map((b) => b * reportS);
-    this.reports = new Histogram({
+    const buckets = BUCKETS.map((b) => b * heartbeatIntervalS);
+    this.heartbeats = new Histogram({
       name: 'sorreldale_report_seconds',
       help: 'Time to answer a report of a worker',
       buckets,
--- a/packages/controller/owner-reach.test.ts
+++ b/packages/controller/owner-reach.test.ts
@@ -6,9 +6,9 @@
 const NOW = 30;
 const SILENCE_S = 2;
 
-function statusAt(heardAt: number, unheard = false): PeerStatus {
-  const frame = { unheard } as PeerStatus['frame'];
-  return { heardAt, asOf: heardAt, servedAt: heardAt, frame };
+function statusAt(receivedAt: number, unreachable = false): PeerStatus {
+  const frame = { unreachable } as PeerStatus['frame'];
+  return { receivedAt, asOf: receivedAt, servedAt: receivedAt, frame };
 }
 
 function mayReach(leader: PeerStatus | null, ...others: (PeerStatus | null)[]): boolean {
--- a/packages/controller/owner-reach.ts
+++ b/packages/controller/owner-reach.ts
@@ -1,8 +1,8 @@
 import type { PeerStatus } from './peer-status.js';
 
 /** Whether a controller is heard now; steady seconds. */
-function isHeard(peer: PeerStatus | null, now: number, silenceS: number): boolean {
-  return peer !== null && now - peer.heardAt <= silenceS;
+function isReachable(peer: PeerStatus | null, now: number, silenceS: number): boolean {
+  return peer !== null && now - peer.receivedAt <= silenceS;
 }
 
 /** The owner of the part as another controller knows it; steady seconds. */
@@ -23,9 +23,9 @@
  */
 export function mayReachLeader({ now, leader, peers, silenceS }: LeaderReachView): boolean {
   if (leader === null) return true;
-  if (isHeard(leader, now, silenceS)) return !leader.frame.unheard;
+  if (isReachable(leader, now, silenceS)) return !leader.frame.unreachable;
   // Cut off from all peers, this controller can't tell whether the owner is silent for others too.
-  return !peers.some((peer) => isHeard(peer, now, silenceS));
+  return !peers.some((peer) => isReachable(peer, now, silenceS));
 }
 
 /**
@@ -51,6 +51,6 @@
   next: PeerStatus | null,
   { now, peers, silenceS }: Omit<LeaderReachView, 'leader'>,
 ): boolean {
-  if (isHeard(next, now, silenceS)) return false;
-  return peers.some((peer) => isHeard(peer, now, silenceS));
+  if (isReachable(next, now, silenceS)) return false;
+  return peers.some((peer) => isReachable(peer, now, silenceS));
 }
--- a/packages/controller/owner-records.ts
+++ b/packages/controller/owner-records.ts
@@ -45,7 +45,7 @@
     const [machines, progress, removals] = await Promise.all([
       readRecords(MACHINES, signal),
       readRecords(PROGRESS, signal),
-      client.call(true, signal, (api) => api.get(removalsKey(term.part), signal)),
+      client.call(true, signal, (api) => api.get(removalsKey(term.shard), signal)),
     ]);
     const held = new Set(machines.flatMap(jobsOn));
     const ended = await this.readEnded(held, signal);
--- a/packages/controller/owner-terms.ts
+++ b/packages/controller/owner-terms.ts
@@ -154,7 +154,7 @@
       name: host_name,
       rps: deployment.cloud.rps,
       listLagS: deployment.cloud.list_lag_s,
-      reportS: deployment.workers.report_s,
+      heartbeatIntervalS: deployment.workers.report_s,
       leaseS: deployment.workers.lease_s,
       onTypes: (listed, signal) => types.publish(listed, signal),
       mayRent: () => ['granted', 'attested'].includes(leaderLeaseState()),
--- a/packages/controller/owner.ts
+++ b/packages/controller/owner.ts
@@ -1,4 +1,4 @@
-import { Clock, MachineType, Order, Report, Runtime } from '#wire';
+import { Clock, MachineType, Order, Heartbeat, Runtime } from '#wire';
 import { FleetState, CapacityPlanner, Scheduler } from '#core';
 import type { ReplicaGroups } from '#replicas';
 import { GroupCommit, JobRecord, StateClient, Term } from '#store';
@@ -83,18 +83,18 @@
     this.fleet = makeFleetState({ settings, term, valueBytes, listener, random, replicaGroups });
     this.planner = makePlanner(settings, this.fleet);
     this.scheduler = makeScheduler(settings, this.fleet);
-    const reportS = settings.deployment.workers.report_s;
-    this.tickMs = (reportS * 1000) / ROUND_TICKS;
+    const heartbeatIntervalS = settings.deployment.workers.report_s;
+    this.tickMs = (heartbeatIntervalS * 1000) / ROUND_TICKS;
     const { clock, fleet, planner } = this;
-    this.recorder = new Recorder({ ...options, fleet, reportS });
+    this.recorder = new Recorder({ ...options, fleet, heartbeatIntervalS });
     const onNewJob = (record: JobRecord) => this.noteJob(record);
     this.intake = new JobIntake({ ...options, clock, fleet, planner, onNewJob });
-    const cancellations = { clock, unrecorded: this.intake.unrecorded, reportS };
+    const cancellations = { clock, unrecorded: this.intake.unrecorded, heartbeatIntervalS };
     this.cancellationRecorder = new CancellationRecorder({ ...options, ...cancellations });
     this.direct = new DirectCommands({
       runtime,
       fleet: this.fleet,
-      timeoutMs: DIRECT_TIMEOUT * reportS * 1000,
+      timeoutMs: DIRECT_TIMEOUT * heartbeatIntervalS * 1000,
       maxConnections: options.directSockets,
       onOrders: (machine, orders) => this.logOrders(machine.name, orders),
       onDone: () => this.requestRound(),
@@ -225,18 +225,18 @@
   }
 
   /** Takes a report and says what to answer; null for a late copy. */
-  report(report: Report): { token: number; orders: Order[] } | null {
+  acceptHeartbeat(heartbeat: Heartbeat): { fencingToken: number; orders: Order[] } | null {
     const before = this.recorder.pending;
-    const outcome = this.fleet.reports.handle(report, this.clock.now());
+    const outcome = this.fleet.heartbeats.handle(heartbeat, this.clock.now());
     if (outcome.kind === 'late-copy') return null;
     const { orders } = outcome;
-    const token = this.fleet.machines.get(report.machine)?.token ?? this.term.term;
-    this.logOrders(report.machine, orders);
+    const fencingToken = this.fleet.machines.get(heartbeat.machine)?.fencingToken ?? this.term.term;
+    this.logOrders(heartbeat.machine, orders);
     if (this.recorder.pending && !before) {
       this.flushing.wake();
       this.requestRound();
     }
-    return { token, orders };
+    return { fencingToken, orders };
   }
 
   private logOrders(machine: string, orders: Order[]): void {
--- a/packages/controller/part-moves.ts
+++ b/packages/controller/part-moves.ts
@@ -1,4 +1,4 @@
-import type { PartMover } from '#parts';
+import type { ShardMigrator } from '#parts';
 import { MACHINES, type PrefixCache, PROGRESS } from '#store';
 import type { MoveSettings } from './operator.js';
 import type { LeadershipTerms } from './owner-terms.js';
@@ -6,32 +6,32 @@
 import type { StatusExchange } from './status-exchange.js';
 
 /** Looks in a report period if nothing happens. */
-const LOOKS = 4;
+const POLLS_PER_HEARTBEAT = 4;
 
-export interface PartMovesOptions extends ControllerServices {
+export interface ShardMigrationOptions extends ControllerServices {
   /** Holds the records of the part and of its moves. */
   world: PrefixCache;
   statuses: StatusExchange;
   terms: LeadershipTerms;
-  part: number;
+  shard: number;
   /** A controller that was not heard for this long is out of reach; seconds. */
   silenceS: number;
 }
 
 /** Loads what carries out planned moves of the part; to be called only if the operators have switched them on. */
-export async function loadPartMover(
-  options: PartMovesOptions,
+export async function loadShardMigrator(
+  options: ShardMigrationOptions,
   limits: MoveSettings,
-): Promise<PartMover> {
+): Promise<ShardMigrator> {
   const { settings, terms, jobs, client } = options;
-  const { PartMover, RecordsAhead } = await import('#parts');
+  const { ShardMigrator, RecordsAhead } = await import('#parts');
   const ahead = new RecordsAhead(client, [MACHINES, PROGRESS]);
   terms.readRecords = (prefix, signal) => ahead.read(prefix, signal);
-  return new PartMover({
+  return new ShardMigrator({
     ...options,
     name: settings.host_name,
     limits,
-    lookMs: (settings.deployment.workers.report_s * 1000) / LOOKS,
+    pollIntervalMs: (settings.deployment.workers.report_s * 1000) / POLLS_PER_HEARTBEAT,
     leader: () => transferableLeader(terms),
     obstacle: (controller) => obstacleTo(controller, options),
     canLead: () => jobs.cache.ready && !client.failing,
@@ -49,12 +49,12 @@
 /** What keeps a controller from becoming the owner now; null if nothing does. */
 function obstacleTo(
   controller: string,
-  { runtime, settings, statuses, silenceS }: PartMovesOptions,
+  { runtime, settings, statuses, silenceS }: ShardMigrationOptions,
 ): string | null {
   const isKnown = settings.peers.some((peer) => peer.host_name === controller);
   if (!isKnown) return `${controller} is no controller of this cluster`;
   const status = statuses.statusOf(controller);
-  if (status === null || runtime.clock.now() - status.heardAt > silenceS) {
+  if (status === null || runtime.clock.now() - status.receivedAt > silenceS) {
     return `${controller} was not heard lately`;
   }
   if (status.frame.refused) return `${controller} is refused by the state service`;
--- a/packages/controller/peer-coordinator.ts
+++ b/packages/controller/peer-coordinator.ts
@@ -1,14 +1,14 @@
 import type { Frame, PeerLink } from '#peer';
 import { type Clock, pause } from '#wire';
 import type { CancellationRelay } from './cancellation-relay.js';
-import { isIsolatedFromWorkers, hearsNextToNone } from './entitlement.js';
-import { countAllTasks, countChangedTasks, countHeard } from './fleet-summary.js';
+import { isIsolatedFromWorkers, reachesFewWorkers } from './entitlement.js';
+import { countAllTasks, countChangedTasks, countReachable } from './fleet-summary.js';
 import type { ShardLeader } from './owner.js';
 import type { PeerStatus } from './peer-status.js';
 import type { ControllerServices } from './services.js';
 import type { StandbyRenewal } from './standby-renewal.js';
 import type { StatusExchange } from './status-exchange.js';
-import { HEARD_PERIODS, type UnownedReports } from './unowned-reports.js';
+import { REACHABLE_INTERVALS, type FollowerHeartbeats } from './unowned-reports.js';
 import { WorkerSilence } from './worker-silence.js';
 
 /** Rounds of status in a report period. */
@@ -32,7 +32,7 @@
 export interface PeerCoordinatorOptions extends Services {
   peers: PeerLink;
   statuses: StatusExchange;
-  unownedReports: UnownedReports;
+  followerHeartbeats: FollowerHeartbeats;
   cancellationRelay: CancellationRelay;
   standby: StandbyRenewal;
   /** Null while nothing is owned here. */
@@ -46,14 +46,17 @@
  */
 export class PeerCoordinator {
   private readonly clock: Clock;
-  private readonly reportS: number;
+  private readonly heartbeatIntervalS: number;
   private readonly workerSilence: WorkerSilence;
 
   constructor(private readonly options: PeerCoordinatorOptions) {
     this.clock = options.runtime.clock;
-    this.reportS = options.settings.deployment.workers.report_s;
-    const lookS = this.reportS / STATUS_ROUNDS;
-    this.workerSilence = new WorkerSilence({ reportS: this.reportS, lookS });
+    this.heartbeatIntervalS = options.settings.deployment.workers.report_s;
+    const sampleIntervalS = this.heartbeatIntervalS / STATUS_ROUNDS;
+    this.workerSilence = new WorkerSilence({
+      heartbeatIntervalS: this.heartbeatIntervalS,
+      sampleIntervalS,
+    });
   }
 
   receive(from: string, frame: Frame): void {
@@ -65,7 +68,7 @@
       this.stepDownForNewerLeader(frame.newestLeader);
     } else if (frame.kind === 'counts') {
       for (const { job, done, running } of frame.jobs) jobs.noteCounts(job, done, running);
-    } else if (frame.kind === 'abort') cancellationRelay.heard(frame);
+    } else if (frame.kind === 'abort') cancellationRelay.receive(frame);
   }
 
   /** Tells the peers twice in a report period until the signal aborts. */
@@ -86,12 +89,12 @@
         if (leader.ready) this.sendCounts(leader, isFull ? 'all' : 'changed');
       }
       if (leader) round++;
-      await pause(this.clock, (this.reportS * 1000) / STATUS_ROUNDS, signal);
+      await pause(this.clock, (this.heartbeatIntervalS * 1000) / STATUS_ROUNDS, signal);
     }
   }
 
   private sendStatus(): void {
-    const { client, jobs, election, leader, unownedReports, statuses } = this.options;
+    const { client, jobs, election, leader, followerHeartbeats, statuses } = this.options;
     const now = this.clock.now();
     const own = {
       servedAgoMs: (now - client.lastOkAt) * 1000,
@@ -100,8 +103,8 @@
       leading: leader() !== null,
       mayLead: election.mayLead,
       newestLeader: election.newestLeader,
-      unheard: this.isUnheard(now),
-      unownedReports: unownedReports.count(),
+      unreachable: this.isUnreachable(now),
+      followerHeartbeats: followerHeartbeats.count(),
       jobsRevision: jobs.cache.completeTo,
     };
     statuses.send(own, now);
@@ -110,7 +113,7 @@
   /** What a peer states tells which of our frames it has read. */
   private renewDeadConnections(): void {
     const { settings, statuses, peers } = this.options;
-    const unreadS = UNREAD_PERIODS * this.reportS;
+    const unreadS = UNREAD_PERIODS * this.heartbeatIntervalS;
     const now = this.clock.now();
     for (const { host_name: peer } of settings.peers) {
       const status = statuses.statusOf(peer);
@@ -120,8 +123,8 @@
     }
   }
 
-  private isCurrent({ heardAt }: PeerStatus, now: number): boolean {
-    return now - heardAt <= CURRENT_PERIODS * this.reportS;
+  private isCurrent({ receivedAt }: PeerStatus, now: number): boolean {
+    return now - receivedAt <= CURRENT_PERIODS * this.heartbeatIntervalS;
   }
 
   private sendCounts(leader: ShardLeader, which: 'all' | 'changed'): void {
@@ -151,15 +154,19 @@
    * take-over the workers need some time to find us; a whole lease of it is too long, since an owner that none of
    * them ever reaches would let all their leases run out.
    */
-  private heardWorkers(now: number): { machines: number; heard: number } | null {
+  private reachableWorkers(now: number): { machines: number; reachable: number } | null {
     const leader = this.options.leader();
-    if (!leader?.ready || now - leader.startedAt < (HEARD_PERIODS + 1) * this.reportS) return null;
-    return countHeard(leader.fleet, now, HEARD_PERIODS * this.reportS);
+    if (
+      !leader?.ready ||
+      now - leader.startedAt < (REACHABLE_INTERVALS + 1) * this.heartbeatIntervalS
+    )
+      return null;
+    return countReachable(leader.fleet, now, REACHABLE_INTERVALS * this.heartbeatIntervalS);
   }
 
-  private isUnheard(now: number): boolean {
-    const workers = this.heardWorkers(now);
-    return workers !== null && hearsNextToNone(workers.machines, workers.heard);
+  private isUnreachable(now: number): boolean {
+    const workers = this.reachableWorkers(now);
+    return workers !== null && reachesFewWorkers(workers.machines, workers.reachable);
   }
 
   /** Leaves the part to a controller that the workers can reach. */
@@ -168,14 +175,18 @@
     const leader = this.options.leader();
     if (!leader?.ready) return;
     const now = this.clock.now();
-    const allSilent = this.workerSilence.look(leader.fleet, now);
-    const workers = this.heardWorkers(now);
-    const heardByPeers = this.countHeardByPeers(now);
+    const allSilent = this.workerSilence.sample(leader.fleet, now);
+    const workers = this.reachableWorkers(now);
+    const reachableByPeers = this.countReachableByPeers(now);
     const askElsewhere =
-      workers !== null && isIsolatedFromWorkers(workers.machines, workers.heard, heardByPeers);
+      workers !== null &&
+      isIsolatedFromWorkers(workers.machines, workers.reachable, reachableByPeers);
     if (!(askElsewhere || allSilent) || !this.canBeReplaced(now)) return;
     const term = leader.term.term;
-    log.info({ term, ...workers, heardByPeers, allSilent }, 'cut from the workers');
+    log.info(
+      { term, ...workers, heardByPeers: reachableByPeers, allSilent },
+      'cut from the workers',
+    );
     election.resign(settings.deployment.workers.lease_s);
   }
 
@@ -193,11 +204,11 @@
   }
 
   /** Workers that lately reported to peers, which do not own. */
-  private countHeardByPeers(now: number): number {
+  private countReachableByPeers(now: number): number {
     const { statuses } = this.options;
     let workers = 0;
     for (const peer of statuses.statuses()) {
-      if (peer && this.isCurrent(peer, now)) workers += peer.frame.unownedReports;
+      if (peer && this.isCurrent(peer, now)) workers += peer.frame.followerHeartbeats;
     }
     return workers;
   }
--- a/packages/controller/peer-status.test.ts
+++ b/packages/controller/peer-status.test.ts
@@ -21,8 +21,8 @@
     leading: false,
     mayLead: false,
     newestLeader: { term: 0, name: '' },
-    unheard: false,
-    unownedReports: 0,
+    unreachable: false,
+    followerHeartbeats: 0,
     jobsRevision: 0,
     cancelledSince: 0,
     cancelled: [],
@@ -33,10 +33,10 @@
   const table = new PeerStatusTable(OWN_LIFE, ['c-1']);
   const first = table.beginRound(100);
   table.beginRound(101);
-  assert.ok(table.heard('c-1', statusOf(1, 1, first), 130));
+  assert.ok(table.accept('c-1', statusOf(1, 1, first), 130));
   const status = table.get('c-1');
   assert.equal(status?.asOf, 100);
-  assert.equal(status?.heardAt, 130);
+  assert.equal(status?.receivedAt, 130);
   assert.equal(status?.servedAt, 129.5);
   assert.deepEqual(table.echoFor('c-1'), { incarnation: 1, sequence: 1 });
 });
@@ -44,24 +44,24 @@
 test('an echo of an earlier life of ours, or none, proves nothing', () => {
   const table = new PeerStatusTable(OWN_LIFE, ['c-1']);
   table.beginRound(100);
-  table.heard('c-1', statusOf(1, 1, { incarnation: 6, sequence: 1 }), 101);
+  table.accept('c-1', statusOf(1, 1, { incarnation: 6, sequence: 1 }), 101);
   assert.equal(table.get('c-1')?.asOf, -Infinity);
-  table.heard('c-1', statusOf(1, 2, null), 102);
+  table.accept('c-1', statusOf(1, 2, null), 102);
   assert.equal(table.get('c-1')?.asOf, -Infinity);
 });
 
 test('frames that a cut held back do not replace newer ones, nor those of a later life', () => {
   const table = new PeerStatusTable(OWN_LIFE, ['c-1']);
-  assert.ok(table.heard('c-1', statusOf(1, 5, null), 10));
-  assert.ok(!table.heard('c-1', statusOf(1, 4, null), 11));
-  assert.ok(table.heard('c-1', statusOf(2, 1, null), 12));
-  assert.ok(!table.heard('c-1', statusOf(1, 6, null), 13));
+  assert.ok(table.accept('c-1', statusOf(1, 5, null), 10));
+  assert.ok(!table.accept('c-1', statusOf(1, 4, null), 11));
+  assert.ok(table.accept('c-1', statusOf(2, 1, null), 12));
+  assert.ok(!table.accept('c-1', statusOf(1, 6, null), 13));
   assert.equal(table.get('c-1')?.frame.incarnation, 2);
 });
 
 test('every peer that the settings name has a place, heard or not', () => {
   const table = new PeerStatusTable(OWN_LIFE, ['c-1', 'c-2']);
-  table.heard('c-2', statusOf(1, 1, null), 10);
+  table.accept('c-2', statusOf(1, 1, null), 10);
   assert.equal(table.all()[0], null);
   assert.equal(table.all()[1]?.frame.incarnation, 1);
 });
--- a/packages/controller/peer-status.ts
+++ b/packages/controller/peer-status.ts
@@ -9,7 +9,7 @@
 export interface PeerStatus {
   frame: StatusFrame;
   /** When the frame arrived. The network may have held it for long. */
-  heardAt: number;
+  receivedAt: number;
   /**
    * The peer surely made the statement after this moment: it had read a status frame that this
    * process sent then. -Infinity if it has read none.
@@ -51,7 +51,7 @@
   }
 
   /** Takes a frame in; false if it is older than what is known of the peer. */
-  heard(peer: string, frame: StatusFrame, now: number): boolean {
+  accept(peer: string, frame: StatusFrame, now: number): boolean {
     const known = this.statuses.get(peer)?.frame;
     if (known?.incarnation === frame.incarnation) {
       if (frame.sequence <= known.sequence) return false;
@@ -59,7 +59,7 @@
       return false;
     this.statuses.set(peer, {
       frame,
-      heardAt: now,
+      receivedAt: now,
       asOf: this.whenSent(frame.echo),
       servedAt: now - frame.servedAgoMs / 1000,
     });
--- a/packages/controller/record-batch.ts
+++ b/packages/controller/record-batch.ts
@@ -1,6 +1,6 @@
 import {
   CONDITIONS_PER_CHANGE,
-  partKey,
+  shardKey,
   sizeInJson,
   type StateLimits,
   type Term,
@@ -40,7 +40,7 @@
     private readonly limits: StateLimits,
     readonly maxChanges: number,
   ) {
-    this.conditions.set(partKey(term.part), term.term);
+    this.conditions.set(shardKey(term.shard), term.term);
   }
 
   /** Guards that a single change may have. */
--- a/packages/controller/recorder.test.ts
+++ b/packages/controller/recorder.test.ts
@@ -76,8 +76,8 @@
   assert.equal(handedOver.fence, 'recorded');
   await flushed;
   assert.equal(tasksOn('n-1'), undefined);
-  assert.equal(handedOver.token, state.service.store.get(`${MACHINES}n-2`)?.version);
-  assert.ok(handedOver.token > term);
+  assert.equal(handedOver.fencingToken, state.service.store.get(`${MACHINES}n-2`)?.version);
+  assert.ok(handedOver.fencingToken > term);
   fleet.assignments.stop(job.assignments.get(2)![0], 0, 0);
   await flush();
   assert.deepEqual(tasksOn('n-2'), ['j-1']);
--- a/packages/controller/recorder.ts
+++ b/packages/controller/recorder.ts
@@ -1,5 +1,5 @@
 import type { FleetState } from '#core';
-import { Hedge, JOBS, partKey, StateClient, Term } from '#store';
+import { Hedge, JOBS, shardKey, StateClient, Term } from '#store';
 import { Runtime, sleep, TxnMalformed } from '#wire';
 import { JobRecords } from './job-records.js';
 import type { JobTable } from './jobs.js';
@@ -30,7 +30,7 @@
   fleet: FleetState;
   jobs: JobTable;
   term: Term;
-  reportS: number;
+  heartbeatIntervalS: number;
   log: Log;
 }
 
@@ -60,7 +60,7 @@
     this.removals = new RemovalMarker(this.term);
     this.transactions = new Hedge({
       clock,
-      leastDelayS: options.reportS * RESEND_AFTER,
+      leastDelayS: options.heartbeatIntervalS * RESEND_AFTER,
       maxAttempts: MAX_SENDS,
     });
   }
@@ -125,7 +125,7 @@
       return;
     }
     if (!('failed' in out)) throw new TermBroken('no such grant');
-    if (out.failed.includes(partKey(this.term.part))) throw new TermBroken('term is over');
+    if (out.failed.includes(shardKey(this.term.shard))) throw new TermBroken('term is over');
     await this.settle(batch, out.failed, signal);
   }
 
@@ -224,9 +224,9 @@
 }
 
 function canonical(value: unknown): string {
-  return JSON.stringify(value, (_key, part: unknown) =>
-    part !== null && typeof part === 'object' && !Array.isArray(part)
-      ? Object.fromEntries(Object.entries(part).sort(([x], [y]) => (x < y ? -1 : 1)))
-      : part,
+  return JSON.stringify(value, (_key, shard: unknown) =>
+    shard !== null && typeof shard === 'object' && !Array.isArray(shard)
+      ? Object.fromEntries(Object.entries(shard).sort(([x], [y]) => (x < y ? -1 : 1)))
+      : shard,
   );
 }
--- a/packages/controller/removal-marker.ts
+++ b/packages/controller/removal-marker.ts
@@ -21,7 +21,7 @@
 
   /** What a transaction that creates a record depends on. */
   condition(): Condition {
-    return { key: removalsKey(this.term.part), version: this.version };
+    return { key: removalsKey(this.term.shard), version: this.version };
   }
 
   /** What a transaction that deletes records changes. */
--- a/packages/controller/replica-support.ts
+++ b/packages/controller/replica-support.ts
@@ -37,7 +37,7 @@
   classes: ReplicaClasses,
 ): Promise<ReplicaSupport> {
   const replicas = await import('#replicas');
-  const { lease_s: leaseS, report_s: reportS } = settings.deployment.workers;
+  const { lease_s: leaseS, report_s: heartbeatIntervalS } = settings.deployment.workers;
   const metrics = new ReplicaMetrics();
   return {
     metrics,
@@ -51,7 +51,7 @@
     makeGroups: () =>
       new replicas.ReplicaGroups({
         leaseS,
-        reportS,
+        heartbeatIntervalS,
         random: () => runtime.random(),
         listener: replicaListener(log, metrics),
       }),
--- a/packages/controller/report-handler.ts
+++ b/packages/controller/report-handler.ts
@@ -3,9 +3,9 @@
   answerToWire,
   MalformedBody,
   type Order,
-  parseReport,
+  parseHeartbeat,
   redirectToWire,
-  type Report,
+  type Heartbeat,
 } from '#wire';
 import { readBody, reply } from './http-bodies.js';
 import { mayReachLeader } from './owner-reach.js';
@@ -14,68 +14,69 @@
 import { WorkerConnections } from './sockets.js';
 import type { StandbyRenewal } from './standby-renewal.js';
 import type { StatusExchange } from './status-exchange.js';
-import type { UnownedReports } from './unowned-reports.js';
-import type { Vitals } from './vitals.js';
+import type { FollowerHeartbeats } from './unowned-reports.js';
+import type { ProcessStatistics } from './vitals.js';
 
 /** A token that every worker drops. */
-const NO_TOKEN = 0;
+const NO_FENCING_TOKEN = 0;
 
 type Services = Pick<ControllerServices, 'runtime' | 'settings' | 'jobs' | 'election' | 'log'>;
 
-export interface ReportHandlerOptions extends Services {
+export interface HeartbeatEndpointOptions extends Services {
   /** The owner of the present term if it may answer workers now. */
   activeLeader: () => ShardLeader | null;
   standby: StandbyRenewal;
   statuses: StatusExchange;
   /** A controller that was not heard for this long is out of reach. */
   silenceS: number;
-  unownedReports: UnownedReports;
-  vitals: Vitals;
+  followerHeartbeats: FollowerHeartbeats;
+  statistics: ProcessStatistics;
 }
 
 /** Answers the reports of workers: as the owner if entitled, else with who owns. */
-export class ReportHandler {
+export class HeartbeatEndpoint {
   private readonly connections = new WorkerConnections();
 
-  constructor(private readonly options: ReportHandlerOptions) {}
+  constructor(private readonly options: HeartbeatEndpointOptions) {}
 
   handle(body: unknown, res: ServerResponse): void {
-    let report: Report;
+    let heartbeat: Heartbeat;
     try {
-      report = parseReport(readBody(body));
+      heartbeat = parseHeartbeat(readBody(body));
     } catch (err) {
       reply(res, 400, { error: err instanceof MalformedBody ? err.message : 'unreadable' });
       return;
     }
-    this.options.vitals.reports++;
+    this.options.statistics.heartbeats++;
     const leader = this.options.activeLeader();
-    if (leader === null) this.answerAsOther(report, res);
-    else if (this.isNewer(report, leader.fleet.fencing.newestToken)) this.resign(report, res);
-    else if (leader.ready) this.answer(leader, report, res);
-    else this.renewLease(leader.term.term, report, res);
+    if (leader === null) this.answerAsOther(heartbeat, res);
+    else if (this.isNewer(heartbeat, leader.fleet.fencing.newestFencingToken))
+      this.resign(heartbeat, res);
+    else if (leader.ready) this.answer(leader, heartbeat, res);
+    else this.renewLease(leader.term.term, heartbeat, res);
   }
 
   /** Not the owner, or not entitled. */
-  private answerAsOther(report: Report, res: ServerResponse): void {
+  private answerAsOther(heartbeat: Heartbeat, res: ServerResponse): void {
     const term = this.options.standby.renewableTerm();
-    if (term !== null && !this.isNewer(report, term)) this.renewLease(term, report, res);
-    else this.redirect(report, res);
+    if (term !== null && !this.isNewer(heartbeat, term)) this.renewLease(term, heartbeat, res);
+    else this.redirect(heartbeat, res);
   }
 
   /** Somebody commands this worker whose term is newer than the token. */
-  private isNewer(report: Report, token: number): boolean {
-    return report.token > token;
+  private isNewer(heartbeat: Heartbeat, fencingToken: number): boolean {
+    return heartbeat.fencingToken > fencingToken;
   }
 
-  private resign({ machine, token }: Report, res: ServerResponse): void {
-    this.options.log.info({ machine, token }, 'a newer token is out');
+  private resign({ machine, fencingToken }: Heartbeat, res: ServerResponse): void {
+    this.options.log.info({ machine, token: fencingToken }, 'a newer token is out');
     this.options.election.resign();
     reply(res, 421, redirectToWire(null));
   }
 
-  private redirect(report: Report, res: ServerResponse): void {
-    const { settings, election, unownedReports } = this.options;
-    unownedReports.note(report.machine);
+  private redirect(heartbeat: Heartbeat, res: ServerResponse): void {
+    const { settings, election, followerHeartbeats } = this.options;
+    followerHeartbeats.note(heartbeat.machine);
     const { currentLeader } = election;
     if (!currentLeader || currentLeader.owner === settings.host_name)
       reply(res, 503, { error: 'no owner yet' });
@@ -98,22 +99,22 @@
    * Leases must not run out while an owner reads its records, nor because an owner has ended in an
    * outage. Nothing can be started, but what users have cancelled ends.
    */
-  private renewLease(term: number, report: Report, res: ServerResponse): void {
-    const stops: Order[] = report.tasks
+  private renewLease(term: number, heartbeat: Heartbeat, res: ServerResponse): void {
+    const stops: Order[] = heartbeat.tasks
       .filter((task) => task.state !== 'exited' && this.options.jobs.isCancelled(task.job))
       .map(({ job, index, attempt }) => ({ op: 'stop', graceS: 0, job, index, attempt }));
     reply(res, 200, answerToWire(term, stops));
   }
 
-  private answer(leader: ShardLeader, report: Report, res: ServerResponse): void {
-    const { machine } = report;
-    const answer = leader.report(report);
+  private answer(leader: ShardLeader, heartbeat: Heartbeat, res: ServerResponse): void {
+    const { machine } = heartbeat;
+    const answer = leader.acceptHeartbeat(heartbeat);
     if (answer === null) {
       // A late copy: its worker must drop the answer, which is not counted as a renewal.
-      reply(res, 200, answerToWire(NO_TOKEN, []));
+      reply(res, 200, answerToWire(NO_FENCING_TOKEN, []));
       return;
     }
-    this.connections.heard(machine, res.socket);
-    reply(res, 200, answerToWire(answer.token, answer.orders));
+    this.connections.track(machine, res.socket);
+    reply(res, 200, answerToWire(answer.fencingToken, answer.orders));
   }
 }
--- a/packages/controller/services.ts
+++ b/packages/controller/services.ts
@@ -63,7 +63,7 @@
     runtime,
     cache: world,
     name: settings.host_name,
-    part: ONLY_SHARD,
+    shard: ONLY_SHARD,
     ttlS: settings.operator.ownerTtlS,
     defersCampaign,
   });
--- a/packages/controller/sockets.test.ts
+++ b/packages/controller/sockets.test.ts
@@ -17,9 +17,9 @@
   // that came back they used up the owner's sockets, and others could not report.
   const connections = new WorkerConnections();
   const [first, second] = [new Socket(), new Socket()];
-  connections.heard('n-1', first);
-  connections.heard('n-1', first);
+  connections.track('n-1', first);
+  connections.track('n-1', first);
   assert.ok(!first.destroyed);
-  connections.heard('n-1', second);
+  connections.track('n-1', second);
   assert.ok(first.destroyed && !second.destroyed);
 });
--- a/packages/controller/sockets.ts
+++ b/packages/controller/sockets.ts
@@ -23,7 +23,7 @@
   private readonly connections = new Map<string, Duplex>();
 
   /** A worker's newest report came on this connection; copies of older ones must not be told here. */
-  heard(machine: string, socket: Duplex | null): void {
+  track(machine: string, socket: Duplex | null): void {
     const before = this.connections.get(machine);
     if (socket === null || before === socket) return;
     before?.destroy();
--- a/packages/controller/state-access.ts
+++ b/packages/controller/state-access.ts
@@ -50,15 +50,15 @@
   leading: () => boolean,
 ): StateAccess {
   const { nodes, state, workers } = deployment;
-  const reportMs = workers.report_s * 1000;
+  const heartbeatIntervalMs = workers.report_s * 1000;
   const limits = stateLimits(state);
-  const api = new StateApi(runtime, external.state, reportMs);
+  const api = new StateApi(runtime, external.state, heartbeatIntervalMs);
   const share = nodes === 1 ? SOLE_STATE_SHARE : STATE_SHARE;
   const client = new StateClient(runtime.clock, api, limits, share);
   const leastSpacingMs = (nodes * 1000) / (limits.rps * SYNC_RATE_SHARE);
-  const syncSpacingMs = Math.max(leastSpacingMs, reportMs * SYNC_SPACING);
+  const syncSpacingMs = Math.max(leastSpacingMs, heartbeatIntervalMs * SYNC_SPACING);
   const caching = { client, runtime, watchMs: WATCH_MS, syncSpacingMs };
-  const gatherMs = () => reportMs * (leading() ? LEADER_BATCHING : OTHERS_GATHER);
+  const gatherMs = () => heartbeatIntervalMs * (leading() ? LEADER_BATCHING : OTHERS_GATHER);
   return {
     client,
     world: new PrefixCache({ ...caching, prefix: WORLD }),
--- a/packages/controller/status-exchange.ts
+++ b/packages/controller/status-exchange.ts
@@ -11,8 +11,8 @@
   | 'leading'
   | 'mayLead'
   | 'newestLeader'
-  | 'unheard'
-  | 'unownedReports'
+  | 'unreachable'
+  | 'followerHeartbeats'
   | 'jobsRevision'
 >;
 
@@ -59,7 +59,7 @@
   /** Takes a peer's frame in; its cancellations count however late it comes. */
   receive(peer: string, frame: StatusFrame, now: number): void {
     for (const notice of frame.cancelled) this.options.cancellations.noteTold(notice, now);
-    this.table.heard(peer, frame, now);
+    this.table.accept(peer, frame, now);
   }
 
   private frameFor(
--- a/packages/controller/unowned-reports.ts
+++ b/packages/controller/unowned-reports.ts
@@ -1,28 +1,28 @@
 import type { Clock } from '#wire';
 
 /** Report periods within which a worker counts as heard, here or by a peer. */
-export const HEARD_PERIODS = 3;
+export const REACHABLE_INTERVALS = 3;
 
 /** The workers that lately reported here although this controller does not own. */
-export class UnownedReports {
+export class FollowerHeartbeats {
   /** Steady seconds by machine. */
-  private readonly reportedAt = new Map<string, number>();
+  private readonly lastHeartbeatAt = new Map<string, number>();
 
   constructor(
     private readonly clock: Clock,
-    private readonly reportS: number,
+    private readonly heartbeatIntervalS: number,
   ) {}
 
   note(machine: string): void {
-    this.reportedAt.set(machine, this.clock.now());
+    this.lastHeartbeatAt.set(machine, this.clock.now());
   }
 
   /** How many workers there are. */
   count(): number {
-    const since = this.clock.now() - HEARD_PERIODS * this.reportS;
-    for (const [machine, at] of this.reportedAt) {
-      if (at < since) this.reportedAt.delete(machine);
+    const since = this.clock.now() - REACHABLE_INTERVALS * this.heartbeatIntervalS;
+    for (const [machine, at] of this.lastHeartbeatAt) {
+      if (at < since) this.lastHeartbeatAt.delete(machine);
     }
-    return this.reportedAt.size;
+    return this.lastHeartbeatAt.size;
   }
 }
--- a/packages/controller/vitals.ts
+++ b/packages/controller/vitals.ts
@@ -1,47 +1,54 @@
 import { Clock, pause } from '#wire';
 
 /** Report periods between two looks. */
-const LOOK_PERIODS = 10;
+const SAMPLE_INTERVALS = 10;
 
-export interface VitalsOptions {
+export interface ProcessStatisticsOptions {
   clock: Clock;
-  reportS: number;
+  heartbeatIntervalS: number;
   /** What others count since the start. */
   counted: () => Record<string, number>;
   /** Connections of workers and users that are open now. */
   connections: () => number;
   /** Told of each look. */
-  onLook: (look: Record<string, number>) => void;
+  onSample: (sample: Record<string, number>) => void;
 }
 
 /** What one controller did and holds, counted where it happens; for its log and for operators. */
-export class Vitals {
-  reports = 0;
+export class ProcessStatistics {
+  heartbeats = 0;
   questions = 0;
   peerFrames = 0;
   rounds = 0;
   roundMs = 0;
-  private lookedAt: number;
+  private sampledAt: number;
   private cpu = process.cpuUsage();
   private last: Record<string, number> = {};
 
-  constructor(private readonly options: VitalsOptions) {
-    this.lookedAt = options.clock.now();
+  constructor(private readonly options: ProcessStatisticsOptions) {
+    this.sampledAt = options.clock.now();
   }
 
   /** Looks once in a while until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
-    const { clock, reportS, onLook } = this.options;
+    const { clock, heartbeatIntervalS, onSample } = this.options;
     while (!signal.aborted) {
-      await pause(clock, LOOK_PERIODS * reportS * 1000, signal);
-      onLook(this.look());
+      await pause(clock, SAMPLE_INTERVALS * heartbeatIntervalS * 1000, signal);
+      onSample(this.sample());
     }
   }
 
   /** Totals since the start. */
   totals(): Record<string, number> {
-    const { reports, questions, peerFrames, rounds, roundMs } = this;
-    return { reports, questions, peerFrames, rounds, roundMs, ...this.options.counted() };
+    const { heartbeats, questions, peerFrames, rounds, roundMs } = this;
+    return {
+      reports: heartbeats,
+      questions,
+      peerFrames,
+      rounds,
+      roundMs,
+      ...this.options.counted(),
+    };
   }
 
   /** What the process holds now. */
@@ -51,9 +58,9 @@
   }
 
   /** Rates since the last call, and what is held now. */
-  look(): Record<string, number> {
+  sample(): Record<string, number> {
     const now = this.options.clock.now();
-    const seconds = Math.max(1e-3, now - this.lookedAt);
+    const seconds = Math.max(1e-3, now - this.sampledAt);
     const used = process.cpuUsage(this.cpu);
     const totals = this.totals();
     const out: Record<string, number> = {
@@ -62,7 +69,7 @@
     for (const [name, total] of Object.entries(totals)) {
       out[`${name}PerS`] = round((total - (this.last[name] ?? 0)) / seconds);
     }
-    this.lookedAt = now;
+    this.sampledAt = now;
     this.cpu = process.cpuUsage();
     this.last = totals;
     return { ...out, ...this.held() };
--- a/packages/controller/worker-silence.test.ts
+++ b/packages/controller/worker-silence.test.ts
@@ -14,10 +14,14 @@
 }
 
 /** Looks at a fleet from 0 s to the end; true if it counted as silent at the last look. */
-function lookUntil(endS: number, fleetAt: (now: number) => FleetState, lookS = LOOK_S): boolean {
-  const silence = new WorkerSilence({ reportS: REPORT_S, lookS: LOOK_S });
+function lookUntil(
+  endS: number,
+  fleetAt: (now: number) => FleetState,
+  sampleIntervalS = LOOK_S,
+): boolean {
+  const silence = new WorkerSilence({ heartbeatIntervalS: REPORT_S, sampleIntervalS: LOOK_S });
   let silent = false;
-  for (let now = 0; now <= endS; now += lookS) silent = silence.look(fleetAt(now), now);
+  for (let now = 0; now <= endS; now += sampleIntervalS) silent = silence.sample(fleetAt(now), now);
   return silent;
 }
 
--- a/packages/controller/worker-silence.ts
+++ b/packages/controller/worker-silence.ts
@@ -5,13 +5,13 @@
 /** That a single worker falls silent is a matter of its machine. */
 const LEAST_WORKERS = 2;
 /** A look that comes later than this multiple of the distance of looks: this process stood still. */
-const LATE_LOOK = 2;
+const LATE_SAMPLE = 2;
 
 export interface WorkerSilenceOptions {
   /** Report period of the workers, seconds. */
-  reportS: number;
+  heartbeatIntervalS: number;
   /** Distance between two looks, seconds. */
-  lookS: number;
+  sampleIntervalS: number;
 }
 
 /**
@@ -29,15 +29,18 @@
    * To be called regularly while a fleet state is in charge. `now` is steady seconds. True if all workers that
    * had accepted its term have been silent for too long, while this process was awake.
    */
-  look(fleet: FleetState, now: number): boolean {
-    const { reportS, lookS } = this.options;
+  sample(fleet: FleetState, now: number): boolean {
+    const { heartbeatIntervalS, sampleIntervalS } = this.options;
     const workers = [...fleet.machines.values()].filter(
       ({ state, termConfirmed }) => state === 'up' && termConfirmed,
     );
-    const stoodStill = now - this.lookedAt > LATE_LOOK * lookS;
-    const heard = workers.some(({ answeredAt }) => answeredAt >= this.lookedAt);
-    if (stoodStill || heard) this.silentSince = now;
+    const stoodStill = now - this.lookedAt > LATE_SAMPLE * sampleIntervalS;
+    const reachable = workers.some(({ answeredAt }) => answeredAt >= this.lookedAt);
+    if (stoodStill || reachable) this.silentSince = now;
     this.lookedAt = now;
-    return workers.length >= LEAST_WORKERS && now - this.silentSince >= SILENT_PERIODS * reportS;
+    return (
+      workers.length >= LEAST_WORKERS &&
+      now - this.silentSince >= SILENT_PERIODS * heartbeatIntervalS
+    );
   }
 }
--- a/packages/core/answer-delivery.test.ts
+++ b/packages/core/answer-delivery.test.ts
@@ -7,17 +7,19 @@
   const fleet = aFleet();
   const machine = aMachine(fleet, 'n-1');
   const avoided = (now: number) => machine.avoidUntil > now;
-  for (const now of [1, 2, 3]) fleet.reports.handle(aReport({ seq: now, token: 7 }), now);
+  for (const now of [1, 2, 3])
+    fleet.heartbeats.handle(aReport({ sequence: now, fencingToken: 7 }), now);
   assert.ok(!avoided(3));
-  fleet.reports.handle(aReport({ seq: 4, token: 7 }), 4);
+  fleet.heartbeats.handle(aReport({ sequence: 4, fencingToken: 7 }), 4);
   assert.ok(avoided(4));
   // It hears us again, then its lease runs out though we answered all the time.
-  for (let now = 20; now < 31; now++) fleet.reports.handle(aReport({ seq: now }), now);
+  for (let now = 20; now < 31; now++) fleet.heartbeats.handle(aReport({ sequence: now }), now);
   assert.ok(!avoided(30));
-  fleet.reports.handle(aReport({ seq: 40, session: 2 }), 31);
+  fleet.heartbeats.handle(aReport({ sequence: 40, agentEpoch: 2 }), 31);
   assert.ok(avoided(31));
   // Guards against the same being said of a zone whose cut is over: what was held back comes at once.
-  for (const seq of [60, 61, 62]) fleet.reports.handle(aReport({ seq, session: 2 }), 60);
-  fleet.reports.handle(aReport({ seq: 70, session: 3 }), 60.5);
+  for (const seq of [60, 61, 62])
+    fleet.heartbeats.handle(aReport({ sequence: seq, agentEpoch: 2 }), 60);
+  fleet.heartbeats.handle(aReport({ sequence: 70, agentEpoch: 3 }), 60.5);
   assert.ok(!avoided(60.5));
 });
--- a/packages/core/answer-delivery.ts
+++ b/packages/core/answer-delivery.ts
@@ -1,15 +1,15 @@
-import type { Report } from '#wire';
+import type { Heartbeat } from '#wire';
 import type { Machine } from './model.js';
 
 /** In report periods: a gap in the reports after which nothing is concluded from what was before it. */
 const GAP = 4;
 /** In report periods: how long reports may show an old token before the machine counts as unreachable. */
-const UNHEARD = 2;
+const UNDELIVERED = 2;
 
 /** Durations in seconds; `term` is the lowest token that answers carry. */
 export interface DeliverySettings {
   leaseS: number;
-  reportS: number;
+  heartbeatIntervalS: number;
   term: number;
 }
 
@@ -19,16 +19,20 @@
  */
 export function checkAnswerDelivery(
   machine: Machine,
-  report: Report,
-  { leaseS, reportS, term }: DeliverySettings,
+  heartbeat: Heartbeat,
+  { leaseS, heartbeatIntervalS, term }: DeliverySettings,
   now: number,
 ): void {
   // After a cut held reports arrive at once, and then a new session: that says nothing of answers.
-  if (now - machine.answeredAt > GAP * reportS) machine.answeredSince = now;
-  const showsOldToken = report.token < term && machine.answeredSince < now;
-  machine.oldTokenSince = showsOldToken ? (machine.oldTokenSince ?? now) : null;
-  const unheard =
-    machine.oldTokenSince !== null && now - machine.oldTokenSince >= UNHEARD * reportS;
-  const leaseRanOut = report.session > machine.session && now - machine.answeredSince >= leaseS;
-  if (leaseRanOut || unheard) machine.avoidUntil = Math.max(machine.avoidUntil, now + leaseS);
+  if (now - machine.answeredAt > GAP * heartbeatIntervalS) machine.answeredSince = now;
+  const showsOldFencingToken = heartbeat.fencingToken < term && machine.answeredSince < now;
+  machine.oldFencingTokenSince = showsOldFencingToken
+    ? (machine.oldFencingTokenSince ?? now)
+    : null;
+  const undelivered =
+    machine.oldFencingTokenSince !== null &&
+    now - machine.oldFencingTokenSince >= UNDELIVERED * heartbeatIntervalS;
+  const leaseRanOut =
+    heartbeat.agentEpoch > machine.agentEpoch && now - machine.answeredSince >= leaseS;
+  if (leaseRanOut || undelivered) machine.avoidUntil = Math.max(machine.avoidUntil, now + leaseS);
 }
--- a/packages/core/answer-orders.test.ts
+++ b/packages/core/answer-orders.test.ts
@@ -9,15 +9,15 @@
   const a1 = fleet.assignments.assign(job, 0, m1, 7, 0);
   const a2 = fleet.assignments.assign(job, 1, m2, 7, 0);
   a1.recorded = true;
-  const report = (seq: number) => aReport({ seq });
-  assert.deepEqual(fleet.reports.handle(report(1), 1), { kind: 'answer', orders: [] });
+  const heartbeat = (seq: number) => aReport({ sequence: seq });
+  assert.deepEqual(fleet.heartbeats.handle(heartbeat(1), 1), { kind: 'answer', orders: [] });
   a2.recorded = true;
-  assert.deepEqual(fleet.reports.handle(report(2), 2), {
+  assert.deepEqual(fleet.heartbeats.handle(heartbeat(2), 2), {
     kind: 'answer',
     orders: [{ op: 'start', job: job.spec.id, index: 0, attempt: 7 }],
   });
   assert.deepEqual(
-    fleet.reports.handle(report(2), 3),
+    fleet.heartbeats.handle(heartbeat(2), 3),
     { kind: 'late-copy' },
     'a copy is answered without orders',
   );
--- a/packages/core/answer-orders.ts
+++ b/packages/core/answer-orders.ts
@@ -2,14 +2,14 @@
 import { Assignment, assignmentsOf, JobState, Machine } from './model.js';
 
 /** The orders that the answer to a report carries: stops first, then starts that are recorded. */
-export function ordersForAnswer(machine: Machine, reportSeq: number): Order[] {
+export function ordersForAnswer(machine: Machine, heartbeatSequence: number): Order[] {
   const stops: Order[] = [];
   const starts: Order[] = [];
   for (const assignment of machine.tasks.values()) {
     if (assignment.stop !== null) stops.push(stopOrder(assignment, assignment.stop.graceS));
     else if (isStartable(assignment)) {
       assignment.startSent = true;
-      assignment.startAnswerSeq ??= reportSeq;
+      assignment.startAnswerSequence ??= heartbeatSequence;
       starts.push(startOrder(assignment));
     }
   }
@@ -18,8 +18,8 @@
 
 /** Nothing is started before it is recorded, a gang or replica only when all of it is (docs/safety.md, points 4 and 12). */
 export function isStartable(assignment: Assignment): boolean {
-  const { reported, inherited, recorded, job, attempt } = assignment;
-  if (reported !== null || inherited || !recorded) return false;
+  const { reportedState, inherited, recorded, job, attempt } = assignment;
+  if (reportedState !== null || inherited || !recorded) return false;
   if (job.replicas !== null) return job.replicas.mayStart(assignment);
   return job.spec.kind !== 'gang' || isAttemptRecorded(job, attempt);
 }
--- a/packages/core/assignments.ts
+++ b/packages/core/assignments.ts
@@ -148,8 +148,8 @@
 
   /** Ends an assignment whose start was never sent to the worker, and so never will be. */
   endIfUnsent(assignment: Assignment, now: number): boolean {
-    const { startSent, inherited, reported } = assignment;
-    if (startSent || inherited || reported !== null) return false;
+    const { startSent, inherited, reportedState } = assignment;
+    if (startSent || inherited || reportedState !== null) return false;
     this.end(assignment, 'stopped', false, now);
     return true;
   }
@@ -157,7 +157,7 @@
   /** Stops a task so that what can be saved is saved; a gang stops as a whole. */
   stopGracefully(assignment: Assignment, now: number): void {
     const { spec } = assignment.job;
-    const graceS = spec.checkpointS > 0 ? spec.saveS + this.tables.settings.reportS : 0;
+    const graceS = spec.checkpointS > 0 ? spec.saveS + this.tables.settings.heartbeatIntervalS : 0;
     const stopped = spec.kind === 'gang' ? [...assignmentsOf(assignment.job)] : [assignment];
     for (const each of stopped) this.stop(each, graceS, now);
   }
@@ -217,9 +217,9 @@
     recorded: false,
     inherited: false,
     startSent: false,
-    startAnswerSeq: null,
+    startAnswerSequence: null,
     missedStarts: 0,
-    reported: null,
+    reportedState: null,
     stop: null,
     share,
     assignedAt: now,
--- a/packages/core/best-effort.test.ts
+++ b/packages/core/best-effort.test.ts
@@ -46,7 +46,7 @@
   for (let index = 0; index < tasks; index++) {
     const attempt = fleet.assignments.newAttempt();
     const place = fleet.assignments.assign(job, index, on, attempt, from);
-    Object.assign(place, { recorded: true, startSent: true, reported: 'running' });
+    Object.assign(place, { recorded: true, startSent: true, reportedState: 'running' });
     place.runningSince = from;
   }
 }
@@ -110,9 +110,9 @@
   const guest = fleet.addJob(aJob({ ...GUEST, id: 'j-1', tasks: 2 }), 0, 'accepted', 0);
   run(fleet, guest, machine, 1, 0);
   fleet.assignments.assign(guest, 1, machine, fleet.assignments.newAttempt(), 1).recorded = true;
-  assert.deepEqual(fleet.directOrders.take(machine, 1), []);
+  assert.deepEqual(fleet.directOrders.nextOrders(machine, 1), []);
   for (const task of machine.tasks.values()) fleet.assignments.stop(task, 0, 1);
-  const orders = fleet.directOrders.take(machine, 1);
+  const orders = fleet.directOrders.nextOrders(machine, 1);
   assert.deepEqual(
     orders.map(({ op, index }) => [op, index]),
     [['stop', 0]],
--- a/packages/core/chained-jobs.test.ts
+++ b/packages/core/chained-jobs.test.ts
@@ -66,7 +66,7 @@
   const job = add(fleet, { id: 'j-1' }, true);
   fleet.assignments.inherit(job, 0, machine, 7, 0);
   const task = { job: 'j-1', index: 0, attempt: 7, state: 'running', cause: null, saved: false };
-  const outcome = fleet.reports.handle(aReport({ tasks: [task as never] }), 1);
+  const outcome = fleet.heartbeats.handle(aReport({ tasks: [task as never] }), 1);
   assert.ok(outcome.kind === 'answer' && outcome.orders.some(({ op }) => op === 'stop'));
 });
 
--- a/packages/core/consolidation.test.ts
+++ b/packages/core/consolidation.test.ts
@@ -30,7 +30,7 @@
       Object.assign(assignment, {
         startSent: true,
         recorded: true,
-        reported: 'running',
+        reportedState: 'running',
         runningSince: 0,
       });
     });
--- a/packages/core/consolidation.ts
+++ b/packages/core/consolidation.ts
@@ -5,7 +5,7 @@
 import { chooseMachine } from './choose-machine.js';
 import { bindingZones, hasRoom, kindAllowed } from './fit.js';
 import type { FleetState } from './fleet-state.js';
-import { HOLD_REPORTS } from './room-holds.js';
+import { HOLD_HEARTBEATS } from './room-holds.js';
 import type { Assignment, Machine } from './model.js';
 import { PlacementCandidates } from './placement-candidates.js';
 import { SETTLED_S } from './settled.js';
@@ -55,7 +55,7 @@
   giveBack(fleet, machine, now);
   for (const { task, to } of moves) {
     if (to.roomHold === null) {
-      fleet.holds.hold(to, task.job, now + HOLD_REPORTS * fleet.settings.reportS);
+      fleet.holds.hold(to, task.job, now + HOLD_HEARTBEATS * fleet.settings.heartbeatIntervalS);
     }
     fleet.assignments.stopGracefully(task, now);
   }
@@ -99,11 +99,11 @@
   return machine.tasks.size - machine.firmTasks;
 }
 
-function isMovable({ job, stop, reported, runningSince }: Assignment, now: number): boolean {
+function isMovable({ job, stop, reportedState, runningSince }: Assignment, now: number): boolean {
   const isSettled = runningSince !== null && now - runningSince >= SETTLED_S;
   // A replica of several members would have to move as a whole.
   const isSingle = job.spec.kind === 'service' && job.replicas === null;
-  return isSingle && stop === null && isSettled && reported === 'running';
+  return isSingle && stop === null && isSettled && reportedState === 'running';
 }
 
 /** A machine for each task of the slot, or null if one finds none. */
--- a/packages/core/direct-orders.ts
+++ b/packages/core/direct-orders.ts
@@ -1,17 +1,17 @@
-import type { Order, Report } from '#wire';
+import type { Order, Heartbeat } from '#wire';
 import { isStartable, startOrder, stopOrder, taskRef } from './answer-orders.js';
 import type { FleetTables } from './fleet-tables.js';
 import type { Machine } from './model.js';
 import type { StartFencing } from './start-fencing.js';
-import type { TaskReports } from './task-reports.js';
+import type { TaskReconciler } from './task-reports.js';
 
 /** In report periods: how recent the last report must be, and the pause after a refusal. */
-const RECENT_REPORT = 2;
+const RECENT_HEARTBEAT = 2;
 const PAUSE_AFTER_REFUSAL = 2;
 
 /** What became of a direct command. */
 export type DirectOutcome =
-  | { kind: 'executed'; report: Report }
+  | { kind: 'executed'; heartbeat: Heartbeat }
   /** The worker answered that it executed nothing. */
   | { kind: 'refused' }
   /** No answer, or one that says nothing: it may have been executed or may be later. */
@@ -26,21 +26,21 @@
   constructor(
     private readonly tables: FleetTables,
     private readonly fencing: StartFencing,
-    private readonly tasks: TaskReports,
+    private readonly tasks: TaskReconciler,
   ) {}
 
   /** The orders to send to the machine now; unless empty, `finish` must follow. */
-  take(machine: Machine, now: number): Order[] {
+  nextOrders(machine: Machine, now: number): Order[] {
     if (!this.isReachable(machine, now)) return [];
     const orders: Order[] = [];
     let someLater = false;
     for (const assignment of machine.tasks.values()) {
-      const { job, stop, startSent, reported, inherited } = assignment;
+      const { job, stop, startSent, reportedState, inherited } = assignment;
       if (stop !== null) {
         if (stop.sentDirectly) continue;
         stop.sentDirectly = true;
         orders.push(stopOrder(assignment, stop.graceS));
-      } else if (!startSent && reported === null && !inherited && !job.isBestEffort) {
+      } else if (!startSent && reportedState === null && !inherited && !job.isBestEffort) {
         if (!isStartable(assignment)) {
           someLater = true;
           continue;
@@ -62,13 +62,13 @@
       !machine.directCommandInFlight &&
       machine.fence === 'none' &&
       now >= machine.noDirectCommandBefore &&
-      now - machine.answeredAt < RECENT_REPORT * this.tables.settings.reportS
+      now - machine.answeredAt < RECENT_HEARTBEAT * this.tables.settings.heartbeatIntervalS
     );
   }
 
   /** Takes in what became of the orders that `take` gave. */
   finish(machine: Machine, orders: Order[], outcome: DirectOutcome, now: number): void {
-    const { leaseS, reportS } = this.tables.settings;
+    const { leaseS, heartbeatIntervalS } = this.tables.settings;
     machine.directCommandInFlight = false;
     if (outcome.kind === 'unknown') {
       machine.noDirectCommandBefore = now + leaseS;
@@ -78,18 +78,22 @@
       if (order.op === 'start') this.fencing.acknowledged(machine, order);
     }
     if (outcome.kind === 'refused')
-      machine.noDirectCommandBefore = now + PAUSE_AFTER_REFUSAL * reportS;
-    else this.takeReport(machine, outcome.report, now);
+      machine.noDirectCommandBefore = now + PAUSE_AFTER_REFUSAL * heartbeatIntervalS;
+    else this.acceptHeartbeat(machine, outcome.heartbeat, now);
   }
 
   /**
    * It says nothing of starts in an answer that may still be on its way, so absence proves nothing. If the
    * machine was released or its lease has run out since, all that it held is gone, whatever it says.
    */
-  private takeReport(machine: Machine, report: Report, now: number): void {
+  private acceptHeartbeat(machine: Machine, heartbeat: Heartbeat, now: number): void {
     if (machine.state !== 'up' || this.tables.machines.get(machine.name) !== machine) return;
-    if (report.session !== machine.session || report.seq <= machine.lastMessageSeq) return;
-    machine.lastMessageSeq = report.seq;
-    this.tasks.allListed(machine, report.tasks, now);
+    if (
+      heartbeat.agentEpoch !== machine.agentEpoch ||
+      heartbeat.sequence <= machine.lastMessageSequence
+    )
+      return;
+    machine.lastMessageSequence = heartbeat.sequence;
+    this.tasks.reconcileListed(machine, heartbeat.tasks, now);
   }
 }
--- a/packages/core/failure-tracker.test.ts
+++ b/packages/core/failure-tracker.test.ts
@@ -91,7 +91,7 @@
   machines.forEach((machine, index) => {
     const task = fleet.assignments.assign(running, index, machine, index + 1, 0);
     task.startSent = true;
-    task.reported = 'running';
+    task.reportedState = 'running';
     task.runningSince = -100;
   });
   const job = world.submit({ id: 'j-000002', rank: 0, tasks: 40, gpus: 0, cpus: 1 });
@@ -131,7 +131,7 @@
   machines.forEach((machine, index) => {
     const task = fleet.assignments.assign(running, index, machine, index + 1, 0);
     task.startSent = true;
-    task.reported = 'running';
+    task.reportedState = 'running';
     // Stopping what began last costs least.
     task.runningSince = index === 0 ? 0 : -100;
   });
--- a/packages/core/failure-tracker.ts
+++ b/packages/core/failure-tracker.ts
@@ -54,13 +54,16 @@
   /** A task has left its machine without being done. */
   taskEnded(assignment: Assignment, cause: TaskEnd['cause'], now: number): void {
     const { job, machine } = assignment;
-    const { reportS } = this.options.settings;
+    const { heartbeatIntervalS } = this.options.settings;
     if (cause === 'error') this.taskFailed(assignment, now);
     else if (cause === 'unknown') {
       job.failures.unknownStarts++;
-      job.backoffUntil = now + unknownWaitS(job.failures, reportS);
+      job.backoffUntil = now + unknownWaitS(job.failures, heartbeatIntervalS);
     } else if (cause === 'no_room' || cause === 'busy') {
-      machine.avoidUntil = Math.max(machine.avoidUntil, now + AVOID_AFTER_REFUSAL * reportS);
+      machine.avoidUntil = Math.max(
+        machine.avoidUntil,
+        now + AVOID_AFTER_REFUSAL * heartbeatIntervalS,
+      );
     }
   }
 
@@ -96,7 +99,7 @@
   /** Whether the job is not to be tried there: it failed there, and has not been tried elsewhere since. */
   avoids({ failures }: JobState, machine: Machine, now: number): boolean {
     if (failures.attempts === 0 || isSuspect(failures)) return false;
-    const avoidedS = TRY_ELSEWHERE * this.options.settings.reportS;
+    const avoidedS = TRY_ELSEWHERE * this.options.settings.heartbeatIntervalS;
     return failures.machines.has(machine.name) && now - failures.countedAt < avoidedS;
   }
 
@@ -122,7 +125,7 @@
     const { isNewAttempt, isNewMachine } = countJobFailure(job.failures, failed, now);
     this.charge(assignment, isNewAttempt, now);
     if (!isNewAttempt && !isNewMachine) return;
-    job.backoffUntil = now + retryWaitS(job.failures, settings.reportS, random);
+    job.backoffUntil = now + retryWaitS(job.failures, settings.heartbeatIntervalS, random);
     if (isSuspect(job.failures)) this.suspectJob(job, now);
     else this.suspectMachine(machine, job, now);
   }
@@ -154,7 +157,7 @@
   }
 
   private suspectMachine(machine: Machine, job: JobState, now: number): void {
-    blameMachine(machine.failures, job.spec.id, this.options.settings.reportS, now);
+    blameMachine(machine.failures, job.spec.id, this.options.settings.heartbeatIntervalS, now);
     this.drainIfBroken(machine, now);
   }
 
--- a/packages/core/fleet-state.ts
+++ b/packages/core/fleet-state.ts
@@ -7,9 +7,9 @@
 import { MachineLeases } from './machine-leases.js';
 import { assignmentsOf, JobState } from './model.js';
 import type { JobReplicas, ReplicaShape } from './replica-groups.js';
-import { ReportHandler } from './report-handler.js';
+import { HeartbeatProcessor } from './report-handler.js';
 import { StartFencing } from './start-fencing.js';
-import { TaskReports } from './task-reports.js';
+import { TaskReconciler } from './task-reports.js';
 
 /** What the records hold of a job beside its submission. */
 export interface JobOptions {
@@ -32,7 +32,7 @@
   /** Fencing of starts that were not acknowledged. */
   readonly fencing: StartFencing;
   /** Takes in what workers report. */
-  readonly reports: ReportHandler;
+  readonly heartbeats: HeartbeatProcessor;
   /** Commands that don't wait for a report. */
   readonly directOrders: DirectOrders;
 
@@ -41,8 +41,8 @@
     this.assignments = new Assignments(this);
     this.leases = new MachineLeases(this, this.assignments);
     this.fencing = new StartFencing(this);
-    const tasks = new TaskReports(this, this.assignments, this.fencing);
-    this.reports = new ReportHandler(this, this.assignments, this.fencing, tasks);
+    const tasks = new TaskReconciler(this, this.assignments, this.fencing);
+    this.heartbeats = new HeartbeatProcessor(this, this.assignments, this.fencing, tasks);
     this.directOrders = new DirectOrders(this, this.fencing, tasks);
   }
 
--- a/packages/core/gang-attempts.test.ts
+++ b/packages/core/gang-attempts.test.ts
@@ -20,17 +20,17 @@
   );
   current[0].recorded = true;
   // The old attempt as the held report lists it, and then the next session, which has lost it.
-  fleet.reports.handle(aReport({ seq: 1, tasks: [listed(0, 1)] }), 1);
+  fleet.heartbeats.handle(aReport({ sequence: 1, tasks: [listed(0, 1)] }), 1);
   assert.equal(job.assignments.get(0)?.length, 2);
   current[1].recorded = true;
-  const outcome = fleet.reports.handle(aReport({ machine: 'n-2' }), 1.5);
+  const outcome = fleet.heartbeats.handle(aReport({ machine: 'n-2' }), 1.5);
   const start = { op: 'start', job: GANG.id, index: 0, attempt: 2 };
   assert.deepEqual(outcome, { kind: 'answer', orders: [start] }, 'the old one holds nothing up');
-  fleet.reports.handle(aReport({ machine: 'n-2', seq: 2, tasks: [listed(0, 2)] }), 2);
-  fleet.reports.handle(aReport({ seq: 2, session: 2 }), 3);
+  fleet.heartbeats.handle(aReport({ machine: 'n-2', sequence: 2, tasks: [listed(0, 2)] }), 2);
+  fleet.heartbeats.handle(aReport({ sequence: 2, agentEpoch: 2 }), 3);
   assert.deepEqual([...job.assignments.values()].flat(), current);
   assert.ok(current.every(({ stop }) => stop === null));
   // An end of the attempt's own task still ends all of it.
-  fleet.reports.handle(aReport({ machine: 'n-2', seq: 3, tasks: [] }), 4);
+  fleet.heartbeats.handle(aReport({ machine: 'n-2', sequence: 3, tasks: [] }), 4);
   assert.equal(job.assignments.size, 0);
 });
--- a/packages/core/index.ts
+++ b/packages/core/index.ts
@@ -21,7 +21,7 @@
 export * from './refusals.js';
 export * from './replica-groups.js';
 export * from './report-handler.js';
-export { HOLD_REPORTS } from './room-holds.js';
+export { HOLD_HEARTBEATS as HOLD_REPORTS } from './room-holds.js';
 export * from './scheduler.js';
 export * from './service-counter.js';
 export * from './task-set.js';
--- a/packages/core/job-failures.ts
+++ b/packages/core/job-failures.ts
@@ -81,14 +81,18 @@
  * Seconds that a job waits after its last failure. The first one may be its machine's fault, so it is
  * tried elsewhere at once; then waits double.
  */
-export function retryWaitS(failures: JobFailures, reportS: number, random: Random): number {
+export function retryWaitS(
+  failures: JobFailures,
+  heartbeatIntervalS: number,
+  random: Random,
+): number {
   const { attempts } = failures;
   if (attempts <= 1 && !isSuspect(failures)) return 0;
   const wait = Math.min(LONGEST_WAIT, FIRST_WAIT * 2 ** (attempts - 1));
-  return reportS * wait * (1 - JITTER * random());
+  return heartbeatIntervalS * wait * (1 - JITTER * random());
 }
 
 /** Seconds that a job waits after a worker did not know it. */
-export function unknownWaitS({ unknownStarts }: JobFailures, reportS: number): number {
-  return reportS * Math.min(LONGEST_WAIT_IF_UNKNOWN, 2 ** (unknownStarts - 1));
+export function unknownWaitS({ unknownStarts }: JobFailures, heartbeatIntervalS: number): number {
+  return heartbeatIntervalS * Math.min(LONGEST_WAIT_IF_UNKNOWN, 2 ** (unknownStarts - 1));
 }
--- a/packages/core/machine-failures.ts
+++ b/packages/core/machine-failures.ts
@@ -33,7 +33,7 @@
 export function blameMachine(
   failures: MachineFailures,
   job: string,
-  reportS: number,
+  heartbeatIntervalS: number,
   now: number,
 ): void {
   const { jobs } = failures;
@@ -42,7 +42,7 @@
   if (!ofJob.isConfirmed) ofJob.attempts++;
   jobs.set(job, ofJob);
   const periods = Math.min(LONGEST_AVOIDANCE, FIRST_AVOIDANCE * 2 ** confirmedJobs(failures));
-  failures.avoidUntil = Math.max(failures.avoidUntil, now + periods * reportS);
+  failures.avoidUntil = Math.max(failures.avoidUntil, now + periods * heartbeatIntervalS);
 }
 
 /** The job has succeeded on another machine. */
--- a/packages/core/machine-leases.ts
+++ b/packages/core/machine-leases.ts
@@ -16,8 +16,8 @@
     private readonly tables: FleetTables,
     private readonly assignments: Assignments,
   ) {
-    const { leaseS, reportS } = tables.settings;
-    this.durationS = leaseS * (1 + CLOCK_DRIFT) + reportS / 2;
+    const { leaseS, heartbeatIntervalS } = tables.settings;
+    this.durationS = leaseS * (1 + CLOCK_DRIFT) + heartbeatIntervalS / 2;
   }
 
   /**
--- a/packages/core/machine-registry.ts
+++ b/packages/core/machine-registry.ts
@@ -27,7 +27,7 @@
   private zonesInOrder: readonly string[] | null = null;
 
   /** `token` is what answers to a new machine carry: the owner's term. */
-  constructor(private readonly token: number) {}
+  constructor(private readonly fencingToken: number) {}
 
   get size(): number {
     return this.byName.size;
@@ -70,7 +70,7 @@
     const known = this.byName.get(facts.name);
     if (known) return known;
     const number = ++this.registered;
-    const machine = newMachine({ facts, number, state, rentedAt, token: this.token });
+    const machine = newMachine({ facts, number, state, rentedAt, fencingToken: this.fencingToken });
     this.byName.set(facts.name, machine);
     this.membersChanged();
     this.groups.add(machine);
--- a/packages/core/model.ts
+++ b/packages/core/model.ts
@@ -31,11 +31,11 @@
   /** The start was sent, in an answer or directly. */
   startSent: boolean;
   /** Number of the first report whose answer carried the start. */
-  startAnswerSeq: number | null;
+  startAnswerSequence: number | null;
   /** Reports that did not list the task though the answer before them carried its start. */
   missedStarts: number;
   /** What the worker says of it, or null before it does. */
-  reported: TaskState | null;
+  reportedState: TaskState | null;
   /** The end that is asked for, or null. */
   stop: StopRequest | null;
   /** Share of the fleet booked for it. */
@@ -123,12 +123,12 @@
   readonly failedInList: boolean;
 
   /** The worker's session: rises whenever its lease has run out. */
-  session: number;
+  agentEpoch: number;
   /** Newest message of the session of any kind, and newest report that was answered. */
-  lastMessageSeq: number;
-  lastReportSeq: number;
+  lastMessageSequence: number;
+  lastHeartbeatSequence: number;
   /** What answers carry: the term, or the revision of the record that fenced it last if later. */
-  token: number;
+  fencingToken: number;
   /** A report has shown this term's token, so older commands and answers can have no effect. */
   termConfirmed: boolean;
   /** When the last report that was answered arrived. */
@@ -136,7 +136,7 @@
   /** Since when its reports have been answered without a gap. */
   answeredSince: number;
   /** Since when its reports have not shown the token of the answers before them. */
-  oldTokenSince: number | null;
+  oldFencingTokenSince: number | null;
 
   fence: Fence;
   /** Direct starts that were not answered and may still arrive, by attempt, and when they were sent. */
@@ -180,7 +180,7 @@
 export interface FleetSettings {
   /** The workers' lease and report period. */
   leaseS: number;
-  reportS: number;
+  heartbeatIntervalS: number;
   /** For how long tasks of a gang that is being stopped wait for each other. */
   gangPeerS: number;
   /** How long an earlier owner may have gone on answering after losing its term. */
--- a/packages/core/new-machine.ts
+++ b/packages/core/new-machine.ts
@@ -16,14 +16,14 @@
 /** What is known of a machine's worker. */
 type WorkerFields = Pick<
   Machine,
-  | 'session'
-  | 'lastMessageSeq'
-  | 'lastReportSeq'
-  | 'token'
+  | 'agentEpoch'
+  | 'lastMessageSequence'
+  | 'lastHeartbeatSequence'
+  | 'fencingToken'
   | 'termConfirmed'
   | 'answeredAt'
   | 'answeredSince'
-  | 'oldTokenSince'
+  | 'oldFencingTokenSince'
   | 'fence'
   | 'unacknowledgedStarts'
   | 'directCommandInFlight'
@@ -36,11 +36,11 @@
   number: number;
   state: Machine['state'];
   rentedAt: number;
-  token: number;
+  fencingToken: number;
 }
 
 /** A machine without tasks of which nothing was heard. */
-export function newMachine({ facts, number, state, rentedAt, token }: NewMachine): Machine {
+export function newMachine({ facts, number, state, rentedAt, fencingToken }: NewMachine): Machine {
   const { name, addr, type, zone, spot } = facts;
   return {
     name,
@@ -51,7 +51,7 @@
     spot,
     state,
     rentedAt,
-    ...unheardWorker(token),
+    ...unknownWorker(fencingToken),
     expiredAt: 0,
     reclaimAt: null,
     draining: false,
@@ -73,16 +73,16 @@
   };
 }
 
-function unheardWorker(token: number): WorkerFields {
+function unknownWorker(fencingToken: number): WorkerFields {
   return {
-    session: 0,
-    lastMessageSeq: -1,
-    lastReportSeq: -1,
-    token,
+    agentEpoch: 0,
+    lastMessageSequence: -1,
+    lastHeartbeatSequence: -1,
+    fencingToken,
     termConfirmed: false,
     answeredAt: -Infinity,
     answeredSince: Infinity,
-    oldTokenSince: null,
+    oldFencingTokenSince: null,
     fence: 'none',
     unacknowledgedStarts: new Map(),
     directCommandInFlight: false,
--- a/packages/core/placement-cost.ts
+++ b/packages/core/placement-cost.ts
@@ -16,8 +16,8 @@
 function fetchTime(job: Job, machine: Machine, type: MachineType): number {
   if (machine.images.has(job.image)) return 0;
   const others = new Set<string>();
-  for (const { reported, job: other } of machine.tasks.values()) {
-    if (reported === 'fetching' || reported === null) others.add(other.spec.image);
+  for (const { reportedState, job: other } of machine.tasks.values()) {
+    if (reportedState === 'fetching' || reportedState === null) others.add(other.spec.image);
   }
   return (job.imageGb / type.fetchGbPerS) * (1 + others.size);
 }
--- a/packages/core/preemption.test.ts
+++ b/packages/core/preemption.test.ts
@@ -12,7 +12,7 @@
   machines.forEach((machine, i) => {
     const assignment = fleet.assignments.assign(low, i, machine, i + 1, 0);
     assignment.recorded = assignment.startSent = true;
-    assignment.reported = 'running';
+    assignment.reportedState = 'running';
     assignment.runningSince = 0;
   });
   const scheduler = new Scheduler(fleet, new Map([['red', NO_QUOTA]]), {
@@ -46,7 +46,7 @@
   const [first] = stopping();
   const { machine, attempt, index } = first;
   const ended = { job: 'j-1', index, attempt, state: 'exited', cause: 'stopped' } as const;
-  fleet.reports.handle(
+  fleet.heartbeats.handle(
     aReport({ machine: machine.name, tasks: [{ ...ended, saved: false }] }),
     103.5,
   );
--- a/packages/core/preemption.ts
+++ b/packages/core/preemption.ts
@@ -9,7 +9,7 @@
 import { isSettled, lostWork, wholeReplicas } from './preemption-cost.js';
 import { PlacementCandidates } from './placement-candidates.js';
 import { membersOf, needsOneZone } from './replica-groups.js';
-import { HOLD_REPORTS } from './room-holds.js';
+import { HOLD_HEARTBEATS } from './room-holds.js';
 import type { TeamShares } from './team-shares.js';
 import type { WaitingBucket } from './waiting-bucket.js';
 import { oldestFirst } from './waiting-order.js';
@@ -223,7 +223,11 @@
     const graceS = checkpointS > 0 ? saveS : 0;
     const before = machine.roomHold?.job;
     if (before) heldRoom.set(before, (heldRoom.get(before) ?? 1) - 1);
-    holds.hold(machine, job, now + HOLD_REPORTS * settings.reportS + graceS + settings.gangPeerS);
+    holds.hold(
+      machine,
+      job,
+      now + HOLD_HEARTBEATS * settings.heartbeatIntervalS + graceS + settings.gangPeerS,
+    );
     for (const each of assignments) {
       if (each.job.replicas === null) this.fleet.assignments.stopGracefully(each, now);
       else each.job.replicas.preempt(each, now);
--- a/packages/core/released-machines.test.ts
+++ b/packages/core/released-machines.test.ts
@@ -10,12 +10,12 @@
   const machine = aMachine(fleet, 'n-1');
   machine.fence = 'requested';
   fleet.fencing.recorded(machine, 150);
-  const report = aReport({ seq: 3, token: 150 });
-  assert.equal(fleet.reports.handle(report, 1).kind, 'answer');
+  const heartbeat = aReport({ sequence: 3, fencingToken: 150 });
+  assert.equal(fleet.heartbeats.handle(heartbeat, 1).kind, 'answer');
   fleet.removeMachine('n-1', 2);
-  assert.deepEqual(fleet.reports.handle(report, 30), { kind: 'late-copy' });
+  assert.deepEqual(fleet.heartbeats.handle(heartbeat, 30), { kind: 'late-copy' });
   assert.equal(fleet.machines.size, 0);
-  assert.ok(report.token <= fleet.fencing.newestToken);
+  assert.ok(heartbeat.fencingToken <= fleet.fencing.newestFencingToken);
 });
 
 test('released machines are forgotten in the end', () => {
--- a/packages/core/report-handler.test.ts
+++ b/packages/core/report-handler.test.ts
@@ -8,11 +8,12 @@
   const fleet = aFleet();
   const job = fleet.addJob(aJob({ tasks: 1 }), 0, 'accepted', 0);
   fleet.assignments.inherit(job, 0, aMachine(fleet, 'n-1'), 1, 0);
-  const report = (session: number, seq: number, token: number) => aReport({ session, seq, token });
-  fleet.reports.handle(report(3, 5, 90), 1);
-  fleet.reports.handle(report(4, 9, 90), 2);
+  const heartbeat = (session: number, seq: number, fencingToken: number) =>
+    aReport({ agentEpoch: session, sequence: seq, fencingToken });
+  fleet.heartbeats.handle(heartbeat(3, 5, 90), 1);
+  fleet.heartbeats.handle(heartbeat(4, 9, 90), 2);
   assert.equal(fleet.jobs.waitingCount(job), 0);
-  fleet.reports.handle(report(4, 10, fleet.term), 3);
+  fleet.heartbeats.handle(heartbeat(4, 10, fleet.term), 3);
   assert.equal(fleet.jobs.waitingCount(job), 1);
 });
 
@@ -21,11 +22,11 @@
   // copy, but its worker waited for the answer and was renewed by it.
   const fleet = aFleet();
   const machine = aMachine(fleet, 'n-1');
-  const report = (seq: number) => aReport({ seq });
-  fleet.reports.handle(report(1), 1);
-  fleet.directOrders.finish(machine, [], { kind: 'executed', report: report(3) }, 2);
-  assert.deepEqual(fleet.reports.handle(report(2), 9), { kind: 'answer', orders: [] });
-  assert.deepEqual(fleet.reports.handle(report(2), 9.5), { kind: 'late-copy' });
+  const heartbeat = (seq: number) => aReport({ sequence: seq });
+  fleet.heartbeats.handle(heartbeat(1), 1);
+  fleet.directOrders.finish(machine, [], { kind: 'executed', heartbeat: heartbeat(3) }, 2);
+  assert.deepEqual(fleet.heartbeats.handle(heartbeat(2), 9), { kind: 'answer', orders: [] });
+  assert.deepEqual(fleet.heartbeats.handle(heartbeat(2), 9.5), { kind: 'late-copy' });
   assert.deepEqual(fleet.leases.expire(11.6), []);
   assert.deepEqual(fleet.leases.expire(19.6), [machine]);
 });
--- a/packages/core/report-handler.ts
+++ b/packages/core/report-handler.ts
@@ -1,19 +1,19 @@
-import { Order, Report, taskName } from '#wire';
+import { Order, Heartbeat, taskName } from '#wire';
 import { checkAnswerDelivery, DeliverySettings } from './answer-delivery.js';
 import { ordersForAnswer } from './answer-orders.js';
 import type { Assignments } from './assignments.js';
 import type { FleetTables } from './fleet-tables.js';
 import type { Machine } from './model.js';
 import type { StartFencing } from './start-fencing.js';
-import type { TaskReports } from './task-reports.js';
+import type { TaskReconciler } from './task-reports.js';
 
 /**
  * What to answer a report. A late copy renews nothing, reports nothing new, and its answer must not be
  * one that a worker could take as valid (docs/safety.md, point 6).
  */
-export type ReportOutcome = { kind: 'answer'; orders: Order[] } | { kind: 'late-copy' };
+export type HeartbeatOutcome = { kind: 'answer'; orders: Order[] } | { kind: 'late-copy' };
 
-const LATE_COPY: ReportOutcome = { kind: 'late-copy' };
+const LATE_COPY: HeartbeatOutcome = { kind: 'late-copy' };
 
 /**
  * Orders of one answer about tasks that a report lists: with the starts of a full machine they stay
@@ -22,41 +22,45 @@
 const MAX_LISTED_ORDERS = 400;
 
 /** Takes workers' reports in. */
-export class ReportHandler {
+export class HeartbeatProcessor {
   private readonly delivery: DeliverySettings;
 
   constructor(
     private readonly tables: FleetTables,
     private readonly assignments: Assignments,
     private readonly fencing: StartFencing,
-    private readonly tasks: TaskReports,
+    private readonly tasks: TaskReconciler,
   ) {
-    const { leaseS, reportS } = tables.settings;
-    this.delivery = { leaseS, reportS, term: tables.term };
+    const { leaseS, heartbeatIntervalS } = tables.settings;
+    this.delivery = { leaseS, heartbeatIntervalS, term: tables.term };
   }
 
   /** Takes a report in; times are seconds of the steady clock. */
-  handle(report: Report, now: number): ReportOutcome {
-    if (this.tables.released.has(report.machine)) return LATE_COPY;
-    const machine = this.machineOf(report, now);
-    if (report.session < machine.session) return LATE_COPY;
-    if (report.session === machine.session) {
-      if (report.seq <= machine.lastReportSeq) return LATE_COPY;
-      if (report.seq <= machine.lastMessageSeq) return this.overtaken(machine, report, now);
+  handle(heartbeat: Heartbeat, now: number): HeartbeatOutcome {
+    if (this.tables.released.has(heartbeat.machine)) return LATE_COPY;
+    const machine = this.machineOf(heartbeat, now);
+    if (heartbeat.agentEpoch < machine.agentEpoch) return LATE_COPY;
+    if (heartbeat.agentEpoch === machine.agentEpoch) {
+      if (heartbeat.sequence <= machine.lastHeartbeatSequence) return LATE_COPY;
+      if (heartbeat.sequence <= machine.lastMessageSequence)
+        return this.overtaken(machine, heartbeat, now);
     }
-    checkAnswerDelivery(machine, report, this.delivery, now);
-    if (report.session > machine.session) this.sessionChanged(machine, now);
+    checkAnswerDelivery(machine, heartbeat, this.delivery, now);
+    if (heartbeat.agentEpoch > machine.agentEpoch) this.agentEpochChanged(machine, now);
     this.markUp(machine, now);
-    this.noteMachine(machine, report, now);
-    const forgets = this.takeTasks(machine, report, now);
+    this.noteMachine(machine, heartbeat, now);
+    const forgets = this.takeTasks(machine, heartbeat, now);
     machine.answeredAt = now;
-    return { kind: 'answer', orders: [...forgets, ...ordersForAnswer(machine, report.seq)] };
+    return {
+      kind: 'answer',
+      orders: [...forgets, ...ordersForAnswer(machine, heartbeat.sequence)],
+    };
   }
 
-  private machineOf(report: Report, now: number): Machine {
-    const known = this.tables.machines.get(report.machine);
+  private machineOf(heartbeat: Heartbeat, now: number): Machine {
+    const known = this.tables.machines.get(heartbeat.machine);
     if (known) return known;
-    const { machine: name, addr, type, zone, spot } = report;
+    const { machine: name, addr, type, zone, spot } = heartbeat;
     return this.tables.machines.register({ name, addr, type, zone, spot }, 'up', now);
   }
 
@@ -64,10 +68,10 @@
    * The answer to a direct command came before this report. Its tasks are old, but the worker waits for
    * this answer and it renews the lease.
    */
-  private overtaken(machine: Machine, report: Report, now: number): ReportOutcome {
-    machine.lastReportSeq = report.seq;
+  private overtaken(machine: Machine, heartbeat: Heartbeat, now: number): HeartbeatOutcome {
+    machine.lastHeartbeatSequence = heartbeat.sequence;
     machine.answeredAt = now;
-    return { kind: 'answer', orders: ordersForAnswer(machine, report.seq) };
+    return { kind: 'answer', orders: ordersForAnswer(machine, heartbeat.sequence) };
   }
 
   /**
@@ -75,14 +79,15 @@
    * started is not judged by this: the older session may be known from a late copy only, and the start
    * may belong to the newer one.
    */
-  private sessionChanged(machine: Machine, now: number): void {
-    if (machine.session > 0) {
+  private agentEpochChanged(machine: Machine, now: number): void {
+    if (machine.agentEpoch > 0) {
       for (const assignment of [...machine.tasks.values()]) {
-        const { startSent, reported } = assignment;
-        if (startSent || reported !== null) this.assignments.end(assignment, 'lost', false, now);
+        const { startSent, reportedState } = assignment;
+        if (startSent || reportedState !== null)
+          this.assignments.end(assignment, 'lost', false, now);
       }
     }
-    this.fencing.sessionChanged(machine);
+    this.fencing.agentEpochChanged(machine);
   }
 
   private markUp(machine: Machine, now: number): void {
@@ -92,23 +97,23 @@
     machine.idleSince = now;
   }
 
-  private noteMachine(machine: Machine, report: Report, now: number): void {
-    machine.addr = report.addr;
-    machine.session = report.session;
-    machine.lastMessageSeq = report.seq;
-    machine.lastReportSeq = report.seq;
-    const reclaimAt = report.noticeS === null ? null : now + report.noticeS;
+  private noteMachine(machine: Machine, heartbeat: Heartbeat, now: number): void {
+    machine.addr = heartbeat.addr;
+    machine.agentEpoch = heartbeat.agentEpoch;
+    machine.lastMessageSequence = heartbeat.sequence;
+    machine.lastHeartbeatSequence = heartbeat.sequence;
+    const reclaimAt = heartbeat.noticeS === null ? null : now + heartbeat.noticeS;
     this.tables.machines.noteReclaim(machine, reclaimAt);
-    if (report.token >= this.tables.term) machine.termConfirmed = true;
-    this.fencing.tokenSeen(machine, report.token);
+    if (heartbeat.fencingToken >= this.tables.term) machine.termConfirmed = true;
+    this.fencing.fencingTokenSeen(machine, heartbeat.fencingToken);
     this.fencing.fenceOverdueStarts(machine, now);
   }
 
-  private takeTasks(machine: Machine, report: Report, now: number): Order[] {
-    const listed = new Set(report.tasks.map((task) => taskName(task.job, task.index)));
-    const orders = mostUrgent(this.tasks.allListed(machine, report.tasks, now));
+  private takeTasks(machine: Machine, heartbeat: Heartbeat, now: number): Order[] {
+    const listed = new Set(heartbeat.tasks.map((task) => taskName(task.job, task.index)));
+    const orders = mostUrgent(this.tasks.reconcileListed(machine, heartbeat.tasks, now));
     for (const [name, assignment] of [...machine.tasks]) {
-      if (!listed.has(name)) this.tasks.absent(assignment, report, now);
+      if (!listed.has(name)) this.tasks.reconcileMissing(assignment, heartbeat, now);
     }
     return orders;
   }
--- a/packages/core/room-holds.ts
+++ b/packages/core/room-holds.ts
@@ -1,7 +1,7 @@
 import type { JobState, Machine } from './model.js';
 
 /** Report periods for which room is held, beside the time that stopped work takes to save. */
-export const HOLD_REPORTS = 4;
+export const HOLD_HEARTBEATS = 4;
 
 /** Room that is made by stopping work, or counted on for a move, waits for the job it was made for. */
 export class RoomHolds {
--- a/packages/core/start-fencing.ts
+++ b/packages/core/start-fencing.ts
@@ -3,7 +3,7 @@
 import type { Machine } from './model.js';
 
 /** Report periods after which a start that was not acknowledged is fenced off. */
-const FENCE_AFTER_REPORTS = 2;
+const FENCE_AFTER_HEARTBEATS = 2;
 
 /** Rank of what goes before all starts. */
 const MOST_URGENT = 0;
@@ -15,10 +15,10 @@
  */
 export class StartFencing {
   /** The largest token that any answer of this term may carry; one that is larger is another owner's. */
-  newestToken: number;
+  newestFencingToken: number;
 
   constructor(private readonly tables: FleetTables) {
-    this.newestToken = tables.term;
+    this.newestFencingToken = tables.term;
   }
 
   /** A direct start is being sent. */
@@ -39,14 +39,14 @@
   }
 
   /** The worker is in a new session, and drops what was sent for the one before. */
-  sessionChanged(machine: Machine): void {
+  agentEpochChanged(machine: Machine): void {
     machine.unacknowledgedStarts.clear();
   }
 
   /** A report showed this token: direct commands with a lower one have no effect any more. */
-  tokenSeen(machine: Machine, token: number): void {
+  fencingTokenSeen(machine: Machine, fencingToken: number): void {
     // Direct commands are not sent while the token is being raised, so all of these starts are older.
-    if (machine.fence !== 'recorded' || token < machine.token) return;
+    if (machine.fence !== 'recorded' || fencingToken < machine.fencingToken) return;
     machine.unacknowledgedStarts.clear();
     machine.fence = 'none';
   }
@@ -54,7 +54,7 @@
   /** Asks for a new record of the machine if a start has been unacknowledged for too long. */
   fenceOverdueStarts(machine: Machine, now: number): void {
     if (machine.directCommandInFlight) return;
-    const overdueAfterS = FENCE_AFTER_REPORTS * this.tables.settings.reportS;
+    const overdueAfterS = FENCE_AFTER_HEARTBEATS * this.tables.settings.heartbeatIntervalS;
     for (const sentAt of machine.unacknowledgedStarts.values()) {
       if (now - sentAt >= overdueAfterS) this.fence(machine);
     }
@@ -76,8 +76,8 @@
   recorded(machine: Machine, revision: number): void {
     if (machine.fence !== 'requested') return;
     machine.fence = 'recorded';
-    machine.token = revision;
-    this.newestToken = Math.max(this.newestToken, revision);
+    machine.fencingToken = revision;
+    this.newestFencingToken = Math.max(this.newestFencingToken, revision);
   }
 }
 
--- a/packages/core/task-reports.test.ts
+++ b/packages/core/task-reports.test.ts
@@ -1,20 +1,20 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { TaskReport } from '#wire';
+import type { TaskStatus } from '#wire';
 import { aFleet, aJob, aMachine, aReport } from '../testing/samples.js';
 
 const JOB = aJob();
 const TASK = { job: JOB.id, index: 0 };
-const RUNNING: TaskReport = { ...TASK, attempt: 1, state: 'running', cause: null, saved: false };
-const STOPPED: TaskReport = { ...RUNNING, state: 'exited', cause: 'stopped' };
+const RUNNING: TaskStatus = { ...TASK, attempt: 1, state: 'running', cause: null, saved: false };
+const STOPPED: TaskStatus = { ...RUNNING, state: 'exited', cause: 'stopped' };
 
 /** A machine that has one attempt of the job's task after the other, and what it is told. */
 function aMachineWithAttempts() {
   const fleet = aFleet();
   const job = fleet.addJob(JOB, 0, 'accepted', 0);
   const machine = aMachine(fleet, 'n-1');
-  const report = (seq: number, ...tasks: TaskReport[]) => {
-    const outcome = fleet.reports.handle(aReport({ seq, tasks }), seq / 4);
+  const heartbeat = (seq: number, ...tasks: TaskStatus[]) => {
+    const outcome = fleet.heartbeats.handle(aReport({ sequence: seq, tasks }), seq / 4);
     return outcome.kind === 'answer' ? outcome.orders.map(({ op }) => op) : null;
   };
   const assign = (attempt: number) => {
@@ -22,30 +22,30 @@
     assignment.recorded = true;
     return assignment;
   };
-  report(1);
-  return { fleet, job, machine, report, assign };
+  heartbeat(1);
+  return { fleet, job, machine, report: heartbeat, assign };
 }
 
 test('an attempt whose start may still arrive is not forgotten beside a newer one', () => {
   // Guards against a held up start that begins the old attempt again while the new one is elsewhere.
-  const { fleet, machine, report, assign } = aMachineWithAttempts();
+  const { fleet, machine, report: heartbeat, assign } = aMachineWithAttempts();
   const first = assign(1);
-  const orders = fleet.directOrders.take(machine, 0.3);
+  const orders = fleet.directOrders.nextOrders(machine, 0.3);
   assert.equal(orders.length, 1);
-  report(2, RUNNING);
+  heartbeat(2, RUNNING);
   fleet.assignments.stop(first, 0, 0.6);
-  assert.deepEqual(report(3, STOPPED), []);
+  assert.deepEqual(heartbeat(3, STOPPED), []);
   assign(2);
-  assert.deepEqual(report(4, STOPPED), ['start']);
+  assert.deepEqual(heartbeat(4, STOPPED), ['start']);
   fleet.directOrders.finish(machine, orders, { kind: 'refused' }, 1.1);
-  assert.deepEqual(report(5, STOPPED), ['forget', 'start']);
+  assert.deepEqual(heartbeat(5, STOPPED), ['forget', 'start']);
 });
 
 test('what completed beside a newer attempt is done, and the newer attempt is stopped', () => {
-  const { job, report, assign } = aMachineWithAttempts();
+  const { job, report: heartbeat, assign } = aMachineWithAttempts();
   assign(2);
-  const done: TaskReport = { ...STOPPED, cause: 'done' };
-  assert.deepEqual(report(2, done), [], 'kept until the end is durable');
+  const done: TaskStatus = { ...STOPPED, cause: 'done' };
+  assert.deepEqual(heartbeat(2, done), [], 'kept until the end is durable');
   assert.ok(job.done.has(0));
   assert.equal(job.assignments.size, 0);
 });
@@ -57,39 +57,39 @@
     ['refused', true],
     ['unsent', false],
   ] as const) {
-    const { fleet, job, report, assign } = aMachineWithAttempts();
+    const { fleet, job, report: heartbeat, assign } = aMachineWithAttempts();
     const second = assign(2);
-    if (isSent) report(2);
-    const refused: TaskReport = { ...STOPPED, attempt: 2, cause: 'busy' };
+    if (isSent) heartbeat(2);
+    const refused: TaskStatus = { ...STOPPED, attempt: 2, cause: 'busy' };
     const listed = isSent ? [RUNNING, refused] : [RUNNING];
-    assert.deepEqual(report(3, ...listed), isSent ? ['forget', 'stop'] : ['stop'], newer);
+    assert.deepEqual(heartbeat(3, ...listed), isSent ? ['forget', 'stop'] : ['stop'], newer);
     if (!isSent) fleet.assignments.stop(second, 0, 1);
     assert.equal(fleet.jobs.waitingCount(job), 0, newer);
     assert.equal(job.assignments.get(0)?.[0].attempt, 1, newer);
-    report(4);
+    heartbeat(4);
     assert.equal(fleet.jobs.waitingCount(job), 1, newer);
   }
 });
 
 test('a worker forgets a done task once that is durable, whatever else of its job is not', () => {
-  const { fleet, machine, report } = aMachineWithAttempts();
+  const { fleet, machine, report: heartbeat } = aMachineWithAttempts();
   const job = fleet.addJob(aJob({ id: 'j-000002', tasks: 3 }), 0, 'accepted', 0);
-  const done = (index: number): TaskReport => {
+  const done = (index: number): TaskStatus => {
     return { ...RUNNING, job: 'j-000002', index, state: 'exited', cause: 'done' };
   };
   for (const index of [0, 1]) {
     fleet.assignments.assign(job, index, machine, 1, 0).recorded = true;
   }
-  assert.ok(!report(2, done(0), done(1))?.includes('forget'));
+  assert.ok(!heartbeat(2, done(0), done(1))?.includes('forget'));
   fleet.unrecorded.tasksRecorded(job.spec.id, [0]);
   assert.deepEqual(
-    report(3, done(0), done(1))?.filter((op) => op === 'forget'),
+    heartbeat(3, done(0), done(1))?.filter((op) => op === 'forget'),
     ['forget'],
   );
   // The end of the whole job is recorded in another place.
   fleet.assignments.assign(job, 2, machine, 1, 0).recorded = true;
   fleet.unrecorded.tasksRecorded(job.spec.id, [1]);
-  assert.ok(!report(4, done(2))?.includes('forget'));
+  assert.ok(!heartbeat(4, done(2))?.includes('forget'));
   fleet.closeJob(job, 'done', 2);
-  assert.deepEqual(report(5, done(2)), ['forget']);
+  assert.deepEqual(heartbeat(5, done(2)), ['forget']);
 });
--- a/packages/core/task-reports.ts
+++ b/packages/core/task-reports.ts
@@ -1,4 +1,4 @@
-import { Order, Report, TaskRef, taskName, TaskReport } from '#wire';
+import { Order, Heartbeat, TaskRef, taskName, TaskStatus } from '#wire';
 import { taskRef } from './answer-orders.js';
 import type { Assignments } from './assignments.js';
 import type { FleetTables } from './fleet-tables.js';
@@ -9,7 +9,7 @@
 const MAX_MISSED_STARTS = 3;
 
 /** What reports say of single tasks, listed or missing, and what follows (docs/safety.md, point 5). */
-export class TaskReports {
+export class TaskReconciler {
   constructor(
     private readonly tables: FleetTables,
     private readonly assignments: Assignments,
@@ -20,14 +20,14 @@
    * The tasks that the worker lists; returns what to tell it of them. Those that have exited come first:
    * a live attempt beside them then holds the place of the task.
    */
-  allListed(machine: Machine, tasks: TaskReport[], now: number): Order[] {
+  reconcileListed(machine: Machine, tasks: TaskStatus[], now: number): Order[] {
     const exited = tasks.filter((task) => task.state === 'exited');
     const live = tasks.filter((task) => task.state !== 'exited');
     const orders = [...exited, ...live].map((task) => this.listed(machine, task, now));
     return orders.filter((order) => order !== null);
   }
 
-  private listed(machine: Machine, task: TaskReport, now: number): Order | null {
+  private listed(machine: Machine, task: TaskStatus, now: number): Order | null {
     const ref: TaskRef = { job: task.job, index: task.index, attempt: task.attempt };
     const job = this.tables.jobs.get(task.job);
     let assignment = machine.tasks.get(taskName(task.job, task.index));
@@ -43,7 +43,7 @@
       // Nothing should run unrecorded; if it does, it holds its place until it is gone.
       assignment = this.assignments.adoptToStop(job, task.index, machine, task.attempt, now);
     }
-    this.noteState(assignment, task, now);
+    this.applyState(assignment, task, now);
     if (task.state !== 'exited') return null;
     return this.exited(assignment, task, ref, now);
   }
@@ -51,7 +51,7 @@
   /** An attempt has exited beside the one that the machine is given now. */
   private otherExited(
     assignment: Assignment,
-    task: TaskReport,
+    task: TaskStatus,
     ref: TaskRef,
     now: number,
   ): Order | null {
@@ -65,7 +65,7 @@
 
   private unassignedExited(
     machine: Machine,
-    task: TaskReport,
+    task: TaskStatus,
     job: JobState | undefined,
     ref: TaskRef,
   ): Order | null {
@@ -75,10 +75,10 @@
     return this.mayForget(machine, ref, job) ? forgetOrder(ref) : null;
   }
 
-  private noteState(assignment: Assignment, task: TaskReport, now: number): void {
+  private applyState(assignment: Assignment, task: TaskStatus, now: number): void {
     assignment.inherited = false;
-    if (assignment.reported !== task.state) this.tables.jobs.countsChanged(assignment.job);
-    assignment.reported = task.state;
+    if (assignment.reportedState !== task.state) this.tables.jobs.countsChanged(assignment.job);
+    assignment.reportedState = task.state;
     if (task.state !== 'running') return;
     if (assignment.runningSince === null) {
       assignment.runningSince = now;
@@ -90,7 +90,7 @@
 
   private exited(
     assignment: Assignment,
-    task: TaskReport,
+    task: TaskStatus,
     ref: TaskRef,
     now: number,
   ): Order | null {
@@ -121,15 +121,16 @@
   }
 
   /** A task of the machine that the worker's report does not list. */
-  absent(assignment: Assignment, report: Report, now: number): void {
-    const { machine, reported, inherited, startSent, startAnswerSeq } = assignment;
-    if (reported !== null) this.assignments.end(assignment, 'lost', false, now);
+  reconcileMissing(assignment: Assignment, heartbeat: Heartbeat, now: number): void {
+    const { machine, reportedState, inherited, startSent, startAnswerSequence } = assignment;
+    if (reportedState !== null) this.assignments.end(assignment, 'lost', false, now);
     else if (inherited) {
       // An old start may still arrive until the worker has seen this term's token.
-      if (report.token >= this.tables.term) this.assignments.end(assignment, 'lost', false, now);
+      if (heartbeat.fencingToken >= this.tables.term)
+        this.assignments.end(assignment, 'lost', false, now);
     } else if (this.fencing.mayArrive(machine, taskRef(assignment))) return;
-    else if (startSent && startAnswerSeq === null) this.onlySentDirectly(assignment, now);
-    else if (startAnswerSeq !== null && report.seq > startAnswerSeq)
+    else if (startSent && startAnswerSequence === null) this.onlySentDirectly(assignment, now);
+    else if (startAnswerSequence !== null && heartbeat.sequence > startAnswerSequence)
       this.missedStart(assignment, now);
   }
 
--- a/packages/core/waiting-order.ts
+++ b/packages/core/waiting-order.ts
@@ -22,7 +22,7 @@
     const first = parts.reduce((a, b) => (byRankAndAge(b.next, a.next) < 0 ? b : a));
     yield first.next;
     const { done, value } = first.rest.next();
-    if (done) parts = parts.filter((part) => part !== first);
+    if (done) parts = parts.filter((shard) => shard !== first);
     else first.next = value;
     if (isOver(first.bucket)) parts = parts.filter(({ bucket }) => bucket !== first.bucket);
   }
--- a/packages/parts/move-record.ts
+++ b/packages/parts/move-record.ts
@@ -1,6 +1,6 @@
 /** The records that a planned move of a part leaves in the state service. */
 import { compileSchema, type Change, type Condition } from '#wire';
-import { partKey, WORLD } from '#store';
+import { shardKey, WORLD } from '#store';
 
 /** Changes that are made together, or not at all unless every condition holds. */
 export interface Transaction {
@@ -43,12 +43,12 @@
   why: string;
 }
 
-export function moveKey(part: number): string {
-  return `${WORLD}moves/${part}`;
+export function moveKey(shard: number): string {
+  return `${WORLD}moves/${shard}`;
 }
 
-export function moveResultKey(part: number): string {
-  return `${WORLD}move-results/${part}`;
+export function moveResultKey(shard: number): string {
+  return `${WORLD}move-results/${shard}`;
 }
 
 const text = { type: 'string', maxLength: 200 };
@@ -76,14 +76,14 @@
 }
 
 /** The part is in this term, and its move's record has this version; 0: there is none. */
-export function moveConditions(part: number, term: number, version: number): Condition[] {
+export function moveConditions(shard: number, term: number, version: number): Condition[] {
   return [
-    { key: partKey(part), version: term },
-    { key: moveKey(part), version },
+    { key: shardKey(shard), version: term },
+    { key: moveKey(shard), version },
   ];
 }
 
 /** The end of a move: its record goes, and what came of it stays. */
-export function endMove(part: number, result: MoveResult): Change[] {
-  return [{ delete: moveKey(part) }, { put: moveResultKey(part), value: result }];
+export function endMove(shard: number, result: MoveResult): Change[] {
+  return [{ delete: moveKey(shard) }, { put: moveResultKey(shard), value: result }];
 }
--- a/packages/parts/move-requests.ts
+++ b/packages/parts/move-requests.ts
@@ -1,5 +1,5 @@
 import { type Clock, pause, type StateApi } from '#wire';
-import { partKey, type PartRecord } from '#store';
+import { shardKey, type ShardRecord } from '#store';
 import {
   decodeMove,
   endMove,
@@ -11,11 +11,11 @@
 } from './move-record.js';
 
 /** Between two looks at a move that is waited for. */
-const LOOK_MS = 100;
+const POLL_INTERVAL_MS = 100;
 
 /** A part as the state service holds it. */
-export interface PartStatus {
-  part: number;
+export interface ShardStatus {
+  shard: number;
   /** Null while nobody owns it. */
   leader: { name: string; term: number } | null;
   /** The move under way; `unreadable` if its record is damaged or of a later version. */
@@ -37,20 +37,20 @@
   constructor(
     private readonly api: StateApi,
     private readonly clock: Clock,
-    private readonly part: number,
+    private readonly shard: number,
   ) {}
 
   /** Rejects with NoAnswer or StateRefused, as all others do. */
-  async status(): Promise<PartStatus> {
-    const { part, api } = this;
+  async status(): Promise<ShardStatus> {
+    const { shard, api } = this;
     const [leader, move, lastMove] = await Promise.all([
-      api.get(partKey(part)),
-      api.get(moveKey(part)),
-      api.get(moveResultKey(part)),
+      api.get(shardKey(shard)),
+      api.get(moveKey(shard)),
+      api.get(moveResultKey(shard)),
     ]);
     return {
-      part,
-      leader: leader && { name: (leader.value as PartRecord).owner, term: leader.version },
+      shard,
+      leader: leader && { name: (leader.value as ShardRecord).owner, term: leader.version },
       move: move && (decodeMove(move.value) ?? 'unreadable'),
       lastMove: lastMove && (lastMove.value as MoveResult),
     };
@@ -58,18 +58,18 @@
 
   /** Asks for a move and waits for its end, or for so many seconds. */
   async move(to: string, reason: string, withinS: number): Promise<RequestOutcome> {
-    const { part, api, clock } = this;
+    const { shard, api, clock } = this;
     const { leader } = await this.status();
     if (leader === null) return { kind: 'not-moved', why: 'nobody owns the part now' };
     if (leader.name === to) return { kind: 'not-moved', why: `${to} owns the part already` };
     const value: MoveRecord = { fromTerm: leader.term, to, reason, phase: 'requested' };
-    const conditions = moveConditions(part, leader.term, 0);
-    const out = await api.txn(conditions, [{ put: moveKey(part), value }]);
+    const conditions = moveConditions(shard, leader.term, 0);
+    const out = await api.txn(conditions, [{ put: moveKey(shard), value }]);
     if (!out.ok) return { kind: 'not-moved', why: await this.describeConflict() };
     const untilS = clock.now() + withinS;
-    while ((await api.get(moveKey(part))) !== null) {
+    while ((await api.get(moveKey(shard))) !== null) {
       if (clock.now() > untilS) return this.giveUp();
-      await pause(clock, LOOK_MS);
+      await pause(clock, POLL_INTERVAL_MS);
     }
     return this.outcome(to);
   }
@@ -96,14 +96,14 @@
 
   /** Takes a request back that is not being carried out yet; false if there is none. */
   async withdraw(why: string): Promise<boolean> {
-    const { api, part } = this;
-    const move = await api.get(moveKey(part));
+    const { api, shard } = this;
+    const move = await api.get(moveKey(shard));
     if (move === null) return false;
     const record = decodeMove(move.value);
     if (record?.phase === 'quiesced') return false;
     const { to = '', reason = '' } = record ?? {};
     const result: MoveResult = { outcome: 'refused', to, reason, why };
-    const conditions = [{ key: moveKey(part), version: move.version }];
-    return (await api.txn(conditions, endMove(part, result))).ok;
+    const conditions = [{ key: moveKey(shard), version: move.version }];
+    return (await api.txn(conditions, endMove(shard, result))).ok;
   }
 }
--- a/packages/parts/move-source.test.ts
+++ b/packages/parts/move-source.test.ts
@@ -11,7 +11,7 @@
 function view(own: Partial<SourceView>): SourceView {
   return {
     now: 0,
-    part: 0,
+    shard: 0,
     term: TERM,
     name: 'c-0',
     move: null,
--- a/packages/parts/move-source.ts
+++ b/packages/parts/move-source.ts
@@ -4,7 +4,7 @@
  * owns. It decides again only once it knows for certain that the target can't become the owner any more
  * (docs/safety.md, point 11).
  */
-import { partKey } from '#store';
+import { shardKey } from '#store';
 import {
   endMove,
   moveConditions,
@@ -18,7 +18,7 @@
 /** What the owner goes by; times are steady seconds. */
 export interface SourceView {
   now: number;
-  part: number;
+  shard: number;
   /** The owner's term. */
   term: number;
   /** The owner's name. */
@@ -151,19 +151,19 @@
   { version }: SeenMove,
   { to, reason }: MoveRecord,
   why: string,
-  { part, term }: SourceView,
+  { shard, term }: SourceView,
 ): SourceAction {
   const result: MoveResult = { outcome: 'refused', to, reason, why };
   const transaction = {
-    conditions: moveConditions(part, term, version),
-    changes: endMove(part, result),
+    conditions: moveConditions(shard, term, version),
+    changes: endMove(shard, result),
   };
   return { kind: 'refuse', to, why, transaction };
 }
 
 function stepPausing(state: SourceState & { phase: 'pausing' }, view: SourceView): SourceStep {
   const { preparedVersion, since } = state;
-  const { move, now, part, term } = view;
+  const { move, now, shard, term } = view;
   if (move?.version !== preparedVersion || move.record?.phase !== 'prepared') {
     return { state: DECIDING, action: { kind: 'resume' } };
   }
@@ -173,8 +173,8 @@
   if (!view.paused) return { state, action: WAIT };
   const value: MoveRecord = { ...move.record, phase: 'quiesced' };
   const transaction = {
-    conditions: moveConditions(part, term, preparedVersion),
-    changes: [{ put: moveKey(part), value }],
+    conditions: moveConditions(shard, term, preparedVersion),
+    changes: [{ put: moveKey(shard), value }],
   };
   const quiescing = { phase: 'quiescing', preparedVersion, since: now } as const;
   return { state: quiescing, action: { kind: 'quiesce', transaction } };
@@ -194,14 +194,14 @@
  */
 function retraction(
   { preparedVersion, why, seen }: Retracting,
-  { part, term }: SourceView,
+  { shard, term }: SourceView,
 ): SourceAction {
   if (seen === undefined) return { kind: 'read' };
-  const conditions = moveConditions(part, term, seen?.version ?? 0);
+  const conditions = moveConditions(shard, term, seen?.version ?? 0);
   const mayBeTaken = seen?.record?.phase === 'quiesced' || seen?.version === preparedVersion;
   const { to = '', reason = '' } = seen?.record ?? {};
   const result: MoveResult = { outcome: 'taken-back', to, reason, why };
-  const changes = mayBeTaken ? endMove(part, result) : [];
+  const changes = mayBeTaken ? endMove(shard, result) : [];
   return { kind: 'retract', transaction: { conditions, changes } };
 }
 
@@ -214,7 +214,7 @@
 export function sourceAnswered(
   state: SourceState,
   outcome: TransactionOutcome,
-  { part }: Pick<SourceView, 'part'>,
+  { shard }: Pick<SourceView, 'shard'>,
 ): SourceStep {
   if (state.phase === 'quiescing') {
     if (outcome.kind === 'applied') return { state: { ...state, phase: 'quiesced' }, action: WAIT };
@@ -222,7 +222,7 @@
   }
   if (state.phase !== 'retracting') return { state, action: WAIT };
   if (outcome.kind === 'applied') return { state: DECIDING, action: { kind: 'resume' } };
-  const isOver = outcome.kind === 'failed' && outcome.keys.includes(partKey(part));
+  const isOver = outcome.kind === 'failed' && outcome.keys.includes(shardKey(shard));
   if (isOver) return { state: { phase: 'over' }, action: WAIT };
   return retracting(state, state.why);
 }
--- a/packages/parts/move-target.ts
+++ b/packages/parts/move-target.ts
@@ -3,7 +3,7 @@
  * with the grant that the part is to hang on, and takes the part once the owner has stated that it decides nothing
  * more; both on the condition of the owner's term and of the move's record (docs/safety.md, point 11).
  */
-import { type PartRecord, partKey } from '#store';
+import { type ShardRecord, shardKey } from '#store';
 import {
   endMove,
   moveConditions,
@@ -17,13 +17,13 @@
 
 /** What a controller that may become the owner goes by. */
 export interface TargetView {
-  part: number;
+  shard: number;
   /** This controller's name. */
   name: string;
   /** A grant that is surely alive; null while there is none. */
   leaseId: number | null;
   /** Version of the part's key as last seen; 0 while nobody owns the part. */
-  partVersion: number;
+  shardVersion: number;
   /** The move's record as the watch has shown it last; null if there is none. */
   move: SeenMove | null;
   /** The state service serves this controller, and it knows all jobs. */
@@ -57,9 +57,9 @@
 /** What to do next; what was sent without an answer is sent again as it was. */
 export function stepTarget(state: TargetState, view: TargetView): TargetStep {
   const settled = settle(state, view);
-  const { move, name, leaseId, partVersion } = view;
+  const { move, name, leaseId, shardVersion } = view;
   const record = move?.record ?? null;
-  const isOurs = record !== null && record.to === name && record.fromTerm === partVersion;
+  const isOurs = record !== null && record.to === name && record.fromTerm === shardVersion;
   if (!isOurs || !view.ready || leaseId === null) return { state: settled, action: WAIT };
   if (record.phase === 'requested' || (record.phase === 'prepared' && record.grant !== leaseId)) {
     return { state: settled, action: preparation(record, leaseId, view) };
@@ -69,27 +69,27 @@
   const switching = {
     phase: 'switching',
     moveVersion: move!.version,
-    fromTerm: partVersion,
+    fromTerm: shardVersion,
   } as const;
   return { state: switching, action: takeover(record, leaseId, view) };
 }
 
 /** Once a condition of the switch is seen to have changed, it can't be carried out any more. */
-function settle(state: TargetState, { move, partVersion }: TargetView): TargetState {
+function settle(state: TargetState, { move, shardVersion }: TargetView): TargetState {
   if (state.phase !== 'switching') return state;
-  const isOpen = move?.version === state.moveVersion && partVersion === state.fromTerm;
+  const isOpen = move?.version === state.moveVersion && shardVersion === state.fromTerm;
   return isOpen ? state : IDLE;
 }
 
 function preparation(
   { fromTerm, to, reason }: MoveRecord,
   leaseId: number,
-  { part, move }: TargetView,
+  { shard, move }: TargetView,
 ): TargetAction {
   const value: MoveRecord = { fromTerm, to, reason, phase: 'prepared', grant: leaseId };
   const transaction = {
-    conditions: moveConditions(part, fromTerm, move!.version),
-    changes: [{ put: moveKey(part), value }],
+    conditions: moveConditions(shard, fromTerm, move!.version),
+    changes: [{ put: moveKey(shard), value }],
   };
   return { kind: 'prepare', transaction };
 }
@@ -97,13 +97,13 @@
 function takeover(
   { fromTerm, to, reason }: MoveRecord,
   leaseId: number,
-  { part, move, name }: TargetView,
+  { shard, move, name }: TargetView,
 ): TargetAction {
-  const value: PartRecord = { owner: name, grant: leaseId };
+  const value: ShardRecord = { owner: name, grant: leaseId };
   const result: MoveResult = { outcome: 'moved', to, reason, why: '' };
   const transaction = {
-    conditions: moveConditions(part, fromTerm, move!.version),
-    changes: [{ put: partKey(part), value, lease: leaseId }, ...endMove(part, result)],
+    conditions: moveConditions(shard, fromTerm, move!.version),
+    changes: [{ put: shardKey(shard), value, lease: leaseId }, ...endMove(shard, result)],
   };
   return { kind: 'switch', transaction };
 }
--- a/packages/parts/part-mover.ts
+++ b/packages/parts/part-mover.ts
@@ -1,7 +1,7 @@
 import { type Runtime, WakeablePause } from '#wire';
 import {
   type LeaderElection,
-  partKey,
+  shardKey,
   type PrefixCache,
   type StateClient,
   type Term,
@@ -9,8 +9,8 @@
 import { decodeMove, moveKey, type SeenMove } from './move-record.js';
 import type { MoveLimits } from './move-source.js';
 import type { RecordsAhead } from './record-copy.js';
-import { SourceDuty } from './source-duty.js';
-import { TargetDuty } from './target-duty.js';
+import { TransferSource } from './source-duty.js';
+import { TransferTarget } from './target-duty.js';
 
 /** The owner of a part as far as a move concerns it. */
 export interface TransferableLeader {
@@ -29,7 +29,7 @@
   error(fields: object, message: string): void;
 }
 
-export interface PartMoverOptions {
+export interface ShardMigratorOptions {
   runtime: Runtime;
   client: StateClient;
   /** Holds the records of the part and of its moves. */
@@ -37,10 +37,10 @@
   election: LeaderElection;
   /** This controller's name. */
   name: string;
-  part: number;
+  shard: number;
   limits: MoveLimits;
   /** From one look to the next if nothing happens. */
-  lookMs: number;
+  pollIntervalMs: number;
   /** The owner here; null while nothing is owned. */
   leader: () => TransferableLeader | null;
   /** What keeps a controller from becoming the owner now; null if nothing does. */
@@ -53,30 +53,30 @@
 }
 
 /** Carries planned moves of a part out, on the side of the owner and on that of the target. */
-export class PartMover {
+export class ShardMigrator {
   /** The move's record as the watch has shown it last. */
   private move: SeenMove | null = null;
-  private readonly source: SourceDuty;
-  private readonly target: TargetDuty;
+  private readonly source: TransferSource;
+  private readonly target: TransferTarget;
   private readonly idle: WakeablePause;
   /** Something has happened since the last look. */
   private woken = false;
 
   /** To be made before the cache runs, which tells of each record once. */
-  constructor(private readonly options: PartMoverOptions) {
-    const { runtime, world, part } = options;
+  constructor(private readonly options: ShardMigratorOptions) {
+    const { runtime, world, shard } = options;
     this.idle = new WakeablePause(runtime.clock);
-    this.source = new SourceDuty(options, () => this.wake());
-    this.target = new TargetDuty(options);
+    this.source = new TransferSource(options, () => this.wake());
+    this.target = new TransferTarget(options);
     world.changes.subscribe(({ key, value, version }) => {
-      if (key === moveKey(part)) this.noteMove(value, version);
-      if (key === moveKey(part) || key === partKey(part)) this.wake();
+      if (key === moveKey(shard)) this.observeMove(value, version);
+      if (key === moveKey(shard) || key === shardKey(shard)) this.wake();
     });
   }
 
   /** Carries moves out until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
-    const { log, lookMs } = this.options;
+    const { log, pollIntervalMs } = this.options;
     while (!signal.aborted) {
       this.woken = false;
       let goesOn = false;
@@ -88,7 +88,7 @@
         if (signal.aborted) return;
         log.error({ err: String(err) }, 'unexpected');
       }
-      if (!goesOn) await this.idle.wait(lookMs, signal);
+      if (!goesOn) await this.idle.wait(pollIntervalMs, signal);
     }
   }
 
@@ -97,14 +97,14 @@
     this.idle.wake();
   }
 
-  private noteMove(value: unknown, version: number): void {
-    const { log, part } = this.options;
+  private observeMove(value: unknown, version: number): void {
+    const { log, shard } = this.options;
     if (value === undefined) {
       this.move = null;
       return;
     }
     const record = decodeMove(value);
     this.move = { record, version };
-    if (record === null) log.info({ part, version }, 'unreadable move');
+    if (record === null) log.info({ part: shard, version }, 'unreadable move');
   }
 }
--- a/packages/parts/source-duty.ts
+++ b/packages/parts/source-duty.ts
@@ -9,11 +9,11 @@
   stepSource,
   successorPossibleSince,
 } from './move-source.js';
-import type { TransferableLeader, PartMoverOptions } from './part-mover.js';
+import type { TransferableLeader, ShardMigratorOptions } from './part-mover.js';
 import { sendTransaction } from './send-transaction.js';
 
 /** Carries out what the owner of the part has to do for a move. */
-export class SourceDuty {
+export class TransferSource {
   private state: SourceState = DECIDING;
   /** The term that the state is about; 0 while nothing is owned. */
   private term = 0;
@@ -23,7 +23,7 @@
 
   /** `wake` is to be called when a step may have become possible. */
   constructor(
-    private readonly options: PartMoverOptions,
+    private readonly options: ShardMigratorOptions,
     private readonly wake: () => void,
   ) {
     this.clock = options.runtime.clock;
@@ -35,8 +35,8 @@
     const term = leader?.ready ? leader.term.term : 0;
     if (term !== this.term) this.beginTerm(term);
     if (leader === null || term === 0) return false;
-    const { part, name, obstacle, limits } = this.options;
-    const view = { part, term, name, obstacle, limits, move, paused: this.paused };
+    const { shard, name, obstacle, limits } = this.options;
+    const view = { shard, term, name, obstacle, limits, move, paused: this.paused };
     const { state, action } = stepSource(this.state, { ...view, now: this.clock.now() });
     // Before anything is sent: from then on the grant may prove nothing.
     this.setState(state);
@@ -115,9 +115,9 @@
 
   /** Reads the move's record as the state service holds it now. */
   private async read(leader: TransferableLeader, signal: AbortSignal): Promise<boolean> {
-    const { client, part } = this.options;
+    const { client, shard } = this.options;
     try {
-      const entry = await client.call(true, signal, (api) => api.get(moveKey(part), signal));
+      const entry = await client.call(true, signal, (api) => api.get(moveKey(shard), signal));
       if (!this.isCurrent(leader)) return false;
       const seen = entry && { record: decodeMove(entry.value), version: entry.version };
       this.setState(sourceRead(this.state, seen));
@@ -133,7 +133,7 @@
   }
 
   private log(message: string, fields: object): void {
-    const { log, part } = this.options;
-    log.info({ part, term: this.term, ...fields }, message);
+    const { log, shard } = this.options;
+    log.info({ part: shard, term: this.term, ...fields }, message);
   }
 }
--- a/packages/parts/target-duty.ts
+++ b/packages/parts/target-duty.ts
@@ -7,23 +7,23 @@
   targetAnswered,
   type TargetState,
 } from './move-target.js';
-import type { PartMoverOptions } from './part-mover.js';
+import type { ShardMigratorOptions } from './part-mover.js';
 import { sendTransaction } from './send-transaction.js';
 
 /** Carries out what the target of a move has to do. */
-export class TargetDuty {
+export class TransferTarget {
   private state: TargetState = IDLE;
 
-  constructor(private readonly options: PartMoverOptions) {}
+  constructor(private readonly options: ShardMigratorOptions) {}
 
   /** Does what is due; true if there may be more to do at once. */
   async step(move: SeenMove | null, signal: AbortSignal): Promise<boolean> {
-    const { election, part, name, canLead, leader } = this.options;
+    const { election, shard, name, canLead, leader } = this.options;
     const { state, action } = stepTarget(this.state, {
-      part,
+      shard,
       name,
       leaseId: election.provenLeaseId,
-      partVersion: election.currentLeader?.version ?? 0,
+      shardVersion: election.currentLeader?.version ?? 0,
       move,
       ready: canLead() && leader() === null,
     });
@@ -49,13 +49,13 @@
   }
 
   private async act(action: TargetAction, signal: AbortSignal): Promise<boolean> {
-    const { client, world, log, part } = this.options;
+    const { client, world, log, shard } = this.options;
     if (action.kind === 'wait') return false;
     if (action.kind === 'prepare' && !(await this.readAhead(signal))) return false;
     const outcome = await sendTransaction(client, world, action.transaction, signal);
     this.setState(targetAnswered(this.state, outcome));
     if (outcome.kind !== 'applied') return false;
-    log.info({ part }, action.kind === 'switch' ? 'part taken' : 'ready for the part');
+    log.info({ part: shard }, action.kind === 'switch' ? 'part taken' : 'ready for the part');
     return true;
   }
 }
--- a/packages/peer/accepted-connections.ts
+++ b/packages/peer/accepted-connections.ts
@@ -10,7 +10,7 @@
   peers: readonly string[];
   retryMs: number;
   /** Told of each frame of a peer; the time is in steady seconds. */
-  onFrame: (from: string, frame: Frame, heardAt: number) => void;
+  onFrame: (from: string, frame: Frame, lastReceivedAt: number) => void;
 }
 
 /** The connections that peers have dialled, to be heard on. */
@@ -27,21 +27,21 @@
     const reader = new FrameReader();
     const order = ++this.accepted;
     let from: string | null = null;
-    let heardAt = clock.now();
+    let lastReceivedAt = clock.now();
     const act = () => void connection.destroy();
-    const silence = onSilence({ clock, retryMs, heardAt: () => heardAt, act });
+    const silence = onSilence({ clock, retryMs, lastReceivedAt: () => lastReceivedAt, act });
     connection.on('error', () => {});
     connection.on('close', () => {
       silence.cancel();
       if (from !== null && this.newest.get(from)?.order === order) this.newest.delete(from);
     });
     connection.on('data', (chunk: Buffer) => {
-      heardAt = clock.now();
+      lastReceivedAt = clock.now();
       try {
         for (const frame of reader.push(chunk)) {
           if (frame.kind === 'hello') from = this.greeted(frame.name, connection, order);
           else if (from === null) throw new BadFrame('no hello');
-          else onFrame(from, frame, heardAt);
+          else onFrame(from, frame, lastReceivedAt);
         }
       } catch {
         connection.destroy();
--- a/packages/peer/dialled-connections.ts
+++ b/packages/peer/dialled-connections.ts
@@ -31,7 +31,7 @@
   constructor(
     private readonly options: DialOptions,
     /** When a peer was last heard; steady seconds, -Infinity if never. */
-    private readonly lastHeard: (peer: string) => number,
+    private readonly lastReceived: (peer: string) => number,
   ) {}
 
   /** Sends a frame to all peers that are reachable. */
@@ -72,8 +72,8 @@
       const giveUp = clock.setTimer(end, DIAL_PERIODS * retryMs);
       const since = clock.now();
       // What is written to a peer that is cut off stays unacknowledged: it must be dialled anew.
-      const heardAt = () => Math.max(since, this.lastHeard(peer.name));
-      const silence = onSilence({ clock, retryMs, heardAt, act: end });
+      const lastReceivedAt = () => Math.max(since, this.lastReceived(peer.name));
+      const silence = onSilence({ clock, retryMs, lastReceivedAt, act: end });
       signal.addEventListener('abort', end);
       connection.on('connect', () => {
         giveUp.cancel();
--- a/packages/peer/frames.ts
+++ b/packages/peer/frames.ts
@@ -38,9 +38,9 @@
   /** Newest owner of the part that the sender has seen; term 0 if none. */
   newestLeader: { term: number; name: string };
   /** The sender owns the part but hears next to none of the workers that should report to it. */
-  unheard: boolean;
+  unreachable: boolean;
   /** How many workers lately reported to the sender though it does not own. */
-  unownedReports: number;
+  followerHeartbeats: number;
   /** Revision up to which the sender's cache of the jobs is complete. */
   jobsRevision: number;
   /** `cancelled` holds all cancellations known to the sender that are newer than this revision. */
@@ -111,10 +111,10 @@
     frame.leading,
     frame.mayLead,
     echo !== null,
-    frame.unheard,
+    frame.unreachable,
   );
   if (echo) out.u64(echo.incarnation).u32(echo.sequence);
-  out.u32(frame.servedAgoMs).u32(frame.unownedReports);
+  out.u32(frame.servedAgoMs).u32(frame.followerHeartbeats);
   out.u64(newestLeader.term).text(newestLeader.name);
   out.u64(frame.jobsRevision).u64(frame.cancelledSince);
   out.list(frame.cancelled, (notice) => writeNotice(out, notice));
@@ -179,9 +179,9 @@
     loaded: flag(1),
     leading: flag(2),
     mayLead: flag(3),
-    unheard: flag(5),
+    unreachable: flag(5),
     servedAgoMs: payload.u32(),
-    unownedReports: payload.u32(),
+    followerHeartbeats: payload.u32(),
     newestLeader: { term: payload.u64(), name: payload.text() },
     jobsRevision: payload.u64(),
     cancelledSince: payload.u64(),
--- a/packages/peer/link.test.ts
+++ b/packages/peer/link.test.ts
@@ -42,7 +42,7 @@
   const linkA = linkOf('a', portA, 'b', portB);
   const linkB = linkOf('b', portB, 'a', portA);
   let heard = 0;
-  linkB.heard.subscribe(() => heard++);
+  linkB.frames.subscribe(() => heard++);
   const runB = linkB.run(stop.signal);
   await pause(nodeRuntime.clock, RETRY_MS);
   const silent = Array.from({ length: 40 }, () => silentConnection(portB, 'a'));
--- a/packages/peer/link.ts
+++ b/packages/peer/link.ts
@@ -18,22 +18,25 @@
  * connections that the others dialled. Frames are advice: nothing durable depends on one arriving.
  */
 export class PeerLink {
-  readonly heard = new Subject<{ from: string; frame: Frame }>();
+  readonly frames = new Subject<{ from: string; frame: Frame }>();
   /** When each peer was last heard; steady seconds. */
-  private readonly lastHeard = new Map<string, number>();
+  private readonly lastReceived = new Map<string, number>();
   private readonly dialled: DialledConnections;
   private readonly listener: Listener;
 
   constructor(private readonly options: PeerLinkOptions) {
     const { runtime, peers, retryMs } = options;
-    this.dialled = new DialledConnections(options, (peer) => this.lastHeard.get(peer) ?? -Infinity);
+    this.dialled = new DialledConnections(
+      options,
+      (peer) => this.lastReceived.get(peer) ?? -Infinity,
+    );
     const accepted = new AcceptedConnections({
       clock: runtime.clock,
       peers: peers.map((peer) => peer.name),
       retryMs,
-      onFrame: (from, frame, heardAt) => {
-        this.lastHeard.set(from, heardAt);
-        this.heard.next({ from, frame });
+      onFrame: (from, frame, lastReceivedAt) => {
+        this.lastReceived.set(from, lastReceivedAt);
+        this.frames.next({ from, frame });
       },
     });
     const server = net.createServer((connection) => accepted.receive(connection));
--- a/packages/peer/silence.ts
+++ b/packages/peer/silence.ts
@@ -7,13 +7,13 @@
   clock: Clock;
   retryMs: number;
   /** When the peer was last heard; steady seconds. */
-  heardAt: () => number;
+  lastReceivedAt: () => number;
   act: () => void;
 }
 
 /** Acts once nothing was heard for long: a cut leaves connections open without an error. */
-export function onSilence({ clock, retryMs, heardAt, act }: SilenceOptions): Timer {
+export function onSilence({ clock, retryMs, lastReceivedAt, act }: SilenceOptions): Timer {
   return every(clock, retryMs, () => {
-    if ((clock.now() - heardAt()) * 1000 > SILENT_PERIODS * retryMs) act();
+    if ((clock.now() - lastReceivedAt()) * 1000 > SILENT_PERIODS * retryMs) act();
   });
 }
--- a/packages/replicas/replica-groups.test.ts
+++ b/packages/replicas/replica-groups.test.ts
@@ -27,7 +27,7 @@
   readonly recovered: Recovery[] = [];
   readonly groups = new ReplicaGroups({
     leaseS: 10,
-    reportS: 1,
+    heartbeatIntervalS: 1,
     random: () => 1,
     listener: { phaseChanged() {}, recovered: (each) => void this.recovered.push(each) },
   });
@@ -54,10 +54,10 @@
   /** All that was placed is recorded, started and reported as running. */
   settle(now: number): void {
     for (const assignment of this.assignments()) this.fleet.assignments.recorded(assignment, now);
-    for (const { name } of this.fleet.machines.values()) this.report(name, now);
+    for (const { name } of this.fleet.machines.values()) this.heartbeat(name, now);
   }
 
-  report(name: string, now: number): void {
+  heartbeat(name: string, now: number): void {
     const machine = this.fleet.machines.get(name)!;
     const tasks = [...machine.tasks.values()]
       .filter(({ stop }) => stop === null)
@@ -66,7 +66,10 @@
         return { ...ref, state: 'running' as const, cause: null, saved: false };
       });
     const { zone } = machine;
-    this.fleet.reports.handle(aReport({ machine: name, zone, seq: ++this.seq, tasks }), now);
+    this.fleet.heartbeats.handle(
+      aReport({ machine: name, zone, sequence: ++this.seq, tasks }),
+      now,
+    );
   }
 
   assignments(): Assignment[] {
@@ -133,7 +136,10 @@
   const [first, second, third] = world.assignments();
   const orders = (name: string, seq: number) => {
     const { zone } = world.fleet.machines.get(name)!;
-    const outcome = world.fleet.reports.handle(aReport({ machine: name, zone, seq }), 1);
+    const outcome = world.fleet.heartbeats.handle(
+      aReport({ machine: name, zone, sequence: seq }),
+      1,
+    );
     return outcome.kind === 'answer' ? outcome.orders.length : -1;
   };
   world.fleet.assignments.recorded(first, 1);
@@ -155,7 +161,7 @@
   assert.ok(survivors.every(({ stop }) => stop !== null));
   assert.ok(survivors.every(({ machine }) => machine.roomHold !== null));
   assert.equal(world.scheduler.place(50), 0, 'the old generation is not gone yet');
-  for (const { machine } of survivors) world.report(machine.name, 51);
+  for (const { machine } of survivors) world.heartbeat(machine.name, 51);
   assert.equal(world.scheduler.place(51), 3);
   const after = world.assignments();
   assert.equal(new Set(after.map(({ attempt }) => attempt)).size, 1);
@@ -194,7 +200,7 @@
   const inZone = [...world.fleet.machines.values()].filter(({ zone }) => zone === 'a');
   for (const { name } of inZone) world.fleet.removeMachine(name, 50);
   for (let i = 0; i < 12; i++) world.addMachine(`m-${i}`, 'b');
-  for (const { name } of world.fleet.machines.values()) world.report(name, 51);
+  for (const { name } of world.fleet.machines.values()) world.heartbeat(name, 51);
   world.scheduler.place(52);
   const starting = new Set(
     world
--- a/packages/replicas/replica-groups.ts
+++ b/packages/replicas/replica-groups.ts
@@ -42,7 +42,7 @@
 
 export interface ReplicaGroupsOptions {
   leaseS: number;
-  reportS: number;
+  heartbeatIntervalS: number;
   random: Random;
   listener: ReplicaListener;
 }
@@ -209,7 +209,11 @@
 
   private hold(machine: Machine, job: JobState, now: number): void {
     if (machine.roomHold !== null) return;
-    this.requireFleet().holds.hold(machine, job, now + HOLD_REPORTS * this.options.reportS);
+    this.requireFleet().holds.hold(
+      machine,
+      job,
+      now + HOLD_REPORTS * this.options.heartbeatIntervalS,
+    );
   }
 
   /** Nominal seconds of the slowest fetch of the replica's image. */
--- a/packages/replicas/replica-rows.test.ts
+++ b/packages/replicas/replica-rows.test.ts
@@ -7,7 +7,7 @@
 test('replicas that are not whole come first, with the reason and for how long', () => {
   const groups = new ReplicaGroups({
     leaseS: 10,
-    reportS: 1,
+    heartbeatIntervalS: 1,
     random: () => 0,
     listener: { phaseChanged() {}, recovered() {} },
   });
--- a/packages/store/former-records.test.ts
+++ b/packages/store/former-records.test.ts
@@ -4,7 +4,7 @@
 import { test } from 'node:test';
 import { TaskSet } from '../core/task-set.js';
 import { ProgressLayout, progressKey, type ProgressValue } from './progress-layout.js';
-import { decodeJob, encodeJob, jobKey, MACHINES, partKey, TYPES_KEY } from './records.js';
+import { decodeJob, encodeJob, jobKey, MACHINES, shardKey, TYPES_KEY } from './records.js';
 
 interface FormerRecord<Value> {
   key: string;
@@ -58,5 +58,5 @@
 
 test('all other former records have the keys under which they are read', () => {
   assert.ok(FORMER.machines.every(({ key }) => key.startsWith(MACHINES)));
-  assert.deepEqual([FORMER.part.key, FORMER.types.key], [partKey(0), TYPES_KEY]);
+  assert.deepEqual([FORMER.part.key, FORMER.types.key], [shardKey(0), TYPES_KEY]);
 });
--- a/packages/store/ownership.test.ts
+++ b/packages/store/ownership.test.ts
@@ -17,7 +17,7 @@
   const client = state.client(runtime, { timeoutMs: TIMEOUT_MS });
   const caching = { client, runtime, watchMs: 10_000, syncSpacingMs: 500 };
   const cache = new PrefixCache({ ...caching, prefix: WORLD });
-  const election = new LeaderElection({ client, runtime, cache, name: 'c', part: 0, ttlS: TTL_S });
+  const election = new LeaderElection({ client, runtime, cache, name: 'c', shard: 0, ttlS: TTL_S });
   const { signal } = new AbortController();
   void cache.run(signal);
   void election.run(signal);
--- a/packages/store/ownership.ts
+++ b/packages/store/ownership.ts
@@ -3,10 +3,10 @@
 import { PrefixCache } from './cache.js';
 import { StateClient } from './client.js';
 import { ElectionLease } from './owner-grant.js';
-import { PartRecord, partKey } from './records.js';
+import { ShardRecord, shardKey } from './records.js';
 
 export interface Term {
-  part: number;
+  shard: number;
   /** Version of the part's key: rises with every claim. */
   term: number;
   leaseId: number;
@@ -31,7 +31,7 @@
   cache: PrefixCache;
   /** This controller's name. */
   name: string;
-  part: number;
+  shard: number;
   /** Time to live of the grant. */
   ttlS: number;
   /** Others would make better owners now, and get the part first if they claim it. */
@@ -45,7 +45,7 @@
 export class LeaderElection {
   readonly term = new BehaviorSubject<Term | null>(null);
   /** The part's key as last seen. */
-  currentLeader: (PartRecord & { version: number }) | null = null;
+  currentLeader: (ShardRecord & { version: number }) | null = null;
   /** The newest owner that was seen; term 0 if none. */
   newestLeader = { term: 0, name: '' };
   /** A claim was sent that may still be carried out, with no owner seen since. */
@@ -65,9 +65,9 @@
     this.idle = new WakeablePause(clock);
     this.lease = new ElectionLease(options);
     options.cache.changes.subscribe((event) => {
-      if (event.key !== partKey(options.part)) return;
+      if (event.key !== shardKey(options.shard)) return;
       this.currentLeader = event.value
-        ? { ...(event.value as PartRecord), version: event.version }
+        ? { ...(event.value as ShardRecord), version: event.version }
         : null;
       if (this.currentLeader) {
         this.newestLeader = { term: event.version, name: this.currentLeader.owner };
@@ -168,10 +168,10 @@
   }
 
   private async campaign(signal: AbortSignal): Promise<void> {
-    const { client, cache, name, part } = this.options;
+    const { client, cache, name, shard } = this.options;
     const leaseId = this.lease.id!;
-    const key = partKey(part);
-    const value: PartRecord = { owner: name, grant: leaseId };
+    const key = shardKey(shard);
+    const value: ShardRecord = { owner: name, grant: leaseId };
     this.campaignPending = true;
     try {
       const out = await client.txn(
@@ -200,7 +200,7 @@
     if (currentLeader && leaseId !== null && currentLeader.grant === leaseId) {
       if (held?.term !== currentLeader.version) {
         this.term.next({
-          part: this.options.part,
+          shard: this.options.shard,
           term: currentLeader.version,
           leaseId,
           electedAt: this.options.runtime.clock.now(),
--- a/packages/store/records.ts
+++ b/packages/store/records.ts
@@ -26,8 +26,8 @@
   return JOBS + id;
 }
 
-export function partKey(part: number): string {
-  return `world/parts/${part}`;
+export function shardKey(shard: number): string {
+  return `world/parts/${shard}`;
 }
 
 export function encodeJob(record: Omit<JobRecord, 'version'>): unknown {
@@ -66,11 +66,11 @@
 }
 
 /** Changes with every deletion of a part's records; see RemovalMarker. */
-export function removalsKey(part: number): string {
-  return `removals/${part}`;
+export function removalsKey(shard: number): string {
+  return `removals/${shard}`;
 }
 
-export interface PartRecord {
+export interface ShardRecord {
   owner: string;
   grant: number;
 }
--- a/packages/testing/failing-world.ts
+++ b/packages/testing/failing-world.ts
@@ -64,7 +64,7 @@
       }
       if (task.runningSince === null) {
         task.runningSince = this.now;
-        task.reported = 'running';
+        task.reportedState = 'running';
         this.starts.set(job.spec.id, (this.starts.get(job.spec.id) ?? 0) + 1);
       }
       if (fails(job, machine)) assignments.end(task, 'error', false, this.now);
--- a/packages/testing/generators.ts
+++ b/packages/testing/generators.ts
@@ -1,5 +1,5 @@
 import fc from 'fast-check';
-import type { Job, Report } from '#wire';
+import type { Job, Heartbeat } from '#wire';
 
 /** Every generated test draws from a fixed seed, so that it reaches the same verdict every time. */
 export const SEEDED = { seed: 20260901, numRuns: 300 };
@@ -48,15 +48,15 @@
   index: fc.integer({ min: 0, max: 99_999 }),
   attempt: anyCount,
 };
-export const anyReport: fc.Arbitrary<Report> = record({
+export const anyReport: fc.Arbitrary<Heartbeat> = record({
   machine: anyName,
   addr: anyName,
   type: anyName,
   zone: anyName,
   spot: fc.boolean(),
-  session: anyCount,
-  seq: anyCount,
-  token: anyCount,
+  agentEpoch: anyCount,
+  sequence: anyCount,
+  fencingToken: anyCount,
   noticeS: fc.option(anyAmount),
   tasks: fc.array(
     record({
@@ -66,5 +66,5 @@
       saved: fc.boolean(),
     }),
     { maxLength: 5 },
-  ) as fc.Arbitrary<Report['tasks']>,
+  ) as fc.Arbitrary<Heartbeat['tasks']>,
 });
--- a/packages/testing/measure-scale.ts
+++ b/packages/testing/measure-scale.ts
@@ -4,7 +4,7 @@
  * milliseconds on one core; bytes are of the heap.
  */
 import { CapacityPlanner, FleetState, NO_QUOTA, Scheduler } from '#core';
-import type { Job, Report } from '#wire';
+import type { Job, Heartbeat } from '#wire';
 import { currentLoad, describeMachine, measureSpeed } from './measuring/machine-speed.js';
 import { median } from './measuring/median.js';
 import { type Column, formatNumber, textTable } from './measuring/text-table.js';
@@ -69,7 +69,7 @@
     const spec = aJob({ id: `s-${i}`, kind: 'service', rank: 1, cpus: full ? 16 : 15, gpus: 4 });
     const state = fleet.addJob(spec, 0, 'accepted', 0);
     const { assignments } = fleet;
-    assignments.assign(state, 0, machine, assignments.newAttempt(), 0).reported = 'running';
+    assignments.assign(state, 0, machine, assignments.newAttempt(), 0).reportedState = 'running';
   }
   return fleet;
 }
@@ -116,8 +116,8 @@
   let seq = 0;
   const running = { state: 'running' as const, cause: null, saved: false };
   const tasks = [{ job: 's-1', index: 0, attempt: 6553601, ...running }];
-  const nextReport = (): Report => aReport({ machine: 'n-1', seq: ++seq, tasks });
-  return medianMs(nextReport, (report) => void fleet.reports.handle(report, LATER_S));
+  const nextReport = (): Heartbeat => aReport({ machine: 'n-1', sequence: ++seq, tasks });
+  return medianMs(nextReport, (report) => void fleet.heartbeats.handle(report, LATER_S));
 }
 
 /** Bytes that a fleet takes for each waiting job of the load. */
--- a/packages/testing/meetings/lost-transactions.test.ts
+++ b/packages/testing/meetings/lost-transactions.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { JOBS, partKey } from '#store';
+import { JOBS, shardKey } from '#store';
 import {
   serviceAddress,
   type ClusterSettings,
@@ -27,7 +27,7 @@
 }
 
 function claims(transactions: Transaction[]): Transaction[] {
-  return transactions.filter((transaction) => keysOf(transaction).includes(partKey(0)));
+  return transactions.filter((transaction) => keysOf(transaction).includes(shardKey(0)));
 }
 
 /** A newer transaction of the same controller was carried out while this one was held up. */
--- a/packages/testing/move-model/controller.ts
+++ b/packages/testing/move-model/controller.ts
@@ -66,7 +66,7 @@
   const controller = state.controllers[name];
   const { state: source, action } = stepSource(controller.source, {
     now: late && mistake !== 'waits-for-ever' ? LATE_S : 0,
-    part: PART,
+    shard: PART,
     term: controller.term,
     name,
     move: controller.move,
@@ -98,10 +98,10 @@
 ): void {
   const controller = state.controllers[name];
   const { state: target, action } = stepTarget(controller.target, {
-    part: PART,
+    shard: PART,
     name,
     leaseId: controller.proven ? controller.grant : null,
-    partVersion: controller.part?.version ?? 0,
+    shardVersion: controller.part?.version ?? 0,
     move: controller.move,
     ready: controller.term === 0,
   });
@@ -135,7 +135,7 @@
   if (waiting === 'target') controller.target = targetAnswered(controller.target, outcome);
   if (waiting !== 'source') return;
   const believed = believe(outcome, controller, mistake);
-  const { state: source, action } = sourceAnswered(controller.source, believed, { part: PART });
+  const { state: source, action } = sourceAnswered(controller.source, believed, { shard: PART });
   controller.source = untimed(source);
   act(state, name, action, mistake);
 }
--- a/packages/testing/move-model/mistakes.ts
+++ b/packages/testing/move-model/mistakes.ts
@@ -1,5 +1,5 @@
 import { moveKey, type SourceState, successorPossibleSince, type Transaction } from '#parts';
-import { partKey } from '#store';
+import { shardKey } from '#store';
 import { PART } from './state.js';
 
 /** A deliberate mistake, each of which takes one guard of a move away. */
@@ -31,7 +31,7 @@
     changes,
   });
   if (kind === 'target' && mistake === 'takes-without-record') return without(moveKey(PART));
-  if (kind === 'target' && mistake === 'takes-without-term') return without(partKey(PART));
+  if (kind === 'target' && mistake === 'takes-without-term') return without(shardKey(PART));
   if (kind === 'source' && mistake === 'quiesces-without-record') return without(moveKey(PART));
   return { conditions, changes };
 }
--- a/packages/testing/move-model/service.ts
+++ b/packages/testing/move-model/service.ts
@@ -1,13 +1,13 @@
 /** The state service of the model. */
 import type { Draft } from 'immer';
 import { decodeMove, moveKey, type Transaction, type TransactionOutcome } from '#parts';
-import { partKey, type PartRecord } from '#store';
+import { shardKey, type ShardRecord } from '#store';
 import { type ModelState, PART } from './state.js';
 
 /** Carries a transaction out, or says which of its conditions do not hold. */
 export function carryOut(state: Draft<ModelState>, transaction: Transaction): TransactionOutcome {
   const { conditions, changes } = transaction;
-  const version = (key: string) => (key === partKey(PART) ? state.part : state.move)?.version ?? 0;
+  const version = (key: string) => (key === shardKey(PART) ? state.part : state.move)?.version ?? 0;
   const keys = conditions
     .filter((each) => version(each.key) !== each.version)
     .map(({ key }) => key);
@@ -18,8 +18,8 @@
   for (const change of changes) {
     if ('delete' in change) {
       if (change.delete === moveKey(PART)) state.move = null;
-    } else if (change.put === partKey(PART)) {
-      state.part = { ...(change.value as PartRecord), version: state.revision };
+    } else if (change.put === shardKey(PART)) {
+      state.part = { ...(change.value as ShardRecord), version: state.revision };
     } else if (change.put === moveKey(PART)) {
       state.move = { record: decodeMove(change.value), version: state.revision };
     }
--- a/packages/testing/move-model/state.ts
+++ b/packages/testing/move-model/state.ts
@@ -7,13 +7,13 @@
   type TargetState,
   type Transaction,
 } from '#parts';
-import type { PartRecord } from '#store';
+import type { ShardRecord } from '#store';
 
 export const PART = 0;
 export const CONTROLLERS = ['a', 'b'] as const;
 export type ControllerName = (typeof CONTROLLERS)[number];
 
-export type StoredPart = PartRecord & { version: number };
+export type StoredPart = ShardRecord & { version: number };
 
 /** A transaction that was sent and not carried out yet; it may be at any later time. */
 export interface PendingTransaction {
--- a/packages/testing/owner-load/figures.ts
+++ b/packages/testing/owner-load/figures.ts
@@ -2,7 +2,7 @@
 import type { Assignment, Machine } from '#core';
 import { encodeFrame } from '#peer';
 import type { StateLimits } from '#store';
-import { commandToWire, encode, parseReport, reportToWire } from '#wire';
+import { commandToWire, encode, parseHeartbeat, heartbeatToWire } from '#wire';
 import {
   countAllTasks,
   countChangedTasks,
@@ -24,7 +24,7 @@
 }
 
 const LEASE_S = 10;
-const TERM = { part: 0, term: 100, leaseId: 1, electedAt: 0 };
+const TERM = { shard: 0, term: 100, leaseId: 1, electedAt: 0 };
 const LIMITS: StateLimits = { rps: 150, writeRps: 50, valueBytes: 8192, txnOps: 24 };
 /** Machines whose records change together. */
 const RECORDED_TOGETHER = 8;
@@ -45,7 +45,7 @@
   const { fleet } = standing;
   const ending = standing.drawEnding(count);
   for (const machine of new Set(ending.map((task) => task.machine))) {
-    fleet.reports.handle(standing.reportOf(machine, new Set(ending)), now);
+    fleet.heartbeats.handle(standing.reportOf(machine, new Set(ending)), now);
   }
   standing.settle(now);
 }
@@ -86,10 +86,10 @@
 
 function directCommand(standing: StandingFleet, machine: Machine, now: number): void {
   const { fleet } = standing;
-  const orders = fleet.directOrders.take(machine, now);
-  encode(commandToWire(machine.token, machine.session, orders));
-  const report = parseReport(reportToWire(standing.reportOf(machine)));
-  fleet.directOrders.finish(machine, orders, { kind: 'executed', report }, now);
+  const orders = fleet.directOrders.nextOrders(machine, now);
+  encode(commandToWire(machine.fencingToken, machine.agentEpoch, orders));
+  const report = parseHeartbeat(heartbeatToWire(standing.reportOf(machine)));
+  fleet.directOrders.finish(machine, orders, { kind: 'executed', heartbeat: report }, now);
 }
 
 function anyMachine(standing: StandingFleet): Machine {
@@ -167,6 +167,6 @@
     prepare: (standing) => {
       chosen = anyMachine(standing);
     },
-    run: (standing, now) => void standing.fleet.reports.handle(standing.reportOf(chosen), now),
+    run: (standing, now) => void standing.fleet.heartbeats.handle(standing.reportOf(chosen), now),
   },
 };
--- a/packages/testing/owner-load/random-steps.ts
+++ b/packages/testing/owner-load/random-steps.ts
@@ -64,7 +64,7 @@
       const ended = tasks.filter(({ stop }) => this.chance.hit(stop === null ? 0.05 : 0.5));
       const noticeS = this.chance.hit(0.05) ? 30 : null;
       const report = { ...this.standing.reportOf(machine, new Set(ended)), noticeS };
-      this.fleet.reports.handle(report, this.now);
+      this.fleet.heartbeats.handle(report, this.now);
     }
   }
 
--- a/packages/testing/owner-load/resting-replicas.test.ts
+++ b/packages/testing/owner-load/resting-replicas.test.ts
@@ -22,7 +22,7 @@
 function aFleetWithGroups() {
   const groups = new CountingGroups({
     leaseS: 10,
-    reportS: 1,
+    heartbeatIntervalS: 1,
     random: () => 0,
     listener: { phaseChanged() {}, recovered() {} },
   });
@@ -55,7 +55,7 @@
     return values.call(this);
   };
   for (const machine of values.call(fleet.machines)) {
-    const outcome = fleet.reports.handle(standing.reportOf(machine), STEADY_AT);
+    const outcome = fleet.heartbeats.handle(standing.reportOf(machine), STEADY_AT);
     assert.deepEqual(outcome, { kind: 'answer', orders: [] }, machine.name);
   }
   assert.equal(groups.events, 0, 'reports of members that run are no events');
--- a/packages/testing/owner-load/standing-fleet.ts
+++ b/packages/testing/owner-load/standing-fleet.ts
@@ -12,7 +12,7 @@
   Scheduler,
   ScheduleSettings,
 } from '#core';
-import type { Job, MachineType, Report, TaskReport } from '#wire';
+import type { Job, MachineType, Heartbeat, TaskStatus } from '#wire';
 import { decodeJob, MACHINES, type MachineRecord } from '#store';
 import type { MachineFacts } from '../../core/new-machine.js';
 import { Chance } from '../random.js';
@@ -171,13 +171,13 @@
   }
 
   /** The next report of a machine; tasks that `exits` names have ended. */
-  reportOf(machine: Machine, exits: ReadonlySet<Assignment> = new Set()): Report {
+  reportOf(machine: Machine, exits: ReadonlySet<Assignment> = new Set()): Heartbeat {
     const seq = (this.seqs.get(machine.name) ?? 0) + 1;
     this.seqs.set(machine.name, seq);
-    const { name, addr, type, zone, spot, session, token, tasks } = machine;
+    const { name, addr, type, zone, spot, agentEpoch, fencingToken, tasks } = machine;
     const listed = [...tasks.values()].map((task) => reportTask(task, exits.has(task)));
-    const facts = { machine: name, addr, type, zone, spot, session, token };
-    return { ...facts, seq, noticeS: null, tasks: listed };
+    const facts = { machine: name, addr, type, zone, spot, agentEpoch, fencingToken };
+    return { ...facts, sequence: seq, noticeS: null, tasks: listed };
   }
 
   /** So many tasks that end by themselves, drawn over the whole fleet. */
@@ -193,7 +193,7 @@
   }
 }
 
-function reportTask({ job, index, attempt }: Assignment, exited: boolean): TaskReport {
+function reportTask({ job, index, attempt }: Assignment, exited: boolean): TaskStatus {
   const ref = { job: job.spec.id, index, attempt };
   if (exited) return { ...ref, state: 'exited', cause: 'done', saved: false };
   return { ...ref, state: 'running', cause: null, saved: false };
--- a/packages/testing/owner-model/owner.ts
+++ b/packages/testing/owner-model/owner.ts
@@ -8,7 +8,7 @@
 
 const FLEET_SETTINGS = {
   leaseS: LEASE_S,
-  reportS: REPORT_S,
+  heartbeatIntervalS: REPORT_S,
   gangPeerS: 6,
   formerLeaderS: FORMER_OWNER_S,
   halfLifeS: 3600,
--- a/packages/testing/owner-model/traffic.ts
+++ b/packages/testing/owner-model/traffic.ts
@@ -1,5 +1,5 @@
-import type { Order, Report } from '#wire';
-import type { Machine, ReportOutcome } from '#core';
+import type { Order, Heartbeat } from '#wire';
+import type { Machine, HeartbeatOutcome } from '#core';
 import type { Chance } from '../random.js';
 import type { Mail } from './mail.js';
 import type { OwnerMistake } from './mistakes.js';
@@ -59,7 +59,7 @@
   sendCommands(from: OwnerModel, contacts: WorkerContact[], now: number): void {
     for (const { worker } of contacts) {
       const machine = from.fleet.machines.get(worker.name);
-      const orders = machine ? from.fleet.directOrders.take(machine, now) : [];
+      const orders = machine ? from.fleet.directOrders.nextOrders(machine, now) : [];
       if (machine && orders.length > 0) this.sendCommand({ from, worker, machine, orders }, now);
     }
   }
@@ -77,46 +77,46 @@
       return;
     }
     this.rewindNewer(target, report);
-    const outcome = target.fleet.reports.handle(report, now);
+    const outcome = target.fleet.heartbeats.handle(report, now);
     const { token, orders } = answerTo(outcome, target, report);
     const arrivesAt = now + chance.next() * DELAY_S;
     if (chance.hit(LOST)) return;
     mail.post(arrivesAt, (at) => {
       if (at - sentAt > ANSWER_LIFE_S || contact.awaitsAnswerUntil === -Infinity) return;
       contact.awaitsAnswerUntil = -Infinity;
-      contact.worker.answer({ session: report.session, sentAt }, token, orders, at);
+      contact.worker.answer({ session: report.agentEpoch, sentAt }, token, orders, at);
     });
   }
 
-  private deliverCopy(report: Report, now: number): void {
+  private deliverCopy(report: Heartbeat, now: number): void {
     const owner = this.options.owner();
     if (!owner || owner.hasGivenUp(now)) return;
     this.rewind(owner, report);
-    owner.fleet.reports.handle(report, now);
+    owner.fleet.heartbeats.handle(report, now);
   }
 
   /** The mistake of taking a copy of an old report for a new one. */
-  private rewindNewer({ fleet }: OwnerModel, report: Report): void {
+  private rewindNewer({ fleet }: OwnerModel, report: Heartbeat): void {
     if (this.options.mistake !== 'believes-old-copies') return;
     const machine = fleet.machines.get(report.machine);
-    if (machine && machine.lastMessageSeq >= report.seq) {
-      machine.lastMessageSeq = machine.lastReportSeq = report.seq - 1;
+    if (machine && machine.lastMessageSequence >= report.sequence) {
+      machine.lastMessageSequence = machine.lastHeartbeatSequence = report.sequence - 1;
     }
   }
 
   /** The same for a copy that is known to be late: both numbers become equal. */
-  private rewind({ fleet }: OwnerModel, report: Report): void {
+  private rewind({ fleet }: OwnerModel, report: Heartbeat): void {
     if (this.options.mistake !== 'believes-old-copies') return;
     const machine = fleet.machines.get(report.machine);
     if (!machine) return;
-    const seq = Math.min(machine.lastMessageSeq, report.seq - 1);
-    machine.lastMessageSeq = machine.lastReportSeq = seq;
+    const seq = Math.min(machine.lastMessageSequence, report.sequence - 1);
+    machine.lastMessageSequence = machine.lastHeartbeatSequence = seq;
   }
 
   private sendCommand({ from, worker, machine, orders }: SentCommand, now: number): void {
     const { chance, mail, mistake } = this.options;
     const { directOrders } = from.fleet;
-    const { token, session } = machine;
+    const { fencingToken: token, agentEpoch: session } = machine;
     const givenUpAt = now + COMMAND_LIFE_S;
     let answered = false;
     const delayS = chance.hit(LATE_COMMANDS) ? COMMAND_DELAY_S : DELAY_S;
@@ -125,7 +125,7 @@
       if (at >= givenUpAt || chance.hit(LOST_COMMAND_ANSWERS)) return;
       answered = true;
       const outcome = report
-        ? ({ kind: 'executed', report } as const)
+        ? ({ kind: 'executed', heartbeat: report } as const)
         : ({ kind: 'refused' } as const);
       directOrders.finish(machine, orders, outcome, at);
     });
@@ -139,7 +139,7 @@
 
 interface SentReport {
   contact: WorkerContact;
-  report: Report;
+  report: Heartbeat;
   target: OwnerModel | null;
   sentAt: number;
 }
@@ -152,7 +152,7 @@
 }
 
 /** A late copy is answered too, with a token that no worker obeys. */
-function answerTo(outcome: ReportOutcome, { fleet }: OwnerModel, report: Report) {
+function answerTo(outcome: HeartbeatOutcome, { fleet }: OwnerModel, report: Heartbeat) {
   if (outcome.kind !== 'answer') return { token: 0, orders: [] };
-  return { token: fleet.machines.get(report.machine)!.token, orders: outcome.orders };
+  return { token: fleet.machines.get(report.machine)!.fencingToken, orders: outcome.orders };
 }
--- a/packages/testing/owner-model/worker.ts
+++ b/packages/testing/owner-model/worker.ts
@@ -1,8 +1,8 @@
-import { type Order, type Report, taskName, type TaskRef, type TaskReport } from '#wire';
+import { type Order, type Heartbeat, taskName, type TaskRef, type TaskStatus } from '#wire';
 import { STD } from '../samples.js';
 
 /** A task that a worker holds. */
-export interface HeldTask extends TaskReport {
+export interface HeldTask extends TaskStatus {
   startedAt: number;
   runS: number;
 }
@@ -49,7 +49,7 @@
     for (const task of this.tasks.values()) advanceTask(task, now);
   }
 
-  report(): Report {
+  report(): Heartbeat {
     this.seq++;
     const { name, zone, spot, session, seq, token } = this;
     const tasks = [...this.tasks.values()].map(({ job, index, attempt, state, cause, saved }) => ({
@@ -66,9 +66,9 @@
       type: STD.name,
       zone,
       spot,
-      session,
-      seq,
-      token,
+      agentEpoch: session,
+      sequence: seq,
+      fencingToken: token,
       noticeS: null,
       tasks,
     };
@@ -88,7 +88,7 @@
   }
 
   /** A direct command: runs whenever it arrives, if token and session still match; null if not. */
-  command(token: number, session: number, orders: Order[], now: number): Report | null {
+  command(token: number, session: number, orders: Order[], now: number): Heartbeat | null {
     if (token < this.token || session !== this.session) return null;
     this.token = token;
     this.execute(orders, now);
--- a/packages/testing/ownership/statements.ts
+++ b/packages/testing/ownership/statements.ts
@@ -13,7 +13,7 @@
 
 function distort(status: PeerStatus | null, fault: OwnershipFault): PeerStatus | null {
   if (status === null) return null;
-  const { frame, heardAt } = status;
+  const { frame, receivedAt: heardAt } = status;
   switch (fault) {
     case 'trusts-arrival':
       return { ...status, asOf: heardAt };
--- a/packages/testing/ownership/world.ts
+++ b/packages/testing/ownership/world.ts
@@ -73,7 +73,7 @@
       return;
     }
     const { frame } = message;
-    node.table.heard(from, frame, now);
+    node.table.accept(from, frame, now);
     node.yieldTo(frame.newestLeader.term);
     node.noteStandby(now, statementsFor(node, this.fault));
     if (this.fault === 'ignores-cancelled') return;
--- a/packages/testing/peer-statements.ts
+++ b/packages/testing/peer-statements.ts
@@ -12,7 +12,7 @@
  */
 export function aPeerStatus(at: number, frame: Partial<StatusFrame> = {}): PeerStatus {
   return {
-    heardAt: at,
+    receivedAt: at,
     asOf: at - ECHO_S,
     servedAt: SERVED_AT,
     frame: {
@@ -26,8 +26,8 @@
       leading: false,
       mayLead: false,
       newestLeader: { term: STATED_TERM, name: 'c-0' },
-      unheard: false,
-      unownedReports: 0,
+      unreachable: false,
+      followerHeartbeats: 0,
       jobsRevision: 100,
       cancelledSince: 100,
       cancelled: [],
--- a/packages/testing/recorder-world.ts
+++ b/packages/testing/recorder-world.ts
@@ -7,7 +7,7 @@
   JOBS,
   MACHINES,
   type MachineRecord,
-  partKey,
+  shardKey,
   PrefixCache,
 } from '#store';
 import type { StateLimits } from '#store';
@@ -56,15 +56,15 @@
   const caching = { client, runtime, prefix: JOBS, watchMs: 10_000, syncSpacingMs: 0 };
   const cache = new PrefixCache(caching);
   const jobs = new JobTable(cache, new Cancellations(100, 70));
-  const term = state.service.store.apply([{ put: partKey(0), value: {} }]);
+  const term = state.service.store.apply([{ put: shardKey(0), value: {} }]);
   const fleet = aFleet();
   const recorder = new Recorder({
     runtime,
     client,
     fleet,
     jobs,
-    term: { part: 0, term, leaseId: 0, electedAt: 0 },
-    reportS: REPORT_S,
+    term: { shard: 0, term, leaseId: 0, electedAt: 0 },
+    heartbeatIntervalS: REPORT_S,
     log: pino({ enabled: false }),
   });
   jobs.changed.subscribe(({ job, phase }) => {
--- a/packages/testing/samples.ts
+++ b/packages/testing/samples.ts
@@ -1,4 +1,4 @@
-import type { Job, MachineType, Report } from '#wire';
+import type { Job, MachineType, Heartbeat } from '#wire';
 import { FleetOptions, FleetState, Machine } from '#core';
 
 /** The usual machine type of tests: 4 GPUs, in zones a and b. */
@@ -48,7 +48,7 @@
   const fleet = new FleetState({
     settings: {
       leaseS: 10,
-      reportS: 1,
+      heartbeatIntervalS: 1,
       gangPeerS: 6,
       formerLeaderS: 12,
       halfLifeS: 3600,
@@ -71,16 +71,16 @@
 }
 
 /** The first report of n-1, which has no tasks. */
-export function aReport(own: Partial<Report> = {}): Report {
+export function aReport(own: Partial<Heartbeat> = {}): Heartbeat {
   return {
     machine: 'n-1',
     addr: '',
     type: 'std',
     zone: 'a',
     spot: false,
-    session: 1,
-    seq: 1,
-    token: 100,
+    agentEpoch: 1,
+    sequence: 1,
+    fencingToken: 100,
     noticeS: null,
     tasks: [],
     ...own,
