--- a/packages/testing/simulation/faults/operator-requests.ts
+++ b/packages/testing/simulation/faults/operator-requests.ts
@@ -1,5 +1,5 @@
 import { moveKey, type MoveRecord } from '#parts';
-import { partKey, type PartRecord } from '#store';
+import { shardKey, type ShardRecord } from '#store';
 import type { StateService } from '../../standins/index.js';
 import type { SimulatedController } from '../controllers.js';
 import type { MovePhases } from '../move-phases.js';
@@ -39,8 +39,8 @@
 /** Asks for a move as the command line does: if there is an owner, and no move is under way. */
 function requestMove({ state, moves }: OperatorContext, to: string): void {
   const { store } = state;
-  const part = store.get(partKey(PART));
-  if (!part || store.get(moveKey(PART)) || (part.value as PartRecord).owner === to) return;
+  const part = store.get(shardKey(PART));
+  if (!part || store.get(moveKey(PART)) || (part.value as ShardRecord).owner === to) return;
   const value: MoveRecord = { fromTerm: part.version, to, reason: 'a test', phase: 'requested' };
   const changes = [{ put: moveKey(PART), value }];
   store.apply(changes);
--- a/packages/testing/simulation/move-phases.ts
+++ b/packages/testing/simulation/move-phases.ts
@@ -1,5 +1,5 @@
 import { type MoveRecord, moveKey } from '#parts';
-import { partKey, type PartRecord } from '#store';
+import { shardKey, type ShardRecord } from '#store';
 import type { Change } from '#wire';
 import type { WorldEvent } from '../standins/index.js';
 
@@ -44,8 +44,8 @@
       this.reached(phase);
     }
     const endsMove = together.some((each) => 'delete' in each && each.delete === moveKey(PART));
-    if (change.put !== partKey(PART) || !endsMove) return;
-    this.target = (change.value as PartRecord).owner;
+    if (change.put !== shardKey(PART) || !endsMove) return;
+    this.target = (change.value as ShardRecord).owner;
     this.reached('switched');
   }
 
--- a/packages/testing/simulation/ownership-history.ts
+++ b/packages/testing/simulation/ownership-history.ts
@@ -1,4 +1,4 @@
-import { partKey, type PartRecord } from '#store';
+import { shardKey, type ShardRecord } from '#store';
 import type { World } from './world.js';
 
 const SAMPLE_S = 0.05;
@@ -46,13 +46,13 @@
   }
 
   private look(): void {
-    const entry = this.read(partKey(0));
+    const entry = this.read(shardKey(0));
     if (entry === null) {
       this.holder = null;
       return;
     }
     if (entry.version === this.holder?.term) return;
-    const { owner } = entry.value as PartRecord;
+    const { owner } = entry.value as ShardRecord;
     this.holder = { atS: this.world.now, owner, term: entry.version };
     this.changes.push(this.holder);
     for (const callback of this.waiting.splice(0)) callback();
--- a/packages/testing/standins/worker/command-server.ts
+++ b/packages/testing/standins/worker/command-server.ts
@@ -1,5 +1,5 @@
-import type { HostPort, Report, Runtime } from '#wire';
-import { reportToWire } from '#wire';
+import type { HostPort, Heartbeat, Runtime } from '#wire';
+import { heartbeatToWire } from '#wire';
 import { parseDirectCommand, type DirectCommand, type WireReply } from '#wire/serving';
 import { NO_REPLY, serveCbor, type CborServer, type ServedRequest } from '../http-server.js';
 import type { ReplyLoss } from '../lost-replies.js';
@@ -9,7 +9,7 @@
   /** Carries the command out, or says false if token or session do not match. */
   command(command: DirectCommand): boolean;
   /** The report that the answer holds. */
-  nextReport(): Report;
+  nextReport(): Heartbeat;
   /** Resolves once the machine does not hang. */
   whenRunning(): Promise<void>;
 }
@@ -57,6 +57,6 @@
   }
 
   private reply(status: number): WireReply {
-    return { status, body: reportToWire(this.target.nextReport()) };
+    return { status, body: heartbeatToWire(this.target.nextReport()) };
   }
 }
--- a/packages/testing/standins/worker/hosted-task.ts
+++ b/packages/testing/standins/worker/hosted-task.ts
@@ -1,4 +1,4 @@
-import type { Cause, TaskRef, TaskReport, TaskState, Timer } from '#wire';
+import type { Cause, TaskRef, TaskStatus, TaskState, Timer } from '#wire';
 import type { LeaveCause } from '../events.js';
 import type { JobProgram } from '../job-storage.js';
 import type { ImageClaim } from './image-cache.js';
@@ -24,7 +24,7 @@
     return this.state === 'exited';
   }
 
-  report(): TaskReport {
+  report(): TaskStatus {
     const { state, cause, saved } = this;
     return { ...this.ref, state, cause, saved };
   }
--- a/packages/testing/standins/worker/sample-workers.ts
+++ b/packages/testing/standins/worker/sample-workers.ts
@@ -3,11 +3,11 @@
   answerToWire,
   CborClient,
   commandToWire,
-  parseReport,
+  parseHeartbeat,
   type Job,
   type Order,
-  type Report,
-  type TaskReport,
+  type Heartbeat,
+  type TaskStatus,
 } from '#wire';
 import type { ServedRequest } from '../http-server.js';
 import { serveCbor } from '../http-server.js';
@@ -30,20 +30,20 @@
   /** Orders for the next answer. */
   orders: Order[] = [];
   /** Answers in place of the usual one, if set; null for none at all. */
-  reply: ((report: Report) => WireReply) | null = null;
-  readonly reports: (Report & { atS: number })[] = [];
+  reply: ((report: Heartbeat) => WireReply) | null = null;
+  readonly reports: (Heartbeat & { atS: number })[] = [];
 
   constructor(private readonly world: SampleWorld) {}
 
   handle({ body }: ServedRequest): WireReply {
-    const report = parseReport(body);
+    const report = parseHeartbeat(body);
     this.reports.push({ ...report, atS: this.world.world.now });
     if (this.reply) return this.reply(report);
     return { status: 200, body: answerToWire(this.token, this.orders.splice(0)) };
   }
 
   /** The task in the newest report. */
-  task(index = 0): TaskReport | undefined {
+  task(index = 0): TaskStatus | undefined {
     return this.reports.at(-1)?.tasks.find((task) => task.index === index);
   }
 }
@@ -111,7 +111,7 @@
     const body = commandToWire(token, session, orders);
     const http = new CborClient(this.commander, worker.facts.address);
     const answer = await http.call('POST', '/orders', { timeoutMs: 5000, body });
-    return { status: answer.status, tasks: parseReport(answer.body).tasks };
+    return { status: answer.status, tasks: parseHeartbeat(answer.body).tasks };
   }
 
   /** Causes with which tasks have left their machines, as `index:cause`. */
--- a/packages/testing/standins/worker/task-table.ts
+++ b/packages/testing/standins/worker/task-table.ts
@@ -4,7 +4,7 @@
   type MachineType,
   type Order,
   type TaskRef,
-  type TaskReport,
+  type TaskStatus,
 } from '#wire';
 import type { JobProgram } from '../job-storage.js';
 import { HostedTask } from './hosted-task.js';
@@ -14,7 +14,7 @@
 export class TaskTable {
   private readonly tasks = new Map<string, HostedTask>();
   /** Starts that were refused, until they are forgotten. */
-  private readonly refusals = new Map<string, TaskReport>();
+  private readonly refusals = new Map<string, TaskStatus>();
 
   constructor(
     private readonly type: MachineType,
@@ -25,7 +25,7 @@
     return [...this.tasks.values()];
   }
 
-  reports(): TaskReport[] {
+  reports(): TaskStatus[] {
     return [...this.all().map((task) => task.report()), ...this.refusals.values()];
   }
 
--- a/packages/testing/standins/worker/worker-session.ts
+++ b/packages/testing/standins/worker/worker-session.ts
@@ -44,8 +44,8 @@
   }
 
   /** Whether a direct command is to be carried out. */
-  admitCommand(command: { token: number; session: number }): boolean {
-    return command.session === this.number && this.admitToken(command.token);
+  admitCommand(command: { fencingToken: number; agentEpoch: number }): boolean {
+    return command.agentEpoch === this.number && this.admitToken(command.fencingToken);
   }
 
   close(): void {
--- a/packages/testing/standins/worker/worker.test.ts
+++ b/packages/testing/standins/worker/worker.test.ts
@@ -23,7 +23,7 @@
   const spacings = controller.reports.slice(2).map((r, i) => r.atS - controller.reports[i + 1].atS);
   assert.ok(spacings.every((s) => s > 0.7 && s < 1.3));
   assert.ok(Math.max(...spacings) - Math.min(...spacings) > 0.3);
-  const sequences = controller.reports.map((r) => r.seq);
+  const sequences = controller.reports.map((r) => r.sequence);
   assert.ok(sequences.every((seq, i) => i === 0 || seq > sequences[i - 1]));
   const before = controller.reports.length;
   for (let i = 0; i < 8; i++) {
@@ -102,14 +102,14 @@
   const { fleet, world, controller, worker } = await aFleet();
   controller.orders = [start()];
   await world.run(3);
-  assert.equal(controller.reports.at(-1)!.token, 5);
+  assert.equal(controller.reports.at(-1)!.fencingToken, 5);
   controller.reply = () => ({ status: 200, body: answerToWire(4, [stop(0)]) });
   await world.run(4);
   assert.equal(controller.reports.at(-1)!.tasks.length, 1);
   controller.reply = () => ({ status: 200, body: { orders: [] } });
   await world.run(TIMES.leaseS - 3);
   const last = controller.reports.at(-1)!;
-  assert.deepEqual([last.session, last.tasks.length], [2, 0]);
+  assert.deepEqual([last.agentEpoch, last.tasks.length], [2, 0]);
   assert.deepEqual(fleet.leaves(), ['0:killed']);
   const refused = async (token: number, session: number) =>
     (await fleet.order(worker, [start()], token, session)).status;
@@ -191,9 +191,9 @@
   fleet.lateReports.begin({ share: 1, delayS: [20, 20] });
   await world.run(1);
   fleet.lateReports.end();
-  const copied = controller.reports.at(-1)!.seq;
+  const copied = controller.reports.at(-1)!.sequence;
   await world.run(21);
-  assert.equal(controller.reports.filter((report) => report.seq === copied).length, 2);
+  assert.equal(controller.reports.filter((report) => report.sequence === copied).length, 2);
   fleet.lateReports.begin({ share: 1, forNextLeader: true });
   await world.run(2);
   fleet.lateReports.end();
@@ -205,7 +205,7 @@
   await fleet.worker(1, 2);
   await world.run(3);
   const late = nextLeader.reports.filter((report) => report.machine === worker.facts.name);
-  assert.ok(late.length >= 2 && late.every((report) => report.seq > copied));
+  assert.ok(late.length >= 2 && late.every((report) => report.sequence > copied));
 });
 
 test('a command that is held up runs once, if token and session still match', async () => {
--- a/packages/testing/standins/worker/worker.ts
+++ b/packages/testing/standins/worker/worker.ts
@@ -1,6 +1,6 @@
 /** A worker as the protocol describes it: the program that runs on each rented machine. */
-import { MalformedBody, parseHostPort, reportToWire, type Report, type Runtime } from '#wire';
-import { parseReportAnswer, type DirectCommand, type ReportAnswer } from '#wire/serving';
+import { MalformedBody, parseHostPort, heartbeatToWire, type Heartbeat, type Runtime } from '#wire';
+import { parseHeartbeatAnswer, type DirectCommand, type HeartbeatAnswer } from '#wire/serving';
 import type { MachineFacts, Observer } from '../events.js';
 import type { JobProgram, JobStorage } from '../job-storage.js';
 import { CommandServer } from './command-server.js';
@@ -50,7 +50,7 @@
     this.reporter = new Reporter(frozen, times.reportS, controllers, {
       nextReport: () => {
         this.reportedSession = this.session.current;
-        return reportToWire(this.nextReport());
+        return heartbeatToWire(this.nextReport());
       },
       answered: (body, sentAt, node) => this.answered(body, sentAt, node),
       sent: (body, node) => lateReports.reportSent(facts.name, body, node),
@@ -161,7 +161,7 @@
     return true;
   }
 
-  nextReport(): Report {
+  nextReport(): Heartbeat {
     const { name, type, zone, spot } = this.facts;
     return {
       machine: name,
@@ -169,9 +169,9 @@
       type: type.name,
       zone,
       spot,
-      session: this.session.current,
-      seq: this.session.nextSequence(),
-      token: this.session.highestToken,
+      agentEpoch: this.session.current,
+      sequence: this.session.nextSequence(),
+      fencingToken: this.session.highestToken,
       noticeS: this.takenAt === null ? null : Math.max(0, this.takenAt - this.clock.now()),
       tasks: this.tasks.reports(),
     };
@@ -180,8 +180,8 @@
   private answered(body: unknown, sentAt: number, node: ControllerAddress): void {
     const answer = readAnswer(body);
     const report = { session: this.reportedSession, sentAt };
-    if (answer === null || !this.session.admitAnswer(answer.token, report)) return;
-    this.surroundings.reportObserver?.obeyed?.(this.machine, node.name, answer.token!);
+    if (answer === null || !this.session.admitAnswer(answer.fencingToken, report)) return;
+    this.surroundings.reportObserver?.obeyed?.(this.machine, node.name, answer.fencingToken!);
     this.tasks.execute(answer.orders);
     this.surroundings.lateReports.obeyed(node);
   }
@@ -213,9 +213,9 @@
 }
 
 /** An answer that cannot be read is dropped. */
-function readAnswer(body: unknown): ReportAnswer | null {
+function readAnswer(body: unknown): HeartbeatAnswer | null {
   try {
-    return parseReportAnswer(body);
+    return parseHeartbeatAnswer(body);
   } catch (err) {
     if (err instanceof MalformedBody) return null;
     throw err;
--- a/packages/wire/order.test.ts
+++ b/packages/wire/order.test.ts
@@ -4,7 +4,7 @@
 import { anyAmount, anyCount, anyTaskRef, record, SEEDED } from '#testing';
 import { decode, encode } from './cbor.js';
 import { answerToWire } from './order.js';
-import { parseReportAnswer } from './serving/index.js';
+import { parseHeartbeatAnswer } from './serving/index.js';
 
 test('orders survive their way to the worker', () => {
   const order = fc.oneof(
@@ -13,9 +13,9 @@
     record({ op: fc.constant('stop' as const), graceS: anyAmount, ...anyTaskRef }),
   );
   fc.assert(
-    fc.property(anyCount, fc.array(order), (token, orders) => {
-      assert.deepEqual(parseReportAnswer(decode(encode(answerToWire(token, orders)))), {
-        token,
+    fc.property(anyCount, fc.array(order), (fencingToken, orders) => {
+      assert.deepEqual(parseHeartbeatAnswer(decode(encode(answerToWire(fencingToken, orders)))), {
+        fencingToken,
         orders,
       });
     }),
--- a/packages/wire/order.ts
+++ b/packages/wire/order.ts
@@ -8,17 +8,17 @@
   | ({ op: 'forget' } & TaskRef);
 
 /** The body of a 200 to a report. */
-export function answerToWire(token: number, orders: Order[]): Record<string, unknown> {
-  return { baton: token, orders: orders.map(orderToWire) };
+export function answerToWire(fencingToken: number, orders: Order[]): Record<string, unknown> {
+  return { baton: fencingToken, orders: orders.map(orderToWire) };
 }
 
 /** The body of a direct command. */
 export function commandToWire(
-  token: number,
-  session: number,
+  fencingToken: number,
+  agentEpoch: number,
   orders: Order[],
 ): Record<string, unknown> {
-  return { baton: token, tenure: session, orders: orders.map(orderToWire) };
+  return { baton: fencingToken, tenure: agentEpoch, orders: orders.map(orderToWire) };
 }
 
 /** Where a worker should report instead; without a name it tries the next controller. */
--- a/packages/wire/report.ts
+++ b/packages/wire/report.ts
@@ -10,7 +10,7 @@
   'done' | 'stopped' | 'peers' | 'alone' | 'error' | 'no_room' | 'busy' | 'unknown';
 
 /** One task as its worker holds it. */
-export interface TaskReport extends TaskRef {
+export interface TaskStatus extends TaskRef {
   state: TaskState;
   /** Null unless it has exited. */
   cause: Cause | null;
@@ -19,7 +19,7 @@
 }
 
 /** A worker's heartbeat, with all its tasks. */
-export interface Report {
+export interface Heartbeat {
   machine: string;
   /** HOST:PORT for direct commands. */
   addr: string;
@@ -27,14 +27,14 @@
   zone: string;
   spot: boolean;
   /** Rises when the worker's lease has run out. */
-  session: number;
+  agentEpoch: number;
   /** Number of the message in its session. */
-  seq: number;
+  sequence: number;
   /** The largest fencing token that the worker has obeyed. */
-  token: number;
+  fencingToken: number;
   /** Seconds until the cloud takes the machine back; null if it has not said so. */
   noticeS: number | null;
-  tasks: TaskReport[];
+  tasks: TaskStatus[];
 }
 
 const STATES: Record<string, TaskState> = {
@@ -87,7 +87,7 @@
   },
 };
 
-interface RawReport {
+interface RawHeartbeat {
   host: string;
   address: string;
   rig: string;
@@ -108,10 +108,10 @@
   kept?: boolean | null;
 }
 
-const valid = compileSchema<RawReport>('report', schema);
+const valid = compileSchema<RawHeartbeat>('report', schema);
 
 /** Reads a worker's report, or throws MalformedBody naming the field. */
-export function parseReport(raw: unknown): Report {
+export function parseHeartbeat(raw: unknown): Heartbeat {
   if (!valid(raw)) {
     const first = valid.errors?.[0];
     throw new MalformedBody(`${first?.instancePath || 'body'} ${first?.message ?? 'invalid'}`);
@@ -122,15 +122,15 @@
     type: raw.rig,
     zone: raw.yard,
     spot: raw.loaner,
-    session: raw.tenure,
-    seq: raw.tally,
-    token: raw.baton,
+    agentEpoch: raw.tenure,
+    sequence: raw.tally,
+    fencingToken: raw.baton,
     noticeS: raw.warningS ?? null,
     tasks: raw.pieces.map(parseTask),
   };
 }
 
-function parseTask({ piece, tryNo, phase, cause, kept }: RawTask): TaskReport {
+function parseTask({ piece, tryNo, phase, cause, kept }: RawTask): TaskStatus {
   const slash = piece.lastIndexOf('/');
   return {
     job: piece.slice(0, slash),
@@ -153,22 +153,22 @@
 }
 
 /** The protocol's form of a report; what a worker sends. */
-export function reportToWire(report: Report): Record<string, unknown> {
+export function heartbeatToWire(heartbeat: Heartbeat): Record<string, unknown> {
   return {
-    host: report.machine,
-    address: report.addr,
-    rig: report.type,
-    yard: report.zone,
-    loaner: report.spot,
-    tenure: report.session,
-    tally: report.seq,
-    baton: report.token,
-    warningS: report.noticeS,
-    pieces: report.tasks.map(taskToWire),
+    host: heartbeat.machine,
+    address: heartbeat.addr,
+    rig: heartbeat.type,
+    yard: heartbeat.zone,
+    loaner: heartbeat.spot,
+    tenure: heartbeat.agentEpoch,
+    tally: heartbeat.sequence,
+    baton: heartbeat.fencingToken,
+    warningS: heartbeat.noticeS,
+    pieces: heartbeat.tasks.map(taskToWire),
   };
 }
 
-function taskToWire({ job, index, attempt, state, cause, saved }: TaskReport) {
+function taskToWire({ job, index, attempt, state, cause, saved }: TaskStatus) {
   return {
     piece: taskName(job, index),
     tryNo: attempt,
--- a/packages/wire/serving/worker.ts
+++ b/packages/wire/serving/worker.ts
@@ -5,25 +5,25 @@
 import { asFields, integerField, listField, textField, type Fields } from './fields.js';
 
 /** What a controller answers to a report. */
-export interface ReportAnswer {
+export interface HeartbeatAnswer {
   /** Null: the answer has none, and is to be dropped. */
-  token: number | null;
+  fencingToken: number | null;
   orders: Order[];
 }
 
 /** A command that comes to the worker directly. */
 export interface DirectCommand {
-  token: number;
-  session: number;
+  fencingToken: number;
+  agentEpoch: number;
   orders: Order[];
 }
 
 /** Reads the body of a 200 to a report; throws MalformedBody. */
-export function parseReportAnswer(body: unknown): ReportAnswer {
+export function parseHeartbeatAnswer(body: unknown): HeartbeatAnswer {
   const fields = asFields(body);
-  const hasToken = fields.baton !== undefined && fields.baton !== null;
+  const hasFencingToken = fields.baton !== undefined && fields.baton !== null;
   return {
-    token: hasToken ? parseCount(fields, 'baton') : null,
+    fencingToken: hasFencingToken ? parseCount(fields, 'baton') : null,
     orders: listField(fields, 'orders', true).map(parseOrder),
   };
 }
@@ -32,8 +32,8 @@
 export function parseDirectCommand(body: unknown): DirectCommand {
   const fields = asFields(body);
   return {
-    token: parseCount(fields, 'baton'),
-    session: parseCount(fields, 'tenure'),
+    fencingToken: parseCount(fields, 'baton'),
+    agentEpoch: parseCount(fields, 'tenure'),
     orders: listField(fields, 'orders', true).map(parseOrder),
   };
 }
