--- a/packages/controller/admission.ts
+++ b/packages/controller/admission.ts
@@ -85,7 +85,7 @@
     const isWithin = returnAt <= now + MAX_RETRY_AFTER_S;
     if (isWithin) refusals.lastReturnAt = returnAt;
     const retryAfterS = isWithin ? returnAt - now : MAX_RETRY_AFTER_S * (1 - runtime.random() / 2);
-    this.note(team, refusals, retryAfterS);
+    this.recordRefusal(team, refusals, retryAfterS);
     return retryAfterS;
   }
 
@@ -98,7 +98,7 @@
     return refusals;
   }
 
-  private note(team: string, refusals: Refusals, retryAfterS: number): void {
+  private recordRefusal(team: string, refusals: Refusals, retryAfterS: number): void {
     const { runtime, heartbeatIntervalS, log } = this.options;
     refusals.total++;
     const now = runtime.clock.now();
--- a/packages/controller/cancellation-recorder.ts
+++ b/packages/controller/cancellation-recorder.ts
@@ -51,7 +51,7 @@
       await jobs.cache.sync();
       return;
     }
-    jobs.cache.learn(key, value, outcome.revision);
+    jobs.cache.applyLocal(key, value, outcome.revision);
     log.info({ job: id }, 'cancellation recorded by the owner');
   }
 }
--- a/packages/controller/cancellation-relay.ts
+++ b/packages/controller/cancellation-relay.ts
@@ -20,14 +20,14 @@
 
   /** A user asks here. */
   request(job: string): void {
-    this.options.cancellations.noteRequested(job, this.now());
+    this.options.cancellations.addRequested(job, this.now());
     this.endTasks();
     this.options.send({ kind: 'abort', job, ageMs: 0 });
   }
 
   /** A peer tells that a user has asked. */
   receive(notice: CancellationNotice): void {
-    this.options.cancellations.noteTold(notice, this.now());
+    this.options.cancellations.addFromPeer(notice, this.now());
     this.endTasks();
   }
 
@@ -35,7 +35,7 @@
   endTasks(): void {
     const leader = this.options.leader();
     if (!leader?.ready) return;
-    for (const { job } of this.options.cancellations.requests(this.now())) leader.abort(job);
+    for (const { job } of this.options.cancellations.requests(this.now())) leader.cancelJob(job);
   }
 
   /** What a peer is told on a new connection. */
--- a/packages/controller/cancellations.test.ts
+++ b/packages/controller/cancellations.test.ts
@@ -10,10 +10,10 @@
 
 test('what is told holds all newer records and all requests that may still be recorded', () => {
   const known = new Cancellations(100, 60);
-  known.noteRecorded('j-1', 10);
-  known.noteRecorded('j-2', 20);
-  known.noteRequested('j-3', 5);
-  known.noteRequested('j-2', 5);
+  known.addRecorded('j-1', 10);
+  known.addRecorded('j-2', 20);
+  known.addRequested('j-3', 5);
+  known.addRequested('j-2', 5);
   const asked = ['j-2', 'j-3'].map((job) => ({ job, ageMs: 1000 }));
   assert.deepEqual(known.listSince(10, 6), { since: 10, cancelled: asked });
   assert.deepEqual(sorted(known.listSince(20, 6).cancelled), asked);
@@ -24,13 +24,13 @@
 
 test('a list that lacks older records, or is too long, does not claim to be complete', () => {
   const known = new Cancellations(10, 60);
-  for (let i = 1; i <= 25; i++) known.noteRecorded(`j-${i}`, i);
+  for (let i = 1; i <= 25; i++) known.addRecorded(`j-${i}`, i);
   const { since, cancelled } = known.listSince(0, 0);
   const jobs = cancelled.map((notice) => notice.job);
   assert.ok(since > 0);
   for (let i = since + 1; i <= 25; i++) assert.ok(jobs.includes(`j-${i}`));
   const many = new Cancellations(10_000, 60);
-  for (let i = 1; i <= 3000; i++) many.noteRecorded(`j-${i}`, i);
+  for (let i = 1; i <= 3000; i++) many.addRecorded(`j-${i}`, i);
   assert.equal(many.listSince(0, 0).since, Infinity);
   assert.equal(many.listSince(2000, 0).since, 2000);
 });
@@ -43,11 +43,11 @@
   const controllers = [0, 1, 2].map(() => new Cancellations(100, KEEP_S));
   const frames: { to: Cancellations; arrivesAt: number; notices: CancellationNotice[] }[] = [];
   const known = (now: number) => controllers.filter((c) => c.requests(now).length > 0).length;
-  controllers[0].noteRequested('j-1', 0);
+  controllers[0].addRequested('j-1', 0);
   let lastKnownAt = 0;
   for (let now = 0; now < 10 * KEEP_S; now += STATUS_S / 10) {
     for (const { to, notices } of frames.filter((frame) => frame.arrivesAt <= now)) {
-      for (const notice of notices) to.noteTold(notice, now);
+      for (const notice of notices) to.addFromPeer(notice, now);
     }
     frames.splice(0, frames.length, ...frames.filter((frame) => frame.arrivesAt > now));
     for (const from of controllers.filter(() => chance.hit(0.1))) {
--- a/packages/controller/cancellations.ts
+++ b/packages/controller/cancellations.ts
@@ -14,7 +14,7 @@
 }
 
 /** Cancellations told at once; more do not fit a status frame's purpose of being small. */
-const MAX_TOLD = 2000;
+const MAX_ANNOUNCED = 2000;
 
 /**
  * The cancellations that this controller knows: those recorded, in the order in which they became
@@ -33,7 +33,7 @@
     private readonly keepRequestedS: number,
   ) {}
 
-  noteRecorded(job: string, revision: number): void {
+  addRecorded(job: string, revision: number): void {
     this.recorded.push({ job, revision });
     if (this.recorded.length <= 2 * this.maxRecorded) return;
     const dropped = this.recorded.splice(0, this.maxRecorded);
@@ -41,7 +41,7 @@
   }
 
   /** A user asks here. */
-  noteRequested(job: string, now: number): void {
+  addRequested(job: string, now: number): void {
     this.requested.set(job, now);
   }
 
@@ -49,7 +49,7 @@
    * A peer tells of a cancellation. What it tells never renews a request that is known, and one that is
    * too old is not taken up again: else controllers would remind each other of it for ever.
    */
-  noteTold({ job, ageMs }: CancellationNotice, now: number): void {
+  addFromPeer({ job, ageMs }: CancellationNotice, now: number): void {
     const ageS = ageMs / 1000;
     if (!this.requested.has(job) && ageS <= this.keepRequestedS) {
       this.requested.set(job, now - ageS);
@@ -78,8 +78,8 @@
     }
     for (const request of this.requests(now)) told.set(request.job, request);
     const cancelled = [...told.values()];
-    if (cancelled.length > MAX_TOLD) {
-      return { since: Infinity, cancelled: cancelled.slice(0, MAX_TOLD) };
+    if (cancelled.length > MAX_ANNOUNCED) {
+      return { since: Infinity, cancelled: cancelled.slice(0, MAX_ANNOUNCED) };
     }
     return { since: Math.max(revision, this.droppedUpTo), cancelled };
   }
--- a/packages/controller/cloud.test.ts
+++ b/packages/controller/cloud.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { CloudClient, nodeRuntime } from '#wire';
 import type { CapacityPlanner, FleetState } from '#core';
-import { CloudDuty } from './cloud.js';
+import { CloudReconciler } from './cloud.js';
 import { makeLog } from './log.js';
 import type { ShardLeader } from './owner.js';
 import { aFleet, aMachine, STD } from '../testing/samples.js';
@@ -29,7 +29,7 @@
     this.asked.push(`release ${names.join(' ')}`);
   }
 
-  async rent() {
+  async provision() {
     this.asked.push('rent');
     return { machines: [] };
   }
@@ -38,7 +38,7 @@
 /** An owner that has read its records long ago, with a planner of its own. */
 function anOwner(
   fleet: FleetState,
-  planner: Pick<CapacityPlanner, 'plan' | 'rentalRefused'>,
+  planner: Pick<CapacityPlanner, 'plan' | 'scaleOutRefused'>,
 ): ShardLeader {
   const term = { term: 1 };
   const state = { ready: true, first: true, startedAt: -1000 };
@@ -49,20 +49,20 @@
   const stop = new AbortController();
   const cloud = new RecordingCloud();
   const fleet = aFleet();
-  fleet.machines.noteFailed(aMachine(fleet, 'n-1'));
+  fleet.machines.markFailed(aMachine(fleet, 'n-1'));
   let plans = 0;
   const leader = anOwner(fleet, {
     plan: () => {
       plans++;
       return {
-        rent: plans === 1 ? [{ type: 'std', zone: 'a', spot: false, count: 1 }] : [],
-        release: [],
+        scaleOut: plans === 1 ? [{ type: 'std', zone: 'a', spot: false, count: 1 }] : [],
+        scaleIn: [],
         consolidation: null,
       };
     },
-    rentalRefused: () => {},
+    scaleOutRefused: () => {},
   });
-  const duty = new CloudDuty({
+  const duty = new CloudReconciler({
     runtime: nodeRuntime,
     cloud: cloud as unknown as CloudClient,
     leader,
@@ -72,8 +72,8 @@
     heartbeatIntervalS: 0.02,
     leaseS: 0.2,
     onTypes: async () => {},
-    mayRent: () => permission.rent,
-    mayRelease: () => permission.release,
+    mayScaleOut: () => permission.rent,
+    mayScaleIn: () => permission.release,
     log: makeLog(nodeRuntime.clock, 'c-0', 'error'),
   });
   const done = duty.run(stop.signal);
@@ -118,19 +118,19 @@
   const calls = 4;
   const { server, asked } = await aFullCloud(calls);
   const fleet = aFleet();
-  fleet.machines.noteType(STD);
+  fleet.machines.setType(STD);
   const stop = new AbortController();
   const refused: string[] = [];
   const leader = anOwner(fleet, {
-    plan: () => ({ rent: refused.length === 0 ? kinds : [], release: [], consolidation: null }),
-    rentalRefused: ({ zone }) => {
+    plan: () => ({ scaleOut: refused.length === 0 ? kinds : [], scaleIn: [], consolidation: null }),
+    scaleOutRefused: ({ zone }) => {
       refused.push(zone);
       if (refused.length === calls) stop.abort();
     },
   });
   const client = new CloudClient(nodeRuntime, server.target, 60_000);
   const log = makeLog(nodeRuntime.clock, 'c-0', 'error');
-  const duty = new CloudDuty({
+  const duty = new CloudReconciler({
     runtime: nodeRuntime,
     cloud: client,
     leader,
@@ -140,8 +140,8 @@
     heartbeatIntervalS: 1,
     leaseS: 10,
     onTypes: async () => {},
-    mayRent: () => true,
-    mayRelease: () => true,
+    mayScaleOut: () => true,
+    mayScaleIn: () => true,
     log,
   });
   await duty.run(stop.signal);
--- a/packages/controller/cloud.ts
+++ b/packages/controller/cloud.ts
@@ -1,13 +1,13 @@
 import { Clock, CloudClient, MachineType, pause, RELEASE_AT_ONCE, Runtime } from '#wire';
-import { Consolidation, FleetState, giveBack, Machine, startConsolidation } from '#core';
+import { Consolidation, FleetState, beginScaleIn, Machine, startConsolidation } from '#core';
 import { Budget } from '#store';
 import type { CloudAccess } from './cloud-access.js';
 import type { Log } from './log.js';
 import { MachineCatalog } from './machine-catalog.js';
 import { MachineList } from './machine-list.js';
 import type { ShardLeader } from './owner.js';
-import { Rentals } from './rentals.js';
-import { uselessMachines } from './useless-machines.js';
+import { MachineProvisioner } from './rentals.js';
+import { unusableMachines } from './useless-machines.js';
 
 /** Report periods that a new owner listens before it plans, unless it is the first. */
 const LISTEN_PERIODS = 4;
@@ -19,7 +19,7 @@
 /** Share of the allowed rate that is used; a former owner's last calls may still count. */
 const RATE_SHARE = 0.85;
 
-export interface CloudDutyOptions {
+export interface CloudReconcilerOptions {
   runtime: Runtime;
   cloud: CloudClient;
   leader: ShardLeader;
@@ -34,14 +34,14 @@
   /** Told of the machine types whenever they were asked for. */
   onTypes: (types: MachineType[], signal: AbortSignal) => Promise<void>;
   /** Nobody else can own the part now, so what is rented is not rented twice. */
-  mayRent: () => boolean;
+  mayScaleOut: () => boolean;
   /** Besides, the state service serves us: what is stopped here can start elsewhere at once. */
-  mayRelease: () => boolean;
+  mayScaleIn: () => boolean;
   log: Log;
 }
 
 /** The leader's dealings with the cloud: the list, rents and releases. */
-export class CloudDuty {
+export class CloudReconciler {
   private plannedAt = -Infinity;
   private paused = false;
   /** The step that is under way; resolved if none is. */
@@ -52,10 +52,10 @@
   private readonly log: Log;
   private readonly access: CloudAccess;
   private readonly catalog: MachineCatalog;
-  private readonly list: MachineList;
-  private readonly rentals: Rentals;
+  private readonly machineList: MachineList;
+  private readonly provisioner: MachineProvisioner;
 
-  constructor(private readonly options: CloudDutyOptions) {
+  constructor(private readonly options: CloudReconcilerOptions) {
     const { cloud, leader, rps } = options;
     this.clock = options.runtime.clock;
     ({ leader: this.leader, log: this.log } = options);
@@ -64,8 +64,8 @@
     const { clock, fleet } = this;
     const parts = { ...options, ...this.access, clock, fleet };
     this.catalog = new MachineCatalog(parts);
-    this.list = new MachineList(parts);
-    this.rentals = new Rentals(parts);
+    this.machineList = new MachineList(parts);
+    this.provisioner = new MachineProvisioner(parts);
   }
 
   /** Deals with the cloud until the signal aborts; what fails is tried again. */
@@ -101,34 +101,34 @@
   }
 
   private async step(signal: AbortSignal): Promise<void> {
-    const { heartbeatIntervalS, mayRent, mayRelease } = this.options;
+    const { heartbeatIntervalS, mayScaleOut, mayScaleIn } = this.options;
     const now = this.clock.now();
     await this.catalog.refreshIfDue(now, signal);
-    await this.list.refreshIfDue(now, signal);
+    await this.machineList.refreshIfDue(now, signal);
     // A former owner that doesn't know of its successor yet takes every machine for silent, and those
     // that it was about to return for empty: it must neither rent nor release on that.
-    if (!mayRent()) return;
-    if (mayRelease()) await this.releaseUseless(now, signal);
-    if (!this.settled(now) || now - this.plannedAt < heartbeatIntervalS) return;
+    if (!mayScaleOut()) return;
+    if (mayScaleIn()) await this.scaleInUnusable(now, signal);
+    if (!this.mayPlan(now) || now - this.plannedAt < heartbeatIntervalS) return;
     this.plannedAt = now;
     await this.carryOutPlan(now, signal);
   }
 
   /** After a take-over, first hear what is there. */
-  private settled(now: number): boolean {
-    const { leader, options, list } = this;
+  private mayPlan(now: number): boolean {
+    const { leader, options, machineList: list } = this;
     const listenS = leader.first ? 0 : LISTEN_PERIODS * options.heartbeatIntervalS;
     return leader.ready && list.known && now - leader.startedAt > listenS;
   }
 
   private async carryOutPlan(now: number, signal: AbortSignal): Promise<void> {
-    const { rent, release, consolidation } = this.leader.planner.plan(now);
-    if (consolidation !== null && this.options.mayRelease()) this.consolidate(consolidation, now);
-    if (release.length > 0) {
-      for (const machine of release) giveBack(this.fleet, machine, now);
-      this.log.info({ machines: release.map((machine) => machine.name) }, 'surplus');
+    const { scaleOut, scaleIn, consolidation } = this.leader.planner.plan(now);
+    if (consolidation !== null && this.options.mayScaleIn()) this.consolidate(consolidation, now);
+    if (scaleIn.length > 0) {
+      for (const machine of scaleIn) beginScaleIn(this.fleet, machine, now);
+      this.log.info({ machines: scaleIn.map((machine) => machine.name) }, 'surplus');
     }
-    await this.rentals.rentAll(rent, signal);
+    await this.provisioner.provisionAll(scaleOut, signal);
   }
 
   private consolidate(consolidation: Consolidation, now: number): void {
@@ -138,21 +138,21 @@
     this.log.info({ machine: machine.name, replicas: moves.length }, 'emptied');
   }
 
-  private async releaseUseless(now: number, signal: AbortSignal): Promise<void> {
-    const useless = uselessMachines(this.fleet, now, this.options.leaseS);
-    if (useless.length > 0) await this.release(useless.slice(0, RELEASE_AT_ONCE), signal);
+  private async scaleInUnusable(now: number, signal: AbortSignal): Promise<void> {
+    const unusable = unusableMachines(this.fleet, now, this.options.leaseS);
+    if (unusable.length > 0) await this.release(unusable.slice(0, RELEASE_AT_ONCE), signal);
   }
 
   private async release(machines: Machine[], signal: AbortSignal): Promise<void> {
     const names = machines.map((machine) => machine.name);
     for (const machine of machines) this.fleet.machines.drain(machine);
-    await this.access.budget.take(1, true, signal);
+    await this.access.budget.acquire(1, true, signal);
     // The wait for the budget may have been long, or the process may have stood still in it.
-    if (!this.options.mayRelease()) return;
+    if (!this.options.mayScaleIn()) return;
     await this.access.cloud.release(names, signal);
     const now = this.clock.now();
     for (const name of names) this.fleet.removeMachine(name, now);
-    this.list.noteReleased(names, now);
+    this.machineList.recordReleased(names, now);
     this.log.info({ machines: names }, 'released');
     this.leader.requestRound();
   }
--- a/packages/controller/controller.ts
+++ b/packages/controller/controller.ts
@@ -76,10 +76,8 @@
     const leaseInputs = { ...this.services, statuses: this.statuses, limits };
     this.leaderLease = new LeaderLease(leaseInputs);
     this.standby = new StandbyRenewal(leaseInputs);
-    this.admission = new Admission({
-      ...this.services,
-      heartbeatIntervalS: this.heartbeatIntervalS,
-    });
+    const { heartbeatIntervalS } = this;
+    this.admission = new Admission({ ...this.services, heartbeatIntervalS });
     this.statistics = this.makeStatistics();
     this.metrics = this.makeMetrics();
     this.terms = this.makeLeadershipTerms();
@@ -106,16 +104,16 @@
     const { replicas } = this.services;
     if (replicaGroups !== null)
       replicas.support = await loadReplicaSupport(this.services, replicaGroups);
-    const duties = this.start(stop.signal);
-    if (moves !== null) duties.push(moves.run(stop.signal));
+    const services = this.start(stop.signal);
+    if (moves !== null) services.push(moves.run(stop.signal));
     try {
-      await Promise.all(duties);
+      await Promise.all(services);
     } finally {
       end();
       signal.removeEventListener('abort', end);
       this.cloud.close();
       this.state.client.close();
-      await Promise.allSettled(duties);
+      await Promise.allSettled(services);
     }
   }
 
--- a/packages/controller/entitlement.ts
+++ b/packages/controller/entitlement.ts
@@ -46,7 +46,7 @@
   evaluate(view: LeaderLeaseView): LeaderLeaseState {
     const { now } = view;
     const { graceS, silenceS } = this.limits;
-    this.proof.note(view);
+    this.proof.record(view);
     const informedAt = Math.max(view.jobsCurrentAt, this.proof.informedAt);
     if (now >= informedAt + graceS) return 'none';
     if (now < view.leaseProvenUntil) return 'granted';
--- a/packages/controller/fleet-events.ts
+++ b/packages/controller/fleet-events.ts
@@ -9,21 +9,21 @@
   return {
     machineUp(machine, now) {
       planner().machineUp(machine, now);
-      const { name, type, zone, spot, rentedAt } = machine;
-      log.debug({ machine: name, type, zone, spot, bootedS: hundredths(now - rentedAt) }, 'up');
+      const { name, type, zone, spot, requestedAt } = machine;
+      log.debug({ machine: name, type, zone, spot, bootedS: hundredths(now - requestedAt) }, 'up');
     },
-    jobSuspected({ spec, failures }) {
+    jobCrashLooping({ spec, failures }) {
       const { id: job, class: jobClass, team, tasks } = spec;
       const { attempts, longestRunS } = failures;
       const machines = [...failures.machines];
       const ranS = hundredths(longestRunS);
       log.info({ job, class: jobClass, team, tasks, attempts, ranS, machines }, 'job suspect');
     },
-    jobCleared: ({ spec }) => log.info({ job: spec.id }, 'job cleared'),
-    machineBroken({ name, failures }) {
+    jobRecovered: ({ spec }) => log.info({ job: spec.id }, 'job cleared'),
+    machineFaulty({ name, failures }) {
       log.info({ machine: name, jobs: [...failures.jobs.keys()] }, 'machine broken');
     },
-    jobClosed: (job, now) => noteEnd(planner(), job, now),
+    jobClosed: (job, now) => recordTaskEnd(planner(), job, now),
     taskRunning({ job, index, machine, assignedAt }, now) {
       const fields = {
         job: job.spec.id,
@@ -46,8 +46,12 @@
 }
 
 /** One that still awaited others has not counted as come. */
-function noteEnd(planner: CapacityPlanner, { spec, awaitsJobs }: JobState, now: number): void {
-  if (!awaitsJobs) planner.jobEnded(spec, now);
+function recordTaskEnd(
+  planner: CapacityPlanner,
+  { spec, hasOpenDependencies }: JobState,
+  now: number,
+): void {
+  if (!hasOpenDependencies) planner.jobEnded(spec, now);
 }
 
 function hundredths(seconds: number): number {
--- a/packages/controller/fleet-summary.ts
+++ b/packages/controller/fleet-summary.ts
@@ -33,8 +33,8 @@
     use: {},
     index: {},
     waiting: {},
-    awaiting: fleet.jobs.awaiting,
-    suspects: fleet.failures.suspects.size,
+    awaiting: fleet.jobs.jobsWithOpenDependencies,
+    suspects: fleet.failures.crashLoopingJobs.size,
   };
   for (const machine of fleet.machines.values()) {
     add(summary.machines, `${machine.state}${machine.spot ? ' spot' : ''}`, 1);
--- a/packages/controller/http-interface.ts
+++ b/packages/controller/http-interface.ts
@@ -79,7 +79,7 @@
     },
     admission,
     overloadedForS: () => eventLoopDelay.overloadedForS,
-    onAbort: (job) => cancellationRelay.request(job),
+    onCancel: (job) => cancellationRelay.request(job),
     crowded,
   });
 }
--- a/packages/controller/job-intake.test.ts
+++ b/packages/controller/job-intake.test.ts
@@ -16,8 +16,8 @@
     planner: { jobArrived: (job) => void arrivals.push(job.id) },
     jobs: {
       isCancelled: (id) => asked.includes(id),
-      awaitsJobs: () => false,
-      awaitedBy: () => [],
+      hasOpenDependencies: () => false,
+      openDependenciesOf: () => [],
       urgencyOf: () => ({ rank: 2, dueAtMs: Infinity }),
     },
     log: { debug: () => {} },
@@ -33,8 +33,8 @@
   // Guards against starts in the half report period until a new owner, or the owner of a job that came
   // after the request, looked at what users had asked for.
   const { fleet, intake, arrivals } = await anIntake(['j-1']);
-  intake.take(accepted('j-1'));
-  intake.take(accepted('j-2'));
+  intake.accept(accepted('j-1'));
+  intake.accept(accepted('j-2'));
   assert.deepEqual(arrivals, ['j-1', 'j-2']);
   assert.deepEqual(
     [...fleet.jobs.waiting].map((job) => job.spec.id),
@@ -45,13 +45,13 @@
   const job = fleet.jobs.get('j-1')!;
   fleet.assignments.inherit(job, 0, aMachine(fleet, 'n-1'), 1, 0);
   assert.equal(job.assignments.get(0)?.[0].stop?.graceS, 0);
-  intake.take({ ...accepted('j-1'), phase: 'aborted', version: 2 });
+  intake.accept({ ...accepted('j-1'), phase: 'aborted', version: 2 });
   assert.equal(intake.unrecorded.size, 0);
 });
 
 test('a request ends a job that was begun, and only once', async () => {
   const { fleet, intake } = await anIntake([]);
-  intake.take(accepted('j-1'));
+  intake.accept(accepted('j-1'));
   assert.ok(intake.cancel('j-1'));
   assert.ok(!intake.cancel('j-1'));
   assert.ok(!intake.cancel('j-2'));
--- a/packages/controller/job-intake.ts
+++ b/packages/controller/job-intake.ts
@@ -9,7 +9,7 @@
   clock: Clock;
   fleet: FleetState;
   planner: Pick<CapacityPlanner, 'jobArrived'>;
-  jobs: Pick<JobTable, 'isCancelled' | 'awaitsJobs' | 'awaitedBy' | 'urgencyOf'>;
+  jobs: Pick<JobTable, 'isCancelled' | 'hasOpenDependencies' | 'openDependenciesOf' | 'urgencyOf'>;
   log: Pick<Log, 'debug'>;
   /** Told of each open job that is taken in for the first time. */
   onNewJob?: (record: JobRecord) => void;
@@ -27,7 +27,7 @@
   constructor(private readonly options: JobIntakeOptions) {}
 
   /** Takes a record in as the state service holds it; what a user has asked to cancel is never begun. */
-  take(record: JobRecord): void {
+  accept(record: JobRecord): void {
     const { clock, fleet, planner, jobs, onNewJob } = this.options;
     const { job, phase, acceptedAtMs, replicas } = record;
     const now = clock.now();
@@ -37,20 +37,20 @@
     fleet.addJob(job, now - ageS, phase, now, { shape: replicas, dependencies });
     if (phase !== 'accepted') this.unrecorded.delete(job.id);
     else if (isNew) {
-      if (!dependencies.awaitsJobs) planner.jobArrived(job, now);
+      if (!dependencies.hasOpenDependencies) planner.jobArrived(job, now);
       onNewJob?.(record);
       if (jobs.isCancelled(job.id)) this.cancel(job.id);
     }
   }
 
   /** Jobs that a job awaits, or that need it, have changed. */
-  follow(change: DependencyChange): void {
+  applyDependencyChange(change: DependencyChange): void {
     const { clock, fleet, planner, log } = this.options;
     const job = fleet.jobs.get(change.job);
     if (job?.phase !== 'accepted') return;
     const now = clock.now();
     if (change.kind === 'urgency') fleet.changeRank(job, change.urgency.rank, now);
-    if (change.kind !== 'startable' || !job.awaitsJobs) return;
+    if (change.kind !== 'startable' || !job.hasOpenDependencies) return;
     fleet.jobs.startable(job, now);
     planner.jobArrived(job.spec, now);
     log.debug({ job: change.job, waitedS: now - job.acceptedAt }, 'all awaited jobs are done');
@@ -58,9 +58,10 @@
 
   private dependenciesOf(id: string): Dependencies {
     const { jobs, log } = this.options;
-    const awaitsJobs = jobs.awaitsJobs(id);
-    if (awaitsJobs) log.debug({ job: id, awaits: jobs.awaitedBy(id) }, 'job awaits others');
-    return { awaitsJobs, rank: jobs.urgencyOf(id).rank };
+    const hasOpenDependencies = jobs.hasOpenDependencies(id);
+    if (hasOpenDependencies)
+      log.debug({ job: id, awaits: jobs.openDependenciesOf(id) }, 'job awaits others');
+    return { hasOpenDependencies, rank: jobs.urgencyOf(id).rank };
   }
 
   /** A user gives the job up; its record may be still to come. False if there is nothing to end. */
--- a/packages/controller/job-records.ts
+++ b/packages/controller/job-records.ts
@@ -53,9 +53,9 @@
     if (job?.phase === 'accepted') {
       const first = this.layout.firstTask(label, value);
       job.done.addText(first, value.done);
-      this.noteChunk(id, key, version);
+      this.recordChunk(id, key, version);
       this.recordBeyond(job, first, value);
-    } else if (this.isOver(id)) this.obsolete.set(key, version);
+    } else if (this.hasEnded(id)) this.obsolete.set(key, version);
   }
 
   /**
@@ -73,7 +73,7 @@
     }
   }
 
-  private noteChunk(id: string, key: string, version: number): void {
+  private recordChunk(id: string, key: string, version: number): void {
     const ofJob = this.chunks.get(id);
     if (ofJob) ofJob.set(key, version);
     else this.chunks.set(id, new Map([[key, version]]));
@@ -85,7 +85,7 @@
   }
 
   /** The job's record says that it is over, so nobody needs the parts any more. */
-  over({ id }: Job): void {
+  jobEnded({ id }: Job): void {
     for (const [key, version] of this.chunks.get(id) ?? []) this.obsolete.set(key, version);
     this.chunks.delete(id);
   }
@@ -104,7 +104,7 @@
     return job.done.size === job.spec.tasks ? this.doneChange(job) : this.progressChanges(job);
   }
 
-  private isOver(id: string): boolean {
+  private hasEnded(id: string): boolean {
     const record = this.options.jobs.get(id);
     return record !== undefined && record.phase !== 'accepted';
   }
@@ -116,7 +116,7 @@
     if (record?.phase !== 'accepted') return [];
     const key = jobKey(id);
     const value = encodeEndedJob({ ...record, phase: 'done' }, limits.valueBytes);
-    const durable = (revision: number) => jobs.cache.learn(key, value, revision);
+    const durable = (revision: number) => jobs.cache.applyLocal(key, value, revision);
     const again = () => void fleet.unrecorded.jobs.add(id);
     const change = { put: key, value };
     return [{ key, version: record.version, change, guards: [], durable, again }];
@@ -130,8 +130,8 @@
       const again = () => void fleet.unrecorded.jobs.add(id);
       const durable = (revision: number) => {
         // A user may have cancelled it while the transaction was on its way.
-        if (this.isOver(id)) this.obsolete.set(key, revision);
-        else this.noteChunk(id, key, revision);
+        if (this.hasEnded(id)) this.obsolete.set(key, revision);
+        else this.recordChunk(id, key, revision);
         fleet.unrecorded.tasksRecorded(id, lacking);
       };
       const done = job.done.textOf(chunk.first, chunk.tasks);
--- a/packages/controller/jobs.test.ts
+++ b/packages/controller/jobs.test.ts
@@ -47,7 +47,7 @@
     const count = 20_000;
     for (let number = 0; number < count; number++) {
       const [key, value] = aRecord(number, phase);
-      cache.learn(key, value, number + 1);
+      cache.applyLocal(key, value, number + 1);
     }
     const perJob = (heapBytes() - before) / count;
     assert.equal([...jobs.ids()].length, count);
@@ -57,7 +57,8 @@
 
 test('a job that is over is still called by its last state, and recent ones are known in full', async () => {
   const { cache, jobs } = await aTable();
-  for (let number = 0; number < 2000; number++) cache.learn(...aRecord(number, 'done'), number + 1);
+  for (let number = 0; number < 2000; number++)
+    cache.applyLocal(...aRecord(number, 'done'), number + 1);
   const view = { phase: 'done', done: 1, running: 0 };
   for (const id of ['j-000000', 'j-001999']) {
     assert.deepEqual(jobs.view(id, jobs.get(id)!), { id, ...view });
--- a/packages/controller/jobs.ts
+++ b/packages/controller/jobs.ts
@@ -45,12 +45,12 @@
       // Job keys are never removed: a final state must be kept.
       if (event.value === undefined) return;
       const record = decodeJob(event.value, event.version);
-      if (isOpen(record)) this.takeOpen(record);
-      else this.takeEnded(record);
+      if (isOpen(record)) this.applyOpen(record);
+      else this.applyEnded(record);
     });
   }
 
-  private takeOpen(record: OpenJob): void {
+  private applyOpen(record: OpenJob): void {
     const { id, awaits } = record.job;
     const known = this.records.get(id);
     // Aborted with one that it needs: that is final, whatever its own record says.
@@ -59,35 +59,37 @@
     const changes = known === undefined ? this.dependencies.accepted(id, awaits) : [];
     const isCancelled = changes.some(({ kind, job }) => kind === 'cancelled' && job === id);
     if (!isCancelled) this.changed.next(record);
-    this.follow(changes);
+    this.applyDependencyChanges(changes);
   }
 
-  private takeEnded(record: JobRecord): void {
+  private applyEnded(record: JobRecord): void {
     const { job, phase, version } = record;
     if (phase === 'accepted') return;
-    if (phase === 'aborted') this.cancellations.noteRecorded(job.id, version);
-    this.noteEnded(record, phase);
+    if (phase === 'aborted') this.cancellations.addRecorded(job.id, version);
+    this.recordEnded(record, phase);
     this.changed.next(record);
-    this.follow(this.dependencies.ended(job.id, phase === 'done' ? 'done' : 'cancelled'));
+    this.applyDependencyChanges(
+      this.dependencies.ended(job.id, phase === 'done' ? 'done' : 'cancelled'),
+    );
   }
 
-  private follow(changes: DependencyChange[]): void {
+  private applyDependencyChanges(changes: DependencyChange[]): void {
     for (const change of changes) {
-      if (change.kind === 'cancelled') this.abortWithNeeded(change.job);
+      if (change.kind === 'cancelled') this.cancelWithDependency(change.job);
       else this.dependencyChanged.next(change);
     }
   }
 
   /** A job that it needs is aborted, and so is it. */
-  private abortWithNeeded(id: string): void {
+  private cancelWithDependency(id: string): void {
     const record = this.records.get(id);
     if (record?.phase !== 'accepted') return;
     const aborted: JobRecord = { ...record, phase: 'aborted' };
-    this.noteEnded(aborted, 'aborted');
+    this.recordEnded(aborted, 'aborted');
     this.changed.next(aborted);
   }
 
-  private noteEnded(record: JobRecord, phase: EndedJob['phase']): void {
+  private recordEnded(record: JobRecord, phase: EndedJob['phase']): void {
     const { job, version } = record;
     const isService = job.kind === 'service';
     this.records.set(job.id, { phase, isService, tasks: job.tasks, version });
@@ -114,12 +116,12 @@
   }
 
   /** The job awaits others that are not recorded as done. */
-  awaitsJobs(id: string): boolean {
+  hasOpenDependencies(id: string): boolean {
     return this.dependencies.isWaiting(id);
   }
 
   /** What the job still awaits. */
-  awaitedBy(id: string): string[] {
+  openDependenciesOf(id: string): string[] {
     return this.dependencies.awaitedBy(id);
   }
 
@@ -147,7 +149,7 @@
     return this.records.get(id)?.phase === 'aborted' || this.cancellations.wasRequested(id);
   }
 
-  noteCounts(id: string, done: number, running: number): void {
+  recordCounts(id: string, done: number, running: number): void {
     if (this.records.get(id)?.phase === 'accepted') this.counts.set(id, { done, running });
   }
 
--- a/packages/controller/machine-catalog.ts
+++ b/packages/controller/machine-catalog.ts
@@ -25,9 +25,9 @@
     const { machines } = fleet;
     if (now - this.readAt <= CATALOG_PERIODS * heartbeatIntervalS && machines.types.size > 0)
       return;
-    await budget.take(1, false, signal);
+    await budget.acquire(1, false, signal);
     const types = await cloud.catalog(signal);
-    for (const type of types) machines.noteType(type);
+    for (const type of types) machines.setType(type);
     await onTypes(types, signal);
     this.readAt = now;
   }
--- a/packages/controller/machine-list.ts
+++ b/packages/controller/machine-list.ts
@@ -39,7 +39,7 @@
   }
 
   /** These machines are gone, whatever later lists show. */
-  noteReleased(names: string[], now: number): void {
+  recordReleased(names: string[], now: number): void {
     for (const name of names) this.releasedAt.set(name, now);
   }
 
@@ -47,7 +47,7 @@
     const { clock, fleet } = this.options;
     const now = clock.now();
     for await (const page of this.pages(signal)) {
-      for (const machine of page) this.take(machine, now);
+      for (const machine of page) this.apply(machine, now);
     }
     this.listedAt = now;
     this.forgetOldReleases(now);
@@ -60,7 +60,7 @@
     let after: string | null = null;
     let more = true;
     while (more) {
-      await budget.take(1, false, signal);
+      await budget.acquire(1, false, signal);
       const page: Awaited<ReturnType<typeof cloud.list>> = await cloud.list(after, signal);
       yield page.machines;
       after = page.machines.at(-1)?.name ?? null;
@@ -68,19 +68,19 @@
     }
   }
 
-  private take(listed: ListedMachine, now: number): void {
+  private apply(listed: ListedMachine, now: number): void {
     const { machines } = this.options.fleet;
     if (this.releasedAt.has(listed.name)) return;
     const known = machines.get(listed.name);
     if (known) {
-      if (listed.state === 'failed') machines.noteFailed(known);
+      if (listed.state === 'failed') machines.markFailed(known);
       return;
     }
     const bootS = machines.types.get(listed.type)?.bootS ?? 0;
     // One that is listed as running has a boot time's worth of patience to report to us.
-    const rentedAt = listed.state === 'booting' ? now - listed.ageS : now - bootS;
-    const machine = machines.register(listed, 'booting', rentedAt);
-    if (listed.state === 'failed') machines.noteFailed(machine);
+    const requestedAt = listed.state === 'booting' ? now - listed.ageS : now - bootS;
+    const machine = machines.register(listed, 'booting', requestedAt);
+    if (listed.state === 'failed') machines.markFailed(machine);
   }
 
   private forgetOldReleases(now: number): void {
--- a/packages/controller/machine-records.ts
+++ b/packages/controller/machine-records.ts
@@ -28,10 +28,10 @@
     const key = MACHINES + name;
     const version = this.versions.get(name) ?? 0;
     const machine = fleet.machines.get(name);
-    const rank = fleet.unrecorded.awaitedMachines.get(name);
+    const rank = fleet.unrecorded.urgentMachines.get(name);
     const again = () => {
       if (rank === undefined) fleet.unrecorded.machines.add(name);
-      else fleet.unrecorded.awaitMachine(name, rank);
+      else fleet.unrecorded.markMachineUrgent(name, rank);
     };
     if (!machine) {
       if (version === 0) return null;
--- a/packages/controller/machine-types.ts
+++ b/packages/controller/machine-types.ts
@@ -39,7 +39,7 @@
     const changes = [...puts, ...removed.map((page) => ({ delete: typesKey(page) }))];
     const out = await this.client.txn([], changes, true, signal);
     if (!out.ok) return;
-    for (const { put, value } of puts) this.world.learn(put, value, out.revision);
+    for (const { put, value } of puts) this.world.applyLocal(put, value, out.revision);
   }
 }
 
--- a/packages/controller/metrics-endpoint.ts
+++ b/packages/controller/metrics-endpoint.ts
@@ -88,11 +88,11 @@
     );
     const awaitingHelp = 'Jobs that await others which are not done';
     metrics.gauge('awaiting_jobs', awaitingHelp, null, () => ({
-      '': leader()?.fleet.jobs.awaiting ?? 0,
+      '': leader()?.fleet.jobs.jobsWithOpenDependencies ?? 0,
     }));
     const suspectHelp = 'Jobs whose tasks fail on every machine tried';
     metrics.gauge('suspect_jobs', suspectHelp, null, () => ({
-      '': leader()?.fleet.failures.suspects.size ?? 0,
+      '': leader()?.fleet.failures.crashLoopingJobs.size ?? 0,
     }));
     metrics.gauge(
       'machines',
--- a/packages/controller/notices.ts
+++ b/packages/controller/notices.ts
@@ -1,7 +1,7 @@
 import type { FleetState } from '#core';
 
 /** What can be saved is saved before the cloud takes a machine that it gave notice of; services move at once. */
-export function stopOnNotices(fleet: FleetState, now: number): void {
+export function evictOnReclaimNotices(fleet: FleetState, now: number): void {
   for (const machine of fleet.machines.groups.noticed) {
     for (const task of [...machine.tasks.values()]) {
       const { checkpointS, kind } = task.job.spec;
--- a/packages/controller/owner-records.ts
+++ b/packages/controller/owner-records.ts
@@ -26,7 +26,7 @@
   recorder: Recorder;
   term: Term;
   /** Takes a job in. */
-  takeJob: (record: JobRecord) => void;
+  acceptJob: (record: JobRecord) => void;
   /** Told when all jobs are taken in, before machines and progress are. */
   onJobs: (now: number) => void;
   /** Steady seconds. */
@@ -52,21 +52,21 @@
     recorder.removals.loaded(removals?.version ?? 0);
     // Nothing is waited for from here on, so that no change of a job is missed.
     const loadedAt = now();
-    this.takeJobs(held, ended);
+    this.acceptJobs(held, ended);
     onJobs(loadedAt);
-    for (const entry of progress) this.takeProgress(entry);
-    for (const entry of machines) this.takeMachine(entry, loadedAt);
+    for (const entry of progress) this.acceptProgress(entry);
+    for (const entry of machines) this.acceptMachine(entry, loadedAt);
     fleet.machines.updateTotals();
     return machines.length;
   }
 
   /** Jobs that are over matter only as long as a machine may hold their tasks. */
-  private takeJobs(held: Set<string>, ended: Map<string, JobRecord>): void {
-    const { jobs, takeJob } = this.options;
+  private acceptJobs(held: Set<string>, ended: Map<string, JobRecord>): void {
+    const { jobs, acceptJob } = this.options;
     for (const id of jobs.ids()) {
       if (jobs.get(id)?.phase !== 'accepted' && !held.has(id)) continue;
       const record = jobs.fullRecord(id) ?? ended.get(id);
-      if (record) takeJob(record);
+      if (record) acceptJob(record);
     }
   }
 
@@ -82,13 +82,13 @@
     return new Map(records.map((record) => [record.job.id, record]));
   }
 
-  private takeProgress({ key, value, version }: Entry): void {
+  private acceptProgress({ key, value, version }: Entry): void {
     const [id, label] = key.slice(PROGRESS.length).split('/');
     const recorded = { label: Number(label), value: value as ProgressValue, version };
     this.options.recorder.jobRecords.loaded(id, recorded);
   }
 
-  private takeMachine({ key, value, version }: Entry, now: number): void {
+  private acceptMachine({ key, value, version }: Entry, now: number): void {
     const { fleet, recorder } = this.options;
     const { addr, type, zone, spot, tasks } = value as MachineRecord;
     const name = key.slice(MACHINES.length);
--- a/packages/controller/owner-terms.ts
+++ b/packages/controller/owner-terms.ts
@@ -2,7 +2,7 @@
 import { filter } from 'rxjs';
 import { listAll, type Term } from '#store';
 import { aborted, type CloudClient, pause } from '#wire';
-import { CloudDuty } from './cloud.js';
+import { CloudReconciler } from './cloud.js';
 import type { LeaderLeaseState } from './entitlement.js';
 import type { ReadRecords } from './owner-records.js';
 import { ShardLeader } from './owner.js';
@@ -35,7 +35,7 @@
   /** The owner of the present term, null while nothing is owned here. */
   current: ShardLeader | null = null;
   /** Its dealings with the cloud. */
-  private cloud: CloudDuty | null = null;
+  private cloud: CloudReconciler | null = null;
   /** Aborts when the present term ends. */
   private term: { id: number; end: AbortController } | null = null;
   /** How a new owner reads its records. */
@@ -100,7 +100,7 @@
       const attempt = AbortSignal.any([signal, end.signal]);
       // Every call to a worker listens to it.
       setMaxListeners(0, attempt);
-      this.cloud = this.makeCloudDuty(leader);
+      this.cloud = this.makeCloudReconciler(leader);
       const cloud = this.cloud.run(attempt);
       try {
         await leader.run(attempt);
@@ -144,10 +144,10 @@
     });
   }
 
-  private makeCloudDuty(leader: ShardLeader): CloudDuty {
+  private makeCloudReconciler(leader: ShardLeader): CloudReconciler {
     const { runtime, settings, client, cloud, types, leaderLeaseState, log } = this.options;
     const { deployment, host_name } = settings;
-    return new CloudDuty({
+    return new CloudReconciler({
       runtime,
       cloud,
       leader,
@@ -157,8 +157,8 @@
       heartbeatIntervalS: deployment.workers.report_s,
       leaseS: deployment.workers.lease_s,
       onTypes: (listed, signal) => types.publish(listed, signal),
-      mayRent: () => ['granted', 'attested'].includes(leaderLeaseState()),
-      mayRelease: () => leaderLeaseState() === 'granted' && !client.failing,
+      mayScaleOut: () => ['granted', 'attested'].includes(leaderLeaseState()),
+      mayScaleIn: () => leaderLeaseState() === 'granted' && !client.failing,
       log,
     });
   }
--- a/packages/controller/owner.ts
+++ b/packages/controller/owner.ts
@@ -12,7 +12,7 @@
 import { JobTable } from './jobs.js';
 import type { Log } from './log.js';
 import { RecordLoader, type ReadRecords } from './owner-records.js';
-import { stopOnNotices } from './notices.js';
+import { evictOnReclaimNotices } from './notices.js';
 import type { Pacer } from './pacer.js';
 import { Recorder } from './recorder.js';
 import type { OptionalReplicaSupport } from './replica-support.js';
@@ -87,7 +87,7 @@
     this.tickMs = (heartbeatIntervalS * 1000) / ROUND_TICKS;
     const { clock, fleet, planner } = this;
     this.recorder = new Recorder({ ...options, fleet, heartbeatIntervalS });
-    const onNewJob = (record: JobRecord) => this.noteJob(record);
+    const onNewJob = (record: JobRecord) => this.recordJob(record);
     this.intake = new JobIntake({ ...options, clock, fleet, planner, onNewJob });
     const cancellations = { clock, unrecorded: this.intake.unrecorded, heartbeatIntervalS };
     this.cancellationRecorder = new CancellationRecorder({ ...options, ...cancellations });
@@ -115,12 +115,12 @@
     const found = { jobs: allJobs.waiting.size, machines: machines.size };
     this.log.info({ term: this.term.term, ...found }, 'owner');
     const jobs = this.options.jobs.changed.subscribe((record) => {
-      this.intake.take(record);
-      if (record.phase !== 'accepted') this.recorder.jobRecords.over(record.job);
+      this.intake.accept(record);
+      if (record.phase !== 'accepted') this.recorder.jobRecords.jobEnded(record.job);
       this.requestRound();
     });
     const dependencies = this.options.jobs.dependencyChanged.subscribe((change) => {
-      this.intake.follow(change);
+      this.intake.applyDependencyChange(change);
       this.requestRound();
     });
     const { clock, tickMs, log } = this;
@@ -162,14 +162,14 @@
   }
 
   /** A user gives the job up; its record may be still to come. */
-  abort(id: string): void {
+  cancelJob(id: string): void {
     if (this.intake.cancel(id)) this.requestRound();
   }
 
   private async load(signal: AbortSignal): Promise<void> {
     const { client, readRecords, jobs, types } = this.options;
     const { fleet, recorder } = this;
-    for (const type of types()) fleet.machines.noteType(type);
+    for (const type of types()) fleet.machines.setType(type);
     const records = new RecordLoader({
       client,
       readRecords,
@@ -177,7 +177,7 @@
       fleet,
       recorder,
       term: this.term,
-      takeJob: (record) => this.intake.take(record),
+      acceptJob: (record) => this.intake.accept(record),
       onJobs: (now) => this.planner.assumeSteady(now),
       now: () => this.clock.now(),
     });
@@ -185,9 +185,9 @@
     this.replicaGroups?.loaded(this.clock.now());
   }
 
-  private noteJob(record: JobRecord): void {
+  private recordJob(record: JobRecord): void {
     const { support } = this.options.replicas;
-    if (support !== null) support.noteJob(record);
+    if (support !== null) support.recordJob(record);
     else if (record.replicas) {
       this.log.info({ job: record.job.id }, 'job needs replica groups, which are switched off');
     }
@@ -200,7 +200,7 @@
       this.log.info({ machine: name }, 'machine silent past its lease');
     }
     this.fleet.machines.updateTotals();
-    stopOnNotices(this.fleet, now);
+    evictOnReclaimNotices(this.fleet, now);
     this.replicaGroups?.expireStarts(now);
     this.scheduler.reservations.update(now);
     const decided = this.scheduler.round(now);
--- a/packages/controller/peer-coordinator.ts
+++ b/packages/controller/peer-coordinator.ts
@@ -63,11 +63,11 @@
     const { statuses, cancellationRelay, standby, jobs } = this.options;
     if (frame.kind === 'status') {
       statuses.receive(from, frame, this.clock.now());
-      standby.note();
+      standby.recordStatus();
       cancellationRelay.endTasks();
       this.stepDownForNewerLeader(frame.newestLeader);
     } else if (frame.kind === 'counts') {
-      for (const { job, done, running } of frame.jobs) jobs.noteCounts(job, done, running);
+      for (const { job, done, running } of frame.jobs) jobs.recordCounts(job, done, running);
     } else if (frame.kind === 'abort') cancellationRelay.receive(frame);
   }
 
@@ -118,7 +118,7 @@
     for (const { host_name: peer } of settings.peers) {
       const status = statuses.statusOf(peer);
       if (status && this.isCurrent(status, now) && now - status.asOf > unreadS) {
-        peers.dialAnew(peer, unreadS);
+        peers.redial(peer, unreadS);
       }
     }
   }
@@ -131,7 +131,7 @@
     const { jobs, peers } = this.options;
     const count = which === 'all' ? countAllTasks : countChangedTasks;
     const counts = count(leader.fleet);
-    for (const { job, done, running } of counts) jobs.noteCounts(job, done, running);
+    for (const { job, done, running } of counts) jobs.recordCounts(job, done, running);
     for (let i = 0; i < counts.length; i += COUNTS_A_FRAME) {
       peers.send({ kind: 'counts', jobs: counts.slice(i, i + COUNTS_A_FRAME) });
     }
--- a/packages/controller/peer-proof.ts
+++ b/packages/controller/peer-proof.ts
@@ -31,7 +31,7 @@
   }
 
   /** Takes in what the statements prove by now. */
-  note(view: ProofView): void {
+  record(view: ProofView): void {
     this.recordSoleLeader(view);
     this.recordInformed(view);
   }
--- a/packages/controller/record-batch.ts
+++ b/packages/controller/record-batch.ts
@@ -60,8 +60,8 @@
     const added = conditions.filter(({ key }) => !this.conditions.has(key));
     const bytes = sizeInJson(together.map((each) => each.change)) + sizeInJson(added);
     const isFirst = this.changes.length === 0;
-    const hasRoom = this.changes.length + together.length <= maxChanges;
-    if (!isFirst && !(hasRoom && this.fits(added.length, bytes))) return false;
+    const isWithinLimit = this.changes.length + together.length <= maxChanges;
+    if (!isFirst && !(isWithinLimit && this.fits(added.length, bytes))) return false;
     this.changes.push(...together);
     this.changedKeys.add(change.key);
     this.deletes ||= 'delete' in change.change;
--- a/packages/controller/recorder.ts
+++ b/packages/controller/recorder.ts
@@ -68,7 +68,7 @@
   get pending(): boolean {
     const { unrecorded } = this.fleet;
     const anyDeferred = unrecorded.machines.size > 0 || this.jobRecords.obsoleteCount > 0;
-    return unrecorded.anyAwaited || (anyDeferred && this.client.hasSpareChanges);
+    return unrecorded.anyUrgent || (anyDeferred && this.client.hasSpareChanges);
   }
 
   /** Writes as much as one transaction takes. */
@@ -77,7 +77,7 @@
     const withDeferred = this.client.hasSpareChanges;
     const reserved = await this.client.reserve(this.wantedChanges(withDeferred), signal);
     const batch = this.collect(Math.max(LEAST_CHANGES, reserved), withDeferred);
-    this.client.giveBack(reserved - batch.changes.length);
+    this.client.refund(reserved - batch.changes.length);
     if (batch.changes.length === 0) return;
     let isReserved = true;
     for (;;) {
@@ -103,8 +103,8 @@
 
   /** How many changes the next transaction is to have, if it may have as many. */
   private wantedChanges(withDeferred: boolean): number {
-    const { awaitedMachines, machines, jobs } = this.fleet.unrecorded;
-    if (!withDeferred) return awaitedMachines.size + jobs.size;
+    const { urgentMachines, machines, jobs } = this.fleet.unrecorded;
+    if (!withDeferred) return urgentMachines.size + jobs.size;
     return machines.size + jobs.size + this.jobRecords.obsoleteCount + 1;
   }
 
@@ -173,7 +173,7 @@
   private collect(maxChanges: number, withDeferred: boolean): RecordBatch {
     const batch = new RecordBatch(this.term, this.removals, this.client.limits, maxChanges);
     this.addJobs(batch, Math.ceil(maxChanges * JOB_SHARE));
-    this.addMachines(batch, this.awaitedMachines());
+    this.addMachines(batch, this.urgentMachines());
     this.addJobs(batch, maxChanges);
     if (withDeferred) {
       this.addMachines(batch, [...this.fleet.unrecorded.machines]);
@@ -183,8 +183,8 @@
   }
 
   /** Those whose records starts wait for, the most urgent first. */
-  private awaitedMachines(): string[] {
-    const byRank = [...this.fleet.unrecorded.awaitedMachines];
+  private urgentMachines(): string[] {
+    const byRank = [...this.fleet.unrecorded.urgentMachines];
     return byRank.sort(([, one], [, other]) => one - other).map(([name]) => name);
   }
 
@@ -192,7 +192,7 @@
     for (const name of names) {
       const change = this.machineRecords.changeOf(name);
       if (change && !batch.add(change)) return;
-      this.fleet.unrecorded.machineTaken(name);
+      this.fleet.unrecorded.machineCollected(name);
     }
   }
 
@@ -208,9 +208,9 @@
     for (const id of [...jobs]) {
       const job = this.fleet.jobs.get(id);
       const changes = job ? this.jobRecords.changesOf(job) : [];
-      const hasRoom = changes.every((change) => batch.add(change, maxChanges));
+      const isWithinLimit = changes.every((change) => batch.add(change, maxChanges));
       jobs.delete(id);
-      if (hasRoom) continue;
+      if (isWithinLimit) continue;
       // Its turn comes after that of the others.
       jobs.add(id);
       return;
--- a/packages/controller/replica-support.ts
+++ b/packages/controller/replica-support.ts
@@ -16,7 +16,7 @@
   makeGroups(): ReplicaGroups;
   rows(groups: ReplicaGroups): ReplicaRow[];
   /** An open job is taken in that was accepted while each task of its class was a replica by itself. */
-  noteJob(record: JobRecord): void;
+  recordJob(record: JobRecord): void;
   readonly metrics: ReplicaMetrics;
 }
 
@@ -43,7 +43,7 @@
     metrics,
     shapeOf: (job) => replicas.shapeOf(job, classes),
     whyNeverWhole: replicas.whyNeverWhole,
-    noteJob: ({ job, replicas: shape }) => {
+    recordJob: ({ job, replicas: shape }) => {
       if (shape || replicas.shapeOf(job, classes) === null) return;
       log.info({ job: job.id, class: job.class }, 'job older than its replica groups');
     },
--- a/packages/controller/report-handler.ts
+++ b/packages/controller/report-handler.ts
@@ -76,7 +76,7 @@
 
   private redirect(heartbeat: Heartbeat, res: ServerResponse): void {
     const { settings, election, followerHeartbeats } = this.options;
-    followerHeartbeats.note(heartbeat.machine);
+    followerHeartbeats.record(heartbeat.machine);
     const { currentLeader } = election;
     if (!currentLeader || currentLeader.owner === settings.host_name)
       reply(res, 503, { error: 'no owner yet' });
--- a/packages/controller/standby-renewal.ts
+++ b/packages/controller/standby-renewal.ts
@@ -27,9 +27,9 @@
   }
 
   /** To be called whenever a peer's statement has come. */
-  note(): void {
+  recordStatus(): void {
     this.follow();
-    this.check.note(this.view(), this.leader());
+    this.check.record(this.view(), this.leader());
   }
 
   /** The term in whose name reports may be answered now, or null. */
--- a/packages/controller/standby.test.ts
+++ b/packages/controller/standby.test.ts
@@ -28,9 +28,9 @@
 /** What a controller may do at second 20, which has heard the owner until 18 and these words at 20. */
 function renewsAt20(leader: PeerStatus | null, over: Partial<StandbyView> = {}): boolean {
   const judge = new StandbyRenewalCheck(LIMITS);
-  for (let now = 10; now <= 18; now++) judge.note(viewAt(now, leading(now)), leading(now));
+  for (let now = 10; now <= 18; now++) judge.record(viewAt(now, leading(now)), leading(now));
   const view = viewAt(20, leader, over);
-  judge.note(view, leader);
+  judge.record(view, leader);
   return judge.mayRenew(view, leader);
 }
 
@@ -45,7 +45,7 @@
   // Whether this life is a new one can't be told if the owning life was never heard.
   const judge = new StandbyRenewalCheck(LIMITS);
   const view = viewAt(20, restarted(20));
-  judge.note(view, restarted(20));
+  judge.record(view, restarted(20));
   assert.ok(!judge.mayRenew(view, restarted(20)));
 });
 
@@ -60,10 +60,10 @@
 
 test('renewing ends in time for cancellations that the ended owner may have confirmed at last', () => {
   const judge = new StandbyRenewalCheck(LIMITS);
-  for (let now = 10; now <= 18; now++) judge.note(viewAt(now, leading(now)), leading(now));
+  for (let now = 10; now <= 18; now++) judge.record(viewAt(now, leading(now)), leading(now));
   const renews = (now: number) => {
     const view = viewAt(now, restarted(now));
-    judge.note(view, restarted(now));
+    judge.record(view, restarted(now));
     return judge.mayRenew(view, restarted(now));
   };
   // The owner's last complete statement counts as of second 17.5.
--- a/packages/controller/standby.ts
+++ b/packages/controller/standby.ts
@@ -27,10 +27,10 @@
   }
 
   /** Takes in the peers' statements; to be called whenever one has come. */
-  note(view: StandbyView, leader: PeerStatus | null): void {
+  record(view: StandbyView, leader: PeerStatus | null): void {
     const ownsTerm = leader?.frame.leading && leader.frame.newestLeader.term === view.term;
     if (ownsTerm) this.leaderIncarnation = leader.frame.incarnation;
-    if (this.leaderHasEnded(leader)) this.proof.note(view);
+    if (this.leaderHasEnded(leader)) this.proof.record(view);
     else this.proof.recordInformed(view);
   }
 
--- a/packages/controller/status-exchange.ts
+++ b/packages/controller/status-exchange.ts
@@ -58,7 +58,7 @@
 
   /** Takes a peer's frame in; its cancellations count however late it comes. */
   receive(peer: string, frame: StatusFrame, now: number): void {
-    for (const notice of frame.cancelled) this.options.cancellations.noteTold(notice, now);
+    for (const notice of frame.cancelled) this.options.cancellations.addFromPeer(notice, now);
     this.table.accept(peer, frame, now);
   }
 
--- a/packages/controller/unowned-reports.ts
+++ b/packages/controller/unowned-reports.ts
@@ -13,7 +13,7 @@
     private readonly heartbeatIntervalS: number,
   ) {}
 
-  note(machine: string): void {
+  record(machine: string): void {
     this.lastHeartbeatAt.set(machine, this.clock.now());
   }
 
--- a/packages/controller/useless-machines.ts
+++ b/packages/controller/useless-machines.ts
@@ -6,18 +6,18 @@
 const EXPIRED_LEASES = 2;
 
 /** Machines that cost money for nothing: failed, never up, long silent, or empty and not wanted. */
-export function uselessMachines(fleet: FleetState, now: number, leaseS: number): Machine[] {
+export function unusableMachines(fleet: FleetState, now: number, leaseS: number): Machine[] {
   const { machines } = fleet;
-  const isUseless = (machine: Machine) =>
+  const isUnusable = (machine: Machine) =>
     machine.failedInList ||
     neverCameUp(machine, machines.typeOf(machine)?.bootS ?? 0, now) ||
     isLongSilent(machine, leaseS, now) ||
     isEmptyAndUnwanted(machine);
-  return [...machines.groups.unsettled].filter(isUseless);
+  return [...machines.groups.unsettled].filter(isUnusable);
 }
 
 function neverCameUp(machine: Machine, bootS: number, now: number): boolean {
-  return machine.state === 'booting' && now - machine.rentedAt > BOOT_LATE * bootS;
+  return machine.state === 'booting' && now - machine.requestedAt > BOOT_LATE * bootS;
 }
 
 function isLongSilent(machine: Machine, leaseS: number, now: number): boolean {
--- a/packages/controller/user-api-abort.test.ts
+++ b/packages/controller/user-api-abort.test.ts
@@ -22,7 +22,7 @@
     jobs: { get: () => record, cache: { sync: () => Promise.resolve() } },
     onRequest: () => () => {},
     crowded: () => false,
-    onAbort: (id: string) => seen.push(id),
+    onCancel: (id: string) => seen.push(id),
   };
   const app = makeApp();
   new UserApi(options as unknown as UserApiOptions).mount(app);
--- a/packages/controller/user-api.ts
+++ b/packages/controller/user-api.ts
@@ -1,7 +1,7 @@
 import type { Express, Request, Response } from 'express';
 import { Clock, isJobId, MachineType, MalformedBody, NoAnswer, StateRefused } from '#wire';
 import { encodeEndedJob, encodeJob, GroupCommit, jobKey, NotReady, StateClient } from '#store';
-import { AwaitedJobs } from './awaited-jobs.js';
+import { DependencyValidator } from './awaited-jobs.js';
 import { readBody, reply } from './http-bodies.js';
 import type { Admission } from './admission.js';
 import type { EndedJob, JobTable, OpenJob } from './jobs.js';
@@ -20,17 +20,17 @@
   /** Told of every request; what it returns is told when that was answered. */
   onRequest: (kind: string) => () => void;
   /** Told when a user has asked for an abort and before it is recorded. */
-  onAbort: (id: string) => void;
+  onCancel: (id: string) => void;
   /** Few connections are left. */
   crowded: () => boolean;
 }
 
 /** What users ask: submissions, queries, aborts. */
 export class UserApi {
-  private readonly awaited: AwaitedJobs;
+  private readonly awaited: DependencyValidator;
 
   constructor(private readonly options: UserApiOptions) {
-    this.awaited = new AwaitedJobs(options.jobs);
+    this.awaited = new DependencyValidator(options.jobs);
   }
 
   mount(app: Express): void {
@@ -52,7 +52,7 @@
     );
     app.post(
       '/submissions/:id/abort',
-      guard('abort', (req, res) => this.abort(req, res)),
+      guard('abort', (req, res) => this.cancel(req, res)),
     );
   }
 
@@ -101,7 +101,7 @@
       reply(res, 503, { error: 'machine types are not known yet' }, 1);
       return;
     }
-    const error = await this.awaited.whyNever(checked.job);
+    const error = await this.awaited.rejectionReason(checked.job);
     if (error !== null) {
       await this.refuseUnlessKnown(checked.job.id, { status: 422, error }, res);
       return;
@@ -130,7 +130,7 @@
     const { job } = acceptable;
     const { jobs } = this.options;
     // Beside the record, since it takes as long; what fails here is told below.
-    const settled = this.awaited.settle(job);
+    const settled = this.awaited.awaitCurrentOutcomes(job);
     settled.catch(() => {});
     let isNew: boolean;
     try {
@@ -155,7 +155,7 @@
     try {
       const out = await commits.commit(job.team, [{ key, version: 0 }], [{ put: key, value }]);
       if (out.ok) {
-        jobs.cache.learn(key, value, out.revision);
+        jobs.cache.applyLocal(key, value, out.revision);
         return true;
       }
     } catch (err) {
@@ -163,7 +163,7 @@
       // It may have been applied, or may be later; the record tells, and a repeat finds it.
     }
     const entry = await client.call(false, undefined, (api) => api.get(key));
-    if (entry) jobs.cache.learn(key, entry.value, entry.version);
+    if (entry) jobs.cache.applyLocal(key, entry.value, entry.version);
     return false;
   }
 
@@ -174,14 +174,14 @@
     else reply(res, 404, { error: 'unknown job' });
   }
 
-  private async abort(req: Request, res: Response): Promise<void> {
+  private async cancel(req: Request, res: Response): Promise<void> {
     const { client, commits, jobs } = this.options;
     const id = String(req.params.id);
     const key = jobKey(id);
     let record = isJobId(id) ? await this.lookUp(id) : undefined;
     // Whoever owns hears of it first: once it is recorded we may end, and the state service with us, and
     // the user may have been told. Nobody has use for the tasks of a job whose user gives it up.
-    if (record?.phase === 'accepted') this.options.onAbort(id);
+    if (record?.phase === 'accepted') this.options.onCancel(id);
     for (let attempt = 0; record && record.phase === 'accepted' && attempt < 3; attempt++) {
       const value = encodeEndedJob({ ...record, phase: 'aborted' }, client.limits.valueBytes);
       try {
@@ -189,7 +189,7 @@
         const { team } = record.job;
         const out = await commits.commit(team, [condition], [{ put: key, value }]);
         if (out.ok) {
-          jobs.cache.learn(key, value, out.revision);
+          jobs.cache.applyLocal(key, value, out.revision);
           record = jobs.get(id);
           break;
         }
@@ -197,7 +197,7 @@
         if (!(err instanceof NoAnswer)) throw err;
       }
       const entry = await client.call(false, undefined, (api) => api.get(key));
-      if (entry) jobs.cache.learn(key, entry.value, entry.version);
+      if (entry) jobs.cache.applyLocal(key, entry.value, entry.version);
       record = jobs.get(id);
     }
     if (!record) reply(res, 404, { error: 'unknown job' });
--- a/packages/core/answer-delivery.test.ts
+++ b/packages/core/answer-delivery.test.ts
@@ -6,7 +6,7 @@
   // Guards against tasks that wait again and again on a machine that can't hear of them.
   const fleet = aFleet();
   const machine = aMachine(fleet, 'n-1');
-  const avoided = (now: number) => machine.avoidUntil > now;
+  const avoided = (now: number) => machine.cordonedUntil > now;
   for (const now of [1, 2, 3])
     fleet.heartbeats.handle(aReport({ sequence: now, fencingToken: 7 }), now);
   assert.ok(!avoided(3));
--- a/packages/core/answer-delivery.ts
+++ b/packages/core/answer-delivery.ts
@@ -34,5 +34,6 @@
     now - machine.oldFencingTokenSince >= UNDELIVERED * heartbeatIntervalS;
   const leaseRanOut =
     heartbeat.agentEpoch > machine.agentEpoch && now - machine.answeredSince >= leaseS;
-  if (leaseRanOut || undelivered) machine.avoidUntil = Math.max(machine.avoidUntil, now + leaseS);
+  if (leaseRanOut || undelivered)
+    machine.cordonedUntil = Math.max(machine.cordonedUntil, now + leaseS);
 }
--- a/packages/core/assignments.ts
+++ b/packages/core/assignments.ts
@@ -31,13 +31,13 @@
       job.assignments.has(index) ||
       job.done.has(index) ||
       job.phase !== 'accepted' ||
-      job.awaitsJobs
+      job.hasOpenDependencies
     ) {
       throw new Error(`${job.spec.id}/${index} does not wait for a place`);
     }
     const assignment = this.add(job, index, machine, attempt, now);
     job.replicas?.placeAdded(assignment, 'placed', now);
-    this.tables.unrecorded.awaitMachine(machine.name, job.rank);
+    this.tables.unrecorded.markMachineUrgent(machine.name, job.rank);
     this.tables.jobs.leaveQueueIfNoneWaits(job);
     return assignment;
   }
@@ -49,7 +49,7 @@
     assignment.inherited = true;
     job.replicas?.placeAdded(assignment, 'inherited', now);
     // One whose job awaits others was begun by a version that knows nothing of that.
-    if (job.phase !== 'accepted' || job.awaitsJobs) this.stop(assignment, 0, now);
+    if (job.phase !== 'accepted' || job.hasOpenDependencies) this.stop(assignment, 0, now);
     this.tables.jobs.leaveQueueIfNoneWaits(job);
   }
 
@@ -83,7 +83,7 @@
     machine.tasks.set(taskName(job.spec.id, index), assignment);
     useImage(machine, job.spec, machines.typeOf(machine)?.cacheGb ?? Infinity);
     machinesWithCommands.add(machine);
-    holds.taken(machine, job);
+    holds.releaseIfHeldFor(machine, job);
     this.count(assignment, 1, now);
     this.tables.jobs.waiting.placesChanged(job);
     return assignment;
@@ -163,7 +163,7 @@
   }
 
   /** The task is proven gone from its machine (docs/safety.md, point 5). */
-  end(assignment: Assignment, cause: TaskEnd['cause'], saved: boolean, now: number): void {
+  end(assignment: Assignment, cause: TaskEnd['cause'], checkpointed: boolean, now: number): void {
     const { job, index, machine } = assignment;
     const { jobs, unrecorded, listener, failures } = this.tables;
     const name = taskName(job.spec.id, index);
@@ -182,7 +182,7 @@
     job.replicas?.placeEnded(assignment, cause, now);
     // After all that the end is charged for: the queues are kept in the order of service.
     jobs.joinQueueIfAnyWaits(job, now);
-    listener.taskEnded({ assignment, cause, saved }, now);
+    listener.taskEnded({ assignment, cause, checkpointed }, now);
   }
 
   /** Everything that was on the machine is gone. */
--- a/packages/core/availability.ts
+++ b/packages/core/availability.ts
@@ -13,11 +13,11 @@
 }
 
 /** Whether the machine takes nothing new for a while, though it is up. */
-export function isAvoided({ avoidUntil, failures }: Machine, now: number): boolean {
-  return avoidUntil > now || failures.avoidUntil > now;
+export function isCordoned({ cordonedUntil, failures }: Machine, now: number): boolean {
+  return cordonedUntil > now || failures.cordonedUntil > now;
 }
 
 /** Whether new tasks may be placed on the machine now. */
 export function isUsable(machine: Machine, machineRecordBytes: number, now: number): boolean {
-  return !isAvoided(machine, now) && canTakeTasks(machine, machineRecordBytes);
+  return !isCordoned(machine, now) && canTakeTasks(machine, machineRecordBytes);
 }
--- a/packages/core/best-effort.test.ts
+++ b/packages/core/best-effort.test.ts
@@ -3,7 +3,7 @@
 import {
   CapacityPlanner,
   FleetState,
-  giveBack,
+  beginScaleIn,
   isBestEffort,
   JobState,
   Machine,
@@ -54,7 +54,7 @@
 function rents(fleet: FleetState, now: number): number {
   return aPlanner(fleet)
     .plan(now)
-    .rent.reduce((sum, { count }) => sum + count, 0);
+    .scaleOut.reduce((sum, { count }) => sum + count, 0);
 }
 
 test('best-effort tasks leave the processors that free accelerators need', () => {
@@ -137,9 +137,9 @@
   const huge = aJob({ ...GUEST, tasks: 25_000, gpus: 0, cpus: 0.25, memory: 1 });
   planner.jobArrived(huge, 0);
   const state = fleet.addJob(huge, 0, 'accepted', 0);
-  assert.deepEqual(planner.plan(2 * STD.bootS - 1).rent, []);
-  const [rental, ...more] = planner.plan(2 * STD.bootS).rent;
-  assert.deepEqual({ ...rental, zone: '' }, { type: 'std', zone: '', spot: true, count: 1 });
+  assert.deepEqual(planner.plan(2 * STD.bootS - 1).scaleOut, []);
+  const [request, ...more] = planner.plan(2 * STD.bootS).scaleOut;
+  assert.deepEqual({ ...request, zone: '' }, { type: 'std', zone: '', spot: true, count: 1 });
   assert.deepEqual(more, []);
   run(fleet, state, aMachine(fleet, 'n-1'), 1, 60);
   assert.equal(rents(fleet, 300), 0);
@@ -158,7 +158,7 @@
     const fleet = aSharedFleet();
     const guest = fleet.addJob(aJob({ ...GUEST, tasks: 4 }), 0, 'accepted', 0);
     run(fleet, guest, aMachine(fleet, 'n-1', { spot }), tasks, 0);
-    return aPlanner(fleet).plan(61).release.length === 0;
+    return aPlanner(fleet).plan(61).scaleIn.length === 0;
   };
   assert.deepEqual([kept(false, 4), kept(true, 1), kept(true, 2)], [false, false, true]);
 });
@@ -176,7 +176,7 @@
   const isStopped = machines.slice(0, 3).map((machine) => {
     run(fleet, state, machine, 1, 0);
     const task = machine.tasks.get('j-9/0')!;
-    giveBack(fleet, machine, 40);
+    beginScaleIn(fleet, machine, 40);
     const { stop } = task;
     fleet.assignments.end(task, 'stopped', false, 40);
     return stop !== null;
--- a/packages/core/best-effort.ts
+++ b/packages/core/best-effort.ts
@@ -8,8 +8,8 @@
 /** Share of a machine's record that best-effort tasks may fill, so that other work never lacks a line. */
 const RECORD_SHARE = 3 / 4;
 /** Boot times that a best-effort job may wait before it may use any free room, and before room is rented. */
-const ANY_ROOM_AFTER_BOOTS = 1;
-const RENT_AFTER_BOOTS = 2;
+const ANY_CAPACITY_AFTER_BOOTS = 1;
+const SCALE_OUT_AFTER_BOOTS = 2;
 
 /**
  * Whether the job's work runs on room that is there anyway: work of the lowest rank whose team has no
@@ -27,7 +27,7 @@
 }
 
 /** Whether a best-effort task may have the room on the machine, as far as firm work is concerned. */
-export function mayUseSpareRoom(
+export function mayUseSpareCapacity(
   fleet: FleetTables,
   job: JobState,
   machine: Machine,
@@ -35,11 +35,11 @@
   now: number,
 ): boolean {
   if (machine.recordBytes >= fleet.settings.machineRecordBytes * RECORD_SHARE) return false;
-  return leavesRoomForGpus(job.spec, machine, type) || mayUseAnyRoom(fleet, job, now);
+  return leavesCapacityForGpus(job.spec, machine, type) || mayUseAnyCapacity(fleet, job, now);
 }
 
 /** Whether each free accelerator keeps its part of the processors and of the memory. */
-function leavesRoomForGpus(job: Job, { used }: Machine, type: MachineType): boolean {
+function leavesCapacityForGpus(job: Job, { used }: Machine, type: MachineType): boolean {
   if (job.gpus > 0 || type.gpus === 0) return true;
   const freeShare = (type.gpus - used.gpus) / type.gpus;
   return (
@@ -49,13 +49,13 @@
 }
 
 /** The job has waited so long without a place that it need not leave room for accelerators. */
-export function mayUseAnyRoom(fleet: FleetTables, job: JobState, now: number): boolean {
-  return hasStarvedFor(fleet, job, ANY_ROOM_AFTER_BOOTS, now);
+export function mayUseAnyCapacity(fleet: FleetTables, job: JobState, now: number): boolean {
+  return hasStarvedFor(fleet, job, ANY_CAPACITY_AFTER_BOOTS, now);
 }
 
 /** Whether the job has waited so long without a place that room may be rented for it. */
-export function mayRentFor(fleet: FleetTables, job: JobState, now: number): boolean {
-  return hasStarvedFor(fleet, job, RENT_AFTER_BOOTS, now);
+export function mayScaleOutFor(fleet: FleetTables, job: JobState, now: number): boolean {
+  return hasStarvedFor(fleet, job, SCALE_OUT_AFTER_BOOTS, now);
 }
 
 function hasStarvedFor(
--- a/packages/core/boot-times.ts
+++ b/packages/core/boot-times.ts
@@ -13,7 +13,7 @@
   /** A rented machine reported for the first time. */
   machineUp(machine: Machine, type: MachineType | undefined, now: number): void {
     if (!type || type.bootS <= 0) return;
-    this.recent.push((now - machine.rentedAt) / type.bootS);
+    this.recent.push((now - machine.requestedAt) / type.bootS);
     if (this.recent.length > BOOTS_KEPT) this.recent.shift();
   }
 
--- a/packages/core/capacity-planner.test.ts
+++ b/packages/core/capacity-planner.test.ts
@@ -13,7 +13,7 @@
 }
 
 function rented(planner: CapacityPlanner, now: number): number {
-  return planner.plan(now).rent.reduce((sum, r) => sum + r.count, 0);
+  return planner.plan(now).scaleOut.reduce((sum, r) => sum + r.count, 0);
 }
 
 test('replicas that come faster than they end are rented for ahead, and only those', () => {
@@ -59,7 +59,7 @@
     const planner = aPlanner(fleet);
     planner.jobArrived(aJob(), lastAt);
     aMachine(fleet, 'n-1');
-    return [25, 45, 65].map((t) => planner.plan(t).release.length);
+    return [25, 45, 65].map((t) => planner.plan(t).scaleIn.length);
   };
   assert.deepEqual(goes(24), [0, 0, 1]);
   assert.deepEqual(goes(0), [0, 1, 1]);
@@ -72,7 +72,7 @@
     const fleet = aFleet();
     const planner = aPlanner(fleet);
     boots.forEach((bootS, i) =>
-      planner.machineUp(aMachine(fleet, `n-${i}`, { rentedAt: -bootS }), 0),
+      planner.machineUp(aMachine(fleet, `n-${i}`, { requestedAt: -bootS }), 0),
     );
     for (const { name } of [...fleet.machines.values()]) fleet.removeMachine(name, 0);
     fleet.machines.register(
--- a/packages/core/capacity-planner.ts
+++ b/packages/core/capacity-planner.ts
@@ -3,12 +3,12 @@
 import { BootTimes } from './boot-times.js';
 import { Consolidation, findConsolidation } from './consolidation.js';
 import { addAmounts, Amounts, dominantShare, multipliedAmounts } from './amounts.js';
-import { isBestEffort, mayRentFor } from './best-effort.js';
+import { isBestEffort, mayScaleOutFor } from './best-effort.js';
 import { TeamQuota, timesWithinLimit } from './team-quota.js';
 import { typeFits } from './fit.js';
 import type { FleetState } from './fleet-state.js';
 import type { JobState, Machine } from './model.js';
-import { Refusals, Rental } from './refusals.js';
+import { Refusals, ScaleOutRequest } from './refusals.js';
 import { needsOneZone } from './replica-groups.js';
 import { SlotPacking } from './slot-packing.js';
 import { StandingSlot, standingSlots } from './slots.js';
@@ -34,9 +34,9 @@
 
 /** What to do now; carrying it out is the caller's part. */
 export interface CapacityPlan {
-  rent: Rental[];
+  scaleOut: ScaleOutRequest[];
   /** Machines to be given back. */
-  release: Machine[];
+  scaleIn: Machine[];
   /** A machine to be emptied, or null. */
   consolidation: Consolidation | null;
 }
@@ -84,8 +84,8 @@
   }
 
   /** The cloud did not give all that was asked for; it is not asked for the kind again until then. */
-  rentalRefused(rental: Rental, until: number): void {
-    this.refusals.note(rental, until);
+  scaleOutRefused(request: ScaleOutRequest, until: number): void {
+    this.refusals.record(request, until);
   }
 
   /** What to rent and to give back now; changes nothing but the statistics' decay. */
@@ -99,14 +99,14 @@
     for (const job of firm.sort(byRankAndSize)) this.packJob(job, packing, usage);
     this.packReserve(packing, now);
     // Replicas are moved only while nothing lacks room.
-    const lacksRoom = packing.rented.length > 0;
-    const starved = bestEffort.filter((job) => mayRentFor(fleet, job, now));
+    const lacksCapacity = packing.provisioned.length > 0;
+    const starved = bestEffort.filter((job) => mayScaleOutFor(fleet, job, now));
     if (starved.length > 0) packing.countBestEffort();
     for (const job of starved.sort(byRankAndSize)) this.packJob(job, packing, usage, 1);
     return {
-      rent: packing.rentals(),
-      release: this.surplus(standing, now),
-      consolidation: lacksRoom ? null : findConsolidation(fleet, standing, now),
+      scaleOut: packing.scaleOutRequests(),
+      scaleIn: this.idleMachines(standing, now),
+      consolidation: lacksCapacity ? null : findConsolidation(fleet, standing, now),
     };
   }
 
@@ -123,7 +123,7 @@
 
   /** Those jobs whose failures don't speak against renting for them. */
   private *claiming(jobs: Iterable<JobState>, now: number): Generator<JobState> {
-    for (const job of jobs) if (this.options.fleet.failures.mayClaimRoom(job, now)) yield job;
+    for (const job of jobs) if (this.options.fleet.failures.mayRequestCapacity(job, now)) yield job;
   }
 
   /** Packs the job's waiting tasks on at most so many machines. */
@@ -199,7 +199,7 @@
   }
 
   /** Empty machines that neither waiting work nor the reserve needs, after a while. */
-  private surplus(standing: StandingSlot[], now: number): Machine[] {
+  private idleMachines(standing: StandingSlot[], now: number): Machine[] {
     const { idleHoldS } = this.options.settings;
     const isQuiet = now - this.arrivals.lastArrivalAt() > idleHoldS * QUIET_SHARE;
     const heldS = isQuiet ? idleHoldS * QUIET_HOLD : idleHoldS;
--- a/packages/core/chained-jobs.test.ts
+++ b/packages/core/chained-jobs.test.ts
@@ -23,9 +23,14 @@
   return { fleet, scheduler };
 }
 
-function add(fleet: FleetState, own: Partial<Job>, awaitsJobs = false, rank?: number): JobState {
+function add(
+  fleet: FleetState,
+  own: Partial<Job>,
+  hasOpenDependencies = false,
+  rank?: number,
+): JobState {
   const job = aJob(own);
-  const dependencies = { awaitsJobs, rank: rank ?? job.rank };
+  const dependencies = { hasOpenDependencies, rank: rank ?? job.rank };
   return fleet.addJob(job, 0, 'accepted', 0, { dependencies });
 }
 
@@ -37,7 +42,7 @@
   scheduler.reservations.update(1);
   assert.equal(scheduler.round(1), 0);
   assert.deepEqual([fleet.jobs.waiting.size, fleet.jobs.waiting.gangs.size], [0, 0]);
-  assert.deepEqual([fleet.jobs.waitingCount(first), fleet.jobs.awaiting], [0, 2]);
+  assert.deepEqual([fleet.jobs.waitingCount(first), fleet.jobs.jobsWithOpenDependencies], [0, 2]);
   assert.equal(fleet.machines.get('n-1')!.reservedForGang, null);
   assert.throws(() => fleet.assignments.assign(first, 0, fleet.machines.get('n-1')!, 1, 1));
   const other = add(fleet, { id: 'j-3', gpus: 4 });
@@ -65,7 +70,14 @@
   const machine = aMachine(fleet, 'n-1');
   const job = add(fleet, { id: 'j-1' }, true);
   fleet.assignments.inherit(job, 0, machine, 7, 0);
-  const task = { job: 'j-1', index: 0, attempt: 7, state: 'running', cause: null, saved: false };
+  const task = {
+    job: 'j-1',
+    index: 0,
+    attempt: 7,
+    state: 'running',
+    cause: null,
+    checkpointed: false,
+  };
   const outcome = fleet.heartbeats.handle(aReport({ tasks: [task as never] }), 1);
   assert.ok(outcome.kind === 'answer' && outcome.orders.some(({ op }) => op === 'stop'));
 });
--- a/packages/core/choose-machine.test.ts
+++ b/packages/core/choose-machine.test.ts
@@ -3,7 +3,7 @@
 import {
   FleetState,
   chooseMachine,
-  hasRoom,
+  hasCapacity,
   isUsable,
   JobState,
   Machine,
@@ -33,7 +33,10 @@
     if (fleet.holds.isHeldFromJob(machine, state, now)) continue;
     if (machine.reservedForGang !== null && machine.reservedForGang !== spec.id) continue;
     if ((machine.spot && !spec.spot) || !typeFits(spec, type)) continue;
-    if (!hasRoom(spec, machine.used, type) || !zoneAllowed(spec, machine.zone, tasksByZone(state)))
+    if (
+      !hasCapacity(spec, machine.used, type) ||
+      !zoneAllowed(spec, machine.zone, tasksByZone(state))
+    )
       continue;
     const crowd = spec.spread ? (classZones.get(machine.zone) ?? 0) / 4 : 0;
     const cost = placementCost(spec, machine, type) + crowd;
@@ -70,7 +73,7 @@
     for (let i = 0; i < 12; i++) {
       const machine = aMachine(fleet, `n-${i}`, { zone: i % 2 ? 'a' : 'b', spot: chance.hit(0.3) });
       if (chance.hit(0.1)) fleet.machines.drain(machine);
-      if (chance.hit(0.1)) machine.avoidUntil = 5;
+      if (chance.hit(0.1)) machine.cordonedUntil = 5;
       if (chance.hit(0.2)) fleet.holds.hold(machine, jobs[chance.int(0, 23)], 20);
       if (chance.hit(0.1)) fleet.machines.reserve(machine, jobs[chance.int(0, 23)].spec.id);
     }
--- a/packages/core/choose-machine.ts
+++ b/packages/core/choose-machine.ts
@@ -1,4 +1,4 @@
-import { mayUseSpareRoom } from './best-effort.js';
+import { mayUseSpareCapacity } from './best-effort.js';
 import { zoneAllowed } from './fit.js';
 import type { FleetState } from './fleet-state.js';
 import type { JobState, Machine } from './model.js';
@@ -27,9 +27,10 @@
     if (spec.spread) cost += (classZones.get(machine.zone) ?? 0) * CROWDED_ZONE_S;
     if (cost >= lowest) continue;
     if (machine.reservedForGang !== null && machine.reservedForGang !== spec.id) continue;
-    if (job.isBestEffort && !mayUseSpareRoom(fleet, job, machine, candidate.type, now)) continue;
+    if (job.isBestEffort && !mayUseSpareCapacity(fleet, job, machine, candidate.type, now))
+      continue;
     if (fleet.holds.isHeldFromJob(machine, job, now)) continue;
-    if (fleet.failures.avoids(job, machine, now)) continue;
+    if (fleet.failures.isExcluded(job, machine, now)) continue;
     if (!zoneAllowed(spec, machine.zone, ownZones)) continue;
     best = machine;
     lowest = cost;
--- a/packages/core/choose-machines-together.ts
+++ b/packages/core/choose-machines-together.ts
@@ -15,7 +15,7 @@
   machine: Machine;
   cost: number;
   /** How many of the tasks the machine can take. */
-  room: number;
+  capacity: number;
 }
 
 interface JointPlacement {
@@ -61,13 +61,13 @@
     const cost = candidates.cost(candidate, job);
     if (cost === Infinity || fleet.holds.isHeldFromJob(machine, job, now)) continue;
     if (machine.reservedForGang !== null && machine.reservedForGang !== spec.id) continue;
-    if (fleet.failures.avoids(job, machine, now)) continue;
-    const room = Math.min(
+    if (fleet.failures.isExcluded(job, machine, now)) continue;
+    const capacity = Math.min(
       request.tasks,
       Math.floor((machineRecordBytes - machine.recordBytes) / entrySize),
       tasksThatFit(spec, machine.used, type),
     );
-    if (room > 0) options.push({ machine, room, cost });
+    if (capacity > 0) options.push({ machine, capacity, cost });
   }
   return options.sort((a, b) => a.cost - b.cost);
 }
@@ -83,11 +83,11 @@
   const machines: Machine[] = [];
   const counts = new Map(taken);
   let cost = 0;
-  for (const { machine, room, cost: optionCost } of options) {
+  for (const { machine, capacity, cost: optionCost } of options) {
     if (zone !== null && machine.zone !== zone) continue;
     if (!zoneAllowed(spec, machine.zone, counts)) continue;
     const inZone = counts.get(machine.zone) ?? 0;
-    const count = Math.min(room, tasks - machines.length, zoneCap(spec) - inZone);
+    const count = Math.min(capacity, tasks - machines.length, zoneCap(spec) - inZone);
     for (let i = 0; i < count; i++) machines.push(machine);
     if (count > 0) {
       cost = Math.max(cost, optionCost);
--- a/packages/core/consolidation.ts
+++ b/packages/core/consolidation.ts
@@ -3,12 +3,12 @@
 import { addAmounts, Amounts, ROUNDING } from './amounts.js';
 import { firmUse, isLetEnd } from './best-effort.js';
 import { chooseMachine } from './choose-machine.js';
-import { bindingZones, hasRoom, kindAllowed } from './fit.js';
+import { bindingZones, hasCapacity, kindAllowed } from './fit.js';
 import type { FleetState } from './fleet-state.js';
 import { HOLD_HEARTBEATS } from './room-holds.js';
 import type { Assignment, Machine } from './model.js';
 import { PlacementCandidates } from './placement-candidates.js';
-import { SETTLED_S } from './settled.js';
+import { START_WINDOW_S } from './settled.js';
 import type { StandingSlot } from './slots.js';
 
 /** No machine that is used more than this is emptied. */
@@ -52,9 +52,9 @@
   { machine, moves }: Consolidation,
   now: number,
 ): void {
-  giveBack(fleet, machine, now);
+  beginScaleIn(fleet, machine, now);
   for (const { task, to } of moves) {
-    if (to.roomHold === null) {
+    if (to.capacityHold === null) {
       fleet.holds.hold(to, task.job, now + HOLD_HEARTBEATS * fleet.settings.heartbeatIntervalS);
     }
     fleet.assignments.stopGracefully(task, now);
@@ -66,7 +66,7 @@
  * are not let end begin anew elsewhere, if there is room, though a job only as often as it has tasks: in
  * a fleet that shrinks they would go from machine to machine and never end.
  */
-export function giveBack(fleet: FleetState, machine: Machine, now: number): void {
+export function beginScaleIn(fleet: FleetState, machine: Machine, now: number): void {
   fleet.machines.drain(machine);
   let candidates = new PlacementCandidates(fleet, now);
   for (const task of [...machine.tasks.values()]) {
@@ -100,10 +100,10 @@
 }
 
 function isMovable({ job, stop, reportedState, runningSince }: Assignment, now: number): boolean {
-  const isSettled = runningSince !== null && now - runningSince >= SETTLED_S;
+  const isPastStartWindow = runningSince !== null && now - runningSince >= START_WINDOW_S;
   // A replica of several members would have to move as a whole.
   const isSingle = job.spec.kind === 'service' && job.replicas === null;
-  return isSingle && stop === null && isSettled && reportedState === 'running';
+  return isSingle && stop === null && isPastStartWindow && reportedState === 'running';
 }
 
 /** A machine for each task of the slot, or null if one finds none. */
@@ -121,7 +121,7 @@
       (slot) =>
         slot !== from &&
         canReceive(fleet, slot, from, spec, now) &&
-        hasRoom(spec, taken.get(slot) ?? slot.used, slot.type),
+        hasCapacity(spec, taken.get(slot) ?? slot.used, slot.type),
     );
     if (!target) return null;
     const used = taken.get(target) ?? { ...target.used };
@@ -143,7 +143,7 @@
   return (
     reservedForGang === null &&
     machine.zone === from.machine.zone &&
-    machine.roomHold === null &&
+    machine.capacityHold === null &&
     machine.images.has(job.image) &&
     kindAllowed(job, type, machine.zone, machine.spot) &&
     load(machine, type) >= load(from.machine, from.type) &&
--- a/packages/core/direct-orders.test.ts
+++ b/packages/core/direct-orders.test.ts
@@ -14,7 +14,7 @@
     const orders = fleet.directOrders.nextOrders(machine, 1.5);
     if (lost === 'released') fleet.removeMachine('n-1', 2);
     else assert.deepEqual(fleet.leases.expire(20), [machine]);
-    const task = { job: job.spec.id, index: 0, attempt: 1, cause: null, saved: false };
+    const task = { job: job.spec.id, index: 0, attempt: 1, cause: null, checkpointed: false };
     const heartbeat = aReport({ sequence: 2, tasks: [{ ...task, state: 'fetching' }] });
     fleet.directOrders.finish(machine, orders, { kind: 'executed', heartbeat }, 21);
     assert.equal(job.assignments.size, 0, lost);
--- a/packages/core/failure-tracker.test.ts
+++ b/packages/core/failure-tracker.test.ts
@@ -13,7 +13,7 @@
   const world = new FailingWorld(6);
   const job = world.submit({ tasks: 5000 });
   world.play(6, () => true);
-  assert.ok(world.fleet.failures.suspects.has(job));
+  assert.ok(world.fleet.failures.crashLoopingJobs.has(job));
   const before = world.starts.get(job.spec.id)!;
   let most = 0;
   for (let i = 0; i < 300; i++) {
@@ -49,7 +49,7 @@
   const [task] = [...assignmentsOf(job)];
   assert.notEqual(task.machine, bad);
   assert.ok(task.assignedAt <= 2);
-  assert.equal(world.fleet.failures.suspects.size, 0);
+  assert.equal(world.fleet.failures.crashLoopingJobs.size, 0);
 });
 
 test('being seen to run clears no job, running longer than its failures and completion do', () => {
@@ -58,9 +58,9 @@
     const job = world.submit({ tasks: 4 });
     world.fail(job, world.machines[0]);
     world.fail(job, world.machines[1]);
-    assert.ok(world.fleet.failures.suspects.has(job));
+    assert.ok(world.fleet.failures.crashLoopingJobs.has(job));
     end(world, job);
-    return !world.fleet.failures.suspects.has(job);
+    return !world.fleet.failures.crashLoopingJobs.has(job);
   };
   const runFor = (seconds: number) => (world: FailingWorld) => world.play(seconds, () => false);
   assert.ok(!clears(runFor(6)));
@@ -101,11 +101,11 @@
     objectives: [],
     teams: TEAMS,
   });
-  const rents = () => planner.plan(world.now).rent.reduce((sum, { count }) => sum + count, 0);
+  const rents = () => planner.plan(world.now).scaleOut.reduce((sum, { count }) => sum + count, 0);
   assert.ok(rents() > 0);
   fleet.holds.hold(machines[0], job, 1000);
   machines.forEach((machine) => world.fail(job, machine));
-  assert.equal(machines[0].roomHold, null);
+  assert.equal(machines[0].capacityHold, null);
   assert.equal(rents(), 0);
   world.now += 100;
   job.backoffUntil = world.now - 1;
@@ -170,12 +170,12 @@
 test('a machine on which jobs fail that succeed elsewhere is avoided, then given back', () => {
   const world = new FailingWorld(2);
   const [bad, good] = world.machines;
-  const isAvoided = () => !isUsable(bad, world.fleet.settings.machineRecordBytes, world.now);
+  const isCordoned = () => !isUsable(bad, world.fleet.settings.machineRecordBytes, world.now);
   for (const id of ['j-000001', 'j-000002', 'j-000003']) {
     assert.ok(!bad.draining);
     const job = world.submit({ id });
     world.fail(job, bad);
-    assert.ok(isAvoided());
+    assert.ok(isCordoned());
     const task = world.fleet.assignments.assign(job, 0, good, 1, world.now);
     world.fleet.failures.taskCompleted(task, world.now + 10);
     world.now += 100;
--- a/packages/core/failure-tracker.ts
+++ b/packages/core/failure-tracker.ts
@@ -1,21 +1,21 @@
 import {
   countJobFailure,
   forgetJobFailures,
-  isSuspect,
+  isCrashLooping,
   Random,
   retryWaitS,
   unknownWaitS,
   provesJob,
 } from './job-failures.js';
 import type { FleetListener, TaskEnd } from './listener.js';
-import { blameMachine, clearMachine, confirmBlame, isBroken } from './machine-failures.js';
+import { blameMachine, clearMachine, confirmBlame, isFaulty } from './machine-failures.js';
 import type { MachineRegistry } from './machine-registry.js';
 import type { Assignment, FleetSettings, JobState, Machine } from './model.js';
-import type { RoomHolds } from './room-holds.js';
+import type { CapacityHolds } from './room-holds.js';
 import type { UsageLedger } from './usage-ledger.js';
 
 /** In report periods: how long a machine takes nothing new after it refused a task. */
-const AVOID_AFTER_REFUSAL = 2;
+const CORDON_AFTER_REFUSAL = 2;
 /** In report periods: how long a job that failed on one machine waits for a place on another. */
 const TRY_ELSEWHERE = 16;
 /** Tasks of a suspect job that are tried at once; a gang is tried as a whole. */
@@ -34,7 +34,7 @@
   settings: FleetSettings;
   machines: MachineRegistry;
   usage: UsageLedger;
-  holds: RoomHolds;
+  holds: CapacityHolds;
   listener: FleetListener;
   random: Random;
 }
@@ -46,7 +46,7 @@
  */
 export class FailureTracker {
   /** Jobs whose tasks failed on several machines while none succeeded. */
-  readonly suspects = new Set<JobState>();
+  readonly crashLoopingJobs = new Set<JobState>();
   private nextDrainAt = -Infinity;
 
   constructor(private readonly options: FailureTrackerOptions) {}
@@ -60,9 +60,9 @@
       job.failures.unknownStarts++;
       job.backoffUntil = now + unknownWaitS(job.failures, heartbeatIntervalS);
     } else if (cause === 'no_room' || cause === 'busy') {
-      machine.avoidUntil = Math.max(
-        machine.avoidUntil,
-        now + AVOID_AFTER_REFUSAL * heartbeatIntervalS,
+      machine.cordonedUntil = Math.max(
+        machine.cordonedUntil,
+        now + CORDON_AFTER_REFUSAL * heartbeatIntervalS,
       );
     }
   }
@@ -83,13 +83,13 @@
 
   /** The job is over. */
   jobClosed(job: JobState): void {
-    this.suspects.delete(job);
+    this.crashLoopingJobs.delete(job);
     this.clearMachines(job);
   }
 
   /** How many tasks of the job may be started now; a gang or replica is started as a whole if any may. */
   startableTasks(job: JobState): number {
-    if (!this.suspects.has(job)) return Infinity;
+    if (!this.crashLoopingJobs.has(job)) return Infinity;
     if (job.assignments.size === 0 && this.hasEnoughProbes()) return 0;
     const startsAsWhole = job.spec.kind === 'gang' || job.replicas !== null;
     if (startsAsWhole) return job.assignments.size === 0 ? Infinity : 0;
@@ -97,21 +97,21 @@
   }
 
   /** Whether the job is not to be tried there: it failed there, and has not been tried elsewhere since. */
-  avoids({ failures }: JobState, machine: Machine, now: number): boolean {
-    if (failures.attempts === 0 || isSuspect(failures)) return false;
+  isExcluded({ failures }: JobState, machine: Machine, now: number): boolean {
+    if (failures.attempts === 0 || isCrashLooping(failures)) return false;
     const avoidedS = TRY_ELSEWHERE * this.options.settings.heartbeatIntervalS;
     return failures.machines.has(machine.name) && now - failures.countedAt < avoidedS;
   }
 
   /** Whether work may be stopped, machines kept free or rented for the job's waiting tasks. */
-  mayClaimRoom(job: JobState, now: number): boolean {
-    if (!this.suspects.has(job)) return true;
+  mayRequestCapacity(job: JobState, now: number): boolean {
+    if (!this.crashLoopingJobs.has(job)) return true;
     return now - job.backoffUntil > OVERDUE * this.options.settings.leaseS;
   }
 
   private hasEnoughProbes(): boolean {
     let probed = 0;
-    for (const { assignments } of this.suspects) {
+    for (const { assignments } of this.crashLoopingJobs) {
       if (assignments.size > 0 && ++probed >= PROBED_JOBS) return true;
     }
     return false;
@@ -126,8 +126,8 @@
     this.charge(assignment, isNewAttempt, now);
     if (!isNewAttempt && !isNewMachine) return;
     job.backoffUntil = now + retryWaitS(job.failures, settings.heartbeatIntervalS, random);
-    if (isSuspect(job.failures)) this.suspectJob(job, now);
-    else this.suspectMachine(machine, job, now);
+    if (isCrashLooping(job.failures)) this.markCrashLooping(job, now);
+    else this.blameMachineFor(machine, job, now);
   }
 
   /** Quick failures earn hardly any service, so their team would keep winning. */
@@ -141,12 +141,12 @@
     usage.charge(job, share * missingS * (isGang ? job.spec.tasks : 1), now);
   }
 
-  private suspectJob(job: JobState, now: number): void {
+  private markCrashLooping(job: JobState, now: number): void {
     this.clearMachines(job);
-    if (this.suspects.has(job)) return;
-    this.suspects.add(job);
+    if (this.crashLoopingJobs.has(job)) return;
+    this.crashLoopingJobs.add(job);
     this.options.holds.releaseFor(job);
-    this.options.listener.jobSuspected(job, now);
+    this.options.listener.jobCrashLooping(job, now);
   }
 
   private clearMachines(job: JobState): void {
@@ -156,30 +156,30 @@
     }
   }
 
-  private suspectMachine(machine: Machine, job: JobState, now: number): void {
+  private blameMachineFor(machine: Machine, job: JobState, now: number): void {
     blameMachine(machine.failures, job.spec.id, this.options.settings.heartbeatIntervalS, now);
-    this.drainIfBroken(machine, now);
+    this.drainIfFaulty(machine, now);
   }
 
   private jobSucceeded(job: JobState, on: Machine, now: number): void {
-    const wasSuspect = this.suspects.delete(job);
+    const wasCrashLooping = this.crashLoopingJobs.delete(job);
     // Those of a suspect job are cleared already.
     for (const name of job.failures.machines) {
       const machine = this.options.machines.get(name);
       if (!machine) continue;
       if (machine === on) clearMachine(machine.failures, job.spec.id);
       else confirmBlame(machine.failures, job.spec.id);
-      this.drainIfBroken(machine, now);
+      this.drainIfFaulty(machine, now);
     }
     forgetJobFailures(job.failures);
     job.backoffUntil = 0;
-    if (wasSuspect) this.options.listener.jobCleared(job, now);
+    if (wasCrashLooping) this.options.listener.jobRecovered(job, now);
   }
 
-  private drainIfBroken(machine: Machine, now: number): void {
-    if (machine.draining || now < this.nextDrainAt || !isBroken(machine.failures)) return;
+  private drainIfFaulty(machine: Machine, now: number): void {
+    if (machine.draining || now < this.nextDrainAt || !isFaulty(machine.failures)) return;
     this.nextDrainAt = now + DRAIN_PAUSE * this.options.settings.leaseS;
     this.options.machines.drain(machine);
-    this.options.listener.machineBroken(machine, now);
+    this.options.listener.machineFaulty(machine, now);
   }
 }
--- a/packages/core/fit.ts
+++ b/packages/core/fit.ts
@@ -29,7 +29,7 @@
 }
 
 /** Whether one more task of the job fits beside what is used. */
-export function hasRoom(job: Job, used: Readonly<Amounts>, type: MachineType): boolean {
+export function hasCapacity(job: Job, used: Readonly<Amounts>, type: MachineType): boolean {
   return (
     used.cpus + job.cpus <= type.cpus + ROUNDING &&
     used.gpus + job.gpus <= type.gpus + ROUNDING &&
--- a/packages/core/fleet-tables.ts
+++ b/packages/core/fleet-tables.ts
@@ -6,7 +6,7 @@
 import type { FleetSettings, Machine } from './model.js';
 import { ReleasedMachines } from './released-machines.js';
 import type { MakeReplicas } from './replica-groups.js';
-import { RoomHolds } from './room-holds.js';
+import { CapacityHolds } from './room-holds.js';
 import { UnrecordedChanges } from './unrecorded-changes.js';
 import { UsageLedger } from './usage-ledger.js';
 
@@ -37,7 +37,7 @@
   readonly machines: MachineRegistry;
   readonly released: ReleasedMachines;
   readonly usage: UsageLedger;
-  readonly holds = new RoomHolds();
+  readonly holds = new CapacityHolds();
   readonly failures: FailureTracker;
   protected readonly makeReplicas: MakeReplicas | undefined;
   /** Machines for which a direct command may be due. */
--- a/packages/core/free-machines.test.ts
+++ b/packages/core/free-machines.test.ts
@@ -3,7 +3,7 @@
 import { RandomFleet } from '../testing/owner-load/random-steps.js';
 import { Chance } from '../testing/random.js';
 import { aJob } from '../testing/samples.js';
-import { type FleetState, hasRoom, type Machine } from './index.js';
+import { type FleetState, hasCapacity, type Machine } from './index.js';
 
 const TASKS = [
   { gpus: 1, cpus: 8 },
@@ -12,10 +12,10 @@
   { gpus: 0, cpus: 0 },
 ].map((need) => aJob({ ...need, memory: 1 }));
 
-function withRoom(fleet: FleetState, machines: Iterable<Machine>, task: (typeof TASKS)[0]) {
+function withCapacity(fleet: FleetState, machines: Iterable<Machine>, task: (typeof TASKS)[0]) {
   return [...machines].filter((machine) => {
     const type = fleet.machines.typeOf(machine);
-    return machine.state === 'up' && type && hasRoom(task, machine.used, type);
+    return machine.state === 'up' && type && hasCapacity(task, machine.used, type);
   });
 }
 
@@ -28,8 +28,8 @@
     for (let step = 0; step < 150; step++) {
       random.step();
       for (const task of TASKS) {
-        const listed = withRoom(fleet, fleet.machines.free.mayHold(task), task);
-        const expected = withRoom(fleet, fleet.machines.values(), task);
+        const listed = withCapacity(fleet, fleet.machines.free.mayHold(task), task);
+        const expected = withCapacity(fleet, fleet.machines.values(), task);
         assert.deepEqual(listed, expected);
         found += expected.length;
       }
--- a/packages/core/gang-attempts.test.ts
+++ b/packages/core/gang-attempts.test.ts
@@ -6,7 +6,7 @@
 
 function listed(index: number, attempt: number) {
   const state = 'running' as const;
-  return { job: GANG.id, index, attempt, state, cause: null, saved: false };
+  return { job: GANG.id, index, attempt, state, cause: null, checkpointed: false };
 }
 
 test("the end of an old attempt's task does not stop the attempt that a gang runs now", () => {
--- a/packages/core/gang-reservations.ts
+++ b/packages/core/gang-reservations.ts
@@ -1,6 +1,6 @@
 import type { MachineType } from '#wire';
 import { ZERO_AMOUNTS } from './amounts.js';
-import { isAvoided } from './availability.js';
+import { isCordoned } from './availability.js';
 import { kindAllowed, tasksThatFit } from './fit.js';
 import type { FleetState } from './fleet-state.js';
 import { byRankAndAge } from './job-queues.js';
@@ -26,7 +26,7 @@
 interface Found {
   machines: Machine[];
   /** Tasks of the gang that they hold when empty. */
-  room: number;
+  capacity: number;
 }
 
 /**
@@ -39,7 +39,7 @@
   /** Brings all reservations up to date. */
   update(now: number): void {
     const gangs = [...this.fleet.jobs.waiting.gangs].filter(
-      (job) => isWaitingGang(job) && this.fleet.failures.mayClaimRoom(job, now),
+      (job) => isWaitingGang(job) && this.fleet.failures.mayRequestCapacity(job, now),
     );
     this.releaseObsolete(new Set(gangs.map((gang) => gang.spec.id)));
     if (gangs.length === 0) return;
@@ -49,7 +49,7 @@
     for (const gang of gangs.sort(byRankAndAge)) {
       const { holds, failures } = this.fleet;
       const isHeld = (machine: Machine) =>
-        holds.isHeldFromJob(machine, gang, now) || failures.avoids(gang, machine, now);
+        holds.isHeldFromJob(machine, gang, now) || failures.isExcluded(gang, machine, now);
       reserveFor(this.fleet.machines, gang, emptying, byGang.get(gang.spec.id) ?? [], isHeld);
     }
     this.clearReserved(emptying, now);
@@ -97,7 +97,7 @@
     const { machines } = this.fleet;
     for (const machine of machines.groups.emptying) {
       const type = machines.typeOf(machine);
-      if (!type || isAvoided(machine, now)) continue;
+      if (!type || isCordoned(machine, now)) continue;
       found.push({ machine, type, waitS: emptyInS(machine, type.bootS, now) });
     }
     return found.sort((a, b) => a.waitS - b.waitS);
@@ -138,10 +138,10 @@
     if (!kindAllowed(spec, type, machine.zone, machine.spot) || isHeld(machine)) continue;
     const zone = spec.oneZone ? machine.zone : '';
     let found = byZone.get(zone);
-    if (!found) byZone.set(zone, (found = { machines: [], room: 0 }));
+    if (!found) byZone.set(zone, (found = { machines: [], capacity: 0 }));
     found.machines.push(machine);
-    found.room += tasksThatFit(spec, ZERO_AMOUNTS, type);
-    if (found.room < spec.tasks) continue;
+    found.capacity += tasksThatFit(spec, ZERO_AMOUNTS, type);
+    if (found.capacity < spec.tasks) continue;
     chosen = found.machines;
     break;
   }
@@ -175,7 +175,7 @@
 
 /** Seconds until a machine could be empty on which all firm tasks end by themselves. */
 function emptyInS(machine: Machine, bootS: number, now: number): number {
-  if (machine.state === 'booting') return Math.max(1, machine.rentedAt + bootS - now);
+  if (machine.state === 'booting') return Math.max(1, machine.requestedAt + bootS - now);
   let waitS = 0;
   for (const { job, stop, runningSince } of machine.tasks.values()) {
     const { estimateS } = job.spec;
--- a/packages/core/job-failures.test.ts
+++ b/packages/core/job-failures.test.ts
@@ -4,7 +4,7 @@
 import { SEEDED } from '../testing/generators.js';
 import {
   countJobFailure,
-  isSuspect,
+  isCrashLooping,
   noJobFailures,
   provesJob,
   retryWaitS,
@@ -28,7 +28,7 @@
         const wait = retryWaitS(failures, 1, () => chance);
         assert.ok(least <= wait && wait <= most && most <= LONGEST_S);
         assert.ok(most >= longest);
-        if (failures.attempts > 1 || isSuspect(failures)) assert.ok(least > 0 && least < most);
+        if (failures.attempts > 1 || isCrashLooping(failures)) assert.ok(least > 0 && least < most);
         longest = most;
       }
       if (failed.length > 6) assert.equal(longest, LONGEST_S);
@@ -47,7 +47,7 @@
       }
       assert.equal(failures.attempts, 1);
       const hit = new Set(delays.map((delay) => delay % (machines + 1)));
-      assert.equal(isSuspect(failures), hit.size > 1);
+      assert.equal(isCrashLooping(failures), hit.size > 1);
     }),
     SEEDED,
   );
--- a/packages/core/job-failures.ts
+++ b/packages/core/job-failures.ts
@@ -3,7 +3,7 @@
 /** Machines of one job's failures that are remembered. */
 const MOST_MACHINES = 8;
 /** Machines on which a job has to fail before it is suspect. */
-const SUSPECT_MACHINES = 2;
+const CRASH_LOOP_MACHINES = 2;
 /** In report periods: the first wait of a job after more than one failure, and the longest. */
 const FIRST_WAIT = 2;
 const LONGEST_WAIT = 64;
@@ -68,8 +68,8 @@
 }
 
 /** Whether the failures speak against the job: its tasks failed on several machines, and none succeeded. */
-export function isSuspect({ machines }: JobFailures): boolean {
-  return machines.size >= SUSPECT_MACHINES;
+export function isCrashLooping({ machines }: JobFailures): boolean {
+  return machines.size >= CRASH_LOOP_MACHINES;
 }
 
 /** Whether a task that runs for so long shows that the job does not always fail. */
@@ -87,7 +87,7 @@
   random: Random,
 ): number {
   const { attempts } = failures;
-  if (attempts <= 1 && !isSuspect(failures)) return 0;
+  if (attempts <= 1 && !isCrashLooping(failures)) return 0;
   const wait = Math.min(LONGEST_WAIT, FIRST_WAIT * 2 ** (attempts - 1));
   return heartbeatIntervalS * wait * (1 - JITTER * random());
 }
--- a/packages/core/job-queues.ts
+++ b/packages/core/job-queues.ts
@@ -3,7 +3,7 @@
 import type { FleetState } from './fleet-state.js';
 import type { JobState } from './model.js';
 import { RANKS } from './ranks.js';
-import type { TeamShares } from './team-shares.js';
+import type { FairShares } from './team-shares.js';
 import { byAge, WaitingBucket } from './waiting-bucket.js';
 
 /** Work within a guarantee goes before all that is not, and best-effort work after all other. */
@@ -116,7 +116,7 @@
  */
 export function queuesByPrecedence(
   fleet: FleetState,
-  shares: TeamShares,
+  shares: FairShares,
   isLeftOut: JobFilter,
   now: number,
 ): Tier[] {
--- a/packages/core/job-registry.ts
+++ b/packages/core/job-registry.ts
@@ -54,11 +54,11 @@
     now: number,
     { replicasOf, dependencies = independent(job) }: NewJobOptions = {},
   ): JobState {
-    const { awaitsJobs, rank } = dependencies;
+    const { hasOpenDependencies, rank } = dependencies;
     const state: JobState = {
       spec: job,
       rank,
-      awaitsJobs,
+      hasOpenDependencies,
       isBestEffort: this.isBestEffort({ team: job.team, rank }),
       replicas: null,
       requirementsKey: requirementsKey(job),
@@ -79,14 +79,14 @@
     state.replicas = replicasOf?.(state) ?? null;
     this.byId.set(job.id, state);
     if (phase !== 'accepted') this.ended.add(state);
-    else if (!awaitsJobs) this.waiting.add(state);
+    else if (!hasOpenDependencies) this.waiting.add(state);
     return state;
   }
 
   /** All that the job awaits is done: its turn and its waiting time begin. */
   startable(job: JobState, now: number): void {
-    if (!job.awaitsJobs) return;
-    job.awaitsJobs = false;
+    if (!job.hasOpenDependencies) return;
+    job.hasOpenDependencies = false;
     job.startableAt = now;
     this.joinQueueIfAnyWaits(job, now);
   }
@@ -103,7 +103,7 @@
   /** Notes a final phase. The job's tasks are stopped by the caller. */
   setFinalPhase(job: JobState, phase: 'aborted' | 'done'): void {
     job.phase = phase;
-    this.unrecorded.jobOver(job.spec.id);
+    this.unrecorded.forgetJob(job.spec.id);
     this.waiting.delete(job);
     this.ended.add(job);
   }
@@ -130,17 +130,17 @@
   }
 
   /** Open jobs that await others. */
-  get awaiting(): number {
+  get jobsWithOpenDependencies(): number {
     let count = 0;
-    for (const { phase, awaitsJobs } of this.byId.values()) {
-      if (phase === 'accepted' && awaitsJobs) count++;
+    for (const { phase, hasOpenDependencies } of this.byId.values()) {
+      if (phase === 'accepted' && hasOpenDependencies) count++;
     }
     return count;
   }
 
   /** How many tasks wait for a machine. */
   waitingCount(job: JobState): number {
-    if (job.phase !== 'accepted' || job.awaitsJobs) return 0;
+    if (job.phase !== 'accepted' || job.hasOpenDependencies) return 0;
     return Math.max(0, job.spec.tasks - job.done.size - job.assignments.size);
   }
 
--- a/packages/core/listener.ts
+++ b/packages/core/listener.ts
@@ -6,7 +6,7 @@
   assignment: Assignment;
   cause: Cause | 'lost';
   /** The task's progress was saved when it was stopped. */
-  saved: boolean;
+  checkpointed: boolean;
 }
 
 /**
@@ -21,11 +21,11 @@
   /** A rented machine reported for the first time. */
   machineUp(machine: Machine, now: number): void;
   /** Tasks of the job failed on several machines and none succeeded; it is limited until one does. */
-  jobSuspected(job: JobState, now: number): void;
+  jobCrashLooping(job: JobState, now: number): void;
   /** A task of a suspect job succeeded. */
-  jobCleared(job: JobState, now: number): void;
+  jobRecovered(job: JobState, now: number): void;
   /** A machine is given back since tasks fail on it. */
-  machineBroken(machine: Machine, now: number): void;
+  machineFaulty(machine: Machine, now: number): void;
   /** A job is over for its user: done or aborted. */
   jobClosed(job: JobState, now: number): void;
 }
@@ -35,8 +35,8 @@
   taskEnded() {},
   taskRunning() {},
   machineUp() {},
-  jobSuspected() {},
-  jobCleared() {},
-  machineBroken() {},
+  jobCrashLooping() {},
+  jobRecovered() {},
+  machineFaulty() {},
   jobClosed() {},
 };
--- a/packages/core/machine-failures.ts
+++ b/packages/core/machine-failures.ts
@@ -4,9 +4,9 @@
 const FIRST_AVOIDANCE = 5;
 const LONGEST_AVOIDANCE = 32;
 /** Different jobs that failed on the machine and succeeded elsewhere, from which on it is broken. */
-const BROKEN_JOBS = 3;
+const FAULTY_JOBS = 3;
 /** Attempts of one job, one after the other and on this machine alone, from which on it is broken. */
-const BROKEN_ATTEMPTS = 3;
+const FAULTY_ATTEMPTS = 3;
 
 /** How one job failed on a machine. */
 interface FailuresOfJob {
@@ -21,12 +21,12 @@
   /** By job id. */
   jobs: Map<string, FailuresOfJob>;
   /** Takes no new work before. */
-  avoidUntil: number;
+  cordonedUntil: number;
 }
 
 /** Of a machine on which nothing has failed. */
 export function noMachineFailures(): MachineFailures {
-  return { jobs: new Map(), avoidUntil: 0 };
+  return { jobs: new Map(), cordonedUntil: 0 };
 }
 
 /** An attempt of the job failed on the machine, and nowhere else since a task of the job succeeded. */
@@ -42,7 +42,7 @@
   if (!ofJob.isConfirmed) ofJob.attempts++;
   jobs.set(job, ofJob);
   const periods = Math.min(LONGEST_AVOIDANCE, FIRST_AVOIDANCE * 2 ** confirmedJobs(failures));
-  failures.avoidUntil = Math.max(failures.avoidUntil, now + periods * heartbeatIntervalS);
+  failures.cordonedUntil = Math.max(failures.cordonedUntil, now + periods * heartbeatIntervalS);
 }
 
 /** The job has succeeded on another machine. */
@@ -56,15 +56,15 @@
   const { jobs } = failures;
   if (jobs.get(job)?.isConfirmed !== false) return;
   jobs.delete(job);
-  if (jobs.size === 0) failures.avoidUntil = 0;
+  if (jobs.size === 0) failures.cordonedUntil = 0;
 }
 
 /** Whether the failures speak against the machine. */
-export function isBroken(failures: MachineFailures): boolean {
+export function isFaulty(failures: MachineFailures): boolean {
   for (const { attempts, isConfirmed } of failures.jobs.values()) {
-    if (!isConfirmed && attempts >= BROKEN_ATTEMPTS) return true;
+    if (!isConfirmed && attempts >= FAULTY_ATTEMPTS) return true;
   }
-  return confirmedJobs(failures) >= BROKEN_JOBS;
+  return confirmedJobs(failures) >= FAULTY_JOBS;
 }
 
 function confirmedJobs({ jobs }: MachineFailures): number {
--- a/packages/core/machine-leases.test.ts
+++ b/packages/core/machine-leases.test.ts
@@ -7,7 +7,7 @@
 
 test('a silent machine of an earlier term keeps its tasks until no owner can have answered it', () => {
   const fleet = new FleetState({ settings: aFleet().settings, term: 200, electedAt: 50 });
-  fleet.machines.noteType(STD);
+  fleet.machines.setType(STD);
   const job = fleet.addJob(aJob({ tasks: 1 }), 0, 'accepted', 50);
   fleet.assignments.inherit(job, 0, aMachine(fleet, 'n-1'), 1, 50);
   const { formerLeaderS, leaseS } = fleet.settings;
--- a/packages/core/machine-registry.ts
+++ b/packages/core/machine-registry.ts
@@ -51,7 +51,7 @@
   }
 
   /** The cloud lists a type. */
-  noteType(type: MachineType): void {
+  setType(type: MachineType): void {
     this.typesByName.set(type.name, type);
     this.totalsAreOld = true;
     this.shortestBootS = Math.min(...[...this.typesByName.values()].map(({ bootS }) => bootS));
@@ -66,11 +66,17 @@
   }
 
   /** A machine that the cloud, a record or its own report made known; unchanged if known already. */
-  register(facts: MachineFacts, state: Machine['state'], rentedAt: number): Machine {
+  register(facts: MachineFacts, state: Machine['state'], requestedAt: number): Machine {
     const known = this.byName.get(facts.name);
     if (known) return known;
     const number = ++this.registered;
-    const machine = newMachine({ facts, number, state, rentedAt, fencingToken: this.fencingToken });
+    const machine = newMachine({
+      facts,
+      number,
+      state,
+      requestedAt,
+      fencingToken: this.fencingToken,
+    });
     this.byName.set(facts.name, machine);
     this.membersChanged();
     this.groups.add(machine);
@@ -112,13 +118,13 @@
   }
 
   /** The cloud lists it as failed. */
-  noteFailed(machine: Machine): void {
+  markFailed(machine: Machine): void {
     writable(machine).failedInList = true;
     if (this.isKnown(machine)) this.groups.stateChanged(machine);
   }
 
   /** When the cloud takes it away, or null if it gives no notice. */
-  noteReclaim(machine: Machine, reclaimAt: number | null): void {
+  setReclaimAt(machine: Machine, reclaimAt: number | null): void {
     if (reclaimAt === machine.reclaimAt) return;
     writable(machine).reclaimAt = reclaimAt;
     if (this.isKnown(machine)) this.groups.reclaimChanged(machine);
--- a/packages/core/model.ts
+++ b/packages/core/model.ts
@@ -52,7 +52,7 @@
   /** Rank that counts for it: its own, or that of a job that needs it if that is more urgent; 0 is the most urgent. */
   rank: number;
   /** It awaits other jobs; until they are done it takes part in nothing. */
-  awaitsJobs: boolean;
+  hasOpenDependencies: boolean;
   /** Runs on room that is there anyway; see `isBestEffort`. */
   isBestEffort: boolean;
   /** Its replicas, if each has several members; null: each task is by itself. */
@@ -94,7 +94,7 @@
   | 'recorded';
 
 /** Room that was made by stopping work, and the job that it waits for. */
-export interface RoomHold {
+export interface CapacityHold {
   job: JobState;
   until: number;
 }
@@ -115,7 +115,7 @@
   spot: boolean;
   /** `expired`: its lease has certainly run out, and nothing is on it (docs/safety.md, point 5). */
   readonly state: 'booting' | 'up' | 'expired';
-  rentedAt: number;
+  requestedAt: number;
   expiredAt: number;
   /** When the cloud takes it away, if it gave notice. */
   readonly reclaimAt: number | null;
@@ -147,12 +147,12 @@
   /** Takes no new work and is given back once it is empty. */
   readonly draining: boolean;
   /** Takes no new work before. */
-  avoidUntil: number;
+  cordonedUntil: number;
   /** Failures that may be its fault. */
   failures: MachineFailures;
   /** Id of the gang that it is kept free for. */
   readonly reservedForGang: string | null;
-  roomHold: RoomHold | null;
+  capacityHold: CapacityHold | null;
 
   /** By task name: what is or may be on it. */
   tasks: Map<string, Assignment>;
--- a/packages/core/new-machine.ts
+++ b/packages/core/new-machine.ts
@@ -35,12 +35,18 @@
   facts: MachineFacts;
   number: number;
   state: Machine['state'];
-  rentedAt: number;
+  requestedAt: number;
   fencingToken: number;
 }
 
 /** A machine without tasks of which nothing was heard. */
-export function newMachine({ facts, number, state, rentedAt, fencingToken }: NewMachine): Machine {
+export function newMachine({
+  facts,
+  number,
+  state,
+  requestedAt,
+  fencingToken,
+}: NewMachine): Machine {
   const { name, addr, type, zone, spot } = facts;
   return {
     name,
@@ -50,12 +56,12 @@
     zone,
     spot,
     state,
-    rentedAt,
+    requestedAt,
     ...unknownWorker(fencingToken),
     expiredAt: 0,
     reclaimAt: null,
     draining: false,
-    avoidUntil: 0,
+    cordonedUntil: 0,
     failures: noMachineFailures(),
     images: new Map(),
     tasks: new Map(),
@@ -66,9 +72,9 @@
     stoppingTasks: 0,
     stayingReplicas: 0,
     assignmentVersion: 0,
-    idleSince: rentedAt,
+    idleSince: requestedAt,
     reservedForGang: null,
-    roomHold: null,
+    capacityHold: null,
     failedInList: false,
   };
 }
--- a/packages/core/placement-candidates.ts
+++ b/packages/core/placement-candidates.ts
@@ -1,10 +1,10 @@
 import type { Job, MachineType } from '#wire';
 import type { Amounts } from './amounts.js';
 import { isUsable } from './availability.js';
-import { hasRoom, kindAllowed } from './fit.js';
+import { hasCapacity, kindAllowed } from './fit.js';
 import type { FleetState } from './fleet-state.js';
 import type { JobState, Machine } from './model.js';
-import { placementCost, spareRoomCost } from './placement-cost.js';
+import { placementCost, spareCapacityCost } from './placement-cost.js';
 
 /** A machine that had room for one more task of a job when the list was made. */
 export interface Candidate {
@@ -16,7 +16,7 @@
   assignmentVersion: number;
 }
 
-interface RoomyMachine {
+interface CandidateMachine {
   machine: Machine;
   type: MachineType;
 }
@@ -30,7 +30,7 @@
  */
 export class PlacementCandidates {
   private readonly byRequirementsAndImage = new Map<string, Candidate[]>();
-  private readonly byRequirements = new Map<string, RoomyMachine[]>();
+  private readonly byRequirements = new Map<string, CandidateMachine[]>();
 
   constructor(
     private readonly fleet: FleetState,
@@ -42,7 +42,7 @@
     const key = `${job.requirementsKey} ${job.spec.image} ${job.isBestEffort}`;
     let candidates = this.byRequirementsAndImage.get(key);
     if (!candidates) {
-      candidates = this.withRoom(job).map(asCandidate);
+      candidates = this.withCapacity(job).map(asCandidate);
       this.byRequirementsAndImage.set(key, candidates);
     }
     return candidates;
@@ -52,42 +52,42 @@
   cost(candidate: Candidate, { spec: job, isBestEffort }: JobState): number {
     const { machine, type } = candidate;
     if (candidate.assignmentVersion !== machine.assignmentVersion) {
-      const room = hasRoom(job, machine.used, type) && this.isUsable(machine);
-      const costOf = isBestEffort && job.gpus === 0 ? spareRoomCost : placementCost;
-      candidate.cost = room ? costOf(job, machine, type) : Infinity;
+      const capacity = hasCapacity(job, machine.used, type) && this.isUsable(machine);
+      const costOf = isBestEffort && job.gpus === 0 ? spareCapacityCost : placementCost;
+      candidate.cost = capacity ? costOf(job, machine, type) : Infinity;
       candidate.assignmentVersion = machine.assignmentVersion;
     }
     return candidate.cost;
   }
 
   /** Whether any machine has room for a task that needs so much on the job's conditions, reserved or not. */
-  anyRoomFor(job: Job, need: Readonly<Amounts>): boolean {
+  anyCapacityFor(job: Job, need: Readonly<Amounts>): boolean {
     const { machines } = this.fleet;
     const candidates = machines.free.mayHold(need);
     if (candidates.length === 0) return false;
     const task = { ...job, ...need };
     for (const machine of candidates) {
       const type = machines.typeOf(machine);
-      if (!type || !hasRoom(task, machine.used, type)) continue;
+      if (!type || !hasCapacity(task, machine.used, type)) continue;
       if (kindAllowed(task, type, machine.zone, machine.spot) && this.isUsable(machine))
         return true;
     }
     return false;
   }
 
-  private withRoom({ requirementsKey, spec }: JobState): RoomyMachine[] {
-    let roomy = this.byRequirements.get(requirementsKey);
-    if (!roomy) {
-      this.byRequirements.set(requirementsKey, (roomy = []));
+  private withCapacity({ requirementsKey, spec }: JobState): CandidateMachine[] {
+    let candidates = this.byRequirements.get(requirementsKey);
+    if (!candidates) {
+      this.byRequirements.set(requirementsKey, (candidates = []));
       const { machines } = this.fleet;
       for (const machine of machines.free.mayHold(spec)) {
         const type = machines.typeOf(machine);
-        if (!type || !hasRoom(spec, machine.used, type)) continue;
+        if (!type || !hasCapacity(spec, machine.used, type)) continue;
         if (!kindAllowed(spec, type, machine.zone, machine.spot)) continue;
-        if (this.isUsable(machine)) roomy.push({ machine, type });
+        if (this.isUsable(machine)) candidates.push({ machine, type });
       }
     }
-    return roomy;
+    return candidates;
   }
 
   private isUsable(machine: Machine): boolean {
@@ -95,6 +95,6 @@
   }
 }
 
-function asCandidate({ machine, type }: RoomyMachine): Candidate {
+function asCandidate({ machine, type }: CandidateMachine): Candidate {
   return { machine, type, cost: 0, assignmentVersion: -1 };
 }
--- a/packages/core/placement-cost.ts
+++ b/packages/core/placement-cost.ts
@@ -26,7 +26,7 @@
  * Cost of a place for a best-effort task without accelerators: machines that are likely to stay, which are
  * ordinary ones whose accelerators are in use; of these few, so that few records change for short tasks.
  */
-export function spareRoomCost(job: Job, machine: Machine, type: MachineType): number {
+export function spareCapacityCost(job: Job, machine: Machine, type: MachineType): number {
   const { tasks, firmTasks, used, spot } = machine;
   const firstS = tasks.size === firmTasks ? type.bootS / FIRST_BEST_EFFORT_PARTS : 0;
   const idleGpus = type.gpus > 0 ? 1 - used.gpus / type.gpus : 0;
--- a/packages/core/preemption-cost.ts
+++ b/packages/core/preemption-cost.ts
@@ -1,6 +1,6 @@
 /** What is lost by stopping tasks for others, and what is left alone for a while. */
 import type { Assignment, JobState } from './model.js';
-import { SETTLED_S } from './settled.js';
+import { START_WINDOW_S } from './settled.js';
 
 /** Processors that count as much as one accelerator when lost work is compared. */
 const CPUS_PER_GPU = 8;
@@ -9,8 +9,12 @@
  * A start that is undone at once served nobody. So what has just begun to run is left alone for a
  * while, except for the most urgent rank; this also bounds how often two jobs can displace each other.
  */
-export function isSettled({ runningSince }: Assignment, forJob: JobState, now: number): boolean {
-  return forJob.rank === 0 || runningSince === null || now - runningSince >= SETTLED_S;
+export function isPastStartWindow(
+  { runningSince }: Assignment,
+  forJob: JobState,
+  now: number,
+): boolean {
+  return forJob.rank === 0 || runningSince === null || now - runningSince >= START_WINDOW_S;
 }
 
 /** With each member of a replica all others, since a replica is stopped as a whole. */
--- a/packages/core/preemption.test.ts
+++ b/packages/core/preemption.test.ts
@@ -47,7 +47,7 @@
   const { machine, attempt, index } = first;
   const ended = { job: 'j-1', index, attempt, state: 'exited', cause: 'stopped' } as const;
   fleet.heartbeats.handle(
-    aReport({ machine: machine.name, tasks: [{ ...ended, saved: false }] }),
+    aReport({ machine: machine.name, tasks: [{ ...ended, checkpointed: false }] }),
     103.5,
   );
   scheduler.round(104);
@@ -66,7 +66,7 @@
   fleet.addJob(aJob({ ...own, id: 'j-3' }), 100, 'accepted', 100);
   scheduler.round(103);
   assert.deepEqual(
-    stopping().map(({ machine }) => [machine.name, machine.roomHold?.job.spec.id]),
+    stopping().map(({ machine }) => [machine.name, machine.capacityHold?.job.spec.id]),
     [['n-1', 'j-3']],
   );
 });
--- a/packages/core/preemption.ts
+++ b/packages/core/preemption.ts
@@ -1,16 +1,16 @@
 import { addAmounts, multipliedAmounts } from './amounts.js';
 import { chooseMachinesTogether } from './choose-machines-together.js';
 import { firmUse } from './best-effort.js';
-import { hasRoom, kindAllowed, tasksByZone, zoneAllowed } from './fit.js';
+import { hasCapacity, kindAllowed, tasksByZone, zoneAllowed } from './fit.js';
 import type { FleetState } from './fleet-state.js';
 import { BlockedKind, BlockedShapes } from './blocked-shapes.js';
 import { speaksForOthers } from './job-queues.js';
 import { Assignment, assignmentsOf, JobState, Machine } from './model.js';
-import { isSettled, lostWork, wholeReplicas } from './preemption-cost.js';
+import { isPastStartWindow, lostWork, wholeReplicas } from './preemption-cost.js';
 import { PlacementCandidates } from './placement-candidates.js';
 import { membersOf, needsOneZone } from './replica-groups.js';
 import { HOLD_HEARTBEATS } from './room-holds.js';
-import type { TeamShares } from './team-shares.js';
+import type { FairShares } from './team-shares.js';
 import type { WaitingBucket } from './waiting-bucket.js';
 import { oldestFirst } from './waiting-order.js';
 
@@ -44,7 +44,7 @@
 export class Preemption {
   constructor(
     private readonly fleet: FleetState,
-    private readonly shares: TeamShares,
+    private readonly shares: FairShares,
     private readonly settings: PreemptionSettings,
   ) {}
 
@@ -54,7 +54,7 @@
     if (buckets.length === 0) return;
     const anyBestEffort = this.fleet.usage.groups().some(({ isBestEffort }) => isBestEffort);
     const stopping = new Set(this.fleet.machines.groups.stopping);
-    const heldRoom = this.fleet.holds.machinesByJob(now);
+    const heldCapacity = this.fleet.holds.machinesByJob(now);
     const failed = new Map(buckets.map((bucket) => [bucket, new BlockedShapes()]));
     const isOver = (bucket: WaitingBucket) =>
       failed.get(bucket)!.has(bucket.sample, bucket.rank, 'firm', bucket.least) ||
@@ -62,22 +62,22 @@
     let made = 0;
     for (const job of oldestFirst(buckets, isOver)) {
       if (made >= TASKS_PER_ROUND) break;
-      const isImpatient = this.isImpatient(job, now);
-      if (job.backoffUntil > now || !(anyBestEffort || isImpatient)) continue;
-      if (!this.fleet.failures.mayClaimRoom(job, now)) continue;
+      const mayPreemptFirmWork = this.mayPreemptFirmWork(job, now);
+      if (job.backoffUntil > now || !(anyBestEffort || mayPreemptFirmWork)) continue;
+      if (!this.fleet.failures.mayRequestCapacity(job, now)) continue;
       const failedAlike = failed.get(this.fleet.jobs.waiting.bucket(job)!)!;
-      const mayStop: BlockedKind = isImpatient ? 'firm' : 'best-effort';
+      const mayStop: BlockedKind = mayPreemptFirmWork ? 'firm' : 'best-effort';
       if (failedAlike.has(job.spec, job.rank, 'firm')) continue;
       if (failedAlike.has(job.spec, job.rank, mayStop)) continue;
       // Room that is being made takes a moment to come free; no more is stopped for it meanwhile.
-      if ((heldRoom.get(job) ?? 0) >= this.fleet.jobs.waitingCount(job)) continue;
+      if ((heldCapacity.get(job) ?? 0) >= this.fleet.jobs.waitingCount(job)) continue;
       const members = membersOf(job);
       if (!this.shares.withinLimit(job.spec.team, multipliedAmounts(job.spec, members))) continue;
-      const victims = this.victimsFor(job, heldRoom.get(job) ?? 0, stopping, now);
+      const victims = this.victimsFor(job, heldCapacity.get(job) ?? 0, stopping, now);
       if (victims) {
         for (const each of victims) {
           stopping.add(each.machine);
-          this.makeRoom(job, each, heldRoom, now);
+          this.preempt(job, each, heldCapacity, now);
         }
         made += victims.length;
       } else if (speaksForOthers(job)) failedAlike.add(job.spec, job.rank, mayStop);
@@ -85,7 +85,7 @@
   }
 
   /** Best-effort work is stopped at once, other work for what has waited. */
-  private isImpatient({ waitingSince }: JobState, now: number): boolean {
+  private mayPreemptFirmWork({ waitingSince }: JobState, now: number): boolean {
     return now - waitingSince >= this.settings.preemptAfterS;
   }
 
@@ -153,7 +153,7 @@
       if (zone !== null && machine.zone !== zone) continue;
       if (stopping.has(machine) || this.fleet.holds.isHeldFromJob(machine, job, now)) continue;
       if (machine.reservedForGang !== null || !zoneAllowed(job.spec, machine.zone, zones)) continue;
-      if (this.fleet.failures.avoids(job, machine, now)) continue;
+      if (this.fleet.failures.isExcluded(job, machine, now)) continue;
       const assignments = this.victimsOn(machine, job, now);
       if (assignments === null) continue;
       const cost = wholeReplicas(assignments).reduce((sum, each) => sum + lostWork(each, now), 0);
@@ -166,7 +166,8 @@
   private victimsOn(machine: Machine, job: JobState, now: number): Assignment[] | null {
     const type = this.fleet.machines.typeOf(machine);
     if (!type || !kindAllowed(job.spec, type, machine.zone, machine.spot)) return null;
-    if (!this.isImpatient(job, now) && !hasRoom(job.spec, firmUse(machine), type)) return null;
+    if (!this.mayPreemptFirmWork(job, now) && !hasCapacity(job.spec, firmUse(machine), type))
+      return null;
     const options = [...machine.tasks.values()].filter(
       (each) => each.stop === null && this.isOption(each, job, now),
     );
@@ -175,16 +176,16 @@
     const victims: Assignment[] = [];
     const used = { ...machine.used };
     for (const option of options) {
-      if (hasRoom(job.spec, used, type)) break;
+      if (hasCapacity(job.spec, used, type)) break;
       addAmounts(used, option.job.spec, -1);
       victims.push(option);
     }
-    return victims.length > 0 && hasRoom(job.spec, used, type) ? victims : null;
+    return victims.length > 0 && hasCapacity(job.spec, used, type) ? victims : null;
   }
 
   private isOption(each: Assignment, job: JobState, now: number): boolean {
     if (each.job.isBestEffort) return true;
-    if (!this.isImpatient(job, now) || !isSettled(each, job, now)) return false;
+    if (!this.mayPreemptFirmWork(job, now) || !isPastStartWindow(each, job, now)) return false;
     return this.mayStop(job, each, now);
   }
 
@@ -212,17 +213,17 @@
     return this.shares.index(forJob.spec.team, now) < stopThreshold * gangIndex;
   }
 
-  private makeRoom(
+  private preempt(
     job: JobState,
     { machine, assignments }: Victims,
-    heldRoom: Map<JobState, number>,
+    heldCapacity: Map<JobState, number>,
     now: number,
   ): void {
     const { holds, settings } = this.fleet;
     const { checkpointS, saveS } = job.spec;
     const graceS = checkpointS > 0 ? saveS : 0;
-    const before = machine.roomHold?.job;
-    if (before) heldRoom.set(before, (heldRoom.get(before) ?? 1) - 1);
+    const before = machine.capacityHold?.job;
+    if (before) heldCapacity.set(before, (heldCapacity.get(before) ?? 1) - 1);
     holds.hold(
       machine,
       job,
--- a/packages/core/refusals.ts
+++ b/packages/core/refusals.ts
@@ -1,7 +1,7 @@
 import type { MachineKind } from './fit.js';
 
 /** Machines to rent, all of one kind. */
-export interface Rental {
+export interface ScaleOutRequest {
   /** Name of the machine type. */
   type: string;
   zone: string;
@@ -14,7 +14,7 @@
   private readonly until = new Map<string, number>();
 
   /** The cloud gave fewer machines than were asked for. */
-  note({ type, zone, spot }: Rental, until: number): void {
+  record({ type, zone, spot }: ScaleOutRequest, until: number): void {
     this.until.set(kindKey(type, zone, spot), until);
   }
 
--- a/packages/core/report-handler.ts
+++ b/packages/core/report-handler.ts
@@ -48,7 +48,7 @@
     checkAnswerDelivery(machine, heartbeat, this.delivery, now);
     if (heartbeat.agentEpoch > machine.agentEpoch) this.agentEpochChanged(machine, now);
     this.markUp(machine, now);
-    this.noteMachine(machine, heartbeat, now);
+    this.updateMachine(machine, heartbeat, now);
     const forgets = this.takeTasks(machine, heartbeat, now);
     machine.answeredAt = now;
     return {
@@ -97,13 +97,13 @@
     machine.idleSince = now;
   }
 
-  private noteMachine(machine: Machine, heartbeat: Heartbeat, now: number): void {
+  private updateMachine(machine: Machine, heartbeat: Heartbeat, now: number): void {
     machine.addr = heartbeat.addr;
     machine.agentEpoch = heartbeat.agentEpoch;
     machine.lastMessageSequence = heartbeat.sequence;
     machine.lastHeartbeatSequence = heartbeat.sequence;
     const reclaimAt = heartbeat.noticeS === null ? null : now + heartbeat.noticeS;
-    this.tables.machines.noteReclaim(machine, reclaimAt);
+    this.tables.machines.setReclaimAt(machine, reclaimAt);
     if (heartbeat.fencingToken >= this.tables.term) machine.termConfirmed = true;
     this.fencing.fencingTokenSeen(machine, heartbeat.fencingToken);
     this.fencing.fenceOverdueStarts(machine, now);
--- a/packages/core/room-holds.ts
+++ b/packages/core/room-holds.ts
@@ -4,31 +4,31 @@
 export const HOLD_HEARTBEATS = 4;
 
 /** Room that is made by stopping work, or counted on for a move, waits for the job it was made for. */
-export class RoomHolds {
+export class CapacityHolds {
   /** All machines with a hold, so that few machines are looked at for a count. */
   private readonly machines = new Set<Machine>();
 
   /** Holds the machine's room for the job, until then (seconds of the steady clock) at the longest. */
   hold(machine: Machine, job: JobState, until: number): void {
-    machine.roomHold = { job, until };
+    machine.capacityHold = { job, until };
     this.machines.add(machine);
   }
 
   /** Ends the machine's hold, if there is one. */
   release(machine: Machine): void {
-    if (machine.roomHold === null) return;
-    machine.roomHold = null;
+    if (machine.capacityHold === null) return;
+    machine.capacityHold = null;
     this.machines.delete(machine);
   }
 
   /** Ends all holds for the job. */
   releaseFor(job: JobState): void {
-    for (const machine of [...this.machines]) this.taken(machine, job);
+    for (const machine of [...this.machines]) this.releaseIfHeldFor(machine, job);
   }
 
   /** The job got a place there: what it still waits for needs room of its own. */
-  taken(machine: Machine, job: JobState): void {
-    if (machine.roomHold?.job === job) this.release(machine);
+  releaseIfHeldFor(machine: Machine, job: JobState): void {
+    if (machine.capacityHold?.job === job) this.release(machine);
   }
 
   /**
@@ -36,7 +36,7 @@
    * run out, or whose job is over, is released.
    */
   isHeldFromJob(machine: Machine, job: JobState, now: number): boolean {
-    const hold = machine.roomHold;
+    const hold = machine.capacityHold;
     if (hold === null || hold.job === job) return false;
     if (now > hold.until || hold.job.phase !== 'accepted') {
       this.release(machine);
@@ -48,9 +48,9 @@
   /** On how many machines room is held for each job. */
   machinesByJob(now: number): Map<JobState, number> {
     const counts = new Map<JobState, number>();
-    for (const { roomHold } of this.machines) {
-      if (roomHold && roomHold.until >= now) {
-        counts.set(roomHold.job, (counts.get(roomHold.job) ?? 0) + 1);
+    for (const { capacityHold } of this.machines) {
+      if (capacityHold && capacityHold.until >= now) {
+        counts.set(capacityHold.job, (counts.get(capacityHold.job) ?? 0) + 1);
       }
     }
     return counts;
--- a/packages/core/scheduler.test.ts
+++ b/packages/core/scheduler.test.ts
@@ -11,7 +11,7 @@
   tasksByZone,
   TeamQuota,
 } from './index.js';
-import { TeamShares } from './team-shares.js';
+import { FairShares } from './team-shares.js';
 import { aFleet, aJob, aMachine } from '../testing/samples.js';
 
 const NOW = 100;
@@ -81,7 +81,7 @@
 
 /** A round as its rules say it, by a look at every job. */
 function byEveryJob(fleet: FleetState): void {
-  const shares = new TeamShares(fleet, TEAMS, SETTINGS.floorWeight);
+  const shares = new FairShares(fleet, TEAMS, SETTINGS.floorWeight);
   const candidates = new PlacementCandidates(fleet, NOW);
   const tierOf = (job: JobState) =>
     job.isBestEffort ? 8 : (shares.withinGuarantee(job.spec) ? 0 : 4) + job.spec.rank;
--- a/packages/core/scheduler.ts
+++ b/packages/core/scheduler.ts
@@ -5,14 +5,14 @@
 import { bindingZones } from './fit.js';
 import type { FleetState } from './fleet-state.js';
 import { GangReservations } from './gang-reservations.js';
-import { mayUseAnyRoom } from './best-effort.js';
+import { mayUseAnyCapacity } from './best-effort.js';
 import { BlockedKind, BlockedShapes } from './blocked-shapes.js';
 import { queuesByPrecedence, speaksForOthers, TeamQueue, Tier } from './job-queues.js';
 import type { JobState } from './model.js';
 import { type JobReplicas, needsOneZone } from './replica-groups.js';
 import { PlacementCandidates } from './placement-candidates.js';
 import { Preemption, PreemptionSettings } from './preemption.js';
-import { TeamShares } from './team-shares.js';
+import { FairShares } from './team-shares.js';
 import type { WaitingBucket } from './waiting-bucket.js';
 
 /** Tasks that a job is given at once before it queues again behind the others. */
@@ -34,7 +34,7 @@
   now: number;
   candidates: PlacementCandidates;
   /** Jobs for which room is being made, when the round began. */
-  roomHeldFor: Map<JobState, number>;
+  capacityHeldFor: Map<JobState, number>;
   /** Tasks that found no place. */
   blocked: BlockedShapes;
 }
@@ -43,7 +43,7 @@
 export class Scheduler {
   /** Machines kept free for gangs; to be updated before a round. */
   readonly reservations: GangReservations;
-  private readonly shares: TeamShares;
+  private readonly shares: FairShares;
   private readonly preemption: Preemption;
 
   constructor(
@@ -51,7 +51,7 @@
     teams: Map<string, TeamQuota>,
     private readonly settings: ScheduleSettings,
   ) {
-    this.shares = new TeamShares(fleet, teams, settings.floorWeight);
+    this.shares = new FairShares(fleet, teams, settings.floorWeight);
     this.reservations = new GangReservations(fleet);
     this.preemption = new Preemption(fleet, this.shares, settings);
   }
@@ -73,7 +73,7 @@
     const round: Round = {
       now,
       candidates: new PlacementCandidates(this.fleet, now),
-      roomHeldFor: this.fleet.holds.machinesByJob(now),
+      capacityHeldFor: this.fleet.holds.machinesByJob(now),
       blocked: new BlockedShapes(),
     };
     const isLeftOut = (job: JobState) =>
@@ -121,7 +121,9 @@
   /** Whether not even the smallest task of the bucket could get a place: no machine has room, or the team's limit is reached. */
   private isFullFor({ sample, least }: WaitingBucket, { candidates }: Round): boolean {
     if (sample.kind === 'gang') return false;
-    return !this.shares.withinLimit(sample.team, least) || !candidates.anyRoomFor(sample, least);
+    return (
+      !this.shares.withinLimit(sample.team, least) || !candidates.anyCapacityFor(sample, least)
+    );
   }
 
   /** Gives places to the job's waiting tasks while they fit; returns how many. */
@@ -192,14 +194,14 @@
   }
 
   /** Tasks that need no less than one that found no place fail alike, unless room was made for just this job. */
-  private isBlocked(job: JobState, { blocked, roomHeldFor, now }: Round): boolean {
-    if (job.spec.kind === 'gang' || roomHeldFor.has(job)) return false;
+  private isBlocked(job: JobState, { blocked, capacityHeldFor, now }: Round): boolean {
+    if (job.spec.kind === 'gang' || capacityHeldFor.has(job)) return false;
     return blocked.has(job.spec, job.rank, this.blockedKind(job, now));
   }
 
   /** Where a best-effort job finds no room, firm work may, and so may such a job that has waited long. */
   private blockedKind(job: JobState, now: number): BlockedKind {
     if (!job.isBestEffort) return 'firm';
-    return mayUseAnyRoom(this.fleet, job, now) ? 'starved' : 'best-effort';
+    return mayUseAnyCapacity(this.fleet, job, now) ? 'starved' : 'best-effort';
   }
 }
--- a/packages/core/settled.ts
+++ b/packages/core/settled.ts
@@ -1,2 +1,2 @@
 /** The users count a start only if no command stops the task for so long, in seconds. */
-export const SETTLED_S = 30;
+export const START_WINDOW_S = 30;
--- a/packages/core/slot-packing.test.ts
+++ b/packages/core/slot-packing.test.ts
@@ -36,7 +36,7 @@
   const types = new Map([[STD.name, STD]]);
   const packing = new SlotPacking({ standing, types, refusals: new Refusals(), now: 0 });
   for (const own of ofJobs) packAll(packing, aJob(own), atATime);
-  const slots = [...packing.standing, ...packing.rented];
+  const slots = [...packing.standing, ...packing.provisioned];
   const used = slots.map(({ zone, spot, used: { cpus, gpus, memory } }) => [
     zone,
     spot,
@@ -44,7 +44,7 @@
     gpus,
     memory,
   ]);
-  return [packing.rentals(), used];
+  return [packing.scaleOutRequests(), used];
 }
 
 function packAll(packing: SlotPacking, job: Job, atATime: number): void {
--- a/packages/core/slot-packing.ts
+++ b/packages/core/slot-packing.ts
@@ -1,8 +1,8 @@
 import type { Job, MachineType } from '#wire';
 import { addAmounts, ZERO_AMOUNTS } from './amounts.js';
 import { MachineKind, requirementsKey, tasksThatFit, typeFits, zoneCap } from './fit.js';
-import { kindKey, Refusals, Rental } from './refusals.js';
-import { emptySlot, holds, Slot, StandingSlot, takeRoom } from './slots.js';
+import { kindKey, Refusals, ScaleOutRequest } from './refusals.js';
+import { emptySlot, holds, Slot, StandingSlot, reserveCapacity } from './slots.js';
 
 /** Most tasks of one machine that its price is divided by, if tasks need next to nothing. */
 const MOST_PRICE_SHARES = 1000;
@@ -21,7 +21,7 @@
    * How many slots at the head of each list have no room. Room only shrinks while a plan is made, so
    * these need not be looked at again: else each task looked at every machine.
    */
-  full: { standing: number; rented: number };
+  full: { standing: number; provisioned: number };
   /** Kinds to rent, less those that the cloud has just refused. */
   kinds: PricedKind[];
 }
@@ -54,7 +54,7 @@
 export class SlotPacking {
   readonly standing: StandingSlot[];
   /** Machines that would be rented. */
-  readonly rented: Slot[] = [];
+  readonly provisioned: Slot[] = [];
   private readonly machinesByZone = new Map<string, number>();
   private readonly byRequirements = new Map<string, Requirements>();
 
@@ -74,12 +74,12 @@
    */
   place(request: PackingRequest, count: number): Packed | null {
     const slot =
-      this.firstWithRoom('standing', request) ??
-      this.firstWithRoom('rented', request) ??
-      this.rent(request);
+      this.firstWithCapacity('standing', request) ??
+      this.firstWithCapacity('provisioned', request) ??
+      this.provision(request);
     if (slot === null) return null;
-    const tasks = Math.min(count, roomFor(request, slot));
-    takeRoom(slot, request.job, tasks);
+    const tasks = Math.min(count, capacityFor(request, slot));
+    reserveCapacity(slot, request.job, tasks);
     return { slot, tasks };
   }
 
@@ -88,12 +88,13 @@
    * machines can be rented; null if there is none.
    */
   zoneForAll({ job, requirements }: PackingRequest, count: number): string | null {
-    const roomByZone = new Map<string, number>();
+    const capacityByZone = new Map<string, number>();
     for (const slot of this.standing) {
       if (slot.reservedForGang !== null || !holds(slot, job)) continue;
-      const room = (roomByZone.get(slot.zone) ?? 0) + tasksThatFit(job, slot.used, slot.type);
-      if (room >= count) return slot.zone;
-      roomByZone.set(slot.zone, room);
+      const capacity =
+        (capacityByZone.get(slot.zone) ?? 0) + tasksThatFit(job, slot.used, slot.type);
+      if (capacity >= count) return slot.zone;
+      capacityByZone.set(slot.zone, capacity);
     }
     return this.cheapestKind({ job, gang: null, tasksByZone: null, requirements })?.zone ?? null;
   }
@@ -104,9 +105,9 @@
   }
 
   /** The machines to rent, by kind. */
-  rentals(): Rental[] {
-    const byKind = new Map<string, Rental>();
-    for (const { type, zone, spot } of this.rented) {
+  scaleOutRequests(): ScaleOutRequest[] {
+    const byKind = new Map<string, ScaleOutRequest>();
+    for (const { type, zone, spot } of this.provisioned) {
       const key = kindKey(type.name, zone, spot);
       const known = byKind.get(key);
       if (known) known.count++;
@@ -123,7 +124,7 @@
     const key = requirementsKey(job);
     let requirements = this.byRequirements.get(key);
     if (!requirements) {
-      requirements = { full: { standing: 0, rented: 0 }, kinds: this.kindsFor(job) };
+      requirements = { full: { standing: 0, provisioned: 0 }, kinds: this.kindsFor(job) };
       this.byRequirements.set(key, requirements);
     }
     return requirements;
@@ -144,7 +145,10 @@
     return kinds;
   }
 
-  private firstWithRoom(list: 'standing' | 'rented', request: PackingRequest): Slot | null {
+  private firstWithCapacity(
+    list: 'standing' | 'provisioned',
+    request: PackingRequest,
+  ): Slot | null {
     const { job, gang, tasksByZone, requirements } = request;
     const slots: Slot[] = this[list];
     // What is reserved for a gang has room, though for that gang only.
@@ -160,11 +164,11 @@
     return null;
   }
 
-  private rent(request: PackingRequest): Slot | null {
+  private provision(request: PackingRequest): Slot | null {
     const kind = this.cheapestKind(request);
     if (!kind) return null;
     const slot = emptySlot(kind);
-    this.rented.push(slot);
+    this.provisioned.push(slot);
     this.countMachine(slot.zone);
     return slot;
   }
@@ -195,10 +199,10 @@
 }
 
 /** Tasks that the slot has room for, and that its zone may still take; one at least, since one was found to fit. */
-function roomFor({ job, tasksByZone }: PackingRequest, { used, type, zone }: Slot): number {
+function capacityFor({ job, tasksByZone }: PackingRequest, { used, type, zone }: Slot): number {
   const inZone = tasksByZone?.get(zone) ?? 0;
-  const zoneRoom = tasksByZone === null ? Infinity : zoneCap(job) - inZone;
-  return Math.max(1, Math.min(tasksThatFit(job, used, type), zoneRoom));
+  const zoneCapacity = tasksByZone === null ? Infinity : zoneCap(job) - inZone;
+  return Math.max(1, Math.min(tasksThatFit(job, used, type), zoneCapacity));
 }
 
 function isZoneFull(job: Job, zone: string, tasksByZone: Map<string, number> | null): boolean {
--- a/packages/core/slots.ts
+++ b/packages/core/slots.ts
@@ -2,7 +2,7 @@
 import { canTakeTasks } from './availability.js';
 import { addAmounts, Amounts, ZERO_AMOUNTS } from './amounts.js';
 import { firmUse } from './best-effort.js';
-import { hasRoom, kindAllowed, MachineKind } from './fit.js';
+import { hasCapacity, kindAllowed, MachineKind } from './fit.js';
 import type { FleetState } from './fleet-state.js';
 import type { Machine } from './model.js';
 
@@ -32,7 +32,7 @@
     const type = fleet.machines.typeOf(machine);
     if (!type || machine.state === 'expired' || machine.draining || machine.failedInList) continue;
     if (machine.state === 'up' && !canTakeTasks(machine, machineRecordBytes)) continue;
-    if (machine.state === 'booting' && now - machine.rentedAt > lateFrom * type.bootS) continue;
+    if (machine.state === 'booting' && now - machine.requestedAt > lateFrom * type.bootS) continue;
     slots.push(standingSlot(machine, type));
   }
   return slots.sort(
@@ -63,11 +63,11 @@
 /** Whether one more task of the job has room there and may go there, its zones apart. */
 export function holds(slot: Slot, job: Job): boolean {
   const { used, type, zone, spot } = slot;
-  return hasRoom(job, used, type) && kindAllowed(job, type, zone, spot);
+  return hasCapacity(job, used, type) && kindAllowed(job, type, zone, spot);
 }
 
 /** Packs tasks of the job into the slot. */
-export function takeRoom(slot: Slot, { cpus, gpus, memory }: Job, tasks: number): void {
+export function reserveCapacity(slot: Slot, { cpus, gpus, memory }: Job, tasks: number): void {
   const taken = { cpus: cpus * tasks, gpus: gpus * tasks, memory: memory * tasks };
   addAmounts(slot.used, taken, 1);
   slot.touched = true;
--- a/packages/core/start-fencing.ts
+++ b/packages/core/start-fencing.ts
@@ -69,7 +69,7 @@
   private fence(machine: Machine): void {
     if (machine.fence !== 'none') return;
     machine.fence = 'requested';
-    this.tables.unrecorded.awaitMachine(machine.name, MOST_URGENT);
+    this.tables.unrecorded.markMachineUrgent(machine.name, MOST_URGENT);
   }
 
   /** The machine's record was written at this revision. */
--- a/packages/core/task-reports.test.ts
+++ b/packages/core/task-reports.test.ts
@@ -5,7 +5,13 @@
 
 const JOB = aJob();
 const TASK = { job: JOB.id, index: 0 };
-const RUNNING: TaskStatus = { ...TASK, attempt: 1, state: 'running', cause: null, saved: false };
+const RUNNING: TaskStatus = {
+  ...TASK,
+  attempt: 1,
+  state: 'running',
+  cause: null,
+  checkpointed: false,
+};
 const STOPPED: TaskStatus = { ...RUNNING, state: 'exited', cause: 'stopped' };
 
 /** A machine that has one attempt of the job's task after the other, and what it is told. */
--- a/packages/core/task-reports.ts
+++ b/packages/core/task-reports.ts
@@ -100,7 +100,7 @@
       this.tables.jobs.markDone(job, task.index);
       this.tables.failures.taskCompleted(assignment, now);
     }
-    this.assignments.end(assignment, cause, task.saved, now);
+    this.assignments.end(assignment, cause, task.checkpointed, now);
     return this.mayForget(machine, ref, job) ? forgetOrder(ref) : null;
   }
 
@@ -152,7 +152,7 @@
     assignment.missedStarts++;
     if (assignment.stop === null) {
       if (assignment.missedStarts < MAX_MISSED_STARTS) return;
-      assignment.machine.avoidUntil = now + this.tables.settings.leaseS;
+      assignment.machine.cordonedUntil = now + this.tables.settings.leaseS;
     }
     this.assignments.end(assignment, 'lost', false, now);
   }
--- a/packages/core/team-shares.ts
+++ b/packages/core/team-shares.ts
@@ -4,7 +4,7 @@
 import type { FleetState } from './fleet-state.js';
 
 /** Where teams stand towards their guarantees and limits, and whose turn it is (docs/design.md). */
-export class TeamShares {
+export class FairShares {
   constructor(
     private readonly fleet: FleetState,
     private readonly teams: Map<string, TeamQuota>,
--- a/packages/core/unrecorded-changes.ts
+++ b/packages/core/unrecorded-changes.ts
@@ -8,22 +8,22 @@
   /** Names of machines whose assignments or fence changed, machines that are gone included. */
   readonly machines = new Set<string>();
   /** Those of them whose record something waits for, and the most urgent rank of that; 0 comes first. */
-  readonly awaitedMachines = new Map<string, number>();
+  readonly urgentMachines = new Map<string, number>();
   /** Ids of jobs with new done tasks. */
   readonly jobs = new Set<string>();
   /** These tasks, by job; those that end a job are recorded with its end. */
   private readonly doneTasks = new Map<string, Set<number>>();
 
   /** Something of such a rank can't go on before the machine's record is written. */
-  awaitMachine(name: string, rank: number): void {
+  markMachineUrgent(name: string, rank: number): void {
     this.machines.add(name);
-    this.awaitedMachines.set(name, Math.min(rank, this.awaitedMachines.get(name) ?? Infinity));
+    this.urgentMachines.set(name, Math.min(rank, this.urgentMachines.get(name) ?? Infinity));
   }
 
   /** The machine is in a transaction as it is now. */
-  machineTaken(name: string): void {
+  machineCollected(name: string): void {
     this.machines.delete(name);
-    this.awaitedMachines.delete(name);
+    this.urgentMachines.delete(name);
   }
 
   /** A task is done, and other tasks of its job are not. */
@@ -47,12 +47,12 @@
   }
 
   /** The job is over, so that its single tasks matter no more. */
-  jobOver(job: string): void {
+  forgetJob(job: string): void {
     this.doneTasks.delete(job);
   }
 
   /** Whether there is something to record that may not wait for spare changes. */
-  get anyAwaited(): boolean {
-    return this.awaitedMachines.size > 0 || this.jobs.size > 0;
+  get anyUrgent(): boolean {
+    return this.urgentMachines.size > 0 || this.jobs.size > 0;
   }
 }
--- a/packages/parts/send-transaction.ts
+++ b/packages/parts/send-transaction.ts
@@ -19,8 +19,8 @@
   }
   if (!out.ok) return { kind: 'failed', keys: 'failed' in out ? out.failed : [] };
   for (const change of changes) {
-    if ('put' in change) world.learn(change.put, change.value, out.revision);
-    else world.learn(change.delete, undefined, out.revision);
+    if ('put' in change) world.applyLocal(change.put, change.value, out.revision);
+    else world.applyLocal(change.delete, undefined, out.revision);
   }
   return { kind: 'applied' };
 }
--- a/packages/peer/link.test.ts
+++ b/packages/peer/link.test.ts
@@ -67,10 +67,10 @@
   const run = link.run(stop.signal);
   await pause(nodeRuntime.clock, 4 * RETRY_MS);
   assert.equal(dialled.length, 1);
-  link.dialAnew('b', 60);
+  link.redial('b', 60);
   await pause(nodeRuntime.clock, 4 * RETRY_MS);
   assert.equal(dialled.length, 1);
-  link.dialAnew('b', 0);
+  link.redial('b', 0);
   await pause(nodeRuntime.clock, 4 * RETRY_MS);
   assert.equal(dialled.length, 2);
   stop.abort();
--- a/packages/peer/link.ts
+++ b/packages/peer/link.ts
@@ -66,7 +66,7 @@
    * Dials a peer anew that speaks to us but has read nothing of ours for so long. A cut may have swallowed the
    * sign that it gave our connection up or began a new life; a younger connection may only be slow.
    */
-  dialAnew(peer: string, unreadS: number): void {
+  redial(peer: string, unreadS: number): void {
     this.dialled.endIfOlder(peer, unreadS);
   }
 }
--- a/packages/replicas/group-machine.ts
+++ b/packages/replicas/group-machine.ts
@@ -104,9 +104,9 @@
     case 'loaded':
       return judgeRecords(state);
     case 'recorded':
-      return unchanged(noteRecorded(state, event));
+      return unchanged(markRecorded(state, event));
     case 'running':
-      return unchanged(noteRunning(state, event));
+      return unchanged(markRunning(state, event));
     case 'stopping':
       return endIfNewest(changePlace(state, event, { ending: true }), event, 'member-stopped');
     case 'gone':
@@ -179,12 +179,12 @@
 }
 
 /** A machine's record is written anew with each change of it; a member that runs goes on running. */
-function noteRecorded(state: GroupState, event: MemberRef): GroupState {
+function markRecorded(state: GroupState, event: MemberRef): GroupState {
   const place = state.places.find((each) => isAt(each, event));
   return place?.stage === 'reserved' ? changePlace(state, event, { stage: 'recorded' }) : state;
 }
 
-function noteRunning(state: GroupState, event: MemberRef): GroupState {
+function markRunning(state: GroupState, event: MemberRef): GroupState {
   const next = changePlace(state, event, { stage: 'running' });
   return phaseOf(next) === 'whole' ? { ...next, reason: null } : next;
 }
--- a/packages/replicas/replica-groups.test.ts
+++ b/packages/replicas/replica-groups.test.ts
@@ -43,7 +43,10 @@
   }
 
   addMachine(name: string, zone: string) {
-    return Object.assign(aMachine(this.fleet, name, { zone }), { session: 1, termConfirmed: true });
+    return Object.assign(aMachine(this.fleet, name, { zone }), {
+      agentEpoch: 1,
+      termConfirmed: true,
+    });
   }
 
   submit(own: Partial<Job>, members: number, sameZone = false, now = 0): JobState {
@@ -63,7 +66,7 @@
       .filter(({ stop }) => stop === null)
       .map(({ job, index, attempt }) => {
         const ref = { job: job.spec.id, index, attempt };
-        return { ...ref, state: 'running' as const, cause: null, saved: false };
+        return { ...ref, state: 'running' as const, cause: null, checkpointed: false };
       });
     const { zone } = machine;
     this.fleet.heartbeats.handle(
@@ -118,15 +121,15 @@
     objectives: [],
     teams: new Map([['red', NO_QUOTA]]),
   });
-  const { rent } = planner.plan(1);
+  const { scaleOut: rent } = planner.plan(1);
   assert.equal(rent.length, 1);
   assert.equal(rent[0].count, 1, 'beside the two machines of that zone');
-  planner.rentalRefused(rent[0], 100);
-  const [other] = planner.plan(2).rent;
+  planner.scaleOutRefused(rent[0], 100);
+  const [other] = planner.plan(2).scaleOut;
   assert.notEqual(other.zone, rent[0].zone, 'a zone that gives no machines is left');
   world.addMachine('n-4', rent[0].zone);
   world.fleet.machines.updateTotals();
-  assert.deepEqual(planner.plan(3).rent, []);
+  assert.deepEqual(planner.plan(3).scaleOut, []);
 });
 
 test('a start is sent only when the places of all members are durable', () => {
@@ -159,7 +162,7 @@
   world.fleet.removeMachine(before[0].machine.name, 50);
   const survivors = before.slice(1);
   assert.ok(survivors.every(({ stop }) => stop !== null));
-  assert.ok(survivors.every(({ machine }) => machine.roomHold !== null));
+  assert.ok(survivors.every(({ machine }) => machine.capacityHold !== null));
   assert.equal(world.scheduler.place(50), 0, 'the old generation is not gone yet');
   for (const { machine } of survivors) world.heartbeat(machine.name, 51);
   assert.equal(world.scheduler.place(51), 3);
@@ -267,7 +270,7 @@
   world.scheduler.place(1);
   world.settle(2);
   const [member] = world.assignments();
-  world.fleet.machines.noteReclaim(member.machine, 100);
+  world.fleet.machines.setReclaimAt(member.machine, 100);
   member.job.replicas!.moveOff(member, 50);
   assert.equal(member.stop, null, 'there is no other machine');
   member.job.replicas!.moveOff(member, 91);
--- a/packages/replicas/replica-groups.ts
+++ b/packages/replicas/replica-groups.ts
@@ -122,8 +122,8 @@
     if (group.state.ending) return;
     const leaving = [...group.assignments()].filter(({ machine }) => machine.reclaimAt !== null);
     const isUrgent = leaving.some(({ machine }) => machine.reclaimAt! - now < this.options.leaseS);
-    const isRoomHeld = this.holdRoom(group, leaving.length, now);
-    if (isRoomHeld || isUrgent) this.end(group, 'notice', now);
+    const isCapacityHeld = this.holdCapacity(group, leaving.length, now);
+    if (isCapacityHeld || isUrgent) this.end(group, 'notice', now);
   }
 
   /** Whether one more replica that was broken may start now. */
@@ -193,11 +193,11 @@
       if (machine.reclaimAt === null) this.hold(machine, group.job, now);
     }
     const lost = group.members - survivors.length;
-    if (lost > 0) this.holdRoom(group, lost, now);
+    if (lost > 0) this.holdCapacity(group, lost, now);
   }
 
   /** Finds and holds room for so many members; false if there is none. */
-  private holdRoom(group: Group, members: number, now: number): boolean {
+  private holdCapacity(group: Group, members: number, now: number): boolean {
     const fleet = this.requireFleet();
     const candidates = new PlacementCandidates(fleet, now);
     const oneZone = needsOneZone(group.job);
@@ -208,7 +208,7 @@
   }
 
   private hold(machine: Machine, job: JobState, now: number): void {
-    if (machine.roomHold !== null) return;
+    if (machine.capacityHold !== null) return;
     this.requireFleet().holds.hold(
       machine,
       job,
--- a/packages/store/budget.test.ts
+++ b/packages/store/budget.test.ts
@@ -25,7 +25,8 @@
     fc.asyncProperty(rates, takes, async (rate, wanted) => {
       const { world, budget } = await aBudget(rate);
       let taken = 0;
-      for (const { units, urgent } of wanted) void budget.take(units, urgent).then(() => taken++);
+      for (const { units, urgent } of wanted)
+        void budget.acquire(units, urgent).then(() => taken++);
       const units = wanted.reduce((sum, take) => sum + take.units, 0);
       await world.run(units / rate + 1.25);
       assert.equal(taken, wanted.length);
@@ -39,7 +40,7 @@
   const order: string[] = [];
   const takeFor = async (name: string, units: number) => {
     for (;;) {
-      await budget.take(units, false);
+      await budget.acquire(units, false);
       order.push(name);
     }
   };
@@ -48,7 +49,7 @@
   await world.run(11);
   // Turn by turn: eleven units a round, at ten a second.
   assert.equal(order.join(''), 'ab'.repeat(10) + 'a');
-  void budget.take(1, true).then(() => order.push('urgent'));
+  void budget.acquire(1, true).then(() => order.push('urgent'));
   const served = order.length;
   await world.run(0.5);
   assert.equal(order[served], 'urgent');
@@ -58,25 +59,25 @@
   const { world, budget } = await aBudget(10);
   const stop = new AbortController();
   let taken = 0;
-  await budget.take(10, false);
-  const given = assert.rejects(budget.take(10, false, stop.signal));
-  void budget.take(1, false).then(() => taken++);
+  await budget.acquire(10, false);
+  const given = assert.rejects(budget.acquire(10, false, stop.signal));
+  void budget.acquire(1, false).then(() => taken++);
   await world.run(0.5);
   assert.equal(taken, 0);
   stop.abort();
   await given;
   await world.run(0.001);
   assert.equal(taken, 1);
-  await assert.rejects(budget.take(1, false, stop.signal));
+  await assert.rejects(budget.acquire(1, false, stop.signal));
 });
 
 test('what users ask for waits for the duties, and gets its part all the same', async () => {
   const { world, budget } = await aBudget(20);
   const taken = { duty: 0, users: 0 };
-  const takeFor = async (taker: 'duty' | 'users', units: number) => {
+  const takeFor = async (consumer: 'duty' | 'users', units: number) => {
     for (;;) {
-      await budget.takeFor(taker, units);
-      taken[taker] += units;
+      await budget.acquireFor(consumer, units);
+      taken[consumer] += units;
     }
   };
   void takeFor('users', 1);
--- a/packages/store/budget.ts
+++ b/packages/store/budget.ts
@@ -5,10 +5,10 @@
  * Who takes of a budget: `urgent` are few small requests that hold up everybody else; `duty` is what the
  * controller does by itself; `users` is what users ask for.
  */
-export type Taker = 'urgent' | 'duty' | 'users';
+export type BudgetConsumer = 'urgent' | 'duty' | 'users';
 
 /** Of what duties and users take while both wait, the duties get so many times as much as the users. */
-const DUTY_WEIGHT = 3;
+const INTERNAL_WEIGHT = 3;
 /** Seconds over which the rate at which duties take is averaged. */
 const AVERAGED_S = 2;
 
@@ -26,10 +26,12 @@
   private level: number;
   private refilledAt: number;
   private readonly urgentLine: Waiter[] = [];
-  private readonly line = new FairQueue<Waiter>((taker) => (taker === 'users' ? 1 : DUTY_WEIGHT));
+  private readonly line = new FairQueue<Waiter>((consumer) =>
+    consumer === 'users' ? 1 : INTERNAL_WEIGHT,
+  );
   /** Units that others than users have taken, forgotten over AVERAGED_S. */
-  private dutyUnits = 0;
-  private dutyUnitsAt: number;
+  private internalUnits = 0;
+  private internalUnitsAt: number;
   /** Runs until the first in line can be served. */
   private timer: Timer | null = null;
 
@@ -39,7 +41,7 @@
   ) {
     this.level = perSecond;
     this.refilledAt = clock.now();
-    this.dutyUnitsAt = this.refilledAt;
+    this.internalUnitsAt = this.refilledAt;
   }
 
   /** Another rate from now on. */
@@ -66,58 +68,58 @@
 
   /** Units a second that users can count on beside what the duties have taken of late. */
   usersPerSecond(): number {
-    this.forgetDutyUnits();
-    const left = this.perSecond - this.dutyUnits / AVERAGED_S;
-    return Math.max(left, this.perSecond / (DUTY_WEIGHT + 1));
+    this.expireInternalUnits();
+    const left = this.perSecond - this.internalUnits / AVERAGED_S;
+    return Math.max(left, this.perSecond / (INTERNAL_WEIGHT + 1));
   }
 
   /** What was taken and is not needed after all, or a negative number if more was needed. */
-  giveBack(units: number): void {
+  refund(units: number): void {
     this.refill();
     this.level = Math.min(this.perSecond, this.level + units);
     this.serve();
   }
 
   /** For the controller's own duties, or urgently. */
-  take(units: number, urgent: boolean, signal?: AbortSignal): Promise<void> {
-    return this.takeFor(urgent ? 'urgent' : 'duty', units, signal);
+  acquire(units: number, urgent: boolean, signal?: AbortSignal): Promise<void> {
+    return this.acquireFor(urgent ? 'urgent' : 'duty', units, signal);
   }
 
   /** Resolves once the units are taken; rejects with the signal's reason. */
-  takeFor(taker: Taker, units: number, signal?: AbortSignal): Promise<void> {
+  acquireFor(consumer: BudgetConsumer, units: number, signal?: AbortSignal): Promise<void> {
     return new Promise((resolve, reject) => {
       if (signal?.aborted) {
         reject(signal.reason as Error);
         return;
       }
       const onAbort = () => {
-        if (taker === 'urgent') this.urgentLine.splice(this.urgentLine.indexOf(waiter), 1);
-        else this.line.remove(taker, waiter);
+        if (consumer === 'urgent') this.urgentLine.splice(this.urgentLine.indexOf(waiter), 1);
+        else this.line.remove(consumer, waiter);
         reject(signal?.reason as Error);
         this.serve();
       };
       const grant = () => {
-        if (taker !== 'users') this.countDuty(units);
+        if (consumer !== 'users') this.countInternal(units);
         signal?.removeEventListener('abort', onAbort);
         resolve();
       };
       const waiter: Waiter = { units, grant };
       signal?.addEventListener('abort', onAbort, { once: true });
-      if (taker === 'urgent') this.urgentLine.push(waiter);
-      else this.line.push(taker, waiter);
+      if (consumer === 'urgent') this.urgentLine.push(waiter);
+      else this.line.push(consumer, waiter);
       this.serve();
     });
   }
 
-  private countDuty(units: number): void {
-    this.forgetDutyUnits();
-    this.dutyUnits += units;
+  private countInternal(units: number): void {
+    this.expireInternalUnits();
+    this.internalUnits += units;
   }
 
-  private forgetDutyUnits(): void {
+  private expireInternalUnits(): void {
     const now = this.clock.now();
-    this.dutyUnits *= Math.exp((this.dutyUnitsAt - now) / AVERAGED_S);
-    this.dutyUnitsAt = now;
+    this.internalUnits *= Math.exp((this.internalUnitsAt - now) / AVERAGED_S);
+    this.internalUnitsAt = now;
   }
 
   private refill(): void {
--- a/packages/store/cache.ts
+++ b/packages/store/cache.ts
@@ -117,8 +117,8 @@
   }
 
   /** Takes in an entry that this process has written or read itself. */
-  learn(key: string, value: unknown, version: number): void {
-    this.take({ key, value, version });
+  applyLocal(key: string, value: unknown, version: number): void {
+    this.applyEvent({ key, value, version });
   }
 
   private async load(signal: AbortSignal): Promise<void> {
@@ -131,7 +131,7 @@
       base ??= page.revision;
       for (const entry of page.entries) {
         seen.add(entry.key);
-        this.take(entry);
+        this.applyEvent(entry);
       }
     }
     this.forgetMissing(seen, base ?? 0);
@@ -142,17 +142,17 @@
   /** What is not among all keys of a revision was removed before it. */
   private forgetMissing(seen: Set<string>, base: number): void {
     for (const [key, version] of this.versions) {
-      if (!seen.has(key) && version <= base) this.take({ key, version: base });
+      if (!seen.has(key) && version <= base) this.applyEvent({ key, version: base });
     }
   }
 
   private apply(events: WatchEvent[], revision: number): void {
-    for (const event of events) this.take(event);
+    for (const event of events) this.applyEvent(event);
     if (this.revision !== null) this.revision = Math.max(this.revision, revision);
   }
 
   /** Older events than what is known of their key change nothing. */
-  private take(event: WatchEvent): void {
+  private applyEvent(event: WatchEvent): void {
     const known = this.versions.get(event.key) ?? 0;
     if (event.version <= known) return;
     this.versions.set(event.key, event.version);
--- a/packages/store/client.ts
+++ b/packages/store/client.ts
@@ -1,6 +1,6 @@
 import { setMaxListeners } from 'node:events';
 import { Change, Clock, Condition, StateApi, StateRefused, TxnMalformed, TxnOutcome } from '#wire';
-import { Budget, type Taker } from './budget.js';
+import { Budget, type BudgetConsumer } from './budget.js';
 import { type RateBounds, SharedRate } from './shared-rate.js';
 
 /** Seconds' worth of what users can count on that one transaction of theirs waits for at the most. */
@@ -104,11 +104,11 @@
   }
 
   private async callFor<T>(
-    taker: Taker,
+    consumer: BudgetConsumer,
     signal: AbortSignal | undefined,
     run: (api: StateApi) => Promise<T>,
   ): Promise<T> {
-    await this.reads.takeFor(taker, 1, signal ?? this.closed);
+    await this.reads.acquireFor(consumer, 1, signal ?? this.closed);
     const sentAt = this.clock.now();
     this.requests++;
     try {
@@ -143,26 +143,26 @@
   async reserveForUsers(wanted: number): Promise<number> {
     const soon = Math.floor(Math.max(this.writes.left(), this.usersChangesPerS * USERS_TURN_S));
     const units = Math.max(1, Math.min(wanted, this.limits.txnOps, soon));
-    await this.writes.takeFor('users', units, this.closed);
+    await this.writes.acquireFor('users', units, this.closed);
     return units;
   }
 
   /** A transaction with what users ask for, of which so many changes are reserved. */
   userTxn(conditions: Condition[], changes: Change[], reserved: number): Promise<TxnOutcome> {
-    this.giveBack(reserved - changes.length);
+    this.refund(reserved - changes.length);
     return this.send('users', conditions, changes);
   }
 
   /** The same for the controller's own changes. */
   async reserve(wanted: number, signal: AbortSignal): Promise<number> {
     const units = Math.max(1, Math.min(wanted, this.txnChanges));
-    await this.writes.takeFor('duty', units, signal);
+    await this.writes.acquireFor('duty', units, signal);
     return units;
   }
 
   /** Changes that were reserved and are not needed; fewer than none if more are. */
-  giveBack(changes: number): void {
-    this.writes.giveBack(changes);
+  refund(changes: number): void {
+    this.writes.refund(changes);
   }
 
   /** A transaction whose changes are reserved. */
@@ -175,24 +175,26 @@
   }
 
   private async txnFor(
-    taker: Taker,
+    consumer: BudgetConsumer,
     conditions: Condition[],
     changes: Change[],
     signal?: AbortSignal,
   ): Promise<TxnOutcome> {
-    await this.writes.takeFor(taker, changes.length, signal ?? this.closed);
-    return this.send(taker, conditions, changes, signal);
+    await this.writes.acquireFor(consumer, changes.length, signal ?? this.closed);
+    return this.send(consumer, conditions, changes, signal);
   }
 
   private async send(
-    taker: Taker,
+    consumer: BudgetConsumer,
     conditions: Condition[],
     changes: Change[],
     signal?: AbortSignal,
   ): Promise<TxnOutcome> {
     this.changes += changes.length;
     try {
-      const out = await this.callFor(taker, signal, (api) => api.txn(conditions, changes, signal));
+      const out = await this.callFor(consumer, signal, (api) =>
+        api.txn(conditions, changes, signal),
+      );
       this.writeRate.served();
       return out;
     } catch (err) {
--- a/packages/store/ownership.ts
+++ b/packages/store/ownership.ts
@@ -182,7 +182,7 @@
       );
       if (out.ok) {
         // Through the cache, so that an older event which is still to come is known as older.
-        cache.learn(key, value, out.revision);
+        cache.applyLocal(key, value, out.revision);
       } else if ('leaseGone' in out) this.lease.id = null;
       this.campaignPending = false;
     } catch (err) {
--- a/packages/testing/generators.ts
+++ b/packages/testing/generators.ts
@@ -63,7 +63,7 @@
       ...anyTaskRef,
       state: fc.constantFrom('fetching', 'waiting', 'running', 'saving', 'exited'),
       cause: fc.option(fc.constantFrom('done', 'stopped', 'peers', 'alone', 'error', 'no_room')),
-      saved: fc.boolean(),
+      checkpointed: fc.boolean(),
     }),
     { maxLength: 5 },
   ) as fc.Arbitrary<Heartbeat['tasks']>,
--- a/packages/testing/measure-scale.ts
+++ b/packages/testing/measure-scale.ts
@@ -114,7 +114,7 @@
 
 function timeReport(fleet: FleetState): number {
   let seq = 0;
-  const running = { state: 'running' as const, cause: null, saved: false };
+  const running = { state: 'running' as const, cause: null, checkpointed: false };
   const tasks = [{ job: 's-1', index: 0, attempt: 6553601, ...running }];
   const nextReport = (): Heartbeat => aReport({ machine: 'n-1', sequence: ++seq, tasks });
   return medianMs(nextReport, (report) => void fleet.heartbeats.handle(report, LATER_S));
--- a/packages/testing/meetings/chained-mistakes.test.ts
+++ b/packages/testing/meetings/chained-mistakes.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { DependencyGraph } from '#dependencies';
-import { AwaitedJobs } from '../../controller/awaited-jobs.js';
+import { DependencyValidator } from '../../controller/awaited-jobs.js';
 import { UserApi } from '../../controller/user-api.js';
 import { JobRegistry } from '../../core/job-registry.js';
 import type { JobState } from '../../core/model.js';
@@ -28,6 +28,7 @@
 ): Promise<ScenarioResult> {
   const methods = prototype as Methods;
   const original = methods[name];
+  assert.equal(typeof original, 'function', `no method ${name} to replace`);
   methods[name] = replace(original as (...args: unknown[]) => unknown);
   try {
     const pipeline = { cancelledShare: 0.5 };
@@ -60,7 +61,7 @@
           return other === undefined || other.done.size === other.spec.tasks;
         };
         for (const other of this.values()) {
-          if (other.awaitsJobs && other.spec.awaits.every(isDone)) {
+          if (other.hasOpenDependencies && other.spec.awaits.every(isDone)) {
             this.startable(other, other.waitingSince);
           }
         }
@@ -93,8 +94,8 @@
 
 test('a refusal for good by what a controller happens to know is found', async () => {
   const result = await playWith(
-    AwaitedJobs.prototype,
-    'whyNever',
+    DependencyValidator.prototype,
+    'rejectionReason',
     () =>
       function (this: { jobs: { get(id: string): unknown } }, { awaits }: { awaits: string[] }) {
         const unknown = awaits.find((id) => !this.jobs.get(id));
--- a/packages/testing/owner-load/figures.ts
+++ b/packages/testing/owner-load/figures.ts
@@ -10,10 +10,10 @@
 } from '../../controller/fleet-summary.js';
 import type { JobTable } from '../../controller/jobs.js';
 import { MachineRecords } from '../../controller/machine-records.js';
-import { stopOnNotices } from '../../controller/notices.js';
+import { evictOnReclaimNotices } from '../../controller/notices.js';
 import { RecordBatch } from '../../controller/record-batch.js';
 import { RemovalMarker } from '../../controller/removal-marker.js';
-import { uselessMachines } from '../../controller/useless-machines.js';
+import { unusableMachines } from '../../controller/useless-machines.js';
 import type { StandingFleet } from './standing-fleet.js';
 
 /** One duty: `prepare` is not timed, and is called anew before each run. */
@@ -35,7 +35,7 @@
 function round({ fleet, scheduler }: StandingFleet, now: number): void {
   fleet.leases.expire(now);
   fleet.machines.updateTotals();
-  stopOnNotices(fleet, now);
+  evictOnReclaimNotices(fleet, now);
   scheduler.reservations.update(now);
   scheduler.round(now);
 }
@@ -99,7 +99,7 @@
 
 /** The tasks of a machine are placed but not started. */
 function unstart(task: Assignment): void {
-  Object.assign(task, { startSent: false, reported: null, recorded: true });
+  Object.assign(task, { startSent: false, reportedState: null, recorded: true });
 }
 
 let chosen: Machine;
@@ -133,10 +133,10 @@
   },
   'leases expire': { prepare: nothing, run: ({ fleet }, now) => void fleet.leases.expire(now) },
   totals: { prepare: nothing, run: ({ fleet }) => fleet.machines.updateTotals() },
-  notices: { prepare: nothing, run: ({ fleet }, now) => stopOnNotices(fleet, now) },
+  notices: { prepare: nothing, run: ({ fleet }, now) => evictOnReclaimNotices(fleet, now) },
   'useless machines': {
     prepare: nothing,
-    run: ({ fleet }, now) => void uselessMachines(fleet, now, LEASE_S),
+    run: ({ fleet }, now) => void unusableMachines(fleet, now, LEASE_S),
   },
   'reservations, none wait': {
     prepare: nothing,
--- a/packages/testing/owner-load/random-steps.ts
+++ b/packages/testing/owner-load/random-steps.ts
@@ -24,9 +24,9 @@
     () => this.endJob(),
     () => this.stopTask(),
     () => this.fleet.machines.drain(this.anyMachine()),
-    () => this.fleet.machines.noteFailed(this.anyMachine()),
+    () => this.fleet.machines.markFailed(this.anyMachine()),
     () => this.fleet.removeMachine(this.anyMachine().name, this.now),
-    () => this.fleet.machines.noteType({ ...LARGE, cpus: LARGE.cpus + this.chance.int(0, 3) }),
+    () => this.fleet.machines.setType({ ...LARGE, cpus: LARGE.cpus + this.chance.int(0, 3) }),
   ];
 
   constructor(private readonly chance: Chance) {
--- a/packages/testing/owner-load/standing-fleet.ts
+++ b/packages/testing/owner-load/standing-fleet.ts
@@ -73,7 +73,7 @@
   ) {
     const isOnSpareRoom: BestEffortTest = (job) => isBestEffort(job, TEAMS.get(job.team));
     this.fleet = aFleet({ isBestEffort: isOnSpareRoom, makeReplicas });
-    this.fleet.machines.noteType(LARGE);
+    this.fleet.machines.setType(LARGE);
     this.scheduler = new Scheduler(this.fleet, TEAMS, { ...SCHEDULE, ...schedule });
     this.planner = new CapacityPlanner({
       fleet: this.fleet,
@@ -130,7 +130,7 @@
 
   private addMachine(facts: MachineFacts): Machine {
     const machine = this.fleet.machines.register(facts, 'up', 0);
-    return Object.assign(machine, { session: 1, termConfirmed: true, answeredAt: STEADY_AT });
+    return Object.assign(machine, { agentEpoch: 1, termConfirmed: true, answeredAt: STEADY_AT });
   }
 
   /** A user submits a job. */
@@ -164,7 +164,7 @@
         else this.fleet.assignments.end(task, 'stopped', false, now);
       }
     }
-    for (const name of [...unrecorded.machines]) unrecorded.machineTaken(name);
+    for (const name of [...unrecorded.machines]) unrecorded.machineCollected(name);
     unrecorded.jobs.clear();
     machinesWithCommands.clear();
     jobs.takeCountsChanged();
@@ -195,12 +195,12 @@
 
 function reportTask({ job, index, attempt }: Assignment, exited: boolean): TaskStatus {
   const ref = { job: job.spec.id, index, attempt };
-  if (exited) return { ...ref, state: 'exited', cause: 'done', saved: false };
-  return { ...ref, state: 'running', cause: null, saved: false };
+  if (exited) return { ...ref, state: 'exited', cause: 'done', checkpointed: false };
+  return { ...ref, state: 'running', cause: null, checkpointed: false };
 }
 
 /** The task was recorded, started and is seen to run. */
 function markRunning(task: Assignment, now: number): void {
-  Object.assign(task, { recorded: true, startSent: true, reported: 'running' });
+  Object.assign(task, { recorded: true, startSent: true, reportedState: 'running' });
   task.runningSince ??= now;
 }
--- a/packages/testing/owner-model/owner.ts
+++ b/packages/testing/owner-model/owner.ts
@@ -72,7 +72,7 @@
 
   private load(now: number): void {
     const { records, fleet } = this;
-    fleet.machines.noteType(STD);
+    fleet.machines.setType(STD);
     for (const { job, phase } of records.jobs.values()) {
       const state = fleet.addJob(job, now, phase, now);
       for (const index of records.done.get(job.id) ?? []) state.done.add(index);
--- a/packages/testing/owner-model/recorder.ts
+++ b/packages/testing/owner-model/recorder.ts
@@ -36,7 +36,7 @@
       record.phase = 'done';
       fleet.closeJob(job, 'done', 0);
     }
-    fleet.unrecorded.jobOver(id);
+    fleet.unrecorded.forgetJob(id);
   }
 
   private recordMachine(name: string): void {
--- a/packages/testing/owner-model/worker.ts
+++ b/packages/testing/owner-model/worker.ts
@@ -52,14 +52,16 @@
   report(): Heartbeat {
     this.seq++;
     const { name, zone, spot, session, seq, token } = this;
-    const tasks = [...this.tasks.values()].map(({ job, index, attempt, state, cause, saved }) => ({
-      job,
-      index,
-      attempt,
-      state,
-      cause,
-      saved,
-    }));
+    const tasks = [...this.tasks.values()].map(
+      ({ job, index, attempt, state, cause, checkpointed }) => ({
+        job,
+        index,
+        attempt,
+        state,
+        cause,
+        checkpointed,
+      }),
+    );
     return {
       machine: name,
       addr: '127.0.0.1:1',
@@ -120,7 +122,7 @@
       attempt,
       state: 'fetching',
       cause: null,
-      saved: false,
+      checkpointed: false,
       startedAt: now,
       runS: runS(job),
     };
--- a/packages/testing/ownership/cluster.ts
+++ b/packages/testing/ownership/cluster.ts
@@ -80,7 +80,7 @@
   cancel(node: NodeModel): void {
     const { now, confirmed } = this;
     const job = `j-${confirmed.length + 1}`;
-    node.cancellations.noteRequested(job, now);
+    node.cancellations.addRequested(job, now);
     for (const peer of this.peersOf(node.name)) {
       this.link(node.name, peer).send({ kind: 'abort', job, ageMs: 0 }, now);
     }
--- a/packages/testing/ownership/node.ts
+++ b/packages/testing/ownership/node.ts
@@ -64,7 +64,7 @@
 
   private readJobs(service: ServiceModel, now: number): void {
     for (const { job, revision } of service.cancelled) {
-      if (revision > this.jobsRevision) this.cancellations.noteRecorded(job, revision);
+      if (revision > this.jobsRevision) this.cancellations.addRecorded(job, revision);
     }
     this.jobsRevision = service.revision;
     this.jobsCurrentAt = now;
@@ -131,7 +131,7 @@
 
   /** A peer's statement has come. */
   noteStandby(now: number, statements: Statements): void {
-    this.standby.note(this.standbyView(now, statements), statements.owner);
+    this.standby.record(this.standbyView(now, statements), statements.owner);
   }
 
   /** Whether this node renews leases for the owner of the term that it saw last. */
--- a/packages/testing/ownership/world.ts
+++ b/packages/testing/ownership/world.ts
@@ -69,7 +69,7 @@
   private take(node: NodeModel, from: string, message: Message): void {
     const { now } = this.cluster;
     if (message.kind === 'abort') {
-      node.cancellations.noteTold(message, now);
+      node.cancellations.addFromPeer(message, now);
       return;
     }
     const { frame } = message;
@@ -77,7 +77,7 @@
     node.yieldTo(frame.newestLeader.term);
     node.noteStandby(now, statementsFor(node, this.fault));
     if (this.fault === 'ignores-cancelled') return;
-    for (const notice of frame.cancelled) node.cancellations.noteTold(notice, now);
+    for (const notice of frame.cancelled) node.cancellations.addFromPeer(notice, now);
   }
 
   private sendStatus(node: NodeModel): void {
--- a/packages/testing/recorder-world.ts
+++ b/packages/testing/recorder-world.ts
@@ -69,7 +69,7 @@
   });
   jobs.changed.subscribe(({ job, phase }) => {
     fleet.addJob(job, 0, phase, state.now);
-    if (phase !== 'accepted') recorder.jobRecords.over(job);
+    if (phase !== 'accepted') recorder.jobRecords.jobEnded(job);
   });
   return { client, cache, fleet, recorder, term };
 }
--- a/packages/testing/samples.ts
+++ b/packages/testing/samples.ts
@@ -58,14 +58,14 @@
     electedAt: 0,
     ...own,
   });
-  fleet.machines.noteType(STD);
+  fleet.machines.setType(STD);
   return fleet;
 }
 
 /** Adds a machine of type STD in zone a that is up. */
 export function aMachine(fleet: FleetState, name: string, own: Partial<Machine> = {}): Machine {
   const facts = { name, addr: '', type: 'std', zone: 'a', spot: false, ...own };
-  const machine = fleet.machines.register(facts, 'up', own.rentedAt ?? 0);
+  const machine = fleet.machines.register(facts, 'up', own.requestedAt ?? 0);
   fleet.machines.updateTotals();
   return machine;
 }
--- a/packages/testing/standins/cloud/cloud-service.test.ts
+++ b/packages/testing/standins/cloud/cloud-service.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { CloudClient, type ListedMachine, type RentOutcome } from '#wire';
+import { CloudClient, type ListedMachine, type ProvisionOutcome } from '#wire';
 import { SampleWorld } from '../sample-world.js';
 import { STD } from '../../samples.js';
 import { QUICK_BOOTS, USUAL_BOOTS } from './boot-times.js';
@@ -29,12 +29,12 @@
     3000,
   );
   const rent = (request: string, count: number, spot = false) =>
-    world.finish(client.rent(request, { type: 'std', zone: 'a', spot, count }));
+    world.finish(client.provision(request, { type: 'std', zone: 'a', spot, count }));
   const list = async () => (await world.finish(client.list(null))).machines;
   return { world, cloud, client, told, rent, list };
 }
 
-function rented(outcome: RentOutcome): string[] {
+function rented(outcome: ProvisionOutcome): string[] {
   assert.ok(typeof outcome === 'object');
   return outcome.machines;
 }
--- a/packages/testing/standins/cloud/cloud-service.ts
+++ b/packages/testing/standins/cloud/cloud-service.ts
@@ -135,15 +135,15 @@
     }
   }
 
-  private rent(request: serving.RentRequest): serving.WireReply {
+  private rent(request: serving.RawProvisionRequest): serving.WireReply {
     const known = this.rentals.get(request.request);
-    if (known) return serving.rentReply(known);
+    if (known) return serving.provisionReply(known);
     const type = this.options.types.find(({ name }) => name === request.type);
     if (!type?.zones.includes(request.zone)) throw new MalformedBody('no such type or zone');
     const { zone, spot, count } = request;
     const names = this.park.rent({ type, zone, spot, count }).map((machine) => machine.name);
     if (names.length > 0) this.rentals.set(request.request, names);
-    return serving.rentReply(names);
+    return serving.provisionReply(names);
   }
 
   private release(names: string[]): serving.WireReply {
--- a/packages/testing/standins/worker/hosted-task.ts
+++ b/packages/testing/standins/worker/hosted-task.ts
@@ -26,7 +26,7 @@
 
   report(): TaskStatus {
     const { state, cause, saved } = this;
-    return { ...this.ref, state, cause, saved };
+    return { ...this.ref, state, cause, checkpointed: saved };
   }
 
   /** Waits for its image, then runs. */
--- a/packages/testing/standins/worker/task-table.ts
+++ b/packages/testing/standins/worker/task-table.ts
@@ -62,7 +62,7 @@
   }
 
   private refuse(ref: TaskRef, cause: Cause): void {
-    this.refusals.set(attemptKey(ref), { ...ref, state: 'exited', cause, saved: false });
+    this.refusals.set(attemptKey(ref), { ...ref, state: 'exited', cause, checkpointed: false });
     this.host.taskChanged();
   }
 
--- a/packages/testing/standins/worker/worker.test.ts
+++ b/packages/testing/standins/worker/worker.test.ts
@@ -13,8 +13,12 @@
   return { fleet, worker, controller, world: fleet.world };
 }
 
-function outcome(tasks: { state: string; cause: string | null; saved: boolean }[]): string[] {
-  return tasks.map(({ state, cause, saved }) => `${state} ${cause ?? ''}${saved ? ' saved' : ''}`);
+function outcome(
+  tasks: { state: string; cause: string | null; checkpointed: boolean }[],
+): string[] {
+  return tasks.map(
+    ({ state, cause, checkpointed }) => `${state} ${cause ?? ''}${checkpointed ? ' saved' : ''}`,
+  );
 }
 
 test('a worker reports by its period, and sooner when something changes', async () => {
--- a/packages/wire/cloud.ts
+++ b/packages/wire/cloud.ts
@@ -33,7 +33,7 @@
 }
 
 /** Machines of one type, zone and kind that are asked for together. */
-export interface RentalRequest {
+export interface ProvisionRequest {
   type: string;
   zone: string;
   spot: boolean;
@@ -41,7 +41,7 @@
 }
 
 /** What became of a rental; `trouble` did nothing and may be asked for again under the same name. */
-export type RentOutcome = { machines: string[] } | 'no-capacity' | 'trouble';
+export type ProvisionOutcome = { machines: string[] } | 'no-capacity' | 'trouble';
 
 interface RawType {
   name: string;
@@ -75,7 +75,7 @@
 /** Machines that one call may release. */
 export const RELEASE_AT_ONCE = 100;
 /** Machines that one call may rent. */
-export const RENT_AT_ONCE = 50;
+export const MACHINES_PER_REQUEST = 50;
 
 /** The cloud's interface, call by call. Calls reject with NoAnswer or CloudRefused. */
 export class CloudClient {
@@ -109,17 +109,17 @@
   }
 
   /** Rents machines under a name that was never used before, or repeats that same request. */
-  async rent(
+  async provision(
     request: string,
-    { type, zone, spot, count }: RentalRequest,
+    { type, zone, spot, count }: ProvisionRequest,
     signal?: AbortSignal,
-  ): Promise<RentOutcome> {
+  ): Promise<ProvisionOutcome> {
     const body = {
       hire: request,
       rig: type,
       yard: zone,
       loaner: spot,
-      number: Math.min(count, RENT_AT_ONCE),
+      number: Math.min(count, MACHINES_PER_REQUEST),
     };
     const res = await this.http.call('POST', '/hosts', { timeoutMs: this.timeoutMs, signal, body });
     if (res.status === 200) return { machines: (res.body as { hosts: string[] }).hosts };
--- a/packages/wire/report.ts
+++ b/packages/wire/report.ts
@@ -15,7 +15,7 @@
   /** Null unless it has exited. */
   cause: Cause | null;
   /** Its progress was saved when it was stopped. */
-  saved: boolean;
+  checkpointed: boolean;
 }
 
 /** A worker's heartbeat, with all its tasks. */
@@ -138,7 +138,7 @@
     attempt: tryNo,
     state: STATES[phase],
     cause: cause ? (CAUSES[cause] ?? 'error') : null,
-    saved: kept === true,
+    checkpointed: kept === true,
   };
 }
 
@@ -168,12 +168,12 @@
   };
 }
 
-function taskToWire({ job, index, attempt, state, cause, saved }: TaskStatus) {
+function taskToWire({ job, index, attempt, state, cause, checkpointed }: TaskStatus) {
   return {
     piece: taskName(job, index),
     tryNo: attempt,
     phase: STATE_NAMES[state],
     ...(cause ? { cause: CAUSE_NAMES[cause] } : {}),
-    ...(saved ? { kept: true } : {}),
+    ...(checkpointed ? { kept: true } : {}),
   };
 }
--- a/packages/wire/serving/cloud.ts
+++ b/packages/wire/serving/cloud.ts
@@ -1,6 +1,11 @@
 /** The cloud's side of its interface: requests read, answers written. */
 import { MalformedBody } from '../cbor.js';
-import { RELEASE_AT_ONCE, RENT_AT_ONCE, type ListedMachine, type MachineType } from '../cloud.js';
+import {
+  RELEASE_AT_ONCE,
+  MACHINES_PER_REQUEST,
+  type ListedMachine,
+  type MachineType,
+} from '../cloud.js';
 import {
   asFields,
   booleanField,
@@ -14,12 +19,12 @@
 /** What the cloud can be asked. */
 export type CloudRequest =
   | { op: 'catalog' }
-  | RentRequest
+  | RawProvisionRequest
   | { op: 'release'; machines: string[] }
   | { op: 'list'; after: string | null; limit: number };
 
 /** A request to rent machines of one type, zone and kind. */
-export interface RentRequest {
+export interface RawProvisionRequest {
   op: 'rent';
   /** Name that makes the request idempotent. */
   request: string;
@@ -39,7 +44,7 @@
 /** Reads a request; throws MalformedBody for whatever the cloud answers with 400. */
 export function parseCloudRequest({ method, path, query, body }: WireRequest): CloudRequest {
   if (method === 'GET' && path === '/catalog') return { op: 'catalog' };
-  if (method === 'POST' && path === '/hosts') return parseRent(body);
+  if (method === 'POST' && path === '/hosts') return parseProvisionRequest(body);
   if (method === 'POST' && path === '/hosts/release') return parseRelease(body);
   if (method === 'GET' && path === '/hosts') {
     const limit = integerQuery(query, 'most', { min: 1, max: MAX_LISTED, ifMissing: MAX_LISTED });
@@ -48,7 +53,7 @@
   throw new MalformedBody(`${method} ${path} is no request of the cloud`);
 }
 
-function parseRent(body: unknown): RentRequest {
+function parseProvisionRequest(body: unknown): RawProvisionRequest {
   const fields = asFields(body);
   return {
     op: 'rent',
@@ -56,7 +61,7 @@
     type: textField(fields, 'rig'),
     zone: textField(fields, 'yard'),
     spot: booleanField(fields, 'loaner'),
-    count: integerField(fields, 'number', 1, RENT_AT_ONCE),
+    count: integerField(fields, 'number', 1, MACHINES_PER_REQUEST),
   };
 }
 
@@ -87,7 +92,7 @@
 }
 
 /** The machines rented; none is the refusal for want of capacity. */
-export function rentReply(machines: string[]): WireReply {
+export function provisionReply(machines: string[]): WireReply {
   if (machines.length === 0) return { status: 503, body: { error: 'no capacity' } };
   return { status: 200, body: { hosts: machines } };
 }
