--- /dev/null
+++ b/packages/testing/simulation/comparison/run-outcome.ts
@@ -0,0 +1,26 @@
+/** What a run of the simulated cluster is compared by. */
+import type { Scenario } from '../scenario.js';
+
+/** One scenario that is played with one seed. */
+export interface PlannedRun {
+  scenario: Scenario;
+  seed: number;
+}
+
+/** A run that came to its end. */
+export interface PlayedRun {
+  kind: 'played';
+  /** Hashes the times and the order of all events. */
+  digest: string;
+  eventCount: number;
+  /** Broken rules and uncaught errors, one line each. */
+  problems: string[];
+}
+
+/** A run that threw, or whose process ended before the run did. */
+export interface FailedRun {
+  kind: 'failed';
+  reason: string;
+}
+
+export type RunOutcome = PlayedRun | FailedRun;
--- /dev/null
+++ b/packages/testing/simulation/comparison/worker-pool.ts
@@ -0,0 +1,60 @@
+/** Plays runs in processes of their own, a few at a time. */
+import { fork } from 'node:child_process';
+import { once } from 'node:events';
+import { fileURLToPath } from 'node:url';
+import type { PlannedRun, RunOutcome } from './run-outcome.js';
+import type { PlayRequest } from './worker.js';
+
+const WORKER = fileURLToPath(new URL('worker.js', import.meta.url));
+/** Whatever a run writes goes to standard error; standard output holds the comparison. */
+const STANDARD_ERROR = 2;
+
+export class WorkerPool {
+  private running = 0;
+  private readonly waiting: (() => void)[] = [];
+
+  /** At most `size` processes run at the same time. */
+  constructor(private readonly size: number) {}
+
+  /** Plays the run with the simulation module at that path; never rejects. */
+  async play(simulation: string, run: PlannedRun): Promise<RunOutcome> {
+    await this.enter();
+    try {
+      return await playInProcess({ simulation, run });
+    } catch (error) {
+      return { kind: 'failed', reason: String(error) };
+    } finally {
+      this.leave();
+    }
+  }
+
+  private async enter(): Promise<void> {
+    if (this.running < this.size) {
+      this.running++;
+      return;
+    }
+    await new Promise<void>((resolve) => this.waiting.push(resolve));
+  }
+
+  /** Hands the place to the next run that waits. */
+  private leave(): void {
+    const next = this.waiting.shift();
+    if (next) next();
+    else this.running--;
+  }
+}
+
+async function playInProcess(request: PlayRequest): Promise<RunOutcome> {
+  const worker = fork(WORKER, {
+    serialization: 'advanced',
+    stdio: ['ignore', STANDARD_ERROR, STANDARD_ERROR, 'ipc'],
+  });
+  let outcome: RunOutcome | null = null;
+  worker.once('message', (message) => {
+    outcome = message as RunOutcome;
+  });
+  const closed = once(worker, 'close');
+  worker.send(request);
+  const [code, signal] = (await closed) as [number | null, NodeJS.Signals | null];
+  return outcome ?? { kind: 'failed', reason: `the process ended early (${signal ?? code})` };
+}
--- /dev/null
+++ b/packages/testing/simulation/comparison/worker.ts
@@ -0,0 +1,46 @@
+/**
+ * The program of a process that plays one run with the simulated cluster of a built checkout. The checkout may
+ * be older than this program, so nothing but `runScenario` is loaded from it, and nothing from this build.
+ */
+import path from 'node:path';
+import { pathToFileURL } from 'node:url';
+import { inspect } from 'node:util';
+import type { runScenario } from '../run-scenario.js';
+import type { PlannedRun, RunOutcome } from './run-outcome.js';
+
+/** The message that the process waits for; it answers with a RunOutcome and ends. */
+export interface PlayRequest {
+  /** Path of the module that exports `runScenario`. */
+  simulation: string;
+  run: PlannedRun;
+}
+
+interface SimulationModule {
+  runScenario: typeof runScenario;
+}
+
+async function play({ simulation, run }: PlayRequest): Promise<RunOutcome> {
+  const url = pathToFileURL(path.resolve(simulation)).href;
+  const loaded = (await import(url)) as SimulationModule;
+  const result = await loaded.runScenario(run.scenario, run.seed);
+  const problems = [...result.violations, ...result.uncaught];
+  return {
+    kind: 'played',
+    digest: result.digest,
+    eventCount: result.eventCount,
+    problems: problems.map((problem) => inspect(problem, { breakLength: Infinity })),
+  };
+}
+
+async function answer(request: PlayRequest): Promise<void> {
+  let outcome: RunOutcome;
+  try {
+    outcome = await play(request);
+  } catch (error) {
+    outcome = { kind: 'failed', reason: inspect(error) };
+  }
+  // The run may leave timers behind, which would keep the process alive.
+  process.send!(outcome, () => process.exit());
+}
+
+process.once('message', (request) => void answer(request as PlayRequest));
