--- a/packages/testing/meetings/run-queries.ts
+++ b/packages/testing/meetings/run-queries.ts
@@ -9,6 +9,8 @@
   type Scenario,
   type ScenarioResult,
 } from '../simulation/index.js';
+import { outcomeOf } from '../simulation/comparison/run-outcome.js';
+import { appendRun } from '../simulation/comparison/saved-runs.js';
 import { LEASE_S } from './steady-work.js';
 
 /** A cancellation as its user was first told of it. */
@@ -21,7 +23,8 @@
 
 /**
  * Plays a scenario with several seeds; no rule may break, and the check says whether the meeting occurred.
- * `MEETING_SEEDS=4-20` in the environment plays these seeds instead, to look further.
+ * `MEETING_SEEDS=4-20` in the environment plays these seeds instead, to look further, and `MEETING_RUNS=FILE` adds
+ * each run to a file for simulation/compare-runs.
  */
 export async function playMeeting(
   scenario: Scenario,
@@ -30,6 +33,7 @@
 ): Promise<void> {
   for (const seed of seedsFromEnvironment() ?? seeds) {
     const result = await runScenario(scenario, seed);
+    recordRun(result);
     try {
       assert.deepEqual(describeProblems(result), []);
       await check(result);
@@ -39,6 +43,13 @@
   }
 }
 
+function recordRun(result: ScenarioResult): void {
+  const file = process.env.MEETING_RUNS;
+  if (file === undefined) return;
+  const { scenario, seed } = result;
+  appendRun(file, { scenario, seed, outcome: outcomeOf(result) });
+}
+
 function seedsFromEnvironment(): number[] | null {
   const range = process.env.MEETING_SEEDS?.split('-').map(Number);
   if (!range) return null;
--- a/packages/testing/simulation/compare-runs.test.ts
+++ b/packages/testing/simulation/compare-runs.test.ts
@@ -1,22 +1,26 @@
 import assert from 'node:assert/strict';
-import { test } from 'node:test';
+import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
+import { tmpdir } from 'node:os';
+import path from 'node:path';
+import { test, type TestContext } from 'node:test';
 import { fileURLToPath } from 'node:url';
 import { CommanderError } from 'commander';
-import { findOutcome } from './comparison/baseline.js';
 import { agree, describeComparison } from './comparison/compare-outcomes.js';
 import { BadArguments, readOptions } from './comparison/options.js';
-import { randomRuns } from './comparison/planned-runs.js';
+import { planRuns, randomRuns } from './comparison/planned-runs.js';
 import type { PlayedRun, RunOutcome } from './comparison/run-outcome.js';
+import { appendRun, loadRuns, saveRuns } from './comparison/saved-runs.js';
 
 const OWN_SOURCES = fileURLToPath(new URL('../../..', import.meta.url));
 
 const PLAYED: PlayedRun = { kind: 'played', digest: 'ab12', eventCount: 80, problems: [] };
+const [RUN] = randomRuns([7]);
 const FAILED: RunOutcome = { kind: 'failed', reason: 'the process ended early (1)' };
 
 test('seeds are one or a range, ends included', () => {
   assert.deepEqual(readOptions(['--save', 'x', '--seeds', '7']).seeds, [7]);
   assert.deepEqual(readOptions(['--save', 'x', '--seeds', '9-11']).seeds, [9, 10, 11]);
-  assert.deepEqual(readOptions(['--save', 'x']).seeds.length, 10);
+  assert.equal(planRuns(readOptions(['--save', 'x'])).length, 10);
 });
 
 test('another checkout is told by its simulation module', () => {
@@ -35,6 +39,7 @@
   ['--save a --jobs 0', /--jobs.*whole number of 1 or more/],
   ['--save a --jobs 1.5', /--jobs.*whole number of 1 or more/],
   ['--save a more', /too many arguments/],
+  ['--against a --recorded b', /--recorded/],
   ['--no-such', /unknown option/],
 ];
 
@@ -59,27 +64,47 @@
 
 test('a comparison is one line, and one more for each broken rule', () => {
   assert.equal(
-    describeComparison('random', 7, PLAYED, PLAYED),
+    describeComparison(RUN, PLAYED, PLAYED),
     'random, seed 7: same, 80 events, digest ab12\n',
   );
   const other = { ...PLAYED, digest: 'cd34', problems: ['orphaned'] };
   assert.equal(
-    describeComparison('random', 7, PLAYED, other),
+    describeComparison(RUN, PLAYED, other),
     'random, seed 7: DIFFERS: here 80 events, digest ab12; there 80 events, digest cd34\n' +
       '  broken there: orphaned\n',
   );
   assert.equal(
-    describeComparison('random', 7, other, other),
+    describeComparison(RUN, other, other),
     'random, seed 7: same, 80 events, digest cd34\n  broken here: orphaned\n',
   );
 });
 
-test('a saved run is found by scenario and seed', () => {
-  const [run, another] = randomRuns([1, 2]);
-  const { digest, eventCount, problems } = PLAYED;
-  const saved = [{ scenario: run.scenario.name, seed: 1, digest, eventCount, problems }];
-  assert.deepEqual(findOutcome(saved, run), PLAYED);
-  assert.equal(findOutcome(saved, another).kind, 'failed');
+/** A file in a directory that is gone after the test. */
+function temporaryFile(t: TestContext): string {
+  const directory = mkdtempSync(path.join(tmpdir(), 'compare-runs-'));
+  t.after(() => rmSync(directory, { recursive: true }));
+  return path.join(directory, 'runs.json');
+}
+
+test('saved runs come back with scenario and outcome, those of the chosen seeds or all', (t) => {
+  const file = temporaryFile(t);
+  const [first, second] = randomRuns([1, 2]).map((run) => ({ ...run, outcome: PLAYED }));
+  saveRuns(file, [first]);
+  appendRun(file, second);
+  assert.deepEqual(loadRuns(file), [first, second]);
+  assert.deepEqual(planRuns(readOptions(['--against', file])), [first, second]);
+  assert.deepEqual(planRuns(readOptions(['--against', file, '--seeds', '2-9'])), [second]);
+  assert.deepEqual(planRuns(readOptions(['--save', 'x', '--recorded', file])), [first, second]);
+  assert.throws(() => planRuns(readOptions(['--against', file, '--seeds', '3'])), BadArguments);
+});
+
+test('files that hold no runs are refused', (t) => {
+  const file = temporaryFile(t);
+  for (const text of ['', 'no JSON']) {
+    writeFileSync(file, text);
+    assert.throws(() => planRuns(readOptions(['--against', file])), BadArguments);
+  }
+  assert.throws(() => planRuns(readOptions(['--against', `${file}.none`])), BadArguments);
 });
 
 test('random scenarios differ by seed and are the same for the same seed', () => {
--- a/packages/testing/simulation/compare-runs.ts
+++ b/packages/testing/simulation/compare-runs.ts
@@ -5,12 +5,6 @@
  */
 import { fileURLToPath } from 'node:url';
 import { CommanderError } from 'commander';
-import {
-  type BaselineRun,
-  findOutcome,
-  loadBaseline,
-  saveBaseline,
-} from './comparison/baseline.js';
 import { agree, describeComparison, describeRun } from './comparison/compare-outcomes.js';
 import {
   BadArguments,
@@ -18,24 +12,25 @@
   readOptions,
   simulationOf,
 } from './comparison/options.js';
-import { randomRuns } from './comparison/planned-runs.js';
+import { type ExpectedRun, planRuns } from './comparison/planned-runs.js';
 import type { PlannedRun, RunOutcome } from './comparison/run-outcome.js';
+import { saveRuns, type SavedRun } from './comparison/saved-runs.js';
 import { WorkerPool } from './comparison/worker-pool.js';
 
 const ExitCode = { same: 0, different: 1, badArguments: 2 } as const;
 /** The checkout that this program belongs to. */
 const OWN_SOURCES = fileURLToPath(new URL('../../..', import.meta.url));
 
-type Play = (run: PlannedRun) => Promise<RunOutcome>;
+type Play = (run: ExpectedRun) => Promise<RunOutcome>;
 
-/** Plays all runs with both and prints each comparison; the exit code. */
-async function compare(runs: PlannedRun[], playHere: Play, playThere: Play): Promise<number> {
+/** Plays all runs with this build, compares each with what is known of it, and prints it; the exit code. */
+async function compare(runs: ExpectedRun[], playHere: Play, playThere: Play): Promise<number> {
   const played = runs.map((run) => ({ run, here: playHere(run), there: playThere(run) }));
   let same = 0;
   for (const { run, here, there } of played) {
     const [ours, theirs] = [await here, await there];
     if (agree(ours, theirs)) same++;
-    process.stdout.write(describeComparison(run.scenario.name, run.seed, ours, theirs));
+    process.stdout.write(describeComparison(run, ours, theirs));
   }
   process.stdout.write(`${same} of ${runs.length} runs are the same\n`);
   return same === runs.length ? ExitCode.same : ExitCode.different;
@@ -43,36 +38,33 @@
 
 /** Plays all runs and writes them to the file unless one failed; the exit code. */
 async function save(runs: PlannedRun[], play: Play, file: string): Promise<number> {
-  const saved: BaselineRun[] = [];
+  const saved: SavedRun[] = [];
   for (const { run, played } of runs.map((run) => ({ run, played: play(run) }))) {
     const outcome = await played;
-    const scenario = run.scenario.name;
-    process.stdout.write(describeRun(scenario, run.seed, outcome));
-    if (outcome.kind === 'failed') continue;
-    const { digest, eventCount, problems } = outcome;
-    saved.push({ scenario, seed: run.seed, digest, eventCount, problems });
+    process.stdout.write(describeRun(run, outcome));
+    const { scenario, seed } = run;
+    if (outcome.kind === 'played') saved.push({ scenario, seed, outcome });
   }
   if (saved.length < runs.length) {
     process.stdout.write(`${runs.length - saved.length} runs failed; nothing is saved\n`);
     return ExitCode.different;
   }
-  saveBaseline(file, saved);
+  saveRuns(file, saved);
   process.stdout.write(`${saved.length} runs are saved\n`);
   return ExitCode.same;
 }
 
-async function run({ mode, seeds, jobs }: ComparisonOptions): Promise<number> {
+async function run(options: ComparisonOptions): Promise<number> {
+  const { mode, jobs } = options;
   const pool = new WorkerPool(jobs);
   const simulation = simulationOf(OWN_SOURCES);
-  const runs = randomRuns(seeds);
+  const runs = planRuns(options);
   const playHere: Play = (run) => pool.play(simulation, run);
   switch (mode.kind) {
     case 'save':
       return save(runs, playHere, mode.file);
-    case 'against': {
-      const baseline = loadBaseline(mode.file);
-      return compare(runs, playHere, (run) => Promise.resolve(findOutcome(baseline, run)));
-    }
+    case 'against':
+      return compare(runs, playHere, ({ outcome }) => Promise.resolve(outcome!));
     case 'sources':
       return compare(runs, playHere, (run) => pool.play(mode.simulation, run));
   }
--- a/packages/testing/simulation/comparison/compare-outcomes.ts
+++ b/packages/testing/simulation/comparison/compare-outcomes.ts
@@ -1,5 +1,5 @@
 /** Compares two outcomes of a run and puts the result in a line. */
-import type { RunOutcome } from './run-outcome.js';
+import type { PlannedRun, RunOutcome } from './run-outcome.js';
 
 /** Runs agree if both came to their ends and their events were the same. */
 export function agree(here: RunOutcome, there: RunOutcome): boolean {
@@ -8,26 +8,25 @@
 }
 
 /** One line for the run, and below it one for each problem of this build's run. */
-export function describeComparison(
-  name: string,
-  seed: number,
-  here: RunOutcome,
-  there: RunOutcome,
-): string {
+export function describeComparison(run: PlannedRun, here: RunOutcome, there: RunOutcome): string {
   const verdict = agree(here, there)
     ? `same, ${describeOutcome(here)}`
     : `DIFFERS: here ${describeOutcome(here)}; there ${describeOutcome(there)}`;
-  const lines = [`${name}, seed ${seed}: ${verdict}`, ...problemLines('here', here)];
+  const lines = [`${nameOf(run)}: ${verdict}`, ...problemLines('here', here)];
   if (!haveSameProblems(here, there)) lines.push(...problemLines('there', there));
   return `${lines.join('\n')}\n`;
 }
 
 /** The same for a run that is compared with nothing. */
-export function describeRun(name: string, seed: number, outcome: RunOutcome): string {
-  const lines = [`${name}, seed ${seed}: ${describeOutcome(outcome)}`];
+export function describeRun(run: PlannedRun, outcome: RunOutcome): string {
+  const lines = [`${nameOf(run)}: ${describeOutcome(outcome)}`];
   return `${[...lines, ...problemLines('here', outcome)].join('\n')}\n`;
 }
 
+function nameOf({ scenario, seed }: PlannedRun): string {
+  return `${scenario.name}, seed ${seed}`;
+}
+
 function describeOutcome(outcome: RunOutcome): string {
   if (outcome.kind === 'failed') return `failed (${outcome.reason})`;
   return `${outcome.eventCount} events, digest ${outcome.digest}`;
--- a/packages/testing/simulation/comparison/options.ts
+++ b/packages/testing/simulation/comparison/options.ts
@@ -1,7 +1,7 @@
 /** The command line of the program that compares runs. */
 import { existsSync } from 'node:fs';
 import path from 'node:path';
-import { Command, InvalidArgumentError, Option } from 'commander';
+import { Command, InvalidArgumentError } from 'commander';
 
 /** What this build's runs are compared with, or where they are saved. */
 export type ComparisonMode =
@@ -11,7 +11,10 @@
 
 export interface ComparisonOptions {
   mode: ComparisonMode;
-  seeds: number[];
+  /** A file of runs that are played in place of random ones; null for none. */
+  recorded: string | null;
+  /** Null for the usual ones of random scenarios, and for all runs of a file. */
+  seeds: number[] | null;
   /** Processes at the same time. */
   jobs: number;
 }
@@ -23,7 +26,8 @@
   sources?: string;
   against?: string;
   save?: string;
-  seeds: number[];
+  recorded?: string;
+  seeds?: number[];
   jobs: number;
 }
 
@@ -33,7 +37,11 @@
 /** Reads the command line; throws CommanderError or BadArguments. */
 export function readOptions(args: string[]): ComparisonOptions {
   const raw = makeProgram().parse(args, { from: 'user' }).opts<RawOptions>();
-  return { mode: modeFrom(raw), seeds: raw.seeds, jobs: raw.jobs };
+  const { recorded = null, seeds = null, jobs } = raw;
+  if (recorded !== null && raw.against !== undefined) {
+    throw new BadArguments('--recorded: --against plays the runs of its own file');
+  }
+  return { mode: modeFrom(raw), recorded, seeds, jobs };
 }
 
 /** Path of the simulation module of a built checkout; throws BadArguments if it isn't built. */
@@ -55,20 +63,17 @@
 function makeProgram(): Command {
   return new Command('compare-runs')
     .description(
-      'Plays scenarios on the simulated cluster with this build and with another one, and compares ' +
+      'Plays random scenarios on the simulated cluster with this build and another one, and compares ' +
         'the events of the runs. Exactly one of --sources, --against and --save is needed.',
     )
     .exitOverride()
     .showSuggestionAfterError(false)
     .allowExcessArguments(false)
     .option('--sources <directory>', 'another built checkout, which plays the same scenarios')
-    .option('--against <file>', 'outcomes that --save wrote, in place of another checkout')
-    .option('--save <file>', 'play only this build and write its outcomes to the file')
-    .addOption(
-      new Option('--seeds <range>', 'a seed or a range of seeds')
-        .argParser(parseSeeds)
-        .default(parseSeeds('1-10'), '1-10'),
-    )
+    .option('--against <file>', 'play the runs that --save wrote and compare the outcomes')
+    .option('--save <file>', 'play the runs with this build only and write them to the file')
+    .option('--recorded <file>', 'play the runs of this file in place of random ones')
+    .option('--seeds <range>', 'such as 7 or 1-40 (default: 1-10; of a file, all)', parseSeeds)
     .option('--jobs <number>', 'processes at the same time', parseJobs, 1)
     .addHelpText(
       'after',
--- a/packages/testing/simulation/comparison/run-outcome.ts
+++ b/packages/testing/simulation/comparison/run-outcome.ts
@@ -1,4 +1,6 @@
-/** What a run of the simulated cluster is compared by. */
+/** What runs of the simulated cluster are compared by. */
+import { inspect } from 'node:util';
+import type { ScenarioResult } from '../run-scenario.js';
 import type { Scenario } from '../scenario.js';
 
 /** One scenario that is played with one seed. */
@@ -24,3 +26,14 @@
 }
 
 export type RunOutcome = PlayedRun | FailedRun;
+
+/** The outcome of a run, which another build may have played. */
+export function outcomeOf(result: ScenarioResult): PlayedRun {
+  const problems = [...result.violations, ...result.uncaught];
+  return {
+    kind: 'played',
+    digest: result.digest,
+    eventCount: result.eventCount,
+    problems: problems.map((problem) => inspect(problem, { breakLength: Infinity })),
+  };
+}
--- a/packages/testing/simulation/comparison/worker.ts
+++ b/packages/testing/simulation/comparison/worker.ts
@@ -1,12 +1,12 @@
 /**
  * The program of a process that plays one run with the simulated cluster of a built checkout. The checkout may
- * be older than this program, so nothing but `runScenario` is loaded from it, and nothing from this build.
+ * be older than this program, so nothing but `runScenario` is loaded from it, and no simulation from this build.
  */
 import path from 'node:path';
 import { pathToFileURL } from 'node:url';
 import { inspect } from 'node:util';
 import type { runScenario } from '../run-scenario.js';
-import type { PlannedRun, RunOutcome } from './run-outcome.js';
+import { outcomeOf, type PlannedRun, type RunOutcome } from './run-outcome.js';
 
 /** The message that the process waits for; it answers with a RunOutcome and ends. */
 export interface PlayRequest {
@@ -20,27 +20,20 @@
 }
 
 async function play({ simulation, run }: PlayRequest): Promise<RunOutcome> {
-  const url = pathToFileURL(path.resolve(simulation)).href;
-  const loaded = (await import(url)) as SimulationModule;
-  const result = await loaded.runScenario(run.scenario, run.seed);
-  const problems = [...result.violations, ...result.uncaught];
-  return {
-    kind: 'played',
-    digest: result.digest,
-    eventCount: result.eventCount,
-    problems: problems.map((problem) => inspect(problem, { breakLength: Infinity })),
-  };
-}
-
-async function answer(request: PlayRequest): Promise<void> {
-  let outcome: RunOutcome;
   try {
-    outcome = await play(request);
+    const url = pathToFileURL(path.resolve(simulation)).href;
+    const loaded = (await import(url)) as SimulationModule;
+    return outcomeOf(await loaded.runScenario(run.scenario, run.seed));
   } catch (error) {
-    outcome = { kind: 'failed', reason: inspect(error) };
+    return { kind: 'failed', reason: inspect(error) };
   }
+}
+
+async function answer(request: PlayRequest): Promise<void> {
+  const outcome = await play(request);
   // The run may leave timers behind, which would keep the process alive.
   process.send!(outcome, () => process.exit());
 }
 
 process.once('message', (request) => void answer(request as PlayRequest));
+process.once('disconnect', () => process.exit());
