--- a/packages/testing/simulation/comparison/run-outcome.ts
+++ b/packages/testing/simulation/comparison/run-outcome.ts
@@ -12,7 +12,7 @@
 /** A run that came to its end. */
 export interface PlayedRun {
   kind: 'played';
-  /** Hashes the times and the order of all events. */
+  /** Hashes the times and the order of all events, and the sizes of packets. */
   digest: string;
   eventCount: number;
   /** Broken rules and uncaught errors, one line each. */
