--- /dev/null
+++ b/packages/testing/simulation/comparison/options.ts
@@ -0,0 +1,97 @@
+/** The command line of the program that compares runs. */
+import { existsSync } from 'node:fs';
+import path from 'node:path';
+import { Command, InvalidArgumentError } from 'commander';
+
+/** What this build's runs are compared with, or where they are saved. */
+export type ComparisonMode =
+  | { kind: 'sources'; simulation: string }
+  | { kind: 'against'; file: string }
+  | { kind: 'save'; file: string };
+
+export interface ComparisonOptions {
+  mode: ComparisonMode;
+  /** A file of runs that are played in place of random ones; null for none. */
+  recorded: string | null;
+  /** Null for the usual ones of random scenarios, and for all runs of a file. */
+  seeds: number[] | null;
+  /** Processes at the same time. */
+  jobs: number;
+}
+
+/** Arguments that can't be used; the message names the option and the reason. */
+export class BadArguments extends Error {}
+
+interface RawOptions {
+  sources?: string;
+  against?: string;
+  save?: string;
+  recorded?: string;
+  seeds?: number[];
+  jobs: number;
+}
+
+/** The module of a built checkout that exports `runScenario`. */
+const SIMULATION = 'target/testing/simulation/index.js';
+
+/** Reads the command line; throws CommanderError or BadArguments. */
+export function readOptions(args: string[]): ComparisonOptions {
+  const raw = makeProgram().parse(args, { from: 'user' }).opts<RawOptions>();
+  const { recorded = null, seeds = null, jobs } = raw;
+  if (recorded !== null && raw.against !== undefined) {
+    throw new BadArguments('--recorded: --against plays the runs of its own file');
+  }
+  return { mode: modeFrom(raw), recorded, seeds, jobs };
+}
+
+/** Path of the simulation module of a built checkout; throws BadArguments if it isn't built. */
+export function simulationOf(directory: string): string {
+  const simulation = path.join(directory, SIMULATION);
+  if (existsSync(simulation)) return simulation;
+  throw new BadArguments(`--sources ${directory}: ${SIMULATION} is missing; build it first`);
+}
+
+/** The seeds of `7` or `1-40`. */
+function parseSeeds(text: string): number[] {
+  const match = /^(\d+)(?:-(\d+))?$/.exec(text);
+  const first = Number(match?.[1]);
+  const last = Number(match?.[2] ?? match?.[1]);
+  if (!(first <= last)) throw new InvalidArgumentError('It must be a seed or a range as 1-40.');
+  return Array.from({ length: last - first + 1 }, (_, index) => first + index);
+}
+
+function makeProgram(): Command {
+  return new Command('compare-runs')
+    .description(
+      'Plays random scenarios on the simulated cluster with this build and another one, and compares ' +
+        'the events of the runs. Exactly one of --sources, --against and --save is needed.',
+    )
+    .exitOverride()
+    .showSuggestionAfterError(false)
+    .allowExcessArguments(false)
+    .option('--sources <directory>', 'another built checkout, which plays the same scenarios')
+    .option('--against <file>', 'play the runs that --save wrote and compare the outcomes')
+    .option('--save <file>', 'play the runs with this build only and write them to the file')
+    .option('--recorded <file>', 'play the runs of this file in place of random ones')
+    .option('--seeds <range>', 'such as 7 or 1-40 (default: 1-10; of a file, all)', parseSeeds)
+    .option('--jobs <number>', 'processes at the same time', parseJobs, 1)
+    .addHelpText(
+      'after',
+      '\nExit code: 0 if all runs agree or are saved, 1 if not, 2 for arguments that cannot be used.',
+    );
+}
+
+function modeFrom({ sources, against, save }: RawOptions): ComparisonMode {
+  const modes: ComparisonMode[] = [];
+  if (sources !== undefined) modes.push({ kind: 'sources', simulation: simulationOf(sources) });
+  if (against !== undefined) modes.push({ kind: 'against', file: against });
+  if (save !== undefined) modes.push({ kind: 'save', file: save });
+  if (modes.length === 1) return modes[0];
+  throw new BadArguments('exactly one of --sources, --against and --save is needed');
+}
+
+function parseJobs(text: string): number {
+  const jobs = /^\d+$/.test(text) ? Number(text) : 0;
+  if (jobs > 0) return jobs;
+  throw new InvalidArgumentError('It must be a whole number of 1 or more.');
+}
