--- a/eslint.config.js
+++ b/eslint.config.js
@@ -1,4 +1,7 @@
+import jsdoc from 'eslint-plugin-jsdoc';
 import tseslint from 'typescript-eslint';
+import moduleComment from './eslint/module-comment.js';
+import { READABLE } from './eslint/readable.js';
 
 const SOURCES = ['packages/**/*.{ts,cts}'];
 const PRODUCTION = [
@@ -124,9 +127,64 @@
   };
 }
 
+/** The rules of finished folders (eslint/readable.js); circles are left to dependency-cruiser. */
+const READABLE_FILES = READABLE.map((folder) => `packages/${folder}/**/*.{ts,cts}`);
+const READABLE_TESTS = READABLE.map((folder) => `packages/${folder}/**/*.test.ts`);
+
+const strictTypeRules = {
+  '@typescript-eslint/restrict-template-expressions': [
+    'error',
+    {
+      allowNumber: true,
+      allowAny: false,
+      allowBoolean: false,
+      allowNever: false,
+      allowNullish: false,
+      allowRegExp: false,
+    },
+  ],
+};
+
+/** What is exported has a doc comment, and so has the module. */
+const docCommentRules = {
+  'local/module-comment': 'error',
+  'jsdoc/no-blank-blocks': 'error',
+  'jsdoc/require-jsdoc': [
+    'error',
+    {
+      publicOnly: { esm: true, cjs: false, window: false },
+      enableFixer: false,
+      require: { FunctionDeclaration: true, ClassDeclaration: true },
+      contexts: [
+        'TSInterfaceDeclaration',
+        'TSTypeAliasDeclaration',
+        'TSEnumDeclaration',
+        'ExportNamedDeclaration > VariableDeclaration',
+      ],
+    },
+  ],
+};
+
+const readableConfig = [
+  {
+    files: READABLE_FILES,
+    ignores: TESTS,
+    extends: [tseslint.configs.strictTypeChecked, tseslint.configs.stylisticTypeChecked],
+    rules: strictTypeRules,
+  },
+  { files: READABLE_TESTS, extends: [tseslint.configs.recommendedTypeChecked] },
+  { files: READABLE_FILES, ignores: TESTS, plugins: { jsdoc }, rules: docCommentRules },
+];
+
 export default tseslint.config(
   { ignores: ['target/**', 'node_modules/**', 'journal/**'] },
   ...tseslint.configs.recommended,
+  {
+    plugins: {
+      local: { rules: { 'module-comment': moduleComment } },
+    },
+  },
+  ...(READABLE.length === 0 ? [] : readableConfig),
   {
     files: SOURCES,
     languageOptions: { parserOptions: { projectService: true } },
--- /dev/null
+++ b/eslint/module-comment.js
@@ -0,0 +1,42 @@
+/**
+ * The ESLint rule `module-comment`: every module begins with a doc comment that says what it is for.
+ *
+ * No tag is needed. A module that doesn't begin with an import needs two doc comments, since the
+ * last one before a declaration describes that declaration.
+ */
+
+const IMPORTS = new Set(['ImportDeclaration', 'ExportAllDeclaration']);
+
+/** Whether a statement only names other modules, so that a comment before it is the module's own. */
+function namesOtherModule(statement) {
+  return IMPORTS.has(statement.type) || Boolean(statement.source);
+}
+
+function isDocComment(comment) {
+  return comment.type === 'Block' && comment.value.startsWith('*');
+}
+
+function create(context) {
+  return {
+    Program(program) {
+      const [first] = program.body;
+      if (first === undefined) {
+        return;
+      }
+      const comments = context.sourceCode.getCommentsBefore(first).filter(isDocComment);
+      if (comments.length < (namesOtherModule(first) ? 1 : 2)) {
+        context.report({ loc: { line: 1, column: 0 }, messageId: 'missing' });
+      }
+    },
+  };
+}
+
+export default {
+  meta: {
+    type: 'suggestion',
+    docs: { description: 'Require a doc comment at the head of each module' },
+    schema: [],
+    messages: { missing: 'Begin the module with a doc comment that says what it is for.' },
+  },
+  create,
+};
