--- a/eslint.config.js
+++ b/eslint.config.js
@@ -2,6 +2,8 @@
 import tseslint from 'typescript-eslint';
 import moduleComment from './eslint/module-comment.js';
 import { READABLE } from './eslint/readable.js';
+import retiredWords from './eslint/retired-words.js';
+import { ALLOWED_PHRASES, CODEC_FILES, RETIRED_WORDS } from './eslint/vocabulary.js';
 
 const SOURCES = ['packages/**/*.{ts,cts}'];
 const PRODUCTION = [
@@ -165,6 +167,8 @@
   ],
 };
 
+const vocabulary = { retiredWords: RETIRED_WORDS, allowedPhrases: ALLOWED_PHRASES };
+
 const readableConfig = [
   {
     files: READABLE_FILES,
@@ -174,6 +178,11 @@
   },
   { files: READABLE_TESTS, extends: [tseslint.configs.recommendedTypeChecked] },
   { files: READABLE_FILES, ignores: TESTS, plugins: { jsdoc }, rules: docCommentRules },
+  { files: READABLE_FILES, rules: { 'local/retired-words': ['error', vocabulary] } },
+  {
+    files: READABLE_FILES.flatMap((files) => CODEC_FILES.map((codecs) => [files, codecs])),
+    rules: { 'local/retired-words': ['error', { ...vocabulary, ignoreProperties: true }] },
+  },
 ];
 
 export default tseslint.config(
@@ -181,7 +190,7 @@
   ...tseslint.configs.recommended,
   {
     plugins: {
-      local: { rules: { 'module-comment': moduleComment } },
+      local: { rules: { 'module-comment': moduleComment, 'retired-words': retiredWords } },
     },
   },
   ...(READABLE.length === 0 ? [] : readableConfig),
