--- a/eslint.config.js
+++ b/eslint.config.js
@@ -7,7 +7,7 @@
 
 const SOURCES = ['packages/**/*.{ts,cts}'];
 const PRODUCTION = [
-  'packages/{wire,dependencies,core,store,peer,parts,replicas,controller,cli}/**/*.{ts,cts}',
+  'packages/{wire,dependencies,core,store,peer,shards,replicas,controller,cli}/**/*.{ts,cts}',
 ];
 const TESTS = ['packages/**/*.test.ts'];
 const GIVEN = 'Use the Runtime that the caller hands over (packages/wire/runtime.ts).';
@@ -90,10 +90,10 @@
   core: ['wire'],
   store: ['wire', 'core'],
   peer: ['wire', 'core'],
-  parts: ['wire', 'core', 'store'],
+  shards: ['wire', 'core', 'store'],
   replicas: ['wire', 'core'],
-  controller: ['wire', 'dependencies', 'core', 'store', 'peer', 'parts', 'replicas'],
-  cli: ['wire', 'core', 'store', 'peer', 'parts', 'replicas', 'controller'],
+  controller: ['wire', 'dependencies', 'core', 'store', 'peer', 'shards', 'replicas'],
+  cli: ['wire', 'core', 'store', 'peer', 'shards', 'replicas', 'controller'],
 };
 const PACKAGES = [...Object.keys(MAY_IMPORT), 'testing', 'bundle'];
 
--- a/packages/bundle/schema-checks.ts
+++ b/packages/bundle/schema-checks.ts
@@ -5,7 +5,7 @@
 import path from 'node:path';
 // Both compile their schemas when they are loaded.
 import '#controller';
-import '#parts';
+import '#shards';
 import '#wire';
 import { namedSchemas, SCHEMA_OPTIONS } from '../wire/schema.js';
 
--- a/packages/cli/commands.ts
+++ b/packages/cli/commands.ts
@@ -4,7 +4,7 @@
 import { ExitCode } from './command-error.js';
 import { examples } from './help.js';
 import type { Output } from './output.js';
-import { addShardCommands } from './part-commands.js';
+import { addShardCommands } from './shard-commands.js';
 import { addReplicaCommands } from './replica-commands.js';
 import { serve } from './serve.js';
 import { addSettingsCommands } from './settings-commands.js';
--- a/packages/cli/part-commands.test.ts
+++ b/packages/cli/shard-commands.test.ts
@@ -4,7 +4,7 @@
 import path from 'node:path';
 import { after, test } from 'node:test';
 import { fileURLToPath } from 'node:url';
-import { moveKey, moveResultKey } from '#parts';
+import { moveKey, moveResultKey } from '#shards';
 import { shardKey } from '#store';
 import { nodeRuntime } from '#wire';
 import { FREE_LOOPBACK_PORT, StateService } from '../testing/standins/index.js';
--- a/packages/cli/part-commands.ts
+++ b/packages/cli/shard-commands.ts
@@ -1,5 +1,5 @@
 import type { Command } from 'commander';
-import { MoveRequests, type RequestOutcome, type ShardStatus } from '#parts';
+import { MoveRequests, type RequestOutcome, type ShardStatus } from '#shards';
 import { NoAnswer, nodeRuntime, StateApi, StateRefused } from '#wire';
 import type { PlatformSettings } from '#controller';
 import { CommandError, ExitCode } from './command-error.js';
--- a/packages/controller/admission.ts
+++ b/packages/controller/api/admission.ts
@@ -1,6 +1,6 @@
 import { type GroupCommit, type StateClient } from '#store';
 import type { Runtime } from '#wire';
-import type { Log } from './log.js';
+import type { Log } from '../observability/log.js';
 
 /** Report periods that a submission may be expected to wait for its record; past that it is refused. */
 const MAX_WAIT_PERIODS = 2;
--- a/packages/controller/awaited-jobs.ts
+++ b/packages/controller/api/dependency-validator.ts
@@ -1,5 +1,5 @@
 import { type Job, JOB_FIELDS } from '#wire';
-import type { JobTable } from './jobs.js';
+import type { JobTable } from '../jobs/job-table.js';
 
 /** Judges which jobs a submission awaits. */
 export class DependencyValidator {
--- a/packages/controller/health-endpoint.ts
+++ b/packages/controller/api/health-endpoint.ts
@@ -1,8 +1,8 @@
 import type { Express } from 'express';
 import { isHealthy } from './health.js';
 import { reply } from './http-bodies.js';
-import type { ControllerServices } from './services.js';
-import type { StatusExchange } from './status-exchange.js';
+import type { ControllerServices } from '../services.js';
+import type { StatusExchange } from '../peers/status-exchange.js';
 
 /** Report periods for which a refusal, or a peer's silence, may last before it counts. */
 const PATIENCE_PERIODS = 2;
--- a/packages/controller/health.test.ts
+++ b/packages/controller/api/health.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { HealthView, isHealthy } from './health.js';
-import type { PeerStatus } from './peer-status.js';
+import type { PeerStatus } from '../peers/peer-status.js';
 
 function peer(receivedAt: number, servedAt: number, refused: boolean): PeerStatus {
   const frame = { refused } as PeerStatus['frame'];
--- a/packages/controller/health.ts
+++ b/packages/controller/api/health.ts
@@ -1,4 +1,4 @@
-import type { PeerStatus } from './peer-status.js';
+import type { PeerStatus } from '../peers/peer-status.js';
 
 /** How this controller is served, and what its peers say; steady seconds. */
 export interface HealthView {
--- a/packages/controller/http-interface.ts
+++ b/packages/controller/api/http-interface.ts
@@ -1,20 +1,20 @@
 import { parseHostPort } from '#wire';
 import type { Admission } from './admission.js';
-import type { CancellationRelay } from './cancellation-relay.js';
+import type { CancellationRelay } from '../peers/cancellation-relay.js';
 import { HealthEndpoint } from './health-endpoint.js';
 import { HttpServer } from './http-server.js';
-import type { EventLoopDelayMonitor } from './lag.js';
-import type { MetricsEndpoint } from './metrics-endpoint.js';
-import type { ShardLeader } from './owner.js';
+import type { EventLoopDelayMonitor } from '../observability/event-loop-delay.js';
+import type { MetricsEndpoint } from '../observability/metrics-endpoint.js';
+import type { ShardLeader } from '../leadership/shard-leader.js';
 import { mountReplicas } from './replica-endpoint.js';
-import { HeartbeatEndpoint } from './report-handler.js';
-import type { ControllerServices } from './services.js';
-import type { StandbyRenewal } from './standby-renewal.js';
-import type { StatusExchange } from './status-exchange.js';
+import { HeartbeatEndpoint } from '../heartbeats/heartbeat-endpoint.js';
+import type { ControllerServices } from '../services.js';
+import type { StandbyRenewal } from '../leadership/standby-renewal.js';
+import type { StatusExchange } from '../peers/status-exchange.js';
 import { SubmissionCheck } from './submission-check.js';
-import type { FollowerHeartbeats } from './unowned-reports.js';
+import type { FollowerHeartbeats } from '../heartbeats/follower-heartbeats.js';
 import { UserApi } from './user-api.js';
-import type { ProcessStatistics } from './vitals.js';
+import type { ProcessStatistics } from '../observability/process-statistics.js';
 
 /** What answers to workers, users and operators depend on. */
 export interface HttpInterfaceOptions {
--- a/packages/controller/replica-endpoint.test.ts
+++ b/packages/controller/api/replica-endpoint.test.ts
@@ -3,9 +3,9 @@
 import type { AddressInfo } from 'node:net';
 import { after, test } from 'node:test';
 import express from 'express';
-import type { ShardLeader } from './owner.js';
+import type { ShardLeader } from '../leadership/shard-leader.js';
 import { mountReplicas } from './replica-endpoint.js';
-import type { ReplicaSupport } from './replica-support.js';
+import type { ReplicaSupport } from '../replica-support.js';
 
 const ROW = { job: 'j-1', replica: 0, generation: 7, phase: 'whole' };
 const SUPPORT = { rows: () => [ROW] } as unknown as ReplicaSupport;
--- a/packages/controller/replica-endpoint.ts
+++ b/packages/controller/api/replica-endpoint.ts
@@ -1,7 +1,7 @@
 import type { Express } from 'express';
 import type { LeaderElection } from '#store';
-import type { ShardLeader } from './owner.js';
-import type { OptionalReplicaSupport } from './replica-support.js';
+import type { ShardLeader } from '../leadership/shard-leader.js';
+import type { OptionalReplicaSupport } from '../replica-support.js';
 
 export interface ReplicaEndpointOptions {
   replicas: OptionalReplicaSupport;
--- a/packages/controller/submission-check.ts
+++ b/packages/controller/api/submission-check.ts
@@ -1,8 +1,8 @@
 import { type ReplicaShape, type TeamQuota, typeFits, withinLimit } from '#core';
 import { encodeJob, jobKey, type JobRecord, sizeInJson } from '#store';
 import { type Job, JOB_FIELDS, type MachineType, MalformedBody, parseJob } from '#wire';
-import type { ControllerServices } from './services.js';
-import { teamQuotas } from './settings.js';
+import type { ControllerServices } from '../services.js';
+import { teamQuotas } from '../settings/settings.js';
 
 const NOTHING = { cpus: 0, gpus: 0, memory: 0 };
 
--- a/packages/controller/user-api.ts
+++ b/packages/controller/api/user-api.ts
@@ -1,10 +1,10 @@
 import type { Express, Request, Response } from 'express';
 import { Clock, isJobId, MachineType, MalformedBody, NoAnswer, StateRefused } from '#wire';
 import { encodeEndedJob, encodeJob, GroupCommit, jobKey, NotReady, StateClient } from '#store';
-import { DependencyValidator } from './awaited-jobs.js';
+import { DependencyValidator } from './dependency-validator.js';
 import { readBody, reply } from './http-bodies.js';
 import type { Admission } from './admission.js';
-import type { EndedJob, JobTable, OpenJob } from './jobs.js';
+import type { EndedJob, JobTable, OpenJob } from '../jobs/job-table.js';
 import { type AcceptableJob, type Refusal, SubmissionCheck } from './submission-check.js';
 
 export interface UserApiOptions {
--- a/packages/controller/cloud.test.ts
+++ b/packages/controller/cloud/cloud-reconciler.test.ts
@@ -2,11 +2,11 @@
 import { test } from 'node:test';
 import { CloudClient, nodeRuntime } from '#wire';
 import type { CapacityPlanner, FleetState } from '#core';
-import { CloudReconciler } from './cloud.js';
-import { makeLog } from './log.js';
-import type { ShardLeader } from './owner.js';
-import { aFleet, aMachine, STD } from '../testing/samples.js';
-import { FREE_LOOPBACK_PORT, serveCbor } from '../testing/standins/index.js';
+import { CloudReconciler } from './cloud-reconciler.js';
+import { makeLog } from '../observability/log.js';
+import type { ShardLeader } from '../leadership/shard-leader.js';
+import { aFleet, aMachine, STD } from '../../testing/samples.js';
+import { FREE_LOOPBACK_PORT, serveCbor } from '../../testing/standins/index.js';
 
 interface Permission {
   rent: boolean;
--- a/packages/controller/cloud.ts
+++ b/packages/controller/cloud/cloud-reconciler.ts
@@ -2,12 +2,12 @@
 import { Consolidation, FleetState, beginScaleIn, Machine, startConsolidation } from '#core';
 import { Budget } from '#store';
 import type { CloudAccess } from './cloud-access.js';
-import type { Log } from './log.js';
+import type { Log } from '../observability/log.js';
 import { MachineCatalog } from './machine-catalog.js';
 import { MachineList } from './machine-list.js';
-import type { ShardLeader } from './owner.js';
-import { MachineProvisioner } from './rentals.js';
-import { unusableMachines } from './useless-machines.js';
+import type { ShardLeader } from '../leadership/shard-leader.js';
+import { MachineProvisioner } from './machine-provisioner.js';
+import { unusableMachines } from './unusable-machines.js';
 
 /** Report periods that a new owner listens before it plans, unless it is the first. */
 const LISTEN_PERIODS = 4;
--- a/packages/controller/rentals.ts
+++ b/packages/controller/cloud/machine-provisioner.ts
@@ -1,8 +1,8 @@
 import type { ScaleOutRequest } from '#core';
 import { type Clock, NoAnswer, MACHINES_PER_REQUEST } from '#wire';
 import type { CloudAccess } from './cloud-access.js';
-import type { Log } from './log.js';
-import type { ShardLeader } from './owner.js';
+import type { Log } from '../observability/log.js';
+import type { ShardLeader } from '../leadership/shard-leader.js';
 
 /** Share of a type's boot time for which a refused kind of machine is not asked for again. */
 const REFUSED_FOR = 1 / 3;
--- a/packages/controller/controller.test.ts
+++ b/packages/controller/controller.test.ts
@@ -10,8 +10,8 @@
   USUAL_BOOTS,
 } from '../testing/standins/index.js';
 import { Controller } from './controller.js';
-import { makeLog } from './log.js';
-import type { Settings } from './settings.js';
+import { makeLog } from './observability/log.js';
+import type { Settings } from './settings/settings.js';
 
 /** A state service on the machine's own loopback. */
 async function aStateService() {
--- a/packages/controller/report-handler.ts
+++ b/packages/controller/heartbeats/heartbeat-endpoint.ts
@@ -7,15 +7,15 @@
   redirectToWire,
   type Heartbeat,
 } from '#wire';
-import { readBody, reply } from './http-bodies.js';
-import { mayReachLeader } from './owner-reach.js';
-import type { ShardLeader } from './owner.js';
-import type { ControllerServices } from './services.js';
-import { WorkerConnections } from './sockets.js';
-import type { StandbyRenewal } from './standby-renewal.js';
-import type { StatusExchange } from './status-exchange.js';
-import type { FollowerHeartbeats } from './unowned-reports.js';
-import type { ProcessStatistics } from './vitals.js';
+import { readBody, reply } from '../api/http-bodies.js';
+import { mayReachLeader } from '../leadership/leader-reachability.js';
+import type { ShardLeader } from '../leadership/shard-leader.js';
+import type { ControllerServices } from '../services.js';
+import { WorkerConnections } from '../api/sockets.js';
+import type { StandbyRenewal } from '../leadership/standby-renewal.js';
+import type { StatusExchange } from '../peers/status-exchange.js';
+import type { FollowerHeartbeats } from './follower-heartbeats.js';
+import type { ProcessStatistics } from '../observability/process-statistics.js';
 
 /** A token that every worker drops. */
 const NO_FENCING_TOKEN = 0;
--- a/packages/controller/job-intake.ts
+++ b/packages/controller/jobs/job-intake.ts
@@ -2,8 +2,8 @@
 import type { DependencyChange } from '#dependencies';
 import type { JobRecord } from '#store';
 import type { Clock } from '#wire';
-import type { JobTable } from './jobs.js';
-import type { Log } from './log.js';
+import type { JobTable } from './job-table.js';
+import type { Log } from '../observability/log.js';
 
 export interface JobIntakeOptions {
   clock: Clock;
--- a/packages/controller/jobs.test.ts
+++ b/packages/controller/jobs/job-table.test.ts
@@ -4,8 +4,8 @@
 import { runInNewContext } from 'node:vm';
 import { encodeJob, jobKey, JOBS, PrefixCache } from '#store';
 import { aJob, StateWorld } from '#testing';
-import { Cancellations } from './cancellations.js';
-import { JobTable } from './jobs.js';
+import { Cancellations } from '../peers/cancellations.js';
+import { JobTable } from './job-table.js';
 
 const LIMITS = { rps: 150, writeRps: 50, valueBytes: 8192, txnOps: 24 };
 /** Most of the heap of the smallest controller that the jobs of a long swarm may take. */
--- a/packages/controller/jobs.ts
+++ b/packages/controller/jobs/job-table.ts
@@ -1,7 +1,7 @@
 import { Subject } from 'rxjs';
 import { type DependencyChange, DependencyGraph, type Urgency } from '#dependencies';
 import type { JobView, Phase } from '#wire';
-import type { Cancellations } from './cancellations.js';
+import type { Cancellations } from '../peers/cancellations.js';
 import { decodeJob, JobRecord, PrefixCache } from '#store';
 
 /** Jobs over whose full records are kept for an owner to come, whose machines' records may still name them. */
--- a/packages/controller/core-from-settings.ts
+++ b/packages/controller/leadership/core-from-settings.ts
@@ -1,8 +1,8 @@
 import { CapacityPlanner, FleetListener, FleetState, isBestEffort, Random, Scheduler } from '#core';
 import type { ReplicaGroups } from '#replicas';
 import type { Term } from '#store';
-import { graceAfterLoss } from './time-bounds.js';
-import { Settings, teamQuotas } from './settings.js';
+import { graceAfterLoss } from '../settings/time-bounds.js';
+import { Settings, teamQuotas } from '../settings/settings.js';
 
 /** Decisions in one scheduling round; the next round follows at once if more could be made. */
 export const ROUND_DECISIONS = 200;
--- a/packages/controller/direct.test.ts
+++ b/packages/controller/leadership/direct-commands.test.ts
@@ -3,8 +3,8 @@
 import type { FleetState } from '#core';
 import { nodeRuntime } from '#wire';
 import { aFleet, aJob, aMachine, aReport } from '#testing';
-import { FREE_LOOPBACK_PORT, serveCbor } from '../testing/standins/index.js';
-import { DirectCommands } from './direct.js';
+import { FREE_LOOPBACK_PORT, serveCbor } from '../../testing/standins/index.js';
+import { DirectCommands } from './direct-commands.js';
 
 /** A machine with one task that is to be started, and its worker at that address. */
 function addStart(fleet: FleetState, number: number, addr: string): void {
--- a/packages/controller/fleet-events.ts
+++ b/packages/controller/leadership/fleet-events.ts
@@ -1,5 +1,5 @@
 import type { CapacityPlanner, FleetListener, JobState } from '#core';
-import type { Log } from './log.js';
+import type { Log } from '../observability/log.js';
 
 /**
  * Tells the planner and the log what happens to machines and tasks. The planner is made from the state
--- a/packages/controller/entitlement.test.ts
+++ b/packages/controller/leadership/leader-lease-check.test.ts
@@ -2,9 +2,9 @@
 import { test } from 'node:test';
 import fc from 'fast-check';
 import { aPeerStatus, SEEDED, STATED_TERM as TERM } from '#testing';
-import { isIsolatedFromWorkers, LeaderLeaseCheck, LeaderLeaseView } from './entitlement.js';
-import type { PeerStatus } from './peer-status.js';
-import { checkTimes, graceAfterLoss } from './time-bounds.js';
+import { isIsolatedFromWorkers, LeaderLeaseCheck, LeaderLeaseView } from './leader-lease-check.js';
+import type { PeerStatus } from '../peers/peer-status.js';
+import { checkTimes, graceAfterLoss } from '../settings/time-bounds.js';
 
 const LIMITS = { peerCount: 2, silenceS: 2, graceS: 12 };
 
--- a/packages/controller/entitlement.ts
+++ b/packages/controller/leadership/leader-lease-check.ts
@@ -1,5 +1,5 @@
-import type { PeerStatus } from './peer-status.js';
-import { PeerProof, ProofView } from './peer-proof.js';
+import type { PeerStatus } from '../peers/peer-status.js';
+import { PeerProof, ProofView } from '../peers/peer-proof.js';
 
 /**
  * Whether the owner of a part may still answer workers (docs/safety.md, point 7). Two things must
--- a/packages/controller/owner-entitlement.ts
+++ b/packages/controller/leadership/leader-lease.ts
@@ -1,9 +1,9 @@
-import { LeaderLeaseState, LeaderLeaseCheck, LeaderLeaseLimits } from './entitlement.js';
-import type { ShardLeader } from './owner.js';
-import type { PlatformSettings } from './platform-settings.js';
-import type { ControllerServices } from './services.js';
-import type { StatusExchange } from './status-exchange.js';
-import { graceAfterLoss } from './time-bounds.js';
+import { LeaderLeaseState, LeaderLeaseCheck, LeaderLeaseLimits } from './leader-lease-check.js';
+import type { ShardLeader } from './shard-leader.js';
+import type { PlatformSettings } from '../settings/platform-settings.js';
+import type { ControllerServices } from '../services.js';
+import type { StatusExchange } from '../peers/status-exchange.js';
+import { graceAfterLoss } from '../settings/time-bounds.js';
 
 /** Report periods after which a peer that was not heard counts as out of reach. */
 const SILENCE_PERIODS = 2;
--- a/packages/controller/owner-reach.test.ts
+++ b/packages/controller/leadership/leader-reachability.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { leavesWorkersStranded, mayReachLeader, nextForWorkers } from './owner-reach.js';
-import type { PeerStatus } from './peer-status.js';
+import { leavesWorkersStranded, mayReachLeader, nextForWorkers } from './leader-reachability.js';
+import type { PeerStatus } from '../peers/peer-status.js';
 
 const NOW = 30;
 const SILENCE_S = 2;
--- a/packages/controller/owner-reach.ts
+++ b/packages/controller/leadership/leader-reachability.ts
@@ -1,4 +1,4 @@
-import type { PeerStatus } from './peer-status.js';
+import type { PeerStatus } from '../peers/peer-status.js';
 
 /** Whether a controller is heard now; steady seconds. */
 function isReachable(peer: PeerStatus | null, now: number, silenceS: number): boolean {
--- a/packages/controller/owner-terms.ts
+++ b/packages/controller/leadership/leadership-terms.ts
@@ -2,12 +2,12 @@
 import { filter } from 'rxjs';
 import { listAll, type Term } from '#store';
 import { aborted, type CloudClient, pause } from '#wire';
-import { CloudReconciler } from './cloud.js';
-import type { LeaderLeaseState } from './entitlement.js';
-import type { ReadRecords } from './owner-records.js';
-import { ShardLeader } from './owner.js';
-import { TermBroken } from './recorder.js';
-import type { ControllerServices } from './services.js';
+import { CloudReconciler } from '../cloud/cloud-reconciler.js';
+import type { LeaderLeaseState } from './leader-lease-check.js';
+import type { ReadRecords } from '../records/record-loader.js';
+import { ShardLeader } from './shard-leader.js';
+import { TermBroken } from '../records/recorder.js';
+import type { ControllerServices } from '../services.js';
 
 /**
  * Shares of the state service's rate of changes that one controller may use while it owns or does not. The
--- a/packages/controller/rounds.ts
+++ b/packages/controller/leadership/scheduling-rounds.ts
@@ -1,6 +1,6 @@
 import type { Clock } from '#wire';
 import { ROUND_DECISIONS } from './core-from-settings.js';
-import type { Log } from './log.js';
+import type { Log } from '../observability/log.js';
 import { Pacer } from './pacer.js';
 
 /** Rounds per tick at the most, and the multiple of its own time that a round pauses after. */
--- a/packages/controller/part-moves.ts
+++ b/packages/controller/leadership/shard-migration.ts
@@ -1,9 +1,9 @@
-import type { ShardMigrator } from '#parts';
+import type { ShardMigrator } from '#shards';
 import { MACHINES, type PrefixCache, PROGRESS } from '#store';
-import type { MoveSettings } from './operator.js';
-import type { LeadershipTerms } from './owner-terms.js';
-import type { ControllerServices } from './services.js';
-import type { StatusExchange } from './status-exchange.js';
+import type { MoveSettings } from '../settings/operator-settings.js';
+import type { LeadershipTerms } from './leadership-terms.js';
+import type { ControllerServices } from '../services.js';
+import type { StatusExchange } from '../peers/status-exchange.js';
 
 /** Looks in a report period if nothing happens. */
 const POLLS_PER_HEARTBEAT = 4;
@@ -24,7 +24,7 @@
   limits: MoveSettings,
 ): Promise<ShardMigrator> {
   const { settings, terms, jobs, client } = options;
-  const { ShardMigrator, RecordsAhead } = await import('#parts');
+  const { ShardMigrator, RecordsAhead } = await import('#shards');
   const ahead = new RecordsAhead(client, [MACHINES, PROGRESS]);
   terms.readRecords = (prefix, signal) => ahead.read(prefix, signal);
   return new ShardMigrator({
--- a/packages/controller/standby.test.ts
+++ b/packages/controller/leadership/standby-renewal-check.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { aPeerStatus, STATED_TERM as TERM } from '#testing';
-import type { PeerStatus } from './peer-status.js';
-import { StandbyRenewalCheck, StandbyView } from './standby.js';
+import type { PeerStatus } from '../peers/peer-status.js';
+import { StandbyRenewalCheck, StandbyView } from './standby-renewal-check.js';
 
 const LIMITS = { peerCount: 2, silenceS: 2, graceS: 12 };
 const OWNER_LIFE = 5;
--- a/packages/controller/standby.ts
+++ b/packages/controller/leadership/standby-renewal-check.ts
@@ -1,6 +1,6 @@
-import { LeaderLeaseLimits, isSuccessor, SuccessorView } from './entitlement.js';
-import { PeerProof, ProofView } from './peer-proof.js';
-import type { PeerStatus } from './peer-status.js';
+import { LeaderLeaseLimits, isSuccessor, SuccessorView } from './leader-lease-check.js';
+import { PeerProof, ProofView } from '../peers/peer-proof.js';
+import type { PeerStatus } from '../peers/peer-status.js';
 
 /** What a controller that does not own knows; steady seconds of this process. */
 export interface StandbyView extends ProofView, SuccessorView {
--- a/packages/controller/standby-renewal.ts
+++ b/packages/controller/leadership/standby-renewal.ts
@@ -1,8 +1,8 @@
-import type { LeaderLeaseLimits } from './entitlement.js';
-import type { PeerStatus } from './peer-status.js';
-import type { ControllerServices } from './services.js';
-import { StandbyRenewalCheck, StandbyView } from './standby.js';
-import type { StatusExchange } from './status-exchange.js';
+import type { LeaderLeaseLimits } from './leader-lease-check.js';
+import type { PeerStatus } from '../peers/peer-status.js';
+import type { ControllerServices } from '../services.js';
+import { StandbyRenewalCheck, StandbyView } from './standby-renewal-check.js';
+import type { StatusExchange } from '../peers/status-exchange.js';
 
 type Services = Pick<
   ControllerServices,
--- a/packages/controller/metrics-endpoint.ts
+++ b/packages/controller/observability/metrics-endpoint.ts
@@ -1,11 +1,11 @@
 import type { Express } from 'express';
 import type { StateClient } from '#store';
 import type { Clock } from '#wire';
-import type { Admission } from './admission.js';
+import type { Admission } from '../api/admission.js';
 import { Metrics } from './metrics.js';
-import type { ShardLeader } from './owner.js';
-import type { OptionalReplicaSupport } from './replica-support.js';
-import type { ProcessStatistics } from './vitals.js';
+import type { ShardLeader } from '../leadership/shard-leader.js';
+import type { OptionalReplicaSupport } from '../replica-support.js';
+import type { ProcessStatistics } from './process-statistics.js';
 
 export interface MetricsEndpointOptions {
   clock: Clock;
--- a/packages/controller/cancellation-relay.ts
+++ b/packages/controller/peers/cancellation-relay.ts
@@ -1,6 +1,6 @@
 import type { CancellationNotice, Frame } from '#peer';
-import type { ShardLeader } from './owner.js';
-import type { ControllerServices } from './services.js';
+import type { ShardLeader } from '../leadership/shard-leader.js';
+import type { ControllerServices } from '../services.js';
 
 type Services = Pick<ControllerServices, 'runtime' | 'cancellations'>;
 
--- a/packages/controller/peer-coordinator.ts
+++ b/packages/controller/peers/peer-coordinator.ts
@@ -1,15 +1,19 @@
 import type { Frame, PeerLink } from '#peer';
 import { type Clock, pause } from '#wire';
 import type { CancellationRelay } from './cancellation-relay.js';
-import { isIsolatedFromWorkers, reachesFewWorkers } from './entitlement.js';
-import { countAllTasks, countChangedTasks, countReachable } from './fleet-summary.js';
-import type { ShardLeader } from './owner.js';
+import { isIsolatedFromWorkers, reachesFewWorkers } from '../leadership/leader-lease-check.js';
+import {
+  countAllTasks,
+  countChangedTasks,
+  countReachable,
+} from '../observability/fleet-summary.js';
+import type { ShardLeader } from '../leadership/shard-leader.js';
 import type { PeerStatus } from './peer-status.js';
-import type { ControllerServices } from './services.js';
-import type { StandbyRenewal } from './standby-renewal.js';
+import type { ControllerServices } from '../services.js';
+import type { StandbyRenewal } from '../leadership/standby-renewal.js';
 import type { StatusExchange } from './status-exchange.js';
-import { REACHABLE_INTERVALS, type FollowerHeartbeats } from './unowned-reports.js';
-import { WorkerSilence } from './worker-silence.js';
+import { REACHABLE_INTERVALS, type FollowerHeartbeats } from '../heartbeats/follower-heartbeats.js';
+import { WorkerSilence } from '../heartbeats/worker-silence.js';
 
 /** Rounds of status in a report period. */
 const STATUS_ROUNDS = 2;
--- a/packages/controller/peer-link.ts
+++ b/packages/controller/peers/peer-link.ts
@@ -1,6 +1,6 @@
 import { type Frame, PeerLink } from '#peer';
 import { parseHostPort, type Runtime } from '#wire';
-import type { Settings } from './settings.js';
+import type { Settings } from '../settings/settings.js';
 
 /** Attempts to reach a peer in a report period. */
 const DIALS = 2;
--- a/packages/controller/cancellation-recorder.ts
+++ b/packages/controller/records/cancellation-recorder.ts
@@ -1,7 +1,7 @@
 import { encodeEndedJob, type GroupCommit, jobKey, type StateClient } from '#store';
 import type { Clock } from '#wire';
-import type { JobTable } from './jobs.js';
-import type { Log } from './log.js';
+import type { JobTable } from '../jobs/job-table.js';
+import type { Log } from '../observability/log.js';
 
 /** Report periods that the controller which took a request has to record it, and between attempts. */
 const PATIENCE_PERIODS = 4;
--- a/packages/controller/job-records.ts
+++ b/packages/controller/records/job-records.ts
@@ -9,7 +9,7 @@
   type StateLimits,
 } from '#store';
 import type { Job } from '#wire';
-import type { JobTable } from './jobs.js';
+import type { JobTable } from '../jobs/job-table.js';
 import type { RecordChange } from './record-batch.js';
 
 /** Part of a job's done tasks as an earlier term recorded it. */
--- a/packages/controller/machine-records.ts
+++ b/packages/controller/records/machine-records.ts
@@ -1,7 +1,7 @@
 import type { Assignment, FleetState, Machine } from '#core';
 import { jobKey, MACHINES, type MachineRecord, type StateLimits } from '#store';
 import type { Clock, Condition } from '#wire';
-import type { JobTable } from './jobs.js';
+import type { JobTable } from '../jobs/job-table.js';
 import { RecordBatch, type RecordChange } from './record-batch.js';
 
 export interface MachineRecordsOptions {
--- a/packages/controller/owner-records.ts
+++ b/packages/controller/records/record-loader.ts
@@ -12,7 +12,7 @@
   Term,
 } from '#store';
 import type { Entry } from '#wire';
-import type { JobTable } from './jobs.js';
+import type { JobTable } from '../jobs/job-table.js';
 import { Recorder, TermBroken } from './recorder.js';
 
 /** Resolves with all records under a prefix as of a moment after the call. */
--- a/packages/controller/replica-support.test.ts
+++ b/packages/controller/replica-support.test.ts
@@ -3,9 +3,9 @@
 import { encodeJob, jobKey } from '#store';
 import { UserClient } from '#wire';
 import { aJob, Cluster, formatAddress, serviceAddress, SMALL_CLUSTER, USERS_HOST } from '#testing';
-import { checkReplicaClasses } from './replica-classes.js';
-import type { PlatformSettings } from './platform-settings.js';
-import { operatorSchema, withDefaults } from './operator.js';
+import { checkReplicaClasses } from './settings/replica-classes.js';
+import type { PlatformSettings } from './settings/platform-settings.js';
+import { operatorSchema, withDefaults } from './settings/operator-settings.js';
 import { compileSchema } from '#wire';
 
 const { deployment } = SMALL_CLUSTER;
--- a/packages/controller/replica-support.ts
+++ b/packages/controller/replica-support.ts
@@ -2,9 +2,9 @@
 import type { Group, ReplicaClasses, ReplicaGroups, ReplicaListener, ReplicaRow } from '#replicas';
 import type { JobRecord } from '#store';
 import type { Job, MachineType, Runtime } from '#wire';
-import type { Log } from './log.js';
-import { ReplicaMetrics } from './replica-metrics.js';
-import type { Settings } from './settings.js';
+import type { Log } from './observability/log.js';
+import { ReplicaMetrics } from './observability/replica-metrics.js';
+import type { Settings } from './settings/settings.js';
 
 /** What this controller does about replicas of several members, while operators have switched them on. */
 export interface ReplicaSupport {
--- a/packages/controller/services.ts
+++ b/packages/controller/services.ts
@@ -1,12 +1,12 @@
 import { NO_QUOTA, teamWeight } from '#core';
 import { GroupCommit, LeaderElection, StateClient } from '#store';
 import type { Runtime } from '#wire';
-import { Cancellations } from './cancellations.js';
-import { JobTable } from './jobs.js';
-import type { Log } from './log.js';
-import { MachineTypes } from './machine-types.js';
+import { Cancellations } from './peers/cancellations.js';
+import { JobTable } from './jobs/job-table.js';
+import type { Log } from './observability/log.js';
+import { MachineTypes } from './cloud/machine-types.js';
 import type { OptionalReplicaSupport } from './replica-support.js';
-import { type Settings, teamQuotas } from './settings.js';
+import { type Settings, teamQuotas } from './settings/settings.js';
 import type { StateAccess } from './state-access.js';
 
 /** The part that holds all machines. */
--- a/packages/controller/operator.test.ts
+++ b/packages/controller/settings/operator-settings.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
-import { operatorSchema, withDefaults } from './operator.js';
+import { operatorSchema, withDefaults } from './operator-settings.js';
 import type { PlatformSettings } from './platform-settings.js';
 
 test('the schema in the documentation is the one in force', () => {
--- a/packages/controller/settings.ts
+++ b/packages/controller/settings/settings.ts
@@ -3,7 +3,12 @@
 import { parse as parseToml } from 'smol-toml';
 import { compileSchema } from '#wire';
 import type { TeamQuota } from '#core';
-import { type OperatorFile, operatorSchema, OperatorSettings, withDefaults } from './operator.js';
+import {
+  type OperatorFile,
+  operatorSchema,
+  OperatorSettings,
+  withDefaults,
+} from './operator-settings.js';
 import { platformSchema, PlatformSettings, TeamSettings } from './platform-settings.js';
 import { checkReplicaClasses } from './replica-classes.js';
 import { checkMoveTimes, checkTimes } from './time-bounds.js';
--- a/packages/controller/time-bounds.ts
+++ b/packages/controller/settings/time-bounds.ts
@@ -1,4 +1,4 @@
-import type { MoveSettings } from './operator.js';
+import type { MoveSettings } from './operator-settings.js';
 import type { PlatformSettings } from './platform-settings.js';
 
 /** Clocks differ by 0.05% each; a lease is counted on the worker's. */
--- a/packages/controller/state-access.ts
+++ b/packages/controller/state-access.ts
@@ -1,7 +1,7 @@
 import { JOBS, MAX_VALUE_BYTES, PrefixCache, StateClient, type StateLimits, WORLD } from '#store';
 import { type Runtime, StateApi } from '#wire';
-import type { StateSettings } from './platform-settings.js';
-import type { Settings } from './settings.js';
+import type { StateSettings } from './settings/platform-settings.js';
+import type { Settings } from './settings/settings.js';
 
 /** How long the state service may hold a request of a watch. */
 const WATCH_MS = 10_000;
--- a/packages/controller/state-limits.test.ts
+++ b/packages/controller/state-limits.test.ts
@@ -4,7 +4,7 @@
 import path from 'node:path';
 import { test } from 'node:test';
 import { fileURLToPath } from 'node:url';
-import { emptyRecordBytes } from '../core/machine-record-size.js';
+import { emptyRecordBytes } from '../core/model/machine-record-size.js';
 import {
   encodeEndedJob,
   decodeJob,
@@ -20,8 +20,8 @@
   WORLD,
 } from '#store';
 import { aJob, aMachine, aRecorder, STD, StateWorld } from '#testing';
-import { MachineTypes } from './machine-types.js';
-import { BadSettings, loadSettings } from './settings.js';
+import { MachineTypes } from './cloud/machine-types.js';
+import { BadSettings, loadSettings } from './settings/settings.js';
 import { stateLimits } from './state-access.js';
 
 const EXAMPLE = fileURLToPath(new URL('../../examples/settings.toml', import.meta.url));
--- a/packages/core/assignments.ts
+++ b/packages/core/assignments.ts
@@ -1,10 +1,10 @@
 import { taskName } from '#wire';
-import { addAmounts, dominantShare } from './amounts.js';
+import { addAmounts, dominantShare } from './model/amounts.js';
 import type { FleetTables } from './fleet-tables.js';
-import { useImage } from './image-cache.js';
-import { entryBytes } from './machine-record-size.js';
-import type { TaskEnd } from './listener.js';
-import { Assignment, assignmentsOf, JobState, Machine } from './model.js';
+import { useImage } from './model/image-cache.js';
+import { entryBytes } from './model/machine-record-size.js';
+import type { TaskEnd } from './model/listener.js';
+import { Assignment, assignmentsOf, JobState, Machine } from './model/model.js';
 
 /** Attempt numbers that one term may use. */
 const ATTEMPTS_PER_TERM = 65_536;
--- a/packages/core/boot-times.ts
+++ b/packages/core/autoscaling/boot-times.ts
@@ -1,5 +1,5 @@
 import type { MachineType } from '#wire';
-import type { Machine } from './model.js';
+import type { Machine } from '../model/model.js';
 
 /** Boots by which the next ones are judged, and the multiple of their median that counts as late. */
 const BOOTS_KEPT = 15;
--- a/packages/core/capacity-planner.test.ts
+++ b/packages/core/autoscaling/capacity-planner.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { aFleet, aJob, aMachine, STD } from '../testing/samples.js';
+import { aFleet, aJob, aMachine, STD } from '../../testing/samples.js';
 import { CapacityPlanner } from './capacity-planner.js';
-import { NO_QUOTA } from './team-quota.js';
+import { NO_QUOTA } from '../fair-share/team-quota.js';
 
 const TEAMS = new Map([['red', NO_QUOTA]]);
 const OBJECTIVES = [{ class: 'c', kind: 'wait', withinS: 4 }];
--- a/packages/core/capacity-planner.ts
+++ b/packages/core/autoscaling/capacity-planner.ts
@@ -2,18 +2,18 @@
 import { ArrivalSettings, ArrivalStatistics, ClassObjective } from './arrival-statistics.js';
 import { BootTimes } from './boot-times.js';
 import { Consolidation, findConsolidation } from './consolidation.js';
-import { addAmounts, Amounts, dominantShare, multipliedAmounts } from './amounts.js';
-import { isBestEffort, mayScaleOutFor } from './best-effort.js';
-import { TeamQuota, timesWithinLimit } from './team-quota.js';
-import { typeFits } from './fit.js';
-import type { FleetState } from './fleet-state.js';
-import type { JobState, Machine } from './model.js';
+import { addAmounts, Amounts, dominantShare, multipliedAmounts } from '../model/amounts.js';
+import { isBestEffort, mayScaleOutFor } from '../fair-share/best-effort.js';
+import { TeamQuota, timesWithinLimit } from '../fair-share/team-quota.js';
+import { typeFits } from '../placement/bin-packing.js';
+import type { FleetState } from '../fleet-state.js';
+import type { JobState, Machine } from '../model/model.js';
 import { Refusals, ScaleOutRequest } from './refusals.js';
-import { needsOneZone } from './replica-groups.js';
+import { needsOneZone } from '../model/replica-groups.js';
 import { SlotPacking } from './slot-packing.js';
 import { StandingSlot, standingSlots } from './slots.js';
-import { byAge } from './waiting-bucket.js';
-import { oldestFirst } from './waiting-order.js';
+import { byAge } from '../fair-share/waiting-bucket.js';
+import { oldestFirst } from '../fair-share/waiting-order.js';
 
 /** Tasks of one job, and jobs of one bucket, that a plan looks at: the next plan sees what is left. */
 const MOST_TASKS_PLANNED = 2000;
--- a/packages/core/consolidation.ts
+++ b/packages/core/autoscaling/consolidation.ts
@@ -1,14 +1,14 @@
 import type { Job, MachineType } from '#wire';
-import { isUsable } from './availability.js';
-import { addAmounts, Amounts, ROUNDING } from './amounts.js';
-import { firmUse, isLetEnd } from './best-effort.js';
-import { chooseMachine } from './choose-machine.js';
-import { bindingZones, hasCapacity, kindAllowed } from './fit.js';
-import type { FleetState } from './fleet-state.js';
-import { HOLD_HEARTBEATS } from './room-holds.js';
-import type { Assignment, Machine } from './model.js';
-import { PlacementCandidates } from './placement-candidates.js';
-import { START_WINDOW_S } from './settled.js';
+import { isUsable } from '../placement/availability.js';
+import { addAmounts, Amounts, ROUNDING } from '../model/amounts.js';
+import { firmUse, isLetEnd } from '../fair-share/best-effort.js';
+import { chooseMachine } from '../placement/choose-machine.js';
+import { bindingZones, hasCapacity, kindAllowed } from '../placement/bin-packing.js';
+import type { FleetState } from '../fleet-state.js';
+import { HOLD_HEARTBEATS } from '../preemption/capacity-holds.js';
+import type { Assignment, Machine } from '../model/model.js';
+import { PlacementCandidates } from '../placement/placement-candidates.js';
+import { START_WINDOW_S } from '../preemption/start-window.js';
 import type { StandingSlot } from './slots.js';
 
 /** No machine that is used more than this is emptied. */
--- a/packages/core/refusals.ts
+++ b/packages/core/autoscaling/refusals.ts
@@ -1,4 +1,4 @@
-import type { MachineKind } from './fit.js';
+import type { MachineKind } from '../placement/bin-packing.js';
 
 /** Machines to rent, all of one kind. */
 export interface ScaleOutRequest {
--- a/packages/core/slot-packing.test.ts
+++ b/packages/core/autoscaling/slot-packing.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import fc from 'fast-check';
 import type { Job } from '#wire';
-import { aFleet, aJob, aMachine, STD } from '../testing/samples.js';
+import { aFleet, aJob, aMachine, STD } from '../../testing/samples.js';
 import { Refusals } from './refusals.js';
 import { SlotPacking } from './slot-packing.js';
 import { standingSlots } from './slots.js';
--- a/packages/core/slot-packing.ts
+++ b/packages/core/autoscaling/slot-packing.ts
@@ -1,6 +1,12 @@
 import type { Job, MachineType } from '#wire';
-import { addAmounts, ZERO_AMOUNTS } from './amounts.js';
-import { MachineKind, requirementsKey, tasksThatFit, typeFits, zoneCap } from './fit.js';
+import { addAmounts, ZERO_AMOUNTS } from '../model/amounts.js';
+import {
+  MachineKind,
+  requirementsKey,
+  tasksThatFit,
+  typeFits,
+  zoneCap,
+} from '../placement/bin-packing.js';
 import { kindKey, Refusals, ScaleOutRequest } from './refusals.js';
 import { emptySlot, holds, Slot, StandingSlot, reserveCapacity } from './slots.js';
 
--- a/packages/core/slots.ts
+++ b/packages/core/autoscaling/slots.ts
@@ -1,10 +1,10 @@
 import type { Job, MachineType } from '#wire';
-import { canTakeTasks } from './availability.js';
-import { addAmounts, Amounts, ZERO_AMOUNTS } from './amounts.js';
-import { firmUse } from './best-effort.js';
-import { hasCapacity, kindAllowed, MachineKind } from './fit.js';
-import type { FleetState } from './fleet-state.js';
-import type { Machine } from './model.js';
+import { canTakeTasks } from '../placement/availability.js';
+import { addAmounts, Amounts, ZERO_AMOUNTS } from '../model/amounts.js';
+import { firmUse } from '../fair-share/best-effort.js';
+import { hasCapacity, kindAllowed, MachineKind } from '../placement/bin-packing.js';
+import type { FleetState } from '../fleet-state.js';
+import type { Machine } from '../model/model.js';
 
 /** Room on a machine that stands, boots or would be rented, as a plan fills it. */
 export interface Slot extends MachineKind {
--- a/packages/core/chained-jobs.test.ts
+++ b/packages/core/chained-jobs.test.ts
@@ -2,11 +2,11 @@
 import { test } from 'node:test';
 import type { Job } from '#wire';
 import { aFleet, aJob, aMachine, aReport } from '#testing';
-import { isBestEffort } from './best-effort.js';
+import { isBestEffort } from './fair-share/best-effort.js';
 import type { FleetState } from './fleet-state.js';
-import type { JobState } from './model.js';
-import { Scheduler } from './scheduler.js';
-import type { TeamQuota } from './team-quota.js';
+import type { JobState } from './model/model.js';
+import { Scheduler } from './placement/scheduler.js';
+import type { TeamQuota } from './fair-share/team-quota.js';
 
 const NO_GUARANTEE: TeamQuota = { guaranteedCpus: 0, guaranteedGpus: 0, cpuLimit: 0, gpuLimit: 0 };
 const TEAMS = new Map([['red', NO_GUARANTEE]]);
--- a/packages/core/failure-tracker.test.ts
+++ b/packages/core/failures/failure-tracker.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { SEEDED } from '../testing/generators.js';
-import { FailingWorld, TEAMS } from '../testing/failing-world.js';
-import { CapacityPlanner } from './capacity-planner.js';
-import { isUsable } from './availability.js';
-import { assignmentsOf, JobState, Machine } from './model.js';
+import { SEEDED } from '../../testing/generators.js';
+import { FailingWorld, TEAMS } from '../../testing/failing-world.js';
+import { CapacityPlanner } from '../autoscaling/capacity-planner.js';
+import { isUsable } from '../placement/availability.js';
+import { assignmentsOf, JobState, Machine } from '../model/model.js';
 
 test('a job that fails everywhere is tried less and less, a few of its tasks at a time', () => {
   // Guards against an array of thousands of tasks that takes every machine over and over: being seen
--- a/packages/core/failure-tracker.ts
+++ b/packages/core/failures/failure-tracker.ts
@@ -7,12 +7,12 @@
   unknownWaitS,
   provesJob,
 } from './job-failures.js';
-import type { FleetListener, TaskEnd } from './listener.js';
+import type { FleetListener, TaskEnd } from '../model/listener.js';
 import { blameMachine, clearMachine, confirmBlame, isFaulty } from './machine-failures.js';
-import type { MachineRegistry } from './machine-registry.js';
-import type { Assignment, FleetSettings, JobState, Machine } from './model.js';
-import type { CapacityHolds } from './room-holds.js';
-import type { UsageLedger } from './usage-ledger.js';
+import type { MachineRegistry } from '../model/machine-registry.js';
+import type { Assignment, FleetSettings, JobState, Machine } from '../model/model.js';
+import type { CapacityHolds } from '../preemption/capacity-holds.js';
+import type { UsageLedger } from '../fair-share/usage-ledger.js';
 
 /** In report periods: how long a machine takes nothing new after it refused a task. */
 const CORDON_AFTER_REFUSAL = 2;
--- a/packages/core/best-effort.test.ts
+++ b/packages/core/fair-share/best-effort.test.ts
@@ -10,8 +10,8 @@
   NO_QUOTA,
   Scheduler,
   startConsolidation,
-} from './index.js';
-import { aFleet, aJob, aMachine, STD } from '../testing/samples.js';
+} from '../index.js';
+import { aFleet, aJob, aMachine, STD } from '../../testing/samples.js';
 
 const HOST = { ...NO_QUOTA, guaranteedGpus: 100 };
 const TEAMS = new Map([
--- a/packages/core/best-effort.ts
+++ b/packages/core/fair-share/best-effort.ts
@@ -1,7 +1,7 @@
 import type { Job, MachineType } from '#wire';
-import { addAmounts, Amounts, ROUNDING } from './amounts.js';
-import type { FleetTables } from './fleet-tables.js';
-import type { Assignment, JobState, Machine } from './model.js';
+import { addAmounts, Amounts, ROUNDING } from '../model/amounts.js';
+import type { FleetTables } from '../fleet-tables.js';
+import type { Assignment, JobState, Machine } from '../model/model.js';
 import { LOWEST_RANK } from './ranks.js';
 import { hasGuarantee, TeamQuota } from './team-quota.js';
 
--- a/packages/core/team-shares.ts
+++ b/packages/core/fair-share/fair-shares.ts
@@ -1,7 +1,7 @@
 import type { Job } from '#wire';
-import { Amounts } from './amounts.js';
+import { Amounts } from '../model/amounts.js';
 import { hasGuarantee, NO_QUOTA, teamWeight, TeamQuota, withinLimit } from './team-quota.js';
-import type { FleetState } from './fleet-state.js';
+import type { FleetState } from '../fleet-state.js';
 
 /** Where teams stand towards their guarantees and limits, and whose turn it is (docs/design.md). */
 export class FairShares {
--- a/packages/core/job-queues.ts
+++ b/packages/core/fair-share/job-queues.ts
@@ -1,9 +1,9 @@
-import type { Amounts } from './amounts.js';
-import { isBoundByZones } from './fit.js';
-import type { FleetState } from './fleet-state.js';
-import type { JobState } from './model.js';
+import type { Amounts } from '../model/amounts.js';
+import { isBoundByZones } from '../placement/bin-packing.js';
+import type { FleetState } from '../fleet-state.js';
+import type { JobState } from '../model/model.js';
 import { RANKS } from './ranks.js';
-import type { FairShares } from './team-shares.js';
+import type { FairShares } from './fair-shares.js';
 import { byAge, WaitingBucket } from './waiting-bucket.js';
 
 /** Work within a guarantee goes before all that is not, and best-effort work after all other. */
--- a/packages/core/team-quota.ts
+++ b/packages/core/fair-share/team-quota.ts
@@ -1,4 +1,4 @@
-import { type Amounts, ROUNDING } from './amounts.js';
+import { type Amounts, ROUNDING } from '../model/amounts.js';
 
 /** A team's guarantee and limit. For a limit, 0 means that there is none. */
 export interface TeamQuota {
--- a/packages/core/usage-ledger.ts
+++ b/packages/core/fair-share/usage-ledger.ts
@@ -1,6 +1,6 @@
-import { addAmounts, Amounts, ZERO_AMOUNTS } from './amounts.js';
+import { addAmounts, Amounts, ZERO_AMOUNTS } from '../model/amounts.js';
 import { ServiceCounter } from './service-counter.js';
-import type { Assignment, JobState } from './model.js';
+import type { Assignment, JobState } from '../model/model.js';
 
 /** Tasks of one team and rank that have a place somewhere, those of gangs apart from others. */
 interface TaskGroup {
--- a/packages/core/waiting-bucket.ts
+++ b/packages/core/fair-share/waiting-bucket.ts
@@ -1,7 +1,7 @@
 import type { Job } from '#wire';
-import type { Amounts } from './amounts.js';
-import type { JobState } from './model.js';
-import { membersOf } from './replica-groups.js';
+import type { Amounts } from '../model/amounts.js';
+import type { JobState } from '../model/model.js';
+import { membersOf } from '../model/replica-groups.js';
 
 /** A job that has no task anywhere. Its place among such jobs stays the same however much time passes. */
 interface IdleEntry {
--- a/packages/core/waiting-jobs.ts
+++ b/packages/core/fair-share/waiting-jobs.ts
@@ -1,6 +1,6 @@
-import { conditionsKey } from './fit.js';
-import type { JobState } from './model.js';
-import { membersOf } from './replica-groups.js';
+import { conditionsKey } from '../placement/bin-packing.js';
+import type { JobState } from '../model/model.js';
+import { membersOf } from '../model/replica-groups.js';
 import { WaitingBucket } from './waiting-bucket.js';
 
 /** The jobs that have tasks which wait for a machine, in buckets of like jobs. */
--- a/packages/core/waiting-order.ts
+++ b/packages/core/fair-share/waiting-order.ts
@@ -1,5 +1,5 @@
 import { byRankAndAge } from './job-queues.js';
-import type { JobState } from './model.js';
+import type { JobState } from '../model/model.js';
 import { byAge, WaitingBucket } from './waiting-bucket.js';
 
 /** A part of a bucket's jobs, by age. */
--- a/packages/core/fleet-state.ts
+++ b/packages/core/fleet-state.ts
@@ -1,15 +1,15 @@
 import type { Job } from '#wire';
-import { taskRef } from './answer-orders.js';
+import { taskRef } from './heartbeats/answer-orders.js';
 import { Assignments } from './assignments.js';
-import { DirectOrders } from './direct-orders.js';
-import { type Dependencies, independent } from './job-dependencies.js';
+import { DirectOrders } from './heartbeats/direct-orders.js';
+import { type Dependencies, independent } from './model/job-dependencies.js';
 import { FleetOptions, FleetTables } from './fleet-tables.js';
-import { MachineLeases } from './machine-leases.js';
-import { assignmentsOf, JobState } from './model.js';
-import type { JobReplicas, ReplicaShape } from './replica-groups.js';
-import { HeartbeatProcessor } from './report-handler.js';
-import { StartFencing } from './start-fencing.js';
-import { TaskReconciler } from './task-reports.js';
+import { MachineLeases } from './heartbeats/machine-leases.js';
+import { assignmentsOf, JobState } from './model/model.js';
+import type { JobReplicas, ReplicaShape } from './model/replica-groups.js';
+import { HeartbeatProcessor } from './heartbeats/heartbeat-processor.js';
+import { StartFencing } from './heartbeats/start-fencing.js';
+import { TaskReconciler } from './heartbeats/task-reconciler.js';
 
 /** What the records hold of a job beside its submission. */
 export interface JobOptions {
--- a/packages/core/fleet-tables.ts
+++ b/packages/core/fleet-tables.ts
@@ -1,14 +1,14 @@
-import { FailureTracker } from './failure-tracker.js';
-import type { Random } from './job-failures.js';
-import { type BestEffortTest, JobRegistry } from './job-registry.js';
-import { FleetListener, NO_LISTENER } from './listener.js';
-import { MachineRegistry } from './machine-registry.js';
-import type { FleetSettings, Machine } from './model.js';
-import { ReleasedMachines } from './released-machines.js';
-import type { MakeReplicas } from './replica-groups.js';
-import { CapacityHolds } from './room-holds.js';
-import { UnrecordedChanges } from './unrecorded-changes.js';
-import { UsageLedger } from './usage-ledger.js';
+import { FailureTracker } from './failures/failure-tracker.js';
+import type { Random } from './failures/job-failures.js';
+import { type BestEffortTest, JobRegistry } from './model/job-registry.js';
+import { FleetListener, NO_LISTENER } from './model/listener.js';
+import { MachineRegistry } from './model/machine-registry.js';
+import type { FleetSettings, Machine } from './model/model.js';
+import { ReleasedMachines } from './model/released-machines.js';
+import type { MakeReplicas } from './model/replica-groups.js';
+import { CapacityHolds } from './preemption/capacity-holds.js';
+import { UnrecordedChanges } from './model/unrecorded-changes.js';
+import { UsageLedger } from './fair-share/usage-ledger.js';
 
 /** What the state of a part is made of. */
 export interface FleetOptions {
--- a/packages/core/answer-delivery.test.ts
+++ b/packages/core/heartbeats/answer-delivery.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { aFleet, aMachine, aReport } from '../testing/samples.js';
+import { aFleet, aMachine, aReport } from '../../testing/samples.js';
 
 test('nothing is placed on a machine whose reports come while our answers do not reach it', () => {
   // Guards against tasks that wait again and again on a machine that can't hear of them.
--- a/packages/core/answer-delivery.ts
+++ b/packages/core/heartbeats/answer-delivery.ts
@@ -1,5 +1,5 @@
 import type { Heartbeat } from '#wire';
-import type { Machine } from './model.js';
+import type { Machine } from '../model/model.js';
 
 /** In report periods: a gap in the reports after which nothing is concluded from what was before it. */
 const GAP = 4;
--- a/packages/core/answer-orders.test.ts
+++ b/packages/core/heartbeats/answer-orders.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { aFleet, aJob, aMachine, aReport } from '../testing/samples.js';
+import { aFleet, aJob, aMachine, aReport } from '../../testing/samples.js';
 
 test('gang tasks are told to start only when all are recorded', () => {
   const fleet = aFleet();
--- a/packages/core/answer-orders.ts
+++ b/packages/core/heartbeats/answer-orders.ts
@@ -1,5 +1,5 @@
 import type { Order, TaskRef } from '#wire';
-import { Assignment, assignmentsOf, JobState, Machine } from './model.js';
+import { Assignment, assignmentsOf, JobState, Machine } from '../model/model.js';
 
 /** The orders that the answer to a report carries: stops first, then starts that are recorded. */
 export function ordersForAnswer(machine: Machine, heartbeatSequence: number): Order[] {
--- a/packages/core/direct-orders.test.ts
+++ b/packages/core/heartbeats/direct-orders.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { aFleet, aJob, aMachine, aReport } from '../testing/samples.js';
+import { aFleet, aJob, aMachine, aReport } from '../../testing/samples.js';
 
 test('an answer that comes after its machine was given up brings nothing back', () => {
   // Guards against a place, and a share of the team's limit, that is held for the rest of the term on
--- a/packages/core/direct-orders.ts
+++ b/packages/core/heartbeats/direct-orders.ts
@@ -1,9 +1,9 @@
 import type { Order, Heartbeat } from '#wire';
 import { isStartable, startOrder, stopOrder, taskRef } from './answer-orders.js';
-import type { FleetTables } from './fleet-tables.js';
-import type { Machine } from './model.js';
+import type { FleetTables } from '../fleet-tables.js';
+import type { Machine } from '../model/model.js';
 import type { StartFencing } from './start-fencing.js';
-import type { TaskReconciler } from './task-reports.js';
+import type { TaskReconciler } from './task-reconciler.js';
 
 /** In report periods: how recent the last report must be, and the pause after a refusal. */
 const RECENT_HEARTBEAT = 2;
--- a/packages/core/report-handler.test.ts
+++ b/packages/core/heartbeats/heartbeat-processor.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { aFleet, aJob, aMachine, aReport } from '../testing/samples.js';
+import { aFleet, aJob, aMachine, aReport } from '../../testing/samples.js';
 
 test('a late copy of an older session does not make inherited tasks look gone', () => {
   // Guards against: a new owner first sees an old copy, then a report of the current session from
--- a/packages/core/report-handler.ts
+++ b/packages/core/heartbeats/heartbeat-processor.ts
@@ -1,11 +1,11 @@
 import { Order, Heartbeat, taskName } from '#wire';
 import { checkAnswerDelivery, DeliverySettings } from './answer-delivery.js';
 import { ordersForAnswer } from './answer-orders.js';
-import type { Assignments } from './assignments.js';
-import type { FleetTables } from './fleet-tables.js';
-import type { Machine } from './model.js';
+import type { Assignments } from '../assignments.js';
+import type { FleetTables } from '../fleet-tables.js';
+import type { Machine } from '../model/model.js';
 import type { StartFencing } from './start-fencing.js';
-import type { TaskReconciler } from './task-reports.js';
+import type { TaskReconciler } from './task-reconciler.js';
 
 /**
  * What to answer a report. A late copy renews nothing, reports nothing new, and its answer must not be
--- a/packages/core/machine-leases.test.ts
+++ b/packages/core/heartbeats/machine-leases.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { RandomFleet } from '../testing/owner-load/random-steps.js';
-import { Chance } from '../testing/random.js';
-import { aFleet, aJob, aMachine, STD } from '../testing/samples.js';
-import { FleetState } from './fleet-state.js';
+import { RandomFleet } from '../../testing/owner-load/random-steps.js';
+import { Chance } from '../../testing/random.js';
+import { aFleet, aJob, aMachine, STD } from '../../testing/samples.js';
+import { FleetState } from '../fleet-state.js';
 
 test('a silent machine of an earlier term keeps its tasks until no owner can have answered it', () => {
   const fleet = new FleetState({ settings: aFleet().settings, term: 200, electedAt: 50 });
--- a/packages/core/machine-leases.ts
+++ b/packages/core/heartbeats/machine-leases.ts
@@ -1,6 +1,6 @@
-import type { Assignments } from './assignments.js';
-import type { FleetTables } from './fleet-tables.js';
-import type { Machine } from './model.js';
+import type { Assignments } from '../assignments.js';
+import type { FleetTables } from '../fleet-tables.js';
+import type { Machine } from '../model/model.js';
 
 /** Steady clocks differ by up to 0.05% each. */
 const CLOCK_DRIFT = 0.001;
--- a/packages/core/start-fencing.ts
+++ b/packages/core/heartbeats/start-fencing.ts
@@ -1,6 +1,6 @@
 import { taskName, TaskRef } from '#wire';
-import type { FleetTables } from './fleet-tables.js';
-import type { Machine } from './model.js';
+import type { FleetTables } from '../fleet-tables.js';
+import type { Machine } from '../model/model.js';
 
 /** Report periods after which a start that was not acknowledged is fenced off. */
 const FENCE_AFTER_HEARTBEATS = 2;
--- a/packages/core/task-reports.test.ts
+++ b/packages/core/heartbeats/task-reconciler.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { TaskStatus } from '#wire';
-import { aFleet, aJob, aMachine, aReport } from '../testing/samples.js';
+import { aFleet, aJob, aMachine, aReport } from '../../testing/samples.js';
 
 const JOB = aJob();
 const TASK = { job: JOB.id, index: 0 };
--- a/packages/core/task-reports.ts
+++ b/packages/core/heartbeats/task-reconciler.ts
@@ -1,8 +1,8 @@
 import { Order, Heartbeat, TaskRef, taskName, TaskStatus } from '#wire';
 import { taskRef } from './answer-orders.js';
-import type { Assignments } from './assignments.js';
-import type { FleetTables } from './fleet-tables.js';
-import type { Assignment, JobState, Machine } from './model.js';
+import type { Assignments } from '../assignments.js';
+import type { FleetTables } from '../fleet-tables.js';
+import type { Assignment, JobState, Machine } from '../model/model.js';
 import type { StartFencing } from './start-fencing.js';
 
 /** Answers that may carry a start without effect before the machine is avoided. */
--- a/packages/core/free-machines.test.ts
+++ b/packages/core/model/free-machines.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { RandomFleet } from '../testing/owner-load/random-steps.js';
-import { Chance } from '../testing/random.js';
-import { aJob } from '../testing/samples.js';
-import { type FleetState, hasCapacity, type Machine } from './index.js';
+import { RandomFleet } from '../../testing/owner-load/random-steps.js';
+import { Chance } from '../../testing/random.js';
+import { aJob } from '../../testing/samples.js';
+import { type FleetState, hasCapacity, type Machine } from '../index.js';
 
 const TASKS = [
   { gpus: 1, cpus: 8 },
--- a/packages/core/job-registry.ts
+++ b/packages/core/model/job-registry.ts
@@ -1,13 +1,13 @@
 import type { Job } from '#wire';
-import { ServiceCounter } from './service-counter.js';
-import { requirementsKey } from './fit.js';
+import { ServiceCounter } from '../fair-share/service-counter.js';
+import { requirementsKey } from '../placement/bin-packing.js';
 import { type Dependencies, independent } from './job-dependencies.js';
-import { noJobFailures } from './job-failures.js';
+import { noJobFailures } from '../failures/job-failures.js';
 import type { JobState } from './model.js';
 import type { JobReplicas } from './replica-groups.js';
 import { TaskSet } from './task-set.js';
 import type { UnrecordedChanges } from './unrecorded-changes.js';
-import { WaitingJobs } from './waiting-jobs.js';
+import { WaitingJobs } from '../fair-share/waiting-jobs.js';
 
 /** Tells whether jobs of a team and rank run on room that is there anyway. */
 export type BestEffortTest = (job: Pick<Job, 'team' | 'rank'>) => boolean;
--- a/packages/core/model.ts
+++ b/packages/core/model/model.ts
@@ -1,10 +1,10 @@
 /** The data of the fleet's state: jobs, machines, and the assignments that join them. */
 import type { Job, TaskState } from '#wire';
 import type { Amounts } from './amounts.js';
-import type { JobFailures } from './job-failures.js';
-import type { MachineFailures } from './machine-failures.js';
+import type { JobFailures } from '../failures/job-failures.js';
+import type { MachineFailures } from '../failures/machine-failures.js';
 import type { JobReplicas } from './replica-groups.js';
-import type { ServiceCounter } from './service-counter.js';
+import type { ServiceCounter } from '../fair-share/service-counter.js';
 import type { TaskSet } from './task-set.js';
 
 /** An end of a task that is asked for. */
--- a/packages/core/new-machine.ts
+++ b/packages/core/model/new-machine.ts
@@ -1,5 +1,5 @@
 import { ZERO_AMOUNTS } from './amounts.js';
-import { noMachineFailures } from './machine-failures.js';
+import { noMachineFailures } from '../failures/machine-failures.js';
 import { emptyRecordBytes } from './machine-record-size.js';
 import type { Machine } from './model.js';
 
--- a/packages/core/released-machines.test.ts
+++ b/packages/core/model/released-machines.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { aFleet, aMachine, aReport } from '../testing/samples.js';
+import { aFleet, aMachine, aReport } from '../../testing/samples.js';
 import { ReleasedMachines } from './released-machines.js';
 
 test('a late copy of a released machine neither brings it back nor shows a newer owner', () => {
--- a/packages/core/task-set.test.ts
+++ b/packages/core/model/task-set.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { SEEDED } from '../testing/generators.js';
+import { SEEDED } from '../../testing/generators.js';
 import { TaskSet } from './task-set.js';
 
 test('done bits survive being stored in chunks', () => {
--- a/packages/core/availability.ts
+++ b/packages/core/placement/availability.ts
@@ -1,5 +1,5 @@
-import { LARGEST_ENTRY } from './machine-record-size.js';
-import type { Machine } from './model.js';
+import { LARGEST_ENTRY } from '../model/machine-record-size.js';
+import type { Machine } from '../model/model.js';
 
 /** Whether the machine is up and will stay, and its record has room for another task. */
 export function canTakeTasks(machine: Machine, machineRecordBytes: number): boolean {
--- a/packages/core/fit.ts
+++ b/packages/core/placement/bin-packing.ts
@@ -1,6 +1,6 @@
 import type { Job, MachineType } from '#wire';
-import { type Amounts, ROUNDING } from './amounts.js';
-import { assignmentsOf, JobState } from './model.js';
+import { type Amounts, ROUNDING } from '../model/amounts.js';
+import { assignmentsOf, JobState } from '../model/model.js';
 
 /** Where a task could run, as far as the job's own conditions decide. */
 export interface MachineKind {
--- a/packages/core/blocked-shapes.ts
+++ b/packages/core/placement/blocked-shapes.ts
@@ -1,6 +1,6 @@
 import type { Job } from '#wire';
-import type { Amounts } from './amounts.js';
-import { conditionsKey } from './fit.js';
+import type { Amounts } from '../model/amounts.js';
+import { conditionsKey } from './bin-packing.js';
 
 /** Jobs that fail alike in one round: best-effort jobs may use less room until they have waited long. */
 export type BlockedKind = 'firm' | 'best-effort' | 'starved';
--- a/packages/core/choose-machine.test.ts
+++ b/packages/core/placement/choose-machine.test.ts
@@ -12,9 +12,9 @@
   typeFits,
   zoneAllowed,
   tasksByZone,
-} from './index.js';
-import { Chance } from '../testing/random.js';
-import { aFleet, aJob, aMachine } from '../testing/samples.js';
+} from '../index.js';
+import { Chance } from '../../testing/random.js';
+import { aFleet, aJob, aMachine } from '../../testing/samples.js';
 
 /** The choice as its rules say it, by a look at every machine. */
 function byEveryMachine(fleet: FleetState, state: JobState, now: number): Machine | null {
--- a/packages/core/choose-machine.ts
+++ b/packages/core/placement/choose-machine.ts
@@ -1,7 +1,7 @@
-import { mayUseSpareCapacity } from './best-effort.js';
-import { zoneAllowed } from './fit.js';
-import type { FleetState } from './fleet-state.js';
-import type { JobState, Machine } from './model.js';
+import { mayUseSpareCapacity } from '../fair-share/best-effort.js';
+import { zoneAllowed } from './bin-packing.js';
+import type { FleetState } from '../fleet-state.js';
+import type { JobState, Machine } from '../model/model.js';
 import type { PlacementCandidates } from './placement-candidates.js';
 import { CROWDED_ZONE_S } from './placement-cost.js';
 
--- a/packages/core/choose-machines-together.ts
+++ b/packages/core/placement/choose-machines-together.ts
@@ -1,7 +1,7 @@
-import { bindingZones, tasksThatFit, zoneAllowed, zoneCap } from './fit.js';
-import type { FleetState } from './fleet-state.js';
-import { mostEntryBytes } from './machine-record-size.js';
-import type { JobState, Machine } from './model.js';
+import { bindingZones, tasksThatFit, zoneAllowed, zoneCap } from './bin-packing.js';
+import type { FleetState } from '../fleet-state.js';
+import { mostEntryBytes } from '../model/machine-record-size.js';
+import type { JobState, Machine } from '../model/model.js';
 import type { PlacementCandidates } from './placement-candidates.js';
 
 /** Tasks that get places together or not at all: those of a gang, or the members of one replica. */
--- a/packages/core/gang-reservations.test.ts
+++ b/packages/core/placement/gang-reservations.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { aFleet, aJob, aMachine } from '../testing/samples.js';
+import { aFleet, aJob, aMachine } from '../../testing/samples.js';
 import { GangReservations } from './gang-reservations.js';
 
 test('a machine whose room is held for other work is not reserved for a gang', () => {
--- a/packages/core/gang-reservations.ts
+++ b/packages/core/placement/gang-reservations.ts
@@ -1,11 +1,11 @@
 import type { MachineType } from '#wire';
-import { ZERO_AMOUNTS } from './amounts.js';
+import { ZERO_AMOUNTS } from '../model/amounts.js';
 import { isCordoned } from './availability.js';
-import { kindAllowed, tasksThatFit } from './fit.js';
-import type { FleetState } from './fleet-state.js';
-import { byRankAndAge } from './job-queues.js';
-import type { MachineRegistry } from './machine-registry.js';
-import type { JobState, Machine } from './model.js';
+import { kindAllowed, tasksThatFit } from './bin-packing.js';
+import type { FleetState } from '../fleet-state.js';
+import { byRankAndAge } from '../fair-share/job-queues.js';
+import type { MachineRegistry } from '../model/machine-registry.js';
+import type { JobState, Machine } from '../model/model.js';
 
 /** Run times are estimated by their owners; a task is expected to take this many times as long... */
 const ESTIMATE_MARGIN = 1.5;
--- a/packages/core/placement-candidates.ts
+++ b/packages/core/placement/placement-candidates.ts
@@ -1,9 +1,9 @@
 import type { Job, MachineType } from '#wire';
-import type { Amounts } from './amounts.js';
+import type { Amounts } from '../model/amounts.js';
 import { isUsable } from './availability.js';
-import { hasCapacity, kindAllowed } from './fit.js';
-import type { FleetState } from './fleet-state.js';
-import type { JobState, Machine } from './model.js';
+import { hasCapacity, kindAllowed } from './bin-packing.js';
+import type { FleetState } from '../fleet-state.js';
+import type { JobState, Machine } from '../model/model.js';
 import { placementCost, spareCapacityCost } from './placement-cost.js';
 
 /** A machine that had room for one more task of a job when the list was made. */
--- a/packages/core/placement-cost.ts
+++ b/packages/core/placement/placement-cost.ts
@@ -1,5 +1,5 @@
 import type { Job, MachineType } from '#wire';
-import type { Machine } from './model.js';
+import type { Machine } from '../model/model.js';
 
 /** Parts of the type's boot time: the price of breaking up an empty machine is one of six, */
 const WHOLE_MACHINE_PARTS = 6;
--- a/packages/core/scheduler.test.ts
+++ b/packages/core/placement/scheduler.test.ts
@@ -10,9 +10,9 @@
   Scheduler,
   tasksByZone,
   TeamQuota,
-} from './index.js';
-import { FairShares } from './team-shares.js';
-import { aFleet, aJob, aMachine } from '../testing/samples.js';
+} from '../index.js';
+import { FairShares } from '../fair-share/fair-shares.js';
+import { aFleet, aJob, aMachine } from '../../testing/samples.js';
 
 const NOW = 100;
 const SETTINGS = {
--- a/packages/core/scheduler.ts
+++ b/packages/core/placement/scheduler.ts
@@ -1,19 +1,19 @@
 import { chooseMachinesTogether } from './choose-machines-together.js';
 import { chooseMachine } from './choose-machine.js';
-import { multipliedAmounts } from './amounts.js';
-import type { TeamQuota } from './team-quota.js';
-import { bindingZones } from './fit.js';
-import type { FleetState } from './fleet-state.js';
+import { multipliedAmounts } from '../model/amounts.js';
+import type { TeamQuota } from '../fair-share/team-quota.js';
+import { bindingZones } from './bin-packing.js';
+import type { FleetState } from '../fleet-state.js';
 import { GangReservations } from './gang-reservations.js';
-import { mayUseAnyCapacity } from './best-effort.js';
+import { mayUseAnyCapacity } from '../fair-share/best-effort.js';
 import { BlockedKind, BlockedShapes } from './blocked-shapes.js';
-import { queuesByPrecedence, speaksForOthers, TeamQueue, Tier } from './job-queues.js';
-import type { JobState } from './model.js';
-import { type JobReplicas, needsOneZone } from './replica-groups.js';
+import { queuesByPrecedence, speaksForOthers, TeamQueue, Tier } from '../fair-share/job-queues.js';
+import type { JobState } from '../model/model.js';
+import { type JobReplicas, needsOneZone } from '../model/replica-groups.js';
 import { PlacementCandidates } from './placement-candidates.js';
-import { Preemption, PreemptionSettings } from './preemption.js';
-import { FairShares } from './team-shares.js';
-import type { WaitingBucket } from './waiting-bucket.js';
+import { Preemption, PreemptionSettings } from '../preemption/preemption.js';
+import { FairShares } from '../fair-share/fair-shares.js';
+import type { WaitingBucket } from '../fair-share/waiting-bucket.js';
 
 /** Tasks that a job is given at once before it queues again behind the others. */
 const TASKS_PER_TURN = 8;
--- a/packages/core/room-holds.ts
+++ b/packages/core/preemption/capacity-holds.ts
@@ -1,4 +1,4 @@
-import type { JobState, Machine } from './model.js';
+import type { JobState, Machine } from '../model/model.js';
 
 /** Report periods for which room is held, beside the time that stopped work takes to save. */
 export const HOLD_HEARTBEATS = 4;
--- a/packages/core/preemption-cost.ts
+++ b/packages/core/preemption/preemption-cost.ts
@@ -1,6 +1,6 @@
 /** What is lost by stopping tasks for others, and what is left alone for a while. */
-import type { Assignment, JobState } from './model.js';
-import { START_WINDOW_S } from './settled.js';
+import type { Assignment, JobState } from '../model/model.js';
+import { START_WINDOW_S } from './start-window.js';
 
 /** Processors that count as much as one accelerator when lost work is compared. */
 const CPUS_PER_GPU = 8;
--- a/packages/core/preemption.test.ts
+++ b/packages/core/preemption/preemption.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { aFleet, aJob, aMachine, aReport } from '../testing/samples.js';
-import { NO_QUOTA } from './team-quota.js';
-import { Scheduler } from './scheduler.js';
+import { aFleet, aJob, aMachine, aReport } from '../../testing/samples.js';
+import { NO_QUOTA } from '../fair-share/team-quota.js';
+import { Scheduler } from '../placement/scheduler.js';
 
 /** Three machines full of running work of the lowest rank, and who may stop it. */
 function fullFleet() {
--- a/packages/core/preemption.ts
+++ b/packages/core/preemption/preemption.ts
@@ -1,18 +1,18 @@
-import { addAmounts, multipliedAmounts } from './amounts.js';
-import { chooseMachinesTogether } from './choose-machines-together.js';
-import { firmUse } from './best-effort.js';
-import { hasCapacity, kindAllowed, tasksByZone, zoneAllowed } from './fit.js';
-import type { FleetState } from './fleet-state.js';
-import { BlockedKind, BlockedShapes } from './blocked-shapes.js';
-import { speaksForOthers } from './job-queues.js';
-import { Assignment, assignmentsOf, JobState, Machine } from './model.js';
+import { addAmounts, multipliedAmounts } from '../model/amounts.js';
+import { chooseMachinesTogether } from '../placement/choose-machines-together.js';
+import { firmUse } from '../fair-share/best-effort.js';
+import { hasCapacity, kindAllowed, tasksByZone, zoneAllowed } from '../placement/bin-packing.js';
+import type { FleetState } from '../fleet-state.js';
+import { BlockedKind, BlockedShapes } from '../placement/blocked-shapes.js';
+import { speaksForOthers } from '../fair-share/job-queues.js';
+import { Assignment, assignmentsOf, JobState, Machine } from '../model/model.js';
 import { isPastStartWindow, lostWork, wholeReplicas } from './preemption-cost.js';
-import { PlacementCandidates } from './placement-candidates.js';
-import { membersOf, needsOneZone } from './replica-groups.js';
-import { HOLD_HEARTBEATS } from './room-holds.js';
-import type { FairShares } from './team-shares.js';
-import type { WaitingBucket } from './waiting-bucket.js';
-import { oldestFirst } from './waiting-order.js';
+import { PlacementCandidates } from '../placement/placement-candidates.js';
+import { membersOf, needsOneZone } from '../model/replica-groups.js';
+import { HOLD_HEARTBEATS } from './capacity-holds.js';
+import type { FairShares } from '../fair-share/fair-shares.js';
+import type { WaitingBucket } from '../fair-share/waiting-bucket.js';
+import { oldestFirst } from '../fair-share/waiting-order.js';
 
 /** Tasks that room is made for in one round at the most. */
 const TASKS_PER_ROUND = 4;
--- a/packages/parts/index.ts
+++ b/packages/shards/index.ts
@@ -3,5 +3,5 @@
 export * from './move-requests.js';
 export * from './move-source.js';
 export * from './move-target.js';
-export * from './part-mover.js';
+export * from './shard-migrator.js';
 export { RecordsAhead } from './record-copy.js';
--- a/packages/parts/part-mover.ts
+++ b/packages/shards/shard-migrator.ts
@@ -9,8 +9,8 @@
 import { decodeMove, moveKey, type SeenMove } from './move-record.js';
 import type { MoveLimits } from './move-source.js';
 import type { RecordsAhead } from './record-copy.js';
-import { TransferSource } from './source-duty.js';
-import { TransferTarget } from './target-duty.js';
+import { TransferSource } from './transfer-source.js';
+import { TransferTarget } from './transfer-target.js';
 
 /** The owner of a part as far as a move concerns it. */
 export interface TransferableLeader {
--- a/packages/parts/source-duty.ts
+++ b/packages/shards/transfer-source.ts
@@ -9,7 +9,7 @@
   stepSource,
   successorPossibleSince,
 } from './move-source.js';
-import type { TransferableLeader, ShardMigratorOptions } from './part-mover.js';
+import type { TransferableLeader, ShardMigratorOptions } from './shard-migrator.js';
 import { sendTransaction } from './send-transaction.js';
 
 /** Carries out what the owner of the part has to do for a move. */
--- a/packages/parts/target-duty.ts
+++ b/packages/shards/transfer-target.ts
@@ -7,7 +7,7 @@
   targetAnswered,
   type TargetState,
 } from './move-target.js';
-import type { ShardMigratorOptions } from './part-mover.js';
+import type { ShardMigratorOptions } from './shard-migrator.js';
 import { sendTransaction } from './send-transaction.js';
 
 /** Carries out what the target of a move has to do. */
--- a/packages/store/owner-grant.ts
+++ b/packages/store/election-lease.ts
@@ -1,6 +1,6 @@
 import type { Runtime } from '#wire';
-import type { StateClient } from './client.js';
-import { Hedge } from './hedge.js';
+import type { StateClient } from './state-client.js';
+import { Hedge } from './hedged-request.js';
 
 /** How often an owner sends its renewal in the life of its grant while no answer comes. */
 const RENEWALS_PER_TTL = 8;
--- a/packages/store/former-records.test.ts
+++ b/packages/store/former-records.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
-import { TaskSet } from '../core/task-set.js';
+import { TaskSet } from '../core/model/task-set.js';
 import { ProgressLayout, progressKey, type ProgressValue } from './progress-layout.js';
 import { decodeJob, encodeJob, jobKey, MACHINES, shardKey, TYPES_KEY } from './records.js';
 
--- a/packages/store/commit.test.ts
+++ b/packages/store/group-commit.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { TxnMalformed } from '#wire';
 import { StateWorld } from '#testing';
-import { GroupCommit } from './commit.js';
+import { GroupCommit } from './group-commit.js';
 
 const LIMITS = { rps: 150, writeRps: 50, valueBytes: 8192, txnOps: 24 };
 /** The share of all changes that a controller may make that does not own. */
--- a/packages/store/commit.ts
+++ b/packages/store/group-commit.ts
@@ -7,7 +7,7 @@
   StateRefused,
   TxnMalformed,
 } from '#wire';
-import { StateClient } from './client.js';
+import { StateClient } from './state-client.js';
 import { FairQueue } from './fair-queue.js';
 import { sizeInJson, TXN_BYTES } from './txn-limits.js';
 
--- a/packages/store/hedge.test.ts
+++ b/packages/store/hedged-request.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { NoAnswer, sleep, StateRefused } from '#wire';
 import { StateWorld } from '#testing';
-import { Hedge } from './hedge.js';
+import { Hedge } from './hedged-request.js';
 
 const LIMITS = { rps: 100, writeRps: 100, valueBytes: 8192, txnOps: 24 };
 
--- a/packages/store/index.ts
+++ b/packages/store/index.ts
@@ -1,10 +1,10 @@
 export * from './budget.js';
-export * from './cache.js';
-export * from './client.js';
-export * from './commit.js';
+export * from './prefix-cache.js';
+export * from './state-client.js';
+export * from './group-commit.js';
 export * from './fair-queue.js';
-export * from './hedge.js';
-export * from './ownership.js';
+export * from './hedged-request.js';
+export * from './leader-election.js';
 export { listAll, pages } from './pages.js';
 export * from './progress-layout.js';
 export * from './records.js';
--- a/packages/store/ownership.test.ts
+++ b/packages/store/leader-election.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { StateWorld } from '#testing';
-import { PrefixCache } from './cache.js';
-import { LeaderElection } from './ownership.js';
+import { PrefixCache } from './prefix-cache.js';
+import { LeaderElection } from './leader-election.js';
 import { WORLD } from './records.js';
 
 const LIMITS = { rps: 150, writeRps: 50, valueBytes: 8192, txnOps: 24 };
--- a/packages/store/ownership.ts
+++ b/packages/store/leader-election.ts
@@ -1,8 +1,8 @@
 import { BehaviorSubject } from 'rxjs';
 import { NoAnswer, Runtime, WakeablePause } from '#wire';
-import { PrefixCache } from './cache.js';
-import { StateClient } from './client.js';
-import { ElectionLease } from './owner-grant.js';
+import { PrefixCache } from './prefix-cache.js';
+import { StateClient } from './state-client.js';
+import { ElectionLease } from './election-lease.js';
 import { ShardRecord, shardKey } from './records.js';
 
 export interface Term {
--- a/packages/store/pages.ts
+++ b/packages/store/pages.ts
@@ -1,5 +1,5 @@
 import type { Entry } from '#wire';
-import type { StateClient } from './client.js';
+import type { StateClient } from './state-client.js';
 
 /** Some entries of one reading, and the revision of the store then. */
 interface Page {
--- a/packages/store/cache.ts
+++ b/packages/store/prefix-cache.ts
@@ -1,6 +1,6 @@
 import { Subject } from 'rxjs';
 import { pause, Runtime, sleep, WatchEvent } from '#wire';
-import { StateClient } from './client.js';
+import { StateClient } from './state-client.js';
 import { pages } from './pages.js';
 
 /** Before a failed watch is tried again: at least so long, and up to so much longer. */
--- a/packages/store/shared-rate.test.ts
+++ b/packages/store/shared-rate.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { StateWorld } from '#testing';
-import { GroupCommit } from './commit.js';
+import { GroupCommit } from './group-commit.js';
 import { StateRefused } from '#wire';
 
 const LIMITS = { rps: 500, writeRps: 50, valueBytes: 8192, txnOps: 24 };
--- a/packages/testing/meetings/chained-mistakes.test.ts
+++ b/packages/testing/meetings/chained-mistakes.test.ts
@@ -2,10 +2,10 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { DependencyGraph } from '#dependencies';
-import { DependencyValidator } from '../../controller/awaited-jobs.js';
-import { UserApi } from '../../controller/user-api.js';
-import { JobRegistry } from '../../core/job-registry.js';
-import type { JobState } from '../../core/model.js';
+import { DependencyValidator } from '../../controller/api/dependency-validator.js';
+import { UserApi } from '../../controller/api/user-api.js';
+import { JobRegistry } from '../../core/model/job-registry.js';
+import type { JobState } from '../../core/model/model.js';
 import { runScenario, type Fault, type ScenarioResult } from '../simulation/index.js';
 import { startsBeforeRecords } from './chain-queries.js';
 import { chainedScenario } from './chained-work.js';
--- a/packages/testing/move-model/controller.ts
+++ b/packages/testing/move-model/controller.ts
@@ -11,7 +11,7 @@
   targetAnswered,
   type Transaction,
   type TransactionOutcome,
-} from '#parts';
+} from '#shards';
 import { mistaken, type MoveMistake, trustsGrant } from './mistakes.js';
 import { type ControllerName, type ModelController, type ModelState, PART } from './state.js';
 
--- a/packages/testing/move-model/mistakes.ts
+++ b/packages/testing/move-model/mistakes.ts
@@ -1,4 +1,4 @@
-import { moveKey, type SourceState, successorPossibleSince, type Transaction } from '#parts';
+import { moveKey, type SourceState, successorPossibleSince, type Transaction } from '#shards';
 import { shardKey } from '#store';
 import { PART } from './state.js';
 
--- a/packages/testing/move-model/service.ts
+++ b/packages/testing/move-model/service.ts
@@ -1,6 +1,6 @@
 /** The state service of the model. */
 import type { Draft } from 'immer';
-import { decodeMove, moveKey, type Transaction, type TransactionOutcome } from '#parts';
+import { decodeMove, moveKey, type Transaction, type TransactionOutcome } from '#shards';
 import { shardKey, type ShardRecord } from '#store';
 import { type ModelState, PART } from './state.js';
 
--- a/packages/testing/move-model/state.ts
+++ b/packages/testing/move-model/state.ts
@@ -6,7 +6,7 @@
   type SourceState,
   type TargetState,
   type Transaction,
-} from '#parts';
+} from '#shards';
 import type { ShardRecord } from '#store';
 
 export const PART = 0;
--- a/packages/testing/moves/loopback-run.ts
+++ b/packages/testing/moves/loopback-run.ts
@@ -1,6 +1,6 @@
 /** Many moves of the part between real controller processes, with ends and standstills of either side. */
 import { setTimeout as sleep } from 'node:timers/promises';
-import { MoveRequests, type RequestOutcome } from '#parts';
+import { MoveRequests, type RequestOutcome } from '#shards';
 import { nodeRuntime, StateApi } from '#wire';
 import { formatAddress } from '../simulation/addresses.js';
 import { Chance } from '../random.js';
--- a/packages/testing/owner-load/figures.ts
+++ b/packages/testing/owner-load/figures.ts
@@ -7,13 +7,13 @@
   countAllTasks,
   countChangedTasks,
   summariseFleet,
-} from '../../controller/fleet-summary.js';
-import type { JobTable } from '../../controller/jobs.js';
-import { MachineRecords } from '../../controller/machine-records.js';
-import { evictOnReclaimNotices } from '../../controller/notices.js';
-import { RecordBatch } from '../../controller/record-batch.js';
-import { RemovalMarker } from '../../controller/removal-marker.js';
-import { unusableMachines } from '../../controller/useless-machines.js';
+} from '../../controller/observability/fleet-summary.js';
+import type { JobTable } from '../../controller/jobs/job-table.js';
+import { MachineRecords } from '../../controller/records/machine-records.js';
+import { evictOnReclaimNotices } from '../../controller/leadership/reclaim-notices.js';
+import { RecordBatch } from '../../controller/records/record-batch.js';
+import { RemovalMarker } from '../../controller/records/removal-marker.js';
+import { unusableMachines } from '../../controller/cloud/unusable-machines.js';
 import type { StandingFleet } from './standing-fleet.js';
 
 /** One duty: `prepare` is not timed, and is called anew before each run. */
--- a/packages/testing/recorder-world.ts
+++ b/packages/testing/recorder-world.ts
@@ -12,9 +12,9 @@
 } from '#store';
 import type { StateLimits } from '#store';
 import type { Job } from '#wire';
-import { Cancellations } from '../controller/cancellations.js';
-import { JobTable } from '../controller/jobs.js';
-import { Recorder } from '../controller/recorder.js';
+import { Cancellations } from '../controller/peers/cancellations.js';
+import { JobTable } from '../controller/jobs/job-table.js';
+import { Recorder } from '../controller/records/recorder.js';
 import { aFleet } from './samples.js';
 import { StateWorld } from './state-world.js';
 
--- a/packages/testing/simulation/faults/operator-requests.ts
+++ b/packages/testing/simulation/faults/operator-requests.ts
@@ -1,4 +1,4 @@
-import { moveKey, type MoveRecord } from '#parts';
+import { moveKey, type MoveRecord } from '#shards';
 import { shardKey, type ShardRecord } from '#store';
 import type { StateService } from '../../standins/index.js';
 import type { SimulatedController } from '../controllers.js';
--- a/packages/testing/simulation/move-phases.ts
+++ b/packages/testing/simulation/move-phases.ts
@@ -1,4 +1,4 @@
-import { type MoveRecord, moveKey } from '#parts';
+import { type MoveRecord, moveKey } from '#shards';
 import { shardKey, type ShardRecord } from '#store';
 import type { Change } from '#wire';
 import type { WorldEvent } from '../standins/index.js';
--- a/packages/wire/report.test.ts
+++ b/packages/wire/heartbeat.test.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check';
 import { anyReport, SEEDED } from '#testing';
 import { decode, encode } from './cbor.js';
-import { parseHeartbeat, heartbeatToWire } from './report.js';
+import { parseHeartbeat, heartbeatToWire } from './heartbeat.js';
 
 test('reports survive their way through the wire format', () => {
   fc.assert(
