--- a/eslint/vocabulary.js
+++ b/eslint/vocabulary.js
@@ -58,7 +58,6 @@
   session: 'epoch',
   sessions: 'epochs',
   fit: 'capacity',
-  fits: 'capacity',
   room: 'capacity',
   rooms: 'capacities',
   suspect: 'crashLooping',
@@ -71,6 +70,7 @@
   'fencing tokens',
   'abort controller',
   'abort signal',
+  'on abort',
   'signal aborted',
 ];
 
