--- a/packages/controller/api/replica-endpoint.test.ts
+++ b/packages/controller/api/replica-endpoint.test.ts
@@ -13,7 +13,7 @@
 
 async function ask(support: ReplicaSupport | null, leader: ShardLeader | null) {
   const app = express();
-  const currentLeader = { owner: 'controller-2', grant: 1, version: 9 };
+  const currentLeader = { leader: 'controller-2', leaseId: 1, version: 9 };
   mountReplicas(app, { replicas: { support }, leader: () => leader, election: { currentLeader } });
   const server = http.createServer(app).listen(0, '127.0.0.1');
   await new Promise((resolve) => server.once('listening', resolve));
--- a/packages/controller/api/replica-endpoint.ts
+++ b/packages/controller/api/replica-endpoint.ts
@@ -20,7 +20,7 @@
         .status(404)
         .json({ error: "the section replicaGroups of the operators' settings is absent" });
     } else if (groups === null) {
-      const leader = options.election.currentLeader?.owner ?? null;
+      const leader = options.election.currentLeader?.leader ?? null;
       res.status(503).json({ error: 'this controller does not own the machines', owner: leader });
     } else res.json({ replicas: support.rows(groups) });
   });
--- a/packages/controller/api/user-api.ts
+++ b/packages/controller/api/user-api.ts
@@ -183,7 +183,7 @@
     // the user may have been told. Nobody has use for the tasks of a job whose user gives it up.
     if (record?.phase === 'accepted') this.options.onCancel(id);
     for (let attempt = 0; record && record.phase === 'accepted' && attempt < 3; attempt++) {
-      const value = encodeEndedJob({ ...record, phase: 'aborted' }, client.limits.valueBytes);
+      const value = encodeEndedJob({ ...record, phase: 'cancelled' }, client.limits.valueBytes);
       try {
         const condition = { key, version: record.version };
         const { team } = record.job;
@@ -202,6 +202,6 @@
     }
     if (!record) reply(res, 404, { error: 'unknown job' });
     else if (record.phase === 'accepted') reply(res, 503, { error: 'try again' }, 1);
-    else reply(res, 200, { id, phase: record.phase });
+    else reply(res, 200, { id, phase: jobs.view(id, record).phase });
   }
 }
--- a/packages/controller/heartbeats/heartbeat-endpoint.ts
+++ b/packages/controller/heartbeats/heartbeat-endpoint.ts
@@ -78,10 +78,10 @@
     const { settings, election, followerHeartbeats } = this.options;
     followerHeartbeats.record(heartbeat.machine);
     const { currentLeader } = election;
-    if (!currentLeader || currentLeader.owner === settings.host_name)
+    if (!currentLeader || currentLeader.leader === settings.host_name)
       reply(res, 503, { error: 'no owner yet' });
-    else if (this.mayReach(currentLeader.owner))
-      reply(res, 421, redirectToWire(currentLeader.owner));
+    else if (this.mayReach(currentLeader.leader))
+      reply(res, 421, redirectToWire(currentLeader.leader));
     else reply(res, 503, { error: 'the owner is out of reach' });
   }
 
--- a/packages/controller/jobs/job-intake.test.ts
+++ b/packages/controller/jobs/job-intake.test.ts
@@ -45,7 +45,7 @@
   const job = fleet.jobs.get('j-1')!;
   fleet.assignments.inherit(job, 0, aMachine(fleet, 'n-1'), 1, 0);
   assert.equal(job.assignments.get(0)?.[0].stop?.graceS, 0);
-  intake.accept({ ...accepted('j-1'), phase: 'aborted', version: 2 });
+  intake.accept({ ...accepted('j-1'), phase: 'cancelled', version: 2 });
   assert.equal(intake.unrecorded.size, 0);
 });
 
--- a/packages/controller/jobs/job-intake.ts
+++ b/packages/controller/jobs/job-intake.ts
@@ -70,7 +70,7 @@
     const job = fleet.jobs.get(id);
     if (job?.phase !== 'accepted') return false;
     const now = clock.now();
-    fleet.closeJob(job, 'aborted', now);
+    fleet.closeJob(job, 'cancelled', now);
     this.unrecorded.set(id, now);
     return true;
   }
--- a/packages/controller/jobs/job-table.ts
+++ b/packages/controller/jobs/job-table.ts
@@ -13,7 +13,7 @@
 
 /** What is kept of a job that is over. */
 export interface EndedJob {
-  phase: 'aborted' | 'done';
+  phase: 'cancelled' | 'done';
   isService: boolean;
   tasks: number;
   version: number;
@@ -65,7 +65,7 @@
   private applyEnded(record: JobRecord): void {
     const { job, phase, version } = record;
     if (phase === 'accepted') return;
-    if (phase === 'aborted') this.cancellations.addRecorded(job.id, version);
+    if (phase === 'cancelled') this.cancellations.addRecorded(job.id, version);
     this.recordEnded(record, phase);
     this.changed.next(record);
     this.applyDependencyChanges(
@@ -84,9 +84,9 @@
   private cancelWithDependency(id: string): void {
     const record = this.records.get(id);
     if (record?.phase !== 'accepted') return;
-    const aborted: JobRecord = { ...record, phase: 'aborted' };
-    this.recordEnded(aborted, 'aborted');
-    this.changed.next(aborted);
+    const cancelled: JobRecord = { ...record, phase: 'cancelled' };
+    this.recordEnded(cancelled, 'cancelled');
+    this.changed.next(cancelled);
   }
 
   private recordEnded(record: JobRecord, phase: EndedJob['phase']): void {
@@ -146,7 +146,7 @@
 
   /** A user has cancelled it, or has asked for that; its tasks are of no use to anybody. */
   isCancelled(id: string): boolean {
-    return this.records.get(id)?.phase === 'aborted' || this.cancellations.wasRequested(id);
+    return this.records.get(id)?.phase === 'cancelled' || this.cancellations.wasRequested(id);
   }
 
   recordCounts(id: string, done: number, running: number): void {
@@ -158,7 +158,7 @@
     if (record.phase === 'done') return { id, phase: 'done', done: record.tasks, running: 0 };
     const { done, running } = this.counts.get(id) ?? { done: 0, running: 0 };
     const phase: Phase =
-      record.phase === 'aborted' ? 'aborted' : running > 0 ? 'running' : 'pending';
+      record.phase === 'cancelled' ? 'aborted' : running > 0 ? 'running' : 'pending';
     return { id, phase, done, running };
   }
 }
--- a/packages/controller/records/cancellation-recorder.test.ts
+++ b/packages/controller/records/cancellation-recorder.test.ts
@@ -52,7 +52,7 @@
   assert.equal(recordOf(cluster).phase, 'accepted');
   await cluster.world.runUntil(60.2 + 8 * REPORT_S);
   const recorded = recordOf(cluster);
-  assert.equal(recorded.phase, 'aborted');
+  assert.equal(recorded.phase, 'cancelled');
   // The late write of the controller that ended changes nothing.
   await cluster.world.runUntil(100);
   assert.equal(recordOf(cluster).version, recorded.version);
--- a/packages/controller/records/cancellation-recorder.ts
+++ b/packages/controller/records/cancellation-recorder.ts
@@ -44,7 +44,7 @@
     if (record?.phase !== 'accepted') return;
     const key = jobKey(id);
     const { valueBytes } = this.options.client.limits;
-    const value = encodeEndedJob({ ...record, phase: 'aborted' }, valueBytes);
+    const value = encodeEndedJob({ ...record, phase: 'cancelled' }, valueBytes);
     const condition = { key, version: record.version };
     const outcome = await commits.commit(record.job.team, [condition], [{ put: key, value }]);
     if (!outcome.ok) {
--- a/packages/controller/records/job-records.test.ts
+++ b/packages/controller/records/job-records.test.ts
@@ -64,7 +64,7 @@
   const keys = ['j-1', 'j-2', 'j-3'].map((id) => progressKey(id, 0));
   const jobs = ['j-1', 'j-2'].map((id) => aJob({ id, tasks: 2 }));
   for (const job of jobs) record(job, 'accepted');
-  record(aJob({ id: 'j-3', tasks: 2 }), 'aborted');
+  record(aJob({ id: 'j-3', tasks: 2 }), 'cancelled');
   const left = store.apply([{ put: keys[2], value: { done: 'AQ==' } }]);
   await sync();
   recorder.jobRecords.loaded('j-3', { label: 0, value: { done: 'AQ==' }, version: left });
@@ -74,11 +74,11 @@
   const flushed = flush();
   await state.run(0.2);
   assert.ok(store.get(keys[0]) && store.get(keys[1]));
-  record(jobs[0], 'aborted');
+  record(jobs[0], 'cancelled');
   await sync();
   state.service.endLateWrites();
   await flushed;
-  assert.equal(fleet.jobs.get('j-1')!.phase, 'aborted');
+  assert.equal(fleet.jobs.get('j-1')!.phase, 'cancelled');
   fleet.jobs.markDone(fleet.jobs.get('j-2')!, 1);
   await flush();
   assert.equal((store.get(jobKey('j-2'))?.value as { phase: string }).phase, 'done');
@@ -90,7 +90,7 @@
 
 test('what is over is removed only while the budget has plenty', async () => {
   const { state, client, store, record, recorder, sync } = await aRecorder();
-  record(aJob({ id: 'j-1', tasks: 2 }), 'aborted');
+  record(aJob({ id: 'j-1', tasks: 2 }), 'cancelled');
   const left = store.apply([{ put: progressKey('j-1', 0), value: { done: 'AQ==' } }]);
   await sync();
   recorder.jobRecords.loaded('j-1', { label: 0, value: { done: 'AQ==' }, version: left });
--- a/packages/controller/records/recorder.test.ts
+++ b/packages/controller/records/recorder.test.ts
@@ -13,11 +13,11 @@
   const [one, two] = ['n-1', 'n-2'].map((name) => aMachine(fleet, name));
   fleet.assignments.assign(fleet.jobs.get('j-1')!, 0, one, 1, 0);
   fleet.assignments.assign(fleet.jobs.get('j-2')!, 0, two, 2, 0);
-  record(cancelled, 'aborted');
+  record(cancelled, 'cancelled');
   await flush();
   assert.deepEqual(tasksOn('n-1'), ['j-1']);
   assert.equal(tasksOn('n-2'), undefined);
-  assert.equal(fleet.jobs.get('j-2')!.phase, 'aborted');
+  assert.equal(fleet.jobs.get('j-2')!.phase, 'cancelled');
   assert.equal(two.tasks.size, 0);
 });
 
@@ -34,7 +34,7 @@
   state.service.endLateWrites();
   assert.deepEqual(tasksOn('n-1'), ['j-1']);
   assert.ok(!assignment.recorded);
-  record(job, 'aborted');
+  record(job, 'cancelled');
   await flushed;
   // It was never told to the worker, so its place is free at once.
   assert.equal(machine.tasks.size, 0);
--- a/packages/controller/settings/operator-settings.test.ts
+++ b/packages/controller/settings/operator-settings.test.ts
@@ -6,7 +6,7 @@
 
 test('the schema in the documentation is the one in force', () => {
   // Written by `node target/cli/launch.cjs schema > docs/operator.schema.json`.
-  const file = new URL('../../docs/operator.schema.json', import.meta.url);
+  const file = new URL('../../../docs/operator.schema.json', import.meta.url);
   assert.deepEqual(JSON.parse(readFileSync(file, 'utf8')), operatorSchema);
 });
 
--- a/packages/controller/state-limits.test.ts
+++ b/packages/controller/state-limits.test.ts
@@ -197,7 +197,7 @@
 test('a job whose record an older version wrote above the limit still becomes done or aborted', () => {
   const types = Array.from({ length: 200 }, (_, number) => `a-type-with-a-long-name-${number}`);
   const job = aJob({ types, class: 'c'.repeat(256), image: 'é'.repeat(256), awaits: ['j-000002'] });
-  for (const phase of ['done', 'aborted'] as const) {
+  for (const phase of ['done', 'cancelled'] as const) {
     const value = encodeEndedJob({ job, acceptedAtMs: 1e12, phase }, 2048);
     assert.ok(sizeInJson([{ put: jobKey(job.id), value }]) <= 2048);
     const read = decodeJob(value, 7);
--- a/packages/core/chained-jobs.test.ts
+++ b/packages/core/chained-jobs.test.ts
@@ -58,7 +58,7 @@
 test('a job that is cancelled while it awaits others is never queued', () => {
   const { fleet } = aScheduledFleet();
   const job = add(fleet, { id: 'j-1' }, true);
-  fleet.closeJob(job, 'aborted', 1);
+  fleet.closeJob(job, 'cancelled', 1);
   fleet.jobs.startable(job, 2);
   assert.equal(fleet.jobs.waiting.size, 0);
   fleet.jobs.removeEnded();
--- a/packages/core/fleet-state.ts
+++ b/packages/core/fleet-state.ts
@@ -80,7 +80,7 @@
   }
 
   /** A final phase that the state service holds. All tasks of the job are stopped. */
-  closeJob(job: JobState, phase: 'aborted' | 'done', now: number): void {
+  closeJob(job: JobState, phase: 'cancelled' | 'done', now: number): void {
     if (job.phase !== 'accepted') return;
     this.jobs.setFinalPhase(job, phase);
     this.failures.jobClosed(job);
--- a/packages/core/heartbeats/direct-orders.test.ts
+++ b/packages/core/heartbeats/direct-orders.test.ts
@@ -32,7 +32,7 @@
   fleet.assignments.assign(job, 0, machine, 1, 1).recorded = true;
   assert.equal(fleet.directOrders.nextOrders(machine, 1.5).length, 1);
   fleet.unrecorded.machines.clear();
-  fleet.closeJob(job, 'aborted', 1.6);
+  fleet.closeJob(job, 'cancelled', 1.6);
   assert.deepEqual([...fleet.unrecorded.machines], ['n-1']);
   fleet.fencing.recorded(machine, 150);
   fleet.heartbeats.handle(aReport({ sequence: 2 }), 2);
--- a/packages/core/model/job-registry.ts
+++ b/packages/core/model/job-registry.ts
@@ -101,7 +101,7 @@
   }
 
   /** Notes a final phase. The job's tasks are stopped by the caller. */
-  setFinalPhase(job: JobState, phase: 'aborted' | 'done'): void {
+  setFinalPhase(job: JobState, phase: 'cancelled' | 'done'): void {
     job.phase = phase;
     this.unrecorded.forgetJob(job.spec.id);
     this.waiting.delete(job);
--- a/packages/core/model/model.ts
+++ b/packages/core/model/model.ts
@@ -63,7 +63,7 @@
   /** When its turn begins: when it was accepted, or when the last job that it awaits was done. */
   startableAt: number;
   /** `aborted` and `done` are final. */
-  phase: 'accepted' | 'aborted' | 'done';
+  phase: 'accepted' | 'cancelled' | 'done';
   done: TaskSet;
   /** Every place where a task may still be, by task; several if one runs that nobody recorded. */
   assignments: Map<number, Assignment[]>;
--- a/packages/shards/move-requests.ts
+++ b/packages/shards/move-requests.ts
@@ -1,5 +1,5 @@
 import { type Clock, pause, type StateApi } from '#wire';
-import { shardKey, type ShardRecord } from '#store';
+import { decodeLeader, shardKey } from '#store';
 import {
   decodeMove,
   endMove,
@@ -50,7 +50,7 @@
     ]);
     return {
       shard,
-      leader: leader && { name: (leader.value as ShardRecord).owner, term: leader.version },
+      leader: leader && { name: decodeLeader(leader.value).leader, term: leader.version },
       move: move && (decodeMove(move.value) ?? 'unreadable'),
       lastMove: lastMove && (lastMove.value as MoveResult),
     };
--- a/packages/shards/move-target.ts
+++ b/packages/shards/move-target.ts
@@ -3,7 +3,7 @@
  * with the grant that the part is to hang on, and takes the part once the owner has stated that it decides nothing
  * more; both on the condition of the owner's term and of the move's record (docs/safety.md, point 11).
  */
-import { type ShardRecord, shardKey } from '#store';
+import { encodeLeader, shardKey } from '#store';
 import {
   endMove,
   moveConditions,
@@ -99,7 +99,7 @@
   leaseId: number,
   { shard, move, name }: TargetView,
 ): TargetAction {
-  const value: ShardRecord = { owner: name, grant: leaseId };
+  const value = encodeLeader({ leader: name, leaseId });
   const result: MoveResult = { outcome: 'moved', to, reason, why: '' };
   const transaction = {
     conditions: moveConditions(shard, fromTerm, move!.version),
--- a/packages/store/former-records.test.ts
+++ b/packages/store/former-records.test.ts
@@ -4,7 +4,16 @@
 import { test } from 'node:test';
 import { TaskSet } from '../core/model/task-set.js';
 import { ProgressLayout, progressKey, type ProgressValue } from './progress-layout.js';
-import { decodeJob, encodeJob, jobKey, MACHINES, shardKey, TYPES_KEY } from './records.js';
+import {
+  decodeJob,
+  decodeLeader,
+  encodeJob,
+  encodeLeader,
+  jobKey,
+  MACHINES,
+  shardKey,
+  TYPES_KEY,
+} from './records.js';
 
 interface FormerRecord<Value> {
   key: string;
@@ -60,3 +69,9 @@
   assert.ok(FORMER.machines.every(({ key }) => key.startsWith(MACHINES)));
   assert.deepEqual([FORMER.part.key, FORMER.types.key], [shardKey(0), TYPES_KEY]);
 });
+
+test('the former record of who leads is read, and written in the same form', () => {
+  const record = decodeLeader(FORMER.part.value);
+  assert.deepEqual(record, { leader: 'berth-0', leaseId: 7 });
+  assert.deepEqual(encodeLeader(record), FORMER.part.value);
+});
--- a/packages/store/leader-election.ts
+++ b/packages/store/leader-election.ts
@@ -3,7 +3,7 @@
 import { PrefixCache } from './prefix-cache.js';
 import { StateClient } from './state-client.js';
 import { ElectionLease } from './election-lease.js';
-import { ShardRecord, shardKey } from './records.js';
+import { decodeLeader, encodeLeader, type LeaderRecord, shardKey } from './records.js';
 
 export interface Term {
   shard: number;
@@ -45,7 +45,7 @@
 export class LeaderElection {
   readonly term = new BehaviorSubject<Term | null>(null);
   /** The part's key as last seen. */
-  currentLeader: (ShardRecord & { version: number }) | null = null;
+  currentLeader: (LeaderRecord & { version: number }) | null = null;
   /** The newest owner that was seen; term 0 if none. */
   newestLeader = { term: 0, name: '' };
   /** A claim was sent that may still be carried out, with no owner seen since. */
@@ -67,10 +67,10 @@
     options.cache.changes.subscribe((event) => {
       if (event.key !== shardKey(options.shard)) return;
       this.currentLeader = event.value
-        ? { ...(event.value as ShardRecord), version: event.version }
+        ? { ...decodeLeader(event.value), version: event.version }
         : null;
       if (this.currentLeader) {
-        this.newestLeader = { term: event.version, name: this.currentLeader.owner };
+        this.newestLeader = { term: event.version, name: this.currentLeader.leader };
         // A claim that is still to be carried out fails while the key is there.
         this.campaignPending = false;
       } else this.freeSince = options.runtime.clock.now();
@@ -171,7 +171,7 @@
     const { client, cache, name, shard } = this.options;
     const leaseId = this.lease.id!;
     const key = shardKey(shard);
-    const value: ShardRecord = { owner: name, grant: leaseId };
+    const value = encodeLeader({ leader: name, leaseId });
     this.campaignPending = true;
     try {
       const out = await client.txn(
@@ -197,7 +197,7 @@
     const currentLeader = this.currentLeader;
     const held = this.term.value;
     const leaseId = this.lease.id;
-    if (currentLeader && leaseId !== null && currentLeader.grant === leaseId) {
+    if (currentLeader && leaseId !== null && currentLeader.leaseId === leaseId) {
       if (held?.term !== currentLeader.version) {
         this.term.next({
           shard: this.options.shard,
--- a/packages/store/records.ts
+++ b/packages/store/records.ts
@@ -13,10 +13,17 @@
 
 export const TYPES_KEY = 'world/types';
 
+/** How far a job has come, as far as the state service holds it; `cancelled` and `done` are final. */
+export type JobRecordPhase = 'accepted' | 'cancelled' | 'done';
+
+/** The words for these phases in stored records, which older versions read and write, too. */
+const STORED_PHASES = { accepted: 'accepted', cancelled: 'aborted', done: 'done' } as const;
+type StoredPhase = (typeof STORED_PHASES)[JobRecordPhase];
+
 export interface JobRecord {
   job: Job;
   acceptedAtMs: number;
-  phase: 'accepted' | 'aborted' | 'done';
+  phase: JobRecordPhase;
   /** How its tasks form replicas, as settled when it was accepted; absent: each task is by itself. */
   replicas?: ReplicaShape;
   version: number;
@@ -30,15 +37,24 @@
   return `world/parts/${shard}`;
 }
 
+/** A job's record as it is stored. */
+interface StoredJob {
+  job: unknown;
+  at: number;
+  phase: StoredPhase;
+  replicas?: ReplicaShape;
+}
+
 export function encodeJob(record: Omit<JobRecord, 'version'>): unknown {
   const { job, acceptedAtMs, phase, replicas } = record;
-  const plain = { job: jobToWire(job), at: acceptedAtMs, phase };
+  const plain = { job: jobToWire(job), at: acceptedAtMs, phase: STORED_PHASES[phase] };
   return replicas ? { ...plain, replicas } : plain;
 }
 
 export function decodeJob(value: unknown, version: number): JobRecord {
-  const raw = value as Pick<JobRecord, 'phase' | 'replicas'> & { job: unknown; at: number };
-  const { phase, replicas } = raw;
+  const raw = value as StoredJob;
+  const { replicas } = raw;
+  const phase: JobRecordPhase = raw.phase === 'aborted' ? 'cancelled' : raw.phase;
   const record = { job: parseJob(raw.job), acceptedAtMs: raw.at, phase, version };
   return replicas ? { ...record, replicas } : record;
 }
@@ -70,11 +86,28 @@
   return `removals/${shard}`;
 }
 
-export interface ShardRecord {
+/** Who leads a shard, and the lease in the state service on which that depends. */
+export interface LeaderRecord {
+  /** Name of the controller. */
+  leader: string;
+  leaseId: number;
+}
+
+/** A shard's record as it is stored. */
+interface StoredLeader {
   owner: string;
   grant: number;
 }
 
+export function encodeLeader({ leader, leaseId }: LeaderRecord): unknown {
+  return { owner: leader, grant: leaseId } satisfies StoredLeader;
+}
+
+export function decodeLeader(value: unknown): LeaderRecord {
+  const { owner, grant } = value as StoredLeader;
+  return { leader: owner, leaseId: grant };
+}
+
 export interface MachineRecord {
   addr: string;
   type: string;
--- a/packages/testing/move-model/controller.ts
+++ b/packages/testing/move-model/controller.ts
@@ -29,7 +29,7 @@
   const controller = state.controllers[name];
   controller.part = state.part;
   controller.move = state.move;
-  const term = state.part?.grant === controller.grant ? state.part.version : 0;
+  const term = state.part?.leaseId === controller.grant ? state.part.version : 0;
   if (term === controller.term) return;
   controller.term = term;
   controller.source = DECIDING;
--- a/packages/testing/move-model/events.ts
+++ b/packages/testing/move-model/events.ts
@@ -51,7 +51,7 @@
 /** Somebody asks that the part be moved to the controller. */
 function addRequest(list: EventList, to: ControllerName): void {
   const { part, move, budget } = list.state;
-  if (budget.requests === 0 || part === null || move !== null || part.owner === to) return;
+  if (budget.requests === 0 || part === null || move !== null || part.leader === to) return;
   list.add(`request ${to}`, true, (draft) => {
     draft.budget.requests--;
     const record = { fromTerm: part.version, to, reason: '', phase: 'requested' } as const;
@@ -93,7 +93,7 @@
   const { grant, proven, part: seen } = controllers[name];
   if (part !== null || seen !== null || !proven || !liveGrants.includes(grant)) return;
   list.add(`${name} claims`, false, (draft) => {
-    draft.part = { owner: name, grant, version: ++draft.revision };
+    draft.part = { leader: name, leaseId: grant, version: ++draft.revision };
     synchronise(draft, name);
   });
 }
--- a/packages/testing/move-model/explore.ts
+++ b/packages/testing/move-model/explore.ts
@@ -26,7 +26,7 @@
       isAtRest: (state) => isAtRest(state, mistake),
     },
     ({ part }) => {
-      if (part?.owner === 'b') moved++;
+      if (part?.leader === 'b') moved++;
     },
   );
   return { states, moved, twoOwners: breach?.way ?? null, stuck };
--- a/packages/testing/move-model/service.ts
+++ b/packages/testing/move-model/service.ts
@@ -1,7 +1,7 @@
 /** The state service of the model. */
 import type { Draft } from 'immer';
 import { decodeMove, moveKey, type Transaction, type TransactionOutcome } from '#shards';
-import { shardKey, type ShardRecord } from '#store';
+import { decodeLeader, shardKey } from '#store';
 import { type ModelState, PART } from './state.js';
 
 /** Carries a transaction out, or says which of its conditions do not hold. */
@@ -19,7 +19,7 @@
     if ('delete' in change) {
       if (change.delete === moveKey(PART)) state.move = null;
     } else if (change.put === shardKey(PART)) {
-      state.part = { ...(change.value as ShardRecord), version: state.revision };
+      state.part = { ...decodeLeader(change.value), version: state.revision };
     } else if (change.put === moveKey(PART)) {
       state.move = { record: decodeMove(change.value), version: state.revision };
     }
@@ -30,7 +30,7 @@
 /** A grant ends, and the part's key with it if it hangs on it. */
 export function endGrant(state: Draft<ModelState>, grant: number): void {
   state.liveGrants = state.liveGrants.filter((each) => each !== grant);
-  if (state.part?.grant !== grant) return;
+  if (state.part?.leaseId !== grant) return;
   state.part = null;
   state.revision++;
 }
--- a/packages/testing/move-model/state.ts
+++ b/packages/testing/move-model/state.ts
@@ -7,13 +7,13 @@
   type TargetState,
   type Transaction,
 } from '#shards';
-import type { ShardRecord } from '#store';
+import type { LeaderRecord } from '#store';
 
 export const PART = 0;
 export const CONTROLLERS = ['a', 'b'] as const;
 export type ControllerName = (typeof CONTROLLERS)[number];
 
-export type StoredPart = ShardRecord & { version: number };
+export type StoredPart = LeaderRecord & { version: number };
 
 /** A transaction that was sent and not carried out yet; it may be at any later time. */
 export interface PendingTransaction {
@@ -63,7 +63,7 @@
 
 /** The first controller owns the part, and all are up. */
 export function firstState(budget: MoveBudget): ModelState {
-  const part = { owner: 'a', grant: 1, version: 1 };
+  const part = { leader: 'a', leaseId: 1, version: 1 };
   const controller = (grant: number, term: number): ModelController => ({
     life: 1,
     grant,
--- a/packages/testing/owner-load/random-steps.ts
+++ b/packages/testing/owner-load/random-steps.ts
@@ -76,7 +76,7 @@
     const jobs = [...this.fleet.jobs.values()];
     if (jobs.length === 0) return;
     const job = jobs[this.chance.int(0, jobs.length - 1)];
-    this.fleet.closeJob(job, 'aborted', this.now);
+    this.fleet.closeJob(job, 'cancelled', this.now);
     this.fleet.jobs.removeEnded();
   }
 
--- a/packages/testing/owner-load/standing-fleet.ts
+++ b/packages/testing/owner-load/standing-fleet.ts
@@ -148,7 +148,7 @@
       if (usage.ofTeam('red').gpus >= machines.totals.gpus * (1 - freeShare)) break;
       const state = this.submit(FILLED_AT);
       this.scheduler.place(FILLED_AT);
-      if (state.assignments.size === 0) this.fleet.closeJob(state, 'aborted', FILLED_AT);
+      if (state.assignments.size === 0) this.fleet.closeJob(state, 'cancelled', FILLED_AT);
     }
     this.fleet.jobs.removeEnded();
     this.settle(FILLED_AT);
--- a/packages/testing/owner-model/durable-records.ts
+++ b/packages/testing/owner-model/durable-records.ts
@@ -2,7 +2,7 @@
 
 interface JobRecord {
   job: Job;
-  phase: 'accepted' | 'aborted' | 'done';
+  phase: 'accepted' | 'cancelled' | 'done';
   /** Steady seconds; Infinity unless aborted. */
   abortedAt: number;
 }
@@ -35,7 +35,7 @@
 
   abort(record: JobRecord, now: number): void {
     this.revision++;
-    record.phase = 'aborted';
+    record.phase = 'cancelled';
     record.abortedAt = now;
   }
 
--- a/packages/testing/owner-model/owner.ts
+++ b/packages/testing/owner-model/owner.ts
@@ -89,7 +89,7 @@
 
   private takeJobs(now: number): void {
     for (const { job, phase } of this.records.jobs.values()) {
-      if (phase === 'aborted' && this.mistake === 'deaf-to-aborts') continue;
+      if (phase === 'cancelled' && this.mistake === 'deaf-to-aborts') continue;
       const seen = this.mistake === 'any-zone' ? { ...job, zone: null, spread: false } : job;
       this.fleet.addJob(seen, now, phase, now);
     }
--- a/packages/testing/recorder-world.ts
+++ b/packages/testing/recorder-world.ts
@@ -35,7 +35,7 @@
   const { store } = state.service;
   const parts = makeRecorder(state, { ...RECORDER_LIMITS, ...limits });
   const { cache, recorder } = parts;
-  const record = (job: Job, phase: 'accepted' | 'aborted') =>
+  const record = (job: Job, phase: 'accepted' | 'cancelled') =>
     store.apply([{ put: jobKey(job.id), value: encodeJob({ job, acceptedAtMs: 0, phase }) }]);
   /** Runs until nothing is left to record. */
   const flush = (withinS = 10) => flushAll(state, recorder, withinS);
--- a/packages/testing/simulation/faults/operator-requests.ts
+++ b/packages/testing/simulation/faults/operator-requests.ts
@@ -1,5 +1,5 @@
 import { moveKey, type MoveRecord } from '#shards';
-import { shardKey, type ShardRecord } from '#store';
+import { decodeLeader, shardKey } from '#store';
 import type { StateService } from '../../standins/index.js';
 import type { SimulatedController } from '../controllers.js';
 import type { MovePhases } from '../move-phases.js';
@@ -40,7 +40,7 @@
 function requestMove({ state, moves }: OperatorContext, to: string): void {
   const { store } = state;
   const part = store.get(shardKey(PART));
-  if (!part || store.get(moveKey(PART)) || (part.value as ShardRecord).owner === to) return;
+  if (!part || store.get(moveKey(PART)) || decodeLeader(part.value).leader === to) return;
   const value: MoveRecord = { fromTerm: part.version, to, reason: 'a test', phase: 'requested' };
   const changes = [{ put: moveKey(PART), value }];
   store.apply(changes);
--- a/packages/testing/simulation/move-phases.ts
+++ b/packages/testing/simulation/move-phases.ts
@@ -1,5 +1,5 @@
 import { type MoveRecord, moveKey } from '#shards';
-import { shardKey, type ShardRecord } from '#store';
+import { decodeLeader, shardKey } from '#store';
 import type { Change } from '#wire';
 import type { WorldEvent } from '../standins/index.js';
 
@@ -45,7 +45,7 @@
     }
     const endsMove = together.some((each) => 'delete' in each && each.delete === moveKey(PART));
     if (change.put !== shardKey(PART) || !endsMove) return;
-    this.target = (change.value as ShardRecord).owner;
+    this.target = decodeLeader(change.value).leader;
     this.reached('switched');
   }
 
--- a/packages/testing/simulation/ownership-history.ts
+++ b/packages/testing/simulation/ownership-history.ts
@@ -1,4 +1,4 @@
-import { shardKey, type ShardRecord } from '#store';
+import { decodeLeader, shardKey } from '#store';
 import type { World } from './world.js';
 
 const SAMPLE_S = 0.05;
@@ -52,7 +52,7 @@
       return;
     }
     if (entry.version === this.holder?.term) return;
-    const { owner } = entry.value as ShardRecord;
+    const { leader: owner } = decodeLeader(entry.value);
     this.holder = { atS: this.world.now, owner, term: entry.version };
     this.changes.push(this.holder);
     for (const callback of this.waiting.splice(0)) callback();
--- a/packages/testing/sizing/cluster.ts
+++ b/packages/testing/sizing/cluster.ts
@@ -3,7 +3,7 @@
 import path from 'node:path';
 import { stringify } from 'smol-toml';
 import type { OperatorFile } from '#controller';
-import { shardKey, type ShardRecord } from '#store';
+import { decodeLeader, shardKey } from '#store';
 import { nodeRuntime } from '#wire';
 import { formatAddress } from '../simulation/addresses.js';
 import {
@@ -130,7 +130,7 @@
   holder(): PartHolder | null {
     const entry = this.state.store.get(shardKey(0));
     if (entry === undefined) return null;
-    return { owner: (entry.value as ShardRecord).owner, term: entry.version };
+    return { owner: decodeLeader(entry.value).leader, term: entry.version };
   }
 
   /** The controller that holds the part and runs, or null. */
