--- a/packages/testing/simulation/clock.ts
+++ b/packages/testing/simulation/clock.ts
@@ -1,7 +1,15 @@
 import type { Clock, Timer } from '#wire';
-import type { Incarnation } from './process.js';
 import type { World } from './world.js';
 
+/** Where a callback of a process comes from. */
+export type CallbackSource = 'timer' | 'network';
+
+/** Runs the callbacks of a process. */
+export interface CallbackTarget {
+  /** Runs the callback now, once the process wakes if it is frozen, never if it has ended. */
+  deliver(callback: () => void, source: CallbackSource): void;
+}
+
 /** Time of day at the start of every simulated world, in milliseconds since 1970. */
 const WORLD_START_MS = Date.UTC(2026, 0, 1);
 /** Longest delay that Node's timers take; a longer one, or none, counts as one millisecond. */
@@ -24,7 +32,7 @@
 export class SimulatedClock implements Clock {
   constructor(
     private readonly world: World,
-    private readonly incarnation: Incarnation,
+    private readonly process: CallbackTarget,
     private readonly skew: ClockSkew,
   ) {}
 
@@ -43,7 +51,7 @@
     };
     const inRange = delayMs >= 1 && delayMs <= MAX_DELAY_MS;
     const delayS = (inRange ? Math.ceil(delayMs) : 1) / 1000 / (1 + this.skew.drift);
-    const event = this.world.schedule(delayS, () => this.incarnation.deliver(fire, 'timer'));
+    const event = this.world.schedule(delayS, () => this.process.deliver(fire, 'timer'));
     return {
       cancel: () => {
         cancelled = true;
--- a/packages/testing/simulation/connection.ts
+++ b/packages/testing/simulation/connection.ts
@@ -2,19 +2,33 @@
  * Connections of the simulated network. Each direction delivers its packets in order; what becomes of
  * a packet is decided by the rules in force when it is sent.
  */
-import type { LinkEffect } from './link-rules.js';
+import type { LinkEffect, LinkRules } from './link-rules.js';
 import type { SimulatedHost } from './host.js';
-import type { SimulatedNetwork } from './network.js';
-import type { Incarnation } from './process.js';
+import type { Incarnation } from './incarnation.js';
 import type { SimulatedSocket, Transport } from './socket.js';
+import type { World } from './world.js';
 
 /** Bytes under way in one direction beyond which the sender has to wait. */
 const SEND_BUFFER_BYTES = 256 * 1024;
 
+/** What a connection needs of the network that it belongs to. */
+export interface ConnectionNetwork {
+  readonly world: World;
+  readonly rules: LinkRules;
+  /** Ends whose packets wait for the end of a rule. */
+  readonly holding: Set<ConnectionEnd>;
+  /** One-way delay of the next packet, in seconds. */
+  drawLatencyS(): number;
+  /** Drops a connection that both sides have closed. */
+  forgetIfClosed(connection: Connection): void;
+}
+
+/** What one side of a connection sends to the other. */
 export type Packet =
   /** The answer to a connection attempt. */
   { kind: 'accept' } | { kind: 'data'; bytes: Buffer } | { kind: 'end' } | { kind: 'reset' };
 
+/** A connection between two incarnations. */
 export class Connection {
   readonly opener: ConnectionEnd;
   readonly acceptor: ConnectionEnd;
@@ -24,7 +38,7 @@
   private effectVersion = -1;
 
   constructor(
-    private readonly network: SimulatedNetwork,
+    private readonly network: ConnectionNetwork,
     opener: Incarnation,
     acceptor: Incarnation,
   ) {
@@ -79,7 +93,7 @@
   private afterDelivery: (() => void) | null = null;
 
   constructor(
-    private readonly network: SimulatedNetwork,
+    private readonly network: ConnectionNetwork,
     readonly connection: Connection,
     readonly incarnation: Incarnation,
   ) {}
--- a/packages/testing/simulation/host.ts
+++ b/packages/testing/simulation/host.ts
@@ -1,5 +1,3 @@
-import type net from 'node:net';
-import type { Incarnation } from './process.js';
 import type { SimulatedSocket } from './socket.js';
 
 export type HostRole = 'controller' | 'state' | 'cloud' | 'balancer' | 'users' | 'worker';
@@ -10,7 +8,6 @@
   /** Connections that its process may have open; beyond it new ones fail. */
   socketLimit = Infinity;
   openSockets = 0;
-  readonly listeners = new Map<number, Listener>();
 
   constructor(
     readonly name: string,
@@ -31,10 +28,3 @@
     socket.once('close', () => this.openSockets--);
   }
 }
-
-/** A server at a port of a host. */
-export interface Listener {
-  server: net.Server;
-  incarnation: Incarnation;
-  open: number;
-}
--- a/packages/testing/simulation/index.ts
+++ b/packages/testing/simulation/index.ts
@@ -1,6 +1,7 @@
 export * from './clock.js';
 export * from './connection.js';
 export * from './host.js';
+export * from './incarnation.js';
 export * from './link-rules.js';
 export * from './network.js';
 export * from './process.js';
--- a/packages/testing/simulation/network.ts
+++ b/packages/testing/simulation/network.ts
@@ -3,10 +3,10 @@
 import type { Duplex } from 'node:stream';
 import type { HostPort, Network } from '#wire';
 import type { Chance } from '../random.js';
-import { Connection, ConnectionEnd } from './connection.js';
-import type { Listener, SimulatedHost } from './host.js';
+import { Connection, ConnectionEnd, type ConnectionNetwork } from './connection.js';
+import type { SimulatedHost } from './host.js';
 import { LinkRule, LinkRules } from './link-rules.js';
-import type { CrashVisibility, Incarnation } from './process.js';
+import type { Incarnation } from './incarnation.js';
 import { SimulatedSocket } from './socket.js';
 import type { World } from './world.js';
 
@@ -38,13 +38,30 @@
   tries: number;
 }
 
+/** What the others see of a process that has crashed. */
+export type CrashVisibility =
+  /** Its host resets its connections. */
+  | 'reset'
+  /** Nothing, until they write to it again. */
+  | 'silent';
+
+/** A server at a port of a host. */
+interface Listener {
+  server: net.Server;
+  incarnation: Incarnation;
+  open: number;
+}
+
 type ConnectError = 'ECONNREFUSED' | 'ETIMEDOUT' | 'EMFILE';
 
-export class SimulatedNetwork {
+/** The network that joins all hosts of a simulated world. */
+export class SimulatedNetwork implements ConnectionNetwork {
   readonly rules = new LinkRules();
   /** Ends whose packets wait for the end of a rule. */
   readonly holding = new Set<ConnectionEnd>();
   private readonly hosts = new Map<string, SimulatedHost>();
+  /** By host and port. */
+  private readonly listeners = new Map<SimulatedHost, Map<number, Listener>>();
   private readonly connections = new Set<Connection>();
   private readonly heldAttempts = new Set<Attempt>();
   private readonly chance: Chance;
@@ -93,7 +110,7 @@
   }
 
   listen(incarnation: Incarnation, server: net.Server, port: number): Promise<void> {
-    const { listeners } = incarnation.host;
+    const listeners = this.listenersOf(incarnation.host);
     if (listeners.has(port)) {
       const error = new Error(`port ${port} is in use`);
       return Promise.reject(Object.assign(error, { code: 'EADDRINUSE' }));
@@ -119,7 +136,7 @@
   /** An incarnation has ended: its listeners and connections go with it. */
   closeAllOf(incarnation: Incarnation, visibility: CrashVisibility): void {
     const { host } = incarnation;
-    const { listeners } = host;
+    const listeners = this.listenersOf(host);
     host.openSockets = 0;
     for (const [port, listener] of listeners) {
       if (listener.incarnation === incarnation) listeners.delete(port);
@@ -129,6 +146,12 @@
     }
   }
 
+  private listenersOf(host: SimulatedHost): Map<number, Listener> {
+    let listeners = this.listeners.get(host);
+    if (!listeners) this.listeners.set(host, (listeners = new Map()));
+    return listeners;
+  }
+
   forgetIfClosed(connection: Connection): void {
     if (!connection.open) this.connections.delete(connection);
   }
@@ -151,7 +174,7 @@
       this.tryLater(attempt);
     } else if (effect === 'hold') this.heldAttempts.add(attempt);
     else {
-      const listener = target.listeners.get(to.port);
+      const listener = this.listenersOf(target).get(to.port);
       const refused = effect === 'refuse' || listener === undefined || !target.hasFreeSocket;
       if (refused) this.fail(attempt, 'ECONNREFUSED');
       else this.open(attempt, listener);
--- a/packages/testing/sizing/measure-all.ts
+++ b/packages/testing/sizing/measure-all.ts
@@ -1,6 +1,7 @@
 import { LoopbackCluster } from './cluster.js';
 import { fillFleet } from './full-fleet.js';
-import type { Measure, Measured, MeasurementName } from './measurement.js';
+import type { Measure, Measured } from './measurement.js';
+import type { MeasurementName } from './measurement-names.js';
 import { measureCauses } from './measurements/causes.js';
 import { measureArray, measureBurst, measureLargeJobs } from './measurements/peaks.js';
 import { measureRestart } from './measurements/restart.js';
--- a/packages/testing/sizing/measurement.ts
+++ b/packages/testing/sizing/measurement.ts
@@ -1,22 +1,8 @@
 import type { LoopbackCluster } from './cluster.js';
 import type { Figure } from './figure.js';
+import type { MeasurementName } from './measurement-names.js';
 import type { SizingOptions } from './options.js';
 
-/** What can be measured, in the order in which it is. */
-export const MEASUREMENTS = [
-  'start',
-  'owner',
-  'standby',
-  'burst',
-  'large-jobs',
-  'array',
-  'take-over',
-  'restart',
-  'causes',
-] as const;
-
-export type MeasurementName = (typeof MEASUREMENTS)[number];
-
 /** Figures that were taken at one go. */
 export interface Measured {
   /** Its name; one that is about several roles adds the role. */
--- a/packages/testing/sizing/measurements/peaks.ts
+++ b/packages/testing/sizing/measurements/peaks.ts
@@ -6,7 +6,8 @@
 import type { LoopbackCluster } from '../cluster.js';
 import { Figures } from '../figure.js';
 import { MACHINE_TYPE } from '../machine-type.js';
-import type { Measured, MeasurementName } from '../measurement.js';
+import type { Measured } from '../measurement.js';
+import type { MeasurementName } from '../measurement-names.js';
 import type { SizingOptions } from '../options.js';
 import { type Peak, PeakWatch } from '../peak-watch.js';
 
--- a/packages/testing/sizing/options.ts
+++ b/packages/testing/sizing/options.ts
@@ -4,7 +4,7 @@
 import { Command, InvalidArgumentError } from 'commander';
 import { BadSettings, loadSettings, type PlatformSettings } from '#controller';
 import type { SharedSettings } from '../simulation/cluster-settings.js';
-import { MEASUREMENTS, type MeasurementName } from './measurement.js';
+import { MEASUREMENTS, type MeasurementName } from './measurement-names.js';
 import { JOBS_PER_MACHINE_MINUTE } from './workload.js';
 
 /** What is to be measured, and at which size. */
--- a/packages/testing/standins/worker/gang-attempt.ts
+++ b/packages/testing/standins/worker/gang-attempt.ts
@@ -1,9 +1,8 @@
 import type { Runtime, Timer } from '#wire';
 import { atLastCheckpoint, type JobProgram, type JobStorage } from '../job-storage.js';
 import { Execution } from './execution.js';
-import { GangMember } from './gang-member.js';
-import type { HostedTask } from './hosted-task.js';
-import type { WorkerTimes } from './task-host.js';
+import { type GangCoordinator, GangMember } from './gang-member.js';
+import type { RunningTask, WorkerTimes } from './task-host.js';
 
 type GangPhase =
   /** Not all tasks are there yet. */
@@ -21,7 +20,7 @@
 const EARLIEST_NOTICE = 0.3;
 
 /** All tasks of one attempt of a gang: they start, progress, complete and save together. */
-export class GangAttempt {
+export class GangAttempt implements GangCoordinator {
   private phase: GangPhase = 'gathering';
   private readonly members = new Map<number, GangMember>();
   private readonly program: JobProgram;
@@ -32,7 +31,7 @@
 
   constructor(
     private readonly runtime: Runtime,
-    first: HostedTask,
+    first: RunningTask,
     private readonly onEmpty: () => void,
   ) {
     this.program = first.program;
@@ -41,7 +40,7 @@
   }
 
   /** A task that comes when the gang has started, or when its place is taken, waits in vain. */
-  join(task: HostedTask): GangMember {
+  join(task: RunningTask): GangMember {
     const member = new GangMember(task, this);
     task.enter('waiting');
     task.after(this.times.gangWaitS, () => {
--- a/packages/testing/standins/worker/gang-member.ts
+++ b/packages/testing/standins/worker/gang-member.ts
@@ -1,6 +1,13 @@
-import type { GangAttempt } from './gang-attempt.js';
-import type { HostedTask } from './hosted-task.js';
-import type { TaskRun } from './task-host.js';
+import type { RunningTask, TaskRun } from './task-host.js';
+
+/** What a task of a gang tells the others, and asks of them. */
+export interface GangCoordinator {
+  /** A task that is not waiting was told to stop. */
+  stop(member: GangMember, graceS: number): void;
+  memberLeft(member: GangMember): void;
+  memberHangs(member: GangMember): void;
+  speedChanged(): void;
+}
 
 /** A task of a gang. */
 export class GangMember implements TaskRun {
@@ -8,8 +15,8 @@
   hanging = false;
 
   constructor(
-    readonly task: HostedTask,
-    private readonly gang: GangAttempt,
+    readonly task: RunningTask,
+    private readonly gang: GangCoordinator,
   ) {}
 
   stop(graceS: number): void {
--- a/packages/testing/standins/worker/gang-network.ts
+++ b/packages/testing/standins/worker/gang-network.ts
@@ -1,16 +1,15 @@
 import type { Runtime } from '#wire';
 import { GangAttempt } from './gang-attempt.js';
-import type { HostedTask } from './hosted-task.js';
-import type { TaskRun } from './task-host.js';
+import type { GangRendezvous, RunningTask, TaskRun } from './task-host.js';
 
 /** Where the tasks of gangs find each other, by job and attempt number. */
-export class GangNetwork {
+export class GangNetwork implements GangRendezvous {
   private readonly attempts = new Map<string, GangAttempt>();
 
   constructor(private readonly runtime: Runtime) {}
 
   /** The task has its image and waits for the others of its attempt. */
-  join(task: HostedTask): TaskRun {
+  join(task: RunningTask): TaskRun {
     const key = `${task.ref.job} ${task.ref.attempt}`;
     const known = this.attempts.get(key);
     if (known) return known.join(task);
--- a/packages/testing/standins/worker/hosted-task.ts
+++ b/packages/testing/standins/worker/hosted-task.ts
@@ -3,10 +3,10 @@
 import type { JobProgram } from '../job-storage.js';
 import type { ImageClaim } from './image-cache.js';
 import { SoloRun } from './solo-run.js';
-import type { TaskHost, TaskRun } from './task-host.js';
+import type { RunningTask, TaskHost, TaskRun } from './task-host.js';
 
 /** One attempt of a task on one machine, from its start command until it is forgotten. */
-export class HostedTask {
+export class HostedTask implements RunningTask {
   state: TaskState = 'fetching';
   private cause: Cause | null = null;
   private saved = false;
--- a/packages/testing/standins/worker/solo-run.ts
+++ b/packages/testing/standins/worker/solo-run.ts
@@ -1,14 +1,13 @@
 import { atLastCheckpoint, type ProgressUnit } from '../job-storage.js';
 import { Execution } from './execution.js';
-import type { HostedTask } from './hosted-task.js';
-import type { TaskRun } from './task-host.js';
+import type { RunningTask, TaskRun } from './task-host.js';
 
 /** A task of an array, or a replica of a service. */
 export class SoloRun implements TaskRun {
   private readonly execution: Execution;
   private readonly unit: ProgressUnit;
 
-  constructor(private readonly task: HostedTask) {
+  constructor(private readonly task: RunningTask) {
     const { host, program, ref } = task;
     this.unit = { job: ref.job, index: ref.index };
     const goalS = program.job.kind === 'service' ? Infinity : program.runS[ref.index];
--- a/packages/testing/standins/worker/task-host.ts
+++ b/packages/testing/standins/worker/task-host.ts
@@ -1,7 +1,6 @@
-import type { Clock } from '#wire';
+import type { Cause, Clock, TaskRef, TaskState } from '#wire';
 import type { Observer } from '../events.js';
 import type { JobProgram, JobStorage } from '../job-storage.js';
-import type { GangNetwork } from './gang-network.js';
 import type { ImageCache } from './image-cache.js';
 
 /** Times that the platform's settings give all workers, in seconds. */
@@ -20,7 +19,7 @@
   readonly times: WorkerTimes;
   readonly images: ImageCache;
   readonly storage: JobStorage;
-  readonly gangs: GangNetwork;
+  readonly gangs: GangRendezvous;
   readonly observer: Observer;
   /** Run time that passes in a second. */
   readonly speed: number;
@@ -30,6 +29,25 @@
   taskChanged(): void;
 }
 
+/** Where the tasks of gangs find each other. */
+export interface GangRendezvous {
+  /** The task has its image and waits for the others of its attempt. */
+  join(task: RunningTask): TaskRun;
+}
+
+/** A task as that which runs it sees it. */
+export interface RunningTask {
+  readonly ref: TaskRef;
+  readonly program: JobProgram;
+  readonly host: TaskHost;
+  readonly state: TaskState;
+  enter(state: TaskState): void;
+  /** The task leaves its machine; `saved` if its progress was checkpointed. */
+  exit(cause: Cause, saved?: boolean): void;
+  /** Calls back after so many seconds of the machine's clock unless the task has left by then. */
+  after(seconds: number, callback: () => void): void;
+}
+
 /** How a task runs once it has its image. */
 export interface TaskRun {
   /** Carries out a stop command. */
