--- a/packages/bundle/rehearsal.ts
+++ b/packages/bundle/rehearsal.ts
@@ -4,7 +4,7 @@
 import { fileURLToPath } from 'node:url';
 import { type ControllerMaker, describeProblems, runScenario, SMALL_CLUSTER } from '#testing';
 import type { Program } from '../cli/launch.cjs';
-import { USUAL_CLASSES } from '../testing/standins/index.js';
+import { USUAL_CLASSES } from '../testing/stand-ins/index.js';
 
 const EXAMPLE_SETTINGS = fileURLToPath(new URL('../../examples/settings.toml', import.meta.url));
 const SEED = 1;
--- a/packages/cli/program.test.ts
+++ b/packages/cli/program.test.ts
@@ -6,7 +6,7 @@
 import { after, test } from 'node:test';
 import { fileURLToPath } from 'node:url';
 import { nodeRuntime } from '#wire';
-import { FREE_LOOPBACK_PORT, serveCbor } from '../testing/standins/index.js';
+import { FREE_LOOPBACK_PORT, serveCbor } from '../testing/stand-ins/index.js';
 import { runCommandLine } from './program.js';
 
 const directory = mkdtempSync(path.join(tmpdir(), 'sorreldale-cli-'));
--- a/packages/cli/shard-commands.test.ts
+++ b/packages/cli/shard-commands.test.ts
@@ -7,7 +7,7 @@
 import { moveKey, moveResultKey } from '#shards';
 import { shardKey } from '#store';
 import { nodeRuntime } from '#wire';
-import { FREE_LOOPBACK_PORT, StateService } from '../testing/standins/index.js';
+import { FREE_LOOPBACK_PORT, StateService } from '../testing/stand-ins/index.js';
 import { until } from '#testing';
 import { runCommandLine } from './program.js';
 
--- a/packages/controller/cloud/cloud-reconciler.test.ts
+++ b/packages/controller/cloud/cloud-reconciler.test.ts
@@ -6,7 +6,7 @@
 import { makeLog } from '../observability/log.js';
 import type { ShardLeader } from '../leadership/shard-leader.js';
 import { aFleet, aMachine, STD } from '../../testing/samples.js';
-import { FREE_LOOPBACK_PORT, serveCbor } from '../../testing/standins/index.js';
+import { FREE_LOOPBACK_PORT, serveCbor } from '../../testing/stand-ins/index.js';
 
 interface Permission {
   rent: boolean;
--- a/packages/controller/controller.test.ts
+++ b/packages/controller/controller.test.ts
@@ -8,7 +8,7 @@
   FREE_LOOPBACK_PORT,
   StateService,
   USUAL_BOOTS,
-} from '../testing/standins/index.js';
+} from '../testing/stand-ins/index.js';
 import { Controller } from './controller.js';
 import { makeLog } from './observability/log.js';
 import type { Settings } from './settings/settings.js';
--- a/packages/controller/leadership/direct-commands.test.ts
+++ b/packages/controller/leadership/direct-commands.test.ts
@@ -3,7 +3,7 @@
 import type { FleetState } from '#core';
 import { nodeRuntime } from '#wire';
 import { aFleet, aJob, aMachine, aReport } from '#testing';
-import { FREE_LOOPBACK_PORT, serveCbor } from '../../testing/standins/index.js';
+import { FREE_LOOPBACK_PORT, serveCbor } from '../../testing/stand-ins/index.js';
 import { DirectCommands } from './direct-commands.js';
 
 /** A machine with one task that is to be started, and its worker at that address. */
--- a/packages/core/model/free-machines.test.ts
+++ b/packages/core/model/free-machines.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { RandomFleet } from '../../testing/owner-load/random-steps.js';
+import { RandomFleet } from '../../testing/leader-load/random-steps.js';
 import { Chance } from '../../testing/random.js';
 import { aJob } from '../../testing/samples.js';
 import { type FleetState, hasCapacity, type Machine } from '../index.js';
--- a/packages/core/model/machine-groups.test.ts
+++ b/packages/core/model/machine-groups.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Chance } from '../../testing/random.js';
-import { RandomFleet } from '../../testing/owner-load/random-steps.js';
+import { RandomFleet } from '../../testing/leader-load/random-steps.js';
 import { addAmounts, type Amounts, type FleetState, type Machine, ZERO_AMOUNTS } from '../index.js';
 
 const SEEDS = 40;
--- a/packages/testing/meetings/chained-troubles.test.ts
+++ b/packages/testing/fault-combinations/dependencies-and-faults.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { ClusterSettings, Fault, ScenarioResult } from '../simulation/index.js';
-import { chainedJobs, countChains, startsBeforeRecords } from './chain-queries.js';
-import { chainedScenario, chainOf, DIAMOND } from './chained-work.js';
+import { chainedJobs, countChains, startsBeforeRecords } from './dependency-queries.js';
+import { chainedScenario, chainOf, DIAMOND } from './dependent-work.js';
 import { playMeeting } from './run-queries.js';
 import { BUSY_FROM_S, CANCEL_S } from './steady-work.js';
 
--- a/packages/testing/meetings/chained-mistakes.test.ts
+++ b/packages/testing/fault-combinations/dependency-mistakes.test.ts
@@ -7,8 +7,8 @@
 import { JobRegistry } from '../../core/model/job-registry.js';
 import type { JobState } from '../../core/model/model.js';
 import { runScenario, type Fault, type ScenarioResult } from '../simulation/index.js';
-import { startsBeforeRecords } from './chain-queries.js';
-import { chainedScenario } from './chained-work.js';
+import { startsBeforeRecords } from './dependency-queries.js';
+import { chainedScenario } from './dependent-work.js';
 
 /** Methods of a prototype, private ones included. */
 type Methods = Record<string, (...args: never[]) => unknown>;
--- a/packages/testing/meetings/chained-jobs.test.ts
+++ b/packages/testing/fault-combinations/dependent-jobs.test.ts
@@ -6,8 +6,8 @@
   chainedJobs,
   countChains,
   startsBeforeRecords,
-} from './chain-queries.js';
-import { chainedScenario } from './chained-work.js';
+} from './dependency-queries.js';
+import { chainedScenario } from './dependent-work.js';
 import { playMeeting } from './run-queries.js';
 import { BUSY_FROM_S } from './steady-work.js';
 
--- a/packages/testing/meetings/chained-work.ts
+++ b/packages/testing/fault-combinations/dependent-work.ts
@@ -1,6 +1,6 @@
 /** Chained jobs beside the steady work of the other meetings. */
 import type { ClusterSettings, Fault, Scenario } from '../simulation/index.js';
-import type { JobClass, Pipeline } from '../standins/index.js';
+import type { JobClass, Pipeline } from '../stand-ins/index.js';
 import { steadyScenario } from './steady-work.js';
 
 const STAGE: JobClass = {
--- a/packages/testing/meetings/faulty-jobs.test.ts
+++ b/packages/testing/fault-combinations/faulty-jobs.test.ts
@@ -9,7 +9,7 @@
   type Scenario,
   type ScenarioResult,
 } from '../simulation/index.js';
-import { USUAL_CLASSES, type JobClass } from '../standins/index.js';
+import { USUAL_CLASSES, type JobClass } from '../stand-ins/index.js';
 import { playMeeting } from './run-queries.js';
 import { CANCEL_S } from './steady-work.js';
 
--- a/packages/testing/meetings/flood.test.ts
+++ b/packages/testing/fault-combinations/flood.test.ts
@@ -5,7 +5,7 @@
 import { UserClient } from '#wire';
 import { aJob } from '../samples.js';
 import { Cluster, formatAddress, serviceAddress, SMALL_CLUSTER } from '../simulation/index.js';
-import { describeViolation, type PlannedJob } from '../standins/index.js';
+import { describeViolation, type PlannedJob } from '../stand-ins/index.js';
 
 const HOSTS = 'red';
 const GUESTS = 'blue';
--- a/packages/testing/meetings/large-array.test.ts
+++ b/packages/testing/fault-combinations/large-array.test.ts
@@ -4,7 +4,7 @@
 import { jobKey, PROGRESS } from '#store';
 import { aJob } from '../samples.js';
 import { Cluster, SMALL_CLUSTER } from '../simulation/index.js';
-import { describeViolation } from '../standins/index.js';
+import { describeViolation } from '../stand-ins/index.js';
 
 const { state: LIMITS, workers } = SMALL_CLUSTER.deployment;
 const SUBMITTED_S = 5;
--- a/packages/testing/on-call/flapping-or-slow.test.ts
+++ b/packages/testing/fault-combinations/on-call/flapping-or-slow.test.ts
@@ -1,14 +1,14 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { Fault } from '../simulation/index.js';
+import type { Fault } from '../../simulation/index.js';
 import {
   confirmations,
   killedTasks,
   lastTaskLeftAt,
   playMeeting,
   tasksRunningAt,
-} from '../meetings/run-queries.js';
-import { BUSY_FROM_S, CANCEL_S, LEASE_S, steadyScenario } from '../meetings/steady-work.js';
+} from '../run-queries.js';
+import { BUSY_FROM_S, CANCEL_S, LEASE_S, steadyScenario } from '../steady-work.js';
 
 const BEGIN_S = BUSY_FROM_S;
 
--- a/packages/testing/on-call/leader-cut-in-outage.test.ts
+++ b/packages/testing/fault-combinations/on-call/leader-cut-in-outage.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { killedTasks, machinesUp, playMeeting, tasksRunningAt } from '../meetings/run-queries.js';
-import { BUSY_FROM_S, LEASE_S, steadyScenario } from '../meetings/steady-work.js';
-import type { CutMode, Fault } from '../simulation/index.js';
+import { killedTasks, machinesUp, playMeeting, tasksRunningAt } from '../run-queries.js';
+import { BUSY_FROM_S, LEASE_S, steadyScenario } from '../steady-work.js';
+import type { CutMode, Fault } from '../../simulation/index.js';
 
 const BEGIN_S = BUSY_FROM_S;
 const CUT_S = 50;
--- a/packages/testing/on-call/silent-or-frozen-leader.test.ts
+++ b/packages/testing/fault-combinations/on-call/silent-or-frozen-leader.test.ts
@@ -1,13 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import {
-  killedTasks,
-  playMeeting,
-  reportsAnswered,
-  tasksRunningAt,
-} from '../meetings/run-queries.js';
-import { BUSY_FROM_S, LEASE_S, steadyScenario } from '../meetings/steady-work.js';
-import type { ControllerTarget, Fault, ScenarioResult } from '../simulation/index.js';
+import { killedTasks, playMeeting, reportsAnswered, tasksRunningAt } from '../run-queries.js';
+import { BUSY_FROM_S, LEASE_S, steadyScenario } from '../steady-work.js';
+import type { ControllerTarget, Fault, ScenarioResult } from '../../simulation/index.js';
 
 const BEGIN_S = BUSY_FROM_S;
 const AWAY_S = 80;
--- a/packages/testing/on-call/silent-workers.test.ts
+++ b/packages/testing/fault-combinations/on-call/silent-workers.test.ts
@@ -1,14 +1,14 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { CutMode, Fault, ScenarioResult } from '../simulation/index.js';
+import type { CutMode, Fault, ScenarioResult } from '../../simulation/index.js';
 import {
   killedTasks,
   machinesUp,
   playMeeting,
   reportsAnswered,
   tasksRunningAt,
-} from '../meetings/run-queries.js';
-import { BUSY_FROM_S, LEASE_S, REPORT_S, steadyScenario } from '../meetings/steady-work.js';
+} from '../run-queries.js';
+import { BUSY_FROM_S, LEASE_S, REPORT_S, steadyScenario } from '../steady-work.js';
 
 const BEGIN_S = BUSY_FROM_S;
 const CUT_S = 35;
--- a/packages/testing/meetings/steady-work.ts
+++ b/packages/testing/fault-combinations/steady-work.ts
@@ -5,7 +5,7 @@
   type Fault,
   type Scenario,
 } from '../simulation/index.js';
-import type { JobClass } from '../standins/index.js';
+import type { JobClass } from '../stand-ins/index.js';
 
 const { workers } = SMALL_CLUSTER.deployment;
 
--- a/packages/testing/meetings/upgrade.test.ts
+++ b/packages/testing/fault-combinations/upgrade.test.ts
@@ -13,9 +13,9 @@
   type Fault,
   type ScenarioResult,
 } from '../simulation/index.js';
-import type { Arrivals, JobClass } from '../standins/index.js';
-import { countChains, startsBeforeRecords } from './chain-queries.js';
-import { chainedScenario, DIAMOND } from './chained-work.js';
+import type { Arrivals, JobClass } from '../stand-ins/index.js';
+import { countChains, startsBeforeRecords } from './dependency-queries.js';
+import { chainedScenario, DIAMOND } from './dependent-work.js';
 import { killedTasks } from './run-queries.js';
 
 const ROLL_AT_S = 60;
--- a/packages/testing/owner-load/figures.ts
+++ b/packages/testing/leader-load/figures.ts
@@ -1,4 +1,4 @@
-/** The duties of an owner that `measure-owner` times, one at a time on a fleet of its own. */
+/** What a leader does that the measurement `leader` times, one at a time on a fleet of its own. */
 import type { Assignment, Machine } from '#core';
 import { encodeFrame } from '#peer';
 import type { StateLimits } from '#store';
--- a/packages/testing/replicas/failing-controllers.test.ts
+++ b/packages/testing/loopback/replica-groups/failing-controllers.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { Fault, ReplicaMoment } from '../simulation/index.js';
+import type { Fault, ReplicaMoment } from '../../simulation/index.js';
 import {
   countOf,
   duringRepair,
--- a/packages/testing/replicas/failing-machines.test.ts
+++ b/packages/testing/loopback/replica-groups/failing-machines.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { ScenarioResult } from '../simulation/index.js';
+import type { ScenarioResult } from '../../simulation/index.js';
 import {
   CLUSTER,
   countOf,
--- a/packages/testing/replicas/loopback-faults.ts
+++ b/packages/testing/loopback/replica-groups/loopback-faults.ts
@@ -1,5 +1,5 @@
 import { setTimeout as sleep } from 'node:timers/promises';
-import type { Chance } from '../random.js';
+import type { Chance } from '../../random.js';
 import type { LoopbackCluster } from '../sizing/cluster.js';
 
 /** Leases for which a machine stands still or is cut off: longer than it takes to lose its tasks. */
--- a/packages/testing/replicas/loopback-run.ts
+++ b/packages/testing/loopback/replica-groups/loopback-run.ts
@@ -1,17 +1,17 @@
 /** Replicas of several members on stand-in machines, whose machines and controllers fail while requests come. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { type Job, nodeRuntime } from '#wire';
-import { Chance } from '../random.js';
-import { type Answer, brokenAnswers } from '../replica-traffic/answers.js';
-import { Members } from '../replica-traffic/members.js';
-import { RequestTraffic } from '../replica-traffic/request-traffic.js';
-import { aJob } from '../samples.js';
+import { Chance } from '../../random.js';
+import { type Answer, brokenAnswers } from '../../simulation/replica-traffic/answers.js';
+import { Members } from '../../simulation/replica-traffic/members.js';
+import { RequestTraffic } from '../../simulation/replica-traffic/request-traffic.js';
+import { aJob } from '../../samples.js';
 import { LoopbackCluster } from '../sizing/cluster.js';
 import { allHealthy } from '../sizing/full-fleet.js';
 import type { SizingOptions } from '../sizing/options.js';
 import { runLine } from '../sizing/sources.js';
 import { waitFor } from '../sizing/wait.js';
-import { type PlannedJob, RuleChecker, type Violation } from '../standins/index.js';
+import { type PlannedJob, RuleChecker, type Violation } from '../../stand-ins/index.js';
 import { LoopbackFaults } from './loopback-faults.js';
 import { repairTimes, type RepairTime } from './repair-times.js';
 
--- a/packages/testing/replicas/loopback.test.ts
+++ b/packages/testing/loopback/replica-groups/loopback.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { describeAnswer } from '../replica-traffic/answers.js';
+import { describeAnswer } from '../../simulation/replica-traffic/answers.js';
 import { readOptions } from '../sizing/options.js';
-import { describeViolation } from '../standins/index.js';
+import { describeViolation } from '../../stand-ins/index.js';
 import { runReplicas } from './loopback-run.js';
 
 const SIZING = readOptions(
--- a/packages/testing/replicas/repair-times.ts
+++ b/packages/testing/loopback/replica-groups/repair-times.ts
@@ -1,4 +1,4 @@
-import type { Answer } from '../replica-traffic/answers.js';
+import type { Answer } from '../../simulation/replica-traffic/answers.js';
 
 /** The loss of a member, as a fault made it. */
 export interface Loss {
--- a/packages/testing/replicas/replica-scenarios.ts
+++ b/packages/testing/loopback/replica-groups/replica-scenarios.ts
@@ -1,7 +1,7 @@
 /** Scenarios with replicas of several members, and what tests ask of all of them. */
 import assert from 'node:assert/strict';
-import { playMeeting } from '../meetings/run-queries.js';
-import { describeAnswer } from '../replica-traffic/answers.js';
+import { playMeeting } from '../../fault-combinations/run-queries.js';
+import { describeAnswer } from '../../simulation/replica-traffic/answers.js';
 import {
   type ClusterSettings,
   type Fault,
@@ -9,8 +9,8 @@
   type Scenario,
   type ScenarioResult,
   SMALL_CLUSTER,
-} from '../simulation/index.js';
-import type { JobClass } from '../standins/index.js';
+} from '../../simulation/index.js';
+import type { JobClass } from '../../stand-ins/index.js';
 
 const MEMBERS = 3;
 const CLASS = 'label-model';
--- a/packages/testing/moves/owner-audit.test.ts
+++ b/packages/testing/loopback/shard-migrations/leader-audit.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { OwnerAudit } from './owner-audit.js';
+import { OwnerAudit } from './leader-audit.js';
 
 function auditOfTwoTerms(): OwnerAudit {
   const audit = new OwnerAudit();
--- a/packages/testing/moves/loopback-run.ts
+++ b/packages/testing/loopback/shard-migrations/loopback-run.ts
@@ -2,15 +2,15 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import { MoveRequests, type RequestOutcome } from '#shards';
 import { nodeRuntime, StateApi } from '#wire';
-import { formatAddress } from '../simulation/addresses.js';
-import { Chance } from '../random.js';
+import { formatAddress } from '../../simulation/addresses.js';
+import { Chance } from '../../random.js';
 import { LoopbackCluster } from '../sizing/cluster.js';
 import type { ControllerProcess } from '../sizing/controller-process.js';
 import { allHealthy, fillFleet } from '../sizing/full-fleet.js';
 import type { SizingOptions } from '../sizing/options.js';
 import { runLine } from '../sizing/sources.js';
-import { RuleChecker, type Violation } from '../standins/index.js';
-import { OwnerAudit, type OwnerBreach } from './owner-audit.js';
+import { RuleChecker, type Violation } from '../../stand-ins/index.js';
+import { OwnerAudit, type OwnerBreach } from './leader-audit.js';
 
 const PART = 0;
 const SEED = 1;
--- a/packages/testing/moves/move-scenarios.ts
+++ b/packages/testing/loopback/shard-migrations/migration-scenarios.ts
@@ -1,8 +1,8 @@
 /** Scenarios in which the part moves again and again while work runs, and what tests ask of them. */
 import assert from 'node:assert/strict';
-import { killedTasks, playMeeting } from '../meetings/run-queries.js';
-import { BUSY_FROM_S, steadyScenario } from '../meetings/steady-work.js';
-import type { Fault, Scenario, ScenarioResult } from '../simulation/index.js';
+import { killedTasks, playMeeting } from '../../fault-combinations/run-queries.js';
+import { BUSY_FROM_S, steadyScenario } from '../../fault-combinations/steady-work.js';
+import type { Fault, Scenario, ScenarioResult } from '../../simulation/index.js';
 
 /** Time between two requests in which a move and what a fault has done to it are over. */
 export const MOVE_EVERY_S = 20;
--- a/packages/testing/moves/moves.test.ts
+++ b/packages/testing/loopback/shard-migrations/migrations.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { BUSY_FROM_S } from '../meetings/steady-work.js';
-import type { Fault, MovePhase } from '../simulation/index.js';
-import { atPhases, MOVE_EVERY_S, playMoves } from './move-scenarios.js';
+import { BUSY_FROM_S } from '../../fault-combinations/steady-work.js';
+import type { Fault, MovePhase } from '../../simulation/index.js';
+import { atPhases, MOVE_EVERY_S, playMoves } from './migration-scenarios.js';
 
 const PHASES: MovePhase[] = ['requested', 'prepared', 'quiesced', 'switched'];
 const SIDES = ['move-source', 'move-target'] as const;
--- a/packages/testing/sizing/addresses.ts
+++ b/packages/testing/loopback/sizing/addresses.ts
@@ -1,5 +1,5 @@
 import type { HostPort } from '#wire';
-import type { AddressBook } from '../simulation/addresses.js';
+import type { AddressBook } from '../../simulation/addresses.js';
 
 const STATE_PORT = 2379;
 const CLOUD_PORT = 8443;
--- a/packages/testing/sizing/cluster.ts
+++ b/packages/testing/loopback/sizing/cluster.ts
@@ -5,12 +5,12 @@
 import type { OperatorFile } from '#controller';
 import { decodeLeader, shardKey } from '#store';
 import { nodeRuntime } from '#wire';
-import { formatAddress } from '../simulation/addresses.js';
+import { formatAddress } from '../../simulation/addresses.js';
 import {
   controllerAddresses,
   platformSettings,
   type SharedSettings,
-} from '../simulation/cluster-settings.js';
+} from '../../simulation/cluster-settings.js';
 import {
   CloudService,
   Fleet,
@@ -23,11 +23,11 @@
   ReplyLoss,
   StateService,
   Users,
-} from '../standins/index.js';
+} from '../../stand-ins/index.js';
 import { LoopbackAddresses } from './addresses.js';
 import { type ControllerCommand, ControllerProcess, NotRunning } from './controller-process.js';
 import { machineType } from './machine-type.js';
-import { ReportLog } from './report-log.js';
+import { ReportLog } from './heartbeat-log.js';
 import { RequestCounter } from './request-counter.js';
 import { UserLog } from './user-log.js';
 
--- a/packages/testing/sizing/full-fleet.ts
+++ b/packages/testing/loopback/sizing/full-fleet.ts
@@ -1,6 +1,6 @@
 /** Brings a cluster to the state that most measurements begin from. */
 import { setTimeout as sleep } from 'node:timers/promises';
-import { formatAddress } from '../simulation/addresses.js';
+import { formatAddress } from '../../simulation/addresses.js';
 import type { LoopbackCluster } from './cluster.js';
 import { untilHealthy } from './health.js';
 import type { SizingOptions } from './options.js';
--- a/packages/testing/sizing/report-log.test.ts
+++ b/packages/testing/loopback/sizing/heartbeat-log.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { ReportLog } from './report-log.js';
+import { ReportLog } from './heartbeat-log.js';
 
 test('answers of owners are told apart from all others, by controller', () => {
   const log = new ReportLog();
--- a/packages/testing/sizing/report-log.ts
+++ b/packages/testing/loopback/sizing/heartbeat-log.ts
@@ -1,4 +1,4 @@
-import type { ReportExchange, ReportObserver } from '../standins/index.js';
+import type { ReportExchange, ReportObserver } from '../../stand-ins/index.js';
 
 /** A report that a controller has answered as the owner. */
 export interface AnsweredReport {
--- a/packages/testing/sizing/measure-all.ts
+++ b/packages/testing/loopback/sizing/measure-all.ts
@@ -7,7 +7,7 @@
 import { measureRestart } from './measurements/restart.js';
 import { measureStart } from './measurements/start.js';
 import { measureOwner, measureStandby } from './measurements/steady.js';
-import { measureTakeOver } from './measurements/take-over.js';
+import { measureTakeOver } from './measurements/failover.js';
 import type { SizingOptions } from './options.js';
 import { runLine } from './sources.js';
 import { Throttle } from './throttle.js';
--- a/packages/testing/sizing/measurements/peaks.ts
+++ b/packages/testing/loopback/sizing/measurements/peaks.ts
@@ -2,7 +2,7 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import { encodeJob, jobKey, sizeInJson } from '#store';
 import type { Job } from '#wire';
-import { aJob } from '../../samples.js';
+import { aJob } from '../../../samples.js';
 import type { LoopbackCluster } from '../cluster.js';
 import { Figures } from '../figure.js';
 import { MACHINE_TYPE } from '../machine-type.js';
--- a/packages/testing/sizing/options.ts
+++ b/packages/testing/loopback/sizing/options.ts
@@ -3,7 +3,7 @@
 import { fileURLToPath } from 'node:url';
 import { Command, InvalidArgumentError } from 'commander';
 import { BadSettings, loadSettings, type PlatformSettings } from '#controller';
-import type { SharedSettings } from '../simulation/cluster-settings.js';
+import type { SharedSettings } from '../../simulation/cluster-settings.js';
 import { MEASUREMENTS, type MeasurementName } from './measurement-names.js';
 import { JOBS_PER_MACHINE_MINUTE } from './workload.js';
 
@@ -63,7 +63,7 @@
 }
 
 /** The checkout that this program belongs to. */
-const OWN_SOURCES = fileURLToPath(new URL('../../..', import.meta.url));
+const OWN_SOURCES = fileURLToPath(new URL('../../../..', import.meta.url));
 const OWN_SETTINGS = path.join(OWN_SOURCES, 'examples/settings.toml');
 /** Without limits, so that the whole fleet is used. */
 const TEAMS = ['team-a', 'team-b'].map((name) => ({
@@ -137,7 +137,7 @@
     .option('--json <file>', 'add one JSON object per measurement to the file; - for the output')
     .addHelpText(
       'after',
-      '\nExample:\n  $ node target/testing/sizing.js owner standby --controllers 3 --machines 100',
+      '\nExample:\n  $ node target/testing/measure.js sizing owner standby --controllers 3 --machines 100',
     );
 }
 
--- a/packages/testing/sizing/request-counter.ts
+++ b/packages/testing/loopback/sizing/request-counter.ts
@@ -1,5 +1,5 @@
 import type { Runtime } from '#wire';
-import { watchRequests } from '../watch-requests.js';
+import { watchRequests } from '../../watch-requests.js';
 
 /** Counts the requests that servers get, by the port at which they listen. */
 export class RequestCounter {
--- a/packages/testing/sizing/result.ts
+++ b/packages/testing/loopback/sizing/result.ts
@@ -1,4 +1,4 @@
-import { currentLoad, type MachineSpeed, measureSpeed } from '../measuring/machine-speed.js';
+import { currentLoad, type MachineSpeed, measureSpeed } from '../../measurement/machine-speed.js';
 import type { Measured } from './measurement.js';
 import type { SizingOptions } from './options.js';
 import { sourceVersion, type SourceVersion } from './sources.js';
--- a/packages/testing/sizing/return-of-workers.ts
+++ b/packages/testing/loopback/sizing/return-of-workers.ts
@@ -1,5 +1,5 @@
 import type { LoopbackCluster } from './cluster.js';
-import type { AnsweredReport } from './report-log.js';
+import type { AnsweredReport } from './heartbeat-log.js';
 import { waitFor } from './wait.js';
 
 /** A moment at which so many reports had been answered, and what the answering controller had used by then. */
--- a/packages/testing/sizing/table.ts
+++ b/packages/testing/loopback/sizing/table.ts
@@ -1,7 +1,7 @@
 /** Prints figures as a table for people. */
-import { describeMachine } from '../measuring/machine-speed.js';
-import { median } from '../measuring/median.js';
-import { type Column, formatNumber, textTable } from '../measuring/text-table.js';
+import { describeMachine } from '../../measurement/machine-speed.js';
+import { median } from '../../measurement/median.js';
+import { type Column, formatNumber, textTable } from '../../measurement/text-table.js';
 import type { Figure, Unit } from './figure.js';
 import type { Measured } from './measurement.js';
 import type { Result, ResultContext } from './result.js';
--- a/packages/testing/sizing/user-log.ts
+++ b/packages/testing/loopback/sizing/user-log.ts
@@ -1,4 +1,4 @@
-import type { WorldEvent } from '../standins/index.js';
+import type { WorldEvent } from '../../stand-ins/index.js';
 
 const ACCEPTED = [200, 201];
 
--- a/packages/testing/sizing/workload.ts
+++ b/packages/testing/loopback/sizing/workload.ts
@@ -3,9 +3,9 @@
  * stays at its full size; jobs that come and go use about three quarters of what is left.
  */
 import type { Job } from '#wire';
-import { aJob } from '../samples.js';
-import { Chance } from '../random.js';
-import { type JobClass, makeWorkload, type PlannedJob } from '../standins/index.js';
+import { aJob } from '../../samples.js';
+import { Chance } from '../../random.js';
+import { type JobClass, makeWorkload, type PlannedJob } from '../../stand-ins/index.js';
 
 export interface SizingWorkload {
   machines: number;
--- a/packages/testing/costs/measure-costs.ts
+++ b/packages/testing/measurement/costs-measurement.ts
@@ -1,10 +1,10 @@
 /**
- * Counts what the controllers of a quiet simulated cluster do: `node target/testing/costs/measure-costs.js`. Prints
- * a table for each seed: requests, records, frames, timers and the like, by minute, report and job.
+ * Counts what the controllers of a quiet simulated cluster do. Prints a table for each seed: requests, records,
+ * frames, timers and the like, by minute, heartbeat and job.
  */
-import { type Column, textTable } from '../measuring/text-table.js';
+import { type Column, textTable } from './text-table.js';
 import type { Costs } from '../simulation/costs.js';
-import { type CostRun, runForCosts } from './cost-run.js';
+import { type CostRun, runForCosts } from './costs/cost-run.js';
 
 const CONTROLLERS = 3;
 const MACHINES = 50;
@@ -27,8 +27,12 @@
   return textTable(COLUMNS, rows);
 }
 
-for (const seed of SEEDS) {
-  const run = await runForCosts({ controllers: CONTROLLERS, machines: MACHINES, seed });
-  const size = `${CONTROLLERS} controllers, ${MACHINES} machines`;
-  process.stdout.write(`${size}, seed ${seed}\n${formatRun(run)}\n`);
+/** Prints the table of each seed; resolves with the exit code. */
+export async function run(): Promise<number> {
+  for (const seed of SEEDS) {
+    const costs = await runForCosts({ controllers: CONTROLLERS, machines: MACHINES, seed });
+    const size = `${CONTROLLERS} controllers, ${MACHINES} machines`;
+    process.stdout.write(`${size}, seed ${seed}\n${formatRun(costs)}\n`);
+  }
+  return 0;
 }
--- a/packages/testing/costs/cost-run.ts
+++ b/packages/testing/measurement/costs/cost-run.ts
@@ -1,11 +1,11 @@
 /** Plays a quiet cluster whose machines are all in use, and counts what its controllers do. */
-import { aJob } from '../samples.js';
-import { Cluster } from '../simulation/cluster.js';
-import { SMALL_CLUSTER, type ClusterSettings } from '../simulation/cluster-settings.js';
-import { type Costs, costsBetween, scaleCosts, sumCosts } from '../simulation/costs.js';
-import { machineType } from '../sizing/machine-type.js';
-import { planAnchors } from '../sizing/workload.js';
-import { type PlannedJob, QUICK_BOOTS } from '../standins/index.js';
+import { aJob } from '../../samples.js';
+import { Cluster } from '../../simulation/cluster.js';
+import { SMALL_CLUSTER, type ClusterSettings } from '../../simulation/cluster-settings.js';
+import { type Costs, costsBetween, scaleCosts, sumCosts } from '../../simulation/costs.js';
+import { machineType } from '../../loopback/sizing/machine-type.js';
+import { planAnchors } from '../../loopback/sizing/workload.js';
+import { type PlannedJob, QUICK_BOOTS } from '../../stand-ins/index.js';
 
 export interface CostRunOptions {
   controllers: number;
--- a/packages/testing/costs/costs.test.ts
+++ b/packages/testing/measurement/costs/costs.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { Costs } from '../simulation/costs.js';
+import type { Costs } from '../../simulation/costs.js';
 import { runForCosts } from './cost-run.js';
 
 const MACHINES = 50;
--- /dev/null
+++ b/packages/testing/measurement/replica-groups-measurement.ts
@@ -0,0 +1,93 @@
+/**
+ * Replicas of several members between real controllers on the loopback, whose machines are killed, frozen and cut off
+ * at random, and now and then a controller with them, while requests come. Exit code 1 if an answer or a rule was
+ * broken.
+ */
+import { Command, Option } from 'commander';
+import { distributionRow, DISTRIBUTION_COLUMNS } from './distribution.js';
+import { textTable } from './text-table.js';
+import { describeAnswer } from '../simulation/replica-traffic/answers.js';
+import {
+  type ReplicaMode,
+  type ReplicaRunResult,
+  runReplicas,
+} from '../loopback/replica-groups/loopback-run.js';
+import { readOptions } from '../loopback/sizing/options.js';
+
+const SHOWN = 5;
+
+interface Arguments {
+  mode: ReplicaMode;
+  faults: string;
+  controllerEvery: string;
+  machines: string;
+  replicas: string;
+  controllers: string;
+  reportS: string;
+  leaseS: string;
+}
+
+function describe({ broken, violations, repairs, ...counts }: ReplicaRunResult): string {
+  const rows = [false, true].flatMap((withController) => {
+    const own = repairs.filter((each) => each.withController === withController);
+    const name = withController ? 'with a failing controller' : 'machines only';
+    const ms = (seconds: number) => seconds * 1000;
+    return [
+      distributionRow(
+        `last answer, ${name}`,
+        own.map((each) => ms(each.lastAnswerAfterS)),
+      ),
+      distributionRow(
+        `whole again, ${name}`,
+        own.map((each) => ms(each.wholeAfterS)),
+      ),
+    ];
+  });
+  const summary = { ...counts, broken: broken.length, violations: violations.length };
+  const shown = [
+    ...broken.slice(0, SHOWN).map(describeAnswer),
+    ...violations.slice(0, SHOWN).map((each) => JSON.stringify(each)),
+  ];
+  return [textTable(DISTRIBUTION_COLUMNS, rows), JSON.stringify(summary), ...shown, ''].join('\n');
+}
+
+const MODES: ReplicaMode[] = ['groups', 'unfenced', 'single-tasks'];
+/** Plays the faults that the arguments say; resolves with the exit code, 1 if a rule was broken. */
+export async function run(args: string[]): Promise<number> {
+  const program = new Command('replica-groups')
+    .addOption(
+      new Option('--mode <mode>', 'how replicas are kept together')
+        .choices(MODES)
+        .default('groups'),
+    )
+    .option('--faults <number>', 'machines that fail, one after the other', '100')
+    .option(
+      '--controller-every <number>',
+      'one fault in so many comes with a controller; 0: none',
+      '5',
+    )
+    .option('--machines <number>', 'machines, each of which reports', '40')
+    .option('--replicas <number>', 'replicas of three members', '24')
+    .option('--controllers <number>', 'controllers', '3')
+    .option('--report-s <seconds>', "workers' report period", '0.5')
+    .option('--lease-s <seconds>', "workers' lease", '5')
+    .parse(args, { from: 'user' });
+  const { mode, faults, controllerEvery, machines, replicas, controllers, reportS, leaseS } =
+    program.opts<Arguments>();
+  const sizing = readOptions([
+    ...['--machines', machines, '--controllers', controllers],
+    ...['--report-s', reportS, '--lease-s', leaseS],
+  ]);
+  const options = {
+    sizing,
+    mode,
+    replicas: Number(replicas),
+    faults: Number(faults),
+    controllerEvery: Number(controllerEvery),
+  };
+  const result = await runReplicas(options, (done) => {
+    if (done % 10 === 0) process.stderr.write(`${done} faults\n`);
+  });
+  process.stdout.write(describe(result));
+  return result.broken.length + result.violations.length > 0 ? 1 : 0;
+}
--- a/packages/testing/measure-scale.ts
+++ b/packages/testing/measurement/scale-measurement.ts
@@ -1,14 +1,14 @@
 /**
- * Measures what one scheduling round, one plan, one report and one take-over cost with few and with many
- * waiting tasks and jobs: `node --expose-gc target/testing/measure-scale.js`. Times are medians in
- * milliseconds on one core; bytes are of the heap.
+ * Measures what one scheduling round, one plan, one heartbeat and one failover cost with few and with many
+ * waiting tasks and jobs. Times are medians in milliseconds on one core; bytes are of the heap, and need
+ * `node --expose-gc`.
  */
 import { CapacityPlanner, FleetState, NO_QUOTA, Scheduler } from '#core';
 import type { Job, Heartbeat } from '#wire';
-import { currentLoad, describeMachine, measureSpeed } from './measuring/machine-speed.js';
-import { median } from './measuring/median.js';
-import { type Column, formatNumber, textTable } from './measuring/text-table.js';
-import { aFleet, aJob, aMachine, aReport } from './samples.js';
+import { currentLoad, describeMachine, measureSpeed } from './machine-speed.js';
+import { median } from './median.js';
+import { type Column, formatNumber, textTable } from './text-table.js';
+import { aFleet, aJob, aMachine, aReport } from '../samples.js';
 
 const MACHINES = 48;
 const RUNS = 30;
@@ -146,7 +146,11 @@
   return [waiting, full ? 'full' : 'with room', ...times.map(formatNumber), bytes.toFixed(0)];
 }
 
-const rows = LOADS.map(measure);
-const load = currentLoad().toFixed(1);
-process.stdout.write(`${describeMachine(measureSpeed())}, load ${load}\n\n`);
-process.stdout.write(textTable(COLUMNS, rows));
+/** Prints one line for each load; resolves with the exit code. */
+export function run(): Promise<number> {
+  const rows = LOADS.map(measure);
+  const load = currentLoad().toFixed(1);
+  process.stdout.write(`${describeMachine(measureSpeed())}, load ${load}\n\n`);
+  process.stdout.write(textTable(COLUMNS, rows));
+  return Promise.resolve(0);
+}
--- /dev/null
+++ b/packages/testing/measurement/shard-migrations-measurement.ts
@@ -0,0 +1,51 @@
+/**
+ * Moves the shard hundreds of times between real controllers on the loopback, under load and with crashes and freezes
+ * of either side, and says what came of it. Exit code 1 if a rule was broken, or if a machine had two leaders.
+ */
+import { Command } from 'commander';
+import { DISTRIBUTION_COLUMNS, distributionRow } from './distribution.js';
+import { textTable } from './text-table.js';
+import { type MoveRunResult, runMoves } from '../loopback/shard-migrations/loopback-run.js';
+import { readOptions } from '../loopback/sizing/options.js';
+
+interface Arguments {
+  moves: string;
+  every: string;
+  faultEvery: string;
+  machines: string;
+  controllers: string;
+}
+
+function describe(result: MoveRunResult): string {
+  const { moveMs, undecidedMs, breaches, violations, ...counts } = result;
+  const rows = [
+    distributionRow('from the request to the new owner', moveMs),
+    distributionRow('without decisions', undecidedMs),
+  ];
+  const found = [...breaches, ...violations].map((each) => JSON.stringify(each));
+  return [textTable(DISTRIBUTION_COLUMNS, rows), JSON.stringify(counts), ...found, ''].join('\n');
+}
+
+/** Moves the shard as the arguments say; resolves with the exit code, 1 if a rule was broken. */
+export async function run(args: string[]): Promise<number> {
+  const program = new Command('shard-migrations')
+    .option('--moves <number>', 'moves that are asked for', '300')
+    .option('--every <seconds>', 'from one move to the next', '0.5')
+    .option('--fault-every <number>', 'one move in so many meets a fault; 0: none', '10')
+    .option('--machines <number>', 'machines, each of which reports', '40')
+    .option('--controllers <number>', 'controllers', '3')
+    .parse(args, { from: 'user' });
+  const { moves, every, faultEvery, machines, controllers } = program.opts<Arguments>();
+  const sizing = readOptions(['--machines', machines, '--controllers', controllers]);
+  const options = {
+    sizing,
+    moves: Number(moves),
+    everyS: Number(every),
+    faultEvery: Number(faultEvery),
+  };
+  const result = await runMoves(options, (done) => {
+    if (done % 20 === 0) process.stderr.write(`${done} moves\n`);
+  });
+  process.stdout.write(describe(result));
+  return result.breaches.length + result.violations.length > 0 ? 1 : 0;
+}
--- a/packages/testing/simulation/measure-speed.ts
+++ b/packages/testing/measurement/simulation-measurement.ts
@@ -1,12 +1,16 @@
 /**
- * Measures how fast the simulated cluster plays: `node target/testing/simulation/measure-speed.js`.
- * Prints simulated seconds per second for a small and a large cluster on a day without faults.
+ * Measures how fast the simulated cluster plays: simulated seconds per second, for a small and a large
+ * cluster on a day without faults.
  */
-import { currentLoad, describeMachine, measureSpeed } from '../measuring/machine-speed.js';
-import { type Column, formatNumber, textTable } from '../measuring/text-table.js';
-import { USUAL_CLASSES } from '../standins/index.js';
-import { LARGE_CLUSTER, SMALL_CLUSTER, type ClusterSettings } from './cluster-settings.js';
-import { runScenario } from './run-scenario.js';
+import { currentLoad, describeMachine, measureSpeed } from './machine-speed.js';
+import { type Column, formatNumber, textTable } from './text-table.js';
+import { USUAL_CLASSES } from '../stand-ins/index.js';
+import {
+  LARGE_CLUSTER,
+  SMALL_CLUSTER,
+  type ClusterSettings,
+} from '../simulation/cluster-settings.js';
+import { runScenario } from '../simulation/run-scenario.js';
 
 const LENGTH_S = 300;
 const SEED = 1;
@@ -35,7 +39,11 @@
   return [name, ...[...figures, counts.jobsSubmitted, counts.tasksStarted].map(formatNumber)];
 }
 
-const rows = [await measure(SMALL_CLUSTER, 2), await measure(LARGE_CLUSTER, 8)];
-const load = currentLoad().toFixed(1);
-process.stdout.write(`${describeMachine(measureSpeed())}, load ${load}\n\n`);
-process.stdout.write(textTable(COLUMNS, rows));
+/** Prints one line for each cluster; resolves with the exit code. */
+export async function run(): Promise<number> {
+  const rows = [await measure(SMALL_CLUSTER, 2), await measure(LARGE_CLUSTER, 8)];
+  const load = currentLoad().toFixed(1);
+  process.stdout.write(`${describeMachine(measureSpeed())}, load ${load}\n\n`);
+  process.stdout.write(textTable(COLUMNS, rows));
+  return 0;
+}
--- a/packages/testing/sizing.ts
+++ b/packages/testing/measurement/sizing-measurement.ts
@@ -1,24 +1,23 @@
 /**
- * Measures what controllers need at a given size, for operators who size their own machines:
- * `node target/testing/sizing.js --help`. Starts real controllers as processes on the loopback, with
+ * Measures what controllers need at a given size, for operators who size their own machines. Starts real controllers as processes on the loopback, with
  * stand-ins for the state service, the cloud, workers and users in this process.
  */
 import { appendFileSync } from 'node:fs';
 import { CommanderError } from 'commander';
-import { NotRunning } from './sizing/controller-process.js';
-import { measureAll } from './sizing/measure-all.js';
-import { BadArguments, readOptions, type SizingOptions } from './sizing/options.js';
-import { makeResult, type Result, resultContext } from './sizing/result.js';
-import { NotBuilt } from './sizing/sources.js';
-import { describeContext, formatTable } from './sizing/table.js';
-import { TooLate } from './sizing/wait.js';
+import { NotRunning } from '../loopback/sizing/controller-process.js';
+import { measureAll } from '../loopback/sizing/measure-all.js';
+import { BadArguments, readOptions, type SizingOptions } from '../loopback/sizing/options.js';
+import { makeResult, type Result, resultContext } from '../loopback/sizing/result.js';
+import { NotBuilt } from '../loopback/sizing/sources.js';
+import { describeContext, formatTable } from '../loopback/sizing/table.js';
+import { TooLate } from '../loopback/sizing/wait.js';
 
 const ExitCode = { done: 0, notMeasured: 1, badArguments: 2 } as const;
 /** In place of a file: standard output. */
 const STANDARD_OUTPUT = '-';
 
 /** Measures and prints each result as JSON as soon as it is there, and all of them as a table. */
-async function run(options: SizingOptions): Promise<void> {
+async function measureAndPrint(options: SizingOptions): Promise<void> {
   const context = resultContext(options);
   const results: Result[] = [];
   await measureAll(options, {
@@ -40,9 +39,9 @@
 }
 
 /** Resolves with the exit code once all is written. */
-async function main(args: string[]): Promise<number> {
+export async function run(args: string[]): Promise<number> {
   try {
-    await run(readOptions(args));
+    await measureAndPrint(readOptions(args));
     return ExitCode.done;
   } catch (err) {
     // Commander has written its own message, or the help that was asked for.
@@ -53,6 +52,3 @@
     return arguments_ ? ExitCode.badArguments : ExitCode.notMeasured;
   }
 }
-
-// Stand-ins may leave timers behind.
-process.exit(await main(process.argv.slice(2)));
--- a/packages/testing/ownership/cluster.ts
+++ b/packages/testing/models/leader-election/cluster.ts
@@ -1,4 +1,4 @@
-import type { Chance } from '../random.js';
+import type { Chance } from '../../random.js';
 import { LinkModel } from './link.js';
 import { NodeModel } from './node.js';
 import { ServiceModel } from './service.js';
--- a/packages/testing/ownership/faults.ts
+++ b/packages/testing/models/leader-election/faults.ts
@@ -1,4 +1,4 @@
-import type { Chance } from '../random.js';
+import type { Chance } from '../../random.js';
 import type { OwnershipCluster } from './cluster.js';
 import { CANCEL_S, GRANT_S, LEASE_S, STEP_S } from './timing.js';
 
--- a/packages/testing/ownership/world.ts
+++ b/packages/testing/models/leader-election/world.ts
@@ -3,7 +3,7 @@
  * entitlement, keeps peer statements and lists cancellations, and models everything around it (state
  * service, grants, connections, crashes, users who cancel). One step is a quarter of a report period.
  */
-import { Chance } from '../random.js';
+import { Chance } from '../../random.js';
 import { OwnershipChecks } from './checks.js';
 import { OwnershipCluster } from './cluster.js';
 import { OwnershipFaults } from './faults.js';
--- a/packages/testing/owner-model/owner.ts
+++ b/packages/testing/models/leader-with-workers/leader.ts
@@ -1,5 +1,5 @@
 import { FleetState, Scheduler } from '#core';
-import { STD } from '../samples.js';
+import { STD } from '../../samples.js';
 import type { DurableRecords } from './durable-records.js';
 import type { OwnerMistake } from './mistakes.js';
 import { markRecorded, RecorderModel } from './recorder.js';
--- a/packages/testing/owner-model/random-job.ts
+++ b/packages/testing/models/leader-with-workers/random-job.ts
@@ -1,5 +1,5 @@
 import type { Job } from '#wire';
-import type { Chance } from '../random.js';
+import type { Chance } from '../../random.js';
 
 const KINDS = ['array', 'array', 'service', 'gang'] as const;
 const MOST_ZEROS = 4;
--- a/packages/testing/owner-model/traffic.ts
+++ b/packages/testing/models/leader-with-workers/traffic.ts
@@ -1,9 +1,9 @@
 import type { Order, Heartbeat } from '#wire';
 import type { Machine, HeartbeatOutcome } from '#core';
-import type { Chance } from '../random.js';
+import type { Chance } from '../../random.js';
 import type { Mail } from './mail.js';
 import type { OwnerMistake } from './mistakes.js';
-import type { OwnerModel } from './owner.js';
+import type { OwnerModel } from './leader.js';
 import { ANSWER_LIFE_S, COMMAND_LIFE_S, DELAY_S, LEASE_S } from './timing.js';
 import type { WorkerModel } from './worker.js';
 
--- a/packages/testing/owner-model/worker.ts
+++ b/packages/testing/models/leader-with-workers/worker.ts
@@ -1,5 +1,5 @@
 import { type Order, type Heartbeat, taskName, type TaskRef, type TaskStatus } from '#wire';
-import { STD } from '../samples.js';
+import { STD } from '../../samples.js';
 
 /** A task that a worker holds. */
 export interface HeldTask extends TaskStatus {
--- a/packages/testing/owner-model/world.ts
+++ b/packages/testing/models/leader-with-workers/world.ts
@@ -1,9 +1,9 @@
-import { Chance } from '../random.js';
+import { Chance } from '../../random.js';
 import { OwnerChecks } from './checks.js';
 import { DurableRecords } from './durable-records.js';
 import { Mail } from './mail.js';
 import type { OwnerMistake, OwnerViolation } from './mistakes.js';
-import { OwnerModel } from './owner.js';
+import { OwnerModel } from './leader.js';
 import { randomJob, runTimeS } from './random-job.js';
 import { CLAIM_PAUSE_S, LEASE_S, REPORT_S, STEP_S } from './timing.js';
 import { Traffic, type WorkerContact } from './traffic.js';
--- a/packages/testing/replica-model/events.ts
+++ b/packages/testing/models/replica-groups/events.ts
@@ -4,7 +4,7 @@
 import { EventList } from './event-list.js';
 import { addArrival, addMachineEvents, addReport } from './machine-events.js';
 import type { ReplicaMistake } from './mistakes.js';
-import { beginGeneration, machinesForNext, ownerFromRecords, sendsStart, tell } from './owner.js';
+import { beginGeneration, machinesForNext, ownerFromRecords, sendsStart, tell } from './leader.js';
 import { addRequestSteps } from './requests.js';
 import {
   areRecordsRead,
--- a/packages/testing/replica-model/machine-events.ts
+++ b/packages/testing/models/replica-groups/machine-events.ts
@@ -2,7 +2,7 @@
 import type { Draft } from 'immer';
 import type { EventList } from './event-list.js';
 import type { ReplicaMistake } from './mistakes.js';
-import { tell } from './owner.js';
+import { tell } from './leader.js';
 import type { Command, Member, ModelMachine, ModelOwner } from './state.js';
 
 /** A command reaches its machine, or is lost. */
--- a/packages/testing/simulation/cluster-settings.ts
+++ b/packages/testing/simulation/cluster-settings.ts
@@ -1,6 +1,6 @@
 import type { MachineType } from '#wire';
 import { withDefaults, type OperatorFile, type PlatformSettings, type Settings } from '#controller';
-import type { CapacityLimit, ControllerAddress } from '../standins/index.js';
+import type { CapacityLimit, ControllerAddress } from '../stand-ins/index.js';
 import {
   type AddressBook,
   controllerName,
--- a/packages/testing/simulation/cluster.test.ts
+++ b/packages/testing/simulation/cluster.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { USUAL_CLASSES } from '../standins/index.js';
+import { USUAL_CLASSES } from '../stand-ins/index.js';
 import {
   describeProblems,
   runScenario,
--- a/packages/testing/simulation/cluster.ts
+++ b/packages/testing/simulation/cluster.ts
@@ -7,7 +7,7 @@
   StateService,
   Users,
   type Observer,
-} from '../standins/index.js';
+} from '../stand-ins/index.js';
 import {
   BALANCER_ADDRESS,
   CHECKER_HOST,
@@ -29,7 +29,7 @@
 import { SimulatedHost, type HostRole } from './host.js';
 import { SimulatedNetwork } from './network.js';
 import { MovePhases } from './move-phases.js';
-import { OwnershipHistory } from './ownership-history.js';
+import { OwnershipHistory } from './leadership-history.js';
 import { ReplicaMoments } from './replica-moments.js';
 import { RequestLog } from './request-log.js';
 import { ReplicaService } from './replica-service.js';
--- a/packages/testing/simulation/costs.ts
+++ b/packages/testing/simulation/costs.ts
@@ -6,7 +6,7 @@
 import type { Duplex } from 'node:stream';
 import { FrameReader } from '#peer';
 import type { Clock, HostPort, Network, Runtime } from '#wire';
-import type { WorldEvent } from '../standins/index.js';
+import type { WorldEvent } from '../stand-ins/index.js';
 import { watchRequests } from '../watch-requests.js';
 import { isPeerAddress } from './addresses.js';
 
--- a/packages/testing/simulation/fault-journal.ts
+++ b/packages/testing/simulation/fault-journal.ts
@@ -1,5 +1,5 @@
 import type { FaultEffect } from './faults/effect.js';
-import type { OwnershipChange } from './ownership-history.js';
+import type { OwnershipChange } from './leadership-history.js';
 import type { Fault } from './scenario.js';
 
 /** A fault that began, and what it met. */
--- a/packages/testing/simulation/faults/cloud-faults.ts
+++ b/packages/testing/simulation/faults/cloud-faults.ts
@@ -1,4 +1,4 @@
-import { QUICK_BOOTS, type CloudService } from '../../standins/index.js';
+import { QUICK_BOOTS, type CloudService } from '../../stand-ins/index.js';
 import type { CloudFault } from '../scenario.js';
 import { effect, type FaultEffect } from './effect.js';
 import { Overlap } from './overlap.js';
--- a/packages/testing/simulation/faults/machine-faults.ts
+++ b/packages/testing/simulation/faults/machine-faults.ts
@@ -1,5 +1,5 @@
 import type { Chance } from '../../random.js';
-import type { CloudService } from '../../standins/index.js';
+import type { CloudService } from '../../stand-ins/index.js';
 import type { Machines, SimulatedMachine } from '../machines.js';
 import type { SimulatedNetwork } from '../network.js';
 import type { MachineFault } from '../scenario.js';
--- a/packages/testing/simulation/faults/operator-requests.ts
+++ b/packages/testing/simulation/faults/operator-requests.ts
@@ -1,6 +1,6 @@
 import { moveKey, type MoveRecord } from '#shards';
 import { decodeLeader, shardKey } from '#store';
-import type { StateService } from '../../standins/index.js';
+import type { StateService } from '../../stand-ins/index.js';
 import type { SimulatedController } from '../controllers.js';
 import type { MovePhases } from '../move-phases.js';
 import type { OperatorRequest } from '../scenario.js';
--- a/packages/testing/simulation/faults/state-faults.ts
+++ b/packages/testing/simulation/faults/state-faults.ts
@@ -1,4 +1,4 @@
-import type { StateService } from '../../standins/index.js';
+import type { StateService } from '../../stand-ins/index.js';
 import type { SimulatedController } from '../controllers.js';
 import type { StateFault } from '../scenario.js';
 import { effect, type FaultEffect } from './effect.js';
--- a/packages/testing/simulation/faults/user-faults.ts
+++ b/packages/testing/simulation/faults/user-faults.ts
@@ -1,4 +1,4 @@
-import type { Users, WorldState } from '../../standins/index.js';
+import type { Users, WorldState } from '../../stand-ins/index.js';
 import type { Machines, SimulatedMachine } from '../machines.js';
 import type { UserFault } from '../scenario.js';
 import type { World } from '../world.js';
--- a/packages/testing/simulation/index.ts
+++ b/packages/testing/simulation/index.ts
@@ -12,7 +12,7 @@
 export * from './controller-log.js';
 export * from './controllers.js';
 export * from './move-phases.js';
-export * from './ownership-history.js';
+export * from './leadership-history.js';
 export * from './replica-moments.js';
 export * from './scenario.js';
 export * from './cluster.js';
--- a/packages/testing/simulation/machines.ts
+++ b/packages/testing/simulation/machines.ts
@@ -9,7 +9,7 @@
   type RentedMachine,
   type Worker,
   type WorkerSurroundings,
-} from '../standins/index.js';
+} from '../stand-ins/index.js';
 import type { Runtime } from '#wire';
 import { workerAddress } from './addresses.js';
 import { controllerAddresses, type ClusterSettings } from './cluster-settings.js';
--- a/packages/testing/simulation/move-phases.ts
+++ b/packages/testing/simulation/move-phases.ts
@@ -1,7 +1,7 @@
 import { type MoveRecord, moveKey } from '#shards';
 import { decodeLeader, shardKey } from '#store';
 import type { Change } from '#wire';
-import type { WorldEvent } from '../standins/index.js';
+import type { WorldEvent } from '../stand-ins/index.js';
 
 /** How far a move has come, as its record says; `switched`: the target owns the part. */
 export type MovePhase = MoveRecord['phase'] | 'switched';
--- a/packages/testing/simulation/random-scenario.ts
+++ b/packages/testing/simulation/random-scenario.ts
@@ -1,6 +1,6 @@
 /** Scenarios made up by chance, to hunt for meetings that nobody has thought of. */
 import type { Chance } from '../random.js';
-import { USUAL_CLASSES } from '../standins/index.js';
+import { USUAL_CLASSES } from '../stand-ins/index.js';
 import type { ClusterSettings } from './cluster-settings.js';
 import type {
   ControllerTarget,
--- a/packages/testing/simulation/replica-service.ts
+++ b/packages/testing/simulation/replica-service.ts
@@ -1,8 +1,8 @@
 import { type ReplicaClasses, shapeOf } from '#replicas';
-import { type Answer, brokenAnswers } from '../replica-traffic/answers.js';
-import { Members } from '../replica-traffic/members.js';
-import { RequestTraffic } from '../replica-traffic/request-traffic.js';
-import type { JobStorage, WorldEvent } from '../standins/index.js';
+import { type Answer, brokenAnswers } from './replica-traffic/answers.js';
+import { Members } from './replica-traffic/members.js';
+import { RequestTraffic } from './replica-traffic/request-traffic.js';
+import type { JobStorage, WorldEvent } from '../stand-ins/index.js';
 import { USERS_HOST } from './addresses.js';
 import type { ClusterSettings } from './cluster-settings.js';
 import type { Machines } from './machines.js';
--- a/packages/testing/replica-traffic/members.ts
+++ b/packages/testing/simulation/replica-traffic/members.ts
@@ -1,5 +1,5 @@
 import { taskName, type TaskRef } from '#wire';
-import type { WorldEvent } from '../standins/index.js';
+import type { WorldEvent } from '../../stand-ins/index.js';
 
 /** A member that runs on a machine. */
 export interface LiveMember {
--- a/packages/testing/replica-traffic/request-traffic.ts
+++ b/packages/testing/simulation/replica-traffic/request-traffic.ts
@@ -1,4 +1,4 @@
-import type { Chance } from '../random.js';
+import type { Chance } from '../../random.js';
 import type { Answer, Mark } from './answers.js';
 import type { LiveMember, Members } from './members.js';
 
--- a/packages/testing/simulation/run-scenario.ts
+++ b/packages/testing/simulation/run-scenario.ts
@@ -1,12 +1,12 @@
 /** Plays a scenario and says what came of it. */
-import { describeViolation, makeWorkload, type Violation } from '../standins/index.js';
+import { describeViolation, makeWorkload, type Violation } from '../stand-ins/index.js';
 import { Cluster } from './cluster.js';
 import type { ControllerMaker, SimulatedController } from './controllers.js';
 import { countRun, type RunCounts } from './counts.js';
 import { FaultInjector } from './fault-injector.js';
 import type { FaultJournal } from './fault-journal.js';
 import type { MovePhases } from './move-phases.js';
-import type { OwnershipChange } from './ownership-history.js';
+import type { OwnershipChange } from './leadership-history.js';
 import type { ReplicaMoments } from './replica-moments.js';
 import type { ReplicaService } from './replica-service.js';
 import type { RequestLog } from './request-log.js';
--- a/packages/testing/simulation/scenario.ts
+++ b/packages/testing/simulation/scenario.ts
@@ -1,5 +1,5 @@
 /** Scenarios: what a cluster consists of, what its users do and which faults happen when. */
-import type { JobClass, Pipeline, StateServiceLimits } from '../standins/index.js';
+import type { JobClass, Pipeline, StateServiceLimits } from '../stand-ins/index.js';
 import type { ClusterSettings } from './cluster-settings.js';
 import type { LinkEffect } from './link-rules.js';
 import type { MovePhase } from './move-phases.js';
--- a/packages/testing/simulation/timeline.ts
+++ b/packages/testing/simulation/timeline.ts
@@ -1,4 +1,4 @@
-import type { Observer, WorldEvent } from '../standins/index.js';
+import type { Observer, WorldEvent } from '../stand-ins/index.js';
 import type { World } from './world.js';
 
 /** An event of the stand-ins and when it happened. */
--- a/packages/testing/state-world.ts
+++ b/packages/testing/state-world.ts
@@ -10,7 +10,7 @@
   STATE_ADDRESS,
   World,
 } from './simulation/index.js';
-import { StateService } from './standins/index.js';
+import { StateService } from './stand-ins/index.js';
 
 const NO_SKEW = { zeroS: 0, drift: 0, wallOffsetMs: 0 };
 /** Between two looks at a condition that is waited for; seconds. */
