--- /dev/null
+++ b/packages/testing/models/exploration/event-list.ts
@@ -0,0 +1,22 @@
+/** The events of one state of a model, each made by a recipe that changes a draft of the state. */
+import { type Draft, produce, setAutoFreeze } from 'immer';
+import type { ModelEvent } from './explore.js';
+
+// Freezing each of some hundred thousand states would take longer than making it.
+setAutoFreeze(false);
+
+/** Collects the events that can happen in one state, under a seeded mistake. */
+export class EventList<State extends object, Mistake> {
+  readonly events: ModelEvent<State>[] = [];
+
+  constructor(
+    readonly state: State,
+    readonly mistake: Mistake,
+  ) {}
+
+  /** Adds an event; a trouble need not happen, all else happens some day. */
+  add(name: string, trouble: boolean, recipe: (draft: Draft<State>) => unknown): void {
+    const next = produce(this.state, (draft: Draft<State>) => void recipe(draft));
+    this.events.push({ name, trouble, next });
+  }
+}
--- a/packages/testing/models/replica-groups/events.ts
+++ b/packages/testing/models/replica-groups/events.ts
@@ -1,7 +1,8 @@
 /** Everything that can happen next in a state of the model. */
 import type { Draft } from 'immer';
 import type { ModelEvent } from '../exploration/explore.js';
-import { EventList } from './event-list.js';
+import { EventList } from '../exploration/event-list.js';
+import type { ReplicaEventList } from './events-of-state.js';
 import { addArrival, addMachineEvents, addReport } from './machine-events.js';
 import type { ReplicaMistake } from './mistakes.js';
 import { beginGeneration, machinesForNext, ownerFromRecords, sendsStart, tell } from './leader.js';
@@ -19,7 +20,7 @@
   state: ReplicaModelState,
   mistake: ReplicaMistake,
 ): ModelEvent<ReplicaModelState>[] {
-  const list = new EventList(state, mistake);
+  const list: ReplicaEventList = new EventList(state, mistake);
   addPlacement(list);
   addOwnerChange(list);
   for (const role of ['owner', 'former'] as const) addSends(list, role);
@@ -34,7 +35,7 @@
   return list.events;
 }
 
-function addPlacement(list: EventList): void {
+function addPlacement(list: ReplicaEventList): void {
   const { state, mistake } = list;
   const isUsable = (at: number) => state.machines[at].condition !== 'dead';
   const machines = machinesForNext(state.owner, isUsable, mistake);
@@ -43,7 +44,7 @@
 }
 
 /** The owner ends, or goes on without knowing that another has taken its place. */
-function addOwnerChange(list: EventList): void {
+function addOwnerChange(list: ReplicaEventList): void {
   const { state, mistake } = list;
   if (state.former !== null) list.add('former owner ends', false, (draft) => (draft.former = null));
   if (state.budget.ownerChanges === 0) return;
@@ -57,7 +58,7 @@
 }
 
 /** An owner sends what it would send now; that may arrive at any later time. */
-function addSends(list: EventList, role: 'owner' | 'former'): void {
+function addSends(list: ReplicaEventList, role: 'owner' | 'former'): void {
   const { state, mistake } = list;
   const owner = state[role];
   if (!owner) return;
@@ -101,7 +102,7 @@
 }
 
 /** Nobody will read the records: all that matters is when the owner knows that they are durable. */
-function addRecordsAtOnce(list: EventList): void {
+function addRecordsAtOnce(list: ReplicaEventList): void {
   const { state, mistake } = list;
   for (const role of ['owner', 'former'] as const) {
     const open = state[role]?.places.flatMap((place, at) => (place && !place.recorded ? [at] : []));
@@ -119,7 +120,7 @@
 }
 
 /** Records become durable one by one, and their owner learns it later. */
-function addRecords(list: EventList, at: number): void {
+function addRecords(list: ReplicaEventList, at: number): void {
   const { state, mistake } = list;
   const place = state.owner.places[at];
   if (place !== null && !place.durable) {
--- a/packages/testing/models/replica-groups/machine-events.ts
+++ b/packages/testing/models/replica-groups/machine-events.ts
@@ -1,12 +1,12 @@
 /** What happens at a machine and between it and its owner. */
 import type { Draft } from 'immer';
-import type { EventList } from './event-list.js';
+import type { ReplicaEventList } from './events-of-state.js';
 import type { ReplicaMistake } from './mistakes.js';
 import { tell } from './leader.js';
 import type { Command, Member, ModelMachine, ModelOwner } from './state.js';
 
 /** A command reaches its machine, or is lost. */
-export function addArrival(list: EventList, at: number, index: number): void {
+export function addArrival(list: ReplicaEventList, at: number, index: number): void {
   const { state, mistake } = list;
   const machine = state.machines[at];
   if (machine.condition === 'up') {
@@ -31,7 +31,7 @@
 }
 
 /** A report of an up machine reaches the owner, and its answer the machine. */
-export function addReport(list: EventList, at: number): void {
+export function addReport(list: ReplicaEventList, at: number): void {
   const { state, mistake } = list;
   const machine = state.machines[at];
   const { condition, token, task } = machine;
@@ -82,7 +82,7 @@
 }
 
 /** Failures of a machine, and what its owner concludes from silence. */
-export function addMachineEvents(list: EventList, at: number): void {
+export function addMachineEvents(list: ReplicaEventList, at: number): void {
   const { state, mistake } = list;
   const { condition } = state.machines[at];
   if (condition === 'up' && state.budget.failures > 0) {
--- a/packages/testing/models/replica-groups/requests.ts
+++ b/packages/testing/models/replica-groups/requests.ts
@@ -1,10 +1,10 @@
 /** One request at a time, which the first member takes, hands to its mates, and answers. */
-import type { EventList } from './event-list.js';
+import type { ReplicaEventList } from './events-of-state.js';
 import { MEMBERS, type ReplicaModelState } from './state.js';
 
 const ENTRY = 0;
 
-export function addRequestSteps(list: EventList): void {
+export function addRequestSteps(list: ReplicaEventList): void {
   const { state } = list;
   const { request } = state;
   if (request === null) {
@@ -23,7 +23,7 @@
   addEnd(list);
 }
 
-function addBegin(list: EventList): void {
+function addBegin(list: ReplicaEventList): void {
   const { state } = list;
   if (state.budget.requests === 0) return;
   for (const generation of liveGenerations(state, ENTRY)) {
@@ -35,7 +35,7 @@
 }
 
 /** The request is given up at any time; it is answered only by the member that took it, with all marks. */
-function addEnd(list: EventList): void {
+function addEnd(list: ReplicaEventList): void {
   const { state, mistake } = list;
   const { generation, marks } = state.request!;
   list.add('request given up', false, (draft) => (draft.request = null));
--- a/packages/testing/models/shard-migration/events.ts
+++ b/packages/testing/models/shard-migration/events.ts
@@ -1,5 +1,6 @@
 /** Everything that can happen next in a state of the model. */
-import { type Draft, produce, setAutoFreeze } from 'immer';
+import type { Draft } from 'immer';
+import { EventList } from '../exploration/event-list.js';
 import type { ModelEvent } from '../exploration/explore.js';
 import {
   actsAsOwner,
@@ -18,25 +19,10 @@
   type ModelState,
 } from './state.js';
 
-// Freezing each of some hundred thousand states would take longer than making it.
-setAutoFreeze(false);
-
-/** Collects the events that can happen in one state. */
-class EventList {
-  readonly events: ModelEvent<ModelState>[] = [];
-
-  constructor(
-    readonly state: ModelState,
-    readonly mistake: MoveMistake,
-  ) {}
-
-  add(name: string, trouble: boolean, recipe: (draft: Draft<ModelState>) => void): void {
-    this.events.push({ name, trouble, next: produce(this.state, recipe) });
-  }
-}
+type MoveEventList = EventList<ModelState, MoveMistake>;
 
 export function eventsIn(state: ModelState, mistake: MoveMistake): ModelEvent<ModelState>[] {
-  const list = new EventList(state, mistake);
+  const list: MoveEventList = new EventList(state, mistake);
   for (const name of CONTROLLERS) {
     addRequest(list, name);
     addSteps(list, name);
@@ -49,7 +35,7 @@
 }
 
 /** Somebody asks that the part be moved to the controller. */
-function addRequest(list: EventList, to: ControllerName): void {
+function addRequest(list: MoveEventList, to: ControllerName): void {
   const { part, move, budget } = list.state;
   if (budget.requests === 0 || part === null || move !== null || part.leader === to) return;
   list.add(`request ${to}`, true, (draft) => {
@@ -59,7 +45,7 @@
   });
 }
 
-function addSteps(list: EventList, name: ControllerName): void {
+function addSteps(list: MoveEventList, name: ControllerName): void {
   const { state, mistake } = list;
   const controller = state.controllers[name];
   if (!sees(controller, state))
@@ -88,7 +74,7 @@
 }
 
 /** The part is free: whoever sees that may claim it. */
-function addClaim(list: EventList, name: ControllerName): void {
+function addClaim(list: MoveEventList, name: ControllerName): void {
   const { part, controllers, liveGrants } = list.state;
   const { grant, proven, part: seen } = controllers[name];
   if (part !== null || seen !== null || !proven || !liveGrants.includes(grant)) return;
@@ -98,7 +84,7 @@
   });
 }
 
-function addTroubles(list: EventList, name: ControllerName): void {
+function addTroubles(list: MoveEventList, name: ControllerName): void {
   const { budget, controllers, liveGrants } = list.state;
   const { proven, grant, waiting } = controllers[name];
   if (budget.crashes > 0) {
@@ -136,7 +122,7 @@
 }
 
 /** A transaction is carried out; its sender hears of it if it still waits. */
-function addArrival(list: EventList, index: number): void {
+function addArrival(list: MoveEventList, index: number): void {
   const { from, life, transaction } = list.state.pending[index];
   const sender = list.state.controllers[from];
   // Only the newest request of a sender can be the one that it waits for.
@@ -150,7 +136,7 @@
 }
 
 /** The grant of an earlier life, or one that its controller does not count on, ends. */
-function addEndOfGrant(list: EventList, grant: number): void {
+function addEndOfGrant(list: MoveEventList, grant: number): void {
   const isTrusted = CONTROLLERS.some((name) => {
     const controller = list.state.controllers[name];
     return controller.grant === grant && controller.proven;
