--- a/packages/testing/fault-combinations/dependent-work.ts
+++ b/packages/testing/fault-combinations/dependent-work.ts
@@ -1,10 +1,10 @@
 /** Chained jobs beside the steady work of the other meetings. */
 import type { ClusterSettings, Fault, Scenario } from '../simulation/index.js';
-import type { JobClass, Pipeline } from '../stand-ins/index.js';
+import { type JobClass, jobTemplate, type Pipeline } from '../stand-ins/index.js';
 import { steadyScenario } from './steady-work.js';
 
 const STAGE: JobClass = {
-  template: {
+  template: jobTemplate({
     class: 'stage',
     kind: 'array',
     rank: 3,
@@ -12,14 +12,7 @@
     gpus: 0,
     memory: 2,
     imageGb: 0.5,
-    types: null,
-    zone: null,
-    oneZone: false,
-    spread: false,
-    spot: false,
-    checkpointS: 0,
-    saveS: 0,
-  },
+  }),
   arrivals: { perMinute: 0, together: [1, 1] },
   tasks: [1, 5],
   run: { medianS: 4, p95S: 8, maxS: 10 },
--- a/packages/testing/loopback/replica-groups/replica-scenarios.ts
+++ b/packages/testing/loopback/replica-groups/replica-scenarios.ts
@@ -10,7 +10,7 @@
   type ScenarioResult,
   SMALL_CLUSTER,
 } from '../../simulation/index.js';
-import type { JobClass } from '../../stand-ins/index.js';
+import { type JobClass, jobTemplate } from '../../stand-ins/index.js';
 
 const MEMBERS = 3;
 const CLASS = 'label-model';
@@ -22,7 +22,7 @@
 export const FAULT_EVERY_S = 30;
 
 const LABEL_MODELS: JobClass = {
-  template: {
+  template: jobTemplate({
     class: CLASS,
     kind: 'service',
     rank: 1,
@@ -31,13 +31,7 @@
     memory: 200,
     imageGb: 6,
     types: ['g8'],
-    zone: null,
-    oneZone: false,
-    spread: false,
-    spot: false,
-    checkpointS: 0,
-    saveS: 0,
-  },
+  }),
   arrivals: { perMinute: 0.01, together: [1, 1], atStart: 4 },
   tasks: [MEMBERS, MEMBERS],
   run: { medianS: 3000, p95S: 3100, maxS: 3200 },
--- a/packages/testing/loopback/sizing/workload.ts
+++ b/packages/testing/loopback/sizing/workload.ts
@@ -5,7 +5,12 @@
 import type { Job } from '#wire';
 import { aJob } from '../../samples.js';
 import { Chance } from '../../random.js';
-import { type JobClass, makeWorkload, type PlannedJob } from '../../stand-ins/index.js';
+import {
+  type JobClass,
+  jobTemplate,
+  makeWorkload,
+  type PlannedJob,
+} from '../../stand-ins/index.js';
 
 export interface SizingWorkload {
   machines: number;
@@ -27,10 +32,9 @@
 const FIRST_ANCHOR_ID = 990_000;
 
 const ANY_MACHINE = { types: null, zone: null, spot: true };
-const SAVES_NOTHING = { checkpointS: 0, saveS: 0 };
 
 const REPLICAS: JobClass = {
-  template: {
+  template: jobTemplate({
     class: 'replica',
     kind: 'service',
     rank: 1,
@@ -38,11 +42,8 @@
     gpus: 1,
     memory: 25,
     imageGb: 5,
-    oneZone: false,
-    spread: false,
-    ...ANY_MACHINE,
-    ...SAVES_NOTHING,
-  },
+    spot: true,
+  }),
   arrivals: { perMinute: 0.16, together: [1, 1], atStart: 0.4 },
   tasks: [1, 5],
   run: { medianS: 120, p95S: 300, maxS: 600 },
@@ -52,7 +53,7 @@
 };
 
 const BATCHES: JobClass = {
-  template: {
+  template: jobTemplate({
     class: 'batch',
     kind: 'array',
     rank: 3,
@@ -60,11 +61,8 @@
     gpus: 1,
     memory: 25,
     imageGb: 10,
-    oneZone: false,
-    spread: false,
-    ...ANY_MACHINE,
-    ...SAVES_NOTHING,
-  },
+    spot: true,
+  }),
   arrivals: { perMinute: 0.08, together: [1, 1], atStart: 0.1 },
   tasks: [1, 29],
   run: { medianS: 50, p95S: 130, maxS: 200 },
@@ -74,7 +72,7 @@
 };
 
 const GANGS: JobClass = {
-  template: {
+  template: jobTemplate({
     class: 'gang',
     kind: 'gang',
     rank: 1,
@@ -83,11 +81,10 @@
     memory: 100,
     imageGb: 10,
     oneZone: true,
-    spread: false,
-    ...ANY_MACHINE,
+    spot: true,
     checkpointS: 20,
     saveS: 2,
-  },
+  }),
   arrivals: { perMinute: 0.036, together: [1, 1], atStart: 0.06 },
   tasks: [1, 4],
   run: { medianS: 90, p95S: 200, maxS: 300 },
--- a/packages/testing/stand-ins/workload/job-class.ts
+++ b/packages/testing/stand-ins/workload/job-class.ts
@@ -11,10 +11,34 @@
   atStart?: number;
 }
 
+/** What a job needs, the same for all jobs of a class. */
+export type JobTemplate = Omit<
+  Job,
+  'id' | 'team' | 'tasks' | 'image' | 'estimateS' | 'deadlineS' | 'awaits'
+>;
+
+/** What has no usual value. */
+type RequiredNeeds = 'class' | 'kind' | 'rank' | 'cpus' | 'gpus' | 'memory' | 'imageGb';
+
+/** A template of jobs that may run on any on-demand machine and save no checkpoints, unless `needs` says otherwise. */
+export function jobTemplate(
+  needs: Pick<JobTemplate, RequiredNeeds> & Partial<JobTemplate>,
+): JobTemplate {
+  return {
+    types: null,
+    zone: null,
+    oneZone: false,
+    spread: false,
+    spot: false,
+    checkpointS: 0,
+    saveS: 0,
+    ...needs,
+  };
+}
+
 /** One class of jobs: what they need, when they come and how long they run. */
 export interface JobClass {
-  /** The same for all jobs of the class. */
-  template: Omit<Job, 'id' | 'team' | 'tasks' | 'image' | 'estimateS' | 'deadlineS' | 'awaits'>;
+  template: JobTemplate;
   arrivals: Arrivals;
   tasks: Span;
   /** Run time of a task; of a service, time until its user cancels it. */
@@ -29,7 +53,7 @@
 
 /** Replicas that stand for minutes, spread over the zones. */
 const REPLICAS: JobClass = {
-  template: {
+  template: jobTemplate({
     class: 'chat-replica',
     kind: 'service',
     rank: 1,
@@ -37,14 +61,8 @@
     gpus: 1,
     memory: 48,
     imageGb: 4,
-    types: null,
-    zone: null,
-    oneZone: false,
     spread: true,
-    spot: false,
-    checkpointS: 0,
-    saveS: 0,
-  },
+  }),
   arrivals: { perMinute: 5, together: [1, 1] },
   tasks: [1, 4],
   run: { medianS: 90, p95S: 240, maxS: 400 },
@@ -55,7 +73,7 @@
 
 /** Batches of independent tasks that save now and then and run on spot machines too. */
 const BATCHES: JobClass = {
-  template: {
+  template: jobTemplate({
     class: 'embedding-batch',
     kind: 'array',
     rank: 3,
@@ -63,14 +81,10 @@
     gpus: 0,
     memory: 16,
     imageGb: 3,
-    types: null,
-    zone: null,
-    oneZone: false,
-    spread: false,
     spot: true,
     checkpointS: 10,
     saveS: 2,
-  },
+  }),
   arrivals: { perMinute: 4, together: [1, 2] },
   tasks: [4, 24],
   run: { medianS: 25, p95S: 60, maxS: 100 },
@@ -81,7 +95,7 @@
 
 /** Small urgent replicas that come several at a time and go soon. */
 const RUSH: JobClass = {
-  template: {
+  template: jobTemplate({
     class: 'rush-replica',
     kind: 'service',
     rank: 0,
@@ -89,14 +103,7 @@
     gpus: 1,
     memory: 24,
     imageGb: 2,
-    types: null,
-    zone: null,
-    oneZone: false,
-    spread: false,
-    spot: false,
-    checkpointS: 0,
-    saveS: 0,
-  },
+  }),
   arrivals: { perMinute: 1.5, together: [2, 6] },
   tasks: [1, 2],
   run: { medianS: 35, p95S: 80, maxS: 150 },
@@ -107,7 +114,7 @@
 
 /** Gangs on whole machines of one zone. */
 const GANGS: JobClass = {
-  template: {
+  template: jobTemplate({
     class: 'tuning-gang',
     kind: 'gang',
     rank: 2,
@@ -115,14 +122,11 @@
     gpus: 8,
     memory: 512,
     imageGb: 8,
-    types: null,
-    zone: null,
     oneZone: true,
-    spread: false,
     spot: true,
     checkpointS: 15,
     saveS: 3,
-  },
+  }),
   arrivals: { perMinute: 1, together: [1, 1] },
   tasks: [1, 3],
   run: { medianS: 50, p95S: 110, maxS: 180 },
