--- a/packages/shards/index.ts
+++ b/packages/shards/index.ts
@@ -1,4 +1,4 @@
-/** Planned moves of a part from one controller to another (docs/parts.md). */
+/** Planned moves of a part from one controller to another (docs/shards.md). */
 export * from './move-record.js';
 export * from './move-requests.js';
 export * from './move-source.js';
--- a/packages/testing/docs.test.ts
+++ b/packages/testing/docs.test.ts
@@ -12,7 +12,7 @@
     .filter((name) => name.endsWith('.md'))
     .map((name) => `docs/${name}`),
 ];
-const PACKAGES = 'wire|dependencies|core|store|peer|parts|replicas|controller|cli|testing|bundle';
+const PACKAGES = 'wire|dependencies|core|store|peer|shards|replicas|controller|cli|testing|bundle';
 
 /** Tables whose column of module names is about one directory; names with a slash are of a package. */
 const MODULE_TABLES = [
