--- a/packages/testing/docs.test.ts
+++ b/packages/testing/docs.test.ts
@@ -24,7 +24,7 @@
     column: 0,
     in: 'packages/testing/simulation',
   },
-  { page: 'docs/stand-ins.md', heading: 'Stand-ins', column: 0, in: 'packages/testing/standins' },
+  { page: 'docs/stand-ins.md', heading: 'Stand-ins', column: 0, in: 'packages/testing/stand-ins' },
 ];
 
 function read(page: string): string {
