--- a/packages/testing/failing-world.ts
+++ b/packages/testing/failing-world.ts
@@ -36,7 +36,7 @@
   play(seconds: number, fails: (job: JobState, machine: Machine) => boolean): void {
     for (const until = this.now + seconds; this.now < until; this.now++) {
       for (const job of [...this.fleet.jobs.values()]) {
-        for (const task of assignmentsOf(job)) this.report(task.machine, job, fails);
+        for (const task of assignmentsOf(job)) this.heartbeat(task.machine, job, fails);
       }
       this.scheduler.reservations.update(this.now);
       this.scheduler.round(this.now);
@@ -50,7 +50,7 @@
     this.fleet.assignments.end(task, 'error', false, ++this.now);
   }
 
-  private report(
+  private heartbeat(
     machine: Machine,
     job: JobState,
     fails: (job: JobState, machine: Machine) => boolean,
--- a/packages/testing/fault-combinations/cancellations-during-transfer.test.ts
+++ b/packages/testing/fault-combinations/cancellations-during-transfer.test.ts
@@ -6,10 +6,16 @@
   killedTasks,
   lastTaskLeftAt,
   playMeeting,
-  reportsAnswered,
+  heartbeatsAnswered,
   tasksRunningAt,
 } from './run-queries.js';
-import { BUSY_FROM_S, CANCEL_S, LEASE_S, REPORT_S, steadyScenario } from './steady-work.js';
+import {
+  BUSY_FROM_S,
+  CANCEL_S,
+  LEASE_S,
+  HEARTBEAT_INTERVAL_S,
+  steadyScenario,
+} from './steady-work.js';
 
 const BEGIN_S = BUSY_FROM_S;
 /** Reading the records takes several requests one after the other: about two seconds. */
@@ -43,7 +49,7 @@
         .of('task-started', atS)
         .filter(({ task }) => task.job === job);
       assert.deepEqual(started, []);
-      assert.ok(lastTaskLeftAt(result, job) < Math.max(atS, readyAt) + 3 * REPORT_S);
+      assert.ok(lastTaskLeftAt(result, job) < Math.max(atS, readyAt) + 3 * HEARTBEAT_INTERVAL_S);
     }
     assert.deepEqual(killedTasks(result, BEGIN_S, BEGIN_S + 60), []);
   });
@@ -99,7 +105,7 @@
       assert.ok(lastTaskLeftAt(result, job) < outage.fromS + LEASE_S, `${job} ran on`);
     }
     // It has read nothing, and keeps all other work by what it and its peers know.
-    assert.ok(reportsAnswered(result, leader.owner, outage.fromS, outage.untilS) > 10 * LEASE_S);
+    assert.ok(heartbeatsAnswered(result, leader.owner, outage.fromS, outage.untilS) > 10 * LEASE_S);
     assert.deepEqual(killedTasks(result, BEGIN_S, outage.untilS + LEASE_S), []);
     assert.ok(tasksRunningAt(result, outage.untilS) >= 10);
   });
--- a/packages/testing/fault-combinations/cut-or-frozen-leader.test.ts
+++ b/packages/testing/fault-combinations/cut-or-frozen-leader.test.ts
@@ -7,10 +7,16 @@
   killedTasks,
   lastTaskLeftAt,
   playMeeting,
-  reportsAnswered,
+  heartbeatsAnswered,
   tasksRunningAt,
 } from './run-queries.js';
-import { BUSY_FROM_S, CANCEL_S, LEASE_S, REPORT_S, steadyScenario } from './steady-work.js';
+import {
+  BUSY_FROM_S,
+  CANCEL_S,
+  LEASE_S,
+  HEARTBEAT_INTERVAL_S,
+  steadyScenario,
+} from './steady-work.js';
 
 const BEGIN_S = BUSY_FROM_S;
 
@@ -46,10 +52,10 @@
       assert.ok(confirmed.length >= 4, `${confirmed.length} confirmations`);
       assert.ok(confirmed.every(({ controller }) => controller !== leader.owner));
       const lastConfirmedS = Math.max(...confirmed.map(({ atS }) => atS));
-      const reports = reportsAnswered(result, leader.owner, lastConfirmedS, cut.untilS);
-      assert.ok(reports > LEASE_S, `${reports} reports answered by the old leader`);
+      const heartbeats = heartbeatsAnswered(result, leader.owner, lastConfirmedS, cut.untilS);
+      assert.ok(heartbeats > LEASE_S, `${heartbeats} reports answered by the old leader`);
       const ranOn = confirmed.filter(
-        ({ job, atS }) => lastTaskLeftAt(result, job) > atS + REPORT_S,
+        ({ job, atS }) => lastTaskLeftAt(result, job) > atS + HEARTBEAT_INTERVAL_S,
       );
       assert.ok(ranOn.length >= 3, `${ranOn.length} jobs ran on`);
       // The old leader lets its workers go in time for the new one to keep their work.
@@ -113,8 +119,8 @@
     const confirmed = confirmations(result, freeze.fromS, freeze.untilS);
     assert.ok(confirmed.length >= 3, `${confirmed.length} confirmations`);
     // It had workers once it was awake, and let them go.
-    assert.ok(reportsAnswered(result, leader.owner, freeze.untilS + 2, cut.untilS) > LEASE_S);
-    assert.equal(reportsAnswered(result, leader.owner, freeze.fromS + CANCEL_S, cut.untilS), 0);
+    assert.ok(heartbeatsAnswered(result, leader.owner, freeze.untilS + 2, cut.untilS) > LEASE_S);
+    assert.equal(heartbeatsAnswered(result, leader.owner, freeze.fromS + CANCEL_S, cut.untilS), 0);
     const ranOn = confirmed.filter(({ job }) => lastTaskLeftAt(result, job) > freeze.untilS + 2);
     assert.ok(ranOn.length >= 1, 'no cancelled job ran on');
     const { log } = result.controllers.find(({ name }) => name === leader.owner)!;
--- a/packages/testing/fault-combinations/dependencies-and-faults.test.ts
+++ b/packages/testing/fault-combinations/dependencies-and-faults.test.ts
@@ -22,8 +22,11 @@
   await playMeeting(scenario, [1, 2], (result) => {
     const [outage] = result.faults.of('state-outage');
     assert.ok(outage.untilS - outage.fromS > CANCEL_S);
-    const { done, abortedWithOthers } = countChains(result);
-    assert.ok(done >= 20 && abortedWithOthers >= 3, `${done} done, ${abortedWithOthers} aborted`);
+    const { done, cancelledWithOthers } = countChains(result);
+    assert.ok(
+      done >= 20 && cancelledWithOthers >= 3,
+      `${done} done, ${cancelledWithOthers} aborted`,
+    );
     assert.deepEqual(startsBeforeRecords(result), []);
   });
 });
@@ -52,11 +55,11 @@
     pipeline: { stages, mixesTeams: true, cancelledShare: 0, lateShare: 0 },
   });
   await playMeeting(scenario, [1, 2], (result) => {
-    const { done, abortedWithOthers } = countChains(result);
+    const { done, cancelledWithOthers } = countChains(result);
     assert.ok(acrossTeams(result).length >= 30, 'jobs await those of other teams');
     assert.ok(done >= 30, `${done} jobs that await others were done`);
     // Nothing was cancelled but what failed on every machine.
-    assert.ok(abortedWithOthers >= 3, `${abortedWithOthers} jobs were aborted with others`);
+    assert.ok(cancelledWithOthers >= 3, `${cancelledWithOthers} jobs were aborted with others`);
     assert.deepEqual(startsBeforeRecords(result), []);
   });
 });
@@ -79,9 +82,9 @@
   const scenario = chainedScenario('chain of a hundred', 480, [], { pipeline });
   const alone = { ...scenario, workload: { ...scenario.workload, classes: [], intensity: 1 } };
   await playMeeting(alone, [1], (result) => {
-    const { done, abortedWithOthers } = countChains(result);
+    const { done, cancelledWithOthers } = countChains(result);
     assert.ok(done >= 200, `${done} were done`);
-    assert.ok(abortedWithOthers >= 20, `${abortedWithOthers} were aborted with others`);
+    assert.ok(cancelledWithOthers >= 20, `${cancelledWithOthers} were aborted with others`);
     assert.deepEqual(startsBeforeRecords(result), []);
   });
 });
--- a/packages/testing/fault-combinations/dependency-queries.ts
+++ b/packages/testing/fault-combinations/dependency-queries.ts
@@ -8,7 +8,7 @@
   /** Jobs that awaited others and were done, as their users were told. */
   done: number;
   /** Jobs that were called aborted though only a job that they need was cancelled. */
-  abortedWithOthers: number;
+  cancelledWithOthers: number;
 }
 
 /** All jobs that were submitted and await others. */
@@ -27,8 +27,8 @@
     const answers = told.filter((answer) => answer.phase === phase);
     return new Set(answers.map(({ request }) => request.job).filter((id) => chained.has(id)));
   };
-  const aborted = [...inPhase('aborted')].filter((id) => !asked.has(id));
-  return { done: inPhase('done').size, abortedWithOthers: aborted.length };
+  const cancelled = [...inPhase('aborted')].filter((id) => !asked.has(id));
+  return { done: inPhase('done').size, cancelledWithOthers: cancelled.length };
 }
 
 /** Cancellations of jobs that others need, confirmed in a span of time. */
--- a/packages/testing/fault-combinations/dependent-jobs.test.ts
+++ b/packages/testing/fault-combinations/dependent-jobs.test.ts
@@ -15,7 +15,7 @@
 const LENGTH_S = 200;
 
 /** Jobs whose users asked to cancel them after their last task had completed, by what they were told. */
-function cancelledAtEnd({ timeline }: ScenarioResult): { done: string[]; aborted: string[] } {
+function cancelledAtEnd({ timeline }: ScenarioResult): { done: string[]; cancelled: string[] } {
   const askedAt = new Map(timeline.of('cancel-asked').map(({ job, atS }) => [job, atS]));
   const endedAt = new Map(timeline.of('task-completed').map(({ job, atS }) => [job, atS]));
   const jobs = new Map(timeline.of('job-submitted').map(({ id, job }) => [id, job]));
@@ -28,14 +28,14 @@
       return isWhole && (askedAt.get(id) ?? -1) >= (endedAt.get(id) ?? Infinity);
     });
   };
-  return { done: told('done'), aborted: told('aborted') };
+  return { done: told('done'), cancelled: told('aborted') };
 }
 
 /** Asserts that pipelines went on to their ends, and that some were cut off. */
 function assertServed(result: ScenarioResult, least = 20): void {
-  const { done, abortedWithOthers } = countChains(result);
+  const { done, cancelledWithOthers } = countChains(result);
   assert.ok(done >= least, `${done} jobs that await others were done`);
-  assert.ok(abortedWithOthers >= 3, `${abortedWithOthers} jobs were aborted with others`);
+  assert.ok(cancelledWithOthers >= 3, `${cancelledWithOthers} jobs were aborted with others`);
   assert.deepEqual(startsBeforeRecords(result), []);
 }
 
@@ -50,7 +50,10 @@
     const cancelled = cancelledWithDependents(result, 0, LENGTH_S);
     assert.ok(cancelled.length >= 5, `${cancelled.length} were cancelled that others need`);
     const met = cancelledAtEnd(result);
-    assert.ok(met.aborted.length >= 3, `${met.aborted.length} were cancelled with all tasks done`);
+    assert.ok(
+      met.cancelled.length >= 3,
+      `${met.cancelled.length} were cancelled with all tasks done`,
+    );
     assert.ok(met.done.length >= 1, `${met.done.length} cancellations came after the end`);
   });
 });
--- a/packages/testing/fault-combinations/faulty-jobs.test.ts
+++ b/packages/testing/fault-combinations/faulty-jobs.test.ts
@@ -17,7 +17,7 @@
 const CRASH_S = 100;
 const LAST_JOBS_S = 160;
 /** Rents that were decided before a job became suspect may go out so much later. */
-const RENT_DELAY_S = 3;
+const PROVISION_DELAY_S = 3;
 /** Attempts of a suspect job in any of these runs, one after the other, and its tasks in each. */
 const MOST_PROBES = 9;
 const PROBE_TASKS = 2;
@@ -104,14 +104,18 @@
   }));
   const rents = result.controllers.flatMap(({ log }) => log.entries('rent'));
   return rents
-    .filter((rent) => rent.type === type)
+    .filter((provision) => provision.type === type)
     .map(({ atS }) => atS)
-    .filter((rentedAt) => {
-      const termAt = Math.max(...result.leaders.map(({ atS }) => atS).filter((t) => t <= rentedAt));
+    .filter((provisionedAt) => {
+      const termAt = Math.max(
+        ...result.leaders.map(({ atS }) => atS).filter((t) => t <= provisionedAt),
+      );
       const isKnown = (id: string) =>
-        known.some(({ job, atS }) => job === id && atS >= termAt && atS < rentedAt - RENT_DELAY_S);
+        known.some(
+          ({ job, atS }) => job === id && atS >= termAt && atS < provisionedAt - PROVISION_DELAY_S,
+        );
       return !waits.some(
-        ({ id, atS, untilS }) => atS <= rentedAt && rentedAt <= untilS && !isKnown(id),
+        ({ id, atS, untilS }) => atS <= provisionedAt && provisionedAt <= untilS && !isKnown(id),
       );
     });
 }
@@ -120,7 +124,7 @@
   const told = timeline
     .of('answered')
     .find(({ request, phase }) => request.job === id && phase === 'aborted');
-  return (told?.atS ?? Infinity) + RENT_DELAY_S;
+  return (told?.atS ?? Infinity) + PROVISION_DELAY_S;
 }
 
 /** Mean time from the submission of sound jobs to the start of their first task. */
--- a/packages/testing/fault-combinations/flood.test.ts
+++ b/packages/testing/fault-combinations/flood.test.ts
@@ -61,8 +61,8 @@
   await cluster.start();
   cluster.users.start([...hosts, ...guests]);
   world.schedule(CRASH_S, () => {
-    const owner = cluster.ownership.current()!.owner;
-    cluster.controllers.find(({ name }) => name === owner)!.process.restart(4);
+    const leader = cluster.ownership.current()!.owner;
+    cluster.controllers.find(({ name }) => name === leader)!.process.restart(4);
   });
   const retryAfters: number[] = [];
   const probe = (index: number, number: number) => {
--- a/packages/testing/fault-combinations/large-array.test.ts
+++ b/packages/testing/fault-combinations/large-array.test.ts
@@ -26,8 +26,8 @@
   let doneAtCrash = 0;
   world.schedule(CRASH_S, () => {
     doneAtCrash = timeline.of('task-completed').length;
-    const owner = cluster.ownership.current()!.owner;
-    cluster.controllers.find(({ name }) => name === owner)!.process.restart(1);
+    const leader = cluster.ownership.current()!.owner;
+    cluster.controllers.find(({ name }) => name === leader)!.process.restart(1);
   });
   const isDone = () =>
     (state.store.get(jobKey(job.id))?.value as { phase: string } | undefined)?.phase === 'done';
--- a/packages/testing/fault-combinations/leader-changes.test.ts
+++ b/packages/testing/fault-combinations/leader-changes.test.ts
@@ -1,19 +1,19 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { parseHostPort } from '#wire';
-import { REPORT_PATH, type Fault, type ScenarioResult } from '../simulation/index.js';
+import { HEARTBEAT_PATH, type Fault, type ScenarioResult } from '../simulation/index.js';
 import {
   killedTasks,
   machinesUp,
   playMeeting,
-  reportsAnswered,
+  heartbeatsAnswered,
   tasksRunningAt,
 } from './run-queries.js';
 import { BUSY_FROM_S, LEASE_S, steadyScenario } from './steady-work.js';
 
 const BEGIN_S = BUSY_FROM_S;
 /** Nobody leads for at least so long after a leader has ended: its grant has to run out. */
-const GRANT_S = LEASE_S / 4;
+const ELECTION_LEASE_S = LEASE_S / 4;
 
 function leaderCrashes(times: number[], downS = 0.5): Fault[] {
   return times.map((atS) => ({ kind: 'controller-crash', atS, controllers: 'leader', downS }));
@@ -49,10 +49,10 @@
     assert.ok(renewing.length > 0, 'no standby renewed leases');
     assert.ok(renewing.every(({ name }) => name !== ended));
     const answered = renewing.map(({ name, atS }) =>
-      reportsAnswered(result, name, atS, record.untilS),
+      heartbeatsAnswered(result, name, atS, record.untilS),
     );
     assert.ok(
-      answered.some((reports) => reports > 3 * LEASE_S),
+      answered.some((heartbeats) => heartbeats > 3 * LEASE_S),
       `${answered} reports`,
     );
     assert.deepEqual(killedTasks(result, BEGIN_S, BEGIN_S + 130), []);
@@ -89,7 +89,12 @@
         .filter(({ name }) => deafMachines.machines.includes(name))
         .map(({ address }) => parseHostPort(address).host);
       const unheard = result.requests
-        .find({ path: REPORT_PATH, status: 200, controller: successor.owner, fromS: successor.atS })
+        .find({
+          path: HEARTBEAT_PATH,
+          status: 200,
+          controller: successor.owner,
+          fromS: successor.atS,
+        })
         .filter(({ clientHost, atS }) => deaf.includes(clientHost) && atS < deafMachines.untilS);
       assert.ok(unheard.length > 0, 'the new leader answered no deaf machine');
       const again = killed.filter(({ atS, task }) =>
@@ -116,21 +121,23 @@
     { kind: 'controller-crash', atS: endS, controllers: 'leader', downS: 0.6 },
   ];
   await playMeeting(steadyScenario('over and back', endS + 40, faults), [1, 2, 3], (result) => {
-    const owners = result.leaders.filter(({ atS }) => atS < endS).map(({ owner }) => owner);
-    assert.ok(owners.length > handOvers.length);
-    assert.ok(new Set(owners).size < owners.length, 'nobody led a second time');
+    const leaders = result.leaders
+      .filter(({ atS }) => atS < endS)
+      .map(({ owner: leader }) => leader);
+    assert.ok(leaders.length > handOvers.length);
+    assert.ok(new Set(leaders).size < leaders.length, 'nobody led a second time');
     const [, leaderCrash] = result.faults.of('controller-crash');
     const returned = leaderCrash.leader!.owner;
     const next = result.leaders.find(({ term }) => term > leaderCrash.leader!.term);
     assert.equal(next?.owner, returned);
     assert.ok(next.atS < endS + 15);
-    assert.ok(reportsAnswered(result, returned, next.atS, endS + 15) > LEASE_S);
+    assert.ok(heartbeatsAnswered(result, returned, next.atS, endS + 15) > LEASE_S);
     assert.deepEqual(killedTasks(result, BEGIN_S, endS + 40), []);
   });
 });
 
 test('all controllers end and return within a second, or stay away for longer than a lease', async () => {
-  for (const downS of [0.8, LEASE_S + GRANT_S]) {
+  for (const downS of [0.8, LEASE_S + ELECTION_LEASE_S]) {
     const faults: Fault[] = [{ kind: 'controller-crash', atS: BEGIN_S, controllers: 'all', downS }];
     const lengthS = BEGIN_S + 60;
     await playMeeting(steadyScenario('all away', lengthS, faults), [1, 2], (result) => {
--- a/packages/testing/fault-combinations/lost-transactions.test.ts
+++ b/packages/testing/fault-combinations/lost-transactions.test.ts
@@ -9,11 +9,11 @@
   type TimedEvent,
 } from '../simulation/index.js';
 import { confirmations, killedTasks, playMeeting, tasksRunningAt } from './run-queries.js';
-import { BUSY_FROM_S, LEASE_S, REPORT_S, steadyScenario } from './steady-work.js';
+import { BUSY_FROM_S, LEASE_S, HEARTBEAT_INTERVAL_S, steadyScenario } from './steady-work.js';
 
 const BEGIN_S = BUSY_FROM_S;
 /** When a part is claimed whose owner crashed at BEGIN_S: once its grant has run out. */
-const CLAIM_S: [number, number] = [BEGIN_S + 0.2 * LEASE_S, BEGIN_S + 0.35 * LEASE_S];
+const ELECTION_S: [number, number] = [BEGIN_S + 0.2 * LEASE_S, BEGIN_S + 0.35 * LEASE_S];
 
 type Transaction = TimedEvent & { kind: 'transaction' };
 
@@ -41,7 +41,7 @@
 /** Jobs whose record this transaction wrote and that another controller soon told a user of or began. */
 function jobsReadElsewhere({ requests, timeline }: ScenarioResult, written: Transaction): string[] {
   const isElsewhere = (host: string) => host !== written.clientHost;
-  const [fromS, untilS] = [written.atS, written.atS + REPORT_S];
+  const [fromS, untilS] = [written.atS, written.atS + HEARTBEAT_INTERVAL_S];
   const begun = timeline
     .of('transaction', fromS, untilS)
     .filter(({ clientHost, applied }) => applied && isElsewhere(clientHost))
@@ -73,12 +73,12 @@
     { kind: 'cancel-now', atS: BEGIN_S + 0.5, count: 4 },
     {
       kind: 'late-writes',
-      atS: CLAIM_S[0],
-      forS: CLAIM_S[1] - CLAIM_S[0],
+      atS: ELECTION_S[0],
+      forS: ELECTION_S[1] - ELECTION_S[0],
       share: 1,
       delayS: [1, 4],
     },
-    { kind: 'late-writes', atS: CLAIM_S[1] + 1, forS: 10, share: 0.4, delayS: [1, 6] },
+    { kind: 'late-writes', atS: ELECTION_S[1] + 1, forS: 10, share: 0.4, delayS: [1, 6] },
     { kind: 'cancel-now', atS: BEGIN_S + 9, count: 4 },
   ];
   await playMeeting(steadyScenario('late writes', BEGIN_S + 55, faults), [1, 2, 3], (result) => {
@@ -99,16 +99,16 @@
     { kind: 'close-looks', atS: BEGIN_S - 15, forS: 50 },
     { kind: 'lost-answers', atS: BEGIN_S - 12, forS: 13, share: 0.5 },
     { kind: 'controller-crash', atS: BEGIN_S, controllers: 'leader', downS: 0.3 },
-    { kind: 'lost-answers', atS: CLAIM_S[0], forS: CLAIM_S[1] - CLAIM_S[0], share: 1 },
-    { kind: 'lost-answers', atS: CLAIM_S[1] + 1, forS: 20, share: 0.5 },
+    { kind: 'lost-answers', atS: ELECTION_S[0], forS: ELECTION_S[1] - ELECTION_S[0], share: 1 },
+    { kind: 'lost-answers', atS: ELECTION_S[1] + 1, forS: 20, share: 0.5 },
     { kind: 'cancel-now', atS: BEGIN_S + 8, count: 6 },
   ];
   await playMeeting(steadyScenario('lost answers', BEGIN_S + 55, faults), [1, 2, 3], (result) => {
     const lost = unanswered(result).filter(({ applied }) => applied);
     const [claim] = claims(lost);
     assert.ok(claim !== undefined, 'the answer to no claim was lost');
-    const claimed = result.leaders.find(({ atS }) => atS >= claim.atS)!;
-    assert.equal(hostOf(claimed.owner), claim.clientHost);
+    const elected = result.leaders.find(({ atS }) => atS >= claim.atS)!;
+    assert.equal(hostOf(elected.owner), claim.clientHost);
     const readElsewhere = lost.flatMap((transaction) => jobsReadElsewhere(result, transaction));
     assert.ok(readElsewhere.length >= 3, `${readElsewhere.length} jobs were read elsewhere`);
     assert.ok(confirmations(result, BEGIN_S + 8, BEGIN_S + 20).length >= 3);
--- a/packages/testing/fault-combinations/on-call/silent-or-frozen-leader.test.ts
+++ b/packages/testing/fault-combinations/on-call/silent-or-frozen-leader.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { killedTasks, playMeeting, reportsAnswered, tasksRunningAt } from '../run-queries.js';
+import { killedTasks, playMeeting, heartbeatsAnswered, tasksRunningAt } from '../run-queries.js';
 import { BUSY_FROM_S, LEASE_S, steadyScenario } from '../steady-work.js';
 import type { ControllerTarget, Fault, ScenarioResult } from '../../simulation/index.js';
 
@@ -41,7 +41,7 @@
     (result) => {
       const [crash] = result.faults.of('controller-crash');
       assertTakenOver(result, crash.fromS);
-      const away = reportsAnswered(result, crash.leader!.owner, BEGIN_S, BEGIN_S + AWAY_S);
+      const away = heartbeatsAnswered(result, crash.leader!.owner, BEGIN_S, BEGIN_S + AWAY_S);
       assert.equal(away, 0, 'the leader was not silent');
       // One change of leader: the way back brings about no other.
       assert.equal(result.leaders.filter(({ atS }) => atS > BEGIN_S).length, 1);
--- a/packages/testing/fault-combinations/on-call/silent-workers.test.ts
+++ b/packages/testing/fault-combinations/on-call/silent-workers.test.ts
@@ -5,10 +5,10 @@
   killedTasks,
   machinesUp,
   playMeeting,
-  reportsAnswered,
+  heartbeatsAnswered,
   tasksRunningAt,
 } from '../run-queries.js';
-import { BUSY_FROM_S, LEASE_S, REPORT_S, steadyScenario } from '../steady-work.js';
+import { BUSY_FROM_S, LEASE_S, HEARTBEAT_INTERVAL_S, steadyScenario } from '../steady-work.js';
 
 const BEGIN_S = BUSY_FROM_S;
 const CUT_S = 35;
@@ -25,7 +25,7 @@
 function assertLost(result: ScenarioResult) {
   const [{ leader, fromS, untilS }] = result.faults.of('controller-cut');
   assert.ok(leader, 'nobody led');
-  assert.equal(reportsAnswered(result, leader.owner, fromS + 0.5, untilS), 0);
+  assert.equal(heartbeatsAnswered(result, leader.owner, fromS + 0.5, untilS), 0);
   assert.ok(machinesUp(result, fromS, fromS).length >= 2);
   assert.ok(tasksRunningAt(result, fromS) >= 10);
   return { leader, fromS, untilS };
@@ -64,7 +64,7 @@
     const others = result.controllers.map(({ name }) => name);
     const left = others.filter((name) => name !== leader.owner && name !== crash.controllers[0]);
     assert.equal(left.length, 1);
-    assert.ok(reportsAnswered(result, left[0], fromS, untilS) > LEASE_S);
+    assert.ok(heartbeatsAnswered(result, left[0], fromS, untilS) > LEASE_S);
     assert.deepEqual(killedTasks(result, fromS, untilS), []);
   });
 });
@@ -91,7 +91,7 @@
 });
 
 test('a leader that stood still does not take its workers for silent', async () => {
-  const frozenS = 2.2 * REPORT_S;
+  const frozenS = 2.2 * HEARTBEAT_INTERVAL_S;
   const faults: Fault[] = [0, 8, 16].map((laterS) => ({
     kind: 'controller-freeze',
     atS: BEGIN_S + laterS,
--- a/packages/testing/fault-combinations/refused-then-outage.test.ts
+++ b/packages/testing/fault-combinations/refused-then-outage.test.ts
@@ -7,11 +7,17 @@
   killedTasks,
   lastTaskLeftAt,
   playMeeting,
-  reportsAnswered,
+  heartbeatsAnswered,
   tasksRunningAt,
   type Confirmation,
 } from './run-queries.js';
-import { BUSY_FROM_S, CANCEL_S, LEASE_S, REPORT_S, steadyScenario } from './steady-work.js';
+import {
+  BUSY_FROM_S,
+  CANCEL_S,
+  LEASE_S,
+  HEARTBEAT_INTERVAL_S,
+  steadyScenario,
+} from './steady-work.js';
 
 const REFUSED_AT_S = BUSY_FROM_S;
 const CANCELLED_AT_S = REFUSED_AT_S + 1;
@@ -107,12 +113,15 @@
     const [crash] = result.faults.of('controller-crash');
     assert.ok(crash.fromS > outage.fromS && crash.fromS + 2 < cut.untilS);
     // The peers' new lives are heard again, and can't tell what their former ones confirmed.
-    assert.ok(reportsAnswered(result, leader, cut.untilS + REPORT_S, outage.untilS) > LEASE_S);
+    assert.ok(
+      heartbeatsAnswered(result, leader, cut.untilS + HEARTBEAT_INTERVAL_S, outage.untilS) >
+        LEASE_S,
+    );
     for (const { job, atS } of confirmed) {
       const leftS = lastTaskLeftAt(result, job) - atS;
       assert.ok(leftS > cutS && leftS < CANCEL_S, `${job} ran for ${leftS} s more`);
     }
-    assert.equal(reportsAnswered(result, leader, outage.fromS + CANCEL_S, outage.untilS), 0);
+    assert.equal(heartbeatsAnswered(result, leader, outage.fromS + CANCEL_S, outage.untilS), 0);
   });
 });
 
--- a/packages/testing/fault-combinations/run-queries.ts
+++ b/packages/testing/fault-combinations/run-queries.ts
@@ -2,9 +2,9 @@
 import assert from 'node:assert/strict';
 import { parseHostPort } from '#wire';
 import {
-  ABORT_PATH,
+  CANCEL_PATH,
   describeProblems,
-  REPORT_PATH,
+  HEARTBEAT_PATH,
   runScenario,
   type Scenario,
   type ScenarioResult,
@@ -64,7 +64,7 @@
   untilS: number,
 ): Confirmation[] {
   const first = new Map<string, Confirmation>();
-  const answers = requests.find({ path: ABORT_PATH, status: 200 });
+  const answers = requests.find({ path: CANCEL_PATH, status: 200 });
   for (const { atS, request, phase } of timeline.of('answered')) {
     const { job } = request;
     if (phase !== 'aborted' || first.has(job)) continue;
@@ -76,13 +76,13 @@
 }
 
 /** Reports that a controller answered with 200 in a span of time. */
-export function reportsAnswered(
+export function heartbeatsAnswered(
   { requests }: ScenarioResult,
   controller: string,
   fromS: number,
   untilS: number,
 ): number {
-  return requests.find({ controller, path: REPORT_PATH, status: 200, fromS, untilS }).length;
+  return requests.find({ controller, path: HEARTBEAT_PATH, status: 200, fromS, untilS }).length;
 }
 
 /** Machines that were up at the beginning and at the end of a span of time. */
@@ -103,7 +103,12 @@
   assert.ok(machines.length >= 3, `${machines.length} machines`);
   for (let atS = fromS; atS + LEASE_S <= untilS; atS += LEASE_S) {
     const span = { fromS: atS, untilS: atS + LEASE_S };
-    const answers = result.requests.find({ controller, path: REPORT_PATH, status: 200, ...span });
+    const answers = result.requests.find({
+      controller,
+      path: HEARTBEAT_PATH,
+      status: 200,
+      ...span,
+    });
     const answered = new Set(answers.map(({ clientHost }) => clientHost));
     const unanswered = machines.filter(({ address }) => !answered.has(hostOf(address)));
     assert.deepEqual(unanswered, [], `${controller} from ${atS} s on`);
--- a/packages/testing/fault-combinations/steady-work.ts
+++ b/packages/testing/fault-combinations/steady-work.ts
@@ -12,7 +12,7 @@
 /** Seconds until all tasks of a cancelled job must be gone. */
 export const CANCEL_S = workers.cancel_s;
 export const LEASE_S = workers.lease_s;
-export const REPORT_S = workers.report_s;
+export const HEARTBEAT_INTERVAL_S = workers.report_s;
 
 const STEADY_CLUSTER: ClusterSettings = { ...SMALL_CLUSTER, capacity: [{ machines: 10 }] };
 
--- a/packages/testing/fault-combinations/upgrade.test.ts
+++ b/packages/testing/fault-combinations/upgrade.test.ts
@@ -37,13 +37,16 @@
  * Controllers whose first lives hold to the form of the older version: they divide progress and fill records by the
  * limits in force. Those that end before their turn come back so once more.
  */
-function makeOldThenNew(newFromLife: number[]): ControllerMaker {
+function makeOldThenNew(newFromIncarnation: number[]): ControllerMaker {
   const lives = new Map<string, number>();
-  const newFrom = new Map(newFromLife.map((life, index) => [controllerName(index), life]));
+  const newFrom = new Map(
+    newFromIncarnation.map((incarnation, index) => [controllerName(index), incarnation]),
+  );
   return (runtime, settings, log) => {
-    const life = (lives.get(settings.host_name) ?? 0) + 1;
-    lives.set(settings.host_name, life);
-    if (life >= newFrom.get(settings.host_name)!) return new Controller(runtime, settings, log);
+    const incarnation = (lives.get(settings.host_name) ?? 0) + 1;
+    lives.set(settings.host_name, incarnation);
+    if (incarnation >= newFrom.get(settings.host_name)!)
+      return new Controller(runtime, settings, log);
     const state = { ...settings.deployment.state };
     delete state.next;
     const deployment = { ...settings.deployment, state };
@@ -72,7 +75,7 @@
   tasks: [20_000, 20_000],
   run: { medianS: 20, p95S: 30, maxS: 40 },
 };
-const NEW_FROM_LIFE = [3, 2, 2];
+const NEW_FROM_INCARNATION = [3, 2, 2];
 
 async function play(name: string, more: Fault[], seed: number): Promise<ScenarioResult> {
   const faults = [...ROLL, ...more].sort((one, other) => one.atS - other.atS);
@@ -82,12 +85,12 @@
   });
   const { workload } = scenario;
   const wide = { ...scenario, workload: { ...workload, classes: [...workload.classes, WIDE] } };
-  const result = await runScenario(wide, seed, makeOldThenNew(NEW_FROM_LIFE));
+  const result = await runScenario(wide, seed, makeOldThenNew(NEW_FROM_INCARNATION));
   assert.deepEqual(describeProblems(result), [], `${name}, seed ${seed}`);
   assert.deepEqual(startsBeforeRecords(result), []);
-  const { done, abortedWithOthers } = countChains(result, CHAINS_FROM_S);
+  const { done, cancelledWithOthers } = countChains(result, CHAINS_FROM_S);
   assert.ok(beyondNextLimits(result) > 0, 'an older version used the limits in force');
-  assert.ok(done >= 10 && abortedWithOthers >= 1, `${done} done, ${abortedWithOthers} aborted`);
+  assert.ok(done >= 10 && cancelledWithOthers >= 1, `${done} done, ${cancelledWithOthers} aborted`);
   return result;
 }
 
--- a/packages/testing/leader-load/figures.ts
+++ b/packages/testing/leader-load/figures.ts
@@ -45,7 +45,7 @@
   const { fleet } = standing;
   const ending = standing.drawEnding(count);
   for (const machine of new Set(ending.map((task) => task.machine))) {
-    fleet.heartbeats.handle(standing.reportOf(machine, new Set(ending)), now);
+    fleet.heartbeats.handle(standing.heartbeatOf(machine, new Set(ending)), now);
   }
   standing.settle(now);
 }
@@ -88,8 +88,8 @@
   const { fleet } = standing;
   const orders = fleet.directOrders.nextOrders(machine, now);
   encode(commandToWire(machine.fencingToken, machine.agentEpoch, orders));
-  const report = parseHeartbeat(heartbeatToWire(standing.reportOf(machine)));
-  fleet.directOrders.finish(machine, orders, { kind: 'executed', heartbeat: report }, now);
+  const heartbeat = parseHeartbeat(heartbeatToWire(standing.heartbeatOf(machine)));
+  fleet.directOrders.finish(machine, orders, { kind: 'executed', heartbeat }, now);
 }
 
 function anyMachine(standing: StandingFleet): Machine {
@@ -167,6 +167,7 @@
     prepare: (standing) => {
       chosen = anyMachine(standing);
     },
-    run: (standing, now) => void standing.fleet.heartbeats.handle(standing.reportOf(chosen), now),
+    run: (standing, now) =>
+      void standing.fleet.heartbeats.handle(standing.heartbeatOf(chosen), now),
   },
 };
--- a/packages/testing/leader-load/large-fleet.test.ts
+++ b/packages/testing/leader-load/large-fleet.test.ts
@@ -37,7 +37,7 @@
   assert.deepEqual(placesOf(fleet), places, 'the records name every task');
 
   for (const machine of fleet.machines.values()) {
-    const outcome = fleet.heartbeats.handle(standing.reportOf(machine), STEADY_AT);
+    const outcome = fleet.heartbeats.handle(standing.heartbeatOf(machine), STEADY_AT);
     assert.deepEqual(outcome, { kind: 'answer', orders: [] }, machine.name);
   }
   assert.deepEqual(placesOf(fleet), places, 'reports change nothing');
--- a/packages/testing/leader-load/random-steps.ts
+++ b/packages/testing/leader-load/random-steps.ts
@@ -16,11 +16,11 @@
     () => this.standing.submit(this.now),
     () => this.round(),
     () => this.round(),
-    () => this.reports(),
-    () => this.reports(),
-    () => this.reports(),
+    () => this.heartbeats(),
+    () => this.heartbeats(),
+    () => this.heartbeats(),
     () => this.standing.fleet.leases.expire(this.now),
-    () => this.rent(),
+    () => this.provision(),
     () => this.endJob(),
     () => this.stopTask(),
     () => this.fleet.machines.drain(this.anyMachine()),
@@ -40,7 +40,7 @@
   /** One more thing happens. */
   step(): void {
     this.now += this.chance.next() * LONGEST_PAUSE_S;
-    if (this.fleet.machines.size < MACHINES / 2) this.rent();
+    if (this.fleet.machines.size < MACHINES / 2) this.provision();
     this.events[this.chance.int(0, this.events.length - 1)]();
   }
 
@@ -57,18 +57,18 @@
   }
 
   /** Most machines report; some tasks have ended, and now and then the cloud takes a machine back. */
-  private reports(): void {
+  private heartbeats(): void {
     for (const machine of [...this.fleet.machines.values()]) {
       if (this.chance.hit(0.1)) continue;
       const tasks = [...machine.tasks.values()];
       const ended = tasks.filter(({ stop }) => this.chance.hit(stop === null ? 0.05 : 0.5));
       const noticeS = this.chance.hit(0.05) ? 30 : null;
-      const report = { ...this.standing.reportOf(machine, new Set(ended)), noticeS };
-      this.fleet.heartbeats.handle(report, this.now);
+      const heartbeat = { ...this.standing.heartbeatOf(machine, new Set(ended)), noticeS };
+      this.fleet.heartbeats.handle(heartbeat, this.now);
     }
   }
 
-  private rent(): void {
+  private provision(): void {
     this.standing.addMachineNumber(this.registered++, 'booting', this.now);
   }
 
--- a/packages/testing/leader-load/resting-replicas.test.ts
+++ b/packages/testing/leader-load/resting-replicas.test.ts
@@ -55,7 +55,7 @@
     return values.call(this);
   };
   for (const machine of values.call(fleet.machines)) {
-    const outcome = fleet.heartbeats.handle(standing.reportOf(machine), STEADY_AT);
+    const outcome = fleet.heartbeats.handle(standing.heartbeatOf(machine), STEADY_AT);
     assert.deepEqual(outcome, { kind: 'answer', orders: [] }, machine.name);
   }
   assert.equal(groups.events, 0, 'reports of members that run are no events');
--- a/packages/testing/leader-load/standing-fleet.ts
+++ b/packages/testing/leader-load/standing-fleet.ts
@@ -64,15 +64,15 @@
   readonly scheduler: Scheduler;
   readonly planner: CapacityPlanner;
   readonly jobs: JobSource;
-  private readonly seqs = new Map<string, number>();
+  private readonly sequences = new Map<string, number>();
 
   private constructor(
     readonly chance: Chance,
     schedule: Partial<ScheduleSettings>,
     makeReplicas?: MakeReplicas,
   ) {
-    const isOnSpareRoom: BestEffortTest = (job) => isBestEffort(job, TEAMS.get(job.team));
-    this.fleet = aFleet({ isBestEffort: isOnSpareRoom, makeReplicas });
+    const isOnSpareCapacity: BestEffortTest = (job) => isBestEffort(job, TEAMS.get(job.team));
+    this.fleet = aFleet({ isBestEffort: isOnSpareCapacity, makeReplicas });
     this.fleet.machines.setType(LARGE);
     this.scheduler = new Scheduler(this.fleet, TEAMS, { ...SCHEDULE, ...schedule });
     this.planner = new CapacityPlanner({
@@ -119,13 +119,13 @@
   }
 
   /** A machine of its own name, zone and kind; one that is up has been heard. */
-  addMachineNumber(number: number, state: 'booting' | 'up', rentedAt: number): Machine {
+  addMachineNumber(number: number, state: 'booting' | 'up', provisionedAt: number): Machine {
     const name = `n-${String(number).padStart(6, '0')}`;
     const zone = LARGE.zones[number % LARGE.zones.length];
     const spot = this.chance.hit(SPOT_SHARE);
     const facts = { name, addr: `10.1.0.${number}:9000`, type: LARGE.name, zone, spot };
     if (state === 'up') return this.addMachine(facts);
-    return this.fleet.machines.register(facts, state, rentedAt);
+    return this.fleet.machines.register(facts, state, provisionedAt);
   }
 
   private addMachine(facts: MachineFacts): Machine {
@@ -171,13 +171,13 @@
   }
 
   /** The next report of a machine; tasks that `exits` names have ended. */
-  reportOf(machine: Machine, exits: ReadonlySet<Assignment> = new Set()): Heartbeat {
-    const seq = (this.seqs.get(machine.name) ?? 0) + 1;
-    this.seqs.set(machine.name, seq);
+  heartbeatOf(machine: Machine, exits: ReadonlySet<Assignment> = new Set()): Heartbeat {
+    const sequence = (this.sequences.get(machine.name) ?? 0) + 1;
+    this.sequences.set(machine.name, sequence);
     const { name, addr, type, zone, spot, agentEpoch, fencingToken, tasks } = machine;
-    const listed = [...tasks.values()].map((task) => reportTask(task, exits.has(task)));
+    const listed = [...tasks.values()].map((task) => statusOf(task, exits.has(task)));
     const facts = { machine: name, addr, type, zone, spot, agentEpoch, fencingToken };
-    return { ...facts, sequence: seq, noticeS: null, tasks: listed };
+    return { ...facts, sequence, noticeS: null, tasks: listed };
   }
 
   /** So many tasks that end by themselves, drawn over the whole fleet. */
@@ -193,7 +193,7 @@
   }
 }
 
-function reportTask({ job, index, attempt }: Assignment, exited: boolean): TaskStatus {
+function statusOf({ job, index, attempt }: Assignment, exited: boolean): TaskStatus {
   const ref = { job: job.spec.id, index, attempt };
   if (exited) return { ...ref, state: 'exited', cause: 'done', checkpointed: false };
   return { ...ref, state: 'running', cause: null, checkpointed: false };
--- a/packages/testing/loopback/replica-groups/loopback-faults.ts
+++ b/packages/testing/loopback/replica-groups/loopback-faults.ts
@@ -57,9 +57,9 @@
   async failController(): Promise<void> {
     const { cluster, chance } = this;
     await sleep(chance.next() * CONTROLLER_WITHIN_S * 1000);
-    const owner = cluster.owner();
+    const leader = cluster.leader();
     const running = cluster.controllers.filter((each) => each.running);
-    const victim = owner !== null && chance.hit(0.75) ? owner : running.at(0);
+    const victim = leader !== null && chance.hit(0.75) ? leader : running.at(0);
     if (!victim) return;
     const ends = chance.hit(0.5);
     this.count(ends ? 'controller killed' : 'controller stopped');
--- a/packages/testing/loopback/shard-migrations/leader-audit.test.ts
+++ b/packages/testing/loopback/shard-migrations/leader-audit.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { OwnerAudit } from './leader-audit.js';
+import { LeaderAudit } from './leader-audit.js';
 
-function auditOfTwoTerms(): OwnerAudit {
-  const audit = new OwnerAudit();
+function auditOfTwoTerms(): LeaderAudit {
+  const audit = new LeaderAudit();
   audit.recorded('c-0', 5);
   audit.obeyed('n-1', 'c-0', 5);
   // A revision within the term, by which a machine was fenced.
@@ -21,7 +21,7 @@
 });
 
 test('each kind of breach is noticed', () => {
-  const kindsAfter = (breach: (audit: OwnerAudit) => void) => {
+  const kindsAfter = (breach: (audit: LeaderAudit) => void) => {
     const audit = auditOfTwoTerms();
     breach(audit);
     return audit.breaches.map(({ kind }) => kind);
--- a/packages/testing/loopback/shard-migrations/leader-audit.ts
+++ b/packages/testing/loopback/shard-migrations/leader-audit.ts
@@ -4,7 +4,7 @@
  */
 
 /** Something that must never happen. */
-export interface OwnerBreach {
+export interface LeaderBreach {
   kind:
     /** A worker obeyed a controller that owns no term with such a token. */
     | 'foreign-owner'
@@ -14,39 +14,45 @@
     | 'two-owners';
   machine: string | null;
   controller: string;
-  token: number;
+  fencingToken: number;
 }
 
-export class OwnerAudit {
-  readonly breaches: OwnerBreach[] = [];
+export class LeaderAudit {
+  readonly breaches: LeaderBreach[] = [];
   /** Answers that workers obeyed. */
   obeyedAnswers = 0;
   /** Owners by term, in the order of terms. */
-  private readonly owners: { term: number; owner: string }[] = [];
+  private readonly leaders: { term: number; leader: string }[] = [];
   /** The newest term that each machine has obeyed. */
   private readonly newestTerm = new Map<string, number>();
 
   /** The state service holds an owner. */
-  recorded(owner: string, term: number): void {
-    const known = this.owners.find((each) => each.term === term);
+  recorded(leader: string, term: number): void {
+    const known = this.leaders.find((each) => each.term === term);
     if (known === undefined) {
-      this.owners.push({ owner, term });
-      this.owners.sort((one, other) => one.term - other.term);
-    } else if (known.owner !== owner) {
-      this.breaches.push({ kind: 'two-owners', machine: null, controller: owner, token: term });
+      this.leaders.push({ leader, term });
+      this.leaders.sort((one, other) => one.term - other.term);
+    } else if (known.leader !== leader) {
+      this.breaches.push({
+        kind: 'two-owners',
+        machine: null,
+        controller: leader,
+        fencingToken: term,
+      });
     }
   }
 
   /** A worker has obeyed an answer; its token is a term, or a later revision within it. */
-  obeyed(machine: string, controller: string, token: number): void {
+  obeyed(machine: string, controller: string, fencingToken: number): void {
     this.obeyedAnswers++;
-    const owner = this.owners.filter(({ term }) => term <= token).at(-1);
-    if (owner?.owner !== controller) {
-      this.breaches.push({ kind: 'foreign-owner', machine, controller, token });
+    const leader = this.leaders.filter(({ term }) => term <= fencingToken).at(-1);
+    if (leader?.leader !== controller) {
+      this.breaches.push({ kind: 'foreign-owner', machine, controller, fencingToken });
     }
-    const term = owner?.term ?? 0;
+    const term = leader?.term ?? 0;
     const newest = this.newestTerm.get(machine) ?? 0;
-    if (term < newest) this.breaches.push({ kind: 'older-owner', machine, controller, token });
+    if (term < newest)
+      this.breaches.push({ kind: 'older-owner', machine, controller, fencingToken });
     this.newestTerm.set(machine, Math.max(term, newest));
   }
 }
--- a/packages/testing/loopback/shard-migrations/loopback-run.ts
+++ b/packages/testing/loopback/shard-migrations/loopback-run.ts
@@ -10,9 +10,9 @@
 import type { SizingOptions } from '../sizing/options.js';
 import { runLine } from '../sizing/sources.js';
 import { RuleChecker, type Violation } from '../../stand-ins/index.js';
-import { OwnerAudit, type OwnerBreach } from './leader-audit.js';
+import { LeaderAudit, type LeaderBreach } from './leader-audit.js';
 
-const PART = 0;
+const SHARD = 0;
 const SEED = 1;
 const MOVE_WITHIN_S = 20;
 const STATE_TIMEOUT_MS = 2000;
@@ -40,7 +40,7 @@
   moveMs: number[];
   /** From the last decision of the old owner to the new one's first, in moves without a fault. */
   undecidedMs: number[];
-  breaches: OwnerBreach[];
+  breaches: LeaderBreach[];
   violations: Violation[];
   obeyedAnswers: number;
   tasksKilled: number;
@@ -68,7 +68,7 @@
 
 class MoveRun {
   private readonly chance = new Chance(SEED);
-  private readonly audit = new OwnerAudit();
+  private readonly audit = new LeaderAudit();
   private readonly checker: RuleChecker;
   private readonly cluster: LoopbackCluster;
   private readonly api: StateApi;
@@ -95,29 +95,29 @@
       observe: (event) => {
         this.checker.observe(event);
         if (event.kind === 'task-completed') this.counts.tasksCompleted++;
-        if (event.kind === 'transaction') this.noteOwner();
+        if (event.kind === 'transaction') this.recordLeader();
       },
     });
-    this.cluster.reports.onObeyed = (...answer) => this.audit.obeyed(...answer);
+    this.cluster.heartbeats.onObeyed = (...answer) => this.audit.obeyed(...answer);
     const address = formatAddress(this.cluster.addresses.state(0));
     this.api = new StateApi(nodeRuntime, address, STATE_TIMEOUT_MS);
-    this.requests = new MoveRequests(this.api, nodeRuntime.clock, PART);
+    this.requests = new MoveRequests(this.api, nodeRuntime.clock, SHARD);
   }
 
   async start(): Promise<void> {
     await fillFleet(this.cluster, this.options.sizing);
-    this.noteOwner();
+    this.recordLeader();
   }
 
-  private noteOwner(): void {
-    const holder = this.cluster.holder();
-    if (holder !== null) this.audit.recorded(holder.owner, holder.term);
+  private recordLeader(): void {
+    const leadership = this.cluster.leadership();
+    if (leadership !== null) this.audit.recorded(leadership.leader, leadership.term);
   }
 
   /** Moves the part to a controller that does not own it; now and then with a fault. */
   async move(number: number): Promise<void> {
     const { cluster, options, chance } = this;
-    const source = cluster.owner();
+    const source = cluster.leader();
     const others = cluster.standbys();
     if (source === null || others.length === 0) return sleep(options.everyS * 1000);
     const target = others[chance.int(0, others.length - 1)];
@@ -125,15 +125,15 @@
     const fromMs = performance.now();
     const fault = isFaulty ? this.trouble([source, target][chance.int(0, 1)]) : Promise.resolve();
     const outcome = await this.requests.move(target.name, `move ${number}`, MOVE_WITHIN_S);
-    this.noteOutcome(outcome, performance.now() - fromMs);
+    this.recordOutcome(outcome, performance.now() - fromMs);
     await fault;
     if (isFaulty) await allHealthy(cluster);
     await sleep(options.everyS * 1000);
     const isClean = !isFaulty && outcome.kind === 'moved';
-    if (isClean) this.noteUndecided(source, target, fromMs);
+    if (isClean) this.recordUndecided(source, target, fromMs);
   }
 
-  private noteOutcome(outcome: RequestOutcome, tookMs: number): void {
+  private recordOutcome(outcome: RequestOutcome, tookMs: number): void {
     const { counts } = this;
     if (outcome.kind === 'moved') {
       counts.moved++;
@@ -145,7 +145,7 @@
   }
 
   /** By the logs of both: from the pause of the old owner to the first round of the new one. */
-  private noteUndecided(
+  private recordUndecided(
     source: ControllerProcess,
     target: ControllerProcess,
     fromMs: number,
@@ -178,7 +178,7 @@
       violations: checker.finish(),
       obeyedAnswers: audit.obeyedAnswers,
       tasksKilled: cluster.tasksKilled,
-      leasesEnded: cluster.reports.leasesEnded,
+      leasesEnded: cluster.heartbeats.leasesEnded,
     };
   }
 
--- a/packages/testing/loopback/sizing/addresses.ts
+++ b/packages/testing/loopback/sizing/addresses.ts
@@ -53,7 +53,7 @@
     return this.at(MACHINES_HOST, FIRST_MACHINE_PORT + number);
   }
 
-  private at(lastPart: number, port: number): HostPort {
-    return { host: `${this.prefix}.${lastPart}`, port };
+  private at(lastOctet: number, port: number): HostPort {
+    return { host: `${this.prefix}.${lastOctet}`, port };
   }
 }
--- a/packages/testing/loopback/sizing/cluster.ts
+++ b/packages/testing/loopback/sizing/cluster.ts
@@ -16,7 +16,7 @@
   Fleet,
   GangNetwork,
   JobStorage,
-  LateReports,
+  LateHeartbeats,
   LoadBalancer,
   type Observer,
   QUICK_BOOTS,
@@ -27,7 +27,7 @@
 import { LoopbackAddresses } from './addresses.js';
 import { type ControllerCommand, ControllerProcess, NotRunning } from './controller-process.js';
 import { machineType } from './machine-type.js';
-import { ReportLog } from './heartbeat-log.js';
+import { HeartbeatLog } from './heartbeat-log.js';
 import { RequestCounter } from './request-counter.js';
 import { UserLog } from './user-log.js';
 
@@ -49,15 +49,15 @@
 }
 
 /** Who holds the part, by the state service's word. */
-export interface PartHolder {
-  owner: string;
+export interface Leadership {
+  leader: string;
   term: number;
 }
 
 /** Stand-ins for the outside systems in this process, and controllers as processes of their own. */
 export class LoopbackCluster {
   readonly addresses = new LoopbackAddresses(process.pid);
-  readonly reports = new ReportLog();
+  readonly heartbeats = new HeartbeatLog();
   readonly stateRequests = new RequestCounter();
   readonly userLog = new UserLog();
   readonly controllers: ControllerProcess[];
@@ -127,30 +127,30 @@
     return `j-${FIRST_JOB_ID + this.jobsMade++}`;
   }
 
-  holder(): PartHolder | null {
+  leadership(): Leadership | null {
     const entry = this.state.store.get(shardKey(0));
     if (entry === undefined) return null;
-    return { owner: decodeLeader(entry.value).leader, term: entry.version };
+    return { leader: decodeLeader(entry.value).leader, term: entry.version };
   }
 
   /** The controller that holds the part and runs, or null. */
-  owner(): ControllerProcess | null {
-    const holder = this.holder();
-    const owner = this.controllers.find(({ name }) => name === holder?.owner);
-    return owner?.running ? owner : null;
+  leader(): ControllerProcess | null {
+    const leadership = this.leadership();
+    const leader = this.controllers.find(({ name }) => name === leadership?.leader);
+    return leader?.running ? leader : null;
   }
 
   /** As `owner`; throws if there is none. */
-  requireOwner(): ControllerProcess {
-    const owner = this.owner();
-    if (owner === null) throw new NotRunning('no controller owns the machines');
-    return owner;
+  requireLeader(): ControllerProcess {
+    const leader = this.leader();
+    if (leader === null) throw new NotRunning('no controller owns the machines');
+    return leader;
   }
 
   /** Those that run and do not hold the part. */
   standbys(): ControllerProcess[] {
-    const owner = this.owner();
-    return this.controllers.filter((controller) => controller.running && controller !== owner);
+    const leader = this.leader();
+    return this.controllers.filter((controller) => controller.running && controller !== leader);
   }
 
   /** Requests of a controller to the state service so far. */
@@ -197,7 +197,7 @@
     return new Fleet({
       surroundings: {
         times: {
-          reportS: workers.report_s,
+          heartbeatIntervalS: workers.report_s,
           leaseS: workers.lease_s,
           gangWaitS: workers.gang_wait_s,
           gangPeerS: workers.gang_peer_s,
@@ -206,9 +206,9 @@
         storage: this.storage,
         gangs: new GangNetwork(nodeRuntime),
         observer,
-        lateReports: new LateReports(nodeRuntime),
+        lateHeartbeats: new LateHeartbeats(nodeRuntime),
         lateCommands: new ReplyLoss(nodeRuntime),
-        reportObserver: this.reports,
+        heartbeatObserver: this.heartbeats,
       },
       addressOf: (number) => this.addresses.machine(number),
       hostFor: () => ({ runtime: nodeRuntime, powerOff: () => {} }),
--- a/packages/testing/loopback/sizing/heartbeat-log.test.ts
+++ b/packages/testing/loopback/sizing/heartbeat-log.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { ReportLog } from './heartbeat-log.js';
+import { HeartbeatLog } from './heartbeat-log.js';
 
 test('answers of owners are told apart from all others, by controller', () => {
-  const log = new ReportLog();
+  const log = new HeartbeatLog();
   const heard: string[] = [];
   const stop = log.onAnswered(({ machine }) => heard.push(machine));
   const exchange = (machine: string, controller: string, status: number | null) =>
--- a/packages/testing/loopback/sizing/heartbeat-log.ts
+++ b/packages/testing/loopback/sizing/heartbeat-log.ts
@@ -1,39 +1,39 @@
-import type { ReportExchange, ReportObserver } from '../../stand-ins/index.js';
+import type { HeartbeatExchange, HeartbeatObserver } from '../../stand-ins/index.js';
 
 /** A report that a controller has answered as the owner. */
-export interface AnsweredReport {
+export interface AnsweredHeartbeat {
   machine: string;
   controller: string;
   /** When its answer arrived; milliseconds of this process's steady clock. */
   atMs: number;
 }
 
-type Listener = (report: AnsweredReport) => void;
+type Listener = (heartbeat: AnsweredHeartbeat) => void;
 
 /** Status of the answer that renews a worker's lease. */
 const RENEWED = 200;
 
 /** How all workers of a fleet fare with their reports. */
-export class ReportLog implements ReportObserver {
+export class HeartbeatLog implements HeartbeatObserver {
   /** Reports that were answered with 200, and all others, by controller. */
   readonly answered = new Map<string, number>();
   readonly turnedAway = new Map<string, number>();
   leasesEnded = 0;
   /** Told of each answer that a worker obeys. */
-  onObeyed: (machine: string, controller: string, token: number) => void = () => {};
+  onObeyed: (machine: string, controller: string, fencingToken: number) => void = () => {};
   private readonly listeners = new Set<Listener>();
 
-  exchanged({ machine, controller, status }: ReportExchange): void {
+  exchanged({ machine, controller, status }: HeartbeatExchange): void {
     const renewed = status === RENEWED;
     const counts = renewed ? this.answered : this.turnedAway;
     counts.set(controller, (counts.get(controller) ?? 0) + 1);
     if (!renewed) return;
-    const report = { machine, controller, atMs: performance.now() };
-    for (const listener of this.listeners) listener(report);
+    const heartbeat = { machine, controller, atMs: performance.now() };
+    for (const listener of this.listeners) listener(heartbeat);
   }
 
-  obeyed(machine: string, controller: string, token: number): void {
-    this.onObeyed(machine, controller, token);
+  obeyed(machine: string, controller: string, fencingToken: number): void {
+    this.onObeyed(machine, controller, fencingToken);
   }
 
   leaseEnded(): void {
--- a/packages/testing/loopback/sizing/measure-all.ts
+++ b/packages/testing/loopback/sizing/measure-all.ts
@@ -6,7 +6,7 @@
 import { measureArray, measureBurst, measureLargeJobs } from './measurements/peaks.js';
 import { measureRestart } from './measurements/restart.js';
 import { measureStart } from './measurements/start.js';
-import { measureOwner, measureStandby } from './measurements/steady.js';
+import { measureLeader, measureStandby } from './measurements/steady.js';
 import { measureTakeOver } from './measurements/failover.js';
 import type { SizingOptions } from './options.js';
 import { runLine } from './sources.js';
@@ -27,7 +27,7 @@
 
 const PLANS: Record<MeasurementName, Plan> = {
   start: { measure: measureStart, repeated: true },
-  owner: { measure: measureOwner, repeated: false },
+  owner: { measure: measureLeader, repeated: false },
   standby: { measure: measureStandby, repeated: false },
   burst: { measure: measureBurst, repeated: false },
   'large-jobs': { measure: measureLargeJobs, repeated: false },
--- a/packages/testing/loopback/sizing/measurements/causes.ts
+++ b/packages/testing/loopback/sizing/measurements/causes.ts
@@ -80,7 +80,7 @@
   cluster: LoopbackCluster,
   { controller, directory, observed, span }: ProfiledUse,
 ): Promise<Measured> {
-  const measurement = controller === cluster.owner() ? 'causes, owner' : 'causes, standby';
+  const measurement = controller === cluster.leader() ? 'causes, owner' : 'causes, standby';
   await controller.end('SIGTERM');
   const shares = sharesByCause(readProfile(directory), span);
   const figures = new Figures(cluster.options.shared.deployment.limits);
@@ -88,6 +88,6 @@
     figures.cores(cause, (shares.get(cause) ?? 0) * observed.mainThreadCores);
   figures
     .cores("all of the program's thread", observed.mainThreadCores)
-    .rate('answered reports', observed.answeredReports);
+    .rate('answered reports', observed.answeredHeartbeats);
   return { measurement, figures: figures.all };
 }
--- a/packages/testing/loopback/sizing/measurements/peaks.ts
+++ b/packages/testing/loopback/sizing/measurements/peaks.ts
@@ -72,8 +72,8 @@
   jobs: Job[],
   runS: number,
 ): Promise<Measured[]> {
-  const owner = cluster.requireOwner();
-  const ownerWatch = new PeakWatch(owner);
+  const leader = cluster.requireLeader();
+  const leaderWatch = new PeakWatch(leader);
   const watches = cluster.standbys().map((controller) => new PeakWatch(controller));
   const refusals = cluster.userLog.refusals;
   const startedAtMs = performance.now();
@@ -81,7 +81,7 @@
   const acceptedS = await untilAccepted(cluster, jobs, startedAtMs);
   await sleep(Math.max(0, startedAtMs + WATCH_S * 1000 - performance.now()));
   const figures = new Figures(cluster.options.shared.deployment.limits);
-  addPeak(figures, 'owner', ownerWatch.end());
+  addPeak(figures, 'owner', leaderWatch.end());
   const others = watches.map((watch) => watch.end());
   if (others.length > 0) addPeak(figures, 'others', greatest(others));
   figures
--- a/packages/testing/loopback/sizing/measurements/restart.ts
+++ b/packages/testing/loopback/sizing/measurements/restart.ts
@@ -8,7 +8,7 @@
 import { ReturnOfWorkers } from '../return-of-workers.js';
 import { waitFor } from '../wait.js';
 
-const CLAIM_WITHIN_S = 60;
+const ELECTION_WITHIN_S = 60;
 const RETURN_WITHIN_S = 120;
 /** How long the controllers are watched from their start on. */
 const WATCH_S = 10;
@@ -19,8 +19,8 @@
   cluster: LoopbackCluster,
   { downS }: SizingOptions,
 ): Promise<Measured[]> {
-  const { controllers, reports } = cluster;
-  const { leasesEnded } = reports;
+  const { controllers, heartbeats } = cluster;
+  const { leasesEnded } = heartbeats;
   const { tasksKilled } = cluster;
   await Promise.all(controllers.map((controller) => controller.end('SIGKILL')));
   await sleep(downS * 1000);
@@ -29,7 +29,7 @@
   const figures = new Figures(cluster.options.shared.deployment.limits);
   await watchReturn(cluster, workers, figures);
   figures
-    .count("workers' leases that ran out", reports.leasesEnded - leasesEnded)
+    .count("workers' leases that ran out", heartbeats.leasesEnded - leasesEnded)
     .count('tasks killed', cluster.tasksKilled - tasksKilled);
   await allHealthy(cluster);
   await sleep(REST_S * 1000);
@@ -42,10 +42,10 @@
   figures: Figures,
 ): Promise<void> {
   const sinceStartS = (atMs: number) => (atMs - workers.sinceMs) / 1000;
-  const owner = await waitFor('a new owner', CLAIM_WITHIN_S, () => cluster.owner());
+  const leader = await waitFor('a new owner', ELECTION_WITHIN_S, () => cluster.leader());
   figures
     .seconds('from the start to the claim', sinceStartS(performance.now()))
-    .processorS('owner: until its claim', owner.processorS());
+    .processorS('owner: until its claim', leader.processorS());
   const first = await workers.first(RETURN_WITHIN_S);
   figures
     .seconds('from the start to the first answered report', sinceStartS(first.atMs))
@@ -57,8 +57,8 @@
   await sleep(Math.max(0, workers.sinceMs + WATCH_S * 1000 - performance.now()));
   const others = cluster.standbys().map((controller) => controller.processorS());
   figures
-    .processorS(`owner: in its first ${WATCH_S} s`, owner.processorS())
-    .megabytes('owner: greatest memory', owner.memory().peakMb);
+    .processorS(`owner: in its first ${WATCH_S} s`, leader.processorS())
+    .megabytes('owner: greatest memory', leader.memory().peakMb);
   if (others.length > 0) {
     figures.processorS(`others: in their first ${WATCH_S} s, most`, Math.max(...others));
   }
--- a/packages/testing/loopback/sizing/measurements/steady.ts
+++ b/packages/testing/loopback/sizing/measurements/steady.ts
@@ -7,18 +7,18 @@
 import type { SizingOptions } from '../options.js';
 
 /** Watches the owner for a while. */
-export async function measureOwner(
+export async function measureLeader(
   cluster: LoopbackCluster,
   { seconds }: SizingOptions,
 ): Promise<Measured[]> {
-  const [observed] = await observe([new Observation(cluster, cluster.requireOwner())], seconds);
+  const [observed] = await observe([new Observation(cluster, cluster.requireLeader())], seconds);
   const figures = new Figures(cluster.options.shared.deployment.limits);
   figures
     .cores('processor', observed.cores)
     .cores('of that without the kernel', observed.userCores)
     .cores('of that other threads', observed.cores - observed.mainThreadCores)
-    .processorMs('processor by report', (observed.cores / observed.answeredReports) * 1000)
-    .rate('answered reports', observed.answeredReports);
+    .processorMs('processor by report', (observed.cores / observed.answeredHeartbeats) * 1000)
+    .rate('answered reports', observed.answeredHeartbeats);
   addRates(figures, observed);
   addMemory(figures, observed);
   return [{ measurement: 'owner', figures: figures.all }];
@@ -57,33 +57,37 @@
   stateChangesPerS: 'changes at the state service',
 };
 
-function addRates(figures: Figures, { stateRequests, vitals }: Observed): void {
+function addRates(figures: Figures, { stateRequests, processStatistics }: Observed): void {
   figures.rate('requests to the state service', stateRequests);
   for (const [name, text] of Object.entries(VITALS)) {
-    if (name in vitals) figures.rate(text, vitals[name]);
+    if (name in processStatistics) figures.rate(text, processStatistics[name]);
   }
 }
 
-function addMemory(figures: Figures, { residentMb, peakMb, vitals }: Observed): void {
+function addMemory(figures: Figures, { residentMb, peakMb, processStatistics }: Observed): void {
   figures.megabytes('memory', residentMb).megabytes('greatest memory', peakMb);
-  if ('heapMb' in vitals) figures.megabytes('heap', vitals.heapMb);
+  if ('heapMb' in processStatistics) figures.megabytes('heap', processStatistics.heapMb);
 }
 
 function meanOf(all: Observed[]): Observed {
   const mean = (values: number[]) => values.reduce((sum, value) => sum + value, 0) / values.length;
-  const by = (name: Exclude<keyof Observed, 'vitals'>) => mean(all.map((each) => each[name]));
-  const names = Object.keys(all[0].vitals);
-  const vitals = names.map((name) => [name, mean(all.map((each) => each.vitals[name] ?? 0))]);
+  const by = (name: Exclude<keyof Observed, 'processStatistics'>) =>
+    mean(all.map((each) => each[name]));
+  const names = Object.keys(all[0].processStatistics);
+  const processStatistics = names.map((name) => [
+    name,
+    mean(all.map((each) => each.processStatistics[name] ?? 0)),
+  ]);
   return {
     seconds: by('seconds'),
     cores: by('cores'),
     userCores: by('userCores'),
     mainThreadCores: by('mainThreadCores'),
-    answeredReports: by('answeredReports'),
-    otherReports: by('otherReports'),
+    answeredHeartbeats: by('answeredHeartbeats'),
+    otherHeartbeats: by('otherHeartbeats'),
     stateRequests: by('stateRequests'),
     residentMb: by('residentMb'),
     peakMb: by('peakMb'),
-    vitals: Object.fromEntries(vitals) as Record<string, number>,
+    processStatistics: Object.fromEntries(processStatistics) as Record<string, number>,
   };
 }
--- a/packages/testing/loopback/sizing/observation.ts
+++ b/packages/testing/loopback/sizing/observation.ts
@@ -11,22 +11,22 @@
   userCores: number;
   mainThreadCores: number;
   /** Reports answered as the owner, and turned away, as their workers saw it. */
-  answeredReports: number;
-  otherReports: number;
+  answeredHeartbeats: number;
+  otherHeartbeats: number;
   stateRequests: number;
   /** Resident memory at the end, and its peak; MB. */
   residentMb: number;
   peakMb: number;
   /** Averages of what the controller's own `vitals` say; empty if it logged none meanwhile. */
-  vitals: Record<string, number>;
+  processStatistics: Record<string, number>;
 }
 
 /** Totals since the start of a controller. */
 interface Totals {
   atMs: number;
   processor: ProcessorTime;
-  answeredReports: number;
-  otherReports: number;
+  answeredHeartbeats: number;
+  otherHeartbeats: number;
   stateRequests: number;
 }
 
@@ -54,30 +54,30 @@
       cores: rate(({ processor }) => processor.totalS),
       userCores: rate(({ processor }) => processor.userS),
       mainThreadCores: rate(({ processor }) => processor.mainThreadS),
-      answeredReports: rate(({ answeredReports }) => answeredReports),
-      otherReports: rate(({ otherReports }) => otherReports),
+      answeredHeartbeats: rate(({ answeredHeartbeats }) => answeredHeartbeats),
+      otherHeartbeats: rate(({ otherHeartbeats }) => otherHeartbeats),
       stateRequests: rate(({ stateRequests }) => stateRequests),
       residentMb: nowMb,
       peakMb,
-      vitals: averageVitals(controller.run.log, before.atMs),
+      processStatistics: averageStatistics(controller.run.log, before.atMs),
     };
   }
 
   private totals(): Totals {
     const { cluster, controller } = this;
-    const { reports } = cluster;
+    const { heartbeats } = cluster;
     return {
       atMs: performance.now(),
       processor: controller.processor(),
-      answeredReports: reports.answered.get(controller.name) ?? 0,
-      otherReports: reports.turnedAway.get(controller.name) ?? 0,
+      answeredHeartbeats: heartbeats.answered.get(controller.name) ?? 0,
+      otherHeartbeats: heartbeats.turnedAway.get(controller.name) ?? 0,
       stateRequests: cluster.stateRequestsOf(controller),
     };
   }
 }
 
 /** Mean of each number in the `vitals` lines since then. */
-function averageVitals(log: ProcessLog, sinceMs: number): Record<string, number> {
+function averageStatistics(log: ProcessLog, sinceMs: number): Record<string, number> {
   const lines = log.since('vitals', sinceMs);
   const names = Object.keys(lines[0] ?? {}).filter((name) => typeof lines[0][name] === 'number');
   const sum = (name: string) => lines.reduce((total, line) => total + (line[name] as number), 0);
--- a/packages/testing/loopback/sizing/return-of-workers.ts
+++ b/packages/testing/loopback/sizing/return-of-workers.ts
@@ -1,5 +1,5 @@
 import type { LoopbackCluster } from './cluster.js';
-import type { AnsweredReport } from './heartbeat-log.js';
+import type { AnsweredHeartbeat } from './heartbeat-log.js';
 import { waitFor } from './wait.js';
 
 /** A moment at which so many reports had been answered, and what the answering controller had used by then. */
@@ -26,7 +26,7 @@
     private readonly former: string | null,
   ) {
     this.waiting = new Set(cluster.fleet.workers().map(({ machine }) => machine));
-    this.stop = cluster.reports.onAnswered((report) => this.take(report));
+    this.stop = cluster.heartbeats.onAnswered((heartbeat) => this.take(heartbeat));
   }
 
   /** The first answered report; rejects with TooLate. */
@@ -48,7 +48,7 @@
     return this.waiting.size === 0 && this.lastAnswer !== null ? true : null;
   }
 
-  private take({ machine, controller: name, atMs }: AnsweredReport): void {
+  private take({ machine, controller: name, atMs }: AnsweredHeartbeat): void {
     const controller = this.cluster.controllers.find((each) => each.name === name);
     if (name === this.former || !controller?.running || !this.waiting.delete(machine)) return;
     const processorS = controller.processorS();
--- a/packages/testing/loopback/sizing/smoke.test.ts
+++ b/packages/testing/loopback/sizing/smoke.test.ts
@@ -3,7 +3,7 @@
 import type { Figure } from './figure.js';
 import { fillFleet } from './full-fleet.js';
 import { makeCluster } from './measure-all.js';
-import { measureOwner, measureStandby } from './measurements/steady.js';
+import { measureLeader, measureStandby } from './measurements/steady.js';
 import { readOptions } from './options.js';
 import { waitFor } from './wait.js';
 
@@ -19,15 +19,15 @@
 
 test('two controllers on the loopback: a fleet that fills, its figures, and a successor', async () => {
   await fillFleet(cluster, options);
-  const [owner] = await measureOwner(cluster, options);
+  const [leader] = await measureLeader(cluster, options);
   const [standby] = await measureStandby(cluster, options);
-  for (const { measurement, figures } of [owner, standby]) {
+  for (const { measurement, figures } of [leader, standby]) {
     assert.ok(valueOf(figures, 'processor') >= 0, measurement);
     assert.ok(valueOf(figures, 'memory') > 10, measurement);
     assert.ok(valueOf(figures, 'requests to the state service') >= 0, measurement);
   }
-  const former = cluster.requireOwner();
+  const former = cluster.requireLeader();
   await former.end('SIGKILL');
-  const successor = await waitFor('a successor', 60, () => cluster.owner());
+  const successor = await waitFor('a successor', 60, () => cluster.leader());
   assert.notEqual(successor, former);
 });
--- a/packages/testing/loopback/sizing/table.test.ts
+++ b/packages/testing/loopback/sizing/table.test.ts
@@ -9,8 +9,8 @@
   const run = (seconds: number) =>
     new Figures(LIMITS).processorS('to the first answer', seconds).count('requests', 5).all;
   const measured = [0.3, 0.5, 0.4].map((s) => ({ measurement: 'start' as const, figures: run(s) }));
-  const owner = new Figures(LIMITS).cores('processor', 0.0512).megabytes('memory', 75.04).all;
-  const table = formatTable([...measured, { measurement: 'owner', figures: owner }]);
+  const leader = new Figures(LIMITS).cores('processor', 0.0512).megabytes('memory', 75.04).all;
+  const table = formatTable([...measured, { measurement: 'owner', figures: leader }]);
   const lines = table.trim().split('\n').slice(2);
   const cells = lines.map((line) =>
     line
--- a/packages/testing/measurement/costs-measurement.ts
+++ b/packages/testing/measurement/costs-measurement.ts
@@ -17,11 +17,11 @@
   { heading: 'one job, all', isNumber: true },
 ];
 
-function formatRun({ ownerMinute, standbyMinute, job }: CostRun): string {
-  const names = Object.keys(ownerMinute) as (keyof Costs)[];
+function formatRun({ leaderMinute, standbyMinute, job }: CostRun): string {
+  const names = Object.keys(leaderMinute) as (keyof Costs)[];
   const rows = names.map((name) => {
-    const perReport = ownerMinute[name] / ownerMinute.reports;
-    const values = [ownerMinute[name], perReport, standbyMinute[name], job[name]];
+    const perHeartbeat = leaderMinute[name] / leaderMinute.heartbeats;
+    const values = [leaderMinute[name], perHeartbeat, standbyMinute[name], job[name]];
     return [name, ...values.map((value) => String(Number(value.toFixed(2))))];
   });
   return textTable(COLUMNS, rows);
--- a/packages/testing/measurement/costs/cost-run.ts
+++ b/packages/testing/measurement/costs/cost-run.ts
@@ -16,7 +16,7 @@
 /** What the controllers of a quiet cluster did. */
 export interface CostRun {
   /** Of the owner over a minute in which no user asks for anything. */
-  ownerMinute: Costs;
+  leaderMinute: Costs;
   /** Of the others over that minute, on average. */
   standbyMinute: Costs;
   /**
@@ -28,7 +28,7 @@
 
 /** Costs of the owner and of the others over a span of time. */
 interface Observed {
-  owner: Costs;
+  leader: Costs;
   standbys: Costs[];
 }
 
@@ -55,7 +55,7 @@
   submitJobs(cluster, teams[0]);
   const busy = await observe(cluster, BUSY_S);
   return {
-    ownerMinute: idle.owner,
+    leaderMinute: idle.leader,
     standbyMinute: scaleCosts(sumCosts(idle.standbys), 1 / idle.standbys.length),
     job: scaleCosts(
       costsBetween(sumOf(busy), scaleCosts(sumOf(idle), BUSY_S / MINUTE_S)),
@@ -64,8 +64,8 @@
   };
 }
 
-function sumOf({ owner, standbys }: Observed): Costs {
-  return sumCosts([owner, ...standbys]);
+function sumOf({ leader, standbys }: Observed): Costs {
+  return sumCosts([leader, ...standbys]);
 }
 
 /** One team without limits, and machines of one type. */
@@ -83,19 +83,19 @@
 
 /** Lets so many seconds pass; throws if the owner changes meanwhile. */
 async function observe(cluster: Cluster, seconds: number): Promise<Observed> {
-  const { world, controllers, costs, ownership } = cluster;
-  const holder = ownership.current();
+  const { world, controllers, costs, ownership: leadership } = cluster;
+  const currentLeader = leadership.current();
   const before = controllers.map(({ host }) => costs.of(host.address));
   await world.runUntil(world.now + seconds);
-  if (holder === null || ownership.current()?.term !== holder.term) {
+  if (currentLeader === null || leadership.current()?.term !== currentLeader.term) {
     throw new Error('the part has changed hands');
   }
   const spent = controllers.map(({ host }, index) =>
     costsBetween(costs.of(host.address), before[index]),
   );
-  const ownerIndex = controllers.findIndex(({ name }) => name === holder.owner);
-  const [owner] = spent.splice(ownerIndex, 1);
-  return { owner, standbys: spent };
+  const leaderIndex = controllers.findIndex(({ name }) => name === currentLeader.owner);
+  const [leader] = spent.splice(leaderIndex, 1);
+  return { leader, standbys: spent };
 }
 
 /** Small jobs, one after the other, of users of their own. */
--- a/packages/testing/measurement/costs/costs.test.ts
+++ b/packages/testing/measurement/costs/costs.test.ts
@@ -4,7 +4,7 @@
 import { runForCosts } from './cost-run.js';
 
 const MACHINES = 50;
-const { ownerMinute, standbyMinute, job } = await runForCosts({
+const { leaderMinute, standbyMinute, job } = await runForCosts({
   controllers: 3,
   machines: MACHINES,
   seed: 1,
@@ -20,8 +20,11 @@
 }
 
 test('an owner whose workers report nothing new records nothing and opens no connection', () => {
-  assert.ok(Math.abs(ownerMinute.reports / (MACHINES * 60) - 1) < 0.05, 'all workers report to it');
-  assertAtMost(ownerMinute, {
+  assert.ok(
+    Math.abs(leaderMinute.heartbeats / (MACHINES * 60) - 1) < 0.05,
+    'all workers report to it',
+  );
+  assertAtMost(leaderMinute, {
     stateRequests: 200,
     transactions: 0,
     changes: 0,
@@ -34,12 +37,12 @@
 });
 
 test('a report costs an owner less than one timer', () => {
-  assert.ok(ownerMinute.timers / ownerMinute.reports <= 0.75, String(ownerMinute.timers));
+  assert.ok(leaderMinute.timers / leaderMinute.heartbeats <= 0.75, String(leaderMinute.timers));
 });
 
 test('a controller that owns nothing only watches, renews and greets', () => {
   assertAtMost(standbyMinute, {
-    reports: 0,
+    heartbeats: 0,
     stateRequests: 85,
     transactions: 0,
     cloudRequests: 0,
--- a/packages/testing/measurement/replica-groups-measurement.ts
+++ b/packages/testing/measurement/replica-groups-measurement.ts
@@ -9,6 +9,7 @@
 import { describeAnswer } from '../simulation/replica-traffic/answers.js';
 import {
   type ReplicaMode,
+  type ReplicaRunOptions,
   type ReplicaRunResult,
   runReplicas,
 } from '../loopback/replica-groups/loopback-run.js';
@@ -52,8 +53,8 @@
 }
 
 const MODES: ReplicaMode[] = ['groups', 'unfenced', 'single-tasks'];
-/** Plays the faults that the arguments say; resolves with the exit code, 1 if a rule was broken. */
-export async function run(args: string[]): Promise<number> {
+
+function readArguments(args: string[]): ReplicaRunOptions {
   const program = new Command('replica-groups')
     .addOption(
       new Option('--mode <mode>', 'how replicas are kept together')
@@ -72,20 +73,23 @@
     .option('--report-s <seconds>', "workers' report period", '0.5')
     .option('--lease-s <seconds>', "workers' lease", '5')
     .parse(args, { from: 'user' });
-  const { mode, faults, controllerEvery, machines, replicas, controllers, reportS, leaseS } =
-    program.opts<Arguments>();
+  const { mode, faults, controllerEvery, replicas, ...cluster } = program.opts<Arguments>();
   const sizing = readOptions([
-    ...['--machines', machines, '--controllers', controllers],
-    ...['--report-s', reportS, '--lease-s', leaseS],
+    ...['--machines', cluster.machines, '--controllers', cluster.controllers],
+    ...['--report-s', cluster.reportS, '--lease-s', cluster.leaseS],
   ]);
-  const options = {
+  return {
     sizing,
     mode,
     replicas: Number(replicas),
     faults: Number(faults),
     controllerEvery: Number(controllerEvery),
   };
-  const result = await runReplicas(options, (done) => {
+}
+
+/** Plays the faults that the arguments say; resolves with the exit code, 1 if a rule was broken. */
+export async function run(args: string[]): Promise<number> {
+  const result = await runReplicas(readArguments(args), (done) => {
     if (done % 10 === 0) process.stderr.write(`${done} faults\n`);
   });
   process.stdout.write(describe(result));
--- a/packages/testing/measurement/scale-measurement.ts
+++ b/packages/testing/measurement/scale-measurement.ts
@@ -112,12 +112,12 @@
   );
 }
 
-function timeReport(fleet: FleetState): number {
-  let seq = 0;
+function timeHeartbeat(fleet: FleetState): number {
+  let sequence = 0;
   const running = { state: 'running' as const, cause: null, checkpointed: false };
   const tasks = [{ job: 's-1', index: 0, attempt: 6553601, ...running }];
-  const nextReport = (): Heartbeat => aReport({ machine: 'n-1', sequence: ++seq, tasks });
-  return medianMs(nextReport, (report) => void fleet.heartbeats.handle(report, LATER_S));
+  const nextHeartbeat = (): Heartbeat => aReport({ machine: 'n-1', sequence: ++sequence, tasks });
+  return medianMs(nextHeartbeat, (heartbeat) => void fleet.heartbeats.handle(heartbeat, LATER_S));
 }
 
 /** Bytes that a fleet takes for each waiting job of the load. */
@@ -141,7 +141,7 @@
   const { jobs, tasks, full } = load;
   const held = fleetWith(load);
   const bytes = bytesPerJob(load);
-  const times = [timeTakeOver(load), timeRound(load), timePlan(held), timeReport(held)];
+  const times = [timeTakeOver(load), timeRound(load), timePlan(held), timeHeartbeat(held)];
   const waiting = `${jobs} ${jobs === 1 ? 'job' : 'jobs'} of ${tasks} ${tasks === 1 ? 'task' : 'tasks'}`;
   return [waiting, full ? 'full' : 'with room', ...times.map(formatNumber), bytes.toFixed(0)];
 }
--- a/packages/testing/models/leader-election/checks.ts
+++ b/packages/testing/models/leader-election/checks.ts
@@ -1,15 +1,15 @@
-import type { OwnershipCluster } from './cluster.js';
-import type { OwnershipFault, OwnershipRun } from './model.js';
+import type { LeadershipCluster } from './cluster.js';
+import type { OwnershipFault, LeadershipRun } from './model.js';
 import type { NodeModel } from './node.js';
 import { statementsFor } from './statements.js';
-import { CANCEL_S, FORMER_OWNER_S, GRACE_S, STEP_S } from './timing.js';
+import { CANCEL_S, FORMER_LEADER_S, GRACE_S, STEP_S } from './timing.js';
 
 /** Whatever an owner does while it believes itself entitled must be harmless. */
-export class OwnershipChecks {
-  readonly result: OwnershipRun = { violations: new Set(), attestedSteps: 0, standbySteps: 0 };
+export class LeadershipChecks {
+  readonly result: LeadershipRun = { violations: new Set(), attestedSteps: 0, standbySteps: 0 };
 
   constructor(
-    private readonly cluster: OwnershipCluster,
+    private readonly cluster: LeadershipCluster,
     private readonly fault: OwnershipFault,
   ) {}
 
@@ -17,14 +17,14 @@
     const { cluster, result } = this;
     const { now } = cluster;
     const statements = statementsFor(node, this.fault);
-    const entitlement = node.entitlement(now, statements);
-    if (entitlement === 'attested') result.attestedSteps++;
-    if (entitlement !== undefined && entitlement !== 'none') this.checkActing(node, node.term);
+    const leaderLease = node.leaderLease(now, statements);
+    if (leaderLease === 'attested') result.attestedSteps++;
+    if (leaderLease !== undefined && leaderLease !== 'none') this.checkActing(node, node.term);
     if (!node.renews(now, statements)) return;
     result.standbySteps++;
-    this.checkActing(node, node.holder.term);
-    const owner = cluster.node(node.holder.name);
-    if (owner?.judge && owner.term === node.holder.term) {
+    this.checkActing(node, node.leader.term);
+    const leader = cluster.node(node.leader.name);
+    if (leader?.judge && leader.term === node.leader.term) {
       result.violations.add('renews-beside-owner');
     }
   }
@@ -32,11 +32,11 @@
   private checkActing(node: NodeModel, term: number): void {
     const { cluster, result } = this;
     const { now } = cluster;
-    for (const claim of cluster.service.claims) {
+    for (const campaign of cluster.service.claims) {
       // One that has ended counts on nothing any more.
-      const living = cluster.node(claim.node)?.life === claim.life;
-      const successor = living && claim.term > term && claim.life !== node.life;
-      if (successor && now > claim.at + FORMER_OWNER_S) {
+      const living = cluster.node(campaign.node)?.incarnation === campaign.incarnation;
+      const successor = living && campaign.term > term && campaign.incarnation !== node.incarnation;
+      if (successor && now > campaign.at + FORMER_LEADER_S) {
         result.violations.add('acts-beside-successor');
       }
     }
--- a/packages/testing/models/leader-election/cluster.ts
+++ b/packages/testing/models/leader-election/cluster.ts
@@ -11,7 +11,7 @@
 }
 
 /** The nodes with their links and the state service, and who of them can reach what. */
-export class OwnershipCluster {
+export class LeadershipCluster {
   /** Seconds since the beginning. */
   now = 0;
   readonly service = new ServiceModel();
--- a/packages/testing/models/leader-election/faults.ts
+++ b/packages/testing/models/leader-election/faults.ts
@@ -1,6 +1,6 @@
 import type { Chance } from '../../random.js';
-import type { OwnershipCluster } from './cluster.js';
-import { CANCEL_S, GRANT_S, LEASE_S, STEP_S } from './timing.js';
+import type { LeadershipCluster } from './cluster.js';
+import { CANCEL_S, ELECTION_LEASE_S, LEASE_S, STEP_S } from './timing.js';
 
 /** Chances in one step, before the harshness of the world counts. */
 const OUTAGE = 0.004;
@@ -13,7 +13,7 @@
 const CANCELLATION = 0.15;
 
 /** What goes wrong in a world, and when users cancel. */
-export class OwnershipFaults {
+export class LeadershipFaults {
   /** Worlds differ in how much fails, so that some owners have long quiet spells between two troubles. */
   private readonly harshness: number;
   /** A cancellation that a peer is to confirm in the last moment before it crashes. */
@@ -21,7 +21,7 @@
 
   constructor(
     private readonly chance: Chance,
-    private readonly cluster: OwnershipCluster,
+    private readonly cluster: LeadershipCluster,
   ) {
     this.harshness = chance.next() ** 2;
   }
@@ -39,7 +39,7 @@
     if (this.fails(CRASH)) cluster.crash(name);
     else if (node && this.fails(FREEZE)) node.frozenUntil = now + chance.next() * LEASE_S;
     this.troubleLink(name, cluster.peersOf(name)[chance.int(0, 1)]);
-    if (chance.hit(REFUSED_THEN_OUTAGE)) this.refuseOwnerThenAll();
+    if (chance.hit(REFUSED_THEN_OUTAGE)) this.refuseLeaderThenAll();
   }
 
   /** A user cancels at some controller that can record it, and that may crash right afterwards. */
@@ -85,26 +85,26 @@
    * The state service refuses the owner alone, and shortly afterwards everybody. In the last moment a
    * peer that can't reach the owner may confirm a cancellation, and crash.
    */
-  private refuseOwnerThenAll(): void {
+  private refuseLeaderThenAll(): void {
     const { cluster, chance } = this;
     const { now } = cluster;
-    const owner = cluster.service.holder?.node;
-    if (owner === undefined) return;
-    cluster.refuse(owner, now + LEASE_S);
-    const from = now + STEP_S + chance.next() * GRANT_S;
+    const leader = cluster.service.leader?.node;
+    if (leader === undefined) return;
+    cluster.refuse(leader, now + LEASE_S);
+    const from = now + STEP_S + chance.next() * ELECTION_LEASE_S;
     cluster.outage = { from, until: from + (1 + chance.next()) * CANCEL_S };
-    if (chance.hit(0.3)) this.slowDown(owner);
+    if (chance.hit(0.3)) this.slowDown(leader);
     if (chance.hit(0.5)) return;
-    const peer = cluster.peersOf(owner)[chance.int(0, 1)];
-    cluster.link(peer, owner).deadUntil = from + STEP_S;
+    const peer = cluster.peersOf(leader)[chance.int(0, 1)];
+    cluster.link(peer, leader).deadUntil = from + STEP_S;
     this.lastCancellation = { peer, at: from - STEP_S };
   }
 
   /** What the peers say reaches the owner long after it was true, and it stays refused after the others. */
-  private slowDown(owner: string): void {
+  private slowDown(leader: string): void {
     const { cluster, chance } = this;
     const delayS = (1 + chance.next()) * CANCEL_S;
-    for (const peer of cluster.peersOf(owner)) cluster.link(peer, owner).delayS = delayS;
-    cluster.refuse(owner, cluster.outage.until + 2 * CANCEL_S);
+    for (const peer of cluster.peersOf(leader)) cluster.link(peer, leader).delayS = delayS;
+    cluster.refuse(leader, cluster.outage.until + 2 * CANCEL_S);
   }
 }
--- a/packages/testing/models/leader-election/model.ts
+++ b/packages/testing/models/leader-election/model.ts
@@ -6,7 +6,7 @@
 export type OwnershipViolation =
   'acts-beside-successor' | 'acts-on-unknown-cancellation' | 'renews-beside-owner';
 
-export interface OwnershipRun {
+export interface LeadershipRun {
   violations: Set<OwnershipViolation>;
   /** Steps in which an owner went on by the statements of its peers alone. */
   attestedSteps: number;
--- a/packages/testing/models/leader-election/node.ts
+++ b/packages/testing/models/leader-election/node.ts
@@ -8,13 +8,13 @@
   type StandbyView,
 } from '#controller';
 import type { StatusFrame } from '#peer';
-import type { Claim, ServiceModel } from './service.js';
-import { CANCEL_S, GRACE_S, GRANT_S, SILENCE_S } from './timing.js';
+import type { Campaign, ServiceModel } from './service.js';
+import { CANCEL_S, GRACE_S, ELECTION_LEASE_S, SILENCE_S } from './timing.js';
 
 /** What a node goes by: the latest statement of each peer, and of the newest owner that it saw. */
 export interface Statements {
   peers: (PeerStatus | null)[];
-  owner: PeerStatus | null;
+  leader: PeerStatus | null;
 }
 
 /** One life of a controller. */
@@ -27,7 +27,7 @@
   jobsCurrentAt = -Infinity;
   jobsRevision = 0;
   /** The newest owner that was seen. */
-  holder = { term: 0, name: '' };
+  leader = { term: 0, name: '' };
   loaded = false;
   refused = false;
   lastOkAt = -Infinity;
@@ -38,10 +38,10 @@
 
   constructor(
     readonly name: string,
-    readonly life: number,
+    readonly incarnation: number,
     peers: string[],
   ) {
-    this.table = new PeerStatusTable(life, peers);
+    this.table = new PeerStatusTable(incarnation, peers);
     this.limits = { peerCount: peers.length, silenceS: SILENCE_S, graceS: GRACE_S };
     this.standby = new StandbyRenewalCheck(this.limits);
   }
@@ -55,11 +55,11 @@
     this.refused = false;
     this.failingSince = Infinity;
     this.lastOkAt = now;
-    service.renew(this.life, now);
+    service.renew(this.incarnation, now);
     this.renewedAt = now;
     this.readJobs(service, now);
-    if (service.holder === null) service.claim(this.name, this.life, now);
-    this.follow(service.holder);
+    if (service.leader === null) service.campaign(this.name, this.incarnation, now);
+    this.follow(service.leader);
   }
 
   private readJobs(service: ServiceModel, now: number): void {
@@ -71,17 +71,17 @@
     this.loaded = true;
   }
 
-  private follow(holder: Claim | null): void {
-    if (holder !== null && holder.term !== this.holder.term) {
-      this.holder = { term: holder.term, name: holder.node };
+  private follow(leader: Campaign | null): void {
+    if (leader !== null && leader.term !== this.leader.term) {
+      this.leader = { term: leader.term, name: leader.node };
       this.standby = new StandbyRenewalCheck(this.limits);
     }
-    const own = holder !== null && holder.life === this.life;
+    const own = leader !== null && leader.incarnation === this.incarnation;
     if (!own) {
       this.judge = null;
       this.term = 0;
-    } else if (this.term !== holder.term) {
-      this.term = holder.term;
+    } else if (this.term !== leader.term) {
+      this.term = leader.term;
       this.judge = new LeaderLeaseCheck(this.limits);
     }
   }
@@ -94,12 +94,12 @@
   }
 
   statusFor(peer: string, sequence: number, now: number): StatusFrame {
-    const { life, refused, loaded, holder, jobsRevision } = this;
+    const { incarnation, refused, loaded, leader, jobsRevision } = this;
     const basis = this.table.get(peer)?.frame.jobsRevision ?? 0;
     const list = this.cancellations.listSince(basis, now);
     return {
       kind: 'status',
-      incarnation: life,
+      incarnation,
       sequence,
       echo: this.table.echoFor(peer),
       servedAgoMs: (now - this.lastOkAt) * 1000,
@@ -107,7 +107,7 @@
       loaded,
       leading: this.judge !== null,
       mayLead: this.judge !== null,
-      newestLeader: holder,
+      newestLeader: leader,
       unreachable: false,
       followerHeartbeats: 0,
       jobsRevision,
@@ -116,11 +116,11 @@
     };
   }
 
-  entitlement(now: number, { peers }: Statements) {
+  leaderLease(now: number, { peers }: Statements) {
     return this.judge?.evaluate({
       now,
       term: this.term,
-      leaseProvenUntil: this.renewedAt + GRANT_S * 0.95,
+      leaseProvenUntil: this.renewedAt + ELECTION_LEASE_S * 0.95,
       leaseRenewedAt: this.renewedAt,
       jobsCurrentAt: this.jobsCurrentAt,
       jobsRevision: this.jobsRevision,
@@ -130,19 +130,19 @@
   }
 
   /** A peer's statement has come. */
-  noteStandby(now: number, statements: Statements): void {
-    this.standby.record(this.standbyView(now, statements), statements.owner);
+  recordStandby(now: number, statements: Statements): void {
+    this.standby.record(this.standbyView(now, statements), statements.leader);
   }
 
   /** Whether this node renews leases for the owner of the term that it saw last. */
   renews(now: number, statements: Statements): boolean {
-    return this.standby.mayRenew(this.standbyView(now, statements), statements.owner);
+    return this.standby.mayRenew(this.standbyView(now, statements), statements.leader);
   }
 
   private standbyView(now: number, { peers }: Statements): StandbyView {
     return {
       now,
-      term: this.holder.term,
+      term: this.leader.term,
       mayLead: this.judge !== null,
       jobsCurrentAt: this.jobsCurrentAt,
       jobsRevision: this.jobsRevision,
--- a/packages/testing/models/leader-election/service.ts
+++ b/packages/testing/models/leader-election/service.ts
@@ -1,9 +1,9 @@
-import { GRANT_S } from './timing.js';
+import { ELECTION_LEASE_S } from './timing.js';
 
 /** One time at which a controller took the part. */
-export interface Claim {
+export interface Campaign {
   node: string;
-  life: number;
+  incarnation: number;
   term: number;
   at: number;
 }
@@ -11,20 +11,20 @@
 /** The state service: one revision, the part's holder, and the grants that it hangs on. */
 export class ServiceModel {
   revision = 10;
-  holder: Claim | null = null;
+  leader: Campaign | null = null;
   down = false;
-  readonly claims: Claim[] = [];
+  readonly claims: Campaign[] = [];
   readonly cancelled: { job: string; revision: number }[] = [];
   private readonly grants = new Map<number, number>();
 
-  renew(life: number, now: number): void {
-    this.grants.set(life, now + GRANT_S);
+  renew(incarnation: number, now: number): void {
+    this.grants.set(incarnation, now + ELECTION_LEASE_S);
   }
 
-  claim(node: string, life: number, now: number): Claim {
-    this.holder = { node, life, term: ++this.revision, at: now };
-    this.claims.push(this.holder);
-    return this.holder;
+  campaign(node: string, incarnation: number, now: number): Campaign {
+    this.leader = { node, incarnation, term: ++this.revision, at: now };
+    this.claims.push(this.leader);
+    return this.leader;
   }
 
   cancel(job: string): void {
@@ -34,12 +34,13 @@
   /** Grants run out while the service is up, and have their full time again after an outage. */
   step(now: number, down: boolean): void {
     if (this.down && !down) {
-      for (const life of this.grants.keys()) this.grants.set(life, now + GRANT_S);
+      for (const incarnation of this.grants.keys())
+        this.grants.set(incarnation, now + ELECTION_LEASE_S);
     }
     this.down = down;
-    if (down || this.holder === null) return;
-    if (now > (this.grants.get(this.holder.life) ?? 0)) {
-      this.holder = null;
+    if (down || this.leader === null) return;
+    if (now > (this.grants.get(this.leader.incarnation) ?? 0)) {
+      this.leader = null;
       this.revision++;
     }
   }
--- a/packages/testing/models/leader-election/statements.ts
+++ b/packages/testing/models/leader-election/statements.ts
@@ -4,19 +4,19 @@
 
 /** What a node goes by, as it takes it with the seeded mistake. */
 export function statementsFor(node: NodeModel, fault: OwnershipFault): Statements {
-  const { table, holder } = node;
+  const { table, leader } = node;
   return {
     peers: table.all().map((status) => distort(status, fault)),
-    owner: distort(table.get(holder.name) ?? null, fault),
+    leader: distort(table.get(leader.name) ?? null, fault),
   };
 }
 
 function distort(status: PeerStatus | null, fault: OwnershipFault): PeerStatus | null {
   if (status === null) return null;
-  const { frame, receivedAt: heardAt } = status;
+  const { frame, receivedAt: receivedAt } = status;
   switch (fault) {
     case 'trusts-arrival':
-      return { ...status, asOf: heardAt };
+      return { ...status, asOf: receivedAt };
     case 'trusts-restarted':
       return { ...status, frame: { ...frame, loaded: true } };
     case 'renews-for-the-living':
--- a/packages/testing/models/leader-election/world.ts
+++ b/packages/testing/models/leader-election/world.ts
@@ -4,36 +4,36 @@
  * service, grants, connections, crashes, users who cancel). One step is a quarter of a report period.
  */
 import { Chance } from '../../random.js';
-import { OwnershipChecks } from './checks.js';
-import { OwnershipCluster } from './cluster.js';
-import { OwnershipFaults } from './faults.js';
+import { LeadershipChecks } from './checks.js';
+import { LeadershipCluster } from './cluster.js';
+import { LeadershipFaults } from './faults.js';
 import type { Message } from './link.js';
-import type { OwnershipFault, OwnershipRun } from './model.js';
+import type { OwnershipFault, LeadershipRun } from './model.js';
 import type { NodeModel } from './node.js';
 import { statementsFor } from './statements.js';
-import { REPORT_S, STEP_S } from './timing.js';
+import { HEARTBEAT_INTERVAL_S, STEP_S } from './timing.js';
 
 /** Plays one world and returns what was broken: nothing, unless a fault is seeded. */
-export function playOwnership(seed: number, fault: OwnershipFault, lengthS = 200): OwnershipRun {
-  return new OwnershipWorld(seed, fault).play(lengthS);
+export function playOwnership(seed: number, fault: OwnershipFault, lengthS = 200): LeadershipRun {
+  return new LeadershipWorld(seed, fault).play(lengthS);
 }
 
-class OwnershipWorld {
-  private readonly cluster: OwnershipCluster;
-  private readonly faults: OwnershipFaults;
-  private readonly checks: OwnershipChecks;
+class LeadershipWorld {
+  private readonly cluster: LeadershipCluster;
+  private readonly faults: LeadershipFaults;
+  private readonly checks: LeadershipChecks;
 
   constructor(
     seed: number,
     private readonly fault: OwnershipFault,
   ) {
     const chance = new Chance(seed);
-    this.cluster = new OwnershipCluster(chance);
-    this.faults = new OwnershipFaults(chance, this.cluster);
-    this.checks = new OwnershipChecks(this.cluster, fault);
+    this.cluster = new LeadershipCluster(chance);
+    this.faults = new LeadershipFaults(chance, this.cluster);
+    this.checks = new LeadershipChecks(this.cluster, fault);
   }
 
-  play(lengthS: number): OwnershipRun {
+  play(lengthS: number): LeadershipRun {
     const { cluster, faults, checks } = this;
     for (; cluster.now < lengthS; cluster.now += STEP_S) {
       faults.inject();
@@ -52,7 +52,7 @@
     const node = cluster.nodeOrRestarted(name);
     if (node === null || now < node.frozenUntil) return;
     this.receive(node);
-    if (now % (REPORT_S / 2) === 0) {
+    if (now % (HEARTBEAT_INTERVAL_S / 2) === 0) {
       node.contact(service, !service.down && !cluster.isRefused(name), now);
       this.sendStatus(node);
     }
@@ -75,7 +75,7 @@
     const { frame } = message;
     node.table.accept(from, frame, now);
     node.yieldTo(frame.newestLeader.term);
-    node.noteStandby(now, statementsFor(node, this.fault));
+    node.recordStandby(now, statementsFor(node, this.fault));
     if (this.fault === 'ignores-cancelled') return;
     for (const notice of frame.cancelled) node.cancellations.addFromPeer(notice, now);
   }
--- a/packages/testing/models/leader-with-workers/checks.ts
+++ b/packages/testing/models/leader-with-workers/checks.ts
@@ -6,7 +6,7 @@
 import type { HeldTask, WorkerModel } from './worker.js';
 
 /** Watches the workers and the records for broken rules. */
-export class OwnerChecks {
+export class LeaderChecks {
   readonly violations = new Set<OwnerViolation>();
   /** Indices of the tasks that have really been done, by job. */
   private readonly done = new Map<string, Set<number>>();
@@ -32,7 +32,7 @@
   }
 
   /** Notes which of a worker's tasks are done. */
-  noteDone(worker: WorkerModel): void {
+  recordDone(worker: WorkerModel): void {
     for (const { job, index, state, cause } of worker.tasks.values()) {
       if (state !== 'exited' || cause !== 'done') continue;
       const done = this.done.get(job) ?? new Set();
@@ -78,8 +78,8 @@
   }
 
   private checkRecords(worker: WorkerModel, task: HeldTask, now: number): void {
-    const { abortedAt } = this.records.jobs.get(task.job)!;
-    if (now > abortedAt + CANCEL_S) this.violations.add('ran_cancelled');
+    const { cancelledAt } = this.records.jobs.get(task.job)!;
+    if (now > cancelledAt + CANCEL_S) this.violations.add('ran_cancelled');
     // A start that no durable record names could be forgotten by the next owner.
     const isNew = now - task.startedAt < STEP_S;
     if (isNew && !this.records.names(worker.name, task)) this.violations.add('unrecorded');
--- a/packages/testing/models/leader-with-workers/durable-records.ts
+++ b/packages/testing/models/leader-with-workers/durable-records.ts
@@ -4,7 +4,7 @@
   job: Job;
   phase: 'accepted' | 'cancelled' | 'done';
   /** Steady seconds; Infinity unless aborted. */
-  abortedAt: number;
+  cancelledAt: number;
 }
 
 interface MachineRecord {
@@ -30,13 +30,13 @@
 
   accept(job: Job): void {
     this.revision++;
-    this.jobs.set(job.id, { job, phase: 'accepted', abortedAt: Infinity });
+    this.jobs.set(job.id, { job, phase: 'accepted', cancelledAt: Infinity });
   }
 
-  abort(record: JobRecord, now: number): void {
+  cancel(record: JobRecord, now: number): void {
     this.revision++;
     record.phase = 'cancelled';
-    record.abortedAt = now;
+    record.cancelledAt = now;
   }
 
   /** Jobs that are neither done nor aborted. */
@@ -45,7 +45,7 @@
   }
 
   /** Begins a term and returns it. */
-  claim(): number {
+  campaign(): number {
     this.term = ++this.revision;
     return this.term;
   }
--- a/packages/testing/models/leader-with-workers/leader.ts
+++ b/packages/testing/models/leader-with-workers/leader.ts
@@ -4,13 +4,13 @@
 import type { OwnerMistake } from './mistakes.js';
 import { markRecorded, RecorderModel } from './recorder.js';
 import { TEAMS, unlimitedTeams } from './teams.js';
-import { FORMER_OWNER_S, LEASE_S, REPORT_S } from './timing.js';
+import { FORMER_LEADER_S, LEASE_S, HEARTBEAT_INTERVAL_S } from './timing.js';
 
 const FLEET_SETTINGS = {
   leaseS: LEASE_S,
-  heartbeatIntervalS: REPORT_S,
+  heartbeatIntervalS: HEARTBEAT_INTERVAL_S,
   gangPeerS: 6,
-  formerLeaderS: FORMER_OWNER_S,
+  formerLeaderS: FORMER_LEADER_S,
   halfLifeS: 3600,
   machineRecordBytes: 50 * 64,
 };
@@ -23,7 +23,7 @@
 };
 
 /** One term of an owner: its fleet state, a scheduler, and a recorder that takes a step to be durable. */
-export class OwnerModel {
+export class LeaderModel {
   readonly fleet: FleetState;
   private readonly scheduler: Scheduler;
   private readonly recorder: RecorderModel;
@@ -37,7 +37,7 @@
     private readonly mistake: OwnerMistake,
     now: number,
   ) {
-    const term = records.claim();
+    const term = records.campaign();
     const settings = { ...FLEET_SETTINGS };
     if (mistake === 'short-lease') settings.leaseS = LEASE_S / 4;
     if (mistake === 'trusts-former-owner') settings.formerLeaderS = -LEASE_S;
@@ -67,7 +67,7 @@
     const { deposedAt, thawsAt } = this;
     if (deposedAt === null) return false;
     if (this.mistake === 'wakes-entitled' && thawsAt > deposedAt) return false;
-    return now > deposedAt + FORMER_OWNER_S;
+    return now > deposedAt + FORMER_LEADER_S;
   }
 
   private load(now: number): void {
--- a/packages/testing/models/leader-with-workers/traffic.ts
+++ b/packages/testing/models/leader-with-workers/traffic.ts
@@ -3,7 +3,7 @@
 import type { Chance } from '../../random.js';
 import type { Mail } from './mail.js';
 import type { OwnerMistake } from './mistakes.js';
-import type { OwnerModel } from './leader.js';
+import type { LeaderModel } from './leader.js';
 import { ANSWER_LIFE_S, COMMAND_LIFE_S, DELAY_S, LEASE_S } from './timing.js';
 import type { WorkerModel } from './worker.js';
 
@@ -21,11 +21,11 @@
 /** A worker and what it knows of its connection to an owner. */
 export interface WorkerContact {
   worker: WorkerModel;
-  nextReportAt: number;
+  nextHeartbeatAt: number;
   /** Until when it waits for the answer to its last report; -Infinity once it has come. */
   awaitsAnswerUntil: number;
   /** The former owner that a cut-off worker still reaches. */
-  follows: OwnerModel | null;
+  follows: LeaderModel | null;
 }
 
 export interface TrafficOptions {
@@ -33,7 +33,7 @@
   mail: Mail;
   mistake: OwnerMistake;
   /** The owner of the newest term; null while there is none. */
-  owner: () => OwnerModel | null;
+  leader: () => LeaderModel | null;
 }
 
 /** Messages between workers and owners, which are delayed, lost, repeated and come late. */
@@ -41,22 +41,22 @@
   constructor(private readonly options: TrafficOptions) {}
 
   /** A worker that lost its owner stays with the one that answered it last, if that still does. */
-  sendReport(contact: WorkerContact, now: number): void {
-    const { chance, mail, owner } = this.options;
-    const report = contact.worker.report();
-    const target = contact.follows ?? owner();
+  sendHeartbeat(contact: WorkerContact, now: number): void {
+    const { chance, mail, leader } = this.options;
+    const heartbeat = contact.worker.heartbeat();
+    const target = contact.follows ?? leader();
     contact.awaitsAnswerUntil = now + ANSWER_LIFE_S;
     const deliver = (at: number) =>
-      this.deliverReport({ contact, report, target, sentAt: now }, at);
+      this.deliverHeartbeat({ contact, heartbeat, target, sentAt: now }, at);
     if (!chance.hit(LOST)) mail.post(now + chance.next() * DELAY_S, deliver);
     // A copy from seconds to well over a lease late; its answer reaches nobody.
     if (chance.hit(COPIED)) {
-      mail.post(now + chance.next() * COPY_DELAY_S, (at) => this.deliverCopy(report, at));
+      mail.post(now + chance.next() * COPY_DELAY_S, (at) => this.deliverCopy(heartbeat, at));
     }
   }
 
   /** Direct commands may take long, arrive late, or be answered late or never. */
-  sendCommands(from: OwnerModel, contacts: WorkerContact[], now: number): void {
+  sendCommands(from: LeaderModel, contacts: WorkerContact[], now: number): void {
     for (const { worker } of contacts) {
       const machine = from.fleet.machines.get(worker.name);
       const orders = machine ? from.fleet.directOrders.nextOrders(machine, now) : [];
@@ -64,68 +64,68 @@
     }
   }
 
-  private deliverReport(sent: SentReport, now: number): void {
+  private deliverHeartbeat(sent: SentHeartbeat, now: number): void {
     const { mail, chance } = this.options;
-    const { contact, report, target, sentAt } = sent;
+    const { contact, heartbeat, target, sentAt } = sent;
     if (!target) return;
     if (now < target.thawsAt) {
-      mail.post(target.thawsAt, (at) => this.deliverReport(sent, at));
+      mail.post(target.thawsAt, (at) => this.deliverHeartbeat(sent, at));
       return;
     }
     if (target.hasGivenUp(now)) {
       contact.follows = null;
       return;
     }
-    this.rewindNewer(target, report);
-    const outcome = target.fleet.heartbeats.handle(report, now);
-    const { token, orders } = answerTo(outcome, target, report);
+    this.rewindNewer(target, heartbeat);
+    const outcome = target.fleet.heartbeats.handle(heartbeat, now);
+    const { fencingToken, orders } = answerTo(outcome, target, heartbeat);
     const arrivesAt = now + chance.next() * DELAY_S;
     if (chance.hit(LOST)) return;
     mail.post(arrivesAt, (at) => {
       if (at - sentAt > ANSWER_LIFE_S || contact.awaitsAnswerUntil === -Infinity) return;
       contact.awaitsAnswerUntil = -Infinity;
-      contact.worker.answer({ session: report.agentEpoch, sentAt }, token, orders, at);
+      contact.worker.answer({ agentEpoch: heartbeat.agentEpoch, sentAt }, fencingToken, orders, at);
     });
   }
 
-  private deliverCopy(report: Heartbeat, now: number): void {
-    const owner = this.options.owner();
-    if (!owner || owner.hasGivenUp(now)) return;
-    this.rewind(owner, report);
-    owner.fleet.heartbeats.handle(report, now);
+  private deliverCopy(heartbeat: Heartbeat, now: number): void {
+    const leader = this.options.leader();
+    if (!leader || leader.hasGivenUp(now)) return;
+    this.rewind(leader, heartbeat);
+    leader.fleet.heartbeats.handle(heartbeat, now);
   }
 
   /** The mistake of taking a copy of an old report for a new one. */
-  private rewindNewer({ fleet }: OwnerModel, report: Heartbeat): void {
+  private rewindNewer({ fleet }: LeaderModel, heartbeat: Heartbeat): void {
     if (this.options.mistake !== 'believes-old-copies') return;
-    const machine = fleet.machines.get(report.machine);
-    if (machine && machine.lastMessageSequence >= report.sequence) {
-      machine.lastMessageSequence = machine.lastHeartbeatSequence = report.sequence - 1;
+    const machine = fleet.machines.get(heartbeat.machine);
+    if (machine && machine.lastMessageSequence >= heartbeat.sequence) {
+      machine.lastMessageSequence = machine.lastHeartbeatSequence = heartbeat.sequence - 1;
     }
   }
 
   /** The same for a copy that is known to be late: both numbers become equal. */
-  private rewind({ fleet }: OwnerModel, report: Heartbeat): void {
+  private rewind({ fleet }: LeaderModel, heartbeat: Heartbeat): void {
     if (this.options.mistake !== 'believes-old-copies') return;
-    const machine = fleet.machines.get(report.machine);
+    const machine = fleet.machines.get(heartbeat.machine);
     if (!machine) return;
-    const seq = Math.min(machine.lastMessageSequence, report.sequence - 1);
-    machine.lastMessageSequence = machine.lastHeartbeatSequence = seq;
+    const sequence = Math.min(machine.lastMessageSequence, heartbeat.sequence - 1);
+    machine.lastMessageSequence = machine.lastHeartbeatSequence = sequence;
   }
 
   private sendCommand({ from, worker, machine, orders }: SentCommand, now: number): void {
     const { chance, mail, mistake } = this.options;
     const { directOrders } = from.fleet;
-    const { fencingToken: token, agentEpoch: session } = machine;
+    const { fencingToken: fencingToken, agentEpoch: agentEpoch } = machine;
     const givenUpAt = now + COMMAND_LIFE_S;
     let answered = false;
     const delayS = chance.hit(LATE_COMMANDS) ? COMMAND_DELAY_S : DELAY_S;
     mail.post(now + chance.next() * delayS, (at) => {
-      const report = worker.command(token, session, orders, at);
+      const heartbeat = worker.command(fencingToken, agentEpoch, orders, at);
       if (at >= givenUpAt || chance.hit(LOST_COMMAND_ANSWERS)) return;
       answered = true;
-      const outcome = report
-        ? ({ kind: 'executed', heartbeat: report } as const)
+      const outcome = heartbeat
+        ? ({ kind: 'executed', heartbeat } as const)
         : ({ kind: 'refused' } as const);
       directOrders.finish(machine, orders, outcome, at);
     });
@@ -137,22 +137,25 @@
   }
 }
 
-interface SentReport {
+interface SentHeartbeat {
   contact: WorkerContact;
-  report: Heartbeat;
-  target: OwnerModel | null;
+  heartbeat: Heartbeat;
+  target: LeaderModel | null;
   sentAt: number;
 }
 
 interface SentCommand {
-  from: OwnerModel;
+  from: LeaderModel;
   worker: WorkerModel;
   machine: Machine;
   orders: Order[];
 }
 
 /** A late copy is answered too, with a token that no worker obeys. */
-function answerTo(outcome: HeartbeatOutcome, { fleet }: OwnerModel, report: Heartbeat) {
-  if (outcome.kind !== 'answer') return { token: 0, orders: [] };
-  return { token: fleet.machines.get(report.machine)!.fencingToken, orders: outcome.orders };
+function answerTo(outcome: HeartbeatOutcome, { fleet }: LeaderModel, heartbeat: Heartbeat) {
+  if (outcome.kind !== 'answer') return { fencingToken: 0, orders: [] };
+  return {
+    fencingToken: fleet.machines.get(heartbeat.machine)!.fencingToken,
+    orders: outcome.orders,
+  };
 }
--- a/packages/testing/models/leader-with-workers/worker.ts
+++ b/packages/testing/models/leader-with-workers/worker.ts
@@ -24,9 +24,9 @@
   readonly zone: string;
   readonly spot: boolean;
   readonly tasks = new Map<string, HeldTask>();
-  private session = 1;
-  private seq = 0;
-  private token = 0;
+  private agentEpoch = 1;
+  private sequence = 0;
+  private fencingToken = 0;
   /** When the last answered report was sent. */
   private renewedAt = 0;
 
@@ -43,15 +43,15 @@
   advance(now: number): void {
     if (now - this.renewedAt > this.options.leaseS) {
       this.tasks.clear();
-      this.session++;
+      this.agentEpoch++;
       this.renewedAt = now;
     }
     for (const task of this.tasks.values()) advanceTask(task, now);
   }
 
-  report(): Heartbeat {
-    this.seq++;
-    const { name, zone, spot, session, seq, token } = this;
+  heartbeat(): Heartbeat {
+    this.sequence++;
+    const { name, zone, spot, agentEpoch, sequence, fencingToken } = this;
     const tasks = [...this.tasks.values()].map(
       ({ job, index, attempt, state, cause, checkpointed }) => ({
         job,
@@ -68,9 +68,9 @@
       type: STD.name,
       zone,
       spot,
-      agentEpoch: session,
-      sequence: seq,
-      fencingToken: token,
+      agentEpoch,
+      sequence,
+      fencingToken,
       noticeS: null,
       tasks,
     };
@@ -78,23 +78,28 @@
 
   /** The answer to a report of that session, which was sent at `sentAt`. */
   answer(
-    to: { session: number; sentAt: number },
-    token: number,
+    to: { agentEpoch: number; sentAt: number },
+    fencingToken: number,
     orders: Order[],
     now: number,
   ): void {
-    if (token < this.token || to.session !== this.session) return;
-    this.token = token;
+    if (fencingToken < this.fencingToken || to.agentEpoch !== this.agentEpoch) return;
+    this.fencingToken = fencingToken;
     this.renewedAt = Math.max(this.renewedAt, to.sentAt);
     this.execute(orders, now);
   }
 
   /** A direct command: runs whenever it arrives, if token and session still match; null if not. */
-  command(token: number, session: number, orders: Order[], now: number): Heartbeat | null {
-    if (token < this.token || session !== this.session) return null;
-    this.token = token;
+  command(
+    fencingToken: number,
+    agentEpoch: number,
+    orders: Order[],
+    now: number,
+  ): Heartbeat | null {
+    if (fencingToken < this.fencingToken || agentEpoch !== this.agentEpoch) return null;
+    this.fencingToken = fencingToken;
     this.execute(orders, now);
-    return this.report();
+    return this.heartbeat();
   }
 
   private execute(orders: Order[], now: number): void {
--- a/packages/testing/models/leader-with-workers/world.ts
+++ b/packages/testing/models/leader-with-workers/world.ts
@@ -1,22 +1,22 @@
 import { Chance } from '../../random.js';
-import { OwnerChecks } from './checks.js';
+import { LeaderChecks } from './checks.js';
 import { DurableRecords } from './durable-records.js';
 import { Mail } from './mail.js';
 import type { OwnerMistake, OwnerViolation } from './mistakes.js';
-import { OwnerModel } from './leader.js';
+import { LeaderModel } from './leader.js';
 import { randomJob, runTimeS } from './random-job.js';
-import { CLAIM_PAUSE_S, LEASE_S, REPORT_S, STEP_S } from './timing.js';
+import { CAMPAIGN_PAUSE_S, LEASE_S, HEARTBEAT_INTERVAL_S, STEP_S } from './timing.js';
 import { Traffic, type WorkerContact } from './traffic.js';
 import { WorkerModel } from './worker.js';
 
 const WORKERS = 5;
 const MOST_JOBS = 60;
 /** When the first owner claims. */
-const FIRST_CLAIM_S = 1;
+const FIRST_CAMPAIGN_S = 1;
 /** Chances in one step. */
 const SUBMISSION = 0.1;
-const ABORT = 0.06;
-const OWNER_LOSS = 0.008;
+const CANCEL = 0.06;
+const LEADER_LOSS = 0.008;
 const WORKER_SILENCE = 0.001;
 
 /**
@@ -29,20 +29,20 @@
   mistake: OwnerMistake,
   lengthS = 150,
 ): Set<OwnerViolation> {
-  return new OwnerWorld(seed, mistake).play(lengthS);
+  return new LeaderWorld(seed, mistake).play(lengthS);
 }
 
-class OwnerWorld {
+class LeaderWorld {
   private readonly chance: Chance;
   private readonly records = new DurableRecords();
   private readonly mail = new Mail();
   private readonly traffic: Traffic;
   private readonly contacts: WorkerContact[];
-  private readonly checks: OwnerChecks;
-  private owner: OwnerModel | null = null;
+  private readonly checks: LeaderChecks;
+  private leader: LeaderModel | null = null;
   /** The last owner that lost the state service. */
-  private former: OwnerModel | null = null;
-  private claimAt = FIRST_CLAIM_S;
+  private former: LeaderModel | null = null;
+  private campaignAt = FIRST_CAMPAIGN_S;
   private submitted = 0;
   private now = 0;
 
@@ -56,12 +56,12 @@
     const workers = Array.from({ length: WORKERS }, (_, index) => this.makeWorker(index));
     this.contacts = workers.map((worker) => ({
       worker,
-      nextReportAt: chance.next(),
+      nextHeartbeatAt: chance.next(),
       awaitsAnswerUntil: -Infinity,
       follows: null,
     }));
-    this.checks = new OwnerChecks(this.records, workers);
-    this.traffic = new Traffic({ chance, mail, mistake, owner: () => this.owner });
+    this.checks = new LeaderChecks(this.records, workers);
+    this.traffic = new Traffic({ chance, mail, mistake, leader: () => this.leader });
   }
 
   play(lengthS: number): Set<OwnerViolation> {
@@ -73,11 +73,11 @@
   private step(): void {
     const { now, mail, traffic, contacts } = this;
     this.changeJobs();
-    this.changeOwner();
+    this.changeLeader();
     for (const contact of contacts) this.stepWorker(contact);
     mail.deliver(now);
-    this.owner?.step(now);
-    if (this.owner) traffic.sendCommands(this.owner, contacts, now);
+    this.leader?.step(now);
+    if (this.leader) traffic.sendCommands(this.leader, contacts, now);
     // One that wakes sends what was due, if it may still believe itself entitled.
     const { former } = this;
     if (former && now >= former.thawsAt && !former.hasGivenUp(now)) {
@@ -102,43 +102,43 @@
     if (chance.hit(SUBMISSION) && this.submitted < MOST_JOBS) {
       records.accept(randomJob(chance, ++this.submitted));
     }
-    if (!chance.hit(ABORT)) return;
+    if (!chance.hit(CANCEL)) return;
     const open = records.openJobs();
-    if (open.length > 0) records.abort(open[chance.int(0, open.length - 1)], this.now);
+    if (open.length > 0) records.cancel(open[chance.int(0, open.length - 1)], this.now);
   }
 
   /** Owners crash, or lose the state service and go on answering those that still reach them. */
-  private changeOwner(): void {
-    const { chance, now, owner } = this;
-    if (owner && chance.hit(OWNER_LOSS)) {
-      if (chance.hit(0.5)) this.depose(owner);
-      this.owner = null;
-      this.claimAt = now + CLAIM_PAUSE_S;
+  private changeLeader(): void {
+    const { chance, now, leader } = this;
+    if (leader && chance.hit(LEADER_LOSS)) {
+      if (chance.hit(0.5)) this.depose(leader);
+      this.leader = null;
+      this.campaignAt = now + CAMPAIGN_PAUSE_S;
     }
-    if (!this.owner && now >= this.claimAt) {
-      this.owner = new OwnerModel(this.records, this.mistake, now);
+    if (!this.leader && now >= this.campaignAt) {
+      this.leader = new LeaderModel(this.records, this.mistake, now);
     }
   }
 
-  private depose(owner: OwnerModel): void {
+  private depose(leader: LeaderModel): void {
     const { chance, now, contacts } = this;
-    this.former = owner;
-    owner.deposedAt = now;
-    if (chance.hit(0.5)) owner.thawsAt = now + chance.next() * 0.9 * LEASE_S;
+    this.former = leader;
+    leader.deposedAt = now;
+    if (chance.hit(0.5)) leader.thawsAt = now + chance.next() * 0.9 * LEASE_S;
     const lastCutOff = chance.int(0, contacts.length - 1);
     for (const [index, contact] of contacts.entries()) {
-      contact.follows = index <= lastCutOff && chance.hit(0.7) ? owner : null;
+      contact.follows = index <= lastCutOff && chance.hit(0.7) ? leader : null;
     }
   }
 
   private stepWorker(contact: WorkerContact): void {
     const { chance, now } = this;
     // Silent for a while: the network holds its reports back, or they are lost.
-    if (chance.hit(WORKER_SILENCE)) contact.nextReportAt = now + chance.next() * 2 * LEASE_S;
+    if (chance.hit(WORKER_SILENCE)) contact.nextHeartbeatAt = now + chance.next() * 2 * LEASE_S;
     contact.worker.advance(now);
-    this.checks.noteDone(contact.worker);
-    if (now < contact.nextReportAt || now <= contact.awaitsAnswerUntil) return;
-    contact.nextReportAt = now + REPORT_S * (0.75 + chance.next() / 2);
-    this.traffic.sendReport(contact, now);
+    this.checks.recordDone(contact.worker);
+    if (now < contact.nextHeartbeatAt || now <= contact.awaitsAnswerUntil) return;
+    contact.nextHeartbeatAt = now + HEARTBEAT_INTERVAL_S * (0.75 + chance.next() / 2);
+    this.traffic.sendHeartbeat(contact, now);
   }
 }
--- a/packages/testing/models/replica-groups/checks.ts
+++ b/packages/testing/models/replica-groups/checks.ts
@@ -3,8 +3,8 @@
 import type { ReplicaModelState } from './state.js';
 
 /** What must never be, or null. */
-export function breachIn({ owner, machines, brokenAnswer }: ReplicaModelState): string | null {
-  const { places, ending, members } = owner.group;
+export function breachIn({ leader, machines, brokenAnswer }: ReplicaModelState): string | null {
+  const { places, ending, members } = leader.group;
   const placed = new Set(places.map(({ member }) => member)).size;
   if (placed > 0 && placed < members && !ending) return 'incomplete generation kept';
   if (brokenAnswer) return 'broken answer';
@@ -15,8 +15,8 @@
 }
 
 /** The replica is whole by the owner's word, and so it is. */
-export function isAtRest({ owner, former, machines, request }: ReplicaModelState): boolean {
-  const running = machines.filter(({ task }) => task?.generation === owner.group.generation);
-  const isWhole = phaseOf(owner.group) === 'whole' && running.length === owner.group.members;
+export function isAtRest({ leader, former, machines, request }: ReplicaModelState): boolean {
+  const running = machines.filter(({ task }) => task?.generation === leader.group.generation);
+  const isWhole = phaseOf(leader.group) === 'whole' && running.length === leader.group.members;
   return isWhole && former === null && request === null;
 }
--- a/packages/testing/models/replica-groups/events.ts
+++ b/packages/testing/models/replica-groups/events.ts
@@ -3,16 +3,16 @@
 import type { ModelEvent } from '../exploration/explore.js';
 import { EventList } from '../exploration/event-list.js';
 import type { ReplicaEventList } from './events-of-state.js';
-import { addArrival, addMachineEvents, addReport } from './machine-events.js';
+import { addArrival, addMachineEvents, addHeartbeat } from './machine-events.js';
 import type { ReplicaMistake } from './mistakes.js';
-import { beginGeneration, machinesForNext, ownerFromRecords, sendsStart, tell } from './leader.js';
+import { beginGeneration, machinesForNext, leaderFromRecords, sendsStart, tell } from './leader.js';
 import { addRequestSteps } from './requests.js';
 import {
   areRecordsRead,
   type Command,
   type ModelMachine,
-  type ModelOwner,
-  type OwnerPlace,
+  type ModelLeader,
+  type LeaderPlace,
   type ReplicaModelState,
 } from './state.js';
 
@@ -22,13 +22,13 @@
 ): ModelEvent<ReplicaModelState>[] {
   const list: ReplicaEventList = new EventList(state, mistake);
   addPlacement(list);
-  addOwnerChange(list);
-  for (const role of ['owner', 'former'] as const) addSends(list, role);
+  addLeaderChange(list);
+  for (const role of ['leader', 'former'] as const) addSends(list, role);
   if (!areRecordsRead(state)) addRecordsAtOnce(list);
   state.machines.forEach((machine, at) => {
     if (areRecordsRead(state)) addRecords(list, at);
     machine.commands.forEach((_, index) => addArrival(list, at, index));
-    addReport(list, at);
+    addHeartbeat(list, at);
     addMachineEvents(list, at);
   });
   addRequestSteps(list);
@@ -38,53 +38,53 @@
 function addPlacement(list: ReplicaEventList): void {
   const { state, mistake } = list;
   const isUsable = (at: number) => state.machines[at].condition !== 'dead';
-  const machines = machinesForNext(state.owner, isUsable, mistake);
+  const machines = machinesForNext(state.leader, isUsable, mistake);
   if (machines === null) return;
-  list.add('generation placed', false, (draft) => beginGeneration(draft.owner, machines, mistake));
+  list.add('generation placed', false, (draft) => beginGeneration(draft.leader, machines, mistake));
 }
 
 /** The owner ends, or goes on without knowing that another has taken its place. */
-function addOwnerChange(list: ReplicaEventList): void {
+function addLeaderChange(list: ReplicaEventList): void {
   const { state, mistake } = list;
   if (state.former !== null) list.add('former owner ends', false, (draft) => (draft.former = null));
   if (state.budget.ownerChanges === 0) return;
   for (const ends of [true, false]) {
     list.add(ends ? 'owner ends' : 'owner is deposed', true, (draft) => {
       draft.budget.ownerChanges--;
-      draft.former = ends ? null : draft.owner;
-      draft.owner = ownerFromRecords(state, mistake);
+      draft.former = ends ? null : draft.leader;
+      draft.leader = leaderFromRecords(state, mistake);
     });
   }
 }
 
 /** An owner sends what it would send now; that may arrive at any later time. */
-function addSends(list: ReplicaEventList, role: 'owner' | 'former'): void {
+function addSends(list: ReplicaEventList, role: 'leader' | 'former'): void {
   const { state, mistake } = list;
-  const owner = state[role];
-  if (!owner) return;
-  const starts = owner.places.flatMap((place, at) =>
-    place && sendsStart(owner, place, mistake) ? [at] : [],
+  const leader = state[role];
+  if (!leader) return;
+  const starts = leader.places.flatMap((place, at) =>
+    place && sendsStart(leader, place, mistake) ? [at] : [],
   );
   if (starts.length > 0) {
     list.add(`${role} sends starts`, false, (draft) => {
       for (const at of starts) {
         draft[role]!.places[at]!.sent = true;
-        send(draft.machines[at], command('start', owner.places[at]!, owner.term));
+        send(draft.machines[at], command('start', leader.places[at]!, leader.term));
       }
     });
   }
-  const stops = owner.places.flatMap((place, at) =>
+  const stops = leader.places.flatMap((place, at) =>
     place?.stopping && !isStopOnItsWay(state, place, at) ? [at] : [],
   );
   if (stops.length === 0) return;
   list.add(`${role} sends stops`, false, (draft) => {
     for (const at of stops) {
-      send(draft.machines[at], command('stop', owner.places[at]!, owner.term));
+      send(draft.machines[at], command('stop', leader.places[at]!, leader.term));
     }
   });
 }
 
-function isStopOnItsWay({ machines }: ReplicaModelState, place: OwnerPlace, at: number): boolean {
+function isStopOnItsWay({ machines }: ReplicaModelState, place: LeaderPlace, at: number): boolean {
   const { condition, commands } = machines[at];
   const isSent = commands.some(
     (each) => each.verb === 'stop' && each.generation === place.generation,
@@ -97,16 +97,16 @@
   if (machine.condition !== 'dead') machine.commands.push(sent);
 }
 
-function command(verb: Command['verb'], place: OwnerPlace, token: number): Command {
-  return { verb, member: place.member, generation: place.generation, token };
+function command(verb: Command['verb'], place: LeaderPlace, fencingToken: number): Command {
+  return { verb, member: place.member, generation: place.generation, fencingToken };
 }
 
 /** Nobody will read the records: all that matters is when the owner knows that they are durable. */
 function addRecordsAtOnce(list: ReplicaEventList): void {
   const { state, mistake } = list;
-  for (const role of ['owner', 'former'] as const) {
+  for (const role of ['leader', 'former'] as const) {
     const open = state[role]?.places.flatMap((place, at) => (place && !place.recorded ? [at] : []));
-    const mayWrite = role === 'owner' || mistake === 'records-without-term';
+    const mayWrite = role === 'leader' || mistake === 'records-without-term';
     const learns = (at: number) => mayWrite || state[role]!.places[at]!.durable;
     const learnt = open?.filter(learns) ?? [];
     if (learnt.length === 0) continue;
@@ -122,16 +122,16 @@
 /** Records become durable one by one, and their owner learns it later. */
 function addRecords(list: ReplicaEventList, at: number): void {
   const { state, mistake } = list;
-  const place = state.owner.places[at];
+  const place = state.leader.places[at];
   if (place !== null && !place.durable) {
     list.add(`owner records ${at}`, false, (draft) => {
       draft.machines[at].record = { member: place.member, generation: place.generation };
-      draft.owner.places[at]!.durable = true;
+      draft.leader.places[at]!.durable = true;
     });
   }
   if (place?.durable && !place.recorded) {
     list.add(`owner learns that ${at} is recorded`, false, (draft) => {
-      learnRecorded(draft.owner, at, mistake);
+      learnRecorded(draft.leader, at, mistake);
     });
   }
   if (place === null && state.machines[at].record !== null) {
@@ -139,9 +139,9 @@
   }
 }
 
-function learnRecorded(owner: Draft<ModelOwner>, at: number, mistake: ReplicaMistake): void {
-  const place = owner.places[at]!;
+function learnRecorded(leader: Draft<ModelLeader>, at: number, mistake: ReplicaMistake): void {
+  const place = leader.places[at]!;
   place.recorded = true;
   const { member, generation } = place;
-  tell(owner, { kind: 'recorded', member, generation }, mistake);
+  tell(leader, { kind: 'recorded', member, generation }, mistake);
 }
--- a/packages/testing/models/replica-groups/leader.ts
+++ b/packages/testing/models/replica-groups/leader.ts
@@ -4,9 +4,9 @@
 import type { ReplicaMistake } from './mistakes.js';
 import {
   MEMBERS,
-  type ModelOwner,
-  newOwner,
-  type OwnerPlace,
+  type ModelLeader,
+  newLeader,
+  type LeaderPlace,
   type ReplicaModelState,
 } from './state.js';
 
@@ -14,22 +14,22 @@
 const GENERATIONS_PER_TERM = 100;
 
 /** Takes an event in; what is to be stopped is marked so, or gone at once if its start was never sent. */
-export function tell(owner: Draft<ModelOwner>, event: GroupEvent, mistake: ReplicaMistake): void {
-  const { state, stop } = step(owner.group as GroupState, event);
+export function tell(leader: Draft<ModelLeader>, event: GroupEvent, mistake: ReplicaMistake): void {
+  const { state, stop } = step(leader.group as GroupState, event);
   if (mistake === 'keeps-the-rest' && event.kind === 'gone') {
-    owner.group = { ...state, ending: false, places: state.places.map(unended) };
+    leader.group = { ...state, ending: false, places: state.places.map(unended) };
     return;
   }
-  owner.group = state as Draft<GroupState>;
+  leader.group = state as Draft<GroupState>;
   for (const { member, generation } of stop) {
-    const at = owner.places.findIndex(
+    const at = leader.places.findIndex(
       (place) => place?.member === member && place.generation === generation,
     );
-    const place = owner.places[at]!;
+    const place = leader.places[at]!;
     place.stopping = true;
     if (place.sent || place.inherited) continue;
-    owner.places[at] = null;
-    tell(owner, { kind: 'gone', member, generation }, mistake);
+    leader.places[at] = null;
+    tell(leader, { kind: 'gone', member, generation }, mistake);
   }
 }
 
@@ -39,7 +39,7 @@
 
 /** Machines that get the members of a new generation; null if it may not begin, or there are too few. */
 export function machinesForNext(
-  { group, places }: ModelOwner,
+  { group, places }: ModelLeader,
   isUsable: (machine: number) => boolean,
   mistake: ReplicaMistake,
 ): number[] | null {
@@ -54,18 +54,18 @@
 
 /** Gives the members of a new generation places. */
 export function beginGeneration(
-  owner: Draft<ModelOwner>,
+  leader: Draft<ModelLeader>,
   machines: number[],
   mistake: ReplicaMistake,
 ): void {
-  const generation = owner.term * GENERATIONS_PER_TERM + owner.starts++;
+  const generation = leader.term * GENERATIONS_PER_TERM + leader.starts++;
   if (mistake === 'places-before-gone') {
     // What is left of the old generation is forgotten by the state machine, and keeps running.
-    owner.group = { ...owner.group, places: [], ending: false };
-    owner.places = owner.places.map(() => null);
+    leader.group = { ...leader.group, places: [], ending: false };
+    leader.places = leader.places.map(() => null);
   }
   machines.forEach((at, member) => {
-    owner.places[at] = {
+    leader.places[at] = {
       member,
       generation,
       durable: false,
@@ -75,14 +75,14 @@
       seenRunning: false,
       stopping: false,
     };
-    tell(owner, { kind: 'placed', member, generation }, mistake);
+    tell(leader, { kind: 'placed', member, generation }, mistake);
   });
 }
 
 /** Whether the owner would send the start of the place now. */
 export function sendsStart(
-  { group }: ModelOwner,
-  place: OwnerPlace,
+  { group }: ModelLeader,
+  place: LeaderPlace,
   mistake: ReplicaMistake,
 ): boolean {
   if (place.sent || place.inherited || place.stopping) return false;
@@ -91,11 +91,11 @@
 }
 
 /** The next owner, which knows what the records hold and nothing else. */
-export function ownerFromRecords(
-  { owner, machines }: ReplicaModelState,
+export function leaderFromRecords(
+  { leader, machines }: ReplicaModelState,
   mistake: ReplicaMistake,
-): Draft<ModelOwner> {
-  const next = newOwner(owner.term + 1) as Draft<ModelOwner>;
+): Draft<ModelLeader> {
+  const next = newLeader(leader.term + 1) as Draft<ModelLeader>;
   machines.forEach(({ record }, at) => {
     if (record === null) return;
     next.places[at] = {
--- a/packages/testing/models/replica-groups/machine-events.ts
+++ b/packages/testing/models/replica-groups/machine-events.ts
@@ -3,7 +3,7 @@
 import type { ReplicaEventList } from './events-of-state.js';
 import type { ReplicaMistake } from './mistakes.js';
 import { tell } from './leader.js';
-import type { Command, Member, ModelMachine, ModelOwner } from './state.js';
+import type { Command, Member, ModelMachine, ModelLeader } from './state.js';
 
 /** A command reaches its machine, or is lost. */
 export function addArrival(list: ReplicaEventList, at: number, index: number): void {
@@ -23,26 +23,26 @@
 }
 
 function carryOut(machine: Draft<ModelMachine>, arrived: Command, mistake: ReplicaMistake): void {
-  if (arrived.token < machine.token && mistake !== 'obeys-old-tokens') return;
-  machine.token = Math.max(machine.token, arrived.token);
+  if (arrived.fencingToken < machine.fencingToken && mistake !== 'obeys-old-tokens') return;
+  machine.fencingToken = Math.max(machine.fencingToken, arrived.fencingToken);
   const { member, generation } = arrived;
   if (arrived.verb === 'start') machine.task ??= { member, generation };
   else if (isSame(machine.task, arrived)) machine.task = null;
 }
 
 /** A report of an up machine reaches the owner, and its answer the machine. */
-export function addReport(list: ReplicaEventList, at: number): void {
+export function addHeartbeat(list: ReplicaEventList, at: number): void {
   const { state, mistake } = list;
   const machine = state.machines[at];
-  const { condition, token, task } = machine;
-  if (condition !== 'up' || token > state.owner.term) return;
-  const place = state.owner.places[at];
+  const { condition, fencingToken, task } = machine;
+  if (condition !== 'up' || fencingToken > state.leader.term) return;
+  const place = state.leader.places[at];
   const isNews = place ? !isSame(task, place) || !place.seenRunning : task !== null;
-  if (!isNews && token === state.owner.term) return;
+  if (!isNews && fencingToken === state.leader.term) return;
   list.add(`${at} reports`, false, (draft) => {
     const machine = draft.machines[at];
-    machine.token = state.owner.term;
-    const place = draft.owner.places[at];
+    machine.fencingToken = state.leader.term;
+    const place = draft.leader.places[at];
     if (place === null) {
       // Nothing should run there; the answer ends it.
       machine.task = null;
@@ -50,35 +50,36 @@
       if (!place.seenRunning) {
         place.seenRunning = true;
         const { member, generation } = place;
-        tell(draft.owner, { kind: 'running', member, generation }, mistake);
+        tell(draft.leader, { kind: 'running', member, generation }, mistake);
       }
     } else {
       if (machine.task !== null) machine.task = null;
-      takeAbsence(draft.owner, machine, at, mistake);
+      takeAbsence(draft.leader, machine, at, mistake);
     }
   });
 }
 
 /** A report does not list the place's task. */
 function takeAbsence(
-  owner: Draft<ModelOwner>,
+  leader: Draft<ModelLeader>,
   machine: ModelMachine,
   at: number,
   mistake: ReplicaMistake,
 ): void {
-  const place = owner.places[at]!;
+  const place = leader.places[at]!;
   const mayStillStart = machine.commands.some(
-    (each) => each.verb === 'start' && isSame(each, place) && each.token >= machine.token,
+    (each) =>
+      each.verb === 'start' && isSame(each, place) && each.fencingToken >= machine.fencingToken,
   );
   if (mayStillStart || !(place.sent || place.inherited)) return;
-  if (place.seenRunning || place.inherited || place.stopping) endPlace(owner, at, mistake);
+  if (place.seenRunning || place.inherited || place.stopping) endPlace(leader, at, mistake);
   else place.sent = false;
 }
 
-function endPlace(owner: Draft<ModelOwner>, at: number, mistake: ReplicaMistake): void {
-  const { member, generation } = owner.places[at]!;
-  owner.places[at] = null;
-  tell(owner, { kind: 'gone', member, generation }, mistake);
+function endPlace(leader: Draft<ModelLeader>, at: number, mistake: ReplicaMistake): void {
+  const { member, generation } = leader.places[at]!;
+  leader.places[at] = null;
+  tell(leader, { kind: 'gone', member, generation }, mistake);
 }
 
 /** Failures of a machine, and what its owner concludes from silence. */
@@ -90,7 +91,7 @@
       list.add(`${at} is ${next}`, true, (draft) => {
         draft.budget.failures--;
         draft.machines[at].condition = next;
-        if (next === 'dead') endSession(draft.machines[at]);
+        if (next === 'dead') endAgentEpoch(draft.machines[at]);
       });
     }
   }
@@ -99,19 +100,19 @@
       draft.machines[at].condition = 'up';
     });
     list.add(`lease of ${at} ends`, false, (draft) => {
-      endSession(draft.machines[at]);
+      endAgentEpoch(draft.machines[at]);
       draft.machines[at].condition = 'dead';
     });
   }
   const isSilent = condition === 'dead' || (condition === 'cut' && mistake === 'trusts-silence');
-  if (isSilent && state.owner.places[at] !== null) {
+  if (isSilent && state.leader.places[at] !== null) {
     list.add(`owner gives up what ${at} held`, false, (draft) => {
-      endPlace(draft.owner, at, mistake);
+      endPlace(draft.leader, at, mistake);
       // By then a former owner answers no report any more, and its commands name an older session (points 5 and 7).
       if (draft.former) draft.former.places[at] = null;
     });
   }
-  if (condition === 'dead' && state.owner.places[at] === null) {
+  if (condition === 'dead' && state.leader.places[at] === null) {
     list.add(`${at} is replaced`, false, (draft) => {
       draft.machines[at].condition = 'up';
     });
@@ -119,7 +120,7 @@
 }
 
 /** Everything on the machine is gone, and commands to its session have no effect any more. */
-function endSession(machine: Draft<ModelMachine>): void {
+function endAgentEpoch(machine: Draft<ModelMachine>): void {
   machine.task = null;
   machine.commands = [];
 }
--- a/packages/testing/models/replica-groups/state.ts
+++ b/packages/testing/models/replica-groups/state.ts
@@ -18,11 +18,11 @@
 export interface Command extends Member {
   verb: 'start' | 'stop';
   /** Token of the owner that sent it. */
-  token: number;
+  fencingToken: number;
 }
 
 /** What an owner believes of one machine. */
-export interface OwnerPlace extends Member {
+export interface LeaderPlace extends Member {
   /** The machine's record names it. */
   durable: boolean;
   /** The owner knows that. */
@@ -33,12 +33,12 @@
   stopping: boolean;
 }
 
-export interface ModelOwner {
+export interface ModelLeader {
   term: number;
   starts: number;
   group: GroupState;
   /** By machine. */
-  places: (OwnerPlace | null)[];
+  places: (LeaderPlace | null)[];
 }
 
 export interface ModelMachine {
@@ -46,7 +46,7 @@
   condition: 'up' | 'cut' | 'dead';
   task: Member | null;
   /** Highest token it has seen. */
-  token: number;
+  fencingToken: number;
   record: Member | null;
   commands: Command[];
 }
@@ -66,9 +66,9 @@
 }
 
 export interface ReplicaModelState {
-  owner: ModelOwner;
+  leader: ModelLeader;
   /** A former owner that does not know that its term is over. */
-  former: ModelOwner | null;
+  former: ModelLeader | null;
   machines: ModelMachine[];
   request: ModelRequest | null;
   /** An answer was given that is not of one whole generation. */
@@ -76,16 +76,23 @@
   budget: ReplicaBudget;
 }
 
-export function newOwner(term: number): ModelOwner {
-  const places = Array<OwnerPlace | null>(MACHINES).fill(null);
+export function newLeader(term: number): ModelLeader {
+  const places = Array<LeaderPlace | null>(MACHINES).fill(null);
   return { term, starts: 0, group: newGroup(MEMBERS), places };
 }
 
 export function firstState(budget: ReplicaBudget): ReplicaModelState {
   const machines = Array.from({ length: MACHINES }, (): ModelMachine => {
-    return { condition: 'up', task: null, token: 0, record: null, commands: [] };
+    return { condition: 'up', task: null, fencingToken: 0, record: null, commands: [] };
   });
-  return { owner: newOwner(1), former: null, machines, request: null, brokenAnswer: false, budget };
+  return {
+    leader: newLeader(1),
+    former: null,
+    machines,
+    request: null,
+    brokenAnswer: false,
+    budget,
+  };
 }
 
 /**
@@ -93,29 +100,29 @@
  * numbers of generations, or in records that nobody will read any more.
  */
 export function keyOf(state: ReplicaModelState): string {
-  const { owner, former, machines, request, brokenAnswer, budget } = state;
+  const { leader, former, machines, request, brokenAnswer, budget } = state;
   const rank = generationRanks(state);
   const label = memberLabels(state, rank);
   const memberKey = (each: Member | null) =>
     each && `${label[each.member]}.${rank.get(each.generation)}`;
-  const placeKey = (place: OwnerPlace | null | undefined) => {
+  const placeKey = (place: LeaderPlace | null | undefined) => {
     if (!place) return null;
     const { durable, recorded, inherited, sent, seenRunning, stopping } = place;
     const flags = [durable, recorded, inherited, sent, seenRunning, stopping];
     return `${memberKey(place)}${flags.map(Number).join('')}`;
   };
-  const byMachine = machines.map(({ condition, task, token, record, commands }, index) =>
+  const byMachine = machines.map(({ condition, task, fencingToken, record, commands }, index) =>
     [
       condition,
       memberKey(task),
-      token,
+      fencingToken,
       areRecordsRead(state) ? memberKey(record) : '',
-      commands.map((each) => `${each.verb}${memberKey(each)}${each.token}`).sort(),
-      placeKey(owner.places[index]),
+      commands.map((each) => `${each.verb}${memberKey(each)}${each.fencingToken}`).sort(),
+      placeKey(leader.places[index]),
       placeKey(former?.places[index]),
     ].join(' '),
   );
-  const groups = [owner, former].map((each) => each && groupKey(each, memberKey));
+  const groups = [leader, former].map((each) => each && groupKey(each, memberKey));
   const marks = request?.marks.map((mark) => rank.get(mark));
   const rest = [request && rank.get(request.generation), marks, brokenAnswer, budget];
   return JSON.stringify([byMachine.sort(), groups, rest]);
@@ -123,7 +130,7 @@
 
 /** Members are alike, too, as long as no request tells them apart: they are numbered by what is known of them. */
 function memberLabels(
-  { owner, former, machines, request, budget }: ReplicaModelState,
+  { leader, former, machines, request, budget }: ReplicaModelState,
   rank: Map<number, number>,
 ): number[] {
   const all = Array.from({ length: MEMBERS }, (_, member) => member);
@@ -131,15 +138,15 @@
   const signatures = all.map((member) => {
     const of = (each: Member | null | undefined) =>
       each?.member === member ? rank.get(each.generation) : '';
-    const byMachine = machines.map(({ condition, task, token, record, commands }, at) => {
-      const place = owner.places[at];
+    const byMachine = machines.map(({ condition, task, fencingToken, record, commands }, at) => {
+      const place = leader.places[at];
       const isPlaced = place?.member === member;
       const flags = isPlaced ? [place.durable, place.recorded, place.sent, place.seenRunning] : '';
       const sent = commands.filter((each) => each.member === member).map(({ verb }) => verb);
       const named = [of(task), of(record), of(place), of(former?.places[at])].join(',');
       return named === ',,,' && sent.length === 0
         ? ''
-        : `${condition}${token}${named}${flags}${sent}`;
+        : `${condition}${fencingToken}${named}${flags}${sent}`;
     });
     return byMachine.sort().join('|');
   });
@@ -155,7 +162,7 @@
 }
 
 function groupKey(
-  { term, group }: ModelOwner,
+  { term, group }: ModelLeader,
   memberKey: (member: Member) => string | null,
 ): unknown {
   const { generation, places, reason, ending } = group;
@@ -163,9 +170,9 @@
   return [term, memberKey({ member: 0, generation }), reason, ending, placeKeys.sort()];
 }
 
-function generationRanks({ owner, former, machines, request }: ReplicaModelState) {
+function generationRanks({ leader, former, machines, request }: ReplicaModelState) {
   const named = new Set<number>([0]);
-  for (const { group, places } of former ? [owner, former] : [owner]) {
+  for (const { group, places } of former ? [leader, former] : [leader]) {
     named.add(group.generation);
     for (const place of [...places, ...group.places]) if (place) named.add(place.generation);
   }
--- a/packages/testing/models/shard-migration/canonical.ts
+++ b/packages/testing/models/shard-migration/canonical.ts
@@ -24,15 +24,15 @@
   };
   walk(state, '', collect, () => {});
   const revisionRanks = ranks(revisions);
-  const grantRanks = ranks(grants);
+  const leaseRanks = ranks(grants);
   let text = '';
   const write = (name: string, value: number) => {
     if (REVISIONS.has(name)) text += revisionRanks.get(value);
-    else if (GRANTS.has(name)) text += grantRanks.get(value);
+    else if (GRANTS.has(name)) text += leaseRanks.get(value);
     else text += value;
     text += ',';
   };
-  walk(state, '', write, (part) => (text += part));
+  walk(state, '', write, (shard) => (text += shard));
   return text;
 }
 
--- a/packages/testing/models/shard-migration/controller.ts
+++ b/packages/testing/models/shard-migration/controller.ts
@@ -12,24 +12,24 @@
   type Transaction,
   type TransactionOutcome,
 } from '#shards';
-import { mistaken, type MoveMistake, trustsGrant } from './mistakes.js';
-import { type ControllerName, type ModelController, type ModelState, PART } from './state.js';
+import { mistaken, type MoveMistake, trustsLease } from './mistakes.js';
+import { type ControllerName, type ModelController, type ModelState, SHARD } from './state.js';
 
 const LIMITS = { prepareS: 1, switchS: 1 };
 /** Later than all limits. */
 const LATE_S = 10;
 
 /** It takes its grant for proof that nobody else owns, and acts on that. */
-export function actsAsOwner({ term, proven, source }: ModelController, mistake: MoveMistake) {
-  return term !== 0 && proven && trustsGrant(source, mistake);
+export function actsAsLeader({ term, proven, source }: ModelController, mistake: MoveMistake) {
+  return term !== 0 && proven && trustsLease(source, mistake);
 }
 
 /** Its watch shows what the state service holds now. */
 export function synchronise(state: Draft<ModelState>, name: ControllerName): void {
   const controller = state.controllers[name];
-  controller.part = state.part;
+  controller.shard = state.shard;
   controller.move = state.move;
-  const term = state.part?.leaseId === controller.grant ? state.part.version : 0;
+  const term = state.shard?.leaseId === controller.leaseId ? state.shard.version : 0;
   if (term === controller.term) return;
   controller.term = term;
   controller.source = DECIDING;
@@ -39,14 +39,14 @@
 
 /** A new life, which has seen nothing and has a new grant. */
 export function restart(state: Draft<ModelState>, name: ControllerName): void {
-  const { life } = state.controllers[name];
-  const grant = state.nextGrant++;
-  state.liveGrants.push(grant);
+  const { incarnation } = state.controllers[name];
+  const leaseId = state.nextLeaseId++;
+  state.liveGrants.push(leaseId);
   state.controllers[name] = {
-    life: life + 1,
-    grant,
+    incarnation: incarnation + 1,
+    leaseId,
     proven: true,
-    part: null,
+    shard: null,
     move: null,
     term: 0,
     source: DECIDING,
@@ -57,7 +57,7 @@
 }
 
 /** One look of the owner; `late`: all its times have run out. */
-export function stepOwner(
+export function stepLeader(
   state: Draft<ModelState>,
   name: ControllerName,
   late: boolean,
@@ -66,7 +66,7 @@
   const controller = state.controllers[name];
   const { state: source, action } = stepSource(controller.source, {
     now: late && mistake !== 'waits-for-ever' ? LATE_S : 0,
-    shard: PART,
+    shard: SHARD,
     term: controller.term,
     name,
     move: controller.move,
@@ -98,10 +98,10 @@
 ): void {
   const controller = state.controllers[name];
   const { state: target, action } = stepTarget(controller.target, {
-    shard: PART,
+    shard: SHARD,
     name,
-    leaseId: controller.proven ? controller.grant : null,
-    shardVersion: controller.part?.version ?? 0,
+    leaseId: controller.proven ? controller.leaseId : null,
+    shardVersion: controller.shard?.version ?? 0,
     move: controller.move,
     ready: controller.term === 0,
   });
@@ -119,7 +119,7 @@
   const controller = state.controllers[from];
   controller.waiting = kind;
   const sent = mistaken(kind, transaction, mistake);
-  state.pending.push({ from, life: controller.life, transaction: sent });
+  state.pending.push({ from, incarnation: controller.incarnation, transaction: sent });
 }
 
 /** An answer has come, or the wait for it is over. */
@@ -135,7 +135,7 @@
   if (waiting === 'target') controller.target = targetAnswered(controller.target, outcome);
   if (waiting !== 'source') return;
   const believed = believe(outcome, controller, mistake);
-  const { state: source, action } = sourceAnswered(controller.source, believed, { shard: PART });
+  const { state: source, action } = sourceAnswered(controller.source, believed, { shard: SHARD });
   controller.source = untimed(source);
   act(state, name, action, mistake);
 }
--- a/packages/testing/models/shard-migration/events.ts
+++ b/packages/testing/models/shard-migration/events.ts
@@ -3,15 +3,15 @@
 import { EventList } from '../exploration/event-list.js';
 import type { ModelEvent } from '../exploration/explore.js';
 import {
-  actsAsOwner,
+  actsAsLeader,
   answer,
   restart,
   stepCandidate,
-  stepOwner,
+  stepLeader,
   synchronise,
 } from './controller.js';
 import type { MoveMistake } from './mistakes.js';
-import { carryOut, endGrant } from './service.js';
+import { carryOut, endLease } from './service.js';
 import {
   type ControllerName,
   CONTROLLERS,
@@ -26,21 +26,21 @@
   for (const name of CONTROLLERS) {
     addRequest(list, name);
     addSteps(list, name);
-    addClaim(list, name);
+    addCampaign(list, name);
     addTroubles(list, name);
   }
   state.pending.forEach((_, index) => addArrival(list, index));
-  for (const grant of state.liveGrants) addEndOfGrant(list, grant);
+  for (const leaseId of state.liveGrants) addEndOfLease(list, leaseId);
   return list.events;
 }
 
 /** Somebody asks that the part be moved to the controller. */
 function addRequest(list: MoveEventList, to: ControllerName): void {
-  const { part, move, budget } = list.state;
-  if (budget.requests === 0 || part === null || move !== null || part.leader === to) return;
+  const { shard, move, budget } = list.state;
+  if (budget.requests === 0 || shard === null || move !== null || shard.leader === to) return;
   list.add(`request ${to}`, true, (draft) => {
     draft.budget.requests--;
-    const record = { fromTerm: part.version, to, reason: '', phase: 'requested' } as const;
+    const record = { fromTerm: shard.version, to, reason: '', phase: 'requested' } as const;
     draft.move = { record, version: ++draft.revision };
   });
 }
@@ -63,30 +63,30 @@
   for (const late of [false, true]) {
     const when = late ? 'late' : 'in time';
     list.add(`${name} looks as owner ${when}`, false, (draft) => {
-      stepOwner(draft, name, late, mistake);
+      stepLeader(draft, name, late, mistake);
     });
   }
 }
 
 /** Its watch has shown all that the state service holds. */
-function sees({ part, move }: ModelController, state: ModelState): boolean {
-  return part?.version === state.part?.version && move?.version === state.move?.version;
+function sees({ shard, move }: ModelController, state: ModelState): boolean {
+  return shard?.version === state.shard?.version && move?.version === state.move?.version;
 }
 
 /** The part is free: whoever sees that may claim it. */
-function addClaim(list: MoveEventList, name: ControllerName): void {
-  const { part, controllers, liveGrants } = list.state;
-  const { grant, proven, part: seen } = controllers[name];
-  if (part !== null || seen !== null || !proven || !liveGrants.includes(grant)) return;
+function addCampaign(list: MoveEventList, name: ControllerName): void {
+  const { shard, controllers, liveGrants } = list.state;
+  const { leaseId, proven, shard: seen } = controllers[name];
+  if (shard !== null || seen !== null || !proven || !liveGrants.includes(leaseId)) return;
   list.add(`${name} claims`, false, (draft) => {
-    draft.part = { leader: name, leaseId: grant, version: ++draft.revision };
+    draft.shard = { leader: name, leaseId, version: ++draft.revision };
     synchronise(draft, name);
   });
 }
 
 function addTroubles(list: MoveEventList, name: ControllerName): void {
   const { budget, controllers, liveGrants } = list.state;
-  const { proven, grant, waiting } = controllers[name];
+  const { proven, leaseId, waiting } = controllers[name];
   if (budget.crashes > 0) {
     list.add(`${name} crashes`, true, (draft) => {
       draft.budget.crashes--;
@@ -101,7 +101,7 @@
   }
   if (!proven) {
     list.add(`${name} is served again`, false, (draft) => {
-      if (!liveGrants.includes(grant)) loseGrant(draft, name);
+      if (!liveGrants.includes(leaseId)) loseLease(draft, name);
       draft.controllers[name].proven = true;
     });
   }
@@ -114,20 +114,20 @@
 }
 
 /** The state service says that the grant has ended. */
-function loseGrant(draft: Draft<ModelState>, name: ControllerName): void {
+function loseLease(draft: Draft<ModelState>, name: ControllerName): void {
   const controller = draft.controllers[name];
-  controller.grant = draft.nextGrant++;
-  draft.liveGrants.push(controller.grant);
+  controller.leaseId = draft.nextLeaseId++;
+  draft.liveGrants.push(controller.leaseId);
   synchronise(draft, name);
 }
 
 /** A transaction is carried out; its sender hears of it if it still waits. */
 function addArrival(list: MoveEventList, index: number): void {
-  const { from, life, transaction } = list.state.pending[index];
+  const { from, incarnation, transaction } = list.state.pending[index];
   const sender = list.state.controllers[from];
   // Only the newest request of a sender can be the one that it waits for.
   const isNewest = !list.state.pending.slice(index + 1).some((each) => each.from === from);
-  const isAwaited = sender.life === life && sender.waiting !== null && isNewest;
+  const isAwaited = sender.incarnation === incarnation && sender.waiting !== null && isNewest;
   list.add(`transaction of ${from} arrives`, !isAwaited, (draft) => {
     draft.pending.splice(index, 1);
     const outcome = carryOut(draft, transaction);
@@ -136,27 +136,27 @@
 }
 
 /** The grant of an earlier life, or one that its controller does not count on, ends. */
-function addEndOfGrant(list: MoveEventList, grant: number): void {
+function addEndOfLease(list: MoveEventList, leaseId: number): void {
   const isTrusted = CONTROLLERS.some((name) => {
     const controller = list.state.controllers[name];
-    return controller.grant === grant && controller.proven;
+    return controller.leaseId === leaseId && controller.proven;
   });
-  if (!isTrusted) list.add(`grant ${grant} ends`, false, (draft) => endGrant(draft, grant));
+  if (!isTrusted) list.add(`grant ${leaseId} ends`, false, (draft) => endLease(draft, leaseId));
 }
 
 /** Controllers that act as the owner although the state service holds another one, or none. */
-export function falseOwners(state: ModelState, mistake: MoveMistake): ControllerName[] {
+export function falseLeaders(state: ModelState, mistake: MoveMistake): ControllerName[] {
   return CONTROLLERS.filter((name) => {
     const controller = state.controllers[name];
-    return actsAsOwner(controller, mistake) && state.part?.version !== controller.term;
+    return actsAsLeader(controller, mistake) && state.shard?.version !== controller.term;
   });
 }
 
 /** Somebody owns and decides, and no move is under way. */
 export function isAtRest({ controllers, move }: ModelState, mistake: MoveMistake): boolean {
-  const owners = CONTROLLERS.map((name) => controllers[name]);
-  const decides = owners.some(
-    (owner) => actsAsOwner(owner, mistake) && owner.source.phase === 'deciding',
+  const leaders = CONTROLLERS.map((name) => controllers[name]);
+  const decides = leaders.some(
+    (leader) => actsAsLeader(leader, mistake) && leader.source.phase === 'deciding',
   );
   return decides && move === null;
 }
--- a/packages/testing/models/shard-migration/explore.ts
+++ b/packages/testing/models/shard-migration/explore.ts
@@ -1,6 +1,6 @@
 import { explore } from '../exploration/explore.js';
 import { canonicalKey } from './canonical.js';
-import { eventsIn, falseOwners, isAtRest } from './events.js';
+import { eventsIn, falseLeaders, isAtRest } from './events.js';
 import type { MoveMistake } from './mistakes.js';
 import { firstState, type MoveBudget } from './state.js';
 
@@ -22,11 +22,11 @@
       start: firstState(budget),
       keyOf: canonicalKey,
       eventsIn: (state) => eventsIn(state, mistake),
-      breachIn: (state) => (falseOwners(state, mistake).length > 0 ? 'two owners' : null),
+      breachIn: (state) => (falseLeaders(state, mistake).length > 0 ? 'two owners' : null),
       isAtRest: (state) => isAtRest(state, mistake),
     },
-    ({ part }) => {
-      if (part?.leader === 'b') moved++;
+    ({ shard }) => {
+      if (shard?.leader === 'b') moved++;
     },
   );
   return { states, moved, twoOwners: breach?.way ?? null, stuck };
--- a/packages/testing/models/shard-migration/mistakes.ts
+++ b/packages/testing/models/shard-migration/mistakes.ts
@@ -1,6 +1,6 @@
 import { moveKey, type SourceState, successorPossibleSince, type Transaction } from '#shards';
 import { shardKey } from '#store';
-import { PART } from './state.js';
+import { SHARD } from './state.js';
 
 /** A deliberate mistake, each of which takes one guard of a move away. */
 export type MoveMistake =
@@ -30,13 +30,13 @@
     conditions: conditions.filter((condition) => condition.key !== key),
     changes,
   });
-  if (kind === 'target' && mistake === 'takes-without-record') return without(moveKey(PART));
-  if (kind === 'target' && mistake === 'takes-without-term') return without(shardKey(PART));
-  if (kind === 'source' && mistake === 'quiesces-without-record') return without(moveKey(PART));
+  if (kind === 'target' && mistake === 'takes-without-record') return without(moveKey(SHARD));
+  if (kind === 'target' && mistake === 'takes-without-term') return without(shardKey(SHARD));
+  if (kind === 'source' && mistake === 'quiesces-without-record') return without(moveKey(SHARD));
   return { conditions, changes };
 }
 
 /** Whether the owner, by its state in the move, takes its grant as proof that nobody else owns. */
-export function trustsGrant(state: SourceState, mistake: MoveMistake): boolean {
+export function trustsLease(state: SourceState, mistake: MoveMistake): boolean {
   return mistake === 'trusts-its-grant' || successorPossibleSince(state) === null;
 }
--- a/packages/testing/models/shard-migration/service.ts
+++ b/packages/testing/models/shard-migration/service.ts
@@ -2,12 +2,13 @@
 import type { Draft } from 'immer';
 import { decodeMove, moveKey, type Transaction, type TransactionOutcome } from '#shards';
 import { decodeLeader, shardKey } from '#store';
-import { type ModelState, PART } from './state.js';
+import { type ModelState, SHARD } from './state.js';
 
 /** Carries a transaction out, or says which of its conditions do not hold. */
 export function carryOut(state: Draft<ModelState>, transaction: Transaction): TransactionOutcome {
   const { conditions, changes } = transaction;
-  const version = (key: string) => (key === shardKey(PART) ? state.part : state.move)?.version ?? 0;
+  const version = (key: string) =>
+    (key === shardKey(SHARD) ? state.shard : state.move)?.version ?? 0;
   const keys = conditions
     .filter((each) => version(each.key) !== each.version)
     .map(({ key }) => key);
@@ -17,10 +18,10 @@
   if (changes.length > 0) state.revision++;
   for (const change of changes) {
     if ('delete' in change) {
-      if (change.delete === moveKey(PART)) state.move = null;
-    } else if (change.put === shardKey(PART)) {
-      state.part = { ...decodeLeader(change.value), version: state.revision };
-    } else if (change.put === moveKey(PART)) {
+      if (change.delete === moveKey(SHARD)) state.move = null;
+    } else if (change.put === shardKey(SHARD)) {
+      state.shard = { ...decodeLeader(change.value), version: state.revision };
+    } else if (change.put === moveKey(SHARD)) {
       state.move = { record: decodeMove(change.value), version: state.revision };
     }
   }
@@ -28,9 +29,9 @@
 }
 
 /** A grant ends, and the part's key with it if it hangs on it. */
-export function endGrant(state: Draft<ModelState>, grant: number): void {
-  state.liveGrants = state.liveGrants.filter((each) => each !== grant);
-  if (state.part?.leaseId !== grant) return;
-  state.part = null;
+export function endLease(state: Draft<ModelState>, leaseId: number): void {
+  state.liveGrants = state.liveGrants.filter((each) => each !== leaseId);
+  if (state.shard?.leaseId !== leaseId) return;
+  state.shard = null;
   state.revision++;
 }
--- a/packages/testing/models/shard-migration/state.ts
+++ b/packages/testing/models/shard-migration/state.ts
@@ -9,29 +9,29 @@
 } from '#shards';
 import type { LeaderRecord } from '#store';
 
-export const PART = 0;
+export const SHARD = 0;
 export const CONTROLLERS = ['a', 'b'] as const;
 export type ControllerName = (typeof CONTROLLERS)[number];
 
-export type StoredPart = LeaderRecord & { version: number };
+export type StoredShard = LeaderRecord & { version: number };
 
 /** A transaction that was sent and not carried out yet; it may be at any later time. */
 export interface PendingTransaction {
   from: ControllerName;
   /** The life of the controller that waits for the answer. */
-  life: number;
+  incarnation: number;
   transaction: Transaction;
 }
 
 /** One controller. */
 export interface ModelController {
-  life: number;
+  incarnation: number;
   /** Its grant; it changes with each life and when one has ended. */
-  grant: number;
+  leaseId: number;
   /** By its clock the grant is surely alive. */
   proven: boolean;
   /** What its watch has shown last. */
-  part: StoredPart | null;
+  shard: StoredShard | null;
   move: SeenMove | null;
   /** The term that it holds as far as it knows; 0 if none. */
   term: number;
@@ -52,10 +52,10 @@
 
 export interface ModelState {
   revision: number;
-  part: StoredPart | null;
+  shard: StoredShard | null;
   move: SeenMove | null;
   liveGrants: number[];
-  nextGrant: number;
+  nextLeaseId: number;
   controllers: Record<ControllerName, ModelController>;
   pending: PendingTransaction[];
   budget: MoveBudget;
@@ -63,12 +63,12 @@
 
 /** The first controller owns the part, and all are up. */
 export function firstState(budget: MoveBudget): ModelState {
-  const part = { leader: 'a', leaseId: 1, version: 1 };
-  const controller = (grant: number, term: number): ModelController => ({
-    life: 1,
-    grant,
+  const shard = { leader: 'a', leaseId: 1, version: 1 };
+  const controller = (leaseId: number, term: number): ModelController => ({
+    incarnation: 1,
+    leaseId,
     proven: true,
-    part,
+    shard,
     move: null,
     term,
     source: DECIDING,
@@ -78,10 +78,10 @@
   });
   return {
     revision: 1,
-    part,
+    shard,
     move: null,
     liveGrants: [1, 2],
-    nextGrant: 3,
+    nextLeaseId: 3,
     controllers: { a: controller(1, 1), b: controller(2, 0) },
     pending: [],
     budget,
--- a/packages/testing/recorder-world.ts
+++ b/packages/testing/recorder-world.ts
@@ -18,7 +18,7 @@
 import { aFleet } from './samples.js';
 import { StateWorld } from './state-world.js';
 
-const REPORT_S = 1;
+const HEARTBEAT_INTERVAL_S = 1;
 export const RECORDER_LIMITS: StateLimits = {
   rps: 150,
   writeRps: 50,
@@ -64,7 +64,7 @@
     fleet,
     jobs,
     term: { shard: 0, term, leaseId: 0, electedAt: 0 },
-    heartbeatIntervalS: REPORT_S,
+    heartbeatIntervalS: HEARTBEAT_INTERVAL_S,
     log: pino({ enabled: false }),
   });
   jobs.changed.subscribe(({ job, phase }) => {
--- a/packages/testing/simulation/cluster.ts
+++ b/packages/testing/simulation/cluster.ts
@@ -29,7 +29,7 @@
 import { SimulatedHost, type HostRole } from './host.js';
 import { SimulatedNetwork } from './network.js';
 import { MovePhases } from './move-phases.js';
-import { OwnershipHistory } from './leadership-history.js';
+import { LeadershipHistory } from './leadership-history.js';
 import { ReplicaMoments } from './replica-moments.js';
 import { RequestLog } from './request-log.js';
 import { ReplicaService } from './replica-service.js';
@@ -54,7 +54,7 @@
   readonly costs = new CostCounter();
   readonly balancer: LoadBalancer;
   readonly users: Users;
-  readonly ownership: OwnershipHistory;
+  readonly ownership: LeadershipHistory;
   readonly moves: MovePhases;
   readonly replicaMoments: ReplicaMoments;
   /** Requests to replicas of several members, and what members answer. */
@@ -89,7 +89,7 @@
     this.controllers = makeControllers(parts);
     this.balancer = this.makeBalancer();
     this.users = this.makeUsers();
-    this.ownership = new OwnershipHistory(this.world, (key) => this.state.store.get(key) ?? null);
+    this.ownership = new LeadershipHistory(this.world, (key) => this.state.store.get(key) ?? null);
     this.replicas = new ReplicaService(this);
     this.moves = new MovePhases(() => this.ownership.current()?.owner ?? null);
   }
--- a/packages/testing/simulation/connection.ts
+++ b/packages/testing/simulation/connection.ts
@@ -173,7 +173,7 @@
       return;
     }
     if (packet.kind === 'data') {
-      this.network.world.note(packet.bytes.length);
+      this.network.world.record(packet.bytes.length);
       sender.acknowledge(packet.bytes.length);
     }
     if (!this.closed) this.incarnation.deliver(() => this.take(packet));
--- a/packages/testing/simulation/costs.ts
+++ b/packages/testing/simulation/costs.ts
@@ -13,7 +13,7 @@
 /** What one controller did; counts since the start of its host. */
 export interface Costs {
   /** Requests that it answered. */
-  reports: number;
+  heartbeats: number;
   questions: number;
   probes: number;
   /** Requests to the state service, transactions and the changes in them among these. */
@@ -35,7 +35,7 @@
 export type CountedServer = 'stateRequests' | 'cloudRequests' | 'directCommands';
 
 const NOTHING: Costs = {
-  reports: 0,
+  heartbeats: 0,
   questions: 0,
   probes: 0,
   stateRequests: 0,
@@ -132,8 +132,8 @@
   return { connect, listen: (server, address) => network.listen(server, address) };
 }
 
-function answeredAs({ method, url }: IncomingMessage): 'reports' | 'probes' | 'questions' {
-  if (method === 'POST' && url === '/hello') return 'reports';
+function answeredAs({ method, url }: IncomingMessage): 'heartbeats' | 'probes' | 'questions' {
+  if (method === 'POST' && url === '/hello') return 'heartbeats';
   return url === '/healthz' ? 'probes' : 'questions';
 }
 
--- a/packages/testing/simulation/fault-injector.ts
+++ b/packages/testing/simulation/fault-injector.ts
@@ -60,17 +60,17 @@
 
   private awaitMoment(fault: Fault, begin: () => void): void {
     const { afterTakeoverS, atMovePhase, atReplicaPhase } = fault;
-    const { world, ownership, moves, replicaMoments } = this.cluster;
+    const { world, ownership: leadership, moves, replicaMoments } = this.cluster;
     if (atReplicaPhase !== undefined) replicaMoments.onNext(atReplicaPhase, begin);
     else if (atMovePhase !== undefined) moves.onNext(atMovePhase, begin);
     else if (afterTakeoverS === undefined) begin();
-    else ownership.onNextChange(() => world.schedule(afterTakeoverS, begin));
+    else leadership.onNextChange(() => world.schedule(afterTakeoverS, begin));
   }
 
   private begin(fault: Fault): void {
-    const { world, ownership } = this.cluster;
-    const leader = ownership.current();
-    const roles = { owner: leader?.owner ?? null, moves: this.cluster.moves };
+    const { world, ownership: leadership } = this.cluster;
+    const leader = leadership.current();
+    const roles = { leaderName: leader?.owner ?? null, moves: this.cluster.moves };
     const effect = this.beginByKind(fault, roles);
     this.journal.begun(fault, effect, leader, world.now);
     const { end } = effect;
--- a/packages/testing/simulation/fault-journal.ts
+++ b/packages/testing/simulation/fault-journal.ts
@@ -1,5 +1,5 @@
 import type { FaultEffect } from './faults/effect.js';
-import type { OwnershipChange } from './leadership-history.js';
+import type { LeadershipChange } from './leadership-history.js';
 import type { Fault } from './scenario.js';
 
 /** A fault that began, and what it met. */
@@ -9,7 +9,7 @@
   /** Equal to `fromS` for a fault of a single moment. */
   untilS: number;
   /** Who held the part when it began. */
-  leader: OwnershipChange | null;
+  leader: LeadershipChange | null;
   controllers: string[];
   machines: string[];
   jobs: string[];
@@ -21,7 +21,7 @@
   begun(
     fault: Fault,
     { controllers, machines, jobs }: FaultEffect,
-    leader: OwnershipChange | null,
+    leader: LeadershipChange | null,
     nowS: number,
   ): void {
     const untilS = 'forS' in fault ? nowS + fault.forS : nowS;
--- a/packages/testing/simulation/faults/message-faults.ts
+++ b/packages/testing/simulation/faults/message-faults.ts
@@ -3,7 +3,7 @@
 import { effect, type FaultEffect } from './effect.js';
 
 /** When copies of reports and held direct commands arrive, in seconds, unless told otherwise. */
-const LATE_REPORT_S: [number, number] = [2, 30];
+const LATE_HEARTBEAT_S: [number, number] = [2, 30];
 const LATE_COMMAND_S: [number, number] = [2, 16];
 
 /** Messages between workers and controllers that arrive late. */
@@ -13,7 +13,7 @@
     machines.lateCommands.begin({ share, delayS: fault.delayS ?? LATE_COMMAND_S });
     return effect({ end: () => machines.lateCommands.end() });
   }
-  if (fault.forNextLeader) machines.lateReports.begin({ share, forNextLeader: true });
-  else machines.lateReports.begin({ share, delayS: fault.delayS ?? LATE_REPORT_S });
-  return effect({ end: () => machines.lateReports.end() });
+  if (fault.forNextLeader) machines.lateHeartbeats.begin({ share, forNextLeader: true });
+  else machines.lateHeartbeats.begin({ share, delayS: fault.delayS ?? LATE_HEARTBEAT_S });
+  return effect({ end: () => machines.lateHeartbeats.end() });
 }
--- a/packages/testing/simulation/faults/operator-requests.ts
+++ b/packages/testing/simulation/faults/operator-requests.ts
@@ -7,7 +7,7 @@
 import type { World } from '../world.js';
 import { effect, type FaultEffect } from './effect.js';
 
-const PART = 0;
+const SHARD = 0;
 
 export interface OperatorContext {
   world: World;
@@ -39,10 +39,10 @@
 /** Asks for a move as the command line does: if there is an owner, and no move is under way. */
 function requestMove({ state, moves }: OperatorContext, to: string): void {
   const { store } = state;
-  const part = store.get(shardKey(PART));
-  if (!part || store.get(moveKey(PART)) || decodeLeader(part.value).leader === to) return;
-  const value: MoveRecord = { fromTerm: part.version, to, reason: 'a test', phase: 'requested' };
-  const changes = [{ put: moveKey(PART), value }];
+  const shard = store.get(shardKey(SHARD));
+  if (!shard || store.get(moveKey(SHARD)) || decodeLeader(shard.value).leader === to) return;
+  const value: MoveRecord = { fromTerm: shard.version, to, reason: 'a test', phase: 'requested' };
+  const changes = [{ put: moveKey(SHARD), value }];
   store.apply(changes);
   const sent = { clientHost: 'operator', answered: true, heldS: 0 };
   moves.observe({ kind: 'transaction', changes, applied: true, ...sent });
--- a/packages/testing/simulation/faults/targets.ts
+++ b/packages/testing/simulation/faults/targets.ts
@@ -6,7 +6,7 @@
 /** Who has which part in what goes on at a moment. */
 export interface Roles {
   /** The part's owner; null if there is none. */
-  owner: string | null;
+  leaderName: string | null;
   moves: Pick<MovePhases, 'source' | 'target'>;
 }
 
@@ -14,9 +14,9 @@
 export function targetControllers(
   controllers: SimulatedController[],
   target: ControllerTarget,
-  { owner, moves }: Roles,
+  { leaderName, moves }: Roles,
 ): SimulatedController[] {
-  const leader = controllers.find((c) => c.name === owner) ?? controllers[0];
+  const leader = controllers.find((c) => c.name === leaderName) ?? controllers[0];
   const followers = controllers.filter((c) => c !== leader);
   if (Array.isArray(target)) return target.map((index) => controllers[index]);
   switch (target) {
--- a/packages/testing/simulation/leadership-history.ts
+++ b/packages/testing/simulation/leadership-history.ts
@@ -4,7 +4,7 @@
 const SAMPLE_S = 0.05;
 
 /** Who held the part, from when on; null if nobody. */
-export interface OwnershipChange {
+export interface LeadershipChange {
   atS: number;
   /** Name of the controller. */
   owner: string;
@@ -16,9 +16,9 @@
 export type KeyReader = (key: string) => { value: unknown; version: number } | null;
 
 /** Follows the part's key in the state service. */
-export class OwnershipHistory {
-  readonly changes: OwnershipChange[] = [];
-  private holder: OwnershipChange | null = null;
+export class LeadershipHistory {
+  readonly changes: LeadershipChange[] = [];
+  private leader: LeadershipChange | null = null;
   private readonly waiting: (() => void)[] = [];
 
   constructor(
@@ -29,9 +29,9 @@
   }
 
   /** The holder of the part now, by the state service's word. */
-  current(): OwnershipChange | null {
+  current(): LeadershipChange | null {
     this.look();
-    return this.holder;
+    return this.leader;
   }
 
   /** Calls back once somebody has claimed the part anew. */
@@ -48,13 +48,13 @@
   private look(): void {
     const entry = this.read(shardKey(0));
     if (entry === null) {
-      this.holder = null;
+      this.leader = null;
       return;
     }
-    if (entry.version === this.holder?.term) return;
-    const { leader: owner } = decodeLeader(entry.value);
-    this.holder = { atS: this.world.now, owner, term: entry.version };
-    this.changes.push(this.holder);
+    if (entry.version === this.leader?.term) return;
+    const { leader: leader } = decodeLeader(entry.value);
+    this.leader = { atS: this.world.now, owner: leader, term: entry.version };
+    this.changes.push(this.leader);
     for (const callback of this.waiting.splice(0)) callback();
   }
 }
--- a/packages/testing/simulation/machines.ts
+++ b/packages/testing/simulation/machines.ts
@@ -1,12 +1,12 @@
 import {
   Fleet,
   GangNetwork,
-  LateReports,
+  LateHeartbeats,
   ReplyLoss,
   type JobStorage,
   type MachineHost,
   type Observer,
-  type RentedMachine,
+  type ProvisionedMachine,
   type Worker,
   type WorkerSurroundings,
 } from '../stand-ins/index.js';
@@ -44,12 +44,12 @@
 /** Gives each machine that the cloud has up a host of its own, on which its worker runs. */
 export class Machines {
   readonly fleet: Fleet;
-  readonly lateReports: LateReports;
+  readonly lateHeartbeats: LateHeartbeats;
   readonly lateCommands: ReplyLoss;
   private readonly hosts = new Map<string, SimulatedHost>();
 
   constructor(private readonly options: MachinesOptions) {
-    this.lateReports = new LateReports(options.runtime);
+    this.lateHeartbeats = new LateHeartbeats(options.runtime);
     this.lateCommands = new ReplyLoss(options.runtime);
     this.fleet = new Fleet({
       surroundings: this.surroundings(),
@@ -74,7 +74,7 @@
     return { name, zone, spot, host: this.hosts.get(name)!, worker };
   }
 
-  private hostFor({ name, zone, address }: RentedMachine): MachineHost {
+  private hostFor({ name, zone, address }: ProvisionedMachine): MachineHost {
     const { world, network, cluster, costs } = this.options;
     const host = network.addHost(new SimulatedHost(name, 'worker', address.host, zone));
     this.hosts.set(name, host);
@@ -93,7 +93,7 @@
     const { workers } = cluster.deployment;
     return {
       times: {
-        reportS: workers.report_s,
+        heartbeatIntervalS: workers.report_s,
         leaseS: workers.lease_s,
         gangWaitS: workers.gang_wait_s,
         gangPeerS: workers.gang_peer_s,
@@ -102,7 +102,7 @@
       storage,
       gangs: new GangNetwork(runtime),
       observer,
-      lateReports: this.lateReports,
+      lateHeartbeats: this.lateHeartbeats,
       lateCommands: this.lateCommands,
     };
   }
--- a/packages/testing/simulation/move-phases.ts
+++ b/packages/testing/simulation/move-phases.ts
@@ -6,7 +6,7 @@
 /** How far a move has come, as its record says; `switched`: the target owns the part. */
 export type MovePhase = MoveRecord['phase'] | 'switched';
 
-const PART = 0;
+const SHARD = 0;
 
 /** Follows the moves of the part by the transactions that the state service carries out. */
 export class MovePhases {
@@ -23,7 +23,7 @@
   private waiting: { phase: MovePhase; callback: () => void }[] = [];
 
   /** `ownerNow` tells who holds the part now. */
-  constructor(private readonly ownerNow: () => string | null) {}
+  constructor(private readonly leaderNow: () => string | null) {}
 
   observe(event: WorldEvent): void {
     if (event.kind !== 'transaction' || !event.applied) return;
@@ -37,14 +37,14 @@
 
   private take(change: Change, together: Change[]): void {
     if ('delete' in change) return;
-    if (change.put === moveKey(PART)) {
+    if (change.put === moveKey(SHARD)) {
       const { phase, to } = change.value as MoveRecord;
-      this.source = this.ownerNow();
+      this.source = this.leaderNow();
       this.target = to;
       this.reached(phase);
     }
-    const endsMove = together.some((each) => 'delete' in each && each.delete === moveKey(PART));
-    if (change.put !== shardKey(PART) || !endsMove) return;
+    const endsMove = together.some((each) => 'delete' in each && each.delete === moveKey(SHARD));
+    if (change.put !== shardKey(SHARD) || !endsMove) return;
     this.target = decodeLeader(change.value).leader;
     this.reached('switched');
   }
--- a/packages/testing/simulation/request-log.ts
+++ b/packages/testing/simulation/request-log.ts
@@ -26,8 +26,8 @@
 };
 
 /** What workers post their reports to. */
-export const REPORT_PATH = /^\/hello$/;
-export const ABORT_PATH = /^\/submissions\/[^/]+\/abort$/;
+export const HEARTBEAT_PATH = /^\/hello$/;
+export const CANCEL_PATH = /^\/submissions\/[^/]+\/abort$/;
 
 export class RequestLog {
   private readonly answered: AnsweredRequest[] = [];
--- a/packages/testing/simulation/run-scenario.ts
+++ b/packages/testing/simulation/run-scenario.ts
@@ -6,7 +6,7 @@
 import { FaultInjector } from './fault-injector.js';
 import type { FaultJournal } from './fault-journal.js';
 import type { MovePhases } from './move-phases.js';
-import type { OwnershipChange } from './leadership-history.js';
+import type { LeadershipChange } from './leadership-history.js';
 import type { ReplicaMoments } from './replica-moments.js';
 import type { ReplicaService } from './replica-service.js';
 import type { RequestLog } from './request-log.js';
@@ -24,7 +24,7 @@
   counts: RunCounts;
   faults: FaultJournal;
   /** Who led from when on. */
-  leaders: OwnershipChange[];
+  leaders: LeadershipChange[];
   /** How far moves of the part came. */
   moves: MovePhases;
   /** How far replica groups came, and what was asked of them. */
@@ -48,7 +48,7 @@
   make?: ControllerMaker,
 ): Promise<ScenarioResult> {
   const cluster = new Cluster(scenario.cluster, seed, make);
-  const { world, checker, timeline, controllers, ownership } = cluster;
+  const { world, checker, timeline, controllers, ownership: leadership } = cluster;
   const injector = new FaultInjector(cluster);
   const stopWatching = collectRejections(world);
   try {
@@ -66,7 +66,7 @@
     uncaught: world.uncaught,
     counts: countRun(timeline),
     faults: injector.journal,
-    leaders: ownership.changes,
+    leaders: leadership.changes,
     moves: cluster.moves,
     replicaMoments: cluster.replicaMoments,
     replicas: cluster.replicas,
@@ -100,9 +100,9 @@
 
 /** Takes rejections that nobody handles as errors of the run. */
 function collectRejections(world: World): () => void {
-  const note = (error: unknown) => {
+  const record = (error: unknown) => {
     world.uncaught.push({ atS: world.now, where: 'a promise', error });
   };
-  process.on('unhandledRejection', note);
-  return () => process.off('unhandledRejection', note);
+  process.on('unhandledRejection', record);
+  return () => process.off('unhandledRejection', record);
 }
--- a/packages/testing/simulation/world.ts
+++ b/packages/testing/simulation/world.ts
@@ -43,7 +43,7 @@
   }
 
   /** Adds a number to the digest of the run. */
-  note(value: number): void {
+  record(value: number): void {
     this.hash.number(value);
   }
 
--- a/packages/testing/stand-ins/balancer/backend.ts
+++ b/packages/testing/stand-ins/balancer/backend.ts
@@ -34,7 +34,7 @@
   async run(): Promise<void> {
     while (!this.stopped) {
       const startedAt = this.runtime.clock.now();
-      this.noteProbe(await this.probe());
+      this.recordProbe(await this.probe());
       const leftS = startedAt + PROBE_PERIOD_S - this.runtime.clock.now();
       await sleep(this.runtime.clock, Math.max(0, leftS) * 1000);
     }
@@ -49,7 +49,7 @@
   /** An open connection to the node, or null if it refuses or does not accept in time. */
   async connect(): Promise<Duplex | null> {
     const connection = await this.open();
-    this.health.noteConnection(connection !== null);
+    this.health.recordConnection(connection !== null);
     if (connection === null) return null;
     this.connections.add(connection);
     connection.once('close', () => this.connections.delete(connection));
@@ -84,9 +84,9 @@
     }
   }
 
-  private noteProbe(success: boolean): void {
+  private recordProbe(success: boolean): void {
     const wasHealthy = this.health.isHealthy;
-    this.health.noteProbe(success);
+    this.health.recordProbe(success);
     if (!wasHealthy || this.health.isHealthy) return;
     const resetIfStillUnhealthy = () => {
       if (!this.health.isHealthy) this.reset();
--- a/packages/testing/stand-ins/balancer/balancer.test.ts
+++ b/packages/testing/stand-ins/balancer/balancer.test.ts
@@ -24,7 +24,7 @@
     const health = new NodeHealth(clock);
     const seen = [...probes].map((probe) => {
       now += 1;
-      health.noteProbe(probe === '1');
+      health.recordProbe(probe === '1');
       return health.isHealthy ? '1' : '0';
     });
     assert.equal(seen.join(''), expected);
--- a/packages/testing/stand-ins/balancer/node-health.ts
+++ b/packages/testing/stand-ins/balancer/node-health.ts
@@ -42,7 +42,7 @@
   }
 
   /** Takes in the outcome of a probe. */
-  noteProbe(success: boolean): void {
+  recordProbe(success: boolean): void {
     this.recent.push(success);
     if (this.recent.length > PROBES_REMEMBERED) this.recent.shift();
     if (this.healthy && this.failsNow()) this.remove();
@@ -50,7 +50,7 @@
   }
 
   /** Takes in whether the node accepted a connection. */
-  noteConnection(accepted: boolean): void {
+  recordConnection(accepted: boolean): void {
     this.failedConnections = accepted ? 0 : this.failedConnections + 1;
     if (this.failedConnections < FAILED_CONNECTIONS) return;
     this.failedConnections = 0;
--- a/packages/testing/stand-ins/checker/answer-checks.ts
+++ b/packages/testing/stand-ins/checker/answer-checks.ts
@@ -18,8 +18,9 @@
     if (event.kind !== 'answered') return;
     const record = this.context.ledger.get(event.request.job);
     if (event.status >= 300) this.checkRefusal(event, record);
-    else if (!record) this.report('invented', event, `nobody submitted it, and it is called known`);
-    else if (!record.runnable) this.report('accepted_unfit', event, 'it must be refused');
+    else if (!record)
+      this.heartbeat('invented', event, `nobody submitted it, and it is called known`);
+    else if (!record.runnable) this.heartbeat('accepted_unfit', event, 'it must be refused');
     else this.checkPhase(event, record);
   }
 
@@ -30,11 +31,11 @@
     const knownAt = record?.acceptedAt ?? Infinity;
     if (knownAt > this.context.ledger.sent(request)) {
       const isWrong = isFinal && record?.runnable && this.areAwaitedKnown(record, request);
-      if (isWrong) this.report('refused_fit', answer, 'it can run');
+      if (isWrong) this.heartbeat('refused_fit', answer, 'it can run');
       return;
     }
     if (status === 404 || isFinal) {
-      this.report('forgotten', answer, `accepted at ${knownAt.toFixed(3)} s`);
+      this.heartbeat('forgotten', answer, `accepted at ${knownAt.toFixed(3)} s`);
     }
   }
 
@@ -49,14 +50,14 @@
     const { phase } = answer;
     if (phase === 'done') this.checkDone(answer, record);
     if (phase === 'aborted' && !this.wasCancelled(record)) {
-      this.report('went_back', answer, 'its user did not cancel it');
+      this.heartbeat('went_back', answer, 'its user did not cancel it');
     }
     const { final } = record;
     if (final === null || phase === final.phase) return;
     const contradicts = phase === 'done' || phase === 'aborted';
     if (contradicts || final.toldAt <= this.context.ledger.sent(answer.request)) {
       const before = `${final.phase} at ${final.toldAt.toFixed(3)} s`;
-      this.report('went_back', answer, `it was called ${before}`);
+      this.heartbeat('went_back', answer, `it was called ${before}`);
     }
   }
 
@@ -69,13 +70,13 @@
   private checkDone(answer: Answer, { job }: JobRecord): void {
     const completed = this.context.state.completedTasks(job.id).size;
     if (job.kind !== 'service' && completed >= job.tasks) return;
-    this.report('not_done', answer, `${completed} of ${job.tasks} tasks have completed`);
+    this.heartbeat('not_done', answer, `${completed} of ${job.tasks} tasks have completed`);
   }
 
-  private report(rule: Rule, { request, status, phase }: Answer, reason: string): void {
+  private heartbeat(rule: Rule, { request, status, phase }: Answer, reason: string): void {
     const sentAt = this.context.ledger.sent(request).toFixed(3);
     const answer = phase === null ? `${status}` : `${status} ${phase}`;
     const explanation = `${request.kind} sent at ${sentAt} s is answered ${answer}: ${reason}`;
-    this.context.report({ rule, job: request.job, explanation });
+    this.context.heartbeat({ rule, job: request.job, explanation });
   }
 }
--- a/packages/testing/stand-ins/checker/cancel-checks.ts
+++ b/packages/testing/stand-ins/checker/cancel-checks.ts
@@ -25,7 +25,7 @@
     const confirmedAt = this.confirmed.get(task.job);
     if (confirmedAt === undefined) return;
     const agoS = this.context.now() - confirmedAt;
-    this.context.report({
+    this.context.heartbeat({
       rule: agoS > this.context.settings.cancelS ? 'ran_cancelled' : 'started_after_cancel',
       job: task.job,
       task,
@@ -36,7 +36,7 @@
 
   private checkGone(job: string): void {
     for (const { machine, task } of this.context.state.started(job)) {
-      this.context.report({
+      this.context.heartbeat({
         rule: 'ran_cancelled',
         job,
         task,
--- a/packages/testing/stand-ins/checker/check.ts
+++ b/packages/testing/stand-ins/checker/check.ts
@@ -26,7 +26,7 @@
   now(): number;
   /** When all troubles were over; null: they are not. */
   calmSince(): number | null;
-  report(finding: Finding): void;
+  heartbeat(finding: Finding): void;
 }
 
 /** One rule, or several that look at the same events. */
--- a/packages/testing/stand-ins/checker/dependency-checks.ts
+++ b/packages/testing/stand-ins/checker/dependency-checks.ts
@@ -18,7 +18,7 @@
     for (const { job } of this.context.ledger.neededBy(task.job)) {
       const completed = this.context.state.completedTasks(job.id).size;
       if (completed >= job.tasks) continue;
-      this.context.report({
+      this.context.heartbeat({
         rule: 'too_early',
         job: task.job,
         task,
@@ -34,7 +34,7 @@
       if (final?.phase !== 'aborted' || now() - final.toldAt <= settings.cancelS) continue;
       const agoS = (now() - final.toldAt).toFixed(1);
       const explanation = `called ${phase} ${agoS} s after ${needed.id}, which it needs, was cancelled`;
-      this.context.report({ rule: 'orphaned', job, explanation });
+      this.context.heartbeat({ rule: 'orphaned', job, explanation });
     }
   }
 }
--- a/packages/testing/stand-ins/checker/job-ledger.ts
+++ b/packages/testing/stand-ins/checker/job-ledger.ts
@@ -41,7 +41,7 @@
   }
 
   /** Takes in what users do, before any check looks at it. */
-  noteRequest(event: WorldEvent): void {
+  recordRequest(event: WorldEvent): void {
     if (event.kind === 'asked') this.sentAt.set(event.request, this.now());
     else if (event.kind === 'job-submitted') {
       const { job, runnable } = event;
@@ -54,7 +54,7 @@
   }
 
   /** Takes in what users were told, after all checks have compared it with what was known. */
-  noteAnswer(event: WorldEvent): void {
+  recordAnswer(event: WorldEvent): void {
     if (event.kind !== 'answered' && event.kind !== 'unanswered') return;
     this.sentAt.delete(event.request);
     const record = this.records.get(event.request.job);
--- a/packages/testing/stand-ins/checker/rule-checker.ts
+++ b/packages/testing/stand-ins/checker/rule-checker.ts
@@ -41,7 +41,7 @@
       ledger: this.ledger,
       now,
       calmSince: () => this.calmSince,
-      report: (finding) => this.log.add(finding),
+      heartbeat: (finding) => this.log.add(finding),
     };
     this.checks = [
       new StartChecks(context),
@@ -85,9 +85,9 @@
   private take(event: WorldEvent): void {
     if (event.kind === 'task-started') this.anyStart = true;
     this.state.apply(event);
-    this.ledger.noteRequest(event);
+    this.ledger.recordRequest(event);
     for (const check of this.checks) check.onEvent?.(event);
-    this.ledger.noteAnswer(event);
+    this.ledger.recordAnswer(event);
   }
 
   private tick(): void {
--- a/packages/testing/stand-ins/checker/silence-check.ts
+++ b/packages/testing/stand-ins/checker/silence-check.ts
@@ -42,7 +42,7 @@
     const amongAnswers = now - since >= SILENCE_AMONG_ANSWERS_S && this.mostAreAnswered();
     if (!inCalm && !amongAnswers) return;
     const explanation = `no question was answered since ${since.toFixed(3)} s`;
-    this.context.report({ rule: 'forgotten', job, explanation });
+    this.context.heartbeat({ rule: 'forgotten', job, explanation });
   }
 
   private mostAreAnswered(): boolean {
--- a/packages/testing/stand-ins/checker/start-checks.ts
+++ b/packages/testing/stand-ins/checker/start-checks.ts
@@ -23,7 +23,7 @@
       .filter((place) => place.task.index === task.index && place.machine !== machine)
       .map((place) => place.machine);
     if (others.length === 0) return;
-    this.context.report({
+    this.context.heartbeat({
       rule: 'ran_twice',
       job: task.job,
       task,
@@ -37,7 +37,7 @@
     const reason = this.misplacement(machine, job);
     if (reason === null) return;
     const explanation = `${reason} (type ${facts.type.name}, zone ${facts.zone}, spot ${facts.spot})`;
-    this.context.report({
+    this.context.heartbeat({
       rule: 'wrong_place',
       job: job.id,
       task,
@@ -64,7 +64,7 @@
     if (!limit) return;
     const used = teamUse(this.startedOfTeam(job.team));
     if (!exceedsLimit(used, limit)) return;
-    this.context.report({
+    this.context.heartbeat({
       rule: 'quota',
       job: job.id,
       task,
--- a/packages/testing/stand-ins/checker/waiting-check.ts
+++ b/packages/testing/stand-ins/checker/waiting-check.ts
@@ -30,7 +30,8 @@
       .map((machine) => this.spaceOn(machine));
     for (const record of this.context.ledger.all()) {
       const { id } = record.job;
-      if (!this.isWaiting(record) || !this.hasRoom(record.job, spaces)) this.roomSince.delete(id);
+      if (!this.isWaiting(record) || !this.hasCapacity(record.job, spaces))
+        this.roomSince.delete(id);
       else this.checkWait(id);
     }
   }
@@ -41,7 +42,7 @@
     this.roomSince.set(job, since);
     if (now - since < LONGEST_WAIT_S) return;
     const explanation = `none of its tasks has a machine, and there is room since ${since.toFixed(1)} s`;
-    this.context.report({ rule: 'unserved', job, explanation });
+    this.context.heartbeat({ rule: 'unserved', job, explanation });
   }
 
   private isWaiting({ job, runnable, acceptedAt, cancelAskedAt, final }: JobRecord): boolean {
@@ -57,7 +58,7 @@
   }
 
   /** There is room, in the team's limit and on sound machines, for what has to start together. */
-  private hasRoom(job: Job, spaces: Space[]): boolean {
+  private hasCapacity(job: Job, spaces: Space[]): boolean {
     const needed = job.kind === 'gang' ? job.tasks : 1;
     const limit = this.context.settings.teams.find(({ name }) => name === job.team);
     const used = teamUse([...this.assignedOfTeam(job.team), { job, tasks: needed }]);
--- a/packages/testing/stand-ins/cloud/capacity.ts
+++ b/packages/testing/stand-ins/cloud/capacity.ts
@@ -22,8 +22,8 @@
   }
 
   /** Machines of that kind that may still be rented, given those that are. */
-  left(wanted: MachineKind, rented: Iterable<MachineKind>): number {
-    const held = [...rented];
+  left(wanted: MachineKind, provisioned: Iterable<MachineKind>): number {
+    const held = [...provisioned];
     const lefts = this.limits
       .filter((limit) => matches(limit, wanted))
       .map((limit) => limit.machines - held.filter((machine) => matches(limit, machine)).length);
--- a/packages/testing/stand-ins/cloud/cloud-service.test.ts
+++ b/packages/testing/stand-ins/cloud/cloud-service.test.ts
@@ -28,25 +28,25 @@
     `${SERVICE.host}:${SERVICE.port}`,
     3000,
   );
-  const rent = (request: string, count: number, spot = false) =>
+  const provision = (request: string, count: number, spot = false) =>
     world.finish(client.provision(request, { type: 'std', zone: 'a', spot, count }));
   const list = async () => (await world.finish(client.list(null))).machines;
-  return { world, cloud, client, told, rent, list };
+  return { world, cloud, client, told, rent: provision, list };
 }
 
-function rented(outcome: ProvisionOutcome): string[] {
+function provisioned(outcome: ProvisionOutcome): string[] {
   assert.ok(typeof outcome === 'object');
   return outcome.machines;
 }
 
 test('a rental is filled as far as there is room, and its repeat rents nothing', async () => {
-  const { rent } = await aCloud([{ zone: 'a', spot: false, machines: 3 }]);
-  const first = rented(await rent('r-1', 2));
+  const { rent: provision } = await aCloud([{ zone: 'a', spot: false, machines: 3 }]);
+  const first = provisioned(await provision('r-1', 2));
   assert.deepEqual(first, ['n-000001', 'n-000002']);
-  assert.deepEqual(rented(await rent('r-1', 2)), first);
-  assert.equal(rented(await rent('r-2', 5)).length, 1);
-  assert.equal(await rent('r-3', 1), 'no-capacity');
-  assert.equal(rented(await rent('r-3', 1, true)).length, 1);
+  assert.deepEqual(provisioned(await provision('r-1', 2)), first);
+  assert.equal(provisioned(await provision('r-2', 5)).length, 1);
+  assert.equal(await provision('r-3', 1), 'no-capacity');
+  assert.equal(provisioned(await provision('r-3', 1, true)).length, 1);
 });
 
 test('prices of spot machines move by up to a third, others do not', async () => {
@@ -60,28 +60,28 @@
 });
 
 test('machines boot by their profile, and some never', async () => {
-  const { world, cloud, told, rent, client } = await aCloud();
+  const { world, cloud, told, rent: provision, client } = await aCloud();
   cloud.setBootProfile(QUICK_BOOTS);
-  const [quick] = rented(await rent('r-1', 1));
+  const [quick] = provisioned(await provision('r-1', 1));
   await world.run(2.1);
   assert.deepEqual(told.splice(0), [`on ${quick}`]);
   cloud.setBootProfile({ ...USUAL_BOOTS, neverShare: 0, slowShare: 0 });
-  const [usual] = rented(await rent('r-2', 1));
+  const [usual] = provisioned(await provision('r-2', 1));
   await world.run(STD.bootS * 0.59);
   assert.deepEqual(told, []);
   await world.run(STD.bootS);
   assert.deepEqual(told.splice(0), [`on ${usual}`]);
   cloud.setBootProfile({ ...USUAL_BOOTS, neverShare: 1 });
-  const never = rented(await rent('r-3', 1));
+  const never = provisioned(await provision('r-3', 1));
   await world.run(3600);
   await world.finish(client.release([...never, 'unknown', quick]));
   assert.deepEqual(told, [`off ${quick}`]);
 });
 
 test('the list lags, and shows a machine until it is gone', async () => {
-  const { world, cloud, rent, list, client } = await aCloud();
+  const { world, cloud, rent: provision, list, client } = await aCloud();
   cloud.setBootProfile(QUICK_BOOTS);
-  const [name] = rented(await rent('r-1', 1));
+  const [name] = provisioned(await provision('r-1', 1));
   await world.run(LAG_S - 0.5);
   assert.deepEqual(await list(), []);
   let known: ListedMachine | undefined;
@@ -99,9 +99,9 @@
 });
 
 test('a dead machine is listed as running for a while, then as failed until deleted', async () => {
-  const { world, cloud, told, rent, list } = await aCloud();
+  const { world, cloud, told, rent: provision, list } = await aCloud();
   cloud.setBootProfile(QUICK_BOOTS);
-  const [name] = rented(await rent('r-1', 1));
+  const [name] = provisioned(await provision('r-1', 1));
   await world.run(15);
   cloud.kill(name);
   assert.equal(told.at(-1), `off ${name}`);
@@ -112,9 +112,9 @@
 });
 
 test('spot machines are taken back after a notice, or without one', async () => {
-  const { world, cloud, told, rent } = await aCloud();
+  const { world, cloud, told, rent: provision } = await aCloud();
   cloud.setBootProfile(QUICK_BOOTS);
-  const [noticed, taken] = rented(await rent('r-1', 2, true));
+  const [noticed, taken] = provisioned(await provision('r-1', 2, true));
   await world.run(3);
   told.length = 0;
   cloud.takeBack(noticed, 20);
@@ -127,9 +127,9 @@
 });
 
 test('outages, too many requests and late rentals', async () => {
-  const { world, cloud, rent, list, client } = await aCloud();
+  const { world, cloud, rent: provision, list, client } = await aCloud();
   cloud.beginOutage();
-  assert.equal(await rent('r-1', 1), 'trouble');
+  assert.equal(await provision('r-1', 1), 'trouble');
   cloud.endOutage();
   const lists = Array.from({ length: 45 }, () => client.list(null));
   const refused = (await world.finish(Promise.allSettled(lists))).filter(
@@ -138,7 +138,7 @@
   assert.ok(refused.length >= 1 && refused.length <= 5);
   await world.run(2);
   cloud.beginLateRequests(1);
-  await assert.rejects(rent('r-2', 1));
+  await assert.rejects(provision('r-2', 1));
   await world.run(12 + 2 * LAG_S);
   assert.equal((await list()).length, 1);
 });
