--- a/packages/testing/stand-ins/cloud/cloud-service.ts
+++ b/packages/testing/stand-ins/cloud/cloud-service.ts
@@ -9,7 +9,7 @@
 import type { CapacityLimit } from './capacity.js';
 import { MachineList } from './machine-list.js';
 import { MachinePark } from './machine-park.js';
-import { isRunning, type MachineHosting, type RentedMachine } from './rented-machine.js';
+import { isRunning, type MachineHosting, type ProvisionedMachine } from './provisioned-machine.js';
 import { SpotPrices } from './spot-prices.js';
 
 export interface CloudOptions {
@@ -58,7 +58,7 @@
   }
 
   /** Machines that are up now, for faults to choose from. */
-  running(): RentedMachine[] {
+  running(): ProvisionedMachine[] {
     return this.park.all().filter(isRunning);
   }
 
@@ -125,7 +125,7 @@
       case 'catalog':
         return serving.catalogReply(this.options.types.map((type) => this.prices.current(type)));
       case 'rent':
-        return this.rent(request);
+        return this.provision(request);
       case 'release':
         return this.release(request.machines);
       case 'list': {
@@ -135,13 +135,13 @@
     }
   }
 
-  private rent(request: serving.RawProvisionRequest): serving.WireReply {
+  private provision(request: serving.RawProvisionRequest): serving.WireReply {
     const known = this.rentals.get(request.request);
     if (known) return serving.provisionReply(known);
     const type = this.options.types.find(({ name }) => name === request.type);
     if (!type?.zones.includes(request.zone)) throw new MalformedBody('no such type or zone');
     const { zone, spot, count } = request;
-    const names = this.park.rent({ type, zone, spot, count }).map((machine) => machine.name);
+    const names = this.park.provision({ type, zone, spot, count }).map((machine) => machine.name);
     if (names.length > 0) this.rentals.set(request.request, names);
     return serving.provisionReply(names);
   }
--- a/packages/testing/stand-ins/cloud/index.ts
+++ b/packages/testing/stand-ins/cloud/index.ts
@@ -1,4 +1,4 @@
 export * from './boot-times.js';
 export type { CapacityLimit } from './capacity.js';
 export * from './cloud-service.js';
-export * from './rented-machine.js';
+export * from './provisioned-machine.js';
--- a/packages/testing/stand-ins/cloud/machine-list.ts
+++ b/packages/testing/stand-ins/cloud/machine-list.ts
@@ -1,5 +1,5 @@
 import type { ListedMachine, Runtime } from '#wire';
-import type { RentedMachine } from './rented-machine.js';
+import type { ProvisionedMachine } from './provisioned-machine.js';
 
 /** How long a machine that has died is still listed as running, in seconds. */
 const DEATH_UNNOTICED_S = 30;
@@ -15,7 +15,7 @@
 
   /** A page of those machines, which come in the order of their names. */
   page(
-    machines: Iterable<RentedMachine>,
+    machines: Iterable<ProvisionedMachine>,
     after: string | null,
     limit: number,
   ): { machines: ListedMachine[]; more: boolean } {
@@ -32,13 +32,13 @@
   }
 
   /** The machine is in no list any more. */
-  isForgotten(machine: RentedMachine): boolean {
+  isForgotten(machine: ProvisionedMachine): boolean {
     return machine.goneAt !== null && machine.goneAt < this.runtime.clock.now() - 2 * this.lagS;
   }
 
-  private isListed(machine: RentedMachine, describedAt: number): boolean {
+  private isListed(machine: ProvisionedMachine, describedAt: number): boolean {
     if (machine.goneAt !== null && machine.goneAt <= describedAt) return false;
-    return machine.listed || machine.rentedAt <= describedAt;
+    return machine.listed || machine.provisionedAt <= describedAt;
   }
 
   private drawLagS(): number {
@@ -47,7 +47,7 @@
   }
 }
 
-function describe(machine: RentedMachine, describedAt: number): ListedMachine {
+function describe(machine: ProvisionedMachine, describedAt: number): ListedMachine {
   return {
     name: machine.name,
     addr: `${machine.address.host}:${machine.address.port}`,
@@ -55,11 +55,11 @@
     zone: machine.zone,
     spot: machine.spot,
     state: stateAt(machine, describedAt),
-    ageS: Math.max(0, describedAt - machine.rentedAt),
+    ageS: Math.max(0, describedAt - machine.provisionedAt),
   };
 }
 
-function stateAt(machine: RentedMachine, time: number): ListedMachine['state'] {
+function stateAt(machine: ProvisionedMachine, time: number): ListedMachine['state'] {
   if (machine.diedAt !== null && machine.diedAt + DEATH_UNNOTICED_S <= time) return 'failed';
   return machine.upAt !== null && machine.upAt <= time ? 'running' : 'booting';
 }
--- a/packages/testing/stand-ins/cloud/machine-park.ts
+++ b/packages/testing/stand-ins/cloud/machine-park.ts
@@ -2,7 +2,7 @@
 import type { MachineType, Runtime } from '#wire';
 import { USUAL_BOOTS, drawBootS } from './boot-times.js';
 import { Capacity, type CapacityLimit } from './capacity.js';
-import { isRunning, type MachineHosting, type RentedMachine } from './rented-machine.js';
+import { isRunning, type MachineHosting, type ProvisionedMachine } from './provisioned-machine.js';
 
 export interface MachineOrder {
   type: MachineType;
@@ -18,8 +18,8 @@
 export class MachinePark {
   bootProfile = USUAL_BOOTS;
   readonly capacity: Capacity;
-  private readonly machines = new Map<string, RentedMachine>();
-  private rentedSoFar = 0;
+  private readonly machines = new Map<string, ProvisionedMachine>();
+  private provisionedSoFar = 0;
 
   constructor(
     private readonly runtime: Runtime,
@@ -30,26 +30,27 @@
   }
 
   /** All machines that are or were rented, in the order of their names. */
-  all(): RentedMachine[] {
+  all(): ProvisionedMachine[] {
     return [...this.machines.values()];
   }
 
-  get(name: string): RentedMachine | undefined {
+  get(name: string): ProvisionedMachine | undefined {
     return this.machines.get(name);
   }
 
   /** Rents up to so many machines. */
-  rent(order: MachineOrder): RentedMachine[] {
+  provision(order: MachineOrder): ProvisionedMachine[] {
     const kept = this.all().filter((machine) => machine.goneAt === null);
     const kinds = kept.map(({ type, zone, spot }) => ({ type: type.name, zone, spot }));
     const left = this.capacity.left({ ...order, type: order.type.name }, kinds);
-    const rented: RentedMachine[] = [];
-    while (rented.length < Math.min(order.count, left)) rented.push(this.rentOne(order));
-    return rented;
+    const provisioned: ProvisionedMachine[] = [];
+    while (provisioned.length < Math.min(order.count, left))
+      provisioned.push(this.provisionOne(order));
+    return provisioned;
   }
 
   /** Deletes the machine or takes it back; all on it is gone at once. */
-  remove(machine: RentedMachine): void {
+  remove(machine: ProvisionedMachine): void {
     if (machine.goneAt !== null) return;
     const ran = isRunning(machine);
     machine.goneAt = this.runtime.clock.now();
@@ -57,14 +58,14 @@
   }
 
   /** The machine stops by itself. */
-  die(machine: RentedMachine): void {
+  die(machine: ProvisionedMachine): void {
     if (!isRunning(machine)) return;
     machine.diedAt = this.runtime.clock.now();
     this.hosting.powerOff(machine);
   }
 
   /** Takes the machine back after a notice of about so many seconds. */
-  giveNotice(machine: RentedMachine, noticeS: number): void {
+  giveNotice(machine: ProvisionedMachine, noticeS: number): void {
     if (!isRunning(machine) || machine.noticed) return;
     machine.noticed = true;
     this.hosting.giveNotice(machine, noticeS);
@@ -74,21 +75,21 @@
   }
 
   /** Drops what no list shows any more. */
-  forget(isForgotten: (machine: RentedMachine) => boolean): void {
+  forget(isForgotten: (machine: ProvisionedMachine) => boolean): void {
     for (const machine of this.machines.values()) {
       if (isForgotten(machine)) this.machines.delete(machine.name);
     }
   }
 
-  private rentOne({ type, zone, spot }: MachineOrder): RentedMachine {
-    const number = ++this.rentedSoFar;
-    const machine: RentedMachine = {
+  private provisionOne({ type, zone, spot }: MachineOrder): ProvisionedMachine {
+    const number = ++this.provisionedSoFar;
+    const machine: ProvisionedMachine = {
       name: `n-${String(number).padStart(NAME_DIGITS, '0')}`,
       address: this.hosting.addressOf(number),
       type,
       zone,
       spot,
-      rentedAt: this.runtime.clock.now(),
+      provisionedAt: this.runtime.clock.now(),
       upAt: null,
       diedAt: null,
       goneAt: null,
@@ -101,7 +102,7 @@
     return machine;
   }
 
-  private boot(machine: RentedMachine): void {
+  private boot(machine: ProvisionedMachine): void {
     if (machine.goneAt !== null) return;
     machine.upAt = this.runtime.clock.now();
     this.hosting.powerOn(machine);
--- a/packages/testing/stand-ins/cloud/rented-machine.ts
+++ b/packages/testing/stand-ins/cloud/provisioned-machine.ts
@@ -1,13 +1,13 @@
 import type { HostPort, MachineType } from '#wire';
 
 /** A machine from its rental on, with the times (of the cloud's clock) at which things happened. */
-export interface RentedMachine {
+export interface ProvisionedMachine {
   readonly name: string;
   readonly address: HostPort;
   readonly type: MachineType;
   readonly zone: string;
   readonly spot: boolean;
-  readonly rentedAt: number;
+  readonly provisionedAt: number;
   upAt: number | null;
   /** It stopped by itself; it stays listed until it is deleted. */
   diedAt: number | null;
@@ -23,14 +23,14 @@
   /** Where the worker of the machine with this number, counted from 1, will serve. */
   addressOf(machineNumber: number): HostPort;
   /** The machine is up and its worker begins. */
-  powerOn(machine: RentedMachine): void;
+  powerOn(machine: ProvisionedMachine): void;
   /** The machine and everything on it are gone, without a word. */
-  powerOff(machine: RentedMachine): void;
+  powerOff(machine: ProvisionedMachine): void;
   /** The cloud will take the machine in about so many seconds. */
-  giveNotice(machine: RentedMachine, noticeS: number): void;
+  giveNotice(machine: ProvisionedMachine, noticeS: number): void;
 }
 
 /** Up, and neither dead nor gone. */
-export function isRunning(machine: RentedMachine): boolean {
+export function isRunning(machine: ProvisionedMachine): boolean {
   return machine.upAt !== null && machine.diedAt === null && machine.goneAt === null;
 }
--- a/packages/testing/stand-ins/fleet.ts
+++ b/packages/testing/stand-ins/fleet.ts
@@ -1,5 +1,5 @@
 import type { HostPort, Runtime } from '#wire';
-import type { MachineHosting, RentedMachine } from './cloud/index.js';
+import type { MachineHosting, ProvisionedMachine } from './cloud/index.js';
 import { Worker, type MachineTraits, type WorkerSurroundings } from './worker/index.js';
 
 /** Where the worker of one machine runs. */
@@ -13,7 +13,7 @@
   surroundings: WorkerSurroundings;
   /** Where the worker of the machine with this number, counted from 1, will serve. */
   addressOf(machineNumber: number): HostPort;
-  hostFor(machine: RentedMachine): MachineHost;
+  hostFor(machine: ProvisionedMachine): MachineHost;
   /** Share of machines on which tasks fail. */
   faultyShare?: number;
   /** Share of machines that are much slower than their type. */
@@ -45,7 +45,7 @@
     return this.options.addressOf(machineNumber);
   }
 
-  powerOn(machine: RentedMachine): void {
+  powerOn(machine: ProvisionedMachine): void {
     const host = this.options.hostFor(machine);
     const { name, type, zone, spot } = machine;
     const address = `${machine.address.host}:${machine.address.port}`;
@@ -57,7 +57,7 @@
     void worker.start();
   }
 
-  powerOff({ name }: RentedMachine): void {
+  powerOff({ name }: ProvisionedMachine): void {
     const machine = this.machines.get(name);
     if (!machine) return;
     this.machines.delete(name);
@@ -65,11 +65,11 @@
     machine.host.powerOff();
   }
 
-  giveNotice({ name }: RentedMachine, noticeS: number): void {
+  giveNotice({ name }: ProvisionedMachine, noticeS: number): void {
     this.worker(name)?.giveNotice(noticeS);
   }
 
-  private drawTraits(runtime: Runtime, { type }: RentedMachine): MachineTraits {
+  private drawTraits(runtime: Runtime, { type }: ProvisionedMachine): MachineTraits {
     const { faultyShare = 0, slowShare = 0 } = this.options;
     const span = ([least, most]: [number, number]) => least + (most - least) * runtime.random();
     const slow = runtime.random() < slowShare;
--- a/packages/testing/stand-ins/sample-world.ts
+++ b/packages/testing/stand-ins/sample-world.ts
@@ -57,8 +57,8 @@
   /** Runs the world until the promise has settled. */
   async finish<T>(promise: Promise<T>, withinS = 120): Promise<T> {
     let settled = false;
-    const note = () => (settled = true);
-    promise.then(note, note);
+    const record = () => (settled = true);
+    promise.then(record, record);
     const untilS = this.world.now + withinS;
     while (!settled && this.world.now < untilS) {
       await this.run(STEP_S);
--- a/packages/testing/stand-ins/users/job-conduct.ts
+++ b/packages/testing/stand-ins/users/job-conduct.ts
@@ -74,7 +74,7 @@
     this.cancelling = true;
     this.parts.observer({ kind: 'cancel-asked', job: this.id });
     while (!this.stopped) {
-      const told = await this.parts.requests.abort(this.id);
+      const told = await this.parts.requests.cancel(this.id);
       if (isFinal(told)) {
         this.endWith(told);
         return;
--- a/packages/testing/stand-ins/users/odd-requests.ts
+++ b/packages/testing/stand-ins/users/odd-requests.ts
@@ -33,7 +33,7 @@
     const sample = this.pick(jobs)?.plan.program.job;
     const choices: (() => Promise<unknown>)[] = [() => this.askAboutNothing()];
     if (live) choices.push(() => live.submitOnce());
-    if (over) choices.push(() => this.requests.abort(over.id));
+    if (over) choices.push(() => this.requests.cancel(over.id));
     if (sample)
       choices.push(
         () => this.submitImpossible(sample),
--- a/packages/testing/stand-ins/users/requests.ts
+++ b/packages/testing/stand-ins/users/requests.ts
@@ -42,7 +42,7 @@
     return this.ask('poll', job, () => this.client.status(job, POLL_TIMEOUT_MS));
   }
 
-  abort(job: string): Promise<Told | null> {
+  cancel(job: string): Promise<Told | null> {
     return this.ask('abort', job, () => this.client.abort(job));
   }
 
--- a/packages/testing/stand-ins/users/users.ts
+++ b/packages/testing/stand-ins/users/users.ts
@@ -70,7 +70,7 @@
       runtime: this.options.runtime,
       requests: this.requests,
       observer: this.options.observer,
-      onNews: (job, news) => this.heard(job, news),
+      onNews: (job, news) => this.received(job, news),
       signal: this.stopping.signal,
     });
     this.jobs.set(conduct.id, conduct);
@@ -133,7 +133,7 @@
     this.looksClosely = looksClosely;
   }
 
-  private heard(job: string, news: JobNews): void {
+  private received(job: string, news: JobNews): void {
     if (!this.looksClosely) return;
     this.lookAt(job);
     const cancelAtOnce = this.options.runtime.random() < CANCEL_AT_ONCE_SHARE;
--- a/packages/testing/stand-ins/worker/worker-session.ts
+++ b/packages/testing/stand-ins/worker/agent-epoch.ts
@@ -4,10 +4,10 @@
  * Whom a worker obeys and for how long: its session, the highest token it has seen and its lease. The
  * lease runs on while the machine hangs.
  */
-export class WorkerSession {
+export class AgentEpochState {
   private number = 1;
   private sequence = 0;
-  private token = 0;
+  private fencingToken = 0;
   /** When the last answered report was sent, or the session began. */
   private renewedAt: number;
   private expiry: Timer | null = null;
@@ -18,7 +18,7 @@
     /** The lease has ended and the next session has begun. */
     private readonly onExpired: () => void,
     /** A higher token was seen. */
-    private readonly onToken: () => void,
+    private readonly onFencingToken: () => void,
   ) {
     this.renewedAt = clock.now();
     this.planExpiry();
@@ -28,8 +28,8 @@
     return this.number;
   }
 
-  get highestToken(): number {
-    return this.token;
+  get highestFencingToken(): number {
+    return this.fencingToken;
   }
 
   nextSequence(): number {
@@ -37,26 +37,29 @@
   }
 
   /** Whether the answer to a report is to be carried out; if so, it renews the lease. */
-  admitAnswer(token: number | null, report: { session: number; sentAt: number }): boolean {
-    if (report.session !== this.number || !this.admitToken(token)) return false;
-    this.renewedAt = Math.max(this.renewedAt, report.sentAt);
+  admitAnswer(
+    fencingToken: number | null,
+    heartbeat: { agentEpoch: number; sentAt: number },
+  ): boolean {
+    if (heartbeat.agentEpoch !== this.number || !this.admitFencingToken(fencingToken)) return false;
+    this.renewedAt = Math.max(this.renewedAt, heartbeat.sentAt);
     return true;
   }
 
   /** Whether a direct command is to be carried out. */
   admitCommand(command: { fencingToken: number; agentEpoch: number }): boolean {
-    return command.agentEpoch === this.number && this.admitToken(command.fencingToken);
+    return command.agentEpoch === this.number && this.admitFencingToken(command.fencingToken);
   }
 
   close(): void {
     this.expiry?.cancel();
   }
 
-  private admitToken(token: number | null): boolean {
-    if (token === null || token < this.token) return false;
-    const higher = token > this.token;
-    this.token = token;
-    if (higher) this.onToken();
+  private admitFencingToken(fencingToken: number | null): boolean {
+    if (fencingToken === null || fencingToken < this.fencingToken) return false;
+    const higher = fencingToken > this.fencingToken;
+    this.fencingToken = fencingToken;
+    if (higher) this.onFencingToken();
     return true;
   }
 
--- a/packages/testing/stand-ins/worker/command-server.ts
+++ b/packages/testing/stand-ins/worker/command-server.ts
@@ -9,7 +9,7 @@
   /** Carries the command out, or says false if token or session do not match. */
   command(command: DirectCommand): boolean;
   /** The report that the answer holds. */
-  nextReport(): Heartbeat;
+  nextHeartbeat(): Heartbeat;
   /** Resolves once the machine does not hang. */
   whenRunning(): Promise<void>;
 }
@@ -57,6 +57,6 @@
   }
 
   private reply(status: number): WireReply {
-    return { status, body: heartbeatToWire(this.target.nextReport()) };
+    return { status, body: heartbeatToWire(this.target.nextHeartbeat()) };
   }
 }
--- a/packages/testing/stand-ins/worker/gang.test.ts
+++ b/packages/testing/stand-ins/worker/gang.test.ts
@@ -12,7 +12,7 @@
   const fleet = await new SampleFleet().begin();
   fleet.upload({ kind: 'gang', tasks: 3, checkpointS: 4, saveS: 2, ...own }, { runS: [runS] });
   const workers = [await fleet.worker(1), await fleet.worker(0.5), await fleet.worker(1)];
-  const states = () => workers.map((worker) => worker.nextReport().tasks.at(-1)?.state);
+  const states = () => workers.map((worker) => worker.nextHeartbeat().tasks.at(-1)?.state);
   const startAll = async (attempt = 1) => {
     for (const [index, worker] of workers.entries()) {
       await fleet.order(worker, [start(index, attempt)]);
@@ -55,7 +55,7 @@
   await other.fleet.order(replacement, [start(0)]);
   await other.fleet.order(other.workers[2], [start(2)]);
   await other.world.run(IMAGE_S + 1);
-  assert.equal(replacement.nextReport().tasks[0].state, 'running');
+  assert.equal(replacement.nextHeartbeat().tasks[0].state, 'running');
 });
 
 const LOSSES: [name: string, lose: (worker: Worker) => void][] = [
--- a/packages/testing/stand-ins/worker/report-schedule.ts
+++ b/packages/testing/stand-ins/worker/heartbeat-schedule.ts
@@ -7,7 +7,7 @@
 const REDIRECT_DELAY_S = 0.5;
 
 /** When a worker sends its next report; seconds of the runtime's clock. */
-export class ReportSchedule {
+export class HeartbeatSchedule {
   private lastSentAt = -Infinity;
   private periodicAt: number;
   /** After a failure or a redirection nothing else counts. */
@@ -16,7 +16,7 @@
 
   constructor(
     private readonly runtime: Runtime,
-    private readonly reportS: number,
+    private readonly heartbeatIntervalS: number,
   ) {
     this.periodicAt = runtime.clock.now();
   }
@@ -28,15 +28,15 @@
   }
 
   /** The next report shows something new. */
-  noteChange(): void {
+  recordChange(): void {
     this.changed = true;
   }
 
   /** A report goes out now. */
-  noteSent(): void {
+  recordSent(): void {
     const spread = 1 + PERIOD_SPREAD * (2 * this.runtime.random() - 1);
     this.lastSentAt = this.runtime.clock.now();
-    this.periodicAt = this.lastSentAt + this.reportS * spread;
+    this.periodicAt = this.lastSentAt + this.heartbeatIntervalS * spread;
     this.retryAt = null;
     this.changed = false;
   }
--- a/packages/testing/stand-ins/worker/reporter.ts
+++ b/packages/testing/stand-ins/worker/heartbeat-sender.ts
@@ -1,16 +1,16 @@
 import { CborClient, NoAnswer, pause, WakeablePause, type Answer, type Runtime } from '#wire';
 import { parseRedirect } from '#wire/serving';
 import { NodeChoice, type ControllerAddress } from './node-choice.js';
-import { ReportSchedule } from './report-schedule.js';
+import { HeartbeatSchedule } from './heartbeat-schedule.js';
 
 /** How long a worker waits for the answer to a report, in seconds. */
 const ANSWER_TIMEOUT_S = 4;
 const MAX_ANSWER_BYTES = 64 * 1024;
 
 /** The worker as its reporter sees it. */
-export interface ReportSource {
+export interface HeartbeatSource {
   /** The body of the next report. */
-  nextReport(): unknown;
+  nextHeartbeat(): unknown;
   /** A controller has answered the report with 200, `sentAt` of the runtime's clock. */
   answered(body: unknown, sentAt: number, node: ControllerAddress): void;
   /** A report went out to that node. */
@@ -27,7 +27,7 @@
   mute = false;
   /** No answer reaches it. */
   deaf = false;
-  private readonly schedule: ReportSchedule;
+  private readonly schedule: HeartbeatSchedule;
   private readonly choice: NodeChoice;
   private readonly waiting: WakeablePause;
   private readonly stopping = new AbortController();
@@ -35,11 +35,11 @@
 
   constructor(
     private readonly runtime: Runtime,
-    reportS: number,
+    heartbeatIntervalS: number,
     controllers: ControllerAddress[],
-    private readonly source: ReportSource,
+    private readonly source: HeartbeatSource,
   ) {
-    this.schedule = new ReportSchedule(runtime, reportS);
+    this.schedule = new HeartbeatSchedule(runtime, heartbeatIntervalS);
     this.choice = new NodeChoice(controllers, () => runtime.random());
     this.waiting = new WakeablePause(runtime.clock);
   }
@@ -60,16 +60,16 @@
     this.leaveNode();
   }
 
-  noteChange(): void {
-    this.schedule.noteChange();
+  recordChange(): void {
+    this.schedule.recordChange();
     this.waiting.wake();
   }
 
   private async exchange(): Promise<void> {
     const sentAt = this.runtime.clock.now();
     const node = this.choice.current;
-    this.schedule.noteSent();
-    const body = this.source.nextReport();
+    this.schedule.recordSent();
+    const body = this.source.nextHeartbeat();
     const answer = await this.send(body, node, sentAt);
     await this.source.whenRunning();
     if (this.stopping.signal.aborted) return;
@@ -109,8 +109,8 @@
     return null;
   }
 
-  private follow(owner: string | null): void {
-    if (!this.choice.moveTo(owner)) {
+  private follow(leader: string | null): void {
+    if (!this.choice.moveTo(leader)) {
       this.tryNextNode();
       return;
     }
--- a/packages/testing/stand-ins/worker/hosted-task.ts
+++ b/packages/testing/stand-ins/worker/hosted-task.ts
@@ -24,7 +24,7 @@
     return this.state === 'exited';
   }
 
-  report(): TaskStatus {
+  heartbeat(): TaskStatus {
     const { state, cause, saved } = this;
     return { ...this.ref, state, cause, checkpointed: saved };
   }
--- a/packages/testing/stand-ins/worker/index.ts
+++ b/packages/testing/stand-ins/worker/index.ts
@@ -1,5 +1,5 @@
 export { GangNetwork } from './gang-network.js';
-export * from './late-reports.js';
+export * from './late-heartbeats.js';
 export type { ControllerAddress } from './node-choice.js';
 export * from './worker.js';
 export * from './worker-setup.js';
--- a/packages/testing/stand-ins/worker/late-reports.ts
+++ b/packages/testing/stand-ins/worker/late-heartbeats.ts
@@ -2,7 +2,7 @@
 import type { ControllerAddress } from './node-choice.js';
 
 /** Which reports have copies that arrive again, and when. */
-export type LateReportFault =
+export type LateHeartbeatFault =
   { share: number; delayS: [least: number, most: number] } | { share: number; forNextLeader: true };
 
 /** Copies that are kept of one machine's reports for the next leader. */
@@ -13,15 +13,15 @@
  * Late copies of the workers' reports. They are the network's doing: they arrive also if their machine
  * is gone by then, and nobody sees the answers to them.
  */
-export class LateReports {
-  private fault: LateReportFault | null = null;
+export class LateHeartbeats {
+  private fault: LateHeartbeatFault | null = null;
   private leader: string | null = null;
   private readonly kept = new Map<string, unknown[]>();
 
   /** The runtime is that of a host that outlives all machines. */
   constructor(private readonly runtime: Runtime) {}
 
-  begin(fault: LateReportFault): void {
+  begin(fault: LateHeartbeatFault): void {
     this.fault = fault;
   }
 
@@ -31,7 +31,7 @@
   }
 
   /** A machine's report went out to that node; a copy of it may arrive again. */
-  reportSent(machine: string, body: unknown, node: ControllerAddress): void {
+  heartbeatSent(machine: string, body: unknown, node: ControllerAddress): void {
     const { fault } = this;
     if (fault === null || this.runtime.random() >= fault.share) return;
     if ('forNextLeader' in fault) {
--- a/packages/testing/stand-ins/worker/sample-workers.ts
+++ b/packages/testing/stand-ins/worker/sample-workers.ts
@@ -17,41 +17,41 @@
 import { SampleWorld } from '../sample-world.js';
 import { aJob, STD } from '../../samples.js';
 import { GangNetwork } from './gang-network.js';
-import { LateReports } from './late-reports.js';
+import { LateHeartbeats } from './late-heartbeats.js';
 import { Worker } from './worker.js';
 
-export const TIMES = { reportS: 1, leaseS: 10, gangWaitS: 40, gangPeerS: 8 };
+export const TIMES = { heartbeatIntervalS: 1, leaseS: 10, gangWaitS: 40, gangPeerS: 8 };
 const NAMES = ['c-0', 'c-1'];
 const PORT = 8080;
 
 /** A controller that answers reports as it is told. */
 class ScriptedController {
-  token = 5;
+  fencingToken = 5;
   /** Orders for the next answer. */
   orders: Order[] = [];
   /** Answers in place of the usual one, if set; null for none at all. */
-  reply: ((report: Heartbeat) => WireReply) | null = null;
-  readonly reports: (Heartbeat & { atS: number })[] = [];
+  reply: ((heartbeat: Heartbeat) => WireReply) | null = null;
+  readonly heartbeats: (Heartbeat & { atS: number })[] = [];
 
   constructor(private readonly world: SampleWorld) {}
 
   handle({ body }: ServedRequest): WireReply {
-    const report = parseHeartbeat(body);
-    this.reports.push({ ...report, atS: this.world.world.now });
-    if (this.reply) return this.reply(report);
-    return { status: 200, body: answerToWire(this.token, this.orders.splice(0)) };
+    const heartbeat = parseHeartbeat(body);
+    this.heartbeats.push({ ...heartbeat, atS: this.world.world.now });
+    if (this.reply) return this.reply(heartbeat);
+    return { status: 200, body: answerToWire(this.fencingToken, this.orders.splice(0)) };
   }
 
   /** The task in the newest report. */
   task(index = 0): TaskStatus | undefined {
-    return this.reports.at(-1)?.tasks.find((task) => task.index === index);
+    return this.heartbeats.at(-1)?.tasks.find((task) => task.index === index);
   }
 }
 
 export class SampleFleet {
   readonly world = new SampleWorld();
   readonly storage = new JobStorage(this.world.observer);
-  readonly lateReports = new LateReports(this.world.runtime('10.9.0.3'));
+  readonly lateHeartbeats = new LateHeartbeats(this.world.runtime('10.9.0.3'));
   readonly lateCommands = new ReplyLoss(this.world.runtime('10.9.0.1'));
   readonly controllers = NAMES.map(() => new ScriptedController(this.world));
   private readonly commander = this.world.runtime('10.0.0.9', 'controller');
@@ -87,7 +87,7 @@
         storage: this.storage,
         gangs: this.gangs,
         observer: this.world.observer,
-        lateReports: this.lateReports,
+        lateHeartbeats: this.lateHeartbeats,
         lateCommands: this.lateCommands,
       },
     );
@@ -102,13 +102,13 @@
   }
 
   /** Sends commands to a worker directly; the tasks of its answer. */
-  async order(worker: Worker, orders: Order[], token = 5, session = 1) {
-    return this.world.finish(this.post(worker, orders, token, session));
+  async order(worker: Worker, orders: Order[], fencingToken = 5, agentEpoch = 1) {
+    return this.world.finish(this.post(worker, orders, fencingToken, agentEpoch));
   }
 
   /** As `order`, but leaves it to the caller to run the world. */
-  async post(worker: Worker, orders: Order[], token = 5, session = 1) {
-    const body = commandToWire(token, session, orders);
+  async post(worker: Worker, orders: Order[], fencingToken = 5, agentEpoch = 1) {
+    const body = commandToWire(fencingToken, agentEpoch, orders);
     const http = new CborClient(this.commander, worker.facts.address);
     const answer = await http.call('POST', '/orders', { timeoutMs: 5000, body });
     return { status: answer.status, tasks: parseHeartbeat(answer.body).tasks };
--- a/packages/testing/stand-ins/worker/task-host.ts
+++ b/packages/testing/stand-ins/worker/task-host.ts
@@ -5,7 +5,7 @@
 
 /** Times that the platform's settings give all workers, in seconds. */
 export interface WorkerTimes {
-  reportS: number;
+  heartbeatIntervalS: number;
   leaseS: number;
   gangWaitS: number;
   gangPeerS: number;
--- a/packages/testing/stand-ins/worker/task-table.ts
+++ b/packages/testing/stand-ins/worker/task-table.ts
@@ -25,8 +25,8 @@
     return [...this.tasks.values()];
   }
 
-  reports(): TaskStatus[] {
-    return [...this.all().map((task) => task.report()), ...this.refusals.values()];
+  heartbeats(): TaskStatus[] {
+    return [...this.all().map((task) => task.heartbeat()), ...this.refusals.values()];
   }
 
   /** Carries out commands in their order. */
@@ -53,7 +53,7 @@
     const program = this.host.storage.get(job);
     if (!program || index >= program.job.tasks) this.refuse(ref, 'unknown');
     else if (this.isPresent(ref)) this.refuse(ref, 'busy');
-    else if (!this.hasRoomFor(program)) this.refuse(ref, 'no_room');
+    else if (!this.hasCapacityFor(program)) this.refuse(ref, 'no_room');
     else {
       const task = new HostedTask(ref, program, this.host);
       this.tasks.set(key, task);
@@ -81,7 +81,7 @@
     return this.present().some(({ ref }) => ref.job === job && ref.index === index);
   }
 
-  private hasRoomFor(wanted: JobProgram): boolean {
+  private hasCapacityFor(wanted: JobProgram): boolean {
     const programs = [...this.present().map((task) => task.program), wanted];
     return (['cpus', 'gpus', 'memory'] as const).every((resource) => {
       const used = programs.reduce((sum, { job }) => sum + job[resource], 0);
--- a/packages/testing/stand-ins/worker/worker-setup.ts
+++ b/packages/testing/stand-ins/worker/worker-setup.ts
@@ -2,12 +2,12 @@
 import type { JobStorage } from '../job-storage.js';
 import type { ReplyLoss } from '../lost-replies.js';
 import type { GangNetwork } from './gang-network.js';
-import type { LateReports } from './late-reports.js';
+import type { LateHeartbeats } from './late-heartbeats.js';
 import type { ControllerAddress } from './node-choice.js';
 import type { WorkerTimes } from './task-host.js';
 
 /** One report and what became of it; seconds of the worker's clock. */
-export interface ReportExchange {
+export interface HeartbeatExchange {
   machine: string;
   /** Name of the controller that it was sent to. */
   controller: string;
@@ -18,10 +18,10 @@
 }
 
 /** Is told how workers fare with their reports, for measurements. */
-export interface ReportObserver {
-  exchanged(exchange: ReportExchange): void;
+export interface HeartbeatObserver {
+  exchanged(exchange: HeartbeatExchange): void;
   /** The worker obeys the answer of a controller that carried this token. */
-  obeyed?(machine: string, controller: string, token: number): void;
+  obeyed?(machine: string, controller: string, fencingToken: number): void;
   /** The machine's lease has run out. */
   leaseEnded(machine: string): void;
 }
@@ -33,9 +33,9 @@
   storage: JobStorage;
   gangs: GangNetwork;
   observer: Observer;
-  lateReports: LateReports;
+  lateHeartbeats: LateHeartbeats;
   lateCommands: ReplyLoss;
-  reportObserver?: ReportObserver;
+  heartbeatObserver?: HeartbeatObserver;
 }
 
 /** How one machine differs from others of its type. */
--- a/packages/testing/stand-ins/worker/worker.test.ts
+++ b/packages/testing/stand-ins/worker/worker.test.ts
@@ -24,19 +24,21 @@
 test('a worker reports by its period, and sooner when something changes', async () => {
   const { world, controller, worker } = await aFleet();
   await world.run(60);
-  const spacings = controller.reports.slice(2).map((r, i) => r.atS - controller.reports[i + 1].atS);
+  const spacings = controller.heartbeats
+    .slice(2)
+    .map((r, i) => r.atS - controller.heartbeats[i + 1].atS);
   assert.ok(spacings.every((s) => s > 0.7 && s < 1.3));
   assert.ok(Math.max(...spacings) - Math.min(...spacings) > 0.3);
-  const sequences = controller.reports.map((r) => r.sequence);
-  assert.ok(sequences.every((seq, i) => i === 0 || seq > sequences[i - 1]));
-  const before = controller.reports.length;
+  const sequences = controller.heartbeats.map((r) => r.sequence);
+  assert.ok(sequences.every((sequence, i) => i === 0 || sequence > sequences[i - 1]));
+  const before = controller.heartbeats.length;
   for (let i = 0; i < 8; i++) {
     worker.giveNotice(100 + i);
     await world.run(0.25);
   }
-  const more = controller.reports.length - before;
+  const more = controller.heartbeats.length - before;
   assert.ok(more >= 4 && more <= 5, `${more} reports in 2 s`);
-  assert.ok(Math.abs((controller.reports.at(-1)!.noticeS ?? 0) - 106) < 2);
+  assert.ok(Math.abs((controller.heartbeats.at(-1)!.noticeS ?? 0) - 106) < 2);
 });
 
 test('a task fetches its image once, runs, and its result is kept', async () => {
@@ -51,7 +53,7 @@
   assert.ok(fleet.storage.isComplete('j-000001'));
   controller.orders = [start(0, 2)];
   await world.run(1.5);
-  const again = controller.reports.at(-1)!.tasks.find((task) => task.attempt === 2);
+  const again = controller.heartbeats.at(-1)!.tasks.find((task) => task.attempt === 2);
   assert.deepEqual(outcome([again!]), ['exited done']);
 });
 
@@ -89,8 +91,8 @@
     await world.run(IMAGE_S + 7);
     for (const order of stops) await fleet.order(worker, [order]);
     await world.run(4.5);
-    const report = controller.reports.at(-1)!.tasks.find((task) => task.attempt === attempt);
-    return outcome([report!])[0];
+    const heartbeat = controller.heartbeats.at(-1)!.tasks.find((task) => task.attempt === attempt);
+    return outcome([heartbeat!])[0];
   };
   const progress = () => fleet.storage.savedProgress({ job: 'j-000001', index: 0 });
   assert.equal(await runAttempt(1, [stop(2, 0, 1)]), 'exited stopped');
@@ -106,17 +108,17 @@
   const { fleet, world, controller, worker } = await aFleet();
   controller.orders = [start()];
   await world.run(3);
-  assert.equal(controller.reports.at(-1)!.fencingToken, 5);
+  assert.equal(controller.heartbeats.at(-1)!.fencingToken, 5);
   controller.reply = () => ({ status: 200, body: answerToWire(4, [stop(0)]) });
   await world.run(4);
-  assert.equal(controller.reports.at(-1)!.tasks.length, 1);
+  assert.equal(controller.heartbeats.at(-1)!.tasks.length, 1);
   controller.reply = () => ({ status: 200, body: { orders: [] } });
   await world.run(TIMES.leaseS - 3);
-  const last = controller.reports.at(-1)!;
+  const last = controller.heartbeats.at(-1)!;
   assert.deepEqual([last.agentEpoch, last.tasks.length], [2, 0]);
   assert.deepEqual(fleet.leaves(), ['0:killed']);
-  const refused = async (token: number, session: number) =>
-    (await fleet.order(worker, [start()], token, session)).status;
+  const refused = async (fencingToken: number, agentEpoch: number) =>
+    (await fleet.order(worker, [start()], fencingToken, agentEpoch)).status;
   assert.deepEqual(
     [await refused(4, 2), await refused(5, 1), await refused(5, 2)],
     [409, 409, 200],
@@ -130,7 +132,7 @@
   first.reply = redirect('c-1');
   const worker = await fleet.worker(1, 2);
   const from = (controller: typeof first) =>
-    controller.reports.filter((report) => report.machine === worker.facts.name);
+    controller.heartbeats.filter((heartbeat) => heartbeat.machine === worker.facts.name);
   await world.run(3);
   assert.ok(from(second).length > 1);
   second.reply = redirect('c-0');
@@ -176,31 +178,34 @@
   const { fleet, world, controller, worker } = await aFleet();
   worker.setDeaf(true);
   await assert.rejects(fleet.order(worker, [start()]));
-  const heard = controller.reports.length;
+  const heard = controller.heartbeats.length;
   controller.orders = [start()];
   await world.run(TIMES.leaseS);
-  assert.ok(controller.reports.length > heard);
-  assert.equal(controller.reports.at(-1)!.tasks.length, 0);
+  assert.ok(controller.heartbeats.length > heard);
+  assert.equal(controller.heartbeats.at(-1)!.tasks.length, 0);
   worker.setDeaf(false);
   await world.run(6);
   worker.setMute(true);
-  const before = controller.reports.length;
+  const before = controller.heartbeats.length;
   assert.equal((await fleet.order(worker, [start()], 5, 2)).status, 200);
   await world.run(6);
-  assert.equal(controller.reports.length, before);
+  assert.equal(controller.heartbeats.length, before);
 });
 
 test('copies of reports arrive late, or when a new leader has answered', async () => {
   const { fleet, world, controller, worker } = await aFleet();
-  fleet.lateReports.begin({ share: 1, delayS: [20, 20] });
+  fleet.lateHeartbeats.begin({ share: 1, delayS: [20, 20] });
   await world.run(1);
-  fleet.lateReports.end();
-  const copied = controller.reports.at(-1)!.sequence;
+  fleet.lateHeartbeats.end();
+  const copied = controller.heartbeats.at(-1)!.sequence;
   await world.run(21);
-  assert.equal(controller.reports.filter((report) => report.sequence === copied).length, 2);
-  fleet.lateReports.begin({ share: 1, forNextLeader: true });
+  assert.equal(
+    controller.heartbeats.filter((heartbeat) => heartbeat.sequence === copied).length,
+    2,
+  );
+  fleet.lateHeartbeats.begin({ share: 1, forNextLeader: true });
   await world.run(2);
-  fleet.lateReports.end();
+  fleet.lateHeartbeats.end();
   // The copies arrive although their machine is gone.
   worker.powerOff();
   await world.run(10);
@@ -208,8 +213,8 @@
   controller.reply = () => ({ status: 421, body: { overseer: 'c-1' } });
   await fleet.worker(1, 2);
   await world.run(3);
-  const late = nextLeader.reports.filter((report) => report.machine === worker.facts.name);
-  assert.ok(late.length >= 2 && late.every((report) => report.sequence > copied));
+  const late = nextLeader.heartbeats.filter((heartbeat) => heartbeat.machine === worker.facts.name);
+  assert.ok(late.length >= 2 && late.every((heartbeat) => heartbeat.sequence > copied));
 });
 
 test('a command that is held up runs once, if token and session still match', async () => {
@@ -217,15 +222,15 @@
   fleet.lateCommands.begin({ share: 1, delayS: [8, 8] });
   await assert.rejects(fleet.order(worker, [start(0)]));
   await world.run(5);
-  assert.equal(worker.nextReport().tasks.length, 1);
+  assert.equal(worker.nextHeartbeat().tasks.length, 1);
   const superseded = assert.rejects(fleet.post(worker, [start(1)]));
   await world.run(0.1);
   fleet.lateCommands.end();
-  controller.token = 6;
+  controller.fencingToken = 6;
   await fleet.order(worker, [], 6);
   await world.finish(superseded);
   await world.run(10);
-  assert.equal(worker.nextReport().tasks.length, 1);
+  assert.equal(worker.nextHeartbeat().tasks.length, 1);
 });
 
 test('a faulty job or machine fails its tasks, a slow machine takes longer', async () => {
--- a/packages/testing/stand-ins/worker/worker.ts
+++ b/packages/testing/stand-ins/worker/worker.ts
@@ -8,25 +8,25 @@
 import type { GangNetwork } from './gang-network.js';
 import { ImageCache } from './image-cache.js';
 import type { ControllerAddress } from './node-choice.js';
-import { Reporter } from './reporter.js';
+import { Reporter } from './heartbeat-sender.js';
 import type { TaskHost, WorkerTimes } from './task-host.js';
 import { TaskTable } from './task-table.js';
-import { WorkerSession } from './worker-session.js';
+import { AgentEpochState } from './agent-epoch.js';
 import type { MachineTraits, WorkerSurroundings } from './worker-setup.js';
 
 export class Worker implements TaskHost {
   readonly clock: FreezableClock;
   readonly images: ImageCache;
-  private readonly session: WorkerSession;
+  private readonly agentEpoch: AgentEpochState;
   private readonly tasks: TaskTable;
   private readonly reporter: Reporter;
   private readonly server: CommandServer;
   private address: string;
   private takenAt: number | null = null;
   /** When a higher token last counted as a change. */
-  private tokenNotedAt = -Infinity;
+  private fencingTokenRecordedAt = -Infinity;
   /** Session of the report that is under way. */
-  private reportedSession = 0;
+  private reportedAgentEpoch = 0;
   private off = false;
 
   constructor(
@@ -37,27 +37,27 @@
   ) {
     this.clock = new FreezableClock(runtime.clock);
     const frozen: Runtime = { ...runtime, clock: this.clock, random: () => runtime.random() };
-    const { times, controllers, lateReports, lateCommands } = surroundings;
+    const { times, controllers, lateHeartbeats, lateCommands } = surroundings;
     this.address = facts.address;
     this.images = new ImageCache(this.clock, facts.type.cacheGb, traits.fetchGbPerS);
     this.tasks = new TaskTable(facts.type, this);
-    this.session = new WorkerSession(
+    this.agentEpoch = new AgentEpochState(
       runtime.clock,
       times.leaseS,
       () => this.leaseEnded(),
-      () => this.tokenRose(),
+      () => this.fencingTokenRose(),
     );
-    this.reporter = new Reporter(frozen, times.reportS, controllers, {
-      nextReport: () => {
-        this.reportedSession = this.session.current;
-        return heartbeatToWire(this.nextReport());
+    this.reporter = new Reporter(frozen, times.heartbeatIntervalS, controllers, {
+      nextHeartbeat: () => {
+        this.reportedAgentEpoch = this.agentEpoch.current;
+        return heartbeatToWire(this.nextHeartbeat());
       },
       answered: (body, sentAt, node) => this.answered(body, sentAt, node),
-      sent: (body, node) => lateReports.reportSent(facts.name, body, node),
+      sent: (body, node) => lateHeartbeats.heartbeatSent(facts.name, body, node),
       exchanged: (status, sentAtS, { name: controller }) => {
         const endedAtS = this.clock.now();
         const exchange = { machine: facts.name, controller, status, sentAtS, endedAtS };
-        surroundings.reportObserver?.exchanged(exchange);
+        surroundings.heartbeatObserver?.exchanged(exchange);
       },
       whenRunning: () => this.clock.whenRunning(),
     });
@@ -97,7 +97,7 @@
     this.off = true;
     this.reporter.stop();
     this.server.close();
-    this.session.close();
+    this.agentEpoch.close();
     this.tasks.killAll();
     this.observer({ kind: 'machine-gone', machine: this.machine });
   }
@@ -140,7 +140,7 @@
   giveNotice(noticeS: number): void {
     this.takenAt = this.clock.now() + noticeS;
     this.observer({ kind: 'machine-noticed', machine: this.machine });
-    this.reporter.noteChange();
+    this.reporter.recordChange();
   }
 
   failsAfterS(program: JobProgram): number | null {
@@ -148,7 +148,7 @@
   }
 
   taskChanged(): void {
-    this.reporter.noteChange();
+    this.reporter.recordChange();
   }
 
   whenRunning(): Promise<void> {
@@ -156,12 +156,12 @@
   }
 
   command(command: DirectCommand): boolean {
-    if (this.off || !this.session.admitCommand(command)) return false;
+    if (this.off || !this.agentEpoch.admitCommand(command)) return false;
     this.tasks.execute(command.orders);
     return true;
   }
 
-  nextReport(): Heartbeat {
+  nextHeartbeat(): Heartbeat {
     const { name, type, zone, spot } = this.facts;
     return {
       machine: name,
@@ -169,35 +169,35 @@
       type: type.name,
       zone,
       spot,
-      agentEpoch: this.session.current,
-      sequence: this.session.nextSequence(),
-      fencingToken: this.session.highestToken,
+      agentEpoch: this.agentEpoch.current,
+      sequence: this.agentEpoch.nextSequence(),
+      fencingToken: this.agentEpoch.highestFencingToken,
       noticeS: this.takenAt === null ? null : Math.max(0, this.takenAt - this.clock.now()),
-      tasks: this.tasks.reports(),
+      tasks: this.tasks.heartbeats(),
     };
   }
 
   private answered(body: unknown, sentAt: number, node: ControllerAddress): void {
     const answer = readAnswer(body);
-    const report = { session: this.reportedSession, sentAt };
-    if (answer === null || !this.session.admitAnswer(answer.fencingToken, report)) return;
-    this.surroundings.reportObserver?.obeyed?.(this.machine, node.name, answer.fencingToken!);
+    const heartbeat = { agentEpoch: this.reportedAgentEpoch, sentAt };
+    if (answer === null || !this.agentEpoch.admitAnswer(answer.fencingToken, heartbeat)) return;
+    this.surroundings.heartbeatObserver?.obeyed?.(this.machine, node.name, answer.fencingToken!);
     this.tasks.execute(answer.orders);
-    this.surroundings.lateReports.obeyed(node);
+    this.surroundings.lateHeartbeats.obeyed(node);
   }
 
   private leaseEnded(): void {
-    this.surroundings.reportObserver?.leaseEnded(this.machine);
+    this.surroundings.heartbeatObserver?.leaseEnded(this.machine);
     this.tasks.killAll();
-    this.reporter.noteChange();
+    this.reporter.recordChange();
   }
 
   /** A higher token counts as a change at most once in half of a lease. */
-  private tokenRose(): void {
+  private fencingTokenRose(): void {
     const now = this.clock.now();
-    if (now - this.tokenNotedAt < this.times.leaseS / 2) return;
-    this.tokenNotedAt = now;
-    this.reporter.noteChange();
+    if (now - this.fencingTokenRecordedAt < this.times.leaseS / 2) return;
+    this.fencingTokenRecordedAt = now;
+    this.reporter.recordChange();
   }
 
   private setHanging(hanging: boolean): void {
