--- a/packages/store/budget.test.ts
+++ b/packages/store/budget.test.ts
@@ -12,9 +12,9 @@
 }
 
 test('whatever the rate and the number taken, the wait is what the rate asks for', async () => {
-  // Guards against a reserve for urgent takers that could never be left over.
+  // Guards against a reserve for urgent consumers that could never be left over.
   const rates = fc.double({ min: 0.2, max: 500, noNaN: true });
-  const takes = fc.array(
+  const requests = fc.array(
     fc.record({ units: fc.integer({ min: 1, max: 100 }), urgent: fc.boolean() }),
     {
       minLength: 1,
@@ -22,7 +22,7 @@
     },
   );
   await fc.assert(
-    fc.asyncProperty(rates, takes, async (rate, wanted) => {
+    fc.asyncProperty(rates, requests, async (rate, wanted) => {
       const { world, budget } = await aBudget(rate);
       let taken = 0;
       for (const { units, urgent } of wanted)
@@ -35,7 +35,7 @@
   );
 });
 
-test('a taker without an end starves nobody, and urgent ones go first', async () => {
+test('a consumer without an end starves nobody, and urgent ones go first', async () => {
   const { world, budget } = await aBudget(10);
   const order: string[] = [];
   const takeFor = async (name: string, units: number) => {
@@ -55,7 +55,7 @@
   assert.equal(order[served], 'urgent');
 });
 
-test('who gives up leaves the line', async () => {
+test('a consumer whose signal aborts no longer waits', async () => {
   const { world, budget } = await aBudget(10);
   const stop = new AbortController();
   let taken = 0;
@@ -71,10 +71,10 @@
   await assert.rejects(budget.acquire(1, false, stop.signal));
 });
 
-test('what users ask for waits for the duties, and gets its part all the same', async () => {
+test('what users ask for waits for background work, and gets its share all the same', async () => {
   const { world, budget } = await aBudget(20);
-  const taken = { duty: 0, users: 0 };
-  const takeFor = async (consumer: 'duty' | 'users', units: number) => {
+  const taken = { background: 0, users: 0 };
+  const takeFor = async (consumer: 'background' | 'users', units: number) => {
     for (;;) {
       await budget.acquireFor(consumer, units);
       taken[consumer] += units;
@@ -86,9 +86,9 @@
   assert.ok(taken.users >= 200, `${taken.users}`);
   assert.equal(budget.usersPerSecond(), 20);
   taken.users = 0;
-  for (let n = 0; n < 5; n++) void takeFor('duty', 10);
+  for (let n = 0; n < 5; n++) void takeFor('background', 10);
   await world.run(20);
   assert.ok(taken.users >= 90 && taken.users <= 120, `${taken.users}`);
-  assert.ok(taken.duty >= 280, `${taken.duty}`);
+  assert.ok(taken.background >= 280, `${taken.background}`);
   assert.ok(budget.usersPerSecond() < 7);
 });
--- a/packages/store/budget.ts
+++ b/packages/store/budget.ts
@@ -1,16 +1,19 @@
-import { Clock, Timer } from '#wire';
+/** A rate of requests or changes that this controller may use, and who gets it first. */
+import type { Clock, Timer } from '#wire';
 import { FairQueue } from './fair-queue.js';
 
 /**
- * Who takes of a budget: `urgent` are few small requests that hold up everybody else; `duty` is what the
- * controller does by itself; `users` is what users ask for.
+ * Who consumes a budget: `urgent` are few small requests that hold up everybody else; `background` is
+ * what the controller does by itself; `users` is what users ask for.
  */
-export type BudgetConsumer = 'urgent' | 'duty' | 'users';
+export type BudgetConsumer = 'urgent' | 'background' | 'users';
 
-/** Of what duties and users take while both wait, the duties get so many times as much as the users. */
+/** While background work and users wait, the former gets so many times as much as the latter. */
 const INTERNAL_WEIGHT = 3;
-/** Seconds over which the rate at which duties take is averaged. */
-const AVERAGED_S = 2;
+/** Time constant of the average of what others than users consume. */
+const AVERAGING_S = 2;
+/** A wait that hardly matters. */
+const SHORT_WAIT_S = 1 / 2;
 
 interface Waiter {
   units: number;
@@ -18,23 +21,26 @@
 }
 
 /**
- * A rate with one second's worth of burst. Takers of a kind are served in the order in which they came;
- * urgent ones go before all others, and while duties and users wait they share by weight. What is taken
- * at once may be more than a second's worth; it is granted when the budget is full and paid for afterwards.
+ * A token bucket that holds one second's worth of its rate. Consumers of a kind are served in the order
+ * in which they came; urgent ones go before all others, and while background work and users wait they
+ * share by weight. One consumer may want more than a second's worth at once: it is granted when the
+ * bucket is full, and what is missing delays those that follow.
  */
 export class Budget {
+  /** Units in the bucket; negative while more was granted than it held. */
   private level: number;
   private refilledAt: number;
-  private readonly urgentLine: Waiter[] = [];
-  private readonly line = new FairQueue<Waiter>((consumer) =>
+  private readonly urgentWaiters: Waiter[] = [];
+  private readonly waiters = new FairQueue<Waiter>((consumer) =>
     consumer === 'users' ? 1 : INTERNAL_WEIGHT,
   );
-  /** Units that others than users have taken, forgotten over AVERAGED_S. */
+  /** Units that others than users have consumed, forgotten over AVERAGING_S. */
   private internalUnits = 0;
   private internalUnitsAt: number;
-  /** Runs until the first in line can be served. */
+  /** Runs until the first that waits can be served. */
   private timer: Timer | null = null;
 
+  /** `perSecond` is the rate in units a second, above 0. */
   constructor(
     private readonly clock: Clock,
     private perSecond: number,
@@ -44,48 +50,49 @@
     this.internalUnitsAt = this.refilledAt;
   }
 
-  /** Another rate from now on. */
-  change(perSecond: number): void {
+  /** Sets another rate, in units a second. */
+  setRate(perSecond: number): void {
     this.refill();
     this.perSecond = perSecond;
     this.serve();
   }
 
-  left(): number {
+  /** Units that can be granted at once; below 0 while earlier consumers are not made up for. */
+  available(): number {
     this.refill();
     return this.level;
   }
 
-  /** Half a second's worth or more is left, so that others hardly notice a small taker. */
-  get ample(): boolean {
-    return this.left() >= this.perSecond / 2;
+  /** Half a second's worth or more is available, so that others hardly notice a few units. */
+  get isAmple(): boolean {
+    return this.available() >= this.perSecond * SHORT_WAIT_S;
   }
 
-  /** What can be taken with little waiting: what is left, or half a second's worth if that is more. */
-  soon(): number {
-    return Math.max(this.left(), this.perSecond / 2);
+  /** Units that can be granted with little waiting: those available, or half a second's worth if that is more. */
+  availableSoon(): number {
+    return Math.max(this.available(), this.perSecond * SHORT_WAIT_S);
   }
 
-  /** Units a second that users can count on beside what the duties have taken of late. */
+  /** Units a second that users can count on beside what others have consumed of late. */
   usersPerSecond(): number {
     this.expireInternalUnits();
-    const left = this.perSecond - this.internalUnits / AVERAGED_S;
-    return Math.max(left, this.perSecond / (INTERNAL_WEIGHT + 1));
+    const unused = this.perSecond - this.internalUnits / AVERAGING_S;
+    return Math.max(unused, this.perSecond / (INTERNAL_WEIGHT + 1));
   }
 
-  /** What was taken and is not needed after all, or a negative number if more was needed. */
+  /** Gives back units that were granted and are not needed; a negative number takes more. */
   refund(units: number): void {
     this.refill();
     this.level = Math.min(this.perSecond, this.level + units);
     this.serve();
   }
 
-  /** For the controller's own duties, or urgently. */
+  /** Like `acquireFor`, for urgent or for background work; callers that know which use that. */
   acquire(units: number, urgent: boolean, signal?: AbortSignal): Promise<void> {
-    return this.acquireFor(urgent ? 'urgent' : 'duty', units, signal);
+    return this.acquireFor(urgent ? 'urgent' : 'background', units, signal);
   }
 
-  /** Resolves once the units are taken; rejects with the signal's reason. */
+  /** Resolves once the units are granted; rejects with the signal's reason if it aborts before. */
   acquireFor(consumer: BudgetConsumer, units: number, signal?: AbortSignal): Promise<void> {
     return new Promise((resolve, reject) => {
       if (signal?.aborted) {
@@ -93,8 +100,7 @@
         return;
       }
       const onAbort = () => {
-        if (consumer === 'urgent') this.urgentLine.splice(this.urgentLine.indexOf(waiter), 1);
-        else this.line.remove(consumer, waiter);
+        this.removeWaiter(consumer, waiter);
         reject(signal?.reason as Error);
         this.serve();
       };
@@ -105,12 +111,17 @@
       };
       const waiter: Waiter = { units, grant };
       signal?.addEventListener('abort', onAbort, { once: true });
-      if (consumer === 'urgent') this.urgentLine.push(waiter);
-      else this.line.push(consumer, waiter);
+      if (consumer === 'urgent') this.urgentWaiters.push(waiter);
+      else this.waiters.push(consumer, waiter);
       this.serve();
     });
   }
 
+  private removeWaiter(consumer: BudgetConsumer, waiter: Waiter): void {
+    if (consumer === 'urgent') this.urgentWaiters.splice(this.urgentWaiters.indexOf(waiter), 1);
+    else this.waiters.remove(consumer, waiter);
+  }
+
   private countInternal(units: number): void {
     this.expireInternalUnits();
     this.internalUnits += units;
@@ -118,7 +129,7 @@
 
   private expireInternalUnits(): void {
     const now = this.clock.now();
-    this.internalUnits *= Math.exp((this.internalUnitsAt - now) / AVERAGED_S);
+    this.internalUnits *= Math.exp((this.internalUnitsAt - now) / AVERAGING_S);
     this.internalUnitsAt = now;
   }
 
@@ -129,20 +140,23 @@
     this.refilledAt = now;
   }
 
+  /** Grants what it can, in order, and calls itself again when the next can be granted. */
   private serve(): void {
     this.timer?.cancel();
     this.timer = null;
     for (;;) {
-      const next = this.urgentLine.length > 0 ? this.urgentLine[0] : this.line.peek();
+      const next = this.urgentWaiters.length > 0 ? this.urgentWaiters[0] : this.waiters.peek();
       if (!next) return;
       const { units, grant } = next;
       const waitMs = this.waitMs(units);
       if (waitMs > 0) {
-        this.timer = this.clock.setTimer(() => this.serve(), waitMs);
+        this.timer = this.clock.setTimer(() => {
+          this.serve();
+        }, waitMs);
         return;
       }
-      if (next === this.urgentLine[0]) this.urgentLine.shift();
-      else this.line.shift(units);
+      if (next === this.urgentWaiters[0]) this.urgentWaiters.shift();
+      else this.waiters.shift(units);
       this.level -= units;
       grant();
     }
--- a/packages/store/codecs/job-codec.ts
+++ b/packages/store/codecs/job-codec.ts
@@ -1,7 +1,7 @@
 /** The record of a job, and its form in the state service. */
 import type { ReplicaShape } from '#core';
 import { type Job, jobToWire, parseJob } from '#wire';
-import { sizeInJson } from '../txn-limits.js';
+import { sizeInJson } from '../state-limits.js';
 
 /** Characters that are kept of a name in the record of a job that is over and too long. */
 const SHORTENED_NAME_CHARACTERS = 32;
--- a/packages/store/group-commit.test.ts
+++ b/packages/store/group-commit.test.ts
@@ -5,10 +5,10 @@
 import { GroupCommit } from './group-commit.js';
 
 const LIMITS = { rps: 150, writeRps: 50, valueBytes: 8192, txnOps: 24 };
-/** The share of all changes that a controller may make that does not own. */
+/** The share of all changes that a follower may make. */
 const SHARE = 0.3;
 
-test('a burst of changes at a controller that does not own is recorded as fast as its share allows', async () => {
+test('a burst of changes at a follower is recorded as fast as its share allows', async () => {
   const state = await StateWorld.start(LIMITS);
   const runtime = state.controller();
   const client = state.client(runtime, { share: SHARE });
--- a/packages/store/group-commit.ts
+++ b/packages/store/group-commit.ts
@@ -1,36 +1,38 @@
+/** Group commit: small independent changes share transactions. */
 import {
-  Change,
-  Condition,
+  type Change,
+  type Condition,
   NoAnswer,
   pause,
   type Runtime,
   StateRefused,
   TxnMalformed,
 } from '#wire';
-import { StateClient } from './state-client.js';
+import { CommitBatch, type CommitRequest } from './commit-batch.js';
 import { FairQueue } from './fair-queue.js';
-import { sizeInJson, TXN_BYTES } from './txn-limits.js';
+import { isRefusedForRate, rateRefusal } from './rate-refusal.js';
+import type { StateClient } from './state-client.js';
+import { sizeInJson } from './state-limits.js';
 
+/** The changes were made at a revision of the store, or were not since one of their own conditions failed. */
 export type CommitOutcome = { ok: true; revision: number } | { ok: false };
 
 /** How often a change is sent at the most while the service refuses it for the rate. */
-const MAX_SENDS = 4;
+const MAX_ATTEMPTS = 4;
 /** Before a change that was refused for the rate is sent again: at least so long, and up to so much longer. */
-const RESEND_MS = 50;
-const RESEND_SPREAD_MS = 100;
+const RETRY_MS = 50;
+const RETRY_SPREAD_MS = 100;
 
-interface Intent {
+/** A request whose outcome is still to come. */
+interface PendingCommit extends CommitRequest {
   team: string;
-  conditions: Condition[];
-  changes: Change[];
-  bytes: number;
-  /** It was in a transaction that the service called malformed, and is sent by itself. */
-  suspect: boolean;
-  sends: number;
+  /** How often it was sent. */
+  attempts: number;
   resolve: (outcome: CommitOutcome) => void;
-  reject: (err: unknown) => void;
+  reject: (error: unknown) => void;
 }
 
+/** What group commit needs, and how it shares. */
 export interface GroupCommitOptions {
   client: StateClient;
   runtime: Runtime;
@@ -41,17 +43,18 @@
 }
 
 /**
- * Group commit: small independent changes share transactions; one that fails leaves the others. While
+ * Puts small independent changes into shared transactions; one that fails leaves the others. While
  * changes of several teams wait, they take turns by the teams' weights.
  */
 export class GroupCommit {
-  private readonly queue: FairQueue<Intent>;
-  private running = false;
+  private readonly queue: FairQueue<PendingCommit>;
+  private sending = false;
 
   constructor(private readonly options: GroupCommitOptions) {
     this.queue = new FairQueue(options.weightOf);
   }
 
+  /** No change may be added now. */
   get full(): boolean {
     return this.queue.length >= this.options.maxQueue;
   }
@@ -62,115 +65,113 @@
     return Math.min(this.queue.length, ofTeam);
   }
 
-  /** The part of all changes that the team has beside the teams whose changes wait now. */
+  /** The share of all changes that the team has beside the teams whose changes wait now. */
   shareOf(team: string): number {
     return this.queue.shareOf(team);
   }
 
   /**
-   * Rejects with NoAnswer if the outcome is unknown, with StateRefused if nothing was done, and with
-   * TxnMalformed if the change can't be made.
+   * Makes changes together if all conditions hold. Rejects with NoAnswer if the outcome is unknown, with
+   * StateRefused if nothing was done, and with TxnMalformed if the changes can't be made.
    */
   commit(team: string, conditions: Condition[], changes: Change[]): Promise<CommitOutcome> {
     return new Promise((resolve, reject) => {
       if (this.full) {
-        reject(new StateRefused(429));
+        reject(rateRefusal());
         return;
       }
       const bytes = sizeInJson(conditions) + sizeInJson(changes);
-      const progress = { bytes, suspect: false, sends: 0 };
-      this.queue.push(team, { team, conditions, changes, ...progress, resolve, reject });
-      if (!this.running) {
-        this.running = true;
-        void this.drain();
-      }
+      const request = { conditions, changes, bytes, mustGoAlone: false };
+      this.queue.push(team, { ...request, team, attempts: 0, resolve, reject });
+      if (this.sending) return;
+      this.sending = true;
+      void this.sendAll();
     });
   }
 
-  private async drain(): Promise<void> {
-    const { client } = this.options;
+  private async sendAll(): Promise<void> {
     while (this.queue.length > 0) {
       // The turn first, then what takes part: whoever comes meanwhile needs not wait for the next.
-      const reserved = await client.reserveForUsers(this.queue.length).catch(() => 0);
-      const batch = this.nextBatch(Math.max(1, reserved));
-      await this.send(batch, reserved);
+      const reserved = await this.reserveChanges();
+      await this.send(this.nextBatch(Math.max(1, reserved)), reserved);
+    }
+    this.sending = false;
+  }
+
+  private reserveChanges(): Promise<number> {
+    return this.options.client.reserveForUsers(this.queue.length).catch(() => {
+      // The client is closed, so that the transaction fails as well and tells those that wait.
+      return 0;
+    });
+  }
+
+  private nextBatch(maxChanges: number): PendingCommit[] {
+    const batch = new CommitBatch<PendingCommit>(maxChanges);
+    for (;;) {
+      const next = this.queue.peek();
+      if (!next || !batch.accepts(next)) return batch.requests;
+      this.queue.shift(next.changes.length);
+      batch.add(next);
     }
-    this.running = false;
   }
 
-  private async send(batch: Intent[], reserved: number): Promise<void> {
-    const conditions = batch.flatMap((intent) => intent.conditions);
-    const changes = batch.flatMap((intent) => intent.changes);
-    for (const intent of batch) intent.sends++;
+  private async send(batch: PendingCommit[], reserved: number): Promise<void> {
+    const conditions = batch.flatMap((commit) => commit.conditions);
+    const changes = batch.flatMap((commit) => commit.changes);
+    for (const commit of batch) commit.attempts++;
     try {
-      const out = await this.options.client.userTxn(conditions, changes, reserved);
-      if (out.ok) for (const { resolve } of batch) resolve({ ok: true, revision: out.revision });
-      else if ('failed' in out) this.split(batch, out.failed);
-      else for (const { resolve } of batch) resolve({ ok: false });
-    } catch (err) {
-      await this.fail(batch, err);
+      const outcome = await this.options.client.userTxn(conditions, changes, reserved);
+      if (outcome.ok) {
+        for (const { resolve } of batch) resolve({ ok: true, revision: outcome.revision });
+      } else if ('failed' in outcome) {
+        this.resolveFailed(batch, outcome.failed);
+      } else {
+        for (const { resolve } of batch) resolve({ ok: false });
+      }
+    } catch (error) {
+      await this.handleError(batch, error);
     }
   }
 
-  private async fail(batch: Intent[], err: unknown): Promise<void> {
-    if (err instanceof TxnMalformed && batch.length > 1) {
-      for (const intent of batch) intent.suspect = true;
-      this.sendAgain(batch);
+  /** Tells those whose own conditions failed; the others go again. */
+  private resolveFailed(batch: PendingCommit[], failedKeys: string[]): void {
+    const keys = new Set(failedKeys);
+    const dependsOnFailed = ({ conditions }: PendingCommit) =>
+      conditions.some(({ key }) => keys.has(key));
+    const dependent = batch.filter(dependsOnFailed);
+    // A failure that none of them explains is every one's.
+    const failed = dependent.length > 0 ? dependent : batch;
+    for (const { resolve } of failed) resolve({ ok: false });
+    this.requeue(batch.filter((commit) => !failed.includes(commit)));
+  }
+
+  private async handleError(batch: PendingCommit[], error: unknown): Promise<void> {
+    if (error instanceof TxnMalformed && batch.length > 1) {
+      for (const commit of batch) commit.mustGoAlone = true;
+      this.requeue(batch);
       return;
     }
-    if (err instanceof StateRefused && err.status === 429) {
-      await this.waitForRate(batch, err);
+    if (isRefusedForRate(error)) {
+      await this.retryAfterRefusal(batch, error);
       return;
     }
     const isKnown =
-      err instanceof StateRefused || err instanceof NoAnswer || err instanceof TxnMalformed;
-    for (const { reject } of batch) reject(isKnown ? err : new NoAnswer(String(err)));
+      error instanceof StateRefused || error instanceof NoAnswer || error instanceof TxnMalformed;
+    for (const { reject } of batch) reject(isKnown ? error : new NoAnswer(String(error)));
   }
 
-  /** The service did nothing, and will soon have room: all controllers together asked for too much. */
-  private async waitForRate(batch: Intent[], err: StateRefused): Promise<void> {
-    for (const intent of batch) if (intent.sends >= MAX_SENDS) intent.reject(err);
-    this.sendAgain(batch.filter(({ sends }) => sends < MAX_SENDS));
+  /** The service did nothing, and will soon serve again: all controllers together asked for too much. */
+  private async retryAfterRefusal(batch: PendingCommit[], error: StateRefused): Promise<void> {
+    for (const commit of batch) if (commit.attempts >= MAX_ATTEMPTS) commit.reject(error);
+    this.requeue(batch.filter(({ attempts }) => attempts < MAX_ATTEMPTS));
     const { client, runtime } = this.options;
-    const delayMs = RESEND_MS + runtime.random() * RESEND_SPREAD_MS;
+    const delayMs = RETRY_MS + runtime.random() * RETRY_SPREAD_MS;
     // A client that is closed fails what is left.
     await pause(runtime.clock, delayMs, client.closed);
   }
 
   /** Puts changes back in front of those that their teams have queued, in the same order. */
-  private sendAgain(batch: Intent[]): void {
-    for (const intent of [...batch].reverse()) this.queue.pushBack(intent.team, intent);
-  }
-
-  private nextBatch(maxOps: number): Intent[] {
-    const batch: Intent[] = [];
-    const keys = new Set<string>();
-    let ops = 0;
-    let bytes = 0;
-    for (let next = this.queue.peek(); next; next = this.queue.peek()) {
-      if (batch.length > 0) {
-        if (ops + next.changes.length > maxOps) break;
-        if (bytes + next.bytes > TXN_BYTES) break;
-        if (next.suspect || batch[0].suspect) break;
-        if (next.conditions.some(({ key }) => keys.has(key))) break;
-      }
-      this.queue.shift(next.changes.length);
-      batch.push(next);
-      ops += next.changes.length;
-      for (const { key } of next.conditions) keys.add(key);
-      bytes += next.bytes;
-    }
-    return batch;
-  }
-
-  /** Those whose own conditions failed are told so; the others go again. */
-  private split(batch: Intent[], failed: string[]): void {
-    const failedKeys = new Set(failed);
-    const isFailed = ({ conditions }: Intent) => conditions.some(({ key }) => failedKeys.has(key));
-    const failing = batch.filter(isFailed);
-    // A failure that none of them explains is every one's.
-    const told = failing.length > 0 ? failing : batch;
-    for (const { resolve } of told) resolve({ ok: false });
-    this.sendAgain(batch.filter((intent) => !told.includes(intent)));
+  private requeue(batch: PendingCommit[]): void {
+    for (const commit of [...batch].reverse()) this.queue.pushBack(commit.team, commit);
   }
 }
--- a/packages/store/index.ts
+++ b/packages/store/index.ts
@@ -16,4 +16,4 @@
 export * from './progress-layout.js';
 export * from './record-keys.js';
 export * from './state-client.js';
-export * from './txn-limits.js';
+export * from './state-limits.js';
--- a/packages/store/shared-rate.test.ts
+++ b/packages/store/shared-rate.test.ts
@@ -5,19 +5,19 @@
 import { StateRefused } from '#wire';
 
 const LIMITS = { rps: 500, writeRps: 50, valueBytes: 8192, txnOps: 24 };
-const OWNER = { least: 0.6, most: 0.8 };
+const LEADER = { least: 0.6, most: 0.8 };
 const OTHERS = { least: 0.05, most: 0.3 };
 const FOLLOWERS = 6;
 const SECONDS = 30;
 
-test('an owner has its least share beside any number of others who all want more than theirs', async () => {
+test('a leader has its least share beside any number of others who all want more than theirs', async () => {
   const state = await StateWorld.start(LIMITS);
   const leader = state.client(state.controller('10.0.0.1'));
-  leader.shareWrites(OWNER);
+  leader.shareWrites(LEADER);
   let recorded = 0;
   const record = async () => {
     for (let i = 0; ; i++) {
-      const txn = leader.txn([], [{ put: `machines/${i % 9}`, value: i }], false);
+      const txn = leader.txnInBackground([], [{ put: `machines/${i % 9}`, value: i }]);
       await txn.then(
         () => recorded++,
         (err: unknown) => assert.ok(err instanceof StateRefused),
@@ -44,8 +44,11 @@
     for (let submitter = 0; submitter < 10; submitter++) void submit();
   }
   await state.run(SECONDS);
-  assert.ok(recorded >= 0.9 * OWNER.least * LIMITS.writeRps * SECONDS, `${recorded} recorded`);
-  assert.ok(accepted >= 0.5 * (1 - OWNER.most) * LIMITS.writeRps * SECONDS, `${accepted} accepted`);
+  assert.ok(recorded >= 0.9 * LEADER.least * LIMITS.writeRps * SECONDS, `${recorded} recorded`);
+  assert.ok(
+    accepted >= 0.5 * (1 - LEADER.most) * LIMITS.writeRps * SECONDS,
+    `${accepted} accepted`,
+  );
 });
 
 test('one controller alone uses what the others leave of the rate, and again after a refusal', async () => {
@@ -58,15 +61,15 @@
   const other = state.client(state.controller('10.0.0.2'));
   const puts = (prefix: string, count: number) =>
     Array.from({ length: count }, (_, i) => ({ put: `${prefix}/${i}`, value: 0 }));
-  for (const prefix of ['x', 'y']) void other.txn([], puts(prefix, LIMITS.txnOps), false);
+  for (const prefix of ['x', 'y']) void other.txnInBackground([], puts(prefix, LIMITS.txnOps));
   await state.run(0.05);
   let refusals = 0;
-  client.txn([], puts('z', 9), false).catch(() => refusals++);
+  client.txnInBackground([], puts('z', 9)).catch(() => refusals++);
   await state.run(5);
   assert.equal(refusals, 1);
   assert.ok(client.left().changes <= most / 2 + 1e-9);
   for (let s = 0; s < 25; s++) {
-    void client.txn([], [{ put: 'z', value: s }], false);
+    void client.txnInBackground([], [{ put: 'z', value: s }]);
     await state.run(1);
   }
   assert.ok(client.left().changes > most - 2);
--- a/packages/store/shared-rate.ts
+++ b/packages/store/shared-rate.ts
@@ -1,7 +1,8 @@
+/** Adapts this controller's share of a rate to what other controllers use of it. */
 import type { Clock } from '#wire';
 import type { Budget } from './budget.js';
 
-/** Bounds of one controller's part of a rate that it shares with others; units a second. */
+/** Bounds of one controller's share of a rate that several controllers use; units a second, or shares of the rate. */
 export interface RateBounds {
   /** It may always use so much: the least of all together are within the rate. */
   least: number;
@@ -9,24 +10,24 @@
   most: number;
 }
 
-/** What is left of the part after a refusal. */
-const BACK_OFF = 1 / 2;
-/** Seconds from one step down to the next: refusals that come together show one excess. */
-const STEP_S = 1;
-/** Seconds in which the part grows from its least to its most. */
+/** Multiple of the share that is used after a refusal. */
+const DECREASE_FACTOR = 1 / 2;
+/** Least time between two decreases: refusals that come together show one excess. */
+const MIN_DECREASE_INTERVAL_S = 1;
+/** Seconds in which the share grows from its least to its most. */
 const RECOVERY_S = 20;
 
 /**
- * Adapts a controller's part of a shared rate to what the others leave of it, without knowing what they use:
- * it shrinks by half when the service refuses a request for the rate, and grows steadily while it is served
+ * A controller's share of a rate, adapted to what the others leave without knowing what they use: it shrinks by half when the service refuses a request for the rate, and grows steadily while it is served
  * (additive increase, multiplicative decrease).
  */
 export class SharedRate {
   private bounds: RateBounds;
   private current: number;
-  private steppedDownAt = -Infinity;
-  private grownAt: number;
+  private decreasedAt = -Infinity;
+  private setAt: number;
 
+  /** Begins with a rate in units a second, which is fixed until bounds are set. */
   constructor(
     private readonly clock: Clock,
     private readonly budget: Budget,
@@ -34,38 +35,39 @@
   ) {
     this.bounds = { least: rate, most: rate };
     this.current = rate;
-    this.grownAt = clock.now();
+    this.setAt = clock.now();
   }
 
-  /** What is left of the part if the service goes on refusing, as a share of what it is now. */
+  /** What the share falls to if the service goes on refusing, as a fraction of what it is now. */
   get leastShare(): number {
     return this.bounds.least / this.current;
   }
 
-  /** Other bounds from now on; begins with the most. */
-  bound(bounds: RateBounds): void {
+  /** Sets other bounds; begins with the most. */
+  setBounds(bounds: RateBounds): void {
     this.bounds = bounds;
     this.set(bounds.most);
   }
 
-  /** A request was refused because all together asked for too much. */
-  refused(): void {
+  /** Records that a request was refused because all controllers together asked for too much. */
+  recordRefused(): void {
     const now = this.clock.now();
-    if (now < this.steppedDownAt + STEP_S) return;
-    this.steppedDownAt = now;
-    this.set(Math.max(this.bounds.least, this.current * BACK_OFF));
+    if (now < this.decreasedAt + MIN_DECREASE_INTERVAL_S) return;
+    this.decreasedAt = now;
+    this.set(Math.max(this.bounds.least, this.current * DECREASE_FACTOR));
   }
 
-  served(): void {
+  /** Records that a request was served. */
+  recordServed(): void {
     const { least, most } = this.bounds;
     if (this.current >= most) return;
-    const grown = ((this.clock.now() - this.grownAt) / RECOVERY_S) * (most - least);
+    const grown = ((this.clock.now() - this.setAt) / RECOVERY_S) * (most - least);
     this.set(Math.min(most, this.current + grown));
   }
 
   private set(perSecond: number): void {
-    this.grownAt = this.clock.now();
+    this.setAt = this.clock.now();
     this.current = perSecond;
-    this.budget.change(perSecond);
+    this.budget.setRate(perSecond);
   }
 }
--- a/packages/store/state-client.ts
+++ b/packages/store/state-client.ts
@@ -1,53 +1,51 @@
+/** Requests and transactions to the state service within this controller's share of the rates. */
 import { setMaxListeners } from 'node:events';
-import { Change, Clock, Condition, StateApi, StateRefused, TxnMalformed, TxnOutcome } from '#wire';
+import {
+  type Change,
+  type Clock,
+  type Condition,
+  type StateApi,
+  TxnMalformed,
+  type TxnOutcome,
+} from '#wire';
 import { Budget, type BudgetConsumer } from './budget.js';
-import { type RateBounds, SharedRate } from './shared-rate.js';
+import { ChangeBudget } from './change-budget.js';
+import { isRefusedForRate } from './rate-refusal.js';
+import { ServiceHealth } from './service-health.js';
+import type { RateBounds } from './shared-rate.js';
+import type { StateLimits } from './state-limits.js';
 
-/** Seconds' worth of what users can count on that one transaction of theirs waits for at the most. */
-const USERS_TURN_S = 1 / 2;
-
-export interface StateLimits {
-  rps: number;
-  writeRps: number;
-  valueBytes: number;
-  txnOps: number;
-  /**
-   * Value size by which older versions divide what a job's tasks have done (ProgressLayout); `valueBytes` unless
-   * given.
-   */
-  layoutBytes?: number;
-}
+/** One request, made with the service's interface. */
+type Request<T> = (api: StateApi) => Promise<T>;
 
 /**
- * The state service within this controller's part of the rate limits, and how it has been. Times are
- * steady seconds of the clock.
+ * The state service within this controller's share of the rate limits, and whether it serves. Each
+ * request waits for the budget first. It rejects with NoAnswer if its outcome is unknown, with
+ * StateRefused if the service did not carry it out, with TxnMalformed if no repetition can help, and
+ * with the signal's reason if that aborts while it waits for the budget.
  */
 export class StateClient {
-  private readonly reads: Budget;
-  private readonly writes: Budget;
-  private readonly writeRate: SharedRate;
+  private readonly requestBudget: Budget;
+  private readonly changeBudget: ChangeBudget;
+  private readonly health = new ServiceHealth();
   private readonly closing = new AbortController();
-  /** When the last request that succeeded was sent. */
-  lastOkAt = -Infinity;
-  /** When the last request that was refused or unanswered was sent. */
-  lastFailAt = -Infinity;
-  /** When the first request that failed since the last success was sent. */
-  failingSince = Infinity;
-  /** Since the start: requests sent, those refused for the rate, and puts and deletes sent. */
+  /** Requests sent since the start. */
   requests = 0;
+  /** Requests refused for the rate since the start. */
   refused = 0;
+  /** Puts and deletes sent since the start. */
   changes = 0;
 
+  /** `share` is the share of the rates that this controller may use, above 0 and at most 1. */
   constructor(
     private readonly clock: Clock,
     private readonly api: StateApi,
     readonly limits: StateLimits,
     share: number,
   ) {
-    this.reads = new Budget(clock, limits.rps * share);
-    this.writes = new Budget(clock, limits.writeRps * share);
-    this.writeRate = new SharedRate(clock, this.writes, limits.writeRps * share);
-    // Everyone who waits for a part of a budget may listen to it.
+    this.requestBudget = new Budget(clock, limits.rps * share);
+    this.changeBudget = new ChangeBudget(clock, limits, share);
+    // Everyone who waits for a budget may listen to it.
     setMaxListeners(0, this.closing.signal);
   }
 
@@ -62,116 +60,130 @@
     this.api.close();
   }
 
-  /** The least and the largest part of all changes that this controller may make. */
-  shareWrites({ least, most }: RateBounds): void {
-    const { writeRps } = this.limits;
-    this.writeRate.bound({ least: least * writeRps, most: most * writeRps });
+  /** When the last request that succeeded was sent; steady seconds. */
+  get lastOkAt(): number {
+    return this.health.lastOkAt;
+  }
+
+  /** When the last request that was refused or unanswered was sent; steady seconds. */
+  get lastFailAt(): number {
+    return this.health.lastFailAt;
+  }
+
+  /** When the first request that failed since the last success was sent; steady seconds. */
+  get failingSince(): number {
+    return this.health.failingSince;
+  }
+
+  /** The newest request whose outcome is known was not served. */
+  get failing(): boolean {
+    return this.health.failing;
   }
 
-  /** Seconds until so many changes that users ask for are sent, now and if the other controllers take all they may. */
+  /** Sets the least and the largest share of all changes that this controller may make. */
+  shareWrites(shares: RateBounds): void {
+    this.changeBudget.setShares(shares);
+  }
+
+  /** Seconds until so many changes that users ask for are sent, now and if the other controllers use all they may. */
   usersWaitS(changes: number): { expected: number; longest: number } {
-    const expected = Math.max(0, changes - this.writes.left()) / this.usersChangesPerS;
-    return { expected, longest: expected / this.writeRate.leastShare };
+    return this.changeBudget.usersWaitS(changes);
   }
 
   /** Changes a second that users can count on. */
   get usersChangesPerS(): number {
-    return this.writes.usersPerSecond();
+    return this.changeBudget.usersPerSecond;
   }
 
-  /** What may be used at once of this controller's parts of the rates. */
-  left(): Record<string, number> {
-    return { requests: this.reads.left(), changes: this.writes.left() };
+  /** What may be used at once of this controller's shares of the rates. */
+  left(): { requests: number; changes: number } {
+    return { requests: this.requestBudget.available(), changes: this.changeBudget.available };
   }
 
   /** Changes that a transaction may hold so that it needs not wait long for the budget; at least one. */
   get txnChanges(): number {
-    return Math.max(1, Math.min(this.limits.txnOps, Math.floor(this.writes.soon())));
+    return this.changeBudget.txnChanges;
   }
 
   /** Changes that may as well be made later can be made now. */
   get hasSpareChanges(): boolean {
-    return this.writes.ample;
+    return this.changeBudget.isAmple;
   }
 
-  /** Runs one request and notes whether the service served it; urgent ones go ahead of the line. */
-  async call<T>(
-    urgent: boolean,
-    signal: AbortSignal | undefined,
-    run: (api: StateApi) => Promise<T>,
-  ): Promise<T> {
-    return this.callFor(urgent ? 'urgent' : 'duty', signal, run);
+  /** `callUrgent` or `callInBackground`; callers that know which use these. */
+  async call<T>(urgent: boolean, signal: AbortSignal | undefined, run: Request<T>): Promise<T> {
+    return this.callFor(urgent ? 'urgent' : 'background', signal, run);
   }
 
-  private async callFor<T>(
-    consumer: BudgetConsumer,
-    signal: AbortSignal | undefined,
-    run: (api: StateApi) => Promise<T>,
-  ): Promise<T> {
-    await this.reads.acquireFor(consumer, 1, signal ?? this.closed);
-    const sentAt = this.clock.now();
-    this.requests++;
-    try {
-      const result = await run(this.api);
-      this.lastOkAt = Math.max(this.lastOkAt, sentAt);
-      if (this.lastOkAt > this.lastFailAt) this.failingSince = Infinity;
-      return result;
-    } catch (err) {
-      // A 429 shows that the service is there, and so does what it finds malformed.
-      if (err instanceof StateRefused && err.status === 429) this.refused++;
-      else if (!(err instanceof TxnMalformed) && !signal?.aborted) {
-        this.lastFailAt = Math.max(this.lastFailAt, sentAt);
-        if (this.failing && this.failingSince === Infinity) this.failingSince = sentAt;
-      }
-      throw err;
-    }
+  /** Makes one of the few small requests that hold up everybody else; it goes ahead of all others. */
+  async callUrgent<T>(signal: AbortSignal | undefined, run: Request<T>): Promise<T> {
+    return this.callFor('urgent', signal, run);
   }
 
+  /** Makes one request of the controller itself, in the order in which they come. */
+  async callInBackground<T>(signal: AbortSignal | undefined, run: Request<T>): Promise<T> {
+    return this.callFor('background', signal, run);
+  }
+
+  /** `txnUrgent` or `txnInBackground`; callers that know which use these. */
   async txn(
     conditions: Condition[],
     changes: Change[],
     urgent: boolean,
     signal?: AbortSignal,
   ): Promise<TxnOutcome> {
-    return this.txnFor(urgent ? 'urgent' : 'duty', conditions, changes, signal);
+    return this.txnFor(urgent ? 'urgent' : 'background', conditions, changes, signal);
+  }
+
+  /** Sends a transaction that goes ahead of all others. */
+  async txnUrgent(
+    conditions: Condition[],
+    changes: Change[],
+    signal?: AbortSignal,
+  ): Promise<TxnOutcome> {
+    return this.txnFor('urgent', conditions, changes, signal);
+  }
+
+  /** Sends a transaction of the controller itself, in the order in which they come. */
+  async txnInBackground(
+    conditions: Condition[],
+    changes: Change[],
+    signal?: AbortSignal,
+  ): Promise<TxnOutcome> {
+    return this.txnFor('background', conditions, changes, signal);
   }
 
   /**
    * Waits for the turn of what users ask for, and resolves with how many changes may be sent now, up to so
    * many as are wanted: what comes while it waits can still be among them.
    */
-  async reserveForUsers(wanted: number): Promise<number> {
-    const soon = Math.floor(Math.max(this.writes.left(), this.usersChangesPerS * USERS_TURN_S));
-    const units = Math.max(1, Math.min(wanted, this.limits.txnOps, soon));
-    await this.writes.acquireFor('users', units, this.closed);
-    return units;
+  reserveForUsers(wanted: number): Promise<number> {
+    return this.changeBudget.reserveForUsers(wanted, this.closed);
   }
 
-  /** A transaction with what users ask for, of which so many changes are reserved. */
+  /** Sends a transaction with what users ask for, of which so many changes are reserved. */
   userTxn(conditions: Condition[], changes: Change[], reserved: number): Promise<TxnOutcome> {
     this.refund(reserved - changes.length);
     return this.send('users', conditions, changes);
   }
 
-  /** The same for the controller's own changes. */
-  async reserve(wanted: number, signal: AbortSignal): Promise<number> {
-    const units = Math.max(1, Math.min(wanted, this.txnChanges));
-    await this.writes.acquireFor('duty', units, signal);
-    return units;
+  /** Like `reserveForUsers`, for the controller's own changes. */
+  reserve(wanted: number, signal: AbortSignal): Promise<number> {
+    return this.changeBudget.reserve(wanted, signal);
   }
 
-  /** Changes that were reserved and are not needed; fewer than none if more are. */
+  /** Gives back changes that were reserved and are not needed; a negative number takes more. */
   refund(changes: number): void {
-    this.writes.refund(changes);
+    this.changeBudget.refund(changes);
   }
 
-  /** A transaction whose changes are reserved. */
+  /** Sends a transaction whose changes are reserved. */
   reservedTxn(
     conditions: Condition[],
     changes: Change[],
     signal: AbortSignal,
   ): Promise<TxnOutcome> {
-    return this.send('duty', conditions, changes, signal);
+    return this.send('background', conditions, changes, signal);
   }
 
   private async txnFor(
@@ -180,7 +192,7 @@
     changes: Change[],
     signal?: AbortSignal,
   ): Promise<TxnOutcome> {
-    await this.writes.acquireFor(consumer, changes.length, signal ?? this.closed);
+    await this.changeBudget.acquire(consumer, changes.length, signal ?? this.closed);
     return this.send(consumer, conditions, changes, signal);
   }
 
@@ -192,19 +204,36 @@
   ): Promise<TxnOutcome> {
     this.changes += changes.length;
     try {
-      const out = await this.callFor(consumer, signal, (api) =>
+      const outcome = await this.callFor(consumer, signal, (api) =>
         api.txn(conditions, changes, signal),
       );
-      this.writeRate.served();
-      return out;
-    } catch (err) {
-      if (err instanceof StateRefused && err.status === 429) this.writeRate.refused();
-      throw err;
+      this.changeBudget.recordServed();
+      return outcome;
+    } catch (error) {
+      if (isRefusedForRate(error)) this.changeBudget.recordRefused();
+      throw error;
     }
   }
 
-  /** The last thing known is that the service did not serve us. */
-  get failing(): boolean {
-    return this.lastFailAt > this.lastOkAt;
+  private async callFor<T>(
+    consumer: BudgetConsumer,
+    signal: AbortSignal | undefined,
+    run: Request<T>,
+  ): Promise<T> {
+    await this.requestBudget.acquireFor(consumer, 1, signal ?? this.closed);
+    const sentAt = this.clock.now();
+    this.requests++;
+    try {
+      const result = await run(this.api);
+      this.health.recordSuccess(sentAt);
+      return result;
+    } catch (error) {
+      // A refusal for the rate shows that the service is there, and so does what it finds malformed.
+      if (isRefusedForRate(error)) this.refused++;
+      else if (!(error instanceof TxnMalformed) && !signal?.aborted) {
+        this.health.recordFailure(sentAt);
+      }
+      throw error;
+    }
   }
 }
