--- a/packages/store/election-lease.ts
+++ b/packages/store/election-lease.ts
@@ -1,18 +1,24 @@
+/** The lease in the state service that holds the leader key of a shard. */
 import type { Runtime } from '#wire';
-import type { StateClient } from './state-client.js';
 import { Hedge } from './hedged-request.js';
+import type { StateClient } from './state-client.js';
 
-/** How often an owner sends its renewal in the life of its grant while no answer comes. */
+/** Renewals that a leader sends within the lease's time to live while no answer comes. */
 const RENEWALS_PER_TTL = 8;
-/** Share of a grant's life for which it is surely alive after a renewal was sent, whatever the clocks do. */
+/** Share of its time to live for which a lease is surely alive after a renewal was sent, whatever the clocks do. */
 const PROVEN_SHARE = 0.95;
 
-/** Whether the grant is alive, by the answer to a renewal, and when that was sent. */
+/** Whether the lease is alive, by the answer to a renewal, and when that renewal was sent. */
 interface Renewal {
   alive: boolean;
+  /** Steady seconds. */
   sentAt: number;
 }
 
+/** What became of a lease that was to be renewed. */
+export type RenewalOutcome = 'alive' | 'ended' | 'replaced';
+
+/** What the lease needs, and for how long it is granted. */
 export interface ElectionLeaseOptions {
   client: StateClient;
   runtime: Runtime;
@@ -20,7 +26,10 @@
   ttlS: number;
 }
 
-/** The grant of the state service on which the part's key hangs while this controller owns. */
+/**
+ * The election lease: the leader key hangs on it while this controller leads, and is removed with it.
+ * Its number tells one incarnation of a controller from the next.
+ */
 export class ElectionLease {
   /** Its number; null while there is none. */
   id: number | null = null;
@@ -41,26 +50,24 @@
     return this.renewedAt + this.options.ttlS * PROVEN_SHARE;
   }
 
-  /** Gets a new one; rejects if the state service does not give it. */
+  /** Has a new one granted; rejects as `StateClient.callUrgent` does. */
   async obtain(signal: AbortSignal): Promise<void> {
     const { client, runtime, ttlS } = this.options;
     const ttlMs = Math.round(ttlS * 1000);
     const sentAt = runtime.clock.now();
-    this.id = await client.call(true, signal, (api) => api.grantLease(ttlMs, signal));
+    this.id = await client.callUrgent(signal, (api) => api.grantLease(ttlMs, signal));
     this.renewedAt = sentAt;
   }
 
   /**
-   * Renews it; `ended` if the state service says so, `replaced` if it was given up meanwhile. An owner does not wait
-   * for long where one answer is lost, since its term may end meanwhile: it sends the renewal again beside the first.
+   * Renews it; `ended` if the state service says so, `replaced` if it was given up meanwhile. Rejects as
+   * `StateClient.callUrgent` does. With `resend` the renewal is sent again beside the first while no answer comes:
+   * a leader must not wait long for an answer that is lost, since its term may end meanwhile.
    */
-  async renew(
-    signal: AbortSignal,
-    { resend }: { resend: boolean },
-  ): Promise<'alive' | 'ended' | 'replaced'> {
+  async renew(signal: AbortSignal, { resend }: { resend: boolean }): Promise<RenewalOutcome> {
     const { id } = this;
     if (id === null) return 'replaced';
-    const request = (own: AbortSignal) => this.requestRenewal(id, own);
+    const request = (attempt: AbortSignal) => this.requestRenewal(id, attempt);
     const { alive, sentAt } = await (resend ? this.renewals.run(request, signal) : request(signal));
     if (this.id !== id) return 'replaced';
     if (alive) this.renewedAt = sentAt;
@@ -68,17 +75,21 @@
     return alive ? 'alive' : 'ended';
   }
 
-  private async requestRenewal(id: number, signal: AbortSignal): Promise<Renewal> {
-    const { client, runtime } = this.options;
-    const sentAt = runtime.clock.now();
-    return { alive: await client.call(true, signal, (api) => api.renewLease(id, signal)), sentAt };
-  }
-
-  /** Ends it at once, with the keys that hang on it. */
+  /** Ends it at once, with the leader key that hangs on it. */
   revoke(): void {
     const { id } = this;
     this.id = null;
     if (id === null) return;
-    this.options.client.call(true, undefined, (api) => api.revokeLease(id)).catch(() => {});
+    const request = this.options.client.callUrgent(undefined, (api) => api.revokeLease(id));
+    request.catch(() => {
+      // Nobody renews the lease any more, so without an answer it expires by itself.
+    });
+  }
+
+  private async requestRenewal(id: number, signal: AbortSignal): Promise<Renewal> {
+    const { client, runtime } = this.options;
+    const sentAt = runtime.clock.now();
+    const alive = await client.callUrgent(signal, (api) => api.renewLease(id, signal));
+    return { alive, sentAt };
   }
 }
--- a/packages/store/leader-election.test.ts
+++ b/packages/store/leader-election.test.ts
@@ -6,12 +6,12 @@
 import { WORLD } from './record-keys.js';
 
 const LIMITS = { rps: 150, writeRps: 50, valueBytes: 8192, txnOps: 24 };
-/** As on the largest fleets: a request may take nearly as long as the grant lives. */
+/** As on the largest fleets: a request may take nearly as long as the lease lives. */
 const TTL_S = 3.8;
 const TIMEOUT_MS = 2500;
 
-/** A controller that owns the part. */
-async function anOwner(seed: number) {
+/** A controller that leads the shard. */
+async function electLeader(seed: number) {
   const state = await StateWorld.start(LIMITS, seed);
   const runtime = state.controller();
   const client = state.client(runtime, { timeoutMs: TIMEOUT_MS });
@@ -23,14 +23,14 @@
   void election.run(signal);
   await state.run(5);
   assert.ok(election.term.value);
-  return { state, client, ownership: election, term: election.term.value.term };
+  return { state, client, election, term: election.term.value.term };
 }
 
-/** The share of owners whose term outlives a time in which nothing reaches the state service. */
+/** The share of leaders whose term outlives a time in which nothing reaches the state service. */
 async function shareThatOutlives(stallS: number, seeds: number): Promise<number> {
   let kept = 0;
   for (let seed = 1; seed <= seeds; seed++) {
-    const { state, ownership: election, term } = await anOwner(seed);
+    const { state, election, term } = await electLeader(seed);
     await state.run(seed / 20);
     const end = state.network.apply({
       opener: ({ role }) => role === 'controller',
@@ -46,12 +46,12 @@
 }
 
 test('a lost answer to a renewal does not cost the term', async () => {
-  // Guards against an owner that waited for one answer for nearly the life of its grant.
+  // Guards against a leader that waited for one answer for nearly the life of its lease.
   for (const stallS of [0.5, 2.5]) assert.equal(await shareThatOutlives(stallS, 20), 1);
 });
 
-test('an owner sends hardly more renewals while answers are slow, and few while none come', async () => {
-  const { state, client } = await anOwner(1);
+test('a leader sends hardly more renewals while answers are slow, and few while none come', async () => {
+  const { state, client } = await electLeader(1);
   const requestsIn = async (seconds: number) => {
     const before = client.requests;
     await state.run(seconds);
