--- a/packages/store/fair-queue.test.ts
+++ b/packages/store/fair-queue.test.ts
@@ -30,7 +30,7 @@
   );
 });
 
-test('a lane that comes anew waits for a turn and not for what others have queued', () => {
+test('a lane that was empty waits for a turn and not for what others have queued', () => {
   const queue = new FairQueue<string>();
   for (let i = 0; i < 100; i++) queue.push('flood', 'flood');
   for (let i = 0; i < 50; i++) queue.shift();
--- a/packages/store/fair-queue.ts
+++ b/packages/store/fair-queue.ts
@@ -1,3 +1,6 @@
+/** A queue whose lanes share its turns by weight. */
+
+/** The items of one user of the queue. */
 interface Lane<T> {
   readonly items: T[];
   readonly weight: number;
@@ -14,11 +17,13 @@
   private readonly lanes = new Map<string, Lane<T>>();
   /** Turn of the item that was served last. */
   private virtualTime = 0;
+  /** Number of items in all lanes. */
   length = 0;
 
-  /** Weights are positive. */
+  /** `weightOf` gives the weight of each lane, above 0; all weigh the same by default. */
   constructor(private readonly weightOf: (lane: string) => number = () => 1) {}
 
+  /** Adds an item at the end of its lane. */
   push(name: string, item: T): void {
     this.laneForUse(name).items.push(item);
     this.length++;
@@ -54,18 +59,19 @@
     this.length--;
   }
 
+  /** Number of items in one lane. */
   lengthOf(name: string): number {
     return this.lanes.get(name)?.items.length ?? 0;
   }
 
-  /** The part of all turns that a lane has beside those that hold items now. */
+  /** The share of all turns that a lane has beside those that hold items now. */
   shareOf(name: string): number {
     const own = this.lanes.get(name)?.weight ?? this.weightOf(name);
-    let all = own;
+    let total = own;
     for (const [other, { items, weight }] of this.lanes) {
-      if (other !== name && items.length > 0) all += weight;
+      if (other !== name && items.length > 0) total += weight;
     }
-    return own / all;
+    return own / total;
   }
 
   private laneForUse(name: string): Lane<T> {
--- a/packages/store/hedged-request.ts
+++ b/packages/store/hedged-request.ts
@@ -1,12 +1,15 @@
+/** Requests that are sent again beside the first while its answer is missing. */
 import type { Clock, Timer } from '#wire';
 
+/** Sends one attempt; the signal ends it. */
 type Request<T> = (signal: AbortSignal) => Promise<T>;
 
-/** Multiple of the usual time to an answer after which a request is sent again. */
-const PATIENCE = 2;
-/** Share of the longest time to an answer that is still expected after the next answer. */
-const MEMORY = 0.9;
+/** Multiple of the longest expected time to an answer after which a request is sent again. */
+const DELAY_FACTOR = 2;
+/** Multiple of the longest time to an answer that is still expected after the next answer. */
+const ANSWER_TIME_DECAY = 0.9;
 
+/** When, and how often, a request is sent again. */
 export interface HedgeOptions {
   clock: Clock;
   /** A request is sent again after so many seconds without an answer, or later if answers are slow. */
@@ -21,8 +24,8 @@
  * would make them slower, so the delay grows with the time that answers take.
  */
 export class Hedge {
-  /** The longest time that an answer took, forgotten by and by; seconds. */
-  private answerS = 0;
+  /** The longest time that an answer is expected to take; seconds. */
+  private longestAnswerS = 0;
 
   constructor(private readonly options: HedgeOptions) {}
 
@@ -32,29 +35,33 @@
    */
   async run<T>(request: Request<T>, signal: AbortSignal): Promise<T> {
     const { clock, leastDelayS, maxAttempts } = this.options;
-    const delayMs = Math.max(leastDelayS, PATIENCE * this.answerS) * 1000;
+    const delayMs = Math.max(leastDelayS, DELAY_FACTOR * this.longestAnswerS) * 1000;
     const attempts = new AbortController();
-    const cancel = () => attempts.abort(signal.reason);
+    const cancel = () => {
+      attempts.abort(signal.reason);
+    };
     if (signal.aborted) cancel();
     signal.addEventListener('abort', cancel, { once: true });
-    const timed = () => this.timed(request, attempts.signal);
+    const attempt = () => this.measure(request, attempts.signal);
     try {
-      return await firstAnswer({ clock, delayMs, maxAttempts, request: timed });
+      return await firstAnswer({ clock, delayMs, maxAttempts, request: attempt });
     } finally {
       signal.removeEventListener('abort', cancel);
       attempts.abort();
     }
   }
 
-  private async timed<T>(request: Request<T>, signal: AbortSignal): Promise<T> {
+  /** Makes one attempt, and learns from the time to its answer. */
+  private async measure<T>(request: Request<T>, signal: AbortSignal): Promise<T> {
     const { clock } = this.options;
     const sentAt = clock.now();
     const answer = await request(signal);
-    this.answerS = Math.max(clock.now() - sentAt, MEMORY * this.answerS);
+    this.longestAnswerS = Math.max(clock.now() - sentAt, ANSWER_TIME_DECAY * this.longestAnswerS);
     return answer;
   }
 }
 
+/** How the attempts of one request are made. */
 interface Attempts<T> {
   clock: Clock;
   delayMs: number;
@@ -62,24 +69,26 @@
   request: () => Promise<T>;
 }
 
+/** Resolves with the first answer; rejects with the last error once no attempt is left. */
 function firstAnswer<T>({ clock, delayMs, maxAttempts, request }: Attempts<T>): Promise<T> {
   return new Promise((resolve, reject) => {
-    let made = 0;
-    let underWay = 0;
+    let attemptsMade = 0;
+    let pendingAttempts = 0;
     let timer: Timer | null = null;
     const attempt = () => {
-      made++;
-      underWay++;
-      timer = made < maxAttempts ? clock.setTimer(attempt, delayMs) : null;
+      attemptsMade++;
+      pendingAttempts++;
+      timer = attemptsMade < maxAttempts ? clock.setTimer(attempt, delayMs) : null;
       request().then(
         (answer) => {
           timer?.cancel();
           resolve(answer);
         },
-        (err: unknown) => {
-          if (--underWay > 0) return;
+        (error: unknown) => {
+          if (--pendingAttempts > 0) return;
           timer?.cancel();
-          reject(err as Error);
+          // eslint-disable-next-line @typescript-eslint/prefer-promise-reject-errors -- as it came
+          reject(error);
         },
       );
     };
--- a/packages/store/pages.ts
+++ b/packages/store/pages.ts
@@ -1,14 +1,18 @@
+/** Reads of all entries under a prefix, which the state service answers page by page. */
 import type { Entry } from '#wire';
 import type { StateClient } from './state-client.js';
 
-/** Some entries of one reading, and the revision of the store then. */
+/** Some entries of one read, and the revision of the store at that time. */
 interface Page {
   entries: Entry[];
   more: boolean;
   revision: number;
 }
 
-/** All entries under a prefix, page by page; there is at least one page. */
+/**
+ * All entries under a prefix, page by page; there is at least one page. Throws as
+ * `StateClient.callUrgent` does.
+ */
 export async function* pages(
   client: StateClient,
   prefix: string,
@@ -17,14 +21,14 @@
   let after: string | null = null;
   for (;;) {
     const from: string | null = after;
-    const page: Page = await client.call(true, signal, (api) => api.list(prefix, from, signal));
+    const page: Page = await client.callUrgent(signal, (api) => api.list(prefix, from, signal));
     yield page;
     after = page.entries.at(-1)?.key ?? null;
     if (!page.more || after === null) return;
   }
 }
 
-/** All entries under a prefix. */
+/** All entries under a prefix; rejects as `StateClient.callUrgent` does. */
 export async function listAll(
   client: StateClient,
   prefix: string,
--- a/packages/store/prefix-cache.ts
+++ b/packages/store/prefix-cache.ts
@@ -1,17 +1,30 @@
+/** A copy of all keys under a prefix that a watch keeps current. */
 import { Subject } from 'rxjs';
-import { pause, Runtime, sleep, WatchEvent } from '#wire';
-import { StateClient } from './state-client.js';
+import { pause, type Runtime, sleep, type WatchEvent } from '#wire';
 import { pages } from './pages.js';
+import type { StateClient } from './state-client.js';
 
 /** Before a failed watch is tried again: at least so long, and up to so much longer. */
 const RETRY_MS = 200;
 const RETRY_SPREAD_MS = 300;
 
-export class NotReady extends Error {}
+/** The cache cannot be brought up to date now, since its keys must be read from the start first. */
+export class NotReady extends Error {
+  override readonly name = 'NotReady';
 
+  constructor(
+    /** Prefix of the cached keys. */
+    readonly prefix: string,
+  ) {
+    super(`the keys under ${prefix} are not loaded`);
+  }
+}
+
+/** What a cache needs, and how often it may ask. */
 export interface PrefixCacheOptions {
   client: StateClient;
   runtime: Runtime;
+  /** Prefix of the cached keys, which ends with a slash. */
   prefix: string;
   /** How long the service may hold a request of the watch. */
   watchMs: number;
@@ -19,7 +32,7 @@
   syncSpacingMs: number;
   /**
    * Pause between two answers of the watch, 0 by default. Without it each change of any job wakes every
-   * controller at once, and these wakes were most of what the controllers that own nothing did.
+   * controller at once, and these wakes were most of what the followers did.
    */
   gatherMs?: () => number;
 }
@@ -30,72 +43,99 @@
  */
 export class PrefixCache {
   private readonly versions = new Map<string, number>();
-  private revision: number | null = null;
-  private syncing: Promise<void> | null = null;
-  private queued: Promise<void> | null = null;
+  /** All changes up to this revision are in the cache; null while the keys must be loaded. */
+  private loadedRevision: number | null = null;
+  /** The read index that is under way. */
+  private currentSync: Promise<void> | null = null;
+  /** The read index that follows it, for all who ask meanwhile. */
+  private nextSync: Promise<void> | null = null;
   /** When the last read index was sent; steady seconds. */
   private lastSyncAt = -Infinity;
-  /** When the newest request that brought the cache up to date was sent. */
+  /** When the newest request that brought the cache up to date was sent; steady seconds. */
   syncedAt = -Infinity;
+  /** Each change, once it is in the cache. */
   readonly changes = new Subject<WatchEvent>();
 
   constructor(private readonly options: PrefixCacheOptions) {}
 
+  /** The keys are loaded. */
   get ready(): boolean {
-    return this.revision !== null;
+    return this.loadedRevision !== null;
   }
 
   /** All changes up to this revision are in the cache; 0 before it is loaded. */
   get completeTo(): number {
-    return this.revision ?? 0;
+    return this.loadedRevision ?? 0;
   }
 
+  /** Keeps the cache current until the signal aborts; never rejects. */
   async run(signal: AbortSignal): Promise<void> {
-    const { client, runtime, prefix, watchMs, gatherMs } = this.options;
     while (!signal.aborted) {
       try {
-        if (this.revision === null) await this.load(signal);
-        const after = this.revision!;
-        const sentAt = runtime.clock.now();
-        const out = await client.call(false, signal, (api) =>
-          api.changes(prefix, after, watchMs, signal),
-        );
-        if (out === 'too-old') this.revision = null;
-        else {
-          this.apply(out.events, out.revision);
-          this.syncedAt = Math.max(this.syncedAt, sentAt);
-        }
-        await sleep(runtime.clock, gatherMs?.() ?? 0, signal);
+        await this.watchOnce(signal);
       } catch {
-        if (signal.aborted) return;
-        const delayMs = RETRY_MS + runtime.random() * RETRY_SPREAD_MS;
-        await pause(runtime.clock, delayMs, signal);
+        // Whatever failed, no change is lost: the next request asks for all since loadedRevision.
+        await this.pauseBeforeRetry(signal);
       }
     }
   }
 
-  /** Resolves once the cache holds all that was durable when this was called. */
+  /** Resolves once the cache holds all that was durable when this was called; rejects with NotReady. */
   sync(): Promise<void> {
-    if (this.revision === null) return Promise.reject(new NotReady());
+    if (this.loadedRevision === null) return Promise.reject(new NotReady(this.options.prefix));
     // The request in flight may have been sent too early; all later callers share the next one.
-    if (this.syncing === null) return this.startSync();
-    this.queued ??= this.syncing
-      .catch(() => {})
+    if (this.currentSync === null) return this.startSync();
+    this.nextSync ??= this.currentSync
+      .catch(() => {
+        // Those who asked for that read index are told; this one is sent all the same.
+      })
       .then(() => {
-        this.queued = null;
+        this.nextSync = null;
         return this.startSync();
       });
-    return this.queued;
+    return this.nextSync;
+  }
+
+  /** Adds an entry that this process has written or read itself. */
+  applyLocal(key: string, value: unknown, version: number): void {
+    this.applyEvent({ key, value, version });
+  }
+
+  /** Loads the keys if needed, then waits for their next changes. */
+  private async watchOnce(signal: AbortSignal): Promise<void> {
+    const { client, runtime, prefix, watchMs, gatherMs } = this.options;
+    if (this.loadedRevision === null) await this.load(signal);
+    const after = this.loadedRevision;
+    // A read index that was answered meanwhile may have found the revision too old.
+    if (after === null) return;
+    const sentAt = runtime.clock.now();
+    const outcome = await client.callInBackground(signal, (api) =>
+      api.changes(prefix, after, watchMs, signal),
+    );
+    if (outcome === 'too-old') {
+      this.loadedRevision = null;
+    } else {
+      this.applyAll(outcome.events, outcome.revision);
+      this.syncedAt = Math.max(this.syncedAt, sentAt);
+    }
+    await sleep(runtime.clock, gatherMs?.() ?? 0, signal);
+  }
+
+  private async pauseBeforeRetry(signal: AbortSignal): Promise<void> {
+    if (signal.aborted) return;
+    const { runtime } = this.options;
+    const delayMs = RETRY_MS + runtime.random() * RETRY_SPREAD_MS;
+    await pause(runtime.clock, delayMs, signal);
   }
 
   private startSync(): Promise<void> {
-    const run = this.readIndex();
-    this.syncing = run;
-    const done = () => {
-      if (this.syncing === run) this.syncing = null;
+    const sync = this.readIndex();
+    this.currentSync = sync;
+    const finish = () => {
+      if (this.currentSync === sync) this.currentSync = null;
     };
-    run.then(done, done);
-    return run;
+    sync.then(finish, finish);
+    return sync;
   }
 
   private async readIndex(): Promise<void> {
@@ -105,56 +145,53 @@
     if (delayMs > 0) await sleep(clock, delayMs, client.closed);
     const sentAt = clock.now();
     this.lastSyncAt = sentAt;
-    const after = this.revision;
-    if (after === null) throw new NotReady();
-    const out = await client.call(true, undefined, (api) => api.changes(prefix, after, 0));
-    if (out === 'too-old') {
-      this.revision = null;
-      throw new NotReady();
+    const after = this.loadedRevision;
+    if (after === null) throw new NotReady(prefix);
+    const outcome = await client.callUrgent(undefined, (api) => api.changes(prefix, after, 0));
+    if (outcome === 'too-old') {
+      this.loadedRevision = null;
+      throw new NotReady(prefix);
     }
-    this.apply(out.events, out.revision);
+    this.applyAll(outcome.events, outcome.revision);
     this.syncedAt = Math.max(this.syncedAt, sentAt);
   }
 
-  /** Takes in an entry that this process has written or read itself. */
-  applyLocal(key: string, value: unknown, version: number): void {
-    this.applyEvent({ key, value, version });
-  }
-
   private async load(signal: AbortSignal): Promise<void> {
     const { client, runtime, prefix } = this.options;
     const sentAt = runtime.clock.now();
-    const seen = new Set<string>();
-    let base: number | null = null;
+    const loadedKeys = new Set<string>();
+    let firstRevision: number | null = null;
     // Page by page: all entries at once would be several times what is kept of them.
     for await (const page of pages(client, prefix, signal)) {
-      base ??= page.revision;
+      firstRevision ??= page.revision;
       for (const entry of page.entries) {
-        seen.add(entry.key);
+        loadedKeys.add(entry.key);
         this.applyEvent(entry);
       }
     }
-    this.forgetMissing(seen, base ?? 0);
-    this.revision = base;
+    this.forgetMissing(loadedKeys, firstRevision ?? 0);
+    this.loadedRevision = firstRevision;
     this.syncedAt = sentAt;
   }
 
-  /** What is not among all keys of a revision was removed before it. */
-  private forgetMissing(seen: Set<string>, base: number): void {
+  /** Keys that are not among all keys of a revision were removed before it. */
+  private forgetMissing(loadedKeys: Set<string>, revision: number): void {
     for (const [key, version] of this.versions) {
-      if (!seen.has(key) && version <= base) this.applyEvent({ key, version: base });
+      if (!loadedKeys.has(key) && version <= revision) this.applyEvent({ key, version: revision });
     }
   }
 
-  private apply(events: WatchEvent[], revision: number): void {
+  private applyAll(events: WatchEvent[], revision: number): void {
     for (const event of events) this.applyEvent(event);
-    if (this.revision !== null) this.revision = Math.max(this.revision, revision);
+    if (this.loadedRevision !== null) {
+      this.loadedRevision = Math.max(this.loadedRevision, revision);
+    }
   }
 
-  /** Older events than what is known of their key change nothing. */
+  /** Events that are older than what is known of their key change nothing. */
   private applyEvent(event: WatchEvent): void {
-    const known = this.versions.get(event.key) ?? 0;
-    if (event.version <= known) return;
+    const knownVersion = this.versions.get(event.key) ?? 0;
+    if (event.version <= knownVersion) return;
     this.versions.set(event.key, event.version);
     this.changes.next(event);
   }
--- a/packages/store/progress-layout.ts
+++ b/packages/store/progress-layout.ts
@@ -1,3 +1,4 @@
+/** How the done tasks of a job are divided into progress records. */
 import { MAX_TASKS } from '#wire';
 import { PROGRESS } from './record-keys.js';
 
@@ -5,20 +6,25 @@
 export interface ProgressValue {
   /** Done bits of the tasks from `first` on, in base64. */
   done: string;
-  /** Absent: what the key says, counted in the chunks of `ProgressLayout.unit`. */
+  /** The first task; absent: what the key says, counted in the chunks of `ProgressLayout.unit`. */
   first?: number;
 }
 
 /** Tasks of a job that share one progress record. */
 export interface ProgressChunk {
+  /** Key of the record. */
   key: string;
+  /** The first task. */
   first: number;
+  /** Number of tasks. */
   tasks: number;
 }
 
-/** Share of a value that done bits in base64 fill, and bytes that a byte of base64 holds. */
-const FILLED = 1 / 2;
+/** Share of a value that done bits in base64 may fill. */
+const FILLED_SHARE = 1 / 2;
+/** Bytes that a character of base64 holds. */
 const BYTES_PER_CHARACTER = 3 / 4;
+const BITS_PER_BYTE = 8;
 
 /**
  * How the done tasks of a job are divided into records. Older versions count the chunk that a key names in units
@@ -28,23 +34,26 @@
 export class ProgressLayout {
   /** Tasks in the chunks of older versions. */
   readonly unit: number;
-  private readonly mostTasks: number;
+  /** Tasks of the largest chunk that a value holds. */
+  private readonly maxTasks: number;
+  /** Tasks in the chunks of jobs that have more. */
   private readonly dividedTasks: number;
 
+  /** `valueBytes` is the value limit in force, `layoutBytes` that of older versions; bytes. */
   constructor({ valueBytes, layoutBytes }: { valueBytes: number; layoutBytes?: number }) {
     this.unit = chunkTasks(layoutBytes ?? valueBytes);
-    this.mostTasks = chunkTasks(valueBytes);
-    this.dividedTasks = divide(this.unit, this.mostTasks);
+    this.maxTasks = chunkTasks(valueBytes);
+    this.dividedTasks = divide(this.unit, this.maxTasks);
   }
 
-  /** The chunk that holds the task of a job of so many tasks. */
+  /** The chunk that holds one task of a job with so many tasks. */
   chunkOf(id: string, tasks: number, task: number): ProgressChunk {
-    const size = tasks <= this.mostTasks ? this.unit : this.dividedTasks;
+    const size = tasks <= this.maxTasks ? this.unit : this.dividedTasks;
     const first = Math.floor(task / size) * size;
     return { key: progressKey(id, placeInUnits(first, this.unit)), first, tasks: size };
   }
 
-  /** The first task that the record tells of; `label` is the last part of its key. */
+  /** The first task of a record; `label` is the last segment of its key. */
   firstTask(label: number, { first }: ProgressValue): number {
     return first ?? Math.round(label * this.unit);
   }
@@ -62,16 +71,18 @@
 
 /** Tasks whose done bits share one value of so many bytes. */
 function chunkTasks(valueBytes: number): number {
-  return Math.max(8, Math.floor(valueBytes * FILLED * BYTES_PER_CHARACTER) * 8);
+  const bytes = Math.floor(valueBytes * FILLED_SHARE * BYTES_PER_CHARACTER);
+  return Math.max(BITS_PER_BYTE, bytes * BITS_PER_BYTE);
 }
 
-/** The largest part of a unit, in whole bytes and at most so many tasks, whose places older versions find exactly. */
-function divide(unit: number, mostTasks: number): number {
-  let size = Math.min(unit, mostTasks);
-  while (size > 8 && !arePlacesExact(unit, size)) size -= 8;
+/** The largest fraction of a unit, in whole bytes and at most so many tasks, whose places older versions find exactly. */
+function divide(unit: number, maxTasks: number): number {
+  let size = Math.min(unit, maxTasks);
+  while (size > BITS_PER_BYTE && !arePlacesExact(unit, size)) size -= BITS_PER_BYTE;
   return size;
 }
 
+/** Whether older versions find every chunk of so many tasks at the place that its key names. */
 function arePlacesExact(unit: number, size: number): boolean {
   for (let first = 0; first < MAX_TASKS; first += size) {
     if (placeInUnits(first, unit) * unit !== first) return false;
