--- a/packages/peer/frames.test.ts
+++ b/packages/peer/frames.test.ts
@@ -32,6 +32,74 @@
   }),
 );
 
+/** Frames, and their bytes in hexadecimal: other versions of the controller read and write the same. */
+const KNOWN_FRAMES: { frame: Frame; bytes: string }[] = [
+  {
+    frame: { kind: 'hello', name: 'berth-1' },
+    bytes: '0000000a01000762657274682d31',
+  },
+  {
+    frame: { kind: 'abort', job: 'j-000412', ageMs: 1500 },
+    bytes: '0000000f0300086a2d303030343132000005dc',
+  },
+  {
+    frame: {
+      kind: 'status',
+      incarnation: 2 ** 52 + 1,
+      sequence: 7,
+      echo: { incarnation: 3, sequence: 9 },
+      servedAgoMs: 250,
+      refused: true,
+      loaded: false,
+      leading: true,
+      mayLead: false,
+      unreachable: true,
+      newestLeader: { term: 65, name: 'berth-0' },
+      followerHeartbeats: 12,
+      jobsRevision: 400,
+      cancelledSince: Infinity,
+      cancelled: [{ job: 'j-1', ageMs: 0 }],
+    },
+    bytes:
+      '000000500200100000000000010000000735000000000000000300000009000000fa0000000c0000' +
+      '000000000041000762657274682d300000000000000190ffffffffffffffff0000000100036a2d31' +
+      '00000000',
+  },
+  {
+    frame: {
+      kind: 'status',
+      incarnation: 1,
+      sequence: 2,
+      echo: null,
+      servedAgoMs: 0xffffffff,
+      refused: false,
+      loaded: true,
+      leading: false,
+      mayLead: true,
+      unreachable: false,
+      newestLeader: { term: 0, name: '' },
+      followerHeartbeats: 0,
+      jobsRevision: 0,
+      cancelledSince: 5,
+      cancelled: [],
+    },
+    bytes:
+      '00000034020000000000000001000000020affffffff000000000000000000000000000000000000' +
+      '00000000000000000000000500000000',
+  },
+  {
+    frame: { kind: 'counts', jobs: [{ job: 'j-7', done: 3, running: 13 }] },
+    bytes: '00000012040000000100036a2d37000000030000000d',
+  },
+];
+
+test('the bytes of peer frames are those that other versions read and write', () => {
+  for (const { frame, bytes } of KNOWN_FRAMES) {
+    assert.equal(encodeFrame(frame).toString('hex'), bytes);
+    assert.deepEqual(new FrameReader().push(Buffer.from(bytes, 'hex')), [frame]);
+  }
+});
+
 test('peer frames survive any cutting of the stream, and garbage is refused', () => {
   fc.assert(
     fc.property(fc.array(anyFrame), fc.integer({ min: 1, max: 30 }), (frames, step) => {
