--- a/packages/peer/frames.test.ts
+++ b/packages/peer/frame-codec.test.ts
@@ -2,7 +2,8 @@
 import { test } from 'node:test';
 import fc from 'fast-check';
 import { anyJobId, anyName, record, SEEDED } from '#testing';
-import { encodeFrame, type Frame, FrameReader } from './frames.js';
+import { encodeFrame, FrameReader } from './frame-codec.js';
+import type { Frame } from './frames.js';
 
 const u32 = fc.integer({ min: 0, max: 0xffffffff });
 const u53 = fc.nat(Number.MAX_SAFE_INTEGER);
--- /dev/null
+++ b/packages/peer/frame-codec.ts
@@ -0,0 +1,130 @@
+/**
+ * Frames as bytes: u32 length of what follows, u8 kind, payload (payload.ts has the encoding of its
+ * fields). Other versions read and write the same bytes.
+ */
+import type { CancellationNotice, Frame, StatusFrame } from './frames.js';
+import { BadFrame, PayloadReader, PayloadWriter } from './payload.js';
+
+/** The byte for each kind of frame. */
+const KINDS = { hello: 1, status: 2, abort: 3, counts: 4 } as const;
+/** Bytes of the length before each frame. */
+const LENGTH_BYTES = 4;
+/** Largest frame that is read, without its length. */
+const MAX_FRAME_BYTES = 1 << 20;
+
+/** The bytes of a frame, with its length. */
+export function encodeFrame(frame: Frame): Buffer {
+  const payload = new PayloadWriter().u8(KINDS[frame.kind]);
+  writePayload(payload, frame);
+  const body = payload.toBuffer();
+  const length = Buffer.alloc(LENGTH_BYTES);
+  length.writeUInt32BE(body.length);
+  return Buffer.concat([length, body]);
+}
+
+/** Cuts a byte stream into frames. */
+export class FrameReader {
+  /** Bytes of a frame that is not complete yet. */
+  private pending: Buffer = Buffer.alloc(0);
+
+  /** The frames that are complete with these bytes; throws BadFrame on what no controller sends. */
+  push(chunk: Buffer): Frame[] {
+    this.pending = this.pending.length === 0 ? chunk : Buffer.concat([this.pending, chunk]);
+    const frames: Frame[] = [];
+    while (this.pending.length >= LENGTH_BYTES) {
+      const length = this.pending.readUInt32BE(0);
+      if (length < 1 || length > MAX_FRAME_BYTES) throw new BadFrame(`length of ${length} bytes`);
+      const end = LENGTH_BYTES + length;
+      if (this.pending.length < end) break;
+      frames.push(readFrame(new PayloadReader(this.pending.subarray(LENGTH_BYTES, end))));
+      this.pending = this.pending.subarray(end);
+    }
+    return frames;
+  }
+}
+
+function writePayload(payload: PayloadWriter, frame: Frame): void {
+  switch (frame.kind) {
+    case 'hello':
+      payload.text(frame.name);
+      break;
+    case 'abort':
+      writeNotice(payload, frame);
+      break;
+    case 'status':
+      writeStatus(payload, frame);
+      break;
+    case 'counts':
+      payload.list(frame.jobs, ({ job, done, running }) => {
+        payload.text(job).u32(done).u32(running);
+      });
+      break;
+  }
+}
+
+function writeStatus(payload: PayloadWriter, frame: StatusFrame): void {
+  const { echo, newestLeader } = frame;
+  const { refused, loaded, leading, mayLead, unreachable } = frame;
+  payload.u64(frame.incarnation).u32(frame.sequence);
+  payload.flags([refused, loaded, leading, mayLead, echo !== null, unreachable]);
+  if (echo) payload.u64(echo.incarnation).u32(echo.sequence);
+  payload.u32(frame.servedAgoMs).u32(frame.followerHeartbeats);
+  payload.u64(newestLeader.term).text(newestLeader.name);
+  payload.u64(frame.jobsRevision).u64(frame.cancelledSince);
+  payload.list(frame.cancelled, (notice) => {
+    writeNotice(payload, notice);
+  });
+}
+
+function writeNotice(payload: PayloadWriter, { job, ageMs }: CancellationNotice): void {
+  payload.text(job).u32(ageMs);
+}
+
+function readFrame(payload: PayloadReader): Frame {
+  const kind = payload.u8();
+  switch (kind) {
+    case KINDS.hello:
+      return { kind: 'hello', name: payload.text() };
+    case KINDS.abort:
+      return { kind: 'abort', ...readNotice(payload) };
+    case KINDS.status:
+      return readStatus(payload);
+    case KINDS.counts:
+      return { kind: 'counts', jobs: payload.list(() => readCount(payload)) };
+    default:
+      throw new BadFrame(`unknown kind ${kind}`);
+  }
+}
+
+/** Fields are read in the order in which they stand. */
+function readStatus(payload: PayloadReader): StatusFrame {
+  const incarnation = payload.u64();
+  const sequence = payload.u32();
+  const [refused, loaded, leading, mayLead, hasEcho, unreachable] = payload.flags();
+  const echo = hasEcho ? { incarnation: payload.u64(), sequence: payload.u32() } : null;
+  return {
+    kind: 'status',
+    incarnation,
+    sequence,
+    echo,
+    refused,
+    loaded,
+    leading,
+    mayLead,
+    unreachable,
+    servedAgoMs: payload.u32(),
+    followerHeartbeats: payload.u32(),
+    newestLeader: { term: payload.u64(), name: payload.text() },
+    jobsRevision: payload.u64(),
+    cancelledSince: payload.u64(),
+    cancelled: payload.list(() => readNotice(payload)),
+  };
+}
+
+function readNotice(payload: PayloadReader): CancellationNotice {
+  return { job: payload.text(), ageMs: payload.u32() };
+}
+
+function readCount(payload: PayloadReader): { job: string; done: number; running: number } {
+  return { job: payload.text(), done: payload.u32(), running: payload.u32() };
+}
--- a/packages/peer/index.ts
+++ b/packages/peer/index.ts
@@ -1,3 +1,5 @@
+/** Frames and connections between controllers. */
 export * from './dialled-connections.js';
+export * from './frame-codec.js';
 export * from './frames.js';
 export * from './link.js';
--- a/packages/peer/link.test.ts
+++ b/packages/peer/link.test.ts
@@ -2,7 +2,7 @@
 import net, { type AddressInfo } from 'node:net';
 import { test } from 'node:test';
 import { nodeRuntime, pause } from '#wire';
-import { encodeFrame } from './frames.js';
+import { encodeFrame } from './frame-codec.js';
 import { PeerLink } from './link.js';
 
 const HOST = '127.0.0.1';
@@ -34,31 +34,31 @@
   return socket;
 }
 
-test('connections that a cut left open do not keep a peer out', async () => {
-  // Guards against a controller that took no new connection of any peer once such ones had used up all
-  // that it takes, and that heard nobody from then on.
+test('connections that a network partition left open do not keep a peer out', async () => {
+  // Guards against a controller that accepted no new connection of any peer once such ones had used up all
+  // that it accepts, and that received nothing from then on.
   const [portA, portB] = [await freePort(), await freePort()];
   const stop = new AbortController();
   const linkA = linkOf('a', portA, 'b', portB);
   const linkB = linkOf('b', portB, 'a', portA);
-  let heard = 0;
-  linkB.frames.subscribe(() => heard++);
+  let received = 0;
+  linkB.frames.subscribe(() => received++);
   const runB = linkB.run(stop.signal);
   await pause(nodeRuntime.clock, RETRY_MS);
   const silent = Array.from({ length: 40 }, () => silentConnection(portB, 'a'));
   await pause(nodeRuntime.clock, 4 * RETRY_MS);
   const runA = linkA.run(stop.signal);
-  for (let i = 0; i < 40 && heard === 0; i++) {
+  for (let i = 0; i < 40 && received === 0; i++) {
     linkA.send({ kind: 'abort', job: 'j-1', ageMs: 0 });
     await pause(nodeRuntime.clock, RETRY_MS);
   }
-  assert.ok(heard > 0);
+  assert.ok(received > 0);
   stop.abort();
   for (const socket of silent) socket.destroy();
   await Promise.all([runA, runB]);
 });
 
-test('a connection that the peer does not read is dialled anew, unless it is young', async () => {
+test('a connection that the peer does not read is dialled again, unless it is young', async () => {
   const [port, peerPort] = [await freePort(), await freePort()];
   const dialled: net.Socket[] = [];
   const peer = net.createServer((socket) => dialled.push(socket)).listen(peerPort, HOST);
--- a/packages/peer/link.ts
+++ b/packages/peer/link.ts
@@ -1,25 +1,30 @@
+/** Connections with all other controllers. */
 import net from 'node:net';
 import { Subject } from 'rxjs';
-import { aborted, HostPort, Listener } from '#wire';
+import { aborted, type HostPort, Listener } from '#wire';
 import { AcceptedConnections } from './accepted-connections.js';
 import { DialledConnections, type DialOptions, type PeerAddress } from './dialled-connections.js';
 import type { Frame } from './frames.js';
 
+/** What a link needs. */
 export interface PeerLinkOptions extends DialOptions {
+  /** Where this controller accepts connections. */
   listen: HostPort;
+  /** All other controllers. */
   peers: PeerAddress[];
 }
 
-/** Connections that are taken for each controller: the present one and those that it replaces. */
+/** Connections that are accepted of each controller: the present one and those that it replaces. */
 const CONNECTIONS_PER_PEER = 4;
 
 /**
- * Every controller dials every other and speaks on its own connection; what it hears comes on the
- * connections that the others dialled. Frames are advice: nothing durable depends on one arriving.
+ * Every controller dials every other and sends on its own connection; it receives on those that the
+ * others dialled. Frames are hints: nothing durable depends on one that arrives.
  */
 export class PeerLink {
+  /** Each frame that was received, and the name of its sender. */
   readonly frames = new Subject<{ from: string; frame: Frame }>();
-  /** When each peer was last heard; steady seconds. */
+  /** When each peer was last received from; steady seconds. */
   private readonly lastReceived = new Map<string, number>();
   private readonly dialled: DialledConnections;
   private readonly listener: Listener;
@@ -39,12 +44,14 @@
         this.frames.next({ from, frame });
       },
     });
-    const server = net.createServer((connection) => accepted.receive(connection));
+    const server = net.createServer((connection) => {
+      accepted.receive(connection);
+    });
     server.maxConnections = CONNECTIONS_PER_PEER * (peers.length + 1);
     this.listener = new Listener(runtime.network, server);
   }
 
-  /** Links until the signal aborts, then ends all connections; rejects with ListenError. */
+  /** Keeps connections until the signal aborts, then ends all of them; rejects with ListenError. */
   async run(signal: AbortSignal): Promise<void> {
     const { listen, peers } = this.options;
     await this.listener.open(listen);
@@ -53,18 +60,19 @@
     await this.listener.close();
   }
 
-  /** Tells all peers that are reachable. */
+  /** Sends a frame to all peers that are connected. */
   send(frame: Frame): void {
     this.dialled.send(frame);
   }
 
+  /** Sends a frame to one peer, if it is connected. */
   sendTo(peer: string, frame: Frame): void {
     this.dialled.sendTo(peer, frame);
   }
 
   /**
-   * Dials a peer anew that speaks to us but has read nothing of ours for so long. A cut may have swallowed the
-   * sign that it gave our connection up or began a new life; a younger connection may only be slow.
+   * Dials a peer again that sends to us but has read nothing of ours for so many seconds. A network partition
+   * may have hidden that it closed our connection or restarted; a younger connection may only be slow.
    */
   redial(peer: string, unreadS: number): void {
     this.dialled.endIfOlder(peer, unreadS);
--- a/packages/peer/buffers.ts
+++ b/packages/peer/payload.ts
@@ -1,20 +1,37 @@
+/** The payload of a frame, field by field. All numbers are big-endian. */
+
 /** A frame that no controller sends: too large, cut short, or of an unknown kind. */
-export class BadFrame extends Error {}
+export class BadFrame extends Error {
+  override readonly name = 'BadFrame';
+
+  constructor(
+    /** What is wrong with it. */
+    readonly reason: string,
+  ) {
+    super(`not a frame of a controller: ${reason}`);
+  }
+}
+
+/** How u64 holds Infinity. */
+const INFINITE = 0xffffffffffffffffn;
+const MAX_U32 = 0xffffffff;
+const FLAGS_PER_BYTE = 8;
 
-/** Builds the payload of a frame, field by field. All numbers are big-endian. */
+/** Builds a payload, field by field. */
 export class PayloadWriter {
-  private readonly parts: Buffer[] = [];
+  private readonly fields: Buffer[] = [];
 
+  /** An integer of 8 bits. */
   u8(value: number): this {
     const bytes = Buffer.alloc(1);
     bytes.writeUInt8(value);
     return this.push(bytes);
   }
 
-  /** Values outside 32 bits are cut to the nearest that fits. */
+  /** An integer of 32 bits; other values become the nearest one. */
   u32(value: number): this {
     const bytes = Buffer.alloc(4);
-    bytes.writeUInt32BE(Math.min(0xffffffff, Math.max(0, Math.round(value))));
+    bytes.writeUInt32BE(Math.min(MAX_U32, Math.max(0, Math.round(value))));
     return this.push(bytes);
   }
 
@@ -34,7 +51,7 @@
   }
 
   /** Bits of one byte, the first flag lowest; eight at the most. */
-  flags(...values: boolean[]): this {
+  flags(values: readonly boolean[]): this {
     return this.u8(values.reduce((bits, value, i) => bits | (value ? 1 << i : 0), 0));
   }
 
@@ -45,32 +62,35 @@
     return this;
   }
 
+  /** All that was written. */
   toBuffer(): Buffer {
-    return Buffer.concat(this.parts);
+    return Buffer.concat(this.fields);
   }
 
   private push(bytes: Buffer): this {
-    this.parts.push(bytes);
+    this.fields.push(bytes);
     return this;
   }
 }
 
-const INFINITE = 0xffffffffffffffffn;
-
 /** Reads a payload in the order in which it was written; throws BadFrame where it is too short. */
 export class PayloadReader {
-  private at = 0;
+  /** Where the next field begins. */
+  private offset = 0;
 
   constructor(private readonly bytes: Buffer) {}
 
+  /** An integer of 8 bits. */
   u8(): number {
     return this.bytes.readUInt8(this.advance(1));
   }
 
+  /** An integer of 32 bits. */
   u32(): number {
     return this.bytes.readUInt32BE(this.advance(4));
   }
 
+  /** An integer that JavaScript holds exactly, or Infinity. */
   u64(): number {
     const value = this.bytes.readBigUInt64BE(this.advance(8));
     if (value === INFINITE) return Infinity;
@@ -78,30 +98,33 @@
     return Number(value);
   }
 
+  /** UTF-8 after its length in 16 bits. */
   text(): string {
     const length = this.bytes.readUInt16BE(this.advance(2));
     const from = this.advance(length);
     return this.bytes.toString('utf8', from, from + length);
   }
 
-  flags(): (bit: number) => boolean {
+  /** All bits of one byte, the lowest first. */
+  flags(): boolean[] {
     const bits = this.u8();
-    return (bit) => (bits & (1 << bit)) !== 0;
+    return Array.from({ length: FLAGS_PER_BYTE }, (_, i) => (bits & (1 << i)) !== 0);
   }
 
+  /** A count in 32 bits, then each item. */
   list<T>(read: () => T): T[] {
     const count = this.u32();
-    // Each item takes a byte or more, so a longer list is not one that was written here.
-    if (count > this.bytes.length - this.at) throw new BadFrame('list cut short');
+    // Each item takes a byte or more, so that a longer list can't be whole.
+    if (count > this.bytes.length - this.offset) throw new BadFrame('list cut short');
     const items: T[] = [];
     for (let i = 0; i < count; i++) items.push(read());
     return items;
   }
 
   private advance(size: number): number {
-    const from = this.at;
+    const from = this.offset;
     if (from + size > this.bytes.length) throw new BadFrame('cut short');
-    this.at = from + size;
+    this.offset = from + size;
     return from;
   }
 }
