--- a/packages/peer/index.ts
+++ b/packages/peer/index.ts
@@ -2,4 +2,4 @@
 export * from './dialled-connections.js';
 export * from './frame-codec.js';
 export * from './frames.js';
-export * from './link.js';
+export * from './peer-link.js';
--- a/packages/peer/link.test.ts
+++ b/packages/peer/peer-link.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { nodeRuntime, pause } from '#wire';
 import { encodeFrame } from './frame-codec.js';
-import { PeerLink } from './link.js';
+import { PeerLink } from './peer-link.js';
 
 const HOST = '127.0.0.1';
 const RETRY_MS = 50;
--- a/packages/store/budget.test.ts
+++ b/packages/store/budget.test.ts
@@ -11,7 +11,7 @@
   return { world, budget: new Budget(world.controller().clock, perSecond) };
 }
 
-test('whatever the rate and the number taken, the wait is what the rate asks for', async () => {
+test('whatever the rate and the number of units, the wait is what the rate asks for', async () => {
   // Guards against a reserve for urgent consumers that could never be left over.
   const rates = fc.double({ min: 0.2, max: 500, noNaN: true });
   const requests = fc.array(
@@ -24,12 +24,12 @@
   await fc.assert(
     fc.asyncProperty(rates, requests, async (rate, wanted) => {
       const { world, budget } = await aBudget(rate);
-      let taken = 0;
+      let granted = 0;
       for (const { units, urgent } of wanted)
-        void budget.acquire(units, urgent).then(() => taken++);
-      const units = wanted.reduce((sum, take) => sum + take.units, 0);
+        void budget.acquireFor(urgent ? 'urgent' : 'background', units).then(() => granted++);
+      const units = wanted.reduce((sum, request) => sum + request.units, 0);
       await world.run(units / rate + 1.25);
-      assert.equal(taken, wanted.length);
+      assert.equal(granted, wanted.length);
     }),
     SEEDED,
   );
@@ -40,7 +40,7 @@
   const order: string[] = [];
   const takeFor = async (name: string, units: number) => {
     for (;;) {
-      await budget.acquire(units, false);
+      await budget.acquireFor('background', units);
       order.push(name);
     }
   };
@@ -49,7 +49,7 @@
   await world.run(11);
   // Turn by turn: eleven units a round, at ten a second.
   assert.equal(order.join(''), 'ab'.repeat(10) + 'a');
-  void budget.acquire(1, true).then(() => order.push('urgent'));
+  void budget.acquireFor('urgent', 1).then(() => order.push('urgent'));
   const served = order.length;
   await world.run(0.5);
   assert.equal(order[served], 'urgent');
@@ -58,37 +58,37 @@
 test('a consumer whose signal aborts no longer waits', async () => {
   const { world, budget } = await aBudget(10);
   const stop = new AbortController();
-  let taken = 0;
-  await budget.acquire(10, false);
-  const given = assert.rejects(budget.acquire(10, false, stop.signal));
-  void budget.acquire(1, false).then(() => taken++);
+  let granted = 0;
+  await budget.acquireFor('background', 10);
+  const given = assert.rejects(budget.acquireFor('background', 10, stop.signal));
+  void budget.acquireFor('background', 1).then(() => granted++);
   await world.run(0.5);
-  assert.equal(taken, 0);
+  assert.equal(granted, 0);
   stop.abort();
   await given;
   await world.run(0.001);
-  assert.equal(taken, 1);
-  await assert.rejects(budget.acquire(1, false, stop.signal));
+  assert.equal(granted, 1);
+  await assert.rejects(budget.acquireFor('background', 1, stop.signal));
 });
 
 test('what users ask for waits for background work, and gets its share all the same', async () => {
   const { world, budget } = await aBudget(20);
-  const taken = { background: 0, users: 0 };
+  const granted = { background: 0, users: 0 };
   const takeFor = async (consumer: 'background' | 'users', units: number) => {
     for (;;) {
       await budget.acquireFor(consumer, units);
-      taken[consumer] += units;
+      granted[consumer] += units;
     }
   };
   void takeFor('users', 1);
   await world.run(10);
   // Alone they have all of it.
-  assert.ok(taken.users >= 200, `${taken.users}`);
+  assert.ok(granted.users >= 200, `${granted.users}`);
   assert.equal(budget.usersPerSecond(), 20);
-  taken.users = 0;
+  granted.users = 0;
   for (let n = 0; n < 5; n++) void takeFor('background', 10);
   await world.run(20);
-  assert.ok(taken.users >= 90 && taken.users <= 120, `${taken.users}`);
-  assert.ok(taken.background >= 280, `${taken.background}`);
+  assert.ok(granted.users >= 90 && granted.users <= 120, `${granted.users}`);
+  assert.ok(granted.background >= 280, `${granted.background}`);
   assert.ok(budget.usersPerSecond() < 7);
 });
--- a/packages/store/leader-election.test.ts
+++ b/packages/store/leader-election.test.ts
@@ -45,6 +45,41 @@
   return kept / seeds;
 }
 
+test('a controller that resigns just before its campaign sends none, and is elected later', async () => {
+  // Guards against a leader key that hangs on no lease, and so would never be removed.
+  const state = await StateWorld.start(LIMITS);
+  const runtime = state.controller();
+  const client = state.client(runtime, { timeoutMs: TIMEOUT_MS });
+  const cache = new PrefixCache({
+    client,
+    runtime,
+    prefix: WORLD,
+    watchMs: 10_000,
+    syncSpacingMs: 500,
+  });
+  let resignations = 0;
+  const election = new LeaderElection({
+    client,
+    runtime,
+    cache,
+    name: 'c',
+    shard: 0,
+    ttlS: TTL_S,
+    // Asked for just before a campaign.
+    defersCampaign: () => {
+      if (resignations++ === 0) election.resign();
+      return false;
+    },
+  });
+  const { signal } = new AbortController();
+  void cache.run(signal);
+  void election.run(signal);
+  await state.run(5);
+  assert.ok(resignations >= 2, `${resignations}`);
+  assert.equal(election.term.value?.leaseId, election.currentLeader?.leaseId);
+  assert.ok(election.term.value);
+});
+
 test('a lost answer to a renewal does not cost the term', async () => {
   // Guards against a leader that waited for one answer for nearly the life of its lease.
   for (const stallS of [0.5, 2.5]) assert.equal(await shareThatOutlives(stallS, 20), 1);
--- a/packages/store/shared-rate.test.ts
+++ b/packages/store/shared-rate.test.ts
@@ -57,7 +57,7 @@
   client.shareWrites(OTHERS);
   const most = OTHERS.most * LIMITS.writeRps;
   assert.equal(client.left().changes, most);
-  // Somebody else has taken all that there is.
+  // Somebody else uses all that there is.
   const other = state.client(state.controller('10.0.0.2'));
   const puts = (prefix: string, count: number) =>
     Array.from({ length: count }, (_, i) => ({ put: `${prefix}/${i}`, value: 0 }));
