--- a/packages/store/budget.ts
+++ b/packages/store/budget.ts
@@ -9,12 +9,13 @@
 export type BudgetConsumer = 'urgent' | 'background' | 'users';
 
 /** While background work and users wait, the former gets so many times as much as the latter. */
-const INTERNAL_WEIGHT = 3;
+const BACKGROUND_WEIGHT = 3;
 /** Time constant of the average of what others than users consume. */
 const AVERAGING_S = 2;
 /** A wait that hardly matters. */
 const SHORT_WAIT_S = 1 / 2;
 
+/** A consumer that waits for its units. */
 interface Waiter {
   units: number;
   grant: () => void;
@@ -32,7 +33,7 @@
   private refilledAt: number;
   private readonly urgentWaiters: Waiter[] = [];
   private readonly waiters = new FairQueue<Waiter>((consumer) =>
-    consumer === 'users' ? 1 : INTERNAL_WEIGHT,
+    consumer === 'users' ? 1 : BACKGROUND_WEIGHT,
   );
   /** Units that others than users have consumed, forgotten over AVERAGING_S. */
   private internalUnits = 0;
@@ -77,7 +78,7 @@
   usersPerSecond(): number {
     this.expireInternalUnits();
     const unused = this.perSecond - this.internalUnits / AVERAGING_S;
-    return Math.max(unused, this.perSecond / (INTERNAL_WEIGHT + 1));
+    return Math.max(unused, this.perSecond / (BACKGROUND_WEIGHT + 1));
   }
 
   /** Gives back units that were granted and are not needed; a negative number takes more. */
--- a/packages/store/shared-rate.ts
+++ b/packages/store/shared-rate.ts
@@ -18,7 +18,8 @@
 const RECOVERY_S = 20;
 
 /**
- * A controller's share of a rate, adapted to what the others leave without knowing what they use: it shrinks by half when the service refuses a request for the rate, and grows steadily while it is served
+ * A controller's share of a rate, adapted to what the others leave without knowing what they use: it
+ * shrinks by half when the service refuses a request for the rate, and grows steadily while it is served
  * (additive increase, multiplicative decrease).
  */
 export class SharedRate {
