--- a/packages/store/budget.test.ts
+++ b/packages/store/budget.test.ts
@@ -11,10 +11,10 @@
   return { world, budget: new Budget(world.controller().clock, perSecond) };
 }
 
-test('whatever the rate and the number taken, the wait is what the rate asks for', async () => {
-  // Guards against a reserve for urgent takers that could never be left over.
+test('whatever the rate and the number of units, the wait is what the rate asks for', async () => {
+  // Guards against a reserve for urgent consumers that could never be left over.
   const rates = fc.double({ min: 0.2, max: 500, noNaN: true });
-  const takes = fc.array(
+  const requests = fc.array(
     fc.record({ units: fc.integer({ min: 1, max: 100 }), urgent: fc.boolean() }),
     {
       minLength: 1,
@@ -22,25 +22,25 @@
     },
   );
   await fc.assert(
-    fc.asyncProperty(rates, takes, async (rate, wanted) => {
+    fc.asyncProperty(rates, requests, async (rate, wanted) => {
       const { world, budget } = await aBudget(rate);
-      let taken = 0;
+      let granted = 0;
       for (const { units, urgent } of wanted)
-        void budget.acquire(units, urgent).then(() => taken++);
-      const units = wanted.reduce((sum, take) => sum + take.units, 0);
+        void budget.acquireFor(urgent ? 'urgent' : 'background', units).then(() => granted++);
+      const units = wanted.reduce((sum, request) => sum + request.units, 0);
       await world.run(units / rate + 1.25);
-      assert.equal(taken, wanted.length);
+      assert.equal(granted, wanted.length);
     }),
     SEEDED,
   );
 });
 
-test('a taker without an end starves nobody, and urgent ones go first', async () => {
+test('a consumer without an end starves nobody, and urgent ones go first', async () => {
   const { world, budget } = await aBudget(10);
   const order: string[] = [];
   const takeFor = async (name: string, units: number) => {
     for (;;) {
-      await budget.acquire(units, false);
+      await budget.acquireFor('background', units);
       order.push(name);
     }
   };
@@ -49,46 +49,46 @@
   await world.run(11);
   // Turn by turn: eleven units a round, at ten a second.
   assert.equal(order.join(''), 'ab'.repeat(10) + 'a');
-  void budget.acquire(1, true).then(() => order.push('urgent'));
+  void budget.acquireFor('urgent', 1).then(() => order.push('urgent'));
   const served = order.length;
   await world.run(0.5);
   assert.equal(order[served], 'urgent');
 });
 
-test('who gives up leaves the line', async () => {
+test('a consumer whose signal aborts no longer waits', async () => {
   const { world, budget } = await aBudget(10);
   const stop = new AbortController();
-  let taken = 0;
-  await budget.acquire(10, false);
-  const given = assert.rejects(budget.acquire(10, false, stop.signal));
-  void budget.acquire(1, false).then(() => taken++);
+  let granted = 0;
+  await budget.acquireFor('background', 10);
+  const given = assert.rejects(budget.acquireFor('background', 10, stop.signal));
+  void budget.acquireFor('background', 1).then(() => granted++);
   await world.run(0.5);
-  assert.equal(taken, 0);
+  assert.equal(granted, 0);
   stop.abort();
   await given;
   await world.run(0.001);
-  assert.equal(taken, 1);
-  await assert.rejects(budget.acquire(1, false, stop.signal));
+  assert.equal(granted, 1);
+  await assert.rejects(budget.acquireFor('background', 1, stop.signal));
 });
 
-test('what users ask for waits for the duties, and gets its part all the same', async () => {
+test('what users ask for waits for background work, and gets its share all the same', async () => {
   const { world, budget } = await aBudget(20);
-  const taken = { duty: 0, users: 0 };
-  const takeFor = async (consumer: 'duty' | 'users', units: number) => {
+  const granted = { background: 0, users: 0 };
+  const takeFor = async (consumer: 'background' | 'users', units: number) => {
     for (;;) {
       await budget.acquireFor(consumer, units);
-      taken[consumer] += units;
+      granted[consumer] += units;
     }
   };
   void takeFor('users', 1);
   await world.run(10);
   // Alone they have all of it.
-  assert.ok(taken.users >= 200, `${taken.users}`);
+  assert.ok(granted.users >= 200, `${granted.users}`);
   assert.equal(budget.usersPerSecond(), 20);
-  taken.users = 0;
-  for (let n = 0; n < 5; n++) void takeFor('duty', 10);
+  granted.users = 0;
+  for (let n = 0; n < 5; n++) void takeFor('background', 10);
   await world.run(20);
-  assert.ok(taken.users >= 90 && taken.users <= 120, `${taken.users}`);
-  assert.ok(taken.duty >= 280, `${taken.duty}`);
+  assert.ok(granted.users >= 90 && granted.users <= 120, `${granted.users}`);
+  assert.ok(granted.background >= 280, `${granted.background}`);
   assert.ok(budget.usersPerSecond() < 7);
 });
