--- a/packages/core/assignments.ts
+++ b/packages/core/assignments.ts
@@ -3,7 +3,7 @@
 import type { FleetTables } from './fleet-tables.js';
 import { useImage } from './model/image-cache.js';
 import { entryBytes } from './model/machine-record-size.js';
-import type { TaskEnd } from './model/listener.js';
+import type { EndCause } from './model/end-cause.js';
 import { Assignment, assignmentsOf, JobState, Machine } from './model/model.js';
 
 /** Attempt numbers that one term may use. */
@@ -163,7 +163,7 @@
   }
 
   /** The task is proven gone from its machine (docs/safety.md, point 5). */
-  end(assignment: Assignment, cause: TaskEnd['cause'], checkpointed: boolean, now: number): void {
+  end(assignment: Assignment, cause: EndCause, checkpointed: boolean, now: number): void {
     const { job, index, machine } = assignment;
     const { jobs, unrecorded, listener, failures } = this.tables;
     const name = taskName(job.spec.id, index);
--- a/packages/core/failures/failure-tracker.ts
+++ b/packages/core/failures/failure-tracker.ts
@@ -7,10 +7,12 @@
   unknownWaitS,
   provesJob,
 } from './job-failures.js';
-import type { FleetListener, TaskEnd } from '../model/listener.js';
+import type { EndCause } from '../model/end-cause.js';
+import type { FleetListener } from '../model/listener.js';
 import { blameMachine, clearMachine, confirmBlame, isFaulty } from './machine-failures.js';
 import type { MachineRegistry } from '../model/machine-registry.js';
-import type { Assignment, FleetSettings, JobState, Machine } from '../model/model.js';
+import type { FleetSettings } from '../model/fleet-settings.js';
+import type { Assignment, JobState, Machine } from '../model/model.js';
 import type { CapacityHolds } from '../preemption/capacity-holds.js';
 import type { UsageLedger } from '../fair-share/usage-ledger.js';
 
@@ -52,7 +54,7 @@
   constructor(private readonly options: FailureTrackerOptions) {}
 
   /** A task has left its machine without being done. */
-  taskEnded(assignment: Assignment, cause: TaskEnd['cause'], now: number): void {
+  taskEnded(assignment: Assignment, cause: EndCause, now: number): void {
     const { job, machine } = assignment;
     const { heartbeatIntervalS } = this.options.settings;
     if (cause === 'error') this.taskFailed(assignment, now);
--- a/packages/core/index.ts
+++ b/packages/core/index.ts
@@ -1,28 +1,41 @@
-export * from './model/amounts.js';
-export * from './autoscaling/arrival-statistics.js';
-export * from './placement/availability.js';
-export * from './fair-share/best-effort.js';
-export * from './autoscaling/capacity-planner.js';
-export * from './placement/choose-machine.js';
-export * from './placement/choose-machines-together.js';
-export * from './autoscaling/consolidation.js';
-export * from './heartbeats/direct-orders.js';
-export * from './placement/bin-packing.js';
+/**
+ * The scheduler as pure state machines: no I/O, no clock, no randomness of their own. `FleetState` holds what the
+ * leader knows of its shard; the scheduler and the capacity planner decide on it.
+ */
 export * from './fleet-state.js';
+export type { FleetOptions } from './fleet-tables.js';
+
+export * from './model/amounts.js';
+export type * from './model/fleet-settings.js';
 export type { Dependencies } from './model/job-dependencies.js';
 export type { BestEffortTest } from './model/job-registry.js';
-export { LARGEST_ENTRY } from './model/machine-record-size.js';
-export type { Random } from './failures/job-failures.js';
-export type { FleetOptions } from './fleet-tables.js';
 export * from './model/listener.js';
+export { LARGEST_ENTRY } from './model/machine-record-size.js';
 export * from './model/model.js';
-export * from './placement/placement-candidates.js';
-export * from './placement/placement-cost.js';
-export * from './autoscaling/refusals.js';
 export * from './model/replica-groups.js';
+export type * from './model/replica-shape.js';
+export * from './model/task-set.js';
+
+export * from './heartbeats/direct-orders.js';
 export * from './heartbeats/heartbeat-processor.js';
-export { HOLD_HEARTBEATS as HOLD_REPORTS } from './preemption/capacity-holds.js';
-export * from './placement/scheduler.js';
+
+export type { Random } from './failures/job-failures.js';
+
+export * from './fair-share/best-effort.js';
 export * from './fair-share/service-counter.js';
-export * from './model/task-set.js';
 export * from './fair-share/team-quota.js';
+
+export * from './placement/availability.js';
+export * from './placement/bin-packing.js';
+export * from './placement/choose-machine.js';
+export * from './placement/choose-machines-together.js';
+export * from './placement/placement-candidates.js';
+export * from './placement/placement-cost.js';
+export * from './placement/scheduler.js';
+
+export { HOLD_HEARTBEATS as HOLD_REPORTS } from './preemption/capacity-holds.js';
+
+export * from './autoscaling/arrival-statistics.js';
+export * from './autoscaling/capacity-planner.js';
+export * from './autoscaling/consolidation.js';
+export * from './autoscaling/refusals.js';
--- a/packages/core/model/job-registry.ts
+++ b/packages/core/model/job-registry.ts
@@ -4,7 +4,7 @@
 import { type Dependencies, independent } from './job-dependencies.js';
 import { noJobFailures } from '../failures/job-failures.js';
 import type { JobState } from './model.js';
-import type { JobReplicas } from './replica-groups.js';
+import type { JobReplicas } from './model.js';
 import { TaskSet } from './task-set.js';
 import type { UnrecordedChanges } from './unrecorded-changes.js';
 import { WaitingJobs } from '../fair-share/waiting-jobs.js';
--- a/packages/core/model/machine-registry.ts
+++ b/packages/core/model/machine-registry.ts
@@ -3,7 +3,8 @@
 import { FreeMachines } from './free-machines.js';
 import { MachineGroups } from './machine-groups.js';
 import type { Machine } from './model.js';
-import { type MachineFacts, newMachine } from './new-machine.js';
+import type { MachineFacts } from './machine-facts.js';
+import { newMachine } from './new-machine.js';
 
 /** A machine as the registry may change it. */
 type Writable = { -readonly [Field in keyof Machine]: Machine[Field] };
--- a/packages/core/model/model.ts
+++ b/packages/core/model/model.ts
@@ -1,17 +1,23 @@
-/** The data of the fleet's state: jobs, machines, and the assignments that join them. */
+/**
+ * The entities of the fleet's state: jobs, machines, the assignments that join them, and the replicas that join
+ * assignments. They name each other, so they are declared together; what names none of them has a module of its own.
+ */
 import type { Job, TaskState } from '#wire';
-import type { Amounts } from './amounts.js';
+import type { ServiceCounter } from '../fair-share/service-counter.js';
 import type { JobFailures } from '../failures/job-failures.js';
 import type { MachineFailures } from '../failures/machine-failures.js';
-import type { JobReplicas } from './replica-groups.js';
-import type { ServiceCounter } from '../fair-share/service-counter.js';
+import type { EndCause } from './end-cause.js';
+import type { MachineFacts } from './machine-facts.js';
+import type { MachineUsage } from './machine-usage.js';
+import type { PlaceOrigin, ReplicaShape } from './replica-shape.js';
 import type { TaskSet } from './task-set.js';
+import type { WorkerState } from './worker-state.js';
 
-/** An end of a task that is asked for. */
+/** A task that is to stop. */
 export interface StopRequest {
-  /** Seconds for saving; 0 kills. */
+  /** Seconds for a checkpoint; 0 kills. */
   graceS: number;
-  /** Sent in a direct command. It is in the answers to reports in any case. */
+  /** Sent in a direct command. It is in the answers to heartbeats in any case. */
   sentDirectly: boolean;
 }
 
@@ -21,22 +27,24 @@
  */
 export interface Assignment {
   job: JobState;
+  /** Index of the task in its job. */
   index: number;
+  /** Attempt number, which no other start of any term has; the tasks of a gang share it. */
   attempt: number;
   machine: Machine;
   /** Durable in the machine's record; only then may the start be sent (docs/safety.md, point 4). */
   recorded: boolean;
-  /** Read from the record of an earlier term and not yet seen in a report. */
+  /** Read from the record of an earlier term and not yet listed in a heartbeat. */
   inherited: boolean;
   /** The start was sent, in an answer or directly. */
   startSent: boolean;
-  /** Number of the first report whose answer carried the start. */
+  /** Sequence of the first heartbeat whose answer carried the start. */
   startAnswerSequence: number | null;
-  /** Reports that did not list the task though the answer before them carried its start. */
+  /** Heartbeats that did not list the task though the answer before them carried its start. */
   missedStarts: number;
   /** What the worker says of it, or null before it does. */
   reportedState: TaskState | null;
-  /** The end that is asked for, or null. */
+  /** Set once the task is to stop. */
   stop: StopRequest | null;
   /** Share of the fleet booked for it. */
   share: number;
@@ -45,25 +53,26 @@
   runningSince: number | null;
 }
 
-/** A job that was accepted, and what became of its tasks. Times are seconds of the steady clock. */
+/** A job that was accepted, and the state of its tasks. Times are seconds of the steady clock. */
 export interface JobState {
   /** The job as its user submitted it. */
   spec: Job;
-  /** Rank that counts for it: its own, or that of a job that needs it if that is more urgent; 0 is the most urgent. */
+  /** Rank that counts for it: its own, or that of a dependent if that is more urgent; 0 is the most urgent. */
   rank: number;
-  /** It awaits other jobs; until they are done it takes part in nothing. */
+  /** Jobs that it depends on are not done; until they are, none of its tasks is placed. */
   hasOpenDependencies: boolean;
-  /** Runs on room that is there anyway; see `isBestEffort`. */
+  /** Runs on capacity that is there anyway; see `isBestEffort`. */
   isBestEffort: boolean;
   /** Its replicas, if each has several members; null: each task is by itself. */
   replicas: JobReplicas | null;
   /** Equal for jobs whose tasks fit the same machines, zones of their other tasks apart. */
   requirementsKey: string;
   acceptedAt: number;
-  /** When its turn begins: when it was accepted, or when the last job that it awaits was done. */
+  /** When its turn begins: when it was accepted, or when its last open dependency was done. */
   startableAt: number;
-  /** `aborted` and `done` are final. */
+  /** `cancelled` and `done` are final. */
   phase: 'accepted' | 'cancelled' | 'done';
+  /** Tasks that have completed. */
   done: TaskSet;
   /** Every place where a task may still be, by task; several if one runs that nobody recorded. */
   assignments: Map<number, Assignment[]>;
@@ -71,10 +80,11 @@
   scanFrom: number;
   /** Tasks that lost their place; some may have one again or be done. */
   returnedTasks: Set<number>;
+  /** Failures of its tasks since one succeeded. */
   failures: JobFailures;
-  /** Waits after failures: nothing of it is placed before. */
+  /** Backoff after failures: no task of it is placed before. */
   backoffUntil: number;
-  /** Best-effort tasks that were stopped to give their machines back. */
+  /** Best-effort tasks that were stopped to empty their machines. */
   tasksMoved: number;
   /** Service that the job has received. */
   service: ServiceCounter;
@@ -84,67 +94,31 @@
   waitingOrder: number;
 }
 
-/** How far the machine's token has been raised above that of unacknowledged starts. */
-export type Fence =
-  /** Nothing is to be fenced off. */
-  | 'none'
-  /** The next record of the machine is to raise its token. */
-  | 'requested'
-  /** The record is written; earlier starts are harmless once a report shows the new token. */
-  | 'recorded';
-
-/** Room that was made by stopping work, and the job that it waits for. */
+/** Capacity that was freed by preemption, and the job that it is held for. */
 export interface CapacityHold {
   job: JobState;
+  /** Seconds of the steady clock. */
   until: number;
 }
 
 /**
- * A rented machine and its worker. Times are seconds of this process's steady clock. What is read-only here is
+ * A provisioned machine and its worker. Times are seconds of this process's steady clock. What is read-only here is
  * changed by the MachineRegistry alone, which keeps groups of machines by it.
  */
-export interface Machine {
-  name: string;
+export interface Machine extends MachineFacts, WorkerState, MachineUsage {
   /** Rises with each machine that becomes known. */
   readonly number: number;
-  /** `host:port` of the worker; empty until it has reported. */
-  addr: string;
-  /** Name of its machine type. */
-  type: string;
-  zone: string;
-  spot: boolean;
-  /** `expired`: its lease has certainly run out, and nothing is on it (docs/safety.md, point 5). */
+  /** `expired`: its worker's lease has certainly expired, and nothing is on it (docs/safety.md, point 5). */
   readonly state: 'booting' | 'up' | 'expired';
   requestedAt: number;
+  /** When its worker's lease was found to have expired. */
   expiredAt: number;
-  /** When the cloud takes it away, if it gave notice. */
+  /** When the cloud reclaims it, if it gave notice. */
   readonly reclaimAt: number | null;
   /** The cloud lists it as failed. */
   readonly failedInList: boolean;
 
-  /** The worker's session: rises whenever its lease has run out. */
-  agentEpoch: number;
-  /** Newest message of the session of any kind, and newest report that was answered. */
-  lastMessageSequence: number;
-  lastHeartbeatSequence: number;
-  /** What answers carry: the term, or the revision of the record that fenced it last if later. */
-  fencingToken: number;
-  /** A report has shown this term's token, so older commands and answers can have no effect. */
-  termConfirmed: boolean;
-  /** When the last report that was answered arrived. */
-  answeredAt: number;
-  /** Since when its reports have been answered without a gap. */
-  answeredSince: number;
-  /** Since when its reports have not shown the token of the answers before them. */
-  oldFencingTokenSince: number | null;
-
-  fence: Fence;
-  /** Direct starts that were not answered and may still arrive, by attempt, and when they were sent. */
-  unacknowledgedStarts: Map<string, number>;
-  directCommandInFlight: boolean;
-  noDirectCommandBefore: number;
-
-  /** Takes no new work and is given back once it is empty. */
+  /** Takes no new work and is deprovisioned once it is empty. */
   readonly draining: boolean;
   /** Takes no new work before. */
   cordonedUntil: number;
@@ -156,42 +130,40 @@
 
   /** By task name: what is or may be on it. */
   tasks: Map<string, Assignment>;
-  /** Bytes in JSON of the machine's record. */
-  recordBytes: number;
-  /** What these tasks take of it. */
-  used: Amounts;
-  /** The part of it that best-effort tasks take. */
-  usedBestEffort: Amounts;
-  /** Tasks on it that are not best-effort. */
-  firmTasks: number;
-  /** Tasks on it whose end was asked for. */
-  readonly stoppingTasks: number;
-  /** Replicas on it that are not best-effort and whose end was not asked for. */
-  readonly stayingReplicas: number;
-  /** Rises whenever a task comes or goes. */
-  assignmentVersion: number;
-  /** Since when it has no firm task; of use only while it has none. */
-  idleSince: number;
   /** Size in GB by name of the images that its worker should have, most recently used last. */
   images: Map<string, number>;
 }
 
-/** Durations in seconds. */
-export interface FleetSettings {
-  /** The workers' lease and report period. */
-  leaseS: number;
-  heartbeatIntervalS: number;
-  /** For how long tasks of a gang that is being stopped wait for each other. */
-  gangPeerS: number;
-  /** How long an earlier owner may have gone on answering after losing its term. */
-  formerLeaderS: number;
-  /** Half-life of service received. */
-  halfLifeS: number;
-  /** Bytes in JSON that the record of a machine may have. */
-  machineRecordBytes: number;
+/**
+ * The replicas of one job, each of several members. All members of a replica carry the same attempt, which is its
+ * generation. The package `replicas` implements it (docs/replica-groups.md).
+ */
+export interface JobReplicas extends Readonly<ReplicaShape> {
+  /** A member has got a place. */
+  placeAdded(assignment: Assignment, origin: PlaceOrigin, now: number): void;
+  /** The place is durable in its machine's record. */
+  placeRecorded(assignment: Assignment, now: number): void;
+  /** The member is seen to run. */
+  memberRunning(assignment: Assignment, now: number): void;
+  /** The member is to stop. */
+  memberStopping(assignment: Assignment, now: number): void;
+  /** The member is proven gone. */
+  placeEnded(assignment: Assignment, cause: EndCause, now: number): void;
+  /** Whether the member's start may be sent. */
+  mayStart(assignment: Assignment): boolean;
+  /** Stops the whole replica that the assignment belongs to, for other work. */
+  preempt(assignment: Assignment, now: number): void;
+  /** The cloud will reclaim the member's machine: moves the whole replica, if it can be placed elsewhere or must go. */
+  moveOff(assignment: Assignment, now: number): void;
+  /** All places of the generation that the assignment belongs to. */
+  placesWith(assignment: Assignment): Assignment[];
+  /** Up to `limit` replicas without any place that may be given one now, by number. */
+  waiting(limit: number, now: number): number[];
+  /** The job is over for its user. */
+  jobClosed(): void;
 }
 
-/** Every place where a task of the job may still be. */
+/** Every place where a task of the job may still be. Tolerates changes of the assignments meanwhile. */
 export function* assignmentsOf(job: JobState): Generator<Assignment> {
   for (const list of [...job.assignments.values()]) yield* list;
 }
--- a/packages/testing/owner-load/standing-fleet.ts
+++ b/packages/testing/owner-load/standing-fleet.ts
@@ -14,7 +14,7 @@
 } from '#core';
 import type { Job, MachineType, Heartbeat, TaskStatus } from '#wire';
 import { decodeJob, MACHINES, type MachineRecord } from '#store';
-import type { MachineFacts } from '../../core/model/new-machine.js';
+import type { MachineFacts } from '../../core/model/machine-facts.js';
 import { Chance } from '../random.js';
 import { aFleet } from '../samples.js';
 import type { FleetRecords } from './fleet-records.js';
