--- a/packages/core/failures/job-failures.ts
+++ b/packages/core/failures/job-failures.ts
@@ -1,17 +1,18 @@
-/** What the failures of a job's tasks say of the job (docs/design.md, "Failing jobs"). */
+/** The evidence against a job: how its tasks failed, and how long it backs off (docs/design.md, "Failing jobs"). */
 
 /** Machines of one job's failures that are remembered. */
-const MOST_MACHINES = 8;
-/** Machines on which a job has to fail before it is suspect. */
+const MAX_REMEMBERED_MACHINES = 8;
+/** Machines on which a job has to fail before it is crash-looping. */
 const CRASH_LOOP_MACHINES = 2;
-/** In report periods: the first wait of a job after more than one failure, and the longest. */
-const FIRST_WAIT = 2;
-const LONGEST_WAIT = 64;
-/** In report periods: the longest wait of a job that the workers do not know. */
-const LONGEST_WAIT_IF_UNKNOWN = 8;
+/** In heartbeat intervals: the first wait of a job after more than one failure. */
+const FIRST_WAIT_INTERVALS = 2;
+/** In heartbeat intervals: the longest wait of a job after failures. */
+const MAX_WAIT_INTERVALS = 64;
+/** In heartbeat intervals: the longest wait of a job that the workers do not know. */
+const MAX_UNKNOWN_WAIT_INTERVALS = 8;
 /** Waits are shortened by up to this share at random, so that jobs do not retry together. */
-const JITTER = 0.5;
-/** A task has proven its job once it has run for this many times as long as those that failed. */
+const MAX_JITTER = 0.5;
+/** A task clears its job once it has run for this many times as long as those that failed. */
 const PROVEN_RATIO = 2;
 
 /** A number in [0, 1). */
@@ -31,19 +32,21 @@
   unknownStarts: number;
 }
 
-/** A task of the job that has failed. */
+/** A task of the job that has failed. Times are seconds of the steady clock. */
 export interface FailedTask {
+  /** Name of the machine on which it failed. */
   machine: string;
   assignedAt: number;
+  /** Seconds for which it was seen to run. */
   ranS: number;
 }
 
-/** Of a job that has not failed. */
+/** The failures of a job that has not failed. */
 export function noJobFailures(): JobFailures {
   return { attempts: 0, countedAt: 0, machines: new Set(), longestRunS: 0, unknownStarts: 0 };
 }
 
-/** Counts a failure; returns what of it is news. */
+/** Counts a failure; returns whether it is of a new attempt, and on a machine where the job had not failed. */
 export function countJobFailure(
   failures: JobFailures,
   { machine, assignedAt, ranS }: FailedTask,
@@ -51,7 +54,7 @@
 ): { isNewAttempt: boolean; isNewMachine: boolean } {
   const { machines } = failures;
   const isNewAttempt = failures.attempts === 0 || assignedAt >= failures.countedAt;
-  const isNewMachine = !machines.has(machine) && machines.size < MOST_MACHINES;
+  const isNewMachine = !machines.has(machine) && machines.size < MAX_REMEMBERED_MACHINES;
   if (isNewMachine) machines.add(machine);
   if (isNewAttempt) {
     failures.attempts++;
@@ -78,7 +81,7 @@
 }
 
 /**
- * Seconds that a job waits after its last failure. The first one may be its machine's fault, so it is
+ * Seconds of backoff after a job's last failure. The first one may be its machine's fault, so the job is
  * tried elsewhere at once; then waits double.
  */
 export function retryWaitS(
@@ -88,11 +91,14 @@
 ): number {
   const { attempts } = failures;
   if (attempts <= 1 && !isCrashLooping(failures)) return 0;
-  const wait = Math.min(LONGEST_WAIT, FIRST_WAIT * 2 ** (attempts - 1));
-  return heartbeatIntervalS * wait * (1 - JITTER * random());
+  const intervals = Math.min(MAX_WAIT_INTERVALS, FIRST_WAIT_INTERVALS * 2 ** (attempts - 1));
+  return heartbeatIntervalS * intervals * (1 - MAX_JITTER * random());
 }
 
-/** Seconds that a job waits after a worker did not know it. */
-export function unknownWaitS({ unknownStarts }: JobFailures, heartbeatIntervalS: number): number {
-  return heartbeatIntervalS * Math.min(LONGEST_WAIT_IF_UNKNOWN, 2 ** (unknownStarts - 1));
+/** Seconds of backoff after a worker did not know the job. */
+export function unknownJobWaitS(
+  { unknownStarts }: JobFailures,
+  heartbeatIntervalS: number,
+): number {
+  return heartbeatIntervalS * Math.min(MAX_UNKNOWN_WAIT_INTERVALS, 2 ** (unknownStarts - 1));
 }
--- a/packages/core/failures/machine-failures.ts
+++ b/packages/core/failures/machine-failures.ts
@@ -1,11 +1,12 @@
-/** What failed tasks say of their machine (docs/design.md, "Failing jobs"). */
+/** The evidence against a machine: which jobs' tasks failed on it (docs/design.md, "Failing jobs"). */
 
-/** In report periods: how long a machine takes nothing new after a task failed, at first and at most. */
-const FIRST_AVOIDANCE = 5;
-const LONGEST_AVOIDANCE = 32;
-/** Different jobs that failed on the machine and succeeded elsewhere, from which on it is broken. */
+/** In heartbeat intervals: how long a machine is quarantined after a task failed on it for the first time. */
+const FIRST_QUARANTINE_INTERVALS = 5;
+/** In heartbeat intervals: the longest quarantine. */
+const MAX_QUARANTINE_INTERVALS = 32;
+/** Different jobs that failed on the machine and succeeded elsewhere, from which on it is faulty. */
 const FAULTY_JOBS = 3;
-/** Attempts of one job, one after the other and on this machine alone, from which on it is broken. */
+/** Attempts of one job, one after the other and on this machine alone, from which on it is faulty. */
 const FAULTY_ATTEMPTS = 3;
 
 /** How one job failed on a machine. */
@@ -20,17 +21,20 @@
 export interface MachineFailures {
   /** By job id. */
   jobs: Map<string, FailuresOfJob>;
-  /** Takes no new work before. */
+  /** Quarantined: takes no new work before. */
   cordonedUntil: number;
 }
 
-/** Of a machine on which nothing has failed. */
+/** The failures of a machine on which nothing has failed. */
 export function noMachineFailures(): MachineFailures {
   return { jobs: new Map(), cordonedUntil: 0 };
 }
 
-/** An attempt of the job failed on the machine, and nowhere else since a task of the job succeeded. */
-export function blameMachine(
+/**
+ * Counts a failure and quarantines the machine: an attempt of the job of that id failed on it, and nowhere else since a
+ * task of the job succeeded.
+ */
+export function countMachineFailure(
   failures: MachineFailures,
   job: string,
   heartbeatIntervalS: number,
@@ -41,18 +45,21 @@
   // Of a job that also succeeds, some tasks may always fail: it counts once.
   if (!ofJob.isConfirmed) ofJob.attempts++;
   jobs.set(job, ofJob);
-  const periods = Math.min(LONGEST_AVOIDANCE, FIRST_AVOIDANCE * 2 ** confirmedJobs(failures));
-  failures.cordonedUntil = Math.max(failures.cordonedUntil, now + periods * heartbeatIntervalS);
+  const intervals = Math.min(
+    MAX_QUARANTINE_INTERVALS,
+    FIRST_QUARANTINE_INTERVALS * 2 ** confirmedJobs(failures),
+  );
+  failures.cordonedUntil = Math.max(failures.cordonedUntil, now + intervals * heartbeatIntervalS);
 }
 
-/** The job has succeeded on another machine. */
-export function confirmBlame({ jobs }: MachineFailures, job: string): void {
+/** The job has succeeded on another machine, so its failures were this machine's fault. */
+export function confirmMachineFailures({ jobs }: MachineFailures, job: string): void {
   const ofJob = jobs.get(job);
   if (ofJob) ofJob.isConfirmed = true;
 }
 
 /** The job's failures there are no longer held against the machine, unless they are confirmed. */
-export function clearMachine(failures: MachineFailures, job: string): void {
+export function forgetMachineFailures(failures: MachineFailures, job: string): void {
   const { jobs } = failures;
   if (jobs.get(job)?.isConfirmed !== false) return;
   jobs.delete(job);
