--- a/packages/core/assignments.test.ts
+++ b/packages/core/assignments/assignments.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { SEEDED } from '../testing/generators.js';
-import { aFleet, aJob, aMachine } from '../testing/samples.js';
+import { SEEDED } from '../../testing/generators.js';
+import { aFleet, aJob, aMachine } from '../../testing/samples.js';
 
 test('a task that lost its place several times waits only once', () => {
   // Guards against a task that was placed and taken back twice between two looks at the queue and
--- /dev/null
+++ b/packages/core/assignments/image-cache.ts
@@ -0,0 +1,20 @@
+/** An estimate of the images that a machine's worker has fetched; the worker's own cache decides. */
+import type { Job } from '#wire';
+import type { Machine } from '../model/model.js';
+
+/**
+ * Records that the machine fetches or uses the job's image, and which images its worker drops for that:
+ * the least recently used beyond `cacheGb`, in GB.
+ */
+export function recordImageUse(machine: Machine, job: Job, cacheGb: number): void {
+  const { images } = machine;
+  images.delete(job.image);
+  images.set(job.image, job.imageGb);
+  let heldGb = 0;
+  for (const gb of images.values()) heldGb += gb;
+  for (const [image, gb] of images) {
+    if (heldGb <= cacheGb || images.size === 1) break;
+    images.delete(image);
+    heldGb -= gb;
+  }
+}
--- /dev/null
+++ b/packages/core/assignments/new-assignment.ts
@@ -0,0 +1,35 @@
+/** How an assignment begins. */
+import type { Assignment, JobState, Machine } from '../model/model.js';
+
+/** What decides an assignment. */
+export interface NewAssignment {
+  job: JobState;
+  /** Index of the task in its job. */
+  index: number;
+  machine: Machine;
+  attempt: number;
+}
+
+/** An assignment of which nothing is recorded, sent or reported; `share` of the fleet is booked for it. */
+export function newAssignment(
+  { job, index, machine, attempt }: NewAssignment,
+  share: number,
+  now: number,
+): Assignment {
+  return {
+    job,
+    index,
+    attempt,
+    machine,
+    recorded: false,
+    inherited: false,
+    startSent: false,
+    startAnswerSequence: null,
+    missedStarts: 0,
+    reportedState: null,
+    stop: null,
+    share,
+    assignedAt: now,
+    runningSince: null,
+  };
+}
--- a/packages/core/fleet-state.ts
+++ b/packages/core/fleet-state.ts
@@ -1,43 +1,48 @@
+/** The state of a shard's fleet, and the operations that change it. */
 import type { Job } from '#wire';
 import { taskRef } from './heartbeats/answer-orders.js';
-import { Assignments } from './assignments.js';
+import { Assignments } from './assignments/assignments.js';
 import { DirectOrders } from './heartbeats/direct-orders.js';
 import { type Dependencies, independent } from './model/job-dependencies.js';
-import { FleetOptions, FleetTables } from './fleet-tables.js';
+import { type FleetOptions, FleetTables } from './fleet-tables.js';
 import { MachineLeases } from './heartbeats/machine-leases.js';
 import { assignmentsOf, type JobReplicas, type JobState } from './model/model.js';
+import type { MakeReplicas } from './model/replica-groups.js';
 import type { ReplicaShape } from './model/replica-shape.js';
 import { HeartbeatProcessor } from './heartbeats/heartbeat-processor.js';
 import { StartFencing } from './heartbeats/start-fencing.js';
 import { TaskReconciler } from './heartbeats/task-reconciler.js';
 
-/** What the records hold of a job beside its submission. */
+/** What is known of a job beside its submission. */
 export interface JobOptions {
   /** How its tasks form replicas; without it each is by itself. */
   shape?: ReplicaShape;
-  /** What other jobs make of it; without it it awaits none and none needs it. */
+  /** What other jobs mean for it; without it the job has neither dependencies nor dependents. */
   dependencies?: Dependencies;
 }
 
 /**
- * What the owner of a part believes of its machines, jobs and tasks. A pure state machine: time and
+ * What the leader of a shard knows of its machines, jobs and tasks. A pure state machine: time and
  * messages come in as arguments, and what must be made durable comes out in `unrecorded`. A place is
- * given up only when the task is proven gone (docs/safety.md, point 5).
+ * given up only when the task is proven gone (docs/safety.md, point 5). Times are seconds of the steady clock.
  */
 export class FleetState extends FleetTables {
   /** Starts, stops and ends of tasks. */
   readonly assignments: Assignments;
-  /** The workers' leases. */
+  /** The expiry of workers' leases. */
   readonly leases: MachineLeases;
   /** Fencing of starts that were not acknowledged. */
   readonly fencing: StartFencing;
-  /** Takes in what workers report. */
+  /** Applies workers' heartbeats. */
   readonly heartbeats: HeartbeatProcessor;
-  /** Commands that don't wait for a report. */
+  /** Orders that don't wait for a heartbeat. */
   readonly directOrders: DirectOrders;
 
+  private readonly makeReplicas: MakeReplicas | undefined;
+
   constructor(options: FleetOptions) {
     super(options);
+    this.makeReplicas = options.makeReplicas;
     this.assignments = new Assignments(this);
     this.leases = new MachineLeases(this, this.assignments);
     this.fencing = new StartFencing(this);
@@ -46,9 +51,7 @@
     this.directOrders = new DirectOrders(this, this.fencing, tasks);
   }
 
-  /**
-   * Takes a job record in; of a known job only a final phase is news.
-   */
+  /** Adds the job of a record; of a known job only a final phase is news. */
   addJob(
     job: Job,
     acceptedAt: number,
@@ -74,7 +77,7 @@
     return (job) => makeReplicas(job, shape);
   }
 
-  /** Jobs that need it have come or gone: another rank counts for it and for what it has running. */
+  /** Dependents have come or gone: another rank counts for the job and for what it has running. */
   changeRank(job: JobState, rank: number, now: number): void {
     if (job.phase === 'accepted' && job.rank !== rank) this.assignments.changeRank(job, rank, now);
   }
@@ -92,7 +95,7 @@
     this.listener.jobClosed(job, now);
   }
 
-  /** The cloud has confirmed the release: the machine and all that was on it are gone. */
+  /** The cloud has confirmed that it deprovisioned the machine: it and all that was on it are gone. */
   removeMachine(name: string, now: number): void {
     const machine = this.machines.get(name);
     if (!machine) return;
--- a/packages/core/fleet-tables.ts
+++ b/packages/core/fleet-tables.ts
@@ -1,7 +1,8 @@
+/** The data that all operations on a shard's fleet share. */
 import { FailureTracker } from './failures/failure-tracker.js';
 import type { Random } from './failures/job-failures.js';
 import { type BestEffortTest, JobRegistry } from './model/job-registry.js';
-import { FleetListener, NO_LISTENER } from './model/listener.js';
+import { type FleetListener, NO_LISTENER } from './model/listener.js';
 import { MachineRegistry } from './model/machine-registry.js';
 import type { FleetSettings } from './model/fleet-settings.js';
 import type { Machine } from './model/model.js';
@@ -11,36 +12,41 @@
 import { UnrecordedChanges } from './model/unrecorded-changes.js';
 import { UsageLedger } from './fair-share/usage-ledger.js';
 
-/** What the state of a part is made of. */
+/** What the state of a shard's fleet is made from. */
 export interface FleetOptions {
   settings: FleetSettings;
-  /** The owner's term, which is also its token (docs/safety.md, points 1 and 3). */
+  /** The leader's term, which is also its fencing token (docs/safety.md, points 1 and 3). */
   term: number;
-  /** When the part was claimed, in seconds of the steady clock. */
+  /** When the leader was elected, in seconds of the steady clock. */
   electedAt: number;
   listener?: FleetListener;
   /** Source of jitter for retries; without it waits have their full length. */
   random?: Random;
-  /** Tells which jobs run on room that is there anyway; none unless given. */
+  /** Tells which jobs run on capacity that is there anyway; none unless given. */
   isBestEffort?: BestEffortTest;
   /** Makes replicas of several members; without it each task of a service is by itself. */
   makeReplicas?: MakeReplicas;
 }
 
-/** The data of a part that all operations on it share. */
+/**
+ * The data of a shard's fleet. Operations on it take this class; `FleetState` extends it by the operations, so that
+ * callers find both in one place.
+ */
 export class FleetTables {
   readonly settings: FleetSettings;
   readonly term: number;
   readonly electedAt: number;
   readonly listener: FleetListener;
+  /** Changes that are not durable yet. */
   readonly unrecorded = new UnrecordedChanges();
   readonly jobs: JobRegistry;
   readonly machines: MachineRegistry;
+  /** Names of machines that are gone. */
   readonly released: ReleasedMachines;
   readonly usage: UsageLedger;
+  /** Capacity that preemption has freed, and for whom. */
   readonly holds = new CapacityHolds();
   readonly failures: FailureTracker;
-  protected readonly makeReplicas: MakeReplicas | undefined;
   /** Machines for which a direct command may be due. */
   readonly machinesWithCommands = new Set<Machine>();
 
@@ -49,7 +55,6 @@
     this.term = options.term;
     this.electedAt = options.electedAt;
     this.listener = options.listener ?? NO_LISTENER;
-    this.makeReplicas = options.makeReplicas;
     const isBestEffort = options.isBestEffort ?? (() => false);
     this.jobs = new JobRegistry(options.settings.halfLifeS, this.unrecorded, isBestEffort);
     this.machines = new MachineRegistry(options.term);
--- a/packages/core/heartbeats/answer-delivery.ts
+++ b/packages/core/heartbeats/answer-delivery.ts
@@ -1,39 +1,44 @@
+/** Finds machines whose heartbeats come while the answers to these don't reach them. */
 import type { Heartbeat } from '#wire';
 import type { Machine } from '../model/model.js';
 
-/** In report periods: a gap in the reports after which nothing is concluded from what was before it. */
-const GAP = 4;
-/** In report periods: how long reports may show an old token before the machine counts as unreachable. */
-const UNDELIVERED = 2;
+/** In heartbeat intervals: a gap after which nothing is concluded from the heartbeats before it. */
+const GAP_INTERVALS = 4;
+/** In heartbeat intervals: how long heartbeats may show an old fencing token before the machine is cordoned. */
+const UNDELIVERED_INTERVALS = 2;
 
-/** Durations in seconds; `term` is the lowest token that answers carry. */
+/** What the check of delivery works by. */
 export interface DeliverySettings {
+  /** Seconds. */
   leaseS: number;
+  /** Seconds. */
   heartbeatIntervalS: number;
+  /** The lowest fencing token that answers carry. */
   term: number;
 }
 
 /**
- * Avoids a machine whose reports come while our answers don't reach it: it shows an old token again and
- * again, or its lease ran out though we answered. What would be placed there would not start.
+ * Cordons a machine whose heartbeats come while our answers don't reach it: it shows an old fencing token again and
+ * again, or its lease expired though we answered. What would be placed there would not start.
  */
 export function checkAnswerDelivery(
   machine: Machine,
   heartbeat: Heartbeat,
-  { leaseS, heartbeatIntervalS, term }: DeliverySettings,
+  settings: DeliverySettings,
   now: number,
 ): void {
-  // After a cut held reports arrive at once, and then a new session: that says nothing of answers.
-  if (now - machine.answeredAt > GAP * heartbeatIntervalS) machine.answeredSince = now;
+  const { leaseS, heartbeatIntervalS, term } = settings;
+  // After a cut held heartbeats arrive at once, and then a new epoch: that says nothing of answers.
+  if (now - machine.answeredAt > GAP_INTERVALS * heartbeatIntervalS) machine.answeredSince = now;
   const showsOldFencingToken = heartbeat.fencingToken < term && machine.answeredSince < now;
   machine.oldFencingTokenSince = showsOldFencingToken
     ? (machine.oldFencingTokenSince ?? now)
     : null;
-  const undelivered =
+  const isUndelivered =
     machine.oldFencingTokenSince !== null &&
-    now - machine.oldFencingTokenSince >= UNDELIVERED * heartbeatIntervalS;
-  const leaseRanOut =
+    now - machine.oldFencingTokenSince >= UNDELIVERED_INTERVALS * heartbeatIntervalS;
+  const hasLeaseExpired =
     heartbeat.agentEpoch > machine.agentEpoch && now - machine.answeredSince >= leaseS;
-  if (leaseRanOut || undelivered)
+  if (hasLeaseExpired || isUndelivered)
     machine.cordonedUntil = Math.max(machine.cordonedUntil, now + leaseS);
 }
--- a/packages/core/heartbeats/direct-orders.ts
+++ b/packages/core/heartbeats/direct-orders.ts
@@ -1,30 +1,33 @@
-import type { Order, Heartbeat } from '#wire';
+/** Orders that are sent to workers between their heartbeats, in direct commands. */
+import type { Heartbeat, Order } from '#wire';
 import { isStartable, startOrder, stopOrder, taskRef } from './answer-orders.js';
 import type { FleetTables } from '../fleet-tables.js';
 import type { Machine } from '../model/model.js';
 import type { StartFencing } from './start-fencing.js';
 import type { TaskReconciler } from './task-reconciler.js';
 
-/** In report periods: how recent the last report must be, and the pause after a refusal. */
-const RECENT_HEARTBEAT = 2;
-const PAUSE_AFTER_REFUSAL = 2;
+/** In heartbeat intervals: how recent the last heartbeat must be. */
+const RECENT_HEARTBEAT_INTERVALS = 2;
+/** In heartbeat intervals: the pause after a refusal. */
+const REFUSAL_PAUSE_INTERVALS = 2;
 
-/** What became of a direct command. */
+/** The outcome of a direct command. */
 export type DirectOutcome =
+  /** The worker executed it; its answer lists its tasks like a heartbeat. */
   | { kind: 'executed'; heartbeat: Heartbeat }
   /** The worker answered that it executed nothing. */
   | { kind: 'refused' }
-  /** No answer, or one that says nothing: it may have been executed or may be later. */
+  /** No answer, or one that says nothing: it may have been executed, or may be yet. */
   | { kind: 'unknown' };
 
 /**
- * Commands that need not wait for the machine's next report: starts that are recorded, and stops. At
- * most one is under way to a machine, and none while its token is being raised (docs/safety.md,
- * point 6). Starts of best-effort tasks do wait: calls for thousands of short tasks took most of a round.
+ * Orders that need not wait for the machine's next heartbeat: starts that are recorded, and stops. At most one command
+ * is in flight to a machine, and none while its fencing token is being raised (docs/safety.md, point 6). Starts of
+ * best-effort tasks do wait: calls for thousands of short tasks took most of a round.
  */
 export class DirectOrders {
   constructor(
-    private readonly tables: FleetTables,
+    private readonly fleet: FleetTables,
     private readonly fencing: StartFencing,
     private readonly tasks: TaskReconciler,
   ) {}
@@ -33,7 +36,7 @@
   nextOrders(machine: Machine, now: number): Order[] {
     if (!this.isReachable(machine, now)) return [];
     const orders: Order[] = [];
-    let someLater = false;
+    let hasLaterStarts = false;
     for (const assignment of machine.tasks.values()) {
       const { job, stop, startSent, reportedState, inherited } = assignment;
       if (stop !== null) {
@@ -42,7 +45,7 @@
         orders.push(stopOrder(assignment, stop.graceS));
       } else if (!startSent && reportedState === null && !inherited && !job.isBestEffort) {
         if (!isStartable(assignment)) {
-          someLater = true;
+          hasLaterStarts = true;
           continue;
         }
         assignment.startSent = true;
@@ -51,7 +54,7 @@
       }
     }
     if (orders.length > 0) machine.directCommandInFlight = true;
-    if (!someLater) this.tables.machinesWithCommands.delete(machine);
+    if (!hasLaterStarts) this.fleet.machinesWithCommands.delete(machine);
     return orders;
   }
 
@@ -62,13 +65,13 @@
       !machine.directCommandInFlight &&
       machine.fence === 'none' &&
       now >= machine.noDirectCommandBefore &&
-      now - machine.answeredAt < RECENT_HEARTBEAT * this.tables.settings.heartbeatIntervalS
+      now - machine.answeredAt < RECENT_HEARTBEAT_INTERVALS * this.fleet.settings.heartbeatIntervalS
     );
   }
 
-  /** Takes in what became of the orders that `take` gave. */
+  /** Applies the outcome of the orders that `nextOrders` gave. */
   finish(machine: Machine, orders: Order[], outcome: DirectOutcome, now: number): void {
-    const { leaseS, heartbeatIntervalS } = this.tables.settings;
+    const { leaseS, heartbeatIntervalS } = this.fleet.settings;
     machine.directCommandInFlight = false;
     if (outcome.kind === 'unknown') {
       machine.noDirectCommandBefore = now + leaseS;
@@ -78,16 +81,16 @@
       if (order.op === 'start') this.fencing.acknowledged(machine, order);
     }
     if (outcome.kind === 'refused')
-      machine.noDirectCommandBefore = now + PAUSE_AFTER_REFUSAL * heartbeatIntervalS;
+      machine.noDirectCommandBefore = now + REFUSAL_PAUSE_INTERVALS * heartbeatIntervalS;
     else this.acceptHeartbeat(machine, outcome.heartbeat, now);
   }
 
   /**
    * It says nothing of starts in an answer that may still be on its way, so absence proves nothing. If the
-   * machine was released or its lease has run out since, all that it held is gone, whatever it says.
+   * machine was released or its lease has expired since, all that it held is gone, whatever it says.
    */
   private acceptHeartbeat(machine: Machine, heartbeat: Heartbeat, now: number): void {
-    if (machine.state !== 'up' || this.tables.machines.get(machine.name) !== machine) return;
+    if (machine.state !== 'up' || this.fleet.machines.get(machine.name) !== machine) return;
     if (
       heartbeat.agentEpoch !== machine.agentEpoch ||
       heartbeat.sequence <= machine.lastMessageSequence
--- a/packages/core/heartbeats/heartbeat-processor.ts
+++ b/packages/core/heartbeats/heartbeat-processor.ts
@@ -1,82 +1,83 @@
-import { Order, Heartbeat, taskName } from '#wire';
-import { checkAnswerDelivery, DeliverySettings } from './answer-delivery.js';
+/** Applies workers' heartbeats to the fleet's state and makes the answers. */
+import { type Heartbeat, type Order, taskName } from '#wire';
+import { checkAnswerDelivery, type DeliverySettings } from './answer-delivery.js';
 import { ordersForAnswer } from './answer-orders.js';
-import type { Assignments } from '../assignments.js';
+import type { Assignments } from '../assignments/assignments.js';
 import type { FleetTables } from '../fleet-tables.js';
 import type { Machine } from '../model/model.js';
 import type { StartFencing } from './start-fencing.js';
 import type { TaskReconciler } from './task-reconciler.js';
 
 /**
- * What to answer a report. A late copy renews nothing, reports nothing new, and its answer must not be
- * one that a worker could take as valid (docs/safety.md, point 6).
+ * What to answer a heartbeat. A late copy renews nothing and tells nothing new, and its answer must not be
+ * one that a worker could accept as valid (docs/safety.md, point 6).
  */
 export type HeartbeatOutcome = { kind: 'answer'; orders: Order[] } | { kind: 'late-copy' };
 
 const LATE_COPY: HeartbeatOutcome = { kind: 'late-copy' };
 
 /**
- * Orders of one answer about tasks that a report lists: with the starts of a full machine they stay
- * within what an answer may hold. The rest follows the next report, which lists what is left.
+ * Orders of one answer about tasks that a heartbeat lists: with the starts of a full machine they stay
+ * within what an answer may hold. The rest is sent after the next heartbeat, which lists what is left.
  */
 const MAX_LISTED_ORDERS = 400;
 
-/** Takes workers' reports in. */
+/** Applies heartbeats, in the order of their agent epochs and sequences. Times are seconds of the steady clock. */
 export class HeartbeatProcessor {
   private readonly delivery: DeliverySettings;
 
   constructor(
-    private readonly tables: FleetTables,
+    private readonly fleet: FleetTables,
     private readonly assignments: Assignments,
     private readonly fencing: StartFencing,
     private readonly tasks: TaskReconciler,
   ) {
-    const { leaseS, heartbeatIntervalS } = tables.settings;
-    this.delivery = { leaseS, heartbeatIntervalS, term: tables.term };
+    const { leaseS, heartbeatIntervalS } = fleet.settings;
+    this.delivery = { leaseS, heartbeatIntervalS, term: fleet.term };
   }
 
-  /** Takes a report in; times are seconds of the steady clock. */
+  /** Applies a heartbeat and returns what to answer it. */
   handle(heartbeat: Heartbeat, now: number): HeartbeatOutcome {
-    if (this.tables.released.has(heartbeat.machine)) return LATE_COPY;
+    if (this.fleet.released.has(heartbeat.machine)) return LATE_COPY;
     const machine = this.machineOf(heartbeat, now);
     if (heartbeat.agentEpoch < machine.agentEpoch) return LATE_COPY;
     if (heartbeat.agentEpoch === machine.agentEpoch) {
       if (heartbeat.sequence <= machine.lastHeartbeatSequence) return LATE_COPY;
       if (heartbeat.sequence <= machine.lastMessageSequence)
-        return this.overtaken(machine, heartbeat, now);
+        return this.acceptOvertaken(machine, heartbeat, now);
     }
     checkAnswerDelivery(machine, heartbeat, this.delivery, now);
     if (heartbeat.agentEpoch > machine.agentEpoch) this.agentEpochChanged(machine, now);
     this.markUp(machine, now);
     this.updateMachine(machine, heartbeat, now);
-    const forgets = this.takeTasks(machine, heartbeat, now);
+    const listedOrders = this.reconcileTasks(machine, heartbeat, now);
     machine.answeredAt = now;
     return {
       kind: 'answer',
-      orders: [...forgets, ...ordersForAnswer(machine, heartbeat.sequence)],
+      orders: [...listedOrders, ...ordersForAnswer(machine, heartbeat.sequence)],
     };
   }
 
   private machineOf(heartbeat: Heartbeat, now: number): Machine {
-    const known = this.tables.machines.get(heartbeat.machine);
+    const known = this.fleet.machines.get(heartbeat.machine);
     if (known) return known;
     const { machine: name, addr, type, zone, spot } = heartbeat;
-    return this.tables.machines.register({ name, addr, type, zone, spot }, 'up', now);
+    return this.fleet.machines.register({ name, addr, type, zone, spot }, 'up', now);
   }
 
   /**
-   * The answer to a direct command came before this report. Its tasks are old, but the worker waits for
-   * this answer and it renews the lease.
+   * The answer to a direct command came before this heartbeat. Its tasks are old, but the worker waits for
+   * this answer, which renews the lease.
    */
-  private overtaken(machine: Machine, heartbeat: Heartbeat, now: number): HeartbeatOutcome {
+  private acceptOvertaken(machine: Machine, heartbeat: Heartbeat, now: number): HeartbeatOutcome {
     machine.lastHeartbeatSequence = heartbeat.sequence;
     machine.answeredAt = now;
     return { kind: 'answer', orders: ordersForAnswer(machine, heartbeat.sequence) };
   }
 
   /**
-   * The worker killed and forgot everything when its lease ran out. What an earlier term may have
-   * started is not judged by this: the older session may be known from a late copy only, and the start
+   * The worker killed and forgot everything when its lease expired. What an earlier term may have
+   * started is not judged by this: the older epoch may be known from a late copy only, and the start
    * may belong to the newer one.
    */
   private agentEpochChanged(machine: Machine, now: number): void {
@@ -92,8 +93,8 @@
 
   private markUp(machine: Machine, now: number): void {
     if (machine.state === 'up') return;
-    if (machine.state === 'booting') this.tables.listener.machineUp(machine, now);
-    this.tables.machines.setState(machine, 'up');
+    if (machine.state === 'booting') this.fleet.listener.machineUp(machine, now);
+    this.fleet.machines.setState(machine, 'up');
     machine.idleSince = now;
   }
 
@@ -103,13 +104,13 @@
     machine.lastMessageSequence = heartbeat.sequence;
     machine.lastHeartbeatSequence = heartbeat.sequence;
     const reclaimAt = heartbeat.noticeS === null ? null : now + heartbeat.noticeS;
-    this.tables.machines.setReclaimAt(machine, reclaimAt);
-    if (heartbeat.fencingToken >= this.tables.term) machine.termConfirmed = true;
+    this.fleet.machines.setReclaimAt(machine, reclaimAt);
+    if (heartbeat.fencingToken >= this.fleet.term) machine.termConfirmed = true;
     this.fencing.fencingTokenSeen(machine, heartbeat.fencingToken);
     this.fencing.fenceOverdueStarts(machine, now);
   }
 
-  private takeTasks(machine: Machine, heartbeat: Heartbeat, now: number): Order[] {
+  private reconcileTasks(machine: Machine, heartbeat: Heartbeat, now: number): Order[] {
     const listed = new Set(heartbeat.tasks.map((task) => taskName(task.job, task.index)));
     const orders = mostUrgent(this.tasks.reconcileListed(machine, heartbeat.tasks, now));
     for (const [name, assignment] of [...machine.tasks]) {
@@ -119,7 +120,7 @@
   }
 }
 
-/** As many as one answer takes: what is to be stopped before what is to be forgotten. */
+/** As many as one answer holds: what is to be stopped before what is to be forgotten. */
 function mostUrgent(orders: Order[]): Order[] {
   if (orders.length <= MAX_LISTED_ORDERS) return orders;
   const stops = orders.filter(({ op }) => op === 'stop');
--- a/packages/core/heartbeats/start-fencing.ts
+++ b/packages/core/heartbeats/start-fencing.ts
@@ -1,24 +1,25 @@
-import { taskName, TaskRef } from '#wire';
+/** Keeps starts that were sent directly and not acknowledged from acting late. */
+import { taskName, type TaskRef } from '#wire';
 import type { FleetTables } from '../fleet-tables.js';
 import type { Machine } from '../model/model.js';
 
-/** Report periods after which a start that was not acknowledged is fenced off. */
-const FENCE_AFTER_HEARTBEATS = 2;
+/** In heartbeat intervals: how long a start may be unacknowledged before it is fenced off. */
+const FENCE_AFTER_INTERVALS = 2;
 
-/** Rank of what goes before all starts. */
+/** Rank of a record that is written before those of all starts. */
 const MOST_URGENT = 0;
 
 /**
- * Direct starts whose answer did not come may arrive at any later time in the same session under the
- * same token. They are fenced off by raising the machine's token to the revision of a new record of it;
- * once a report shows that token, or a new session, none of them can act (docs/safety.md, point 6).
+ * Direct starts whose answer did not come may arrive at any later time in the same agent epoch under the same
+ * fencing token. They are fenced off by raising the machine's fencing token to the revision of a new record of it;
+ * once a heartbeat shows that token, or a new epoch, none of them can act (docs/safety.md, point 6).
  */
 export class StartFencing {
-  /** The largest token that any answer of this term may carry; one that is larger is another owner's. */
+  /** The largest fencing token that any answer of this term may carry; a larger one is another leader's. */
   newestFencingToken: number;
 
-  constructor(private readonly tables: FleetTables) {
-    this.newestFencingToken = tables.term;
+  constructor(private readonly fleet: FleetTables) {
+    this.newestFencingToken = fleet.term;
   }
 
   /** A direct start is being sent. */
@@ -38,14 +39,14 @@
     );
   }
 
-  /** The worker is in a new session, and drops what was sent for the one before. */
+  /** The worker is in a new agent epoch, and drops what was sent for the one before. */
   agentEpochChanged(machine: Machine): void {
     machine.unacknowledgedStarts.clear();
   }
 
-  /** A report showed this token: direct commands with a lower one have no effect any more. */
+  /** A heartbeat showed this fencing token: direct commands with a lower one have no effect any more. */
   fencingTokenSeen(machine: Machine, fencingToken: number): void {
-    // Direct commands are not sent while the token is being raised, so all of these starts are older.
+    // No direct command is sent while the fencing token is being raised, so all of these starts are older.
     if (machine.fence !== 'recorded' || fencingToken < machine.fencingToken) return;
     machine.unacknowledgedStarts.clear();
     machine.fence = 'none';
@@ -54,7 +55,7 @@
   /** Asks for a new record of the machine if a start has been unacknowledged for too long. */
   fenceOverdueStarts(machine: Machine, now: number): void {
     if (machine.directCommandInFlight) return;
-    const overdueAfterS = FENCE_AFTER_HEARTBEATS * this.tables.settings.heartbeatIntervalS;
+    const overdueAfterS = FENCE_AFTER_INTERVALS * this.fleet.settings.heartbeatIntervalS;
     for (const sentAt of machine.unacknowledgedStarts.values()) {
       if (now - sentAt >= overdueAfterS) this.fence(machine);
     }
@@ -65,11 +66,11 @@
     if (this.mayArrive(machine, start)) this.fence(machine);
   }
 
-  /** A call that is under way carries the older token. */
+  /** A call that is in flight carries the older fencing token. */
   private fence(machine: Machine): void {
     if (machine.fence !== 'none') return;
     machine.fence = 'requested';
-    this.tables.unrecorded.markMachineUrgent(machine.name, MOST_URGENT);
+    this.fleet.unrecorded.markMachineUrgent(machine.name, MOST_URGENT);
   }
 
   /** The machine's record was written at this revision. */
