--- a/packages/core/model/amounts.ts
+++ b/packages/core/model/amounts.ts
@@ -1,14 +1,17 @@
-/** What tasks take and machines have; memory in GB. */
+/** Amounts of resources, and sums and shares of them. */
+
+/** What tasks take and machines have. */
 export interface Amounts {
   cpus: number;
   gpus: number;
+  /** GB. */
   memory: number;
 }
 
 /** Amounts are sums of decimal numbers; differences below this are rounding. */
 export const ROUNDING = 1e-9;
 
-/** Nothing. Shared, so copy it before adding to it. */
+/** No resources. Shared, so copy it before adding to it. */
 export const ZERO_AMOUNTS: Readonly<Amounts> = { cpus: 0, gpus: 0, memory: 0 };
 
 /** Adds (or, with -1, takes away) amounts in place. */
--- a/packages/core/model/free-machines.ts
+++ b/packages/core/model/free-machines.ts
@@ -1,3 +1,4 @@
+/** Finds machines with capacity without a look at each. */
 import type { MachineType } from '#wire';
 import { type Amounts, ROUNDING } from './amounts.js';
 import type { Machine } from './model.js';
@@ -23,11 +24,12 @@
     this.withGpus.setMember(machine, isUp && type.gpus - machine.used.gpus > ROUNDING);
   }
 
+  /** The machine is gone. */
   remove(machine: Machine): void {
     for (const list of [this.up, this.withCpus, this.withGpus]) list.setMember(machine, false);
   }
 
-  /** All machines that may have room for such a task, in the order in which they became known. */
+  /** All machines that may have capacity for such a task, in the order in which they became known. */
   mayHold({ cpus, gpus }: Pick<Amounts, 'cpus' | 'gpus'>): readonly Machine[] {
     if (gpus > CERTAIN_NEED) return this.withGpus.machines;
     if (cpus > CERTAIN_NEED) return this.withCpus.machines;
--- a/packages/core/model/job-registry.ts
+++ b/packages/core/model/job-registry.ts
@@ -1,30 +1,30 @@
+/** The jobs of a shard, and which of their tasks wait for a machine. */
 import type { Job } from '#wire';
-import { ServiceCounter } from '../fair-share/service-counter.js';
-import { requirementsKey } from '../placement/bin-packing.js';
+import { WaitingJobs } from '../fair-share/waiting-jobs.js';
 import { type Dependencies, independent } from './job-dependencies.js';
-import { noJobFailures } from '../failures/job-failures.js';
-import type { JobState } from './model.js';
-import type { JobReplicas } from './model.js';
-import { TaskSet } from './task-set.js';
+import type { JobReplicas, JobState } from './model.js';
+import { newJobState } from './new-job.js';
 import type { UnrecordedChanges } from './unrecorded-changes.js';
-import { WaitingJobs } from '../fair-share/waiting-jobs.js';
 
-/** Tells whether jobs of a team and rank run on room that is there anyway. */
+/** Tells whether jobs of a team and rank run on capacity that is there anyway. */
 export type BestEffortTest = (job: Pick<Job, 'team' | 'rank'>) => boolean;
 
-/** What a new job is beside its submission. */
+/** What is known of a new job beside its submission. */
 export interface NewJobOptions {
+  /** Makes its replicas; null, or none given, if each task is by itself. */
   replicasOf?: (job: JobState) => JobReplicas | null;
+  /** What other jobs mean for it; without it the job has neither dependencies nor dependents. */
   dependencies?: Dependencies;
 }
 
-/** The accepted jobs, their phases, and which of their tasks wait for a machine. */
+/** The accepted jobs, their phases, and which of their tasks wait for a machine. Times are seconds of the steady clock. */
 export class JobRegistry {
+  /** The jobs with a task that waits. */
   readonly waiting = new WaitingJobs();
   /** Jobs that are over and may still have a task somewhere. */
   private readonly ended = new Set<JobState>();
   private readonly byId = new Map<string, JobState>();
-  private readonly withNewCounts = new Set<JobState>();
+  private readonly jobsWithNewCounts = new Set<JobState>();
 
   constructor(
     private readonly halfLifeS: number,
@@ -37,6 +37,7 @@
     return this.byId.get(id);
   }
 
+  /** Whether the job is known. */
   has(id: string): boolean {
     return this.byId.has(id);
   }
@@ -46,7 +47,7 @@
     return this.byId.values();
   }
 
-  /** A job that is not known yet. Times are seconds of the steady clock. */
+  /** Adds a job that is not known yet. */
   add(
     job: Job,
     acceptedAt: number,
@@ -54,36 +55,18 @@
     now: number,
     { replicasOf, dependencies = independent(job) }: NewJobOptions = {},
   ): JobState {
-    const { hasOpenDependencies, rank } = dependencies;
-    const state: JobState = {
-      spec: job,
-      rank,
-      hasOpenDependencies,
-      isBestEffort: this.isBestEffort({ team: job.team, rank }),
-      replicas: null,
-      requirementsKey: requirementsKey(job),
-      acceptedAt,
-      startableAt: acceptedAt,
-      phase,
-      done: new TaskSet(job.tasks),
-      assignments: new Map(),
-      returnedTasks: new Set(),
-      scanFrom: 0,
-      failures: noJobFailures(),
-      backoffUntil: 0,
-      tasksMoved: 0,
-      service: new ServiceCounter(this.halfLifeS, now),
-      waitingSince: now,
-      waitingOrder: 0,
-    };
+    const isBestEffort = this.isBestEffort({ team: job.team, rank: dependencies.rank });
+    const { halfLifeS } = this;
+    const options = { job, dependencies, isBestEffort, acceptedAt, phase, halfLifeS };
+    const state = newJobState(options, now);
     state.replicas = replicasOf?.(state) ?? null;
     this.byId.set(job.id, state);
     if (phase !== 'accepted') this.ended.add(state);
-    else if (!hasOpenDependencies) this.waiting.add(state);
+    else if (!state.hasOpenDependencies) this.waiting.add(state);
     return state;
   }
 
-  /** All that the job awaits is done: its turn and its waiting time begin. */
+  /** All jobs that the job depends on are done: its turn and its waiting time begin. */
   startable(job: JobState, now: number): void {
     if (!job.hasOpenDependencies) return;
     job.hasOpenDependencies = false;
@@ -91,7 +74,7 @@
     this.joinQueueIfAnyWaits(job, now);
   }
 
-  /** Another rank counts for the job; what is counted by rank is the caller's part. */
+  /** Another rank counts for the job; the caller updates what is counted by rank. */
   changeRank(job: JobState, rank: number): void {
     const { team } = job.spec;
     this.waiting.change(job, () => {
@@ -100,7 +83,7 @@
     });
   }
 
-  /** Notes a final phase. The job's tasks are stopped by the caller. */
+  /** Sets a final phase. The caller stops the job's tasks. */
   setFinalPhase(job: JobState, phase: 'cancelled' | 'done'): void {
     job.phase = phase;
     this.unrecorded.forgetJob(job.spec.id);
@@ -119,17 +102,17 @@
 
   /** How many of the job's tasks are done or run may have changed. */
   countsChanged(job: JobState): void {
-    this.withNewCounts.add(job);
+    this.jobsWithNewCounts.add(job);
   }
 
   /** The open jobs whose counts may have changed since the last call. */
   takeCountsChanged(): JobState[] {
-    const jobs = [...this.withNewCounts].filter(({ phase }) => phase === 'accepted');
-    this.withNewCounts.clear();
+    const jobs = [...this.jobsWithNewCounts].filter(({ phase }) => phase === 'accepted');
+    this.jobsWithNewCounts.clear();
     return jobs;
   }
 
-  /** Open jobs that await others. */
+  /** How many open jobs have open dependencies. */
   get jobsWithOpenDependencies(): number {
     let count = 0;
     for (const { phase, hasOpenDependencies } of this.byId.values()) {
--- a/packages/core/model/machine-groups.ts
+++ b/packages/core/model/machine-groups.ts
@@ -1,40 +1,41 @@
+/** Groups of machines that some operations look at in place of all machines. */
 import type { Machine } from './model.js';
 import { OrderedMachines } from './ordered-machines.js';
 
 /**
- * Machines that something sets apart, kept current where that changes. They are few, so that duties which
- * come several times a second need not look at all machines. A machine that is removed leaves all groups.
+ * Machines with a property that few have, kept current where it changes, so that operations which come several times a
+ * second need not walk all machines. A machine that is removed leaves all groups.
  */
 export class MachineGroups {
-  private readonly unsettledOnes = new Set<Machine>();
-  private readonly noticedOnes = new Set<Machine>();
-  private readonly reservedOnes = new Set<Machine>();
-  private readonly stoppingOnes = new Set<Machine>();
-  private readonly emptyingOnes = new OrderedMachines();
+  private readonly unsettledMachines = new Set<Machine>();
+  private readonly machinesWithNotice = new Set<Machine>();
+  private readonly reservedMachines = new Set<Machine>();
+  private readonly stoppingMachines = new Set<Machine>();
+  private readonly emptyingMachines = new OrderedMachines();
 
-  /** Those that boot, are silent past their lease, drain, or have failed by the cloud's list. */
+  /** Machines that boot, whose lease has expired, that drain, or that the cloud lists as failed. */
   get unsettled(): ReadonlySet<Machine> {
-    return this.unsettledOnes;
+    return this.unsettledMachines;
   }
 
-  /** Those that the cloud has given notice of. */
+  /** Machines that the cloud has given a reclaim notice of. */
   get noticed(): ReadonlySet<Machine> {
-    return this.noticedOnes;
+    return this.machinesWithNotice;
   }
 
-  /** Those that are kept free for a gang. */
+  /** Machines that are kept free for a gang. */
   get reserved(): ReadonlySet<Machine> {
-    return this.reservedOnes;
+    return this.reservedMachines;
   }
 
-  /** Those with a task whose end was asked for. */
+  /** Machines with a task that is to stop. */
   get stopping(): ReadonlySet<Machine> {
-    return this.stoppingOnes;
+    return this.stoppingMachines;
   }
 
-  /** Those that boot or are up, are to stay, and become empty by themselves; as they became known. */
+  /** Machines that boot or are up, are to stay, and become empty by themselves; in the order in which they became known. */
   get emptying(): readonly Machine[] {
-    return this.emptyingOnes.machines;
+    return this.emptyingMachines.machines;
   }
 
   /** A machine became known. */
@@ -43,36 +44,41 @@
     this.reclaimChanged(machine);
   }
 
+  /** A machine is gone. */
   remove(machine: Machine): void {
-    for (const group of [this.unsettledOnes, this.noticedOnes]) group.delete(machine);
-    for (const group of [this.reservedOnes, this.stoppingOnes]) group.delete(machine);
-    this.emptyingOnes.setMember(machine, false);
+    for (const group of [this.unsettledMachines, this.machinesWithNotice]) group.delete(machine);
+    for (const group of [this.reservedMachines, this.stoppingMachines]) group.delete(machine);
+    this.emptyingMachines.setMember(machine, false);
   }
 
-  /** It is up or expired, drains, or is listed as failed. */
+  /** The machine is up or expired, drains, or is listed as failed. */
   stateChanged(machine: Machine): void {
     const { state, draining, failedInList } = machine;
-    setMember(this.unsettledOnes, machine, state !== 'up' || draining || failedInList);
+    setMember(this.unsettledMachines, machine, state !== 'up' || draining || failedInList);
     this.replicasChanged(machine);
   }
 
+  /** A reclaim notice of the machine came or was withdrawn. */
   reclaimChanged(machine: Machine): void {
-    setMember(this.noticedOnes, machine, machine.reclaimAt !== null);
+    setMember(this.machinesWithNotice, machine, machine.reclaimAt !== null);
     this.replicasChanged(machine);
   }
 
+  /** The machine is kept free for a gang, or no longer. */
   reservationChanged(machine: Machine): void {
-    setMember(this.reservedOnes, machine, machine.reservedForGang !== null);
+    setMember(this.reservedMachines, machine, machine.reservedForGang !== null);
   }
 
+  /** The number of its tasks that are to stop has changed. */
   stopsChanged(machine: Machine): void {
-    setMember(this.stoppingOnes, machine, machine.stoppingTasks > 0);
+    setMember(this.stoppingMachines, machine, machine.stoppingTasks > 0);
   }
 
+  /** The number of replicas that stay on it has changed, or whether it stays itself. */
   replicasChanged(machine: Machine): void {
     const { state, draining, reclaimAt, stayingReplicas } = machine;
     const stays = state !== 'expired' && !draining && reclaimAt === null;
-    this.emptyingOnes.setMember(machine, stays && stayingReplicas === 0);
+    this.emptyingMachines.setMember(machine, stays && stayingReplicas === 0);
   }
 }
 
--- a/packages/core/model/machine-record-size.ts
+++ b/packages/core/model/machine-record-size.ts
@@ -9,10 +9,10 @@
 const ID_LENGTH = 20;
 /** Brackets, quotes and commas of the entry of one task. */
 const ENTRY_MARKS = '["",,],'.length;
-/** No entry of a task is larger. */
+/** Bytes of the largest entry of a task. */
 export const LARGEST_ENTRY = ENTRY_MARKS + ID_LENGTH + INDEX_DIGITS + ATTEMPT_DIGITS;
 
-/** A machine's address at its longest. */
+/** The longest address of a machine. */
 const LONGEST_ADDRESS = '255.255.255.255:65535';
 
 /** Bytes of the record of a machine without tasks. */
--- a/packages/core/model/machine-registry.ts
+++ b/packages/core/model/machine-registry.ts
@@ -1,47 +1,55 @@
+/** The machines of a shard and the machine types of the cloud. */
 import type { MachineType } from '#wire';
-import { addAmounts, Amounts, ZERO_AMOUNTS } from './amounts.js';
+import { addAmounts, type Amounts, ZERO_AMOUNTS } from './amounts.js';
 import { FreeMachines } from './free-machines.js';
 import { MachineGroups } from './machine-groups.js';
 import type { Machine } from './model.js';
 import type { MachineFacts } from './machine-facts.js';
 import { newMachine } from './new-machine.js';
 
-/** A machine as the registry may change it. */
-type Writable = { -readonly [Field in keyof Machine]: Machine[Field] };
+/**
+ * A machine whose read-only fields may be set. The registry's methods take it where they do so, since each of these
+ * fields decides on groups that the registry keeps; callers pass any `Machine`.
+ */
+type MutableMachine = { -readonly [Field in keyof Machine]: Machine[Field] };
 
-/** The known machines and machine types. */
+/** The known machines and machine types. Times are seconds of the steady clock. */
 export class MachineRegistry {
-  /** Machines that something sets apart. */
+  /** Machines with a property that few have. */
   readonly groups = new MachineGroups();
-  /** Machines with room. */
+  /** Machines with free capacity. */
   readonly free = new FreeMachines();
   /** Totals of all machines, as of the last `updateTotals`. */
   totals: Readonly<Amounts> = ZERO_AMOUNTS;
   /** Machines or sizes have changed since then. */
-  private totalsAreOld = false;
+  private totalsAreStale = false;
   /** Seconds that the type which is up soonest takes to boot; 0 while no type is known. */
   shortestBootS = 0;
   private readonly typesByName = new Map<string, MachineType>();
   private readonly byName = new Map<string, Machine>();
-  private registered = 0;
+  private registeredCount = 0;
   /** Null after machines have come or gone. */
   private zonesInOrder: readonly string[] | null = null;
 
-  /** `token` is what answers to a new machine carry: the owner's term. */
+  /** `fencingToken` is what answers to a new machine carry: the leader's term. */
   constructor(private readonly fencingToken: number) {}
 
+  /** How many machines are known. */
   get size(): number {
     return this.byName.size;
   }
 
+  /** The machine, or undefined if it is not known or gone. */
   get(name: string): Machine | undefined {
     return this.byName.get(name);
   }
 
+  /** Whether the machine is known. */
   has(name: string): boolean {
     return this.byName.has(name);
   }
 
+  /** All known machines, in the order in which they became known. */
   values(): IterableIterator<Machine> {
     return this.byName.values();
   }
@@ -54,7 +62,7 @@
   /** The cloud lists a type. */
   setType(type: MachineType): void {
     this.typesByName.set(type.name, type);
-    this.totalsAreOld = true;
+    this.totalsAreStale = true;
     this.shortestBootS = Math.min(...[...this.typesByName.values()].map(({ bootS }) => bootS));
     for (const machine of this.byName.values()) {
       if (machine.type === type.name) this.free.update(machine, type);
@@ -66,11 +74,11 @@
     return this.typesByName.get(machine.type);
   }
 
-  /** A machine that the cloud, a record or its own report made known; unchanged if known already. */
+  /** A machine that the cloud, a record or its own heartbeat made known; unchanged if known already. */
   register(facts: MachineFacts, state: Machine['state'], requestedAt: number): Machine {
     const known = this.byName.get(facts.name);
     if (known) return known;
-    const number = ++this.registered;
+    const number = ++this.registeredCount;
     const machine = newMachine({
       facts,
       number,
@@ -94,7 +102,7 @@
   }
 
   private membersChanged(): void {
-    this.totalsAreOld = true;
+    this.totalsAreStale = true;
     this.zonesInOrder = null;
   }
 
@@ -104,66 +112,66 @@
     return this.zonesInOrder;
   }
 
-  /** Its worker was heard for the first time or again, or has been silent past its lease. */
-  setState(machine: Machine, state: 'up' | 'expired'): void {
-    writable(machine).state = state;
+  /** The first heartbeat of its worker came, or the first after its lease expired; or its lease has expired. */
+  setState(machine: MutableMachine, state: 'up' | 'expired'): void {
+    machine.state = state;
     if (!this.isKnown(machine)) return;
     this.groups.stateChanged(machine);
     this.free.update(machine, this.typeOf(machine));
   }
 
-  /** It takes no new work and is given back once it is empty. */
-  drain(machine: Machine): void {
-    writable(machine).draining = true;
+  /** The machine takes no new work and is deprovisioned once it is empty. */
+  drain(machine: MutableMachine): void {
+    machine.draining = true;
     if (this.isKnown(machine)) this.groups.stateChanged(machine);
   }
 
-  /** The cloud lists it as failed. */
-  markFailed(machine: Machine): void {
-    writable(machine).failedInList = true;
+  /** The cloud lists the machine as failed. */
+  markFailed(machine: MutableMachine): void {
+    machine.failedInList = true;
     if (this.isKnown(machine)) this.groups.stateChanged(machine);
   }
 
-  /** When the cloud takes it away, or null if it gives no notice. */
-  setReclaimAt(machine: Machine, reclaimAt: number | null): void {
+  /** When the cloud reclaims the machine, or null if it gives no notice. */
+  setReclaimAt(machine: MutableMachine, reclaimAt: number | null): void {
     if (reclaimAt === machine.reclaimAt) return;
-    writable(machine).reclaimAt = reclaimAt;
+    machine.reclaimAt = reclaimAt;
     if (this.isKnown(machine)) this.groups.reclaimChanged(machine);
   }
 
-  /** Keeps it free for the gang of that id, or for none. */
-  reserve(machine: Machine, gang: string | null): void {
+  /** Keeps the machine free for the gang of that id, or for none. */
+  reserve(machine: MutableMachine, gang: string | null): void {
     if (gang === machine.reservedForGang) return;
-    writable(machine).reservedForGang = gang;
+    machine.reservedForGang = gang;
     if (this.isKnown(machine)) this.groups.reservationChanged(machine);
   }
 
-  /** The end of a task on it was asked for (1), or such a task has gone (-1). */
-  countStop(machine: Machine, sign: 1 | -1): void {
-    writable(machine).stoppingTasks += sign;
+  /** A task on the machine is to stop (1), or such a task has gone (-1). */
+  countStop(machine: MutableMachine, sign: 1 | -1): void {
+    machine.stoppingTasks += sign;
     if (this.isKnown(machine)) this.groups.stopsChanged(machine);
   }
 
-  /** A replica is to stay on it (1), or no longer is (-1). */
-  countReplica(machine: Machine, sign: 1 | -1): void {
-    writable(machine).stayingReplicas += sign;
+  /** A replica is to stay on the machine (1), or no longer is (-1). */
+  countReplica(machine: MutableMachine, sign: 1 | -1): void {
+    machine.stayingReplicas += sign;
     if (this.isKnown(machine)) this.groups.replicasChanged(machine);
   }
 
-  /** What its tasks take has changed. */
+  /** What the machine's tasks take of it has changed. */
   useChanged(machine: Machine): void {
     if (this.isKnown(machine)) this.free.update(machine, this.typeOf(machine));
   }
 
-  /** Others that still hold a machine may name one that is gone. */
+  /** Whether the machine is still known: callers may hold one that is gone, and that belongs to no group. */
   private isKnown(machine: Machine): boolean {
     return this.byName.get(machine.name) === machine;
   }
 
-  /** Sums up what all machines have; before a round, and after the list of machines. */
+  /** Sums up what all machines have if that may have changed; called before a round, and after the cloud's list. */
   updateTotals(): void {
-    if (!this.totalsAreOld) return;
-    this.totalsAreOld = false;
+    if (!this.totalsAreStale) return;
+    this.totalsAreStale = false;
     const totals = { ...ZERO_AMOUNTS };
     for (const machine of this.byName.values()) {
       const type = this.typeOf(machine);
@@ -172,7 +180,3 @@
     this.totals = totals;
   }
 }
-
-function writable(machine: Machine): Writable {
-  return machine;
-}
--- /dev/null
+++ b/packages/core/model/new-job.ts
@@ -0,0 +1,45 @@
+/** How a job enters the state. */
+import type { Job } from '#wire';
+import { ServiceCounter } from '../fair-share/service-counter.js';
+import { noJobFailures } from '../failures/job-failures.js';
+import { requirementsKey } from '../placement/bin-packing.js';
+import type { Dependencies } from './job-dependencies.js';
+import type { JobState } from './model.js';
+import { TaskSet } from './task-set.js';
+
+/** What decides the state of a new job. Times are seconds of the steady clock. */
+interface NewJob {
+  job: Job;
+  dependencies: Dependencies;
+  isBestEffort: boolean;
+  acceptedAt: number;
+  phase: JobState['phase'];
+  /** Half-life of the service that the job receives, in seconds. */
+  halfLifeS: number;
+}
+
+/** A job of which no task has a place, and whose tasks are by themselves. */
+export function newJobState(options: NewJob, now: number): JobState {
+  const { job, dependencies, isBestEffort, acceptedAt, phase, halfLifeS } = options;
+  return {
+    spec: job,
+    rank: dependencies.rank,
+    hasOpenDependencies: dependencies.hasOpenDependencies,
+    isBestEffort,
+    replicas: null,
+    requirementsKey: requirementsKey(job),
+    acceptedAt,
+    startableAt: acceptedAt,
+    phase,
+    done: new TaskSet(job.tasks),
+    assignments: new Map(),
+    returnedTasks: new Set(),
+    scanFrom: 0,
+    failures: noJobFailures(),
+    backoffUntil: 0,
+    tasksMoved: 0,
+    service: new ServiceCounter(halfLifeS, now),
+    waitingSince: now,
+    waitingOrder: 0,
+  };
+}
--- a/packages/core/model/ordered-machines.ts
+++ b/packages/core/model/ordered-machines.ts
@@ -1,22 +1,25 @@
+/** Sorted lists of machines that are cheap to keep. */
 import type { Machine } from './model.js';
 
 /** Machines in the order in which they became known. */
 export class OrderedMachines {
   private readonly list: Machine[] = [];
 
+  /** The members. */
   get machines(): readonly Machine[] {
     return this.list;
   }
 
+  /** Adds or removes the machine; nothing happens if it is as asked already. */
   setMember(machine: Machine, isMember: boolean): void {
-    const index = this.placeOf(machine);
+    const index = this.indexOf(machine);
     const isListed = this.list[index] === machine;
     if (isMember && !isListed) this.list.splice(index, 0, machine);
     else if (!isMember && isListed) this.list.splice(index, 1);
   }
 
-  /** Where the machine is or belongs. */
-  private placeOf({ number }: Machine): number {
+  /** Index at which the machine is or belongs. */
+  private indexOf({ number }: Machine): number {
     let low = 0;
     let high = this.list.length;
     while (low < high) {
--- a/packages/core/model/released-machines.ts
+++ b/packages/core/model/released-machines.ts
@@ -1,4 +1,6 @@
-/** In leases of the workers: how long messages of a machine that is gone are expected. */
+/** Tells messages of machines that are gone from those of machines that are not known yet. */
+
+/** In worker leases: how long messages of a machine that is gone are expected. */
 const MEMORY_LEASES = 60;
 
 /**
@@ -6,7 +8,7 @@
  * arrives in the name of one is a late copy.
  */
 export class ReleasedMachines {
-  /** Steady seconds, oldest first. */
+  /** Seconds of the steady clock by name, oldest first. */
   private readonly releasedAt = new Map<string, number>();
   private readonly memoryS: number;
 
@@ -14,6 +16,7 @@
     this.memoryS = MEMORY_LEASES * leaseS;
   }
 
+  /** Remembers the name of a machine that is gone, and forgets those that are too old. */
   add(name: string, now: number): void {
     this.releasedAt.set(name, now);
     for (const [oldest, at] of this.releasedAt) {
@@ -22,6 +25,7 @@
     }
   }
 
+  /** Whether the machine is gone. */
   has(name: string): boolean {
     return this.releasedAt.has(name);
   }
--- a/packages/core/model/task-set.ts
+++ b/packages/core/model/task-set.ts
@@ -1,6 +1,9 @@
+/** Sets of tasks of one job, which are also recorded. */
+
 /** A set of task indexes of one job, kept as bits so that the largest legal job stays small. */
 export class TaskSet {
   private readonly bits: Uint8Array;
+  /** How many indexes are in the set. */
   size = 0;
 
   constructor(readonly capacity: number) {
@@ -25,7 +28,7 @@
     for (let i = 0; i < this.capacity; i++) this.add(i);
   }
 
-  /** A part of the set in text form: `count` indexes from `first` on, both multiples of 8. */
+  /** `count` indexes of the set from `first` on, both multiples of 8, as their bits in base64. */
   textOf(first: number, count: number): string {
     const from = first >> 3;
     const to = Math.min(this.bits.length, from + (count >> 3));
--- a/packages/core/model/unrecorded-changes.ts
+++ b/packages/core/model/unrecorded-changes.ts
@@ -1,3 +1,6 @@
+/** What the recorder still has to write. */
+
+/** The done tasks of a job that has none to record. */
 const NO_TASKS: ReadonlySet<number> = new Set();
 
 /**
@@ -14,13 +17,13 @@
   /** These tasks, by job; those that end a job are recorded with its end. */
   private readonly doneTasks = new Map<string, Set<number>>();
 
-  /** Something of such a rank can't go on before the machine's record is written. */
+  /** Something of that rank waits for the machine's record to be written. */
   markMachineUrgent(name: string, rank: number): void {
     this.machines.add(name);
     this.urgentMachines.set(name, Math.min(rank, this.urgentMachines.get(name) ?? Infinity));
   }
 
-  /** The machine is in a transaction as it is now. */
+  /** The machine's present record is in a transaction. */
   machineCollected(name: string): void {
     this.machines.delete(name);
     this.urgentMachines.delete(name);
@@ -46,7 +49,7 @@
     if (tasks.size === 0) this.doneTasks.delete(job);
   }
 
-  /** The job is over, so that its single tasks matter no more. */
+  /** The job is over, so its single tasks need not be recorded. */
   forgetJob(job: string): void {
     this.doneTasks.delete(job);
   }
