--- a/packages/core/assignments/assignments.test.ts
+++ b/packages/core/assignments/assignments.test.ts
@@ -5,7 +5,7 @@
 import { aFleet, aJob, aMachine } from '../../testing/samples.js';
 
 test('a task that lost its place several times waits only once', () => {
-  // Guards against a task that was placed and taken back twice between two looks at the queue and
+  // Guards against a task that was placed and taken back twice between two reads of the queue and
   // then stood in it twice: it was started on two machines.
   fc.assert(
     fc.property(fc.array(fc.nat(9), { maxLength: 60 }), (moves) => {
--- a/packages/core/chained-jobs.test.ts
+++ b/packages/core/chained-jobs.test.ts
@@ -34,7 +34,7 @@
   return fleet.addJob(job, 0, 'accepted', 0, { dependencies });
 }
 
-test('a job that awaits others has no place, no queue and no demand until they are done, and its turn begins then', () => {
+test('a job with open dependencies has no place, no queue and no demand until they are done, and its turn begins then', () => {
   const { fleet, scheduler } = aScheduledFleet();
   aMachine(fleet, 'n-1');
   const first = add(fleet, { id: 'j-1' }, true);
@@ -55,7 +55,7 @@
   assert.equal(scheduler.round(43), 2);
 });
 
-test('a job that is cancelled while it awaits others is never queued', () => {
+test('a job that is cancelled while it has open dependencies is never queued', () => {
   const { fleet } = aScheduledFleet();
   const job = add(fleet, { id: 'j-1' }, true);
   fleet.closeJob(job, 'cancelled', 1);
@@ -65,7 +65,7 @@
   assert.equal(fleet.jobs.get('j-1'), undefined);
 });
 
-test('a task of a job that awaits others, begun by a version that knows nothing of that, is stopped', () => {
+test('a task of a job with open dependencies, begun by a version that knows nothing of these, is stopped', () => {
   const { fleet } = aScheduledFleet();
   const machine = aMachine(fleet, 'n-1');
   const job = add(fleet, { id: 'j-1' }, true);
@@ -82,7 +82,7 @@
   assert.ok(outcome.kind === 'answer' && outcome.orders.some(({ op }) => op === 'stop'));
 });
 
-test('the rank of a job that needs it counts for a job that waits, and it gives way no more', () => {
+test('the rank of a dependent counts for a job that waits, and it is no longer best-effort', () => {
   const { fleet, scheduler } = aScheduledFleet();
   const machine = aMachine(fleet, 'n-1');
   const usual = add(fleet, { id: 'j-1', rank: 2, gpus: 4 });
@@ -100,7 +100,7 @@
   assert.deepEqual([machine.firmTasks, machine.usedBestEffort.gpus, machine.idleSince], [0, 4, 3]);
 });
 
-test('what a job has running counts by the rank that a job submitted later gives it', () => {
+test('what a job has running counts by the rank of a dependent that is submitted later', () => {
   const { fleet, scheduler } = aScheduledFleet();
   const machine = aMachine(fleet, 'n-1');
   const low = add(fleet, { id: 'j-1', rank: 3, gpus: 1, tasks: 4 });
@@ -113,7 +113,7 @@
     .groups()
     .map(({ rank, tasks, isBestEffort: spare }) => [rank, tasks, spare]);
   assert.deepEqual(groups, [[1, 4, false]]);
-  // Work of a rank between the two stops none of it now.
+  // Work of a rank between the two preempts none of it now.
   add(fleet, { id: 'j-2', rank: 2, gpus: 1 });
   scheduler.round(60);
   assert.deepEqual(
--- a/packages/core/failures/failure-tracker.test.ts
+++ b/packages/core/failures/failure-tracker.test.ts
@@ -7,9 +7,9 @@
 import { isUsable } from '../placement/availability.js';
 import { assignmentsOf, JobState, Machine } from '../model/model.js';
 
-test('a job that fails everywhere is tried less and less, a few of its tasks at a time', () => {
+test('a job that fails everywhere is retried less and less, a few of its tasks at a time', () => {
   // Guards against an array of thousands of tasks that takes every machine over and over: being seen
-  // to run for an instant reset its waits.
+  // to run for an instant reset its backoff.
   const world = new FailingWorld(6);
   const job = world.submit({ tasks: 5000 });
   world.play(6, () => true);
@@ -84,7 +84,7 @@
   assert.ok(Math.abs(world.scheduler.index('blue', world.now) * 0.05 - 60 * share) < 0.2);
 });
 
-test('the waiting tasks of a suspect job rent nothing, stop nothing and hold no room', () => {
+test('the waiting tasks of a crash-looping job scale nothing out, preempt nothing and hold no capacity', () => {
   const world = new FailingWorld(2);
   const { fleet, machines } = world;
   const running = world.submit({ id: 'j-000009', rank: 3, tasks: 2, gpus: 4 });
@@ -101,12 +101,13 @@
     objectives: [],
     teams: TEAMS,
   });
-  const rents = () => planner.plan(world.now).scaleOut.reduce((sum, { count }) => sum + count, 0);
-  assert.ok(rents() > 0);
+  const scaleOut = () =>
+    planner.plan(world.now).scaleOut.reduce((sum, { count }) => sum + count, 0);
+  assert.ok(scaleOut() > 0);
   fleet.holds.hold(machines[0], job, 1000);
   machines.forEach((machine) => world.fail(job, machine));
   assert.equal(machines[0].capacityHold, null);
-  assert.equal(rents(), 0);
+  assert.equal(scaleOut(), 0);
   world.now += 100;
   job.backoffUntil = world.now - 1;
   job.spec = { ...job.spec, cpus: 16 };
@@ -115,14 +116,14 @@
     [...assignmentsOf(running)].filter(({ stop }) => stop !== null),
     [],
   );
-  // In the end it may ask after all: whatever was accepted must run some day.
+  // In the end it may request capacity after all: whatever was accepted must run some day.
   world.now += 300;
   world.scheduler.round(world.now);
   assert.ok([...assignmentsOf(running)].some(({ stop }) => stop !== null));
 });
 
-test('room for a job that failed on one machine is made on another', () => {
-  // Guards against work that is stopped for a job which then does not take the room.
+test('capacity for a job that failed on one machine is freed on another', () => {
+  // Guards against work that is preempted for a job which then does not use the capacity.
   const world = new FailingWorld(2);
   const { fleet, machines } = world;
   const job = world.submit({ id: 'j-000002', rank: 0, gpus: 4 });
@@ -132,7 +133,7 @@
     const task = fleet.assignments.assign(running, index, machine, index + 1, 0);
     task.startSent = true;
     task.reportedState = 'running';
-    // Stopping what began last costs least.
+    // Preempting what began last costs least.
     task.runningSince = index === 0 ? 0 : -100;
   });
   world.now += 6;
@@ -144,8 +145,8 @@
   );
 });
 
-test('one faulty job condemns one machine at the most, and leaves the others usable', () => {
-  // Guards against a fleet that is given back machine by machine because of one job's mistake.
+test('one faulty job makes one machine faulty at the most, and leaves the others usable', () => {
+  // Guards against a fleet that is drained machine by machine because of one job's mistake.
   fc.assert(
     fc.property(fc.array(fc.nat(5), { minLength: 1, maxLength: 60 }), (order) => {
       const world = new FailingWorld(6);
@@ -167,7 +168,7 @@
   );
 });
 
-test('a machine on which jobs fail that succeed elsewhere is avoided, then given back', () => {
+test('a machine on which jobs fail that succeed elsewhere is quarantined, then drained', () => {
   const world = new FailingWorld(2);
   const [bad, good] = world.machines;
   const isCordoned = () => !isUsable(bad, world.fleet.settings.machineRecordBytes, world.now);
--- a/packages/core/failures/job-failures.test.ts
+++ b/packages/core/failures/job-failures.test.ts
@@ -10,10 +10,10 @@
   retryWaitS,
 } from './job-failures.js';
 
-const LONGEST_S = 64;
+const MAX_WAIT_S = 64;
 
-test('waits grow with each attempt that fails, are bounded, and differ by chance', () => {
-  // Guards against a faulty job that is tried every second for as long as its user leaves it.
+test('the backoff grows with each attempt that fails, is bounded, and differs by chance', () => {
+  // Guards against a faulty job that is retried every second for as long as its user leaves it.
   const moments = fc.array(fc.record({ after: fc.nat(100), machine: fc.nat(9) }), { minLength: 1 });
   fc.assert(
     fc.property(moments, fc.double({ min: 0, max: 0.999, noNaN: true }), (failed, chance) => {
@@ -26,18 +26,18 @@
         const least = retryWaitS(failures, 1, () => 0.999);
         const most = retryWaitS(failures, 1, () => 0);
         const wait = retryWaitS(failures, 1, () => chance);
-        assert.ok(least <= wait && wait <= most && most <= LONGEST_S);
+        assert.ok(least <= wait && wait <= most && most <= MAX_WAIT_S);
         assert.ok(most >= longest);
         if (failures.attempts > 1 || isCrashLooping(failures)) assert.ok(least > 0 && least < most);
         longest = most;
       }
-      if (failed.length > 6) assert.equal(longest, LONGEST_S);
+      if (failed.length > 6) assert.equal(longest, MAX_WAIT_S);
     }),
     SEEDED,
   );
 });
 
-test('attempts that overlap count as one, and one machine alone makes no job suspect', () => {
+test('attempts that overlap count as one, and one machine alone makes no job crash-looping', () => {
   fc.assert(
     fc.property(fc.array(fc.nat(20), { minLength: 1 }), fc.nat(3), (delays, machines) => {
       const failures = noJobFailures();
@@ -53,7 +53,7 @@
   );
 });
 
-test('only a task that runs longer than those that failed proves its job', () => {
+test('only a task that runs longer than those that failed clears its job', () => {
   const failures = noJobFailures();
   countJobFailure(failures, { machine: 'n-1', assignedAt: 0, ranS: 20 }, 20);
   assert.deepEqual(
--- a/packages/core/gang-attempts.test.ts
+++ b/packages/core/gang-attempts.test.ts
@@ -10,8 +10,8 @@
 }
 
 test("the end of an old attempt's task does not stop the attempt that a gang runs now", () => {
-  // Guards against a cut zone whose held reports, once the cut is over, end the gang that was placed
-  // anew elsewhere; and against the same by a late copy that a new owner reads first.
+  // Guards against a cut zone whose held heartbeats, once the cut is over, end the gang that was placed
+  // elsewhere since; and against the same by a late copy that a new leader reads first.
   const fleet = aFleet();
   const job = fleet.addJob(GANG, 0, 'accepted', 0);
   aMachine(fleet, 'n-1');
@@ -19,7 +19,7 @@
     fleet.assignments.assign(job, i, aMachine(fleet, name), 2, 0),
   );
   current[0].recorded = true;
-  // The old attempt as the held report lists it, and then the next session, which has lost it.
+  // The old attempt as the held heartbeat lists it, and then the next agent epoch, which has lost it.
   fleet.heartbeats.handle(aReport({ sequence: 1, tasks: [listed(0, 1)] }), 1);
   assert.equal(job.assignments.get(0)?.length, 2);
   current[1].recorded = true;
--- a/packages/core/heartbeats/heartbeat-processor.test.ts
+++ b/packages/core/heartbeats/heartbeat-processor.test.ts
@@ -2,14 +2,14 @@
 import { test } from 'node:test';
 import { aFleet, aJob, aMachine, aReport } from '../../testing/samples.js';
 
-test('a late copy of an older session does not make inherited tasks look gone', () => {
-  // Guards against: a new owner first sees an old copy, then a report of the current session from
-  // before the start that the earlier owner sent; the change of session proved nothing.
+test('a late copy of an older agent epoch does not make inherited tasks look gone', () => {
+  // Guards against: a new leader first sees an old copy, then a heartbeat of the current epoch from
+  // before the start that the former leader sent; the change of epoch proved nothing.
   const fleet = aFleet();
   const job = fleet.addJob(aJob({ tasks: 1 }), 0, 'accepted', 0);
   fleet.assignments.inherit(job, 0, aMachine(fleet, 'n-1'), 1, 0);
-  const heartbeat = (session: number, seq: number, fencingToken: number) =>
-    aReport({ agentEpoch: session, sequence: seq, fencingToken });
+  const heartbeat = (agentEpoch: number, sequence: number, fencingToken: number) =>
+    aReport({ agentEpoch, sequence, fencingToken });
   fleet.heartbeats.handle(heartbeat(3, 5, 90), 1);
   fleet.heartbeats.handle(heartbeat(4, 9, 90), 2);
   assert.equal(fleet.jobs.waitingCount(job), 0);
@@ -17,12 +17,12 @@
   assert.equal(fleet.jobs.waitingCount(job), 1);
 });
 
-test('a report overtaken by a direct answer still counts as answered', () => {
-  // Guards against a machine being given up while its lease runs: the report was taken for a late
+test('a heartbeat overtaken by a direct answer still counts as answered', () => {
+  // Guards against a machine being given up while its lease runs: the heartbeat was taken for a late
   // copy, but its worker waited for the answer and was renewed by it.
   const fleet = aFleet();
   const machine = aMachine(fleet, 'n-1');
-  const heartbeat = (seq: number) => aReport({ sequence: seq });
+  const heartbeat = (sequence: number) => aReport({ sequence });
   fleet.heartbeats.handle(heartbeat(1), 1);
   fleet.directOrders.finish(machine, [], { kind: 'executed', heartbeat: heartbeat(3) }, 2);
   assert.deepEqual(fleet.heartbeats.handle(heartbeat(2), 9), { kind: 'answer', orders: [] });
--- a/packages/core/heartbeats/machine-leases.test.ts
+++ b/packages/core/heartbeats/machine-leases.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
-import { test } from 'node:test';
+import { mock, test } from 'node:test';
 import { RandomFleet } from '../../testing/owner-load/random-steps.js';
 import { Chance } from '../../testing/random.js';
 import { aFleet, aJob, aMachine, STD } from '../../testing/samples.js';
 import { FleetState } from '../fleet-state.js';
 
-test('a silent machine of an earlier term keeps its tasks until no owner can have answered it', () => {
+test('a silent machine of an earlier term keeps its tasks until no leader can have answered it', () => {
   const fleet = new FleetState({ settings: aFleet().settings, term: 200, electedAt: 50 });
   fleet.machines.setType(STD);
   const job = fleet.addJob(aJob({ tasks: 1 }), 0, 'accepted', 50);
@@ -17,25 +17,25 @@
   assert.equal(fleet.jobs.waitingCount(job), 1);
 });
 
-test('no lease that has run out is overlooked, though most looks are left out', () => {
-  // Guards the moment until which nobody looks: it must hold whatever happens to the machines meanwhile.
-  let looks = 0;
-  let asked = 0;
+test('no lease that has expired is overlooked, though most walks are left out', () => {
+  // Guards the moment until which no walk is needed: it must hold whatever happens to the machines meanwhile.
+  let walks = 0;
+  let calls = 0;
   let expired = 0;
   for (let seed = 1; seed <= 40; seed++) {
     const random = new RandomFleet(new Chance(seed));
     const { leases, machines } = random.fleet;
     for (let step = 0; step < 150; step++) {
       random.step();
-      const { values } = machines;
-      machines.values = () => (looks++, values.call(machines));
+      const countedValues = mock.method(machines, 'values');
       expired += leases.expire(random.now).length;
-      machines.values = values;
-      asked++;
+      walks += countedValues.mock.callCount();
+      countedValues.mock.restore();
+      calls++;
       for (const machine of machines.values()) {
         if (machine.state === 'up') assert.ok(random.now <= leases.latestEnd(machine));
       }
     }
   }
-  assert.ok(expired > 100 && looks < asked / 2, `${looks} looks in ${asked}, ${expired} expired`);
+  assert.ok(expired > 100 && walks < calls / 2, `${walks} walks in ${calls}, ${expired} expired`);
 });
--- a/packages/core/model/free-machines.test.ts
+++ b/packages/core/model/free-machines.test.ts
@@ -20,7 +20,7 @@
 }
 
 // Guards placement, which looks at these machines alone: it must find the same places in the same order.
-test('the machines that may hold a task are those with room that a look at every machine finds', () => {
+test('the machines that may hold a task are those with capacity that a walk over every machine finds', () => {
   let found = 0;
   for (let seed = 1; seed <= 40; seed++) {
     const random = new RandomFleet(new Chance(seed));
--- a/packages/core/model/machine-groups.test.ts
+++ b/packages/core/model/machine-groups.test.ts
@@ -3,12 +3,18 @@
 import { Chance } from '../../testing/random.js';
 import { RandomFleet } from '../../testing/owner-load/random-steps.js';
 import { addAmounts, type Amounts, type FleetState, type Machine, ZERO_AMOUNTS } from '../index.js';
+import type { MachineGroups } from './machine-groups.js';
 
 const SEEDS = 40;
 const STEPS = 150;
 
-/** What decides whether a machine is in each group, by a look at the machine. */
-const BELONGS: Record<string, (machine: Machine) => boolean> = {
+/** The groups among the members of MachineGroups. */
+type GroupName = {
+  [Name in keyof MachineGroups]: MachineGroups[Name] extends Iterable<Machine> ? Name : never;
+}[keyof MachineGroups];
+
+/** Whether a machine belongs to each group, by the machine alone. */
+const BELONGS: Record<GroupName, (machine: Machine) => boolean> = {
   unsettled: (machine) => machine.state !== 'up' || machine.draining || machine.failedInList,
   noticed: (machine) => machine.reclaimAt !== null,
   reserved: (machine) => machine.reservedForGang !== null,
@@ -22,8 +28,8 @@
     ),
 };
 
-// Guards duties that look at a few machines in place of all: they must not miss any.
-test('groups and totals of machines are what a look at every machine finds, whatever happens', () => {
+// Guards operations that walk a few machines in place of all: they must not miss any.
+test('groups and totals of machines are what a walk over every machine finds, whatever happens', () => {
   const seen: Record<string, number> = {};
   for (let seed = 1; seed <= SEEDS; seed++) {
     const random = new RandomFleet(new Chance(seed));
@@ -31,13 +37,9 @@
       random.step();
       const { machines } = random.fleet;
       for (const [name, belongs] of Object.entries(BELONGS)) {
-        const group = machines.groups[name as keyof typeof machines.groups];
+        const group: Iterable<Machine> = machines.groups[name as GroupName];
         const expected = [...machines.values()].filter(belongs);
-        assert.deepEqual(
-          namesOf(group as Iterable<Machine>),
-          namesOf(expected),
-          `${name}, seed ${seed}`,
-        );
+        assert.deepEqual(namesOf(group), namesOf(expected), `${name}, seed ${seed}`);
         seen[name] = (seen[name] ?? 0) + expected.length;
       }
       machines.updateTotals();
--- a/packages/core/model/released-machines.test.ts
+++ b/packages/core/model/released-machines.test.ts
@@ -3,9 +3,9 @@
 import { aFleet, aMachine, aReport } from '../../testing/samples.js';
 import { ReleasedMachines } from './released-machines.js';
 
-test('a late copy of a released machine neither brings it back nor shows a newer owner', () => {
-  // Guards against work that is given to a machine that is gone, and against an owner that resigns
-  // over a token that it had handed out itself.
+test('a late copy of a released machine neither brings it back nor shows a newer leader', () => {
+  // Guards against work that is given to a machine that is gone, and against a leader that steps
+  // down over a fencing token that it had handed out itself.
   const fleet = aFleet();
   const machine = aMachine(fleet, 'n-1');
   machine.fence = 'requested';
--- a/packages/core/safety.test.ts
+++ b/packages/core/safety.test.ts
@@ -12,7 +12,7 @@
   return all;
 }
 
-test('no rule is broken while owners, workers and messages fail', () => {
+test('no rule is broken while leaders, workers and messages fail', () => {
   assert.deepEqual([...brokenBy('none', SEEDS)], []);
 });
 
