--- a/packages/core/assignments/new-assignment.ts
+++ b/packages/core/assignments/new-assignment.ts
@@ -10,7 +10,7 @@
   attempt: number;
 }
 
-/** An assignment of which nothing is recorded, sent or reported; `share` of the fleet is booked for it. */
+/** An assignment that is not recorded, whose start was not sent, and that no heartbeat lists; `share` of the fleet is booked for it. */
 export function newAssignment(
   { job, index, machine, attempt }: NewAssignment,
   share: number,
--- a/packages/core/failures/failure-tracker.test.ts
+++ b/packages/core/failures/failure-tracker.test.ts
@@ -40,14 +40,14 @@
 });
 
 test('a job that failed once is tried on another machine at once', () => {
-  // Guards against sound work that waits because a machine is bad.
+  // Guards against sound work that waits because a machine is faulty.
   const world = new FailingWorld(2);
   const job = world.submit({ tasks: 1 });
-  let bad: Machine | null = null;
-  world.play(2, (_, machine) => (bad ??= machine) === machine);
+  let faulty: Machine | null = null;
+  world.play(2, (_, machine) => (faulty ??= machine) === machine);
   world.play(1, () => false);
   const [task] = [...assignmentsOf(job)];
-  assert.notEqual(task.machine, bad);
+  assert.notEqual(task.machine, faulty);
   assert.ok(task.assignedAt <= 2);
   assert.equal(world.fleet.failures.crashLoopingJobs.size, 0);
 });
@@ -170,16 +170,16 @@
 
 test('a machine on which jobs fail that succeed elsewhere is quarantined, then drained', () => {
   const world = new FailingWorld(2);
-  const [bad, good] = world.machines;
-  const isCordoned = () => !isUsable(bad, world.fleet.settings.machineRecordBytes, world.now);
+  const [faulty, sound] = world.machines;
+  const isQuarantined = () => !isUsable(faulty, world.fleet.settings.machineRecordBytes, world.now);
   for (const id of ['j-000001', 'j-000002', 'j-000003']) {
-    assert.ok(!bad.draining);
+    assert.ok(!faulty.draining);
     const job = world.submit({ id });
-    world.fail(job, bad);
-    assert.ok(isCordoned());
-    const task = world.fleet.assignments.assign(job, 0, good, 1, world.now);
+    world.fail(job, faulty);
+    assert.ok(isQuarantined());
+    const task = world.fleet.assignments.assign(job, 0, sound, 1, world.now);
     world.fleet.failures.taskCompleted(task, world.now + 10);
     world.now += 100;
   }
-  assert.deepEqual([bad.draining, good.draining], [true, false]);
+  assert.deepEqual([faulty.draining, sound.draining], [true, false]);
 });
--- a/packages/core/failures/failure-tracker.ts
+++ b/packages/core/failures/failure-tracker.ts
@@ -76,7 +76,7 @@
     }
   }
 
-  /** A task is seen to run. Only one that runs longer than failures took proves its job. */
+  /** A task is seen to run. Only one that runs longer than those that failed clears its job. */
   taskRuns({ job, machine, runningSince }: Assignment, now: number): void {
     const { failures } = job;
     failures.unknownStarts = 0;
@@ -112,7 +112,7 @@
     return failures.machines.has(machine.name) && now - failures.countedAt < excludedS;
   }
 
-  /** Whether work may be stopped, machines kept free or rented for the job's waiting tasks. */
+  /** Whether work may be preempted, machines kept free or capacity scaled out for the job's waiting tasks. */
   mayRequestCapacity(job: JobState, now: number): boolean {
     if (!this.crashLoopingJobs.has(job)) return true;
     return now - job.backoffUntil > OVERDUE_LEASES * this.options.settings.leaseS;
--- a/packages/core/failures/job-failures.ts
+++ b/packages/core/failures/job-failures.ts
@@ -64,7 +64,7 @@
   return { isNewAttempt, isNewMachine };
 }
 
-/** A task of the job succeeded. How long failures take stays known. */
+/** A task of the job succeeded. How long tasks ran before they failed stays known. */
 export function forgetJobFailures(failures: JobFailures): void {
   failures.attempts = 0;
   failures.machines.clear();
--- a/packages/core/heartbeats/answer-delivery.ts
+++ b/packages/core/heartbeats/answer-delivery.ts
@@ -28,7 +28,7 @@
   now: number,
 ): void {
   const { leaseS, heartbeatIntervalS, term } = settings;
-  // After a cut held heartbeats arrive at once, and then a new epoch: that says nothing of answers.
+  // After a cut, held heartbeats arrive at once, and then a new epoch: that proves nothing of answers.
   if (now - machine.answeredAt > GAP_INTERVALS * heartbeatIntervalS) machine.answeredSince = now;
   const showsOldFencingToken = heartbeat.fencingToken < term && machine.answeredSince < now;
   machine.oldFencingTokenSince = showsOldFencingToken
--- a/packages/core/heartbeats/direct-orders.ts
+++ b/packages/core/heartbeats/direct-orders.ts
@@ -2,7 +2,7 @@
 import type { Heartbeat, Order } from '#wire';
 import { isStartable, startOrder, stopOrder, taskRef } from './answer-orders.js';
 import type { FleetTables } from '../fleet-tables.js';
-import type { Machine } from '../model/model.js';
+import type { Assignment, Machine, StopRequest } from '../model/model.js';
 import type { StartFencing } from './start-fencing.js';
 import type { TaskReconciler } from './task-reconciler.js';
 
@@ -17,7 +17,7 @@
   | { kind: 'executed'; heartbeat: Heartbeat }
   /** The worker answered that it executed nothing. */
   | { kind: 'refused' }
-  /** No answer, or one that says nothing: it may have been executed, or may be yet. */
+  /** No answer, or one that tells nothing: it may have been executed, or may be yet. */
   | { kind: 'unknown' };
 
 /**
@@ -38,19 +38,12 @@
     const orders: Order[] = [];
     let hasLaterStarts = false;
     for (const assignment of machine.tasks.values()) {
-      const { job, stop, startSent, reportedState, inherited } = assignment;
+      const { stop } = assignment;
       if (stop !== null) {
-        if (stop.sentDirectly) continue;
-        stop.sentDirectly = true;
-        orders.push(stopOrder(assignment, stop.graceS));
-      } else if (!startSent && reportedState === null && !inherited && !job.isBestEffort) {
-        if (!isStartable(assignment)) {
-          hasLaterStarts = true;
-          continue;
-        }
-        assignment.startSent = true;
-        this.fencing.startSent(machine, taskRef(assignment), now);
-        orders.push(startOrder(assignment));
+        if (!stop.sentDirectly) orders.push(this.sendStop(assignment, stop));
+      } else if (waitsForDirectStart(assignment)) {
+        if (isStartable(assignment)) orders.push(this.sendStart(assignment, now));
+        else hasLaterStarts = true;
       }
     }
     if (orders.length > 0) machine.directCommandInFlight = true;
@@ -58,6 +51,17 @@
     return orders;
   }
 
+  private sendStop(assignment: Assignment, stop: StopRequest): Order {
+    stop.sentDirectly = true;
+    return stopOrder(assignment, stop.graceS);
+  }
+
+  private sendStart(assignment: Assignment, now: number): Order {
+    assignment.startSent = true;
+    this.fencing.startSent(assignment.machine, taskRef(assignment), now);
+    return startOrder(assignment);
+  }
+
   private isReachable(machine: Machine, now: number): boolean {
     return (
       machine.state === 'up' &&
@@ -86,8 +90,8 @@
   }
 
   /**
-   * It says nothing of starts in an answer that may still be on its way, so absence proves nothing. If the
-   * machine was released or its lease has expired since, all that it held is gone, whatever it says.
+   * It tells nothing of starts in an answer that may still be in flight, so absence proves nothing. If the
+   * machine was released or its lease has expired since, all that it held is gone, whatever it lists.
    */
   private acceptHeartbeat(machine: Machine, heartbeat: Heartbeat, now: number): void {
     if (machine.state !== 'up' || this.fleet.machines.get(machine.name) !== machine) return;
@@ -100,3 +104,9 @@
     this.tasks.reconcileListed(machine, heartbeat.tasks, now);
   }
 }
+
+/** Whether its start was not sent yet and is to be sent directly once it is recorded. */
+function waitsForDirectStart(assignment: Assignment): boolean {
+  const { job, startSent, reportedState, inherited } = assignment;
+  return !startSent && reportedState === null && !inherited && !job.isBestEffort;
+}
--- a/packages/core/heartbeats/start-fencing.ts
+++ b/packages/core/heartbeats/start-fencing.ts
@@ -12,7 +12,7 @@
 /**
  * Direct starts whose answer did not come may arrive at any later time in the same agent epoch under the same
  * fencing token. They are fenced off by raising the machine's fencing token to the revision of a new record of it;
- * once a heartbeat shows that token, or a new epoch, none of them can act (docs/safety.md, point 6).
+ * once a heartbeat shows that fencing token, or a new epoch, none of them can act (docs/safety.md, point 6).
  */
 export class StartFencing {
   /** The largest fencing token that any answer of this term may carry; a larger one is another leader's. */
--- a/packages/core/model/free-machines.ts
+++ b/packages/core/model/free-machines.ts
@@ -1,4 +1,4 @@
-/** Finds machines with capacity without a look at each. */
+/** Finds machines with capacity without a walk over all. */
 import type { MachineType } from '#wire';
 import { type Amounts, ROUNDING } from './amounts.js';
 import type { Machine } from './model.js';
--- a/packages/core/model/job-registry.ts
+++ b/packages/core/model/job-registry.ts
@@ -5,6 +5,7 @@
 import type { JobReplicas, JobState } from './model.js';
 import { newJobState } from './new-job.js';
 import type { UnrecordedChanges } from './unrecorded-changes.js';
+import { countWaitingTasks, findWaitingTasks } from './waiting-tasks.js';
 
 /** Tells whether jobs of a team and rank run on capacity that is there anyway. */
 export type BestEffortTest = (job: Pick<Job, 'team' | 'rank'>) => boolean;
@@ -121,26 +122,14 @@
     return count;
   }
 
-  /** How many tasks wait for a machine. */
+  /** How many tasks of the job wait for a machine. */
   waitingCount(job: JobState): number {
-    if (job.phase !== 'accepted' || job.hasOpenDependencies) return 0;
-    return Math.max(0, job.spec.tasks - job.done.size - job.assignments.size);
+    return countWaitingTasks(job);
   }
 
-  /** Up to `limit` tasks that wait for a machine, lowest first; they wait on until assigned. */
+  /** Up to `limit` tasks that wait for a machine; they wait on until assigned. */
   waitingTasks(job: JobState, limit: number): number[] {
-    const waits = (index: number) => !job.done.has(index) && !job.assignments.has(index);
-    const found: number[] = [];
-    for (const index of job.returnedTasks) {
-      if (found.length === limit) return found;
-      if (waits(index)) found.push(index);
-      else job.returnedTasks.delete(index);
-    }
-    while (job.scanFrom < job.spec.tasks && !waits(job.scanFrom)) job.scanFrom++;
-    for (let index = job.scanFrom; index < job.spec.tasks && found.length < limit; index++) {
-      if (waits(index) && !job.returnedTasks.has(index)) found.push(index);
-    }
-    return found;
+    return findWaitingTasks(job, limit);
   }
 
   /** A task completed. The protocol completes a gang as one: one task done means all are. */
@@ -156,13 +145,13 @@
 
   /** After tasks got a machine or completed. */
   leaveQueueIfNoneWaits(job: JobState): void {
-    if (this.waitingCount(job) === 0) this.waiting.delete(job);
+    if (countWaitingTasks(job) === 0) this.waiting.delete(job);
   }
 
   /** After a task lost its machine. */
   joinQueueIfAnyWaits(job: JobState, now: number): void {
     this.waiting.placesChanged(job);
-    if (this.waitingCount(job) === 0 || this.waiting.has(job)) return;
+    if (countWaitingTasks(job) === 0 || this.waiting.has(job)) return;
     job.waitingSince = now;
     this.waiting.add(job);
   }
--- a/packages/core/model/machine-groups.ts
+++ b/packages/core/model/machine-groups.ts
@@ -1,4 +1,4 @@
-/** Groups of machines that some operations look at in place of all machines. */
+/** Groups of machines that some operations walk in place of all machines. */
 import type { Machine } from './model.js';
 import { OrderedMachines } from './ordered-machines.js';
 
--- /dev/null
+++ b/packages/core/model/waiting-tasks.ts
@@ -0,0 +1,27 @@
+/** Which tasks of a job wait for a machine, found without a list of them: a job may have many thousands. */
+import type { JobState } from './model.js';
+
+/** How many tasks of the job wait for a machine; none while it has open dependencies or once it is over. */
+export function countWaitingTasks(job: JobState): number {
+  if (job.phase !== 'accepted' || job.hasOpenDependencies) return 0;
+  return Math.max(0, job.spec.tasks - job.done.size - job.assignments.size);
+}
+
+/**
+ * Up to `limit` tasks that wait for a machine: those that lost one first, then the others, lowest first. Moves the
+ * job's `scanFrom` past tasks that wait no more, and forgets those among `returnedTasks`.
+ */
+export function findWaitingTasks(job: JobState, limit: number): number[] {
+  const waits = (index: number) => !job.done.has(index) && !job.assignments.has(index);
+  const found: number[] = [];
+  for (const index of job.returnedTasks) {
+    if (found.length === limit) return found;
+    if (waits(index)) found.push(index);
+    else job.returnedTasks.delete(index);
+  }
+  while (job.scanFrom < job.spec.tasks && !waits(job.scanFrom)) job.scanFrom++;
+  for (let index = job.scanFrom; index < job.spec.tasks && found.length < limit; index++) {
+    if (waits(index) && !job.returnedTasks.has(index)) found.push(index);
+  }
+  return found;
+}
