--- a/packages/core/autoscaling/consolidation.ts
+++ b/packages/core/autoscaling/consolidation.ts
@@ -8,7 +8,7 @@
 import { HOLD_HEARTBEATS } from '../preemption/capacity-holds.js';
 import type { Assignment, Machine } from '../model/model.js';
 import { PlacementCandidates } from '../placement/placement-candidates.js';
-import { START_WINDOW_S } from '../preemption/start-window.js';
+import { isPastStartWindow } from '../preemption/start-window.js';
 import type { StandingSlot } from './slots.js';
 
 /** No machine that is used more than this is emptied. */
@@ -100,10 +100,10 @@
 }
 
 function isMovable({ job, stop, reportedState, runningSince }: Assignment, now: number): boolean {
-  const isPastStartWindow = runningSince !== null && now - runningSince >= START_WINDOW_S;
+  const hasStarted = runningSince !== null && isPastStartWindow(runningSince, now);
   // A replica of several members would have to move as a whole.
   const isSingle = job.spec.kind === 'service' && job.replicas === null;
-  return isSingle && stop === null && isPastStartWindow && reportedState === 'running';
+  return isSingle && stop === null && hasStarted && reportedState === 'running';
 }
 
 /** A machine for each task of the slot, or null if one finds none. */
--- a/packages/core/fair-share/fair-shares.ts
+++ b/packages/core/fair-share/fair-shares.ts
@@ -42,11 +42,11 @@
 
   /** Whether one more task of the job stays within its team's guarantee. */
   withinGuarantee(job: Job): boolean {
-    return this.guaranteeNow(job.team)(job);
+    return this.guaranteeCheck(job.team)(job);
   }
 
   /** Tells of tasks whether one more stays within the guarantee, beside what the team uses now. */
-  guaranteeNow(team: string): (need: Pick<Amounts, 'cpus' | 'gpus'>) => boolean {
+  guaranteeCheck(team: string): (need: Pick<Amounts, 'cpus' | 'gpus'>) => boolean {
     const quota = this.guaranteeOf(team);
     if (quota === null) return () => false;
     const { guaranteedCpus, guaranteedGpus } = quota;
--- a/packages/core/fair-share/job-queues.ts
+++ b/packages/core/fair-share/job-queues.ts
@@ -1,5 +1,4 @@
 import type { Amounts } from '../model/amounts.js';
-import { isBoundByZones } from '../placement/bin-packing.js';
 import type { FleetState } from '../fleet-state.js';
 import type { JobState } from '../model/model.js';
 import { RANKS } from './ranks.js';
@@ -137,11 +136,11 @@
       continue;
     }
     const { members } = bucket;
-    const withinNow = shares.guaranteeNow(team);
+    const withinNow = shares.guaranteeCheck(team);
     const within = (need: Pick<Amounts, 'cpus' | 'gpus'>) =>
       withinNow({ cpus: need.cpus * members, gpus: need.gpus * members });
-    const least = within(bucket.least);
-    const most = within({ cpus: bucket.mostCpus, gpus });
+    const least = within(bucket.minAmounts);
+    const most = within({ cpus: bucket.maxCpus, gpus });
     const isOutside = (job: JobState) => !within(job.spec) || isLeftOut(job);
     const isInside = (job: JobState) => within(job.spec) || isLeftOut(job);
     if (least) enqueue(rank, bucket, most ? isLeftOut : isOutside);
@@ -158,9 +157,3 @@
 export function byRankAndAge(a: JobState, b: JobState): number {
   return a.rank - b.rank || byAge(a, b);
 }
-
-/** Whether others with the same needs find no place either: the job has no zones or machines of its own to avoid. */
-export function speaksForOthers({ spec, assignments, failures }: JobState): boolean {
-  const isBoundByOwnZones = isBoundByZones(spec) && assignments.size > 0;
-  return !isBoundByOwnZones && failures.attempts === 0;
-}
--- a/packages/core/fair-share/waiting-bucket.ts
+++ b/packages/core/fair-share/waiting-bucket.ts
@@ -21,9 +21,9 @@
   /** Jobs that have tasks somewhere. */
   readonly active = new Set<JobState>();
   /** No task in the bucket needs less than this. */
-  readonly least: Amounts;
+  readonly minAmounts: Amounts;
   /** No task in the bucket needs more processors. */
-  mostCpus: number;
+  maxCpus: number;
   private readonly entries = new Map<JobState, IdleEntry>();
 
   /** Stands for all jobs of the bucket in what they have in common. */
@@ -40,8 +40,8 @@
     this.isBestEffort = sample.isBestEffort;
     this.members = membersOf(sample);
     const { cpus, gpus, memory } = sample.spec;
-    this.least = { cpus, gpus, memory };
-    this.mostCpus = cpus;
+    this.minAmounts = { cpus, gpus, memory };
+    this.maxCpus = cpus;
   }
 
   get size(): number {
@@ -51,9 +51,9 @@
   /** Takes a job in that has begun to wait. */
   add(job: JobState): void {
     const { cpus, memory } = job.spec;
-    this.least.cpus = Math.min(this.least.cpus, cpus);
-    this.least.memory = Math.min(this.least.memory, memory);
-    this.mostCpus = Math.max(this.mostCpus, cpus);
+    this.minAmounts.cpus = Math.min(this.minAmounts.cpus, cpus);
+    this.minAmounts.memory = Math.min(this.minAmounts.memory, memory);
+    this.maxCpus = Math.max(this.maxCpus, cpus);
     if (job.assignments.size > 0) this.active.add(job);
     else this.addIdle(job);
   }
--- a/packages/core/placement/blocked-shapes.ts
+++ b/packages/core/placement/blocked-shapes.ts
@@ -1,40 +1,59 @@
+/** Blocked shapes: what found no capacity in a round, so that tasks that need as much are not tried again. */
 import type { Job } from '#wire';
 import type { Amounts } from '../model/amounts.js';
-import { conditionsKey } from './bin-packing.js';
+import type { JobState } from '../model/model.js';
+import { conditionsKey, isBoundByZones } from './bin-packing.js';
 
-/** Jobs that fail alike in one round: best-effort jobs may use less room until they have waited long. */
-export type BlockedKind = 'firm' | 'best-effort' | 'starved';
+/**
+ * Which capacity a job may use in a round; jobs of the same access fail alike. A best-effort job may use
+ * spare capacity only, and all free capacity once it is `starved`. In preemption `firm` jobs may preempt
+ * all that their rank allows, and `best-effort` ones only best-effort work.
+ */
+export type CapacityAccess = 'firm' | 'best-effort' | 'starved';
 
-/** A need that found no place, and the rank of the job that had it. */
+/** An amount that found no capacity, and the rank of the job that needed it. */
 interface BlockedShape {
   need: Readonly<Amounts>;
   rank: number;
 }
 
 /**
- * What found no place in a round. A task that needs as much or more on the same conditions, of the same
- * rank or a lower one, finds none either: only room that was made for its own job could help it.
+ * What found no capacity in a round. A task that needs as much or more under the same constraints, of the
+ * same rank or a lower one, finds none either: only capacity held for its own job could help it.
  */
 export class BlockedShapes {
-  private readonly byConditions = new Map<string, BlockedShape[]>();
+  private readonly byConstraints = new Map<string, BlockedShape[]>();
 
-  /** A task that any job of its conditions and `rank` could have had in its stead found no place. */
-  add(job: Job, rank: number, kind: BlockedKind = 'firm'): void {
-    const key = `${kind} ${conditionsKey(job)}`;
+  /** Records that a task of the job found no capacity. Only for jobs of which `mayBlockShape` is true. */
+  add(job: Job, rank: number, access: CapacityAccess): void {
+    const key = shapeKey(job, access);
     const { cpus, gpus, memory } = job;
     const shape = { need: { cpus, gpus, memory }, rank };
-    const kept = (this.byConditions.get(key) ?? []).filter((other) => !covers(shape, other));
-    this.byConditions.set(key, [...kept, shape]);
+    const kept = (this.byConstraints.get(key) ?? []).filter((other) => !covers(shape, other));
+    this.byConstraints.set(key, [...kept, shape]);
   }
 
-  /** Whether such a task certainly finds no place. `need` is the job's own unless given. */
-  has(job: Job, rank: number, kind: BlockedKind = 'firm', need: Readonly<Amounts> = job): boolean {
-    if (this.byConditions.size === 0) return false;
-    const shapes = this.byConditions.get(`${kind} ${conditionsKey(job)}`);
-    return shapes !== undefined && shapes.some((shape) => covers(shape, { need, rank }));
+  /** Whether a task that needs `need`, the job's own amounts unless given, certainly finds no capacity. */
+  has(job: Job, rank: number, access: CapacityAccess, need: Readonly<Amounts> = job): boolean {
+    if (this.byConstraints.size === 0) return false;
+    const shapes = this.byConstraints.get(shapeKey(job, access));
+    return shapes?.some((shape) => covers(shape, { need, rank })) ?? false;
   }
 }
 
+/**
+ * Whether other jobs with the same needs fail where this one does: neither the zones of its own tasks nor
+ * its failures bound where it may go.
+ */
+export function mayBlockShape({ spec, assignments, failures }: JobState): boolean {
+  const isBoundByOwnZones = isBoundByZones(spec) && assignments.size > 0;
+  return !isBoundByOwnZones && failures.attempts === 0;
+}
+
+function shapeKey(job: Job, access: CapacityAccess): string {
+  return `${access} ${conditionsKey(job)}`;
+}
+
 function covers(blocked: BlockedShape, { need, rank }: BlockedShape): boolean {
   return (
     blocked.rank <= rank &&
--- a/packages/core/placement/scheduler.ts
+++ b/packages/core/placement/scheduler.ts
@@ -6,12 +6,13 @@
 import type { FleetState } from '../fleet-state.js';
 import { GangReservations } from './gang-reservations.js';
 import { mayUseAnyCapacity } from '../fair-share/best-effort.js';
-import { BlockedKind, BlockedShapes } from './blocked-shapes.js';
-import { queuesByPrecedence, speaksForOthers, TeamQueue, Tier } from '../fair-share/job-queues.js';
+import { BlockedShapes, type CapacityAccess, mayBlockShape } from './blocked-shapes.js';
+import { queuesByPrecedence, TeamQueue, Tier } from '../fair-share/job-queues.js';
 import type { JobState } from '../model/model.js';
 import { type JobReplicas, needsOneZone } from '../model/replica-groups.js';
 import { PlacementCandidates } from './placement-candidates.js';
-import { Preemption, PreemptionSettings } from '../preemption/preemption.js';
+import { Preemption } from '../preemption/preemption.js';
+import type { PreemptionSettings } from '../preemption/preemption-rules.js';
 import { FairShares } from '../fair-share/fair-shares.js';
 import type { WaitingBucket } from '../fair-share/waiting-bucket.js';
 
@@ -119,7 +120,7 @@
   }
 
   /** Whether not even the smallest task of the bucket could get a place: no machine has room, or the team's limit is reached. */
-  private isFullFor({ sample, least }: WaitingBucket, { candidates }: Round): boolean {
+  private isFullFor({ sample, minAmounts: least }: WaitingBucket, { candidates }: Round): boolean {
     if (sample.kind === 'gang') return false;
     return (
       !this.shares.withinLimit(sample.team, least) || !candidates.anyCapacityFor(sample, least)
@@ -183,7 +184,7 @@
       if (!this.shares.withinLimit(job.spec.team, job.spec)) break;
       const machine = chooseMachine(this.fleet, job, zones, candidates, now);
       if (!machine) {
-        if (speaksForOthers(job)) blocked.add(job.spec, job.rank, this.blockedKind(job, now));
+        if (mayBlockShape(job)) blocked.add(job.spec, job.rank, this.blockedKind(job, now));
         break;
       }
       assignments.assign(job, index, machine, assignments.newAttempt(), now);
@@ -200,7 +201,7 @@
   }
 
   /** Where a best-effort job finds no room, firm work may, and so may such a job that has waited long. */
-  private blockedKind(job: JobState, now: number): BlockedKind {
+  private blockedKind(job: JobState, now: number): CapacityAccess {
     if (!job.isBestEffort) return 'firm';
     return mayUseAnyCapacity(this.fleet, job, now) ? 'starved' : 'best-effort';
   }
--- a/packages/core/preemption/capacity-holds.ts
+++ b/packages/core/preemption/capacity-holds.ts
@@ -1,14 +1,15 @@
+/** Capacity holds: machines whose free capacity waits for one job. */
 import type { JobState, Machine } from '../model/model.js';
 
-/** Report periods for which room is held, beside the time that stopped work takes to save. */
+/** Heartbeat intervals for which capacity is held, beside the time that stopped tasks take to save. */
 export const HOLD_HEARTBEATS = 4;
 
-/** Room that is made by stopping work, or counted on for a move, waits for the job it was made for. */
+/** Holds capacity that was made by preemption, or is counted on for a move, for the job it is meant for. */
 export class CapacityHolds {
-  /** All machines with a hold, so that few machines are looked at for a count. */
+  /** All machines with a hold, so that a count visits few machines. */
   private readonly machines = new Set<Machine>();
 
-  /** Holds the machine's room for the job, until then (seconds of the steady clock) at the longest. */
+  /** Holds the machine's capacity for the job, until then (seconds of the steady clock) at the longest. */
   hold(machine: Machine, job: JobState, until: number): void {
     machine.capacityHold = { job, until };
     this.machines.add(machine);
@@ -26,13 +27,13 @@
     for (const machine of [...this.machines]) this.releaseIfHeldFor(machine, job);
   }
 
-  /** The job got a place there: what it still waits for needs room of its own. */
+  /** Ends the hold once the job has a task there: its other tasks need capacity of their own. */
   releaseIfHeldFor(machine: Machine, job: JobState): void {
     if (machine.capacityHold?.job === job) this.release(machine);
   }
 
   /**
-   * Whether the room is held for another job that still waits and is not of lower rank. A hold that has
+   * Whether the capacity is held for another job that still waits and is not of lower rank. A hold that has
    * run out, or whose job is over, is released.
    */
   isHeldFromJob(machine: Machine, job: JobState, now: number): boolean {
@@ -45,7 +46,7 @@
     return hold.job.rank <= job.rank && hold.job.assignments.size < hold.job.spec.tasks;
   }
 
-  /** On how many machines room is held for each job. */
+  /** On how many machines capacity is held for each job. */
   machinesByJob(now: number): Map<JobState, number> {
     const counts = new Map<JobState, number>();
     for (const { capacityHold } of this.machines) {
--- a/packages/core/preemption/preemption.test.ts
+++ b/packages/core/preemption/preemption.test.ts
@@ -27,7 +27,7 @@
   return { fleet, scheduler, stopping };
 }
 
-test('work is stopped once for a waiting task, not again while the room is coming free', () => {
+test('work is stopped once for a waiting task, not again while the capacity is coming free', () => {
   // Guards against stopping work on one machine after another while the first stop takes effect.
   const { fleet, scheduler, stopping } = fullFleet();
   fleet.addJob(aJob({ id: 'j-2', rank: 1, gpus: 4 }), 100, 'accepted', 100);
@@ -37,9 +37,9 @@
   assert.equal(stopping().length, 1);
 });
 
-test('room that was made and taken does not count as coming for the rest of the job', () => {
-  // Guards against replicas of one job that get their places one by one, each only when the time
-  // that the room before was held for has run out.
+test('capacity that was made and taken does not count as coming free for the rest of the job', () => {
+  // Guards against replicas of one job that start one by one, each only when the hold
+  // of the capacity before has run out.
   const { fleet, scheduler, stopping } = fullFleet();
   const job = fleet.addJob(aJob({ id: 'j-2', rank: 1, tasks: 2, gpus: 4 }), 100, 'accepted', 100);
   scheduler.round(103);
@@ -53,16 +53,16 @@
   scheduler.round(104);
   assert.equal(job.assignments.size, 1);
   scheduler.round(104.25);
-  assert.equal(stopping().length, 1, 'room for the second task is being made');
+  assert.equal(stopping().length, 1, 'capacity for the second task is being made');
 });
 
-test('a job that avoids the only machine with work to stop does not speak for others', () => {
-  // Guards against work that waits for as long as an older job of the same needs avoids a machine.
+test('a job that is excluded from the only machine with victims does not block others', () => {
+  // Guards against work that waits for as long as an older job of the same needs is excluded from a machine.
   const { fleet, scheduler, stopping } = fullFleet();
   for (const name of ['n-2', 'n-3']) fleet.machines.drain(fleet.machines.get(name)!);
   const own = { rank: 1, gpus: 4 };
-  const avoiding = fleet.addJob(aJob({ ...own, id: 'j-2' }), 99, 'accepted', 99);
-  Object.assign(avoiding.failures, { attempts: 1, countedAt: 99, machines: new Set(['n-1']) });
+  const excluded = fleet.addJob(aJob({ ...own, id: 'j-2' }), 99, 'accepted', 99);
+  Object.assign(excluded.failures, { attempts: 1, countedAt: 99, machines: new Set(['n-1']) });
   fleet.addJob(aJob({ ...own, id: 'j-3' }), 100, 'accepted', 100);
   scheduler.round(103);
   assert.deepEqual(
--- a/packages/core/preemption/preemption.ts
+++ b/packages/core/preemption/preemption.ts
@@ -1,237 +1,160 @@
-import { addAmounts, multipliedAmounts } from '../model/amounts.js';
-import { chooseMachinesTogether } from '../placement/choose-machines-together.js';
-import { firmUse } from '../fair-share/best-effort.js';
-import { hasCapacity, kindAllowed, tasksByZone, zoneAllowed } from '../placement/bin-packing.js';
-import type { FleetState } from '../fleet-state.js';
-import { BlockedKind, BlockedShapes } from '../placement/blocked-shapes.js';
-import { speaksForOthers } from '../fair-share/job-queues.js';
-import { Assignment, assignmentsOf, JobState, Machine } from '../model/model.js';
-import { isPastStartWindow, lostWork, wholeReplicas } from './preemption-cost.js';
-import { PlacementCandidates } from '../placement/placement-candidates.js';
-import { membersOf, needsOneZone } from '../model/replica-groups.js';
-import { HOLD_HEARTBEATS } from './capacity-holds.js';
+/** Preemption: stops tasks for waiting jobs that take precedence, a few tasks in each round. */
 import type { FairShares } from '../fair-share/fair-shares.js';
 import type { WaitingBucket } from '../fair-share/waiting-bucket.js';
 import { oldestFirst } from '../fair-share/waiting-order.js';
+import type { FleetState } from '../fleet-state.js';
+import { multipliedAmounts } from '../model/amounts.js';
+import type { JobState, Machine } from '../model/model.js';
+import { membersOf } from '../model/replica-groups.js';
+import { BlockedShapes, type CapacityAccess, mayBlockShape } from '../placement/blocked-shapes.js';
+import { HOLD_HEARTBEATS } from './capacity-holds.js';
+import { type PreemptionSettings, PreemptionRules } from './preemption-rules.js';
+import { type Victims, VictimSelector } from './victim-selection.js';
 
-/** Tasks that room is made for in one round at the most. */
-const TASKS_PER_ROUND = 4;
-
-/** When work may stop other work. */
-export interface PreemptionSettings {
-  /** Waiting time, in seconds, after which work may stop other work. */
-  preemptAfterS: number;
-  /** Seconds that a gang runs before another team may stop it. */
-  gangLeaseS: number;
-  /** A gang may be stopped at its lease end below this ratio of indexes. */
-  stopThreshold: number;
-}
+/** Machines on which one round preempts tasks at the most. */
+const MACHINES_PER_ROUND = 4;
 
-/** Work to be stopped on one machine. */
-interface Victims {
-  machine: Machine;
-  assignments: Assignment[];
-  /** Work that is lost by stopping them. */
-  cost: number;
+/** What is found out in the course of one round. */
+interface PreemptionRound {
+  readonly now: number;
+  /** Whether any best-effort task has a place somewhere. */
+  readonly anyBestEffort: boolean;
+  /** Machines with a task that is being stopped. */
+  readonly stopping: Set<Machine>;
+  /** On how many machines capacity is held for a job. */
+  readonly heldMachines: Map<JobState, number>;
+  /** By bucket: what found no victims. */
+  readonly blocked: Map<WaitingBucket, BlockedShapes>;
 }
 
 /**
- * The exceptions to leases that the rules need: work of higher rank, and work within its team's
- * guarantee, may stop other work when it has waited; and gangs at their lease end give way to a team
- * that is far behind. No work is stopped for its own rank or a lower one otherwise. Room for gangs is
- * not made.
+ * Makes capacity for jobs that have waited long enough, by the exceptions to leases that the rules of
+ * the platform need (`PreemptionRules`). The capacity is held for the job that it was made for. None
+ * is made for gangs.
  */
 export class Preemption {
+  private readonly rules: PreemptionRules;
+  private readonly selector: VictimSelector;
+
   constructor(
     private readonly fleet: FleetState,
     private readonly shares: FairShares,
-    private readonly settings: PreemptionSettings,
-  ) {}
+    settings: PreemptionSettings,
+  ) {
+    this.rules = new PreemptionRules(fleet.usage, shares, settings);
+    this.selector = new VictimSelector(fleet, this.rules);
+  }
 
-  /** Makes room for some tasks that have waited long enough. */
+  /** Preempts for the waiting jobs of the highest rank, the oldest first. */
   run(now: number): void {
-    const buckets = [...this.fleet.jobs.waiting.buckets()].filter((each) => this.mayStopAny(each));
+    const { jobs } = this.fleet;
+    const buckets = [...jobs.waiting.buckets()].filter((each) => this.rules.mayPreemptAny(each));
     if (buckets.length === 0) return;
-    const anyBestEffort = this.fleet.usage.groups().some(({ isBestEffort }) => isBestEffort);
-    const stopping = new Set(this.fleet.machines.groups.stopping);
-    const heldCapacity = this.fleet.holds.machinesByJob(now);
-    const failed = new Map(buckets.map((bucket) => [bucket, new BlockedShapes()]));
-    const isOver = (bucket: WaitingBucket) =>
-      failed.get(bucket)!.has(bucket.sample, bucket.rank, 'firm', bucket.least) ||
-      !this.shares.withinLimit(bucket.sample.team, bucket.least);
-    let made = 0;
-    for (const job of oldestFirst(buckets, isOver)) {
-      if (made >= TASKS_PER_ROUND) break;
-      const mayPreemptFirmWork = this.mayPreemptFirmWork(job, now);
-      if (job.backoffUntil > now || !(anyBestEffort || mayPreemptFirmWork)) continue;
-      if (!this.fleet.failures.mayRequestCapacity(job, now)) continue;
-      const failedAlike = failed.get(this.fleet.jobs.waiting.bucket(job)!)!;
-      const mayStop: BlockedKind = mayPreemptFirmWork ? 'firm' : 'best-effort';
-      if (failedAlike.has(job.spec, job.rank, 'firm')) continue;
-      if (failedAlike.has(job.spec, job.rank, mayStop)) continue;
-      // Room that is being made takes a moment to come free; no more is stopped for it meanwhile.
-      if ((heldCapacity.get(job) ?? 0) >= this.fleet.jobs.waitingCount(job)) continue;
-      const members = membersOf(job);
-      if (!this.shares.withinLimit(job.spec.team, multipliedAmounts(job.spec, members))) continue;
-      const victims = this.victimsFor(job, heldCapacity.get(job) ?? 0, stopping, now);
-      if (victims) {
-        for (const each of victims) {
-          stopping.add(each.machine);
-          this.preempt(job, each, heldCapacity, now);
-        }
-        made += victims.length;
-      } else if (speaksForOthers(job)) failedAlike.add(job.spec, job.rank, mayStop);
+    const round = this.beginRound(buckets, now);
+    let machines = 0;
+    for (const job of oldestFirst(buckets, (bucket) => this.isBlocked(bucket, round))) {
+      if (machines >= MACHINES_PER_ROUND) break;
+      if (this.isSkipped(job, round)) continue;
+      const held = round.heldMachines.get(job) ?? 0;
+      const victims = this.selector.select(job, held, round.stopping, now);
+      if (victims === null) this.recordBlocked(job, round);
+      else {
+        for (const each of victims) this.preempt(job, each, round);
+        machines += victims.length;
+      }
     }
   }
 
-  /** Best-effort work is stopped at once, other work for what has waited. */
-  private mayPreemptFirmWork({ waitingSince }: JobState, now: number): boolean {
-    return now - waitingSince >= this.settings.preemptAfterS;
+  private beginRound(buckets: WaitingBucket[], now: number): PreemptionRound {
+    const { usage, machines, holds } = this.fleet;
+    return {
+      now,
+      anyBestEffort: usage.groups().some(({ isBestEffort }) => isBestEffort),
+      stopping: new Set(machines.groups.stopping),
+      heldMachines: holds.machinesByJob(now),
+      blocked: new Map(buckets.map((bucket) => [bucket, new BlockedShapes()])),
+    };
   }
 
-  /** Whether anything runs that jobs of the bucket may stop, wherever it is. */
-  private mayStopAny({ sample, rank, least, isBestEffort }: WaitingBucket): boolean {
-    const { kind, team } = sample;
-    if (kind === 'gang' || isBestEffort) return false;
-    const withinGuarantee = this.shares.guaranteeNow(team)(least);
-    return this.fleet.usage.groups().some((group) => {
-      if (group.isBestEffort || group.rank > rank) return true;
-      if (group.team === team) return false;
-      const isGangOfSameRank = group.isGang && group.rank === rank;
-      return isGangOfSameRank || (withinGuarantee && this.shares.isBorrowing(group.team));
-    });
+  /** Whether not even the smallest task of the bucket finds victims, or its team's limit is reached. */
+  private isBlocked(bucket: WaitingBucket, { blocked }: PreemptionRound): boolean {
+    const { sample, rank, minAmounts } = bucket;
+    const isShapeBlocked = blocked.get(bucket)?.has(sample, rank, 'firm', minAmounts) ?? false;
+    return isShapeBlocked || !this.shares.withinLimit(sample.team, minAmounts);
   }
 
-  /**
-   * What must be stopped for a task of the job, or for all members of a replica that have neither free nor `held` room,
-   * on a machine for each; null if not all find room.
-   */
-  private victimsFor(
-    job: JobState,
-    held: number,
-    stopping: ReadonlySet<Machine>,
-    now: number,
-  ): Victims[] | null {
-    const passedOver = new Set(stopping);
-    const found: Victims[] = [];
-    const free = this.freeForMembers(job, now);
-    let zone = job.replicas?.sameZone ? (free.at(0)?.zone ?? null) : null;
-    const lacking = membersOf(job) - held - free.length;
-    for (let left = Math.max(1, lacking); left > 0; left--) {
-      const victims = this.cheapestVictims(job, passedOver, zone, now);
-      if (victims === null) return null;
-      if (job.replicas?.sameZone) zone = victims.machine.zone;
-      passedOver.add(victims.machine);
-      found.push(victims);
-    }
-    return found;
+  /** Whether nothing is preempted for the job in this round. */
+  private isSkipped(job: JobState, round: PreemptionRound): boolean {
+    return (
+      job.backoffUntil > round.now ||
+      !this.mayPreemptNow(job, round) ||
+      !this.fleet.failures.mayRequestCapacity(job, round.now) ||
+      this.isShapeBlocked(job, round) ||
+      this.isCapacityComingFree(job, round) ||
+      this.wouldExceedLimit(job)
+    );
   }
 
-  /** Machines with room for as many members of a replica as there is room for; none for other jobs. */
-  private freeForMembers(job: JobState, now: number): Machine[] {
-    if (job.replicas === null) return [];
-    const candidates = new PlacementCandidates(this.fleet, now);
-    for (let tasks = job.replicas.members - 1; tasks > 0; tasks--) {
-      const request = { tasks, oneZone: needsOneZone(job) };
-      const machines = chooseMachinesTogether(this.fleet, job, request, candidates, now);
-      if (machines !== null) return machines;
-    }
-    return [];
+  /** Whether there may be anything to preempt: best-effort work, or firm work once the job has waited. */
+  private mayPreemptNow(job: JobState, { anyBestEffort, now }: PreemptionRound): boolean {
+    return anyBestEffort || this.rules.mayPreemptFirmWork(job, now);
   }
 
-  /** The machine where room for the job costs least, and what must be stopped there; null if none. */
-  private cheapestVictims(
-    job: JobState,
-    stopping: ReadonlySet<Machine>,
-    zone: string | null,
-    now: number,
-  ): Victims | null {
-    const zones = tasksByZone(job);
-    let best: Victims | null = null;
-    for (const machine of this.fleet.machines.values()) {
-      if (machine.state !== 'up' || machine.draining || machine.reclaimAt !== null) continue;
-      if (zone !== null && machine.zone !== zone) continue;
-      if (stopping.has(machine) || this.fleet.holds.isHeldFromJob(machine, job, now)) continue;
-      if (machine.reservedForGang !== null || !zoneAllowed(job.spec, machine.zone, zones)) continue;
-      if (this.fleet.failures.isExcluded(job, machine, now)) continue;
-      const assignments = this.victimsOn(machine, job, now);
-      if (assignments === null) continue;
-      const cost = wholeReplicas(assignments).reduce((sum, each) => sum + lostWork(each, now), 0);
-      if (best === null || cost < best.cost) best = { machine, assignments, cost };
-    }
-    return best;
+  /** Whether a job that needs no more, and that may preempt as much or more, has found no victims. */
+  private isShapeBlocked(job: JobState, round: PreemptionRound): boolean {
+    const blocked = this.blockedShapesOf(job, round);
+    if (blocked === undefined) return false;
+    return (
+      blocked.has(job.spec, job.rank, 'firm') ||
+      blocked.has(job.spec, job.rank, this.access(job, round.now))
+    );
   }
 
-  /** What must be stopped on the machine for one task of the job, or null if that makes no room. */
-  private victimsOn(machine: Machine, job: JobState, now: number): Assignment[] | null {
-    const type = this.fleet.machines.typeOf(machine);
-    if (!type || !kindAllowed(job.spec, type, machine.zone, machine.spot)) return null;
-    if (!this.mayPreemptFirmWork(job, now) && !hasCapacity(job.spec, firmUse(machine), type))
-      return null;
-    const options = [...machine.tasks.values()].filter(
-      (each) => each.stop === null && this.isOption(each, job, now),
-    );
-    if (options.length === 0) return null;
-    options.sort((a, b) => b.job.rank - a.job.rank || b.assignedAt - a.assignedAt);
-    const victims: Assignment[] = [];
-    const used = { ...machine.used };
-    for (const option of options) {
-      if (hasCapacity(job.spec, used, type)) break;
-      addAmounts(used, option.job.spec, -1);
-      victims.push(option);
-    }
-    return victims.length > 0 && hasCapacity(job.spec, used, type) ? victims : null;
+  /** Capacity that is being made takes a moment to come free; no more is made for the job meanwhile. */
+  private isCapacityComingFree(job: JobState, { heldMachines }: PreemptionRound): boolean {
+    return (heldMachines.get(job) ?? 0) >= this.fleet.jobs.waitingCount(job);
   }
 
-  private isOption(each: Assignment, job: JobState, now: number): boolean {
-    if (each.job.isBestEffort) return true;
-    if (!this.mayPreemptFirmWork(job, now) || !isPastStartWindow(each, job, now)) return false;
-    return this.mayStop(job, each, now);
+  /** Whether one more task of the job, or one more replica with all members, exceeds its team's limit. */
+  private wouldExceedLimit(job: JobState): boolean {
+    return !this.shares.withinLimit(job.spec.team, multipliedAmounts(job.spec, membersOf(job)));
   }
 
-  private mayStop(forJob: JobState, { job: victim }: Assignment, now: number): boolean {
-    const otherTeam = victim.spec.team !== forJob.spec.team;
-    if (
-      otherTeam &&
-      this.shares.withinGuarantee(forJob.spec) &&
-      this.shares.isBorrowing(victim.spec.team)
-    ) {
-      return true;
-    }
-    if (victim.rank !== forJob.rank) return victim.rank > forJob.rank;
-    return otherTeam && victim.spec.kind === 'gang' && this.isFarBehind(forJob, victim, now);
+  /** Spares the jobs after it that need as much the same search. */
+  private recordBlocked(job: JobState, round: PreemptionRound): void {
+    if (!mayBlockShape(job)) return;
+    this.blockedShapesOf(job, round)?.add(job.spec, job.rank, this.access(job, round.now));
   }
 
-  /** The design's own stop: a gang's lease has ended and a team that waits is far behind. */
-  private isFarBehind(forJob: JobState, gang: JobState, now: number): boolean {
-    const { gangLeaseS, stopThreshold } = this.settings;
-    const startedAt = Math.min(
-      ...[...assignmentsOf(gang)].map(({ runningSince }) => runningSince ?? now),
-    );
-    if (now - startedAt < gangLeaseS) return false;
-    const gangIndex = this.shares.index(gang.spec.team, now);
-    return this.shares.index(forJob.spec.team, now) < stopThreshold * gangIndex;
+  private blockedShapesOf(job: JobState, { blocked }: PreemptionRound): BlockedShapes | undefined {
+    const bucket = this.fleet.jobs.waiting.bucket(job);
+    return bucket && blocked.get(bucket);
   }
 
+  private access(job: JobState, now: number): CapacityAccess {
+    return this.rules.mayPreemptFirmWork(job, now) ? 'firm' : 'best-effort';
+  }
+
+  /** Stops the victims on one machine and holds the machine for the job until they have ended. */
   private preempt(
     job: JobState,
-    { machine, assignments }: Victims,
-    heldCapacity: Map<JobState, number>,
-    now: number,
-  ): void {
-    const { holds, settings } = this.fleet;
-    const { checkpointS, saveS } = job.spec;
-    const graceS = checkpointS > 0 ? saveS : 0;
-    const before = machine.capacityHold?.job;
-    if (before) heldCapacity.set(before, (heldCapacity.get(before) ?? 1) - 1);
-    holds.hold(
-      machine,
-      job,
-      now + HOLD_HEARTBEATS * settings.heartbeatIntervalS + graceS + settings.gangPeerS,
-    );
+    victims: Victims,
+    { stopping, heldMachines, now }: PreemptionRound,
+  ) {
+    const { machine, assignments } = victims;
+    stopping.add(machine);
+    const formerJob = machine.capacityHold?.job;
+    if (formerJob) heldMachines.set(formerJob, (heldMachines.get(formerJob) ?? 1) - 1);
+    this.fleet.holds.hold(machine, job, this.holdUntil(job, now));
     for (const each of assignments) {
       if (each.job.replicas === null) this.fleet.assignments.stopGracefully(each, now);
       else each.job.replicas.preempt(each, now);
     }
   }
+
+  private holdUntil({ spec }: JobState, now: number): number {
+    const { heartbeatIntervalS, gangPeerS } = this.fleet.settings;
+    const graceS = spec.checkpointS > 0 ? spec.saveS : 0;
+    return now + HOLD_HEARTBEATS * heartbeatIntervalS + graceS + gangPeerS;
+  }
 }
--- /dev/null
+++ b/packages/core/preemption/victim-selection.ts
@@ -0,0 +1,115 @@
+/** Chooses the machines on which preemption loses the least work. */
+import { firmUse } from '../fair-share/best-effort.js';
+import type { FleetState } from '../fleet-state.js';
+import { addAmounts } from '../model/amounts.js';
+import type { Assignment, JobState, Machine } from '../model/model.js';
+import { membersOf, needsOneZone } from '../model/replica-groups.js';
+import { hasCapacity, kindAllowed, tasksByZone, zoneAllowed } from '../placement/bin-packing.js';
+import { chooseMachinesTogether } from '../placement/choose-machines-together.js';
+import { PlacementCandidates } from '../placement/placement-candidates.js';
+import { preemptionCost } from './preemption-cost.js';
+import type { PreemptionRules } from './preemption-rules.js';
+
+/** Tasks to be preempted on one machine. */
+export interface Victims {
+  machine: Machine;
+  assignments: Assignment[];
+  /** Work that is lost by preempting them, in accelerator seconds. */
+  cost: number;
+}
+
+/** Selects victims for a waiting job; preempts nothing itself. */
+export class VictimSelector {
+  constructor(
+    private readonly fleet: FleetState,
+    private readonly rules: PreemptionRules,
+  ) {}
+
+  /**
+   * The victims on one machine for a task of the job, or on several for the members of a replica that
+   * have neither free capacity nor one of the `held` machines. Machines in `stopping` are left out.
+   * Null if some member finds no capacity.
+   */
+  select(
+    job: JobState,
+    held: number,
+    stopping: ReadonlySet<Machine>,
+    now: number,
+  ): Victims[] | null {
+    const excluded = new Set(stopping);
+    const selected: Victims[] = [];
+    const free = this.freeForMembers(job, now);
+    const sameZone = job.replicas?.sameZone ?? false;
+    let zone = sameZone ? (free.at(0)?.zone ?? null) : null;
+    const lacking = membersOf(job) - held - free.length;
+    for (let left = Math.max(1, lacking); left > 0; left--) {
+      const victims = this.cheapestVictims(job, excluded, zone, now);
+      if (victims === null) return null;
+      if (sameZone) zone = victims.machine.zone;
+      excluded.add(victims.machine);
+      selected.push(victims);
+    }
+    return selected;
+  }
+
+  /** Machines with free capacity for as many members of a replica as possible; none for other jobs. */
+  private freeForMembers(job: JobState, now: number): Machine[] {
+    if (job.replicas === null) return [];
+    const candidates = new PlacementCandidates(this.fleet, now);
+    for (let tasks = job.replicas.members - 1; tasks > 0; tasks--) {
+      const request = { tasks, oneZone: needsOneZone(job) };
+      const machines = chooseMachinesTogether(this.fleet, job, request, candidates, now);
+      if (machines !== null) return machines;
+    }
+    return [];
+  }
+
+  /** The machine, in `zone` unless null, on which a task of the job costs least; null if there is none. */
+  private cheapestVictims(
+    job: JobState,
+    excluded: ReadonlySet<Machine>,
+    zone: string | null,
+    now: number,
+  ): Victims | null {
+    const zones = tasksByZone(job);
+    let best: Victims | null = null;
+    for (const machine of this.fleet.machines.values()) {
+      if (machine.state !== 'up' || machine.draining || machine.reclaimAt !== null) continue;
+      if (zone !== null && machine.zone !== zone) continue;
+      if (excluded.has(machine) || this.fleet.holds.isHeldFromJob(machine, job, now)) continue;
+      if (machine.reservedForGang !== null || !zoneAllowed(job.spec, machine.zone, zones)) continue;
+      if (this.fleet.failures.isExcluded(job, machine, now)) continue;
+      const assignments = this.victimsOn(machine, job, now);
+      if (assignments === null) continue;
+      const cost = preemptionCost(assignments, now);
+      if (best === null || cost < best.cost) best = { machine, assignments, cost };
+    }
+    return best;
+  }
+
+  /** What must be stopped there for one task of the job; null if that does not yield the capacity. */
+  private victimsOn(machine: Machine, job: JobState, now: number): Assignment[] | null {
+    const type = this.fleet.machines.typeOf(machine);
+    if (!type || !kindAllowed(job.spec, type, machine.zone, machine.spot)) return null;
+    // Where only best-effort tasks may go, the firm ones must leave enough.
+    const onlyBestEffort = !this.rules.mayPreemptFirmWork(job, now);
+    if (onlyBestEffort && !hasCapacity(job.spec, firmUse(machine), type)) return null;
+    const preemptible = this.preemptibleTasks(machine, job, now);
+    if (preemptible.length === 0) return null;
+    const victims: Assignment[] = [];
+    const used = { ...machine.used };
+    for (const assignment of preemptible) {
+      if (hasCapacity(job.spec, used, type)) break;
+      addAmounts(used, assignment.job.spec, -1);
+      victims.push(assignment);
+    }
+    return victims.length > 0 && hasCapacity(job.spec, used, type) ? victims : null;
+  }
+
+  /** The tasks there that the job may preempt: the lowest rank first, then the newest. */
+  private preemptibleTasks(machine: Machine, job: JobState, now: number): Assignment[] {
+    return [...machine.tasks.values()]
+      .filter((each) => each.stop === null && this.rules.mayPreempt(job, each, now))
+      .sort((a, b) => b.job.rank - a.job.rank || b.assignedAt - a.assignedAt);
+  }
+}
