--- a/packages/core/autoscaling/capacity-planner.ts
+++ b/packages/core/autoscaling/capacity-planner.ts
@@ -12,7 +12,7 @@
 import { needsOneZone } from '../model/replica-groups.js';
 import { SlotPacking } from './slot-packing.js';
 import { StandingSlot, standingSlots } from './slots.js';
-import { byAge } from '../fair-share/waiting-bucket.js';
+import { byAge } from '../fair-share/job-order.js';
 import { oldestFirst } from '../fair-share/waiting-order.js';
 
 /** Tasks of one job, and jobs of one bucket, that a plan looks at: the next plan sees what is left. */
--- a/packages/core/autoscaling/consolidation.ts
+++ b/packages/core/autoscaling/consolidation.ts
@@ -1,7 +1,7 @@
 import type { Job, MachineType } from '#wire';
 import { isUsable } from '../placement/availability.js';
 import { addAmounts, Amounts, ROUNDING } from '../model/amounts.js';
-import { firmUse, isLetEnd } from '../fair-share/best-effort.js';
+import { firmUse, mayRunToEnd } from '../fair-share/best-effort.js';
 import { chooseMachine } from '../placement/choose-machine.js';
 import { bindingZones, hasCapacity, kindAllowed } from '../placement/bin-packing.js';
 import type { FleetState } from '../fleet-state.js';
@@ -71,7 +71,7 @@
   let candidates = new PlacementCandidates(fleet, now);
   for (const task of [...machine.tasks.values()]) {
     const { job, stop } = task;
-    if (!job.isBestEffort || stop !== null || isLetEnd(fleet, task, now)) continue;
+    if (!job.isBestEffort || stop !== null || mayRunToEnd(fleet, task, now)) continue;
     if (job.tasksMoved >= job.spec.tasks) continue;
     if (chooseMachine(fleet, job, bindingZones(job), candidates, now) === null) continue;
     job.tasksMoved++;
--- a/packages/core/fair-share/best-effort.test.ts
+++ b/packages/core/fair-share/best-effort.test.ts
@@ -51,7 +51,7 @@
   }
 }
 
-function rents(fleet: FleetState, now: number): number {
+function provisionedCount(fleet: FleetState, now: number): number {
   return aPlanner(fleet)
     .plan(now)
     .scaleOut.reduce((sum, { count }) => sum + count, 0);
@@ -102,7 +102,7 @@
   assert.equal(stops(), 1);
 });
 
-test('starts of best-effort tasks wait for a report, stops do not', () => {
+test('starts of best-effort tasks wait for a heartbeat, stops do not', () => {
   // Guards against a call for each few of thousands of short tasks, which took most of a round.
   const fleet = aSharedFleet();
   const machine = aMachine(fleet, 'n-1');
@@ -130,7 +130,7 @@
   assert.equal([...machine.tasks.values()][0].stop, null);
 });
 
-test('nothing is rented for best-effort work until a job has waited two boots without a place', () => {
+test('nothing is provisioned for best-effort work until a job has waited two boots without a task', () => {
   // Guards against a fleet that grows for a guest: its reserve alone was thousands of tasks.
   const fleet = aSharedFleet();
   const planner = aPlanner(fleet);
@@ -142,7 +142,7 @@
   assert.deepEqual({ ...request, zone: '' }, { type: 'std', zone: '', spot: true, count: 1 });
   assert.deepEqual(more, []);
   run(fleet, state, aMachine(fleet, 'n-1'), 1, 60);
-  assert.equal(rents(fleet, 300), 0);
+  assert.equal(provisionedCount(fleet, 300), 0);
 });
 
 test('firm work is planned as if best-effort work were not there', () => {
@@ -150,7 +150,7 @@
   const guest = fleet.addJob(aJob({ ...GUEST, id: 'j-1', tasks: 4 }), 0, 'accepted', 0);
   run(fleet, guest, aMachine(fleet, 'n-1'), 4, 0);
   fleet.addJob(aJob({ id: 'j-2', team: 'host', tasks: 4 }), 1, 'accepted', 1);
-  assert.equal(rents(fleet, 1), 0);
+  assert.equal(provisionedCount(fleet, 1), 0);
 });
 
 test('best-effort work keeps no machine but a spot machine that it uses well', () => {
--- a/packages/core/fair-share/best-effort.ts
+++ b/packages/core/fair-share/best-effort.ts
@@ -1,3 +1,4 @@
+/** Best-effort work: what runs on spare capacity only, and gives way at once (docs/design.md). */
 import type { Job, MachineType } from '#wire';
 import { addAmounts, Amounts, ROUNDING } from '../model/amounts.js';
 import type { FleetTables } from '../fleet-tables.js';
@@ -5,15 +6,16 @@
 import { LOWEST_RANK } from './ranks.js';
 import { hasGuarantee, TeamQuota } from './team-quota.js';
 
-/** Share of a machine's record that best-effort tasks may fill, so that other work never lacks a line. */
+/** Share of a machine's record that best-effort tasks may fill, so that firm work never lacks an entry. */
 const RECORD_SHARE = 3 / 4;
-/** Boot times that a best-effort job may wait before it may use any free room, and before room is rented. */
+/** Boot times without any task after which a best-effort job may use all free capacity. */
 const ANY_CAPACITY_AFTER_BOOTS = 1;
+/** Boot times without any task after which a machine may be provisioned for the job. */
 const SCALE_OUT_AFTER_BOOTS = 2;
 
 /**
- * Whether the job's work runs on room that is there anyway: work of the lowest rank whose team has no
- * guarantee. It gives way at once to all other work, which this project calls firm (docs/design.md).
+ * Whether the job is best-effort: of the lowest rank, and its team has no guarantee. It gives way at once
+ * to all other work, which this project calls firm.
  */
 export function isBestEffort({ rank }: Pick<Job, 'rank'>, quota: TeamQuota | undefined): boolean {
   return rank === LOWEST_RANK && !hasGuarantee(quota);
@@ -26,7 +28,7 @@
   return firm;
 }
 
-/** Whether a best-effort task may have the room on the machine, as far as firm work is concerned. */
+/** Whether a best-effort task may use the machine's free capacity, as far as firm work is concerned. */
 export function mayUseSpareCapacity(
   fleet: FleetTables,
   job: JobState,
@@ -38,7 +40,7 @@
   return leavesCapacityForGpus(job.spec, machine, type) || mayUseAnyCapacity(fleet, job, now);
 }
 
-/** Whether each free accelerator keeps its part of the processors and of the memory. */
+/** Whether each free accelerator keeps its share of the processors and of the memory. */
 function leavesCapacityForGpus(job: Job, { used }: Machine, type: MachineType): boolean {
   if (job.gpus > 0 || type.gpus === 0) return true;
   const freeShare = (type.gpus - used.gpus) / type.gpus;
@@ -48,12 +50,12 @@
   );
 }
 
-/** The job has waited so long without a place that it need not leave room for accelerators. */
+/** Whether the job has waited so long without any task that it need not leave capacity for accelerators. */
 export function mayUseAnyCapacity(fleet: FleetTables, job: JobState, now: number): boolean {
   return hasStarvedFor(fleet, job, ANY_CAPACITY_AFTER_BOOTS, now);
 }
 
-/** Whether the job has waited so long without a place that room may be rented for it. */
+/** Whether the job has waited so long without any task that a machine may be provisioned for it. */
 export function mayScaleOutFor(fleet: FleetTables, job: JobState, now: number): boolean {
   return hasStarvedFor(fleet, job, SCALE_OUT_AFTER_BOOTS, now);
 }
@@ -68,10 +70,11 @@
 }
 
 /**
- * Whether a best-effort task on a machine that is to be given back is let end: by its owner's estimate it
- * has run half of its time and ends within a boot time, so that the machine waits for a bounded time.
+ * Whether a best-effort task on a machine that is to be deprovisioned may run to its end: by its user's
+ * estimate it has run for half of its time and ends within a boot time, so that the machine waits for a
+ * bounded time.
  */
-export function isLetEnd(
+export function mayRunToEnd(
   { machines }: FleetTables,
   { job: { spec }, runningSince }: Assignment,
   now: number,
--- a/packages/core/fair-share/fair-shares.ts
+++ b/packages/core/fair-share/fair-shares.ts
@@ -1,9 +1,10 @@
+/** Fair shares: where teams stand towards their quota, and whose turn it is (docs/design.md). */
 import type { Job } from '#wire';
-import { Amounts } from '../model/amounts.js';
-import { hasGuarantee, NO_QUOTA, teamWeight, TeamQuota, withinLimit } from './team-quota.js';
 import type { FleetState } from '../fleet-state.js';
+import type { Amounts } from '../model/amounts.js';
+import { hasGuarantee, NO_QUOTA, type TeamQuota, teamWeight, withinLimit } from './team-quota.js';
 
-/** Where teams stand towards their guarantees and limits, and whose turn it is (docs/design.md). */
+/** Compares what teams use and have received with their guarantees and limits. */
 export class FairShares {
   constructor(
     private readonly fleet: FleetState,
@@ -16,7 +17,7 @@
     return this.teams.has(team);
   }
 
-  /** Decayed service over guarantee; the team with the lowest index is served first. */
+  /** The team's decayed service over its weight; the team with the lowest index is served first. */
   index(team: string, now: number): number {
     const quota = this.teams.get(team) ?? NO_QUOTA;
     const weight = teamWeight(quota, this.fleet.machines.totals, this.floorWeight);
@@ -29,7 +30,7 @@
     return quota !== undefined && withinLimit(quota, this.fleet.usage.ofTeam(team), more);
   }
 
-  /** Beyond its guarantee a team only borrows; one without a guarantee always does. */
+  /** Whether the team uses more than its guarantee; one without a guarantee always borrows. */
   isBorrowing(team: string): boolean {
     const quota = this.guaranteeOf(team);
     if (quota === null) return true;
@@ -45,7 +46,7 @@
     return this.guaranteeCheck(job.team)(job);
   }
 
-  /** Tells of tasks whether one more stays within the guarantee, beside what the team uses now. */
+  /** A check whether one more task stays within the guarantee, beside what the team uses at this moment. */
   guaranteeCheck(team: string): (need: Pick<Amounts, 'cpus' | 'gpus'>) => boolean {
     const quota = this.guaranteeOf(team);
     if (quota === null) return () => false;
--- /dev/null
+++ b/packages/core/fair-share/precedence-tiers.ts
@@ -0,0 +1,86 @@
+/** Sorts the waiting jobs into tiers of equal precedence, with a queue for each team. */
+import type { FleetState } from '../fleet-state.js';
+import type { Amounts } from '../model/amounts.js';
+import type { JobState } from '../model/model.js';
+import type { FairShares } from './fair-shares.js';
+import { RANKS } from './ranks.js';
+import { type JobFilter, TeamQueue } from './team-queue.js';
+import type { WaitingBucket } from './waiting-bucket.js';
+
+/** Tiers 0 to `RANKS` - 1 hold work within its team's guarantee, by rank; the next ones borrowers. */
+const FIRST_BORROWER_TIER = RANKS;
+/** Best-effort work comes after all other. */
+const BEST_EFFORT_TIER = 2 * RANKS;
+
+/** Waiting jobs of equal precedence. */
+export interface PrecedenceTier {
+  isBestEffort: boolean;
+  queues: TeamQueue[];
+}
+
+/**
+ * The waiting jobs by precedence: work within a guarantee before borrowers, then by rank, and best-effort
+ * work last. Jobs for which `isSkipped` is true when their turn comes are left out.
+ */
+export function precedenceTiers(
+  fleet: FleetState,
+  shares: FairShares,
+  isSkipped: JobFilter,
+  now: number,
+): PrecedenceTier[] {
+  const tiers = new TierBuilder(isSkipped, now);
+  for (const bucket of fleet.jobs.waiting.buckets()) {
+    if (!shares.isKnown(bucket.sample.team)) continue;
+    if (bucket.isBestEffort) tiers.addBestEffort(bucket);
+    else tiers.addFirm(bucket, shares);
+  }
+  return tiers.build();
+}
+
+class TierBuilder {
+  private readonly byNumber = new Map<number, PrecedenceTier>();
+
+  constructor(
+    private readonly isSkipped: JobFilter,
+    private readonly now: number,
+  ) {}
+
+  addBestEffort(bucket: WaitingBucket): void {
+    this.enqueue(BEST_EFFORT_TIER, bucket, this.isSkipped);
+  }
+
+  /** A bucket of which some jobs are within the guarantee and others are not goes into both tiers. */
+  addFirm(bucket: WaitingBucket, shares: FairShares): void {
+    const { isSkipped } = this;
+    const { rank, members, minAmounts, maxCpus, sample } = bucket;
+    const isTaskWithin = shares.guaranteeCheck(sample.team);
+    const isWithin = ({ cpus, gpus }: Pick<Amounts, 'cpus' | 'gpus'>) =>
+      isTaskWithin({ cpus: cpus * members, gpus: gpus * members });
+    const isAnyWithin = isWithin(minAmounts);
+    const areAllWithin = isWithin({ cpus: maxCpus, gpus: sample.gpus });
+    const skipBorrowers = (job: JobState) => !isWithin(job.spec) || isSkipped(job);
+    const skipGuaranteed = (job: JobState) => isWithin(job.spec) || isSkipped(job);
+    if (isAnyWithin) this.enqueue(rank, bucket, areAllWithin ? isSkipped : skipBorrowers);
+    if (!areAllWithin) {
+      const filter = isAnyWithin ? skipGuaranteed : isSkipped;
+      this.enqueue(FIRST_BORROWER_TIER + rank, bucket, filter);
+    }
+  }
+
+  /** The tiers that have jobs, highest precedence first. */
+  build(): PrecedenceTier[] {
+    return [...this.byNumber].sort(([a], [b]) => a - b).map(([, tier]) => tier);
+  }
+
+  private enqueue(number: number, bucket: WaitingBucket, isSkipped: JobFilter): void {
+    const { team } = bucket.sample;
+    let tier = this.byNumber.get(number);
+    if (!tier) {
+      tier = { isBestEffort: bucket.isBestEffort, queues: [] };
+      this.byNumber.set(number, tier);
+    }
+    let queue = tier.queues.find((each) => each.team === team);
+    if (!queue) tier.queues.push((queue = new TeamQueue(team, this.now)));
+    queue.add(bucket, isSkipped);
+  }
+}
--- a/packages/core/fair-share/ranks.ts
+++ b/packages/core/fair-share/ranks.ts
@@ -1,3 +1,7 @@
+/** The ranks of jobs, as users submit them. */
+
 /** Number of ranks; 0 is the most urgent. */
 export const RANKS = 4;
+
+/** The least urgent rank. */
 export const LOWEST_RANK = RANKS - 1;
--- a/packages/core/fair-share/service-counter.ts
+++ b/packages/core/fair-share/service-counter.ts
@@ -1,3 +1,5 @@
+/** Service: the share of the fleet that a team or a job has received over time. */
+
 /** Rates are sums of decimal numbers; what is below this is rounding. */
 const ROUNDING = 1e-12;
 
@@ -17,28 +19,28 @@
     this.valueAt = now;
   }
 
-  /** Fleet-share seconds received up to `now`, old ones counting less. */
+  /** Fleet-share seconds received up to `now`, older ones counting less. */
   read(now: number): number {
     const elapsedS = Math.max(0, now - this.valueAt);
     const kept = Math.pow(2, -elapsedS / this.halfLifeS);
     return this.value * kept + this.rate * (this.halfLifeS / Math.LN2) * (1 - kept);
   }
 
-  /** Adds service that was not received over time. */
+  /** Adds an amount of service, in fleet-share seconds, at once. */
   charge(amount: number, now: number): void {
     this.value = this.read(now) + amount;
     this.valueAt = Math.max(this.valueAt, now);
   }
 
   /**
-   * Orders counters that receive nothing at present as `read` does, at whatever time: all of them decay
-   * alike. -Infinity if nothing was ever received.
+   * A key by which counters that receive nothing at present sort as by `read` at any time, since all of
+   * them decay alike. -Infinity if nothing was ever received.
    */
-  restingOrder(): number {
+  idleOrder(): number {
     return this.value === 0 ? -Infinity : Math.log2(this.value) + this.valueAt / this.halfLifeS;
   }
 
-  /** From now on so much more (or, negative, less) of the fleet is received. */
+  /** From now on so much more (or, if negative, less) of the fleet is received. */
   changeRate(share: number, now: number): void {
     this.value = this.read(now);
     this.valueAt = Math.max(this.valueAt, now);
--- /dev/null
+++ b/packages/core/fair-share/team-queue.ts
@@ -0,0 +1,109 @@
+/** A team's waiting jobs of equal precedence, in the order in which they are served. */
+import type { JobState } from '../model/model.js';
+import { byAge } from './job-order.js';
+import type { WaitingBucket } from './waiting-bucket.js';
+
+/** A job whose turn may come, and the service that it has received. */
+interface RankedJob {
+  job: JobState;
+  service: number;
+}
+
+/** Whether a job is left out of a round, such as one that backs off. */
+export type JobFilter = (job: JobState) => boolean;
+
+/** Iterates over the jobs of a bucket, least served first, while tasks of them are placed. */
+class BucketCursor {
+  private readonly active: RankedJob[];
+  private nextActive = 0;
+  private nextIdle = 0;
+
+  constructor(
+    readonly bucket: WaitingBucket,
+    private readonly isSkipped: JobFilter,
+    private readonly now: number,
+  ) {
+    this.active = [...bucket.active].map((job) => this.ranked(job)).sort(compareRanked);
+  }
+
+  /** The next job, or null if there is none. */
+  peek(): RankedJob | null {
+    const { idle } = this.bucket;
+    while (this.nextActive < this.active.length && this.isSkipped(this.active[this.nextActive].job))
+      this.nextActive++;
+    while (this.nextIdle < idle.length && this.isSkipped(idle[this.nextIdle].job)) this.nextIdle++;
+    const active = this.active.at(this.nextActive) ?? null;
+    const next = idle.at(this.nextIdle);
+    const idleJob = next ? this.ranked(next.job) : null;
+    if (active === null || idleJob === null) return active ?? idleJob;
+    return compareRanked(active, idleJob) <= 0 ? active : idleJob;
+  }
+
+  /** Goes past a job that has had its turn. One that got its first place has left the idle jobs by itself. */
+  advance(job: JobState): void {
+    if (this.active.at(this.nextActive)?.job === job) this.nextActive++;
+    else if (this.bucket.idle.at(this.nextIdle)?.job === job) this.nextIdle++;
+  }
+
+  /** What is placed at `now` does not change the service read for `now`. */
+  private ranked(job: JobState): RankedJob {
+    return { job, service: job.service.read(this.now) };
+  }
+}
+
+/** The job whose turn it is, and where it was found. */
+interface QueueHead {
+  job: JobState;
+  cursor: BucketCursor;
+}
+
+/** The waiting jobs of one team that have equal precedence, least served first. */
+export class TeamQueue {
+  private readonly cursors: BucketCursor[] = [];
+  private current: QueueHead | null = null;
+
+  constructor(
+    readonly team: string,
+    private readonly now: number,
+  ) {}
+
+  /** Adds the bucket's jobs, without those for which `isSkipped` is true when their turn comes. */
+  add(bucket: WaitingBucket, isSkipped: JobFilter): void {
+    this.cursors.push(new BucketCursor(bucket, isSkipped, this.now));
+  }
+
+  /** The job whose turn it is, and its bucket; null if none is left. It stays until `advance`. */
+  peek(): { job: JobState; bucket: WaitingBucket } | null {
+    this.current ??= this.next();
+    return this.current && { job: this.current.job, bucket: this.current.cursor.bucket };
+  }
+
+  /** Goes past the job whose turn it was. */
+  advance(): void {
+    this.current?.cursor.advance(this.current.job);
+    this.current = null;
+  }
+
+  /** Leaves out the rest of the bucket, since none of its jobs can be placed any more. */
+  drop(bucket: WaitingBucket): void {
+    const index = this.cursors.findIndex((cursor) => cursor.bucket === bucket);
+    if (index >= 0) this.cursors.splice(index, 1);
+    this.current = null;
+  }
+
+  private next(): QueueHead | null {
+    let first: RankedJob | null = null;
+    let from: BucketCursor | null = null;
+    for (const cursor of this.cursors) {
+      const head = cursor.peek();
+      if (head === null || (first !== null && compareRanked(first, head) <= 0)) continue;
+      first = head;
+      from = cursor;
+    }
+    return first && from && { job: first.job, cursor: from };
+  }
+}
+
+function compareRanked(a: RankedJob, b: RankedJob): number {
+  return a.service - b.service || byAge(a.job, b.job);
+}
--- a/packages/core/fair-share/team-quota.ts
+++ b/packages/core/fair-share/team-quota.ts
@@ -1,6 +1,7 @@
+/** Quota: what is guaranteed to a team, and what it may use at the most. */
 import { type Amounts, ROUNDING } from '../model/amounts.js';
 
-/** A team's guarantee and limit. For a limit, 0 means that there is none. */
+/** A team's guarantee and limit, in processors and accelerators. For a limit, 0 means that there is none. */
 export interface TeamQuota {
   guaranteedCpus: number;
   guaranteedGpus: number;
@@ -8,7 +9,7 @@
   gpuLimit: number;
 }
 
-/** Of a team with neither guarantee nor limit. */
+/** The quota of a team with neither guarantee nor limit. */
 export const NO_QUOTA: TeamQuota = {
   guaranteedCpus: 0,
   guaranteedGpus: 0,
--- a/packages/core/fair-share/usage-ledger.ts
+++ b/packages/core/fair-share/usage-ledger.ts
@@ -1,8 +1,9 @@
-import { addAmounts, Amounts, ZERO_AMOUNTS } from '../model/amounts.js';
-import { ServiceCounter } from './service-counter.js';
+/** The usage ledger: what teams and classes hold, and the service that teams have received. */
+import { addAmounts, type Amounts, ZERO_AMOUNTS } from '../model/amounts.js';
 import type { Assignment, JobState } from '../model/model.js';
+import { ServiceCounter } from './service-counter.js';
 
-/** Tasks of one team and rank that have a place somewhere, those of gangs apart from others. */
+/** Number of assigned tasks of one team and rank, those of gangs apart from others. */
 interface TaskGroup {
   team: string;
   rank: number;
@@ -11,7 +12,7 @@
   tasks: number;
 }
 
-/** What teams and classes hold at present, and the service that teams have received. */
+/** Counts assignments by team, by rank, and by class and zone, as they come and go. */
 export class UsageLedger {
   private readonly amountsByTeam = new Map<string, Amounts>();
   private readonly serviceByTeam = new Map<string, ServiceCounter>();
@@ -20,7 +21,7 @@
 
   constructor(private readonly halfLifeS: number) {}
 
-  /** Counts an assignment that came (1) or is proven gone (-1). */
+  /** Counts an assignment that was made (1) or is proven gone (-1). */
   count(assignment: Assignment, sign: 1 | -1, now: number): void {
     const { job, machine, share } = assignment;
     const { team } = job.spec;
@@ -44,7 +45,7 @@
     job.service.charge(amount, now);
   }
 
-  /** Amounts of all places where tasks of the team may still be (docs/safety.md, point 9). */
+  /** Amounts of all assignments of the team, also of those that may have ended (docs/safety.md, point 9). */
   ofTeam(team: string): Readonly<Amounts> {
     return this.amountsByTeam.get(team) ?? ZERO_AMOUNTS;
   }
@@ -59,14 +60,14 @@
     return counter;
   }
 
-  /** The groups that have a task somewhere. */
+  /** The groups with any task. */
   groups(): TaskGroup[] {
     return [...this.groupsByKey.values()].filter(({ tasks }) => tasks > 0);
   }
 
   private groupOf({ spec: { team, kind }, rank, isBestEffort }: JobState): TaskGroup {
     const isGang = kind === 'gang';
-    const key = `${team} ${rank} ${isGang}`;
+    const key = `${team} ${rank} ${String(isGang)}`;
     let group = this.groupsByKey.get(key);
     if (!group) this.groupsByKey.set(key, (group = { team, rank, isGang, isBestEffort, tasks: 0 }));
     return group;
@@ -75,7 +76,7 @@
   /** Number of tasks of a class in each zone, kept current. */
   tasksByZone(jobClass: string): Map<string, number> {
     let zones = this.tasksByClassAndZone.get(jobClass);
-    if (!zones) this.tasksByClassAndZone.set(jobClass, (zones = new Map()));
+    if (!zones) this.tasksByClassAndZone.set(jobClass, (zones = new Map<string, number>()));
     return zones;
   }
 }
--- a/packages/core/fair-share/waiting-bucket.ts
+++ b/packages/core/fair-share/waiting-bucket.ts
@@ -1,12 +1,14 @@
+/** Waiting buckets: like jobs that wait, in the order in which they are served. */
 import type { Job } from '#wire';
 import type { Amounts } from '../model/amounts.js';
 import type { JobState } from '../model/model.js';
 import { membersOf } from '../model/replica-groups.js';
+import { byAge } from './job-order.js';
 
-/** A job that has no task anywhere. Its place among such jobs stays the same however much time passes. */
+/** A job that has no task anywhere. Its position among such jobs never changes, as all service decays alike. */
 interface IdleEntry {
   job: JobState;
-  /** See `ServiceCounter.restingOrder`. */
+  /** See `ServiceCounter.idleOrder`. */
   service: number;
 }
 
@@ -17,6 +19,7 @@
  * are no more than there are tasks on machines.
  */
 export class WaitingBucket {
+  /** Jobs without a task anywhere, least served first. */
   readonly idle: IdleEntry[] = [];
   /** Jobs that have tasks somewhere. */
   readonly active = new Set<JobState>();
@@ -44,11 +47,12 @@
     this.maxCpus = cpus;
   }
 
+  /** Number of jobs. */
   get size(): number {
     return this.idle.length + this.active.size;
   }
 
-  /** Takes a job in that has begun to wait. */
+  /** Adds a job that has begun to wait. */
   add(job: JobState): void {
     const { cpus, memory } = job.spec;
     this.minAmounts.cpus = Math.min(this.minAmounts.cpus, cpus);
@@ -58,12 +62,12 @@
     else this.addIdle(job);
   }
 
-  /** The job does not wait any more. */
+  /** Removes a job that does not wait any more. */
   remove(job: JobState): void {
     if (!this.active.delete(job)) this.removeIdle(job);
   }
 
-  /** A task of the job has got a place or lost it. */
+  /** To be called when a task of the job was assigned, or its assignment has ended. */
   placesChanged(job: JobState): void {
     if (job.assignments.size > 0 === this.active.has(job)) return;
     this.remove(job);
@@ -77,7 +81,7 @@
   }
 
   /** Jobs that have never received service, the oldest first. */
-  *neverServed(): Generator<JobState> {
+  *neverServed(): Generator<JobState, undefined> {
     for (const { job, service } of this.idle) {
       if (service !== -Infinity) return;
       yield job;
@@ -91,24 +95,24 @@
   }
 
   private addIdle(job: JobState): void {
-    const entry = { job, service: job.service.restingOrder() };
+    const entry = { job, service: job.service.idleOrder() };
     this.entries.set(job, entry);
-    this.idle.splice(this.placeOf(entry), 0, entry);
+    this.idle.splice(this.positionOf(entry), 0, entry);
   }
 
   private removeIdle(job: JobState): void {
     const entry = this.entries.get(job);
     if (!entry) return;
     this.entries.delete(job);
-    this.idle.splice(this.placeOf(entry), 1);
+    this.idle.splice(this.positionOf(entry), 1);
   }
 
   /** Where the entry is or belongs. */
-  private placeOf(entry: IdleEntry): number {
+  private positionOf(entry: IdleEntry): number {
     return this.firstFrom((other) => compareIdle(other, entry) >= 0);
   }
 
-  /** Index of the first entry that `isFrom` holds for, and all after it. */
+  /** Index of the first entry for which `isFrom` is true; it must be true for all after it, too. */
   private firstFrom(isFrom: (entry: IdleEntry) => boolean): number {
     let low = 0;
     let high = this.idle.length;
@@ -125,8 +129,3 @@
   if (a.service !== b.service) return a.service < b.service ? -1 : 1;
   return byAge(a.job, b.job);
 }
-
-/** The job whose turn began first, then the one that has waited longest. */
-export function byAge(a: JobState, b: JobState): number {
-  return a.startableAt - b.startableAt || a.waitingOrder - b.waitingOrder;
-}
--- a/packages/core/fair-share/waiting-jobs.ts
+++ b/packages/core/fair-share/waiting-jobs.ts
@@ -1,20 +1,23 @@
+/** All waiting jobs of the fleet. */
 import { conditionsKey } from '../placement/bin-packing.js';
 import type { JobState } from '../model/model.js';
 import { membersOf } from '../model/replica-groups.js';
 import { WaitingBucket } from './waiting-bucket.js';
 
-/** The jobs that have tasks which wait for a machine, in buckets of like jobs. */
+/** The jobs with tasks that wait for a machine, in buckets of like jobs. */
 export class WaitingJobs {
-  /** Gangs are few and looked at one by one. */
+  /** The gangs among them: they are few and are visited one by one. */
   readonly gangs = new Set<JobState>();
   private readonly bucketOf = new Map<JobState, WaitingBucket>();
   private readonly byKey = new Map<string, WaitingBucket>();
   private joined = 0;
 
+  /** Number of jobs. */
   get size(): number {
     return this.bucketOf.size;
   }
 
+  /** Whether the job waits. */
   has(job: JobState): boolean {
     return this.bucketOf.has(job);
   }
@@ -24,7 +27,7 @@
     return this.bucketOf.keys();
   }
 
-  /** Buckets that are not empty. */
+  /** The buckets; none is empty. */
   buckets(): IterableIterator<WaitingBucket> {
     return this.byKey.values();
   }
@@ -34,6 +37,7 @@
     return this.bucketOf.get(job);
   }
 
+  /** Adds a job that has begun to wait. */
   add(job: JobState): void {
     if (!this.bucketOf.has(job)) this.enqueue(job, ++this.joined);
   }
@@ -48,6 +52,7 @@
     if (job.spec.kind === 'gang') this.gangs.add(job);
   }
 
+  /** Removes a job that does not wait any more. */
   delete(job: JobState): void {
     const bucket = this.bucketOf.get(job);
     if (!bucket) return;
@@ -57,7 +62,7 @@
     this.gangs.delete(job);
   }
 
-  /** Changes what decides in which bucket the job waits; it keeps its place by age. */
+  /** Changes what decides in which bucket the job waits; it keeps its position by age. */
   change(job: JobState, change: () => void): void {
     const { waitingOrder } = job;
     const isWaiting = this.has(job);
@@ -66,14 +71,15 @@
     if (isWaiting) this.enqueue(job, waitingOrder);
   }
 
-  /** A task of the job has got a place or lost it. */
+  /** To be called when a task of the job was assigned, or its assignment has ended. */
   placesChanged(job: JobState): void {
     this.bucketOf.get(job)?.placesChanged(job);
   }
 }
 
+/** Equal for jobs of the same bucket. */
 function bucketKey(job: JobState): string {
   const { spec, rank } = job;
   const { team, kind, gpus } = spec;
-  return `${team} ${rank} ${kind === 'gang'} ${gpus} ${membersOf(job)} ${conditionsKey(spec)}`;
+  return `${team} ${rank} ${String(kind === 'gang')} ${gpus} ${membersOf(job)} ${conditionsKey(spec)}`;
 }
--- a/packages/core/fair-share/waiting-order.ts
+++ b/packages/core/fair-share/waiting-order.ts
@@ -1,36 +1,38 @@
-import { byRankAndAge } from './job-queues.js';
+/** Iterates over waiting jobs by rank and age, without sorting all of them first. */
 import type { JobState } from '../model/model.js';
-import { byAge, WaitingBucket } from './waiting-bucket.js';
+import { byAge, byRankAndAge } from './job-order.js';
+import type { WaitingBucket } from './waiting-bucket.js';
 
-/** A part of a bucket's jobs, by age. */
+/** Some of a bucket's jobs, by age; `next` comes before what `rest` yields. */
 interface AgedJobs {
   bucket: WaitingBucket;
-  rest: Iterator<JobState>;
+  rest: Iterator<JobState, undefined>;
   next: JobState;
 }
 
 /**
- * The buckets' jobs of the highest rank first, then the oldest. A bucket that `isOver` holds for is left
- * out from then on.
+ * The buckets' jobs of the highest rank first, then the oldest. A bucket for which `isOver` is true after
+ * one of its jobs is left out from then on.
  */
 export function* oldestFirst(
   buckets: WaitingBucket[],
   isOver: (bucket: WaitingBucket) => boolean = () => false,
 ): Generator<JobState> {
-  let parts = buckets.flatMap(agedParts);
-  while (parts.length > 0) {
-    const first = parts.reduce((a, b) => (byRankAndAge(b.next, a.next) < 0 ? b : a));
+  let runs = buckets.flatMap(agedJobs);
+  while (runs.length > 0) {
+    const first = runs.reduce((a, b) => (byRankAndAge(b.next, a.next) < 0 ? b : a));
     yield first.next;
     const { done, value } = first.rest.next();
-    if (done) parts = parts.filter((shard) => shard !== first);
+    if (done) runs = runs.filter((run) => run !== first);
     else first.next = value;
-    if (isOver(first.bucket)) parts = parts.filter(({ bucket }) => bucket !== first.bucket);
+    if (isOver(first.bucket)) runs = runs.filter(({ bucket }) => bucket !== first.bucket);
   }
 }
 
-function agedParts(bucket: WaitingBucket): AgedJobs[] {
+/** The bucket's jobs in two runs: those never served are in order already, the others are sorted. */
+function agedJobs(bucket: WaitingBucket): AgedJobs[] {
   const served = bucket.served().sort(byAge);
-  return [bucket.neverServed(), served.values()].flatMap((rest) => {
+  return [bucket.neverServed(), served.values()].flatMap((rest: Iterator<JobState, undefined>) => {
     const { done, value } = rest.next();
     return done ? [] : [{ bucket, rest, next: value }];
   });
--- a/packages/core/placement/availability.ts
+++ b/packages/core/placement/availability.ts
@@ -1,7 +1,8 @@
+/** Availability: whether a machine may be given new tasks, whatever they need. */
 import { LARGEST_ENTRY } from '../model/machine-record-size.js';
 import type { Machine } from '../model/model.js';
 
-/** Whether the machine is up and will stay, and its record has room for another task. */
+/** Whether the machine is up and is to stay, and its record has space for another task. */
 export function canTakeTasks(machine: Machine, machineRecordBytes: number): boolean {
   return (
     machine.state === 'up' &&
@@ -12,7 +13,7 @@
   );
 }
 
-/** Whether the machine takes nothing new for a while, though it is up. */
+/** Whether the machine is cordoned: it takes nothing new for a while, though it is up. */
 export function isCordoned({ cordonedUntil, failures }: Machine, now: number): boolean {
   return cordonedUntil > now || failures.cordonedUntil > now;
 }
@@ -21,3 +22,8 @@
 export function isUsable(machine: Machine, machineRecordBytes: number, now: number): boolean {
   return !isCordoned(machine, now) && canTakeTasks(machine, machineRecordBytes);
 }
+
+/** Whether a reservation for a gang keeps out what has this id; null stands for tasks of no gang. */
+export function isReservedForOther(reservedForGang: string | null, id: string | null): boolean {
+  return reservedForGang !== null && reservedForGang !== id;
+}
--- a/packages/core/placement/bin-packing.ts
+++ b/packages/core/placement/bin-packing.ts
@@ -1,8 +1,12 @@
+/**
+ * What a task requires of a machine: its type, zone and kind, the amounts that must be free, and the zones
+ * in which other tasks of its job may be.
+ */
 import type { Job, MachineType } from '#wire';
 import { type Amounts, ROUNDING } from '../model/amounts.js';
 import { assignmentsOf, JobState } from '../model/model.js';
 
-/** Where a task could run, as far as the job's own conditions decide. */
+/** A kind of machine, as the cloud offers it. */
 export interface MachineKind {
   type: MachineType;
   zone: string;
@@ -21,14 +25,14 @@
 }
 
 /**
- * Whether the job allows machines of this type, kind and zone, its other tasks apart: what the protocol
- * calls a wrong place otherwise.
+ * Whether the job allows machines of this type and zone, and spot machines if this is one. Its other tasks
+ * don't count here. The protocol calls any other machine a wrong place.
  */
 export function kindAllowed(job: Job, type: MachineType, zone: string, spot: boolean): boolean {
   return (!spot || job.spot) && (job.zone === null || job.zone === zone) && typeFits(job, type);
 }
 
-/** Whether one more task of the job fits beside what is used. */
+/** Whether the machine type has capacity for one more task of the job beside what is used. */
 export function hasCapacity(job: Job, used: Readonly<Amounts>, type: MachineType): boolean {
   return (
     used.cpus + job.cpus <= type.cpus + ROUNDING &&
@@ -37,19 +41,19 @@
   );
 }
 
-/** How many tasks of the job fit beside what is used; Infinity if they need nothing. */
+/** For how many tasks of the job there is capacity beside what is used; Infinity if they need nothing. */
 export function tasksThatFit(job: Job, used: Readonly<Amounts>, type: MachineType): number {
   return Math.max(
     0,
     Math.min(
-      unitsThatFit(type.cpus - used.cpus, job.cpus),
-      unitsThatFit(type.gpus - used.gpus, job.gpus),
-      unitsThatFit(type.memory - used.memory, job.memory),
+      wholeUnits(type.cpus - used.cpus, job.cpus),
+      wholeUnits(type.gpus - used.gpus, job.gpus),
+      wholeUnits(type.memory - used.memory, job.memory),
     ),
   );
 }
 
-function unitsThatFit(free: number, need: number): number {
+function wholeUnits(free: number, need: number): number {
   return need > 0 ? Math.floor((free + ROUNDING) / need) : Infinity;
 }
 
@@ -72,7 +76,7 @@
   return counts;
 }
 
-/** Where a job's tasks are, as far as that bounds where one more may go. */
+/** Where a job's tasks are, as far as that bounds where one more may go; empty if it does not. */
 export function bindingZones(job: JobState): Map<string, number> {
   return isBoundByZones(job.spec) ? tasksByZone(job) : new Map<string, number>();
 }
@@ -86,13 +90,13 @@
   return (counts.get(zone) ?? 0) < zoneCap(job);
 }
 
-/** What decides, amounts and zones of its other tasks apart, on which machines a task of the job fits. */
+/** Equal for jobs with the same constraints on machines, amounts and zones of their other tasks apart. */
 export function conditionsKey(job: Job): string {
   const types = job.types === null ? '*' : job.types.join(',');
-  return `${types} ${job.zone ?? '*'} ${job.spot}`;
+  return `${types} ${job.zone ?? '*'} ${String(job.spot)}`;
 }
 
-/** What decides, zones of its other tasks apart, on which machines a task of the job fits. */
+/** Equal for jobs with the same amounts and constraints, zones of their other tasks apart. */
 export function requirementsKey(job: Job): string {
   return `${job.cpus} ${job.gpus} ${job.memory} ${conditionsKey(job)}`;
 }
--- a/packages/core/placement/choose-machine.ts
+++ b/packages/core/placement/choose-machine.ts
@@ -1,13 +1,15 @@
+/** Chooses the machine for a single task. */
 import { mayUseSpareCapacity } from '../fair-share/best-effort.js';
-import { zoneAllowed } from './bin-packing.js';
 import type { FleetState } from '../fleet-state.js';
 import type { JobState, Machine } from '../model/model.js';
+import { isReservedForOther } from './availability.js';
+import { zoneAllowed } from './bin-packing.js';
 import type { PlacementCandidates } from './placement-candidates.js';
 import { CROWDED_ZONE_S } from './placement-cost.js';
 
 /**
- * The machine that a single task of the job should take now, or null. Nothing is assigned. `ownZones`
- * counts the job's tasks by zone.
+ * The machine of lowest cost for a single task of the job, or null if there is none. Nothing is assigned.
+ * `ownZones` counts the job's tasks by zone.
  */
 export function chooseMachine(
   fleet: FleetState,
@@ -23,10 +25,10 @@
   for (const candidate of candidates.forJob(job)) {
     const { machine } = candidate;
     let cost = candidates.cost(candidate, job);
-    // Replicas of a class spread over zones lose less together.
+    // Replicas of a class that are spread over zones lose less together.
     if (spec.spread) cost += (classZones.get(machine.zone) ?? 0) * CROWDED_ZONE_S;
     if (cost >= lowest) continue;
-    if (machine.reservedForGang !== null && machine.reservedForGang !== spec.id) continue;
+    if (isReservedForOther(machine.reservedForGang, spec.id)) continue;
     if (job.isBestEffort && !mayUseSpareCapacity(fleet, job, machine, candidate.type, now))
       continue;
     if (fleet.holds.isHeldFromJob(machine, job, now)) continue;
--- a/packages/core/placement/choose-machines-together.ts
+++ b/packages/core/placement/choose-machines-together.ts
@@ -1,27 +1,31 @@
-import { bindingZones, tasksThatFit, zoneAllowed, zoneCap } from './bin-packing.js';
+/** Chooses machines for tasks that are placed together: a gang, or the members of one replica. */
 import type { FleetState } from '../fleet-state.js';
 import { mostEntryBytes } from '../model/machine-record-size.js';
 import type { JobState, Machine } from '../model/model.js';
+import { isReservedForOther } from './availability.js';
+import { bindingZones, tasksThatFit, zoneAllowed, zoneCap } from './bin-packing.js';
 import type { PlacementCandidates } from './placement-candidates.js';
 
-/** Tasks that get places together or not at all: those of a gang, or the members of one replica. */
+/** Tasks that are placed together or not at all: those of a gang, or the members of one replica. */
 export interface JointRequest {
   tasks: number;
   /** All of them must be in the same zone. */
   oneZone: boolean;
 }
 
-interface Option {
+/** A machine that can take some of the tasks. */
+interface MachineOption {
   machine: Machine;
   cost: number;
   /** How many of the tasks the machine can take. */
   capacity: number;
 }
 
+/** A machine for each of the tasks. */
 interface JointPlacement {
   /** The machine of each task, in order. */
   machines: Machine[];
-  /** Cost of the dearest place: the slowest machine sets the speed of all. */
+  /** Cost of the most expensive place: the slowest machine sets the speed of all. */
   cost: number;
 }
 
@@ -38,29 +42,29 @@
   const taken = bindingZones(job);
   let best: JointPlacement | null = null;
   for (const zone of zones) {
-    const found = fill(job, request, zone, options, taken);
-    if (found && (best === null || found.cost < best.cost)) best = found;
+    const placement = fill(job, request, zone, options, taken);
+    if (placement && (best === null || placement.cost < best.cost)) best = placement;
   }
   return best?.machines ?? null;
 }
 
-/** Machines that can take some of the tasks, cheapest first. */
+/** Machines that can take some of the tasks, those of lowest cost first. */
 function optionsFor(
   fleet: FleetState,
   job: JobState,
   request: JointRequest,
   candidates: PlacementCandidates,
   now: number,
-): Option[] {
+): MachineOption[] {
   const { spec } = job;
   const { machineRecordBytes } = fleet.settings;
   const entrySize = mostEntryBytes(spec);
-  const options: Option[] = [];
+  const options: MachineOption[] = [];
   for (const candidate of candidates.forJob(job)) {
     const { machine, type } = candidate;
     const cost = candidates.cost(candidate, job);
     if (cost === Infinity || fleet.holds.isHeldFromJob(machine, job, now)) continue;
-    if (machine.reservedForGang !== null && machine.reservedForGang !== spec.id) continue;
+    if (isReservedForOther(machine.reservedForGang, spec.id)) continue;
     if (fleet.failures.isExcluded(job, machine, now)) continue;
     const capacity = Math.min(
       request.tasks,
@@ -72,12 +76,15 @@
   return options.sort((a, b) => a.cost - b.cost);
 }
 
-/** Takes the cheapest options, in one zone or any (null), until all tasks have one. `taken` counts the job's other tasks. */
+/**
+ * Takes the options of lowest cost, in one zone or any (null), until all tasks have one; null if some find
+ * none. `taken` counts the job's other tasks by zone.
+ */
 function fill(
   { spec }: JobState,
   { tasks }: JointRequest,
   zone: string | null,
-  options: Option[],
+  options: MachineOption[],
   taken: ReadonlyMap<string, number>,
 ): JointPlacement | null {
   const machines: Machine[] = [];
--- a/packages/core/placement/gang-reservations.test.ts
+++ b/packages/core/placement/gang-reservations.test.ts
@@ -3,8 +3,8 @@
 import { aFleet, aJob, aMachine } from '../../testing/samples.js';
 import { GangReservations } from './gang-reservations.js';
 
-test('a machine whose room is held for other work is not reserved for a gang', () => {
-  // Guards against empty machines that serve nobody: room made for a replica was reserved for a gang,
+test('a machine whose capacity is held for other work is not reserved for a gang', () => {
+  // Guards against empty machines that serve nobody: capacity made for a replica was reserved for a gang,
   // so that the replica could not go there and the gang had to wait for the replica, over and over.
   const fleet = aFleet();
   const [held, free] = [aMachine(fleet, 'n-1'), aMachine(fleet, 'n-2')];
--- a/packages/core/placement/gang-reservations.ts
+++ b/packages/core/placement/gang-reservations.ts
@@ -1,37 +1,38 @@
+/** Gang reservations: machines that are kept free until a waiting gang can start. */
 import type { MachineType } from '#wire';
 import { ZERO_AMOUNTS } from '../model/amounts.js';
 import { isCordoned } from './availability.js';
 import { kindAllowed, tasksThatFit } from './bin-packing.js';
 import type { FleetState } from '../fleet-state.js';
-import { byRankAndAge } from '../fair-share/job-queues.js';
+import { byRankAndAge } from '../fair-share/job-order.js';
 import type { MachineRegistry } from '../model/machine-registry.js';
 import type { JobState, Machine } from '../model/model.js';
 
-/** Run times are estimated by their owners; a task is expected to take this many times as long... */
+/** Run times are estimated by users; a task is expected to take this many times as long. */
 const ESTIMATE_MARGIN = 1.5;
-/** ...and at least this share of the estimate from now, however long it has run already. */
-const ESTIMATE_REST = 1 / 4;
-/** A gang's own machines are kept unless another is empty in less than this share of their time. */
-const CHANGE_RATIO = 1 / 2;
+/** Share of the estimate that a task is expected to run on at least, however long it has run already. */
+const LEAST_REST = 1 / 4;
+/** A gang keeps its machines unless another is empty in less than this share of their time. */
+const SWITCH_RATIO = 1 / 2;
 
-/** A machine that becomes empty by itself. */
+/** A machine that becomes empty without a stop of firm work. */
 interface EmptyingMachine {
   machine: Machine;
   type: MachineType;
   /** Seconds until then. */
-  waitS: number;
+  emptyInS: number;
 }
 
-/** Machines found for a gang so far, in one zone or all. */
-interface Found {
+/** Machines collected for a gang so far, in one zone or in all. */
+interface MachineSet {
   machines: Machine[];
   /** Tasks of the gang that they hold when empty. */
   capacity: number;
 }
 
 /**
- * Keeps machines free for gangs that wait, so that small work does not fill every gap: those that can
- * be empty soonest are reserved, oldest gang of the highest rank first.
+ * Keeps machines free for gangs that wait, so that small tasks do not fill every gap. The machines
+ * that can be empty soonest are reserved, for the oldest gang of the highest rank first.
  */
 export class GangReservations {
   constructor(private readonly fleet: FleetState) {}
@@ -39,7 +40,7 @@
   /** Brings all reservations up to date. */
   update(now: number): void {
     const gangs = [...this.fleet.jobs.waiting.gangs].filter(
-      (job) => isWaitingGang(job) && this.fleet.failures.mayRequestCapacity(job, now),
+      (job) => needsReservations(job) && this.fleet.failures.mayRequestCapacity(job, now),
     );
     this.releaseObsolete(new Set(gangs.map((gang) => gang.spec.id)));
     if (gangs.length === 0) return;
@@ -52,11 +53,11 @@
         holds.isHeldFromJob(machine, gang, now) || failures.isExcluded(gang, machine, now);
       reserveFor(this.fleet.machines, gang, emptying, byGang.get(gang.spec.id) ?? [], isHeld);
     }
-    this.clearReserved(emptying, now);
+    this.stopBestEffortOnReserved(emptying, now);
   }
 
-  /** Once only best-effort work is left on a reserved machine, it gives way. */
-  private clearReserved(emptying: EmptyingMachine[], now: number): void {
+  /** Stops best-effort work on reserved machines once no firm work is left there. */
+  private stopBestEffortOnReserved(emptying: EmptyingMachine[], now: number): void {
     for (const { machine } of emptying) {
       if (machine.reservedForGang === null || machine.firmTasks > 0) continue;
       for (const task of [...machine.tasks.values()]) {
@@ -65,7 +66,7 @@
     }
   }
 
-  /** The gang has started. */
+  /** Ends the reservations of a gang that has started. */
   release(gangId: string): void {
     const { machines } = this.fleet;
     for (const machine of machines.groups.reserved) {
@@ -73,6 +74,7 @@
     }
   }
 
+  /** Ends reservations of machines that leave, and of gangs that wait no more. */
   private releaseObsolete(waitingGangs: Set<string>): void {
     const { machines } = this.fleet;
     for (const machine of machines.groups.reserved) {
@@ -82,7 +84,7 @@
     }
   }
 
-  /** One that something keeps from becoming empty is no longer waited for. */
+  /** Ends reservations of machines that something keeps from becoming empty. */
   private releaseIfNotEmptying(emptying: EmptyingMachine[]): void {
     const { machines } = this.fleet;
     const found = new Set(emptying.map(({ machine }) => machine));
@@ -91,21 +93,21 @@
     }
   }
 
-  /** Machines that become empty by themselves, soonest first. */
+  /** Machines that become empty without a stop of firm work, soonest first. */
   private emptyingMachines(now: number): EmptyingMachine[] {
     const found: EmptyingMachine[] = [];
     const { machines } = this.fleet;
     for (const machine of machines.groups.emptying) {
       const type = machines.typeOf(machine);
       if (!type || isCordoned(machine, now)) continue;
-      found.push({ machine, type, waitS: emptyInS(machine, type.bootS, now) });
+      found.push({ machine, type, emptyInS: secondsUntilEmpty(machine, type.bootS, now) });
     }
-    return found.sort((a, b) => a.waitS - b.waitS);
+    return found.sort((a, b) => a.emptyInS - b.emptyInS);
   }
 }
 
-/** Machines are not kept free for best-effort work. */
-function isWaitingGang(job: JobState): boolean {
+/** Whether machines are kept free for the gang; for best-effort work none are. */
+function needsReservations(job: JobState): boolean {
   return job.assignments.size === 0 && !job.isBestEffort;
 }
 
@@ -123,7 +125,7 @@
 
 /**
  * Reserves the machines that are empty soonest and hold the whole gang; none if no set does. A machine
- * whose room is held for other work is left to it: reserved as well, it would serve neither of the two.
+ * whose capacity is held for other work is left to it: reserved as well, it would serve neither of the two.
  */
 function reserveFor(
   machines: MachineRegistry,
@@ -132,17 +134,17 @@
   own: EmptyingMachine[],
   isHeld: (machine: Machine) => boolean,
 ): void {
-  const byZone = new Map<string, Found>();
+  const byZone = new Map<string, MachineSet>();
   let chosen: Machine[] = [];
   for (const { machine, type } of soonestFirst(emptying, own)) {
     if (!kindAllowed(spec, type, machine.zone, machine.spot) || isHeld(machine)) continue;
     const zone = spec.oneZone ? machine.zone : '';
-    let found = byZone.get(zone);
-    if (!found) byZone.set(zone, (found = { machines: [], capacity: 0 }));
-    found.machines.push(machine);
-    found.capacity += tasksThatFit(spec, ZERO_AMOUNTS, type);
-    if (found.capacity < spec.tasks) continue;
-    chosen = found.machines;
+    let collected = byZone.get(zone);
+    if (!collected) byZone.set(zone, (collected = { machines: [], capacity: 0 }));
+    collected.machines.push(machine);
+    collected.capacity += tasksThatFit(spec, ZERO_AMOUNTS, type);
+    if (collected.capacity < spec.tasks) continue;
+    chosen = collected.machines;
     break;
   }
   for (const { machine } of own) if (!chosen.includes(machine)) machines.reserve(machine, null);
@@ -157,31 +159,32 @@
   emptying: EmptyingMachine[],
   own: EmptyingMachine[],
 ): Generator<EmptyingMachine> {
-  let free = 0;
-  let mine = 0;
+  let freeIndex = 0;
+  let ownIndex = 0;
   for (;;) {
-    while (free < emptying.length && emptying[free].machine.reservedForGang !== null) free++;
-    const nextFree = emptying[free];
-    const nextOwn = own[mine];
-    if (nextOwn && !(nextFree && nextFree.waitS < nextOwn.waitS * CHANGE_RATIO)) {
-      mine++;
+    while (freeIndex < emptying.length && emptying[freeIndex].machine.reservedForGang !== null)
+      freeIndex++;
+    const nextFree = emptying.at(freeIndex);
+    const nextOwn = own.at(ownIndex);
+    if (nextOwn && !(nextFree && nextFree.emptyInS < nextOwn.emptyInS * SWITCH_RATIO)) {
+      ownIndex++;
       yield nextOwn;
     } else if (nextFree) {
-      free++;
+      freeIndex++;
       yield nextFree;
     } else return;
   }
 }
 
-/** Seconds until a machine could be empty on which all firm tasks end by themselves. */
-function emptyInS(machine: Machine, bootS: number, now: number): number {
+/** Seconds until a machine could be empty on which all firm tasks end by themselves, by their estimates. */
+function secondsUntilEmpty(machine: Machine, bootS: number, now: number): number {
   if (machine.state === 'booting') return Math.max(1, machine.requestedAt + bootS - now);
   let waitS = 0;
   for (const { job, stop, runningSince } of machine.tasks.values()) {
     const { estimateS } = job.spec;
     if (stop !== null || job.isBestEffort) continue;
     const ranS = runningSince === null ? 0 : now - runningSince;
-    waitS = Math.max(waitS, estimateS * ESTIMATE_MARGIN - ranS, estimateS * ESTIMATE_REST);
+    waitS = Math.max(waitS, estimateS * ESTIMATE_MARGIN - ranS, estimateS * LEAST_REST);
   }
   return waitS;
 }
--- a/packages/core/placement/placement-candidates.ts
+++ b/packages/core/placement/placement-candidates.ts
@@ -1,3 +1,4 @@
+/** The machines with capacity for a task, listed once in a round for all tasks with the same requirements. */
 import type { Job, MachineType } from '#wire';
 import type { Amounts } from '../model/amounts.js';
 import { isUsable } from './availability.js';
@@ -6,27 +7,28 @@
 import type { JobState, Machine } from '../model/model.js';
 import { placementCost, spareCapacityCost } from './placement-cost.js';
 
-/** A machine that had room for one more task of a job when the list was made. */
+/** A machine that had capacity for one more task of a job when the list was made. */
 export interface Candidate {
   machine: Machine;
   type: MachineType;
-  /** Cost of a place there; Infinity: no room any more. */
+  /** Cost of a place there; Infinity: no capacity any more. */
   cost: number;
-  /** The machine's changes when the cost was worked out. */
+  /** The machine's `assignmentVersion` when the cost was computed. */
   assignmentVersion: number;
 }
 
+/** A machine that meets the requirements, whatever the image. */
 interface CandidateMachine {
   machine: Machine;
   type: MachineType;
 }
 
 /**
- * Candidates by requirements and image, as they stood when first asked for. Within a round room only
- * shrinks, so a machine that is not in a list can't come into question later in it, and the cost of a
- * place changes only with the tasks on its machine. Without this each of hundreds of waiting jobs
- * looked at each of hundreds of machines in every round. What else may change within a round (holds,
- * reservations) is looked at by those who choose.
+ * Candidates by requirements and image, as they stood when first asked for. Within a round free
+ * capacity only shrinks, so a machine that is not in a list can't become a candidate later in the round,
+ * and the cost of a place changes only with the tasks on its machine. Without the lists each waiting job
+ * would visit every machine in every round. What else may change within a round (holds, reservations) is
+ * checked by those who choose.
  */
 export class PlacementCandidates {
   private readonly byRequirementsAndImage = new Map<string, Candidate[]>();
@@ -37,9 +39,9 @@
     private readonly now: number,
   ) {}
 
-  /** Machines that had room for a task of the job when first asked for. */
+  /** Machines that had capacity for a task of the job when first asked for. */
   forJob(job: JobState): Candidate[] {
-    const key = `${job.requirementsKey} ${job.spec.image} ${job.isBestEffort}`;
+    const key = `${job.requirementsKey} ${job.spec.image} ${String(job.isBestEffort)}`;
     let candidates = this.byRequirementsAndImage.get(key);
     if (!candidates) {
       candidates = this.withCapacity(job).map(asCandidate);
@@ -60,7 +62,7 @@
     return candidate.cost;
   }
 
-  /** Whether any machine has room for a task that needs so much on the job's conditions, reserved or not. */
+  /** Whether any machine, reserved or not, has capacity for `need` under the job's constraints. */
   anyCapacityFor(job: Job, need: Readonly<Amounts>): boolean {
     const { machines } = this.fleet;
     const candidates = machines.free.mayHold(need);
