--- a/packages/core/autoscaling/arrival-statistics.ts
+++ b/packages/core/autoscaling/arrival-statistics.ts
@@ -1,14 +1,15 @@
+/** Arrival statistics: how much work of each class comes and ends, and the reserve that it calls for. */
 import type { Job } from '#wire';
 
-/** Of a boot time: how far ahead room is kept, since a machine must be up before it is needed. */
-const LOOK_AHEAD = 1.2;
-/** Jobs over which the mean square of tasks per job is taken. */
+/** Boot times for which capacity is kept ahead, since a machine must be up before it is needed. */
+const LOOK_AHEAD_BOOTS = 1.2;
+/** Jobs over which the mean square of tasks per job is averaged. */
 const SIZE_MEMORY = 10;
-/** After so many mean gaps without a job, a class's rate counts as lower. */
+/** After so many mean gaps between jobs without one, a class's rate counts as lower. */
 const QUIET_GAPS = 3;
-/** Expected jobs below which nothing is kept. */
+/** Expected jobs below which no reserve is kept. */
 const FEWEST_JOBS = 0.05;
-/** Share of the reserve that is kept for classes whose work may wait for a boot. */
+/** Share of the reserve that is kept for classes whose work can wait for a boot. */
 const PATIENT_SHARE = 0.3;
 
 /** What is expected for a class of jobs. */
@@ -29,21 +30,23 @@
 
 /** Decayed averages of one class. */
 export interface ClassArrivals {
-  /** Jobs a second. */
-  rate: number;
-  /** Tasks a second that came and that ended. */
-  tasksIn: number;
-  tasksOut: number;
+  /** Jobs accepted, per second. */
+  jobRate: number;
+  /** Tasks accepted, per second. */
+  taskArrivalRate: number;
+  /** Tasks ended, per second. */
+  taskEndRate: number;
   /** When the averages were last decayed. */
   decayedAt: number;
-  /** When the last job came. */
+  /** When the last job was accepted. */
   lastAt: number;
+  /** Mean square of the tasks per job. */
   meanSquareTasks: number;
   /** The last job, for what tasks of the class need. */
   sample: Job;
 }
 
-/** How much work of each class comes and ends, and how much room that calls for (docs/design.md). */
+/** Averages arrivals and ends by class (docs/design.md). Times are seconds of the steady clock. */
 export class ArrivalStatistics {
   private readonly byClass = new Map<string, ClassArrivals>();
 
@@ -52,67 +55,67 @@
     private readonly objectives: ClassObjective[],
   ) {}
 
-  /** All classes of which a job has come. */
+  /** All classes of which a job has been accepted. */
   classes(): IterableIterator<ClassArrivals> {
     return this.byClass.values();
   }
 
-  /** A job was accepted. */
+  /** Observes that a job was accepted. */
   jobArrived(job: Job, now: number): void {
     const { memoryS } = this.settings;
     const arrivals = this.of(job, now);
     arrivals.lastAt = now;
-    arrivals.rate += 1 / memoryS;
-    arrivals.tasksIn += job.tasks / memoryS;
+    arrivals.jobRate += 1 / memoryS;
+    arrivals.taskArrivalRate += job.tasks / memoryS;
     arrivals.meanSquareTasks += (job.tasks * job.tasks - arrivals.meanSquareTasks) / SIZE_MEMORY;
     arrivals.sample = job;
   }
 
-  /** A job is over for its user. */
+  /** Observes that a job is over for its user. */
   jobEnded(job: Job, now: number): void {
-    this.of(job, now).tasksOut += job.tasks / this.settings.memoryS;
+    this.of(job, now).taskEndRate += job.tasks / this.settings.memoryS;
   }
 
-  /** Nothing is known of when work ended before: as much is taken to have ended as came. */
+  /** Assumes that as many tasks have ended as came: a new leader does not know when work ended before. */
   assumeSteady(now: number): void {
     for (const arrivals of this.byClass.values()) {
       this.decay(arrivals, now);
-      arrivals.tasksOut = arrivals.tasksIn;
+      arrivals.taskEndRate = arrivals.taskArrivalRate;
     }
   }
 
-  /** When the last job of any class came; -Infinity if none has. */
+  /** When the last job of any class was accepted; -Infinity if none was. */
   lastArrivalAt(): number {
     return Math.max(...[...this.byClass.values()].map(({ lastAt }) => lastAt));
   }
 
-  /** Tasks of a class to keep room for, given the boot time of machines that it fits on. */
+  /** Tasks of a class to keep capacity for, given the boot time in seconds of machines that can run it. */
   reserveTasks(arrivals: ClassArrivals, bootS: number, now: number): number {
     const job = arrivals.sample;
     const objective = this.objectives.find((each) => each.class === job.class);
     if (!objective) return 0;
     this.decay(arrivals, now);
-    const aheadS = bootS * LOOK_AHEAD;
-    // Hardly ever does nothing come for three times the mean gap: then fewer come than before.
+    const aheadS = bootS * LOOK_AHEAD_BOOTS;
+    // A gap of three times the mean is rare at a steady rate, so after it the rate is taken as lower.
     const highestRate = QUIET_GAPS / Math.max(now - arrivals.lastAt, 1e-9);
-    const jobs = Math.min(arrivals.rate, highestRate) * aheadS;
+    const jobs = Math.min(arrivals.jobRate, highestRate) * aheadS;
     if (jobs < FEWEST_JOBS) return 0;
-    const urgent = objective.kind === 'wait' && objective.withinS < bootS;
-    const sigmas = this.settings.reserveSigmas * (urgent ? 1 : PATIENT_SHARE);
-    const swing = sigmas * Math.sqrt(jobs * arrivals.meanSquareTasks);
+    const isUrgent = objective.kind === 'wait' && objective.withinS < bootS;
+    const sigmas = this.settings.reserveSigmas * (isUrgent ? 1 : PATIENT_SHARE);
+    const deviation = sigmas * Math.sqrt(jobs * arrivals.meanSquareTasks);
     // Replicas stay until their users end them: while fewer end than come, more are needed.
-    const grows = urgent && job.kind === 'service';
-    const growth = grows ? Math.max(0, (arrivals.tasksIn - arrivals.tasksOut) * aheadS) : 0;
-    return Math.ceil(growth + swing);
+    const mayGrow = isUrgent && job.kind === 'service';
+    const growth = mayGrow ? growthOf(arrivals, aheadS) : 0;
+    return Math.ceil(growth + deviation);
   }
 
   private of(job: Job, now: number): ClassArrivals {
     let arrivals = this.byClass.get(job.class);
     if (!arrivals) {
       arrivals = {
-        rate: 0,
-        tasksIn: 0,
-        tasksOut: 0,
+        jobRate: 0,
+        taskArrivalRate: 0,
+        taskEndRate: 0,
         decayedAt: now,
         lastAt: now,
         meanSquareTasks: job.tasks * job.tasks,
@@ -126,9 +129,14 @@
 
   private decay(arrivals: ClassArrivals, now: number): void {
     const kept = Math.exp(-(now - arrivals.decayedAt) / this.settings.memoryS);
-    arrivals.rate *= kept;
-    arrivals.tasksIn *= kept;
-    arrivals.tasksOut *= kept;
+    arrivals.jobRate *= kept;
+    arrivals.taskArrivalRate *= kept;
+    arrivals.taskEndRate *= kept;
     arrivals.decayedAt = now;
   }
 }
+
+/** Tasks by which the class grows in so many seconds, at the present rates. */
+function growthOf({ taskArrivalRate, taskEndRate }: ClassArrivals, seconds: number): number {
+  return Math.max(0, (taskArrivalRate - taskEndRate) * seconds);
+}
--- a/packages/core/autoscaling/slot-packing.test.ts
+++ b/packages/core/autoscaling/bin-packing.test.ts
@@ -3,9 +3,9 @@
 import fc from 'fast-check';
 import type { Job } from '#wire';
 import { aFleet, aJob, aMachine, STD } from '../../testing/samples.js';
-import { Refusals } from './refusals.js';
-import { SlotPacking } from './slot-packing.js';
-import { standingSlots } from './slots.js';
+import { ScaleOutRefusals } from './refusals.js';
+import { BinPacking } from './bin-packing.js';
+import { existingBins } from './bins.js';
 
 const jobs = fc.array(
   fc.record({
@@ -24,7 +24,7 @@
 });
 type Values<T> = T extends fc.Arbitrary<infer V> ? V : never;
 
-/** What is rented and which amounts each machine holds, if so many tasks are packed at a time. */
+/** What is scaled out, and which amounts each machine holds, if so many tasks are packed at a time. */
 function packed(
   ofJobs: Values<typeof jobs>,
   ofMachines: Values<typeof machines>,
@@ -32,12 +32,12 @@
 ): unknown {
   const fleet = aFleet();
   ofMachines.forEach((own, i) => aMachine(fleet, `n-${i}`, own));
-  const standing = standingSlots(fleet, 1, 0);
+  const existing = existingBins(fleet, 1, 0);
   const types = new Map([[STD.name, STD]]);
-  const packing = new SlotPacking({ standing, types, refusals: new Refusals(), now: 0 });
+  const packing = new BinPacking({ existing, types, refusals: new ScaleOutRefusals(), now: 0 });
   for (const own of ofJobs) packAll(packing, aJob(own), atATime);
-  const slots = [...packing.standing, ...packing.provisioned];
-  const used = slots.map(({ zone, spot, used: { cpus, gpus, memory } }) => [
+  const bins = [...packing.existing, ...packing.provisioned];
+  const used = bins.map(({ zone, spot, used: { cpus, gpus, memory } }) => [
     zone,
     spot,
     cpus,
@@ -47,19 +47,19 @@
   return [packing.scaleOutRequests(), used];
 }
 
-function packAll(packing: SlotPacking, job: Job, atATime: number): void {
+function packAll(packing: BinPacking, job: Job, atATime: number): void {
   const zones = new Map<string, number>();
   const request = packing.request(job, job.id, zones);
   for (let left = job.tasks; left > 0;) {
     const found = packing.place(request, Math.min(left, atATime));
     if (!found) return;
     left -= found.tasks;
-    zones.set(found.slot.zone, (zones.get(found.slot.zone) ?? 0) + found.tasks);
+    zones.set(found.bin.zone, (zones.get(found.bin.zone) ?? 0) + found.tasks);
   }
 }
 
-// Guards the packing of many tasks at once, which must not rent otherwise than one by one.
-test('tasks packed machine by machine take the room that they take one by one', () => {
+// Guards the packing of many tasks at once, which must not provision otherwise than one by one.
+test('tasks packed machine by machine take the capacity that they take one by one', () => {
   fc.assert(
     fc.property(jobs, machines, (ofJobs, ofMachines) => {
       assert.deepEqual(packed(ofJobs, ofMachines, Infinity), packed(ofJobs, ofMachines, 1));
--- a/packages/core/autoscaling/slot-packing.ts
+++ b/packages/core/autoscaling/bin-packing.ts
@@ -1,34 +1,36 @@
+/** Packs tasks into the bins of a plan, and adds bins for what finds no capacity. */
 import type { Job, MachineType } from '#wire';
 import { addAmounts, ZERO_AMOUNTS } from '../model/amounts.js';
+import { isReservedForOther } from '../placement/availability.js';
 import {
-  MachineKind,
+  type MachineKind,
   requirementsKey,
-  tasksThatFit,
+  taskCapacity,
   typeFits,
   zoneCap,
 } from '../placement/bin-packing.js';
-import { kindKey, Refusals, ScaleOutRequest } from './refusals.js';
-import { emptySlot, holds, Slot, StandingSlot, reserveCapacity } from './slots.js';
+import { type Bin, canHold, emptyBin, type ExistingBin, packTasks } from './bins.js';
+import { kindKey, type ScaleOutRefusals, type ScaleOutRequest } from './refusals.js';
 
-/** Most tasks of one machine that its price is divided by, if tasks need next to nothing. */
+/** Number of tasks by which a machine's price is divided at the most, if tasks need next to nothing. */
 const MOST_PRICE_SHARES = 1000;
 /** The price counts double when a zone has so many machines, so that zones fill alike. */
 const CROWDED_ZONE_MACHINES = 1000;
 
-/** A kind of machine that may be rented for tasks, and its price per hour and task. */
+/** A kind of machine that may be provisioned for tasks, and its price per hour and task. */
 interface PricedKind {
   kind: MachineKind;
   price: number;
 }
 
-/** What is found out once for all tasks of the same requirements. */
+/** What is computed once for all tasks of the same requirements. */
 interface Requirements {
   /**
-   * How many slots at the head of each list have no room. Room only shrinks while a plan is made, so
-   * these need not be looked at again: else each task looked at every machine.
+   * How many bins at the head of each list are full. Capacity only shrinks while a plan is made, so these
+   * need not be visited again: else each task would visit every machine.
    */
-  full: { standing: number; provisioned: number };
-  /** Kinds to rent, less those that the cloud has just refused. */
+  full: { existing: number; provisioned: number };
+  /** Kinds to provision, without those that the cloud has just refused. */
   kinds: PricedKind[];
 }
 
@@ -36,81 +38,81 @@
 export interface PackingRequest {
   job: Job;
   /** Id of the gang whose reserved machines may be used. */
-  gang: string | null;
+  gangId: string | null;
   /** Tasks of the job by zone, which bound how many more one zone takes; null if nothing bounds them. */
   tasksByZone: Map<string, number> | null;
   requirements: Requirements;
 }
 
 /** Tasks that were packed on one machine. */
-export interface Packed {
-  slot: Slot;
+export interface PackedTasks {
+  bin: Bin;
   tasks: number;
 }
 
-/** What a plan starts from: machines that stand or boot, types by name, and what is not to be had. */
+/** What a plan starts from: machines that are up or boot, types by name, and what the cloud refuses. */
 export interface PackingOptions {
-  standing: StandingSlot[];
+  existing: ExistingBin[];
   types: ReadonlyMap<string, MachineType>;
-  refusals: Refusals;
+  refusals: ScaleOutRefusals;
   now: number;
 }
 
-/** Packs tasks into machines that stand, and rents machines in mind for what has no room there. */
-export class SlotPacking {
-  readonly standing: StandingSlot[];
-  /** Machines that would be rented. */
-  readonly provisioned: Slot[] = [];
+/** Packs tasks into existing machines, and into machines to provision once these are full. */
+export class BinPacking {
+  /** Machines that are up or boot. */
+  readonly existing: ExistingBin[];
+  /** Machines that would be provisioned. */
+  readonly provisioned: Bin[] = [];
   private readonly machinesByZone = new Map<string, number>();
   private readonly byRequirements = new Map<string, Requirements>();
 
   constructor(private readonly options: PackingOptions) {
-    this.standing = options.standing;
-    for (const { zone } of this.standing) this.countMachine(zone);
+    this.existing = options.existing;
+    for (const { zone } of this.existing) this.countMachine(zone);
   }
 
-  /** Groups what `place` needs to know of a job's tasks; to be made once for many of them. */
+  /** What `place` needs to know of a job's tasks; to be made once for many of them. */
   request(job: Job, gang: string | null, tasksByZone: Map<string, number> | null): PackingRequest {
-    return { job, gang, tasksByZone, requirements: this.requirementsOf(job) };
+    return { job, gangId: gang, tasksByZone, requirements: this.requirementsOf(job) };
   }
 
   /**
-   * Takes room for up to `count` tasks on one machine, as many as it has room for. Null if there is none
-   * and the cloud refuses all kinds that would do.
+   * Packs up to `count` tasks on one machine, as many as it has capacity for. Null if none has any and the
+   * cloud refuses all kinds that would do.
    */
-  place(request: PackingRequest, count: number): Packed | null {
-    const slot =
-      this.firstWithCapacity('standing', request) ??
+  place(request: PackingRequest, count: number): PackedTasks | null {
+    const bin =
+      this.firstWithCapacity('existing', request) ??
       this.firstWithCapacity('provisioned', request) ??
       this.provision(request);
-    if (slot === null) return null;
-    const tasks = Math.min(count, capacityFor(request, slot));
-    reserveCapacity(slot, request.job, tasks);
-    return { slot, tasks };
+    if (bin === null) return null;
+    const tasks = Math.min(count, capacityFor(request, bin));
+    packTasks(bin, request.job, tasks);
+    return { bin, tasks };
   }
 
   /**
-   * The zone for tasks that must be in the same one: where standing machines have room for all of them, or else where
-   * machines can be rented; null if there is none.
+   * The zone for tasks that must be in the same one: where existing machines have capacity for all of them,
+   * or else where machines can be provisioned; null if there is none.
    */
   zoneForAll({ job, requirements }: PackingRequest, count: number): string | null {
     const capacityByZone = new Map<string, number>();
-    for (const slot of this.standing) {
-      if (slot.reservedForGang !== null || !holds(slot, job)) continue;
-      const capacity =
-        (capacityByZone.get(slot.zone) ?? 0) + tasksThatFit(job, slot.used, slot.type);
-      if (capacity >= count) return slot.zone;
-      capacityByZone.set(slot.zone, capacity);
+    for (const bin of this.existing) {
+      if (bin.reservedForGang !== null || !canHold(bin, job)) continue;
+      const capacity = (capacityByZone.get(bin.zone) ?? 0) + taskCapacity(job, bin.used, bin.type);
+      if (capacity >= count) return bin.zone;
+      capacityByZone.set(bin.zone, capacity);
     }
-    return this.cheapestKind({ job, gang: null, tasksByZone: null, requirements })?.zone ?? null;
+    return this.cheapestKind({ job, gangId: null, tasksByZone: null, requirements })?.zone ?? null;
   }
 
-  /** From now on what best-effort work takes of the standing machines counts, too. */
+  /** From now on what best-effort work takes of the existing machines counts, too. */
   countBestEffort(): void {
-    for (const { machine, used } of this.standing) addAmounts(used, machine.usedBestEffort, 1);
+    for (const { machine, used } of this.existing) addAmounts(used, machine.usedBestEffort, 1);
   }
 
-  /** The machines to rent, by kind. */
+  /** The machines to provision, by kind. */
   scaleOutRequests(): ScaleOutRequest[] {
     const byKind = new Map<string, ScaleOutRequest>();
     for (const { type, zone, spot } of this.provisioned) {
@@ -130,7 +132,7 @@
     const key = requirementsKey(job);
     let requirements = this.byRequirements.get(key);
     if (!requirements) {
-      requirements = { full: { standing: 0, provisioned: 0 }, kinds: this.kindsFor(job) };
+      requirements = { full: { existing: 0, provisioned: 0 }, kinds: this.kindsFor(job) };
       this.byRequirements.set(key, requirements);
     }
     return requirements;
@@ -141,7 +143,7 @@
     const kinds: PricedKind[] = [];
     for (const type of types.values()) {
       if (!typeFits(job, type)) continue;
-      const fitting = tasksThatFit(job, ZERO_AMOUNTS, type);
+      const fitting = taskCapacity(job, ZERO_AMOUNTS, type);
       const shares = Math.max(1, Math.min(MOST_PRICE_SHARES, fitting));
       for (const kind of kindsOfType(job, type)) {
         if (refusals.includes(kind, now)) continue;
@@ -151,32 +153,29 @@
     return kinds;
   }
 
-  private firstWithCapacity(
-    list: 'standing' | 'provisioned',
-    request: PackingRequest,
-  ): Slot | null {
-    const { job, gang, tasksByZone, requirements } = request;
-    const slots: Slot[] = this[list];
-    // What is reserved for a gang has room, though for that gang only.
+  private firstWithCapacity(list: 'existing' | 'provisioned', request: PackingRequest): Bin | null {
+    const { job, gangId, tasksByZone, requirements } = request;
+    const bins: Bin[] = this[list];
+    // A machine that is reserved for a gang is not full, though it has capacity for that gang only.
     let full = requirements.full[list];
-    while (full < slots.length && !holds(slots[full], job)) full++;
+    while (full < bins.length && !canHold(bins[full], job)) full++;
     requirements.full[list] = full;
-    for (let i = full; i < slots.length; i++) {
-      const slot = slots[i];
-      if (!holds(slot, job)) continue;
-      if (slot.reservedForGang !== null && slot.reservedForGang !== gang) continue;
-      if (!isZoneFull(job, slot.zone, tasksByZone)) return slot;
+    for (let i = full; i < bins.length; i++) {
+      const bin = bins[i];
+      if (!canHold(bin, job)) continue;
+      if (isReservedForOther(bin.reservedForGang, gangId)) continue;
+      if (!isZoneFull(job, bin.zone, tasksByZone)) return bin;
     }
     return null;
   }
 
-  private provision(request: PackingRequest): Slot | null {
+  private provision(request: PackingRequest): Bin | null {
     const kind = this.cheapestKind(request);
     if (!kind) return null;
-    const slot = emptySlot(kind);
-    this.provisioned.push(slot);
-    this.countMachine(slot.zone);
-    return slot;
+    const bin = emptyBin(kind);
+    this.provisioned.push(bin);
+    this.countMachine(bin.zone);
+    return bin;
   }
 
   private cheapestKind({ job, tasksByZone, requirements }: PackingRequest): MachineKind | null {
@@ -204,11 +203,11 @@
     });
 }
 
-/** Tasks that the slot has room for, and that its zone may still take; one at least, since one was found to fit. */
-function capacityFor({ job, tasksByZone }: PackingRequest, { used, type, zone }: Slot): number {
+/** Tasks that the bin and its zone have capacity for; at least one, since one was found to have. */
+function capacityFor({ job, tasksByZone }: PackingRequest, { used, type, zone }: Bin): number {
   const inZone = tasksByZone?.get(zone) ?? 0;
   const zoneCapacity = tasksByZone === null ? Infinity : zoneCap(job) - inZone;
-  return Math.max(1, Math.min(tasksThatFit(job, used, type), zoneCapacity));
+  return Math.max(1, Math.min(taskCapacity(job, used, type), zoneCapacity));
 }
 
 function isZoneFull(job: Job, zone: string, tasksByZone: Map<string, number> | null): boolean {
--- a/packages/core/autoscaling/capacity-planner.test.ts
+++ b/packages/core/autoscaling/capacity-planner.test.ts
@@ -12,11 +12,11 @@
   return new CapacityPlanner({ fleet, settings: SETTINGS, objectives: OBJECTIVES, teams: TEAMS });
 }
 
-function rented(planner: CapacityPlanner, now: number): number {
+function provisionedCount(planner: CapacityPlanner, now: number): number {
   return planner.plan(now).scaleOut.reduce((sum, r) => sum + r.count, 0);
 }
 
-test('replicas that come faster than they end are rented for ahead, and only those', () => {
+test('replicas that come faster than they end are provisioned for ahead, and only those', () => {
   // Guards against a growing fleet that is always one boot behind: in the first minutes replicas
   // waited for a boot each time, since only the swing of arrivals was kept in reserve.
   const service = aJob({ kind: 'service', tasks: 2 });
@@ -29,12 +29,12 @@
   }
   const batch = aPlanner();
   for (let t = 0; t < 120; t++) batch.jobArrived(aJob({ tasks: 2 }), t);
-  assert.ok(rented(grows, 120) > 10);
-  assert.equal(rented(steady, 120), 0);
-  assert.equal(rented(batch, 120), 0);
-  // After a take-over it is not known what has ended, and all that stands there is no growth.
+  assert.ok(provisionedCount(grows, 120) > 10);
+  assert.equal(provisionedCount(steady, 120), 0);
+  assert.equal(provisionedCount(batch, 120), 0);
+  // After a failover it is not known what has ended, and all that stands there is no growth.
   grows.assumeSteady(120);
-  assert.equal(rented(grows, 120), 0);
+  assert.equal(provisionedCount(grows, 120), 0);
 });
 
 test('the reserve of a class goes soon after nothing more comes', () => {
@@ -46,13 +46,13 @@
     teams: TEAMS,
   });
   for (let t = 0; t < 240; t++) planner.jobArrived(aJob(), t);
-  const during = rented(planner, 240);
+  const during = provisionedCount(planner, 240);
   assert.ok(during >= 3);
-  assert.ok(rented(planner, 240 + STD.bootS) <= during / 2);
+  assert.ok(provisionedCount(planner, 240 + STD.bootS) <= during / 2);
 });
 
 test('an empty machine is held shorter once nothing more comes', () => {
-  // Guards against gangs that wait for a boot since whole machines were given back between them, and
+  // Guards against gangs that wait for a boot since whole machines were scaled in between them, and
   // against machines that are kept for nobody after the last job.
   const goes = (lastAt: number) => {
     const fleet = aFleet();
@@ -67,7 +67,7 @@
 
 test('a boot that is late by what boots take at present is replaced', () => {
   // Guards against replicas that wait minutes for a machine that comes late or never, and against
-  // renting all anew on days when every boot takes longer.
+  // provisioning all again on days when every boot takes longer.
   const late = (boots: number[]) => {
     const fleet = aFleet();
     const planner = aPlanner(fleet);
@@ -81,7 +81,7 @@
       0,
     );
     fleet.addJob(aJob(), 0, 'accepted', 0);
-    return [STD.bootS, 1.5 * STD.bootS, 3 * STD.bootS].map((age) => rented(planner, age));
+    return [STD.bootS, 1.5 * STD.bootS, 3 * STD.bootS].map((age) => provisionedCount(planner, age));
   };
   assert.deepEqual(late([30, 31, 29, 120]), [0, 1, 1]);
   assert.deepEqual(late([45, 50, 44, 48]), [0, 0, 1]);
--- a/packages/core/autoscaling/consolidation.test.ts
+++ b/packages/core/autoscaling/consolidation.test.ts
@@ -12,9 +12,9 @@
   return new CapacityPlanner({ fleet, settings: SETTINGS, objectives: OBJECTIVES, teams: TEAMS });
 }
 
-test('a machine is emptied only if its replicas find room beside their image', () => {
+test('a machine is emptied only if its replicas find capacity beside their image', () => {
   // Guards against a fleet that ends as many machines with one replica each, and against replicas
-  // that are moved to where they would wait for their image, or into room that is counted on.
+  // that are moved to where they would wait for their image, or into capacity that is counted on.
   const emptied = (image: string, waiting: number, ranS: number) => {
     const fleet = aFleet();
     const machines = ['n-1', 'n-2'].map((name) => aMachine(fleet, name));
--- a/packages/core/autoscaling/consolidation.ts
+++ b/packages/core/autoscaling/consolidation.ts
@@ -1,101 +1,65 @@
+/** Consolidation: finds a little used machine whose replicas other machines have capacity for. */
 import type { Job, MachineType } from '#wire';
-import { isUsable } from '../placement/availability.js';
-import { addAmounts, Amounts, ROUNDING } from '../model/amounts.js';
-import { firmUse, mayRunToEnd } from '../fair-share/best-effort.js';
-import { chooseMachine } from '../placement/choose-machine.js';
-import { bindingZones, hasCapacity, kindAllowed } from '../placement/bin-packing.js';
+import { firmUse } from '../fair-share/best-effort.js';
 import type { FleetState } from '../fleet-state.js';
-import { HOLD_HEARTBEATS } from '../preemption/capacity-holds.js';
+import { addAmounts, type Amounts, ROUNDING } from '../model/amounts.js';
 import type { Assignment, Machine } from '../model/model.js';
-import { PlacementCandidates } from '../placement/placement-candidates.js';
+import { isUsable } from '../placement/availability.js';
+import { hasCapacity, kindAllowed } from '../placement/bin-packing.js';
 import { isPastStartWindow } from '../preemption/start-window.js';
-import type { StandingSlot } from './slots.js';
+import type { ExistingBin } from './bins.js';
 
-/** No machine that is used more than this is emptied. */
+/** No machine of which firm work uses a larger share is emptied. */
 const MOST_USED = 0.5;
 
-/** A replica and the machine that has room for it. */
+/** A replica and the machine that has capacity for it. */
 export interface Move {
   task: Assignment;
   to: Machine;
 }
 
-/** A machine that can be given back once its replicas run elsewhere. */
+/** A machine that can be scaled in once its replicas run elsewhere. */
 export interface Consolidation {
   machine: Machine;
   moves: Move[];
 }
 
 /**
- * The dearest machine, per replica on it, whose replicas all find room beside their image on machines
- * of the same zone that are used more. Such a move takes a stop and a start without a fetch. Without
- * moves, a fleet whose demand falls ends as many machines with one replica each.
+ * The most expensive machine, per replica on it, whose replicas all find capacity on machines of the same
+ * zone that have their image and are used more; null if there is none. Such a move takes a stop and a
+ * start without a fetch. Without moves, a fleet whose demand falls ends as many machines with one replica
+ * each.
  */
 export function findConsolidation(
   fleet: FleetState,
-  slots: StandingSlot[],
+  bins: ExistingBin[],
   now: number,
 ): Consolidation | null {
-  const candidates = slots
-    .filter((slot) => canBeEmptied(fleet, slot, now))
+  const candidates = bins
+    .filter((bin) => canBeEmptied(fleet, bin, now))
     .sort((a, b) => pricePerTask(b) - pricePerTask(a) || bestEffortOn(a) - bestEffortOn(b));
-  for (const slot of candidates) {
-    const moves = findMoves(fleet, slot, slots, now);
-    if (moves) return { machine: slot.machine, moves };
+  for (const bin of candidates) {
+    const moves = findMoves(fleet, bin, bins, now);
+    if (moves) return { machine: bin.machine, moves };
   }
   return null;
 }
 
-/** Takes the replicas off a machine that is to be given back; the room found for them is held. */
-export function startConsolidation(
-  fleet: FleetState,
-  { machine, moves }: Consolidation,
-  now: number,
-): void {
-  beginScaleIn(fleet, machine, now);
-  for (const { task, to } of moves) {
-    if (to.capacityHold === null) {
-      fleet.holds.hold(to, task.job, now + HOLD_HEARTBEATS * fleet.settings.heartbeatIntervalS);
-    }
-    fleet.assignments.stopGracefully(task, now);
-  }
-}
-
-/**
- * Takes nothing more on the machine, so that it is given back once it is empty. Best-effort tasks that
- * are not let end begin anew elsewhere, if there is room, though a job only as often as it has tasks: in
- * a fleet that shrinks they would go from machine to machine and never end.
- */
-export function beginScaleIn(fleet: FleetState, machine: Machine, now: number): void {
-  fleet.machines.drain(machine);
-  let candidates = new PlacementCandidates(fleet, now);
-  for (const task of [...machine.tasks.values()]) {
-    const { job, stop } = task;
-    if (!job.isBestEffort || stop !== null || mayRunToEnd(fleet, task, now)) continue;
-    if (job.tasksMoved >= job.spec.tasks) continue;
-    if (chooseMachine(fleet, job, bindingZones(job), candidates, now) === null) continue;
-    job.tasksMoved++;
-    fleet.assignments.stopGracefully(task, now);
-    // The rest of a gang that was not started yet is gone at once, and there is room where it was.
-    if (job.spec.kind === 'gang') candidates = new PlacementCandidates(fleet, now);
-  }
-}
-
-function canBeEmptied(fleet: FleetState, slot: StandingSlot, now: number): boolean {
-  const { machine, type, used, reservedForGang } = slot;
+function canBeEmptied(fleet: FleetState, bin: ExistingBin, now: number): boolean {
+  const { machine, type, used, reservedForGang } = bin;
   if (machine.firmTasks === 0 || load(machine, type) > MOST_USED) return false;
   if (!isUsable(machine, fleet.settings.machineRecordBytes, now)) return false;
-  // Room there that others count on is not given up.
+  // Machines that a gang is waiting for, or that the plan has packed more work on, are kept.
   if (reservedForGang !== null || used.cpus > firmUse(machine).cpus + ROUNDING) return false;
   return firmTasksOf(machine).every((task) => isMovable(task, now));
 }
 
-function pricePerTask({ machine, type }: StandingSlot): number {
+function pricePerTask({ machine, type }: ExistingBin): number {
   return type.price / machine.firmTasks;
 }
 
-/** Best-effort tasks there, each of which may have to begin anew. */
-function bestEffortOn({ machine }: StandingSlot): number {
+/** Best-effort tasks there, each of which may have to start again. */
+function bestEffortOn({ machine }: ExistingBin): number {
   return machine.tasks.size - machine.firmTasks;
 }
 
@@ -106,22 +70,22 @@
   return isSingle && stop === null && hasStarted && reportedState === 'running';
 }
 
-/** A machine for each task of the slot, or null if one finds none. */
+/** A machine for each firm task of the bin, or null if one finds none. */
 function findMoves(
   fleet: FleetState,
-  from: StandingSlot,
-  slots: StandingSlot[],
+  from: ExistingBin,
+  bins: ExistingBin[],
   now: number,
 ): Move[] | null {
-  const taken = new Map<StandingSlot, Amounts>();
+  const taken = new Map<ExistingBin, Amounts>();
   const moves: Move[] = [];
   for (const task of firmTasksOf(from.machine)) {
     const { spec } = task.job;
-    const target = slots.find(
-      (slot) =>
-        slot !== from &&
-        canReceive(fleet, slot, from, spec, now) &&
-        hasCapacity(spec, taken.get(slot) ?? slot.used, slot.type),
+    const target = bins.find(
+      (bin) =>
+        bin !== from &&
+        canReceive(fleet, bin, from, spec, now) &&
+        hasCapacity(spec, taken.get(bin) ?? bin.used, bin.type),
     );
     if (!target) return null;
     const used = taken.get(target) ?? { ...target.used };
@@ -132,11 +96,11 @@
   return moves;
 }
 
-/** Whether replicas of the job may move there from the other machine, room apart. */
+/** Whether replicas of the job may move there from the other machine, if there is capacity. */
 function canReceive(
   fleet: FleetState,
-  { machine, type, reservedForGang }: StandingSlot,
-  from: StandingSlot,
+  { machine, type, reservedForGang }: ExistingBin,
+  from: ExistingBin,
   job: Job,
   now: number,
 ): boolean {
--- /dev/null
+++ b/packages/core/autoscaling/scale-in.ts
@@ -0,0 +1,44 @@
+/** Starts to scale in: drains machines, and moves what runs there. */
+import type { FleetState } from '../fleet-state.js';
+import { mayRunToEnd } from '../fair-share/best-effort.js';
+import type { Machine } from '../model/model.js';
+import { bindingZones } from '../placement/bin-packing.js';
+import { chooseMachine } from '../placement/choose-machine.js';
+import { PlacementCandidates } from '../placement/placement-candidates.js';
+import { HOLD_HEARTBEATS } from '../preemption/capacity-holds.js';
+import type { Consolidation } from './consolidation.js';
+
+/** Stops the replicas on a machine that is to be scaled in; the capacity found for them is held. */
+export function startConsolidation(
+  fleet: FleetState,
+  { machine, moves }: Consolidation,
+  now: number,
+): void {
+  beginScaleIn(fleet, machine, now);
+  for (const { task, to } of moves) {
+    if (to.capacityHold === null) {
+      fleet.holds.hold(to, task.job, now + HOLD_HEARTBEATS * fleet.settings.heartbeatIntervalS);
+    }
+    fleet.assignments.stopGracefully(task, now);
+  }
+}
+
+/**
+ * Drains the machine, so that it is deprovisioned once it is empty. Best-effort tasks that may not run to
+ * their end start again elsewhere, if there is capacity, but a job only as often as it has tasks: in a
+ * fleet that shrinks they would go from machine to machine and never end.
+ */
+export function beginScaleIn(fleet: FleetState, machine: Machine, now: number): void {
+  fleet.machines.drain(machine);
+  let candidates = new PlacementCandidates(fleet, now);
+  for (const task of [...machine.tasks.values()]) {
+    const { job, stop } = task;
+    if (!job.isBestEffort || stop !== null || mayRunToEnd(fleet, task, now)) continue;
+    if (job.tasksMoved >= job.spec.tasks) continue;
+    if (chooseMachine(fleet, job, bindingZones(job), candidates, now) === null) continue;
+    job.tasksMoved++;
+    fleet.assignments.stopGracefully(task, now);
+    // The rest of a gang that was not started yet is gone at once, which leaves capacity elsewhere.
+    if (job.spec.kind === 'gang') candidates = new PlacementCandidates(fleet, now);
+  }
+}
--- /dev/null
+++ b/packages/core/autoscaling/waiting-work.ts
@@ -0,0 +1,149 @@
+/** Packs the jobs that wait into the bins of a plan. */
+import type { Job } from '#wire';
+import { mayScaleOutFor } from '../fair-share/best-effort.js';
+import { byAge } from '../fair-share/job-order.js';
+import { type TeamQuota, timesWithinLimit } from '../fair-share/team-quota.js';
+import { oldestFirst } from '../fair-share/waiting-order.js';
+import type { FleetState } from '../fleet-state.js';
+import { addAmounts, type Amounts, multipliedAmounts } from '../model/amounts.js';
+import type { JobState } from '../model/model.js';
+import { needsOneZone } from '../model/replica-groups.js';
+import type { BinPacking } from './bin-packing.js';
+import type { ExistingBin } from './bins.js';
+
+/** Tasks of one job that a plan packs; the next plan packs what is left. */
+const MOST_TASKS_PLANNED = 2000;
+/** Jobs of one bucket that a plan visits. */
+const MOST_JOBS_PLANNED = 500;
+/** Machines on which a plan packs tasks of a starved best-effort job. */
+const BEST_EFFORT_MACHINES = 1;
+/** When jobs are ordered by size, one accelerator counts as much as so many processors. */
+const CPUS_PER_GPU = 1000;
+
+/** The waiting work of one plan, made at `now` (seconds of the steady clock). */
+export class WaitingWork {
+  private readonly firm: JobState[] = [];
+  private readonly starvedBestEffort: JobState[];
+  /** Amounts by team, what the plan has packed included. */
+  private readonly usage = new Map<string, Amounts>();
+
+  constructor(
+    private readonly fleet: FleetState,
+    private readonly teams: ReadonlyMap<string, TeamQuota>,
+    private readonly packing: BinPacking,
+    private readonly now: number,
+  ) {
+    const bestEffort: JobState[] = [];
+    for (const bucket of fleet.jobs.waiting.buckets()) {
+      const jobs = firstOf(this.requestingCapacity(oldestFirst([bucket])), MOST_JOBS_PLANNED);
+      (bucket.isBestEffort ? bestEffort : this.firm).push(...jobs);
+    }
+    this.starvedBestEffort = bestEffort.filter((job) => mayScaleOutFor(fleet, job, now));
+  }
+
+  /** Packs the firm jobs as if best-effort work were not there. */
+  packFirm(): void {
+    for (const job of this.firm.sort(byRankAndSize)) this.packJob(job, Infinity);
+  }
+
+  /** Packs the best-effort jobs that have waited long without any task, beside all other work. */
+  packStarvedBestEffort(): void {
+    if (this.starvedBestEffort.length === 0) return;
+    this.packing.countBestEffort();
+    for (const job of this.starvedBestEffort.sort(byRankAndSize)) {
+      this.packJob(job, BEST_EFFORT_MACHINES);
+    }
+  }
+
+  /** Those jobs whose failures don't speak against scaling out for them. */
+  private *requestingCapacity(jobs: Iterable<JobState>): Generator<JobState> {
+    for (const job of jobs) if (this.fleet.failures.mayRequestCapacity(job, this.now)) yield job;
+  }
+
+  /** Packs tasks of the job, as far as its team's limit allows, on `mostMachines` each time at the most. */
+  private packJob(job: JobState, mostMachines: number): void {
+    const { spec } = job;
+    const quota = this.teams.get(spec.team);
+    if (!quota) return;
+    const used = this.usageOf(spec.team);
+    const zones = new Map<string, number>();
+    const most = Math.min(this.plannedTasks(job), timesWithinLimit(quota, used, spec));
+    const together = job.replicas?.members ?? most;
+    for (let left = most; left > 0; left -= together) {
+      const tasks = Math.min(left, together);
+      const packed = this.packTogether(job, tasks, zones, mostMachines);
+      addAmounts(used, multipliedAmounts(spec, packed), 1);
+      if (packed < tasks) return;
+    }
+  }
+
+  private usageOf(team: string): Amounts {
+    let used = this.usage.get(team);
+    if (!used) this.usage.set(team, (used = { ...this.fleet.usage.ofTeam(team) }));
+    return used;
+  }
+
+  private plannedTasks(job: JobState): number {
+    const { jobs, failures } = this.fleet;
+    const startable = Math.min(jobs.waitingCount(job), failures.startableTasks(job));
+    return Math.min(startable, MOST_TASKS_PLANNED);
+  }
+
+  /**
+   * Packs up to `count` tasks of a job, or of one replica, on at most so many machines; returns how many
+   * found capacity. `zones` counts the job's tasks packed so far.
+   */
+  private packTogether(
+    job: JobState,
+    count: number,
+    zones: Map<string, number>,
+    mostMachines: number,
+  ): number {
+    const { packing } = this;
+    const { spec, replicas } = job;
+    const oneZone = needsOneZone(job);
+    const zone = zoneToPack(spec, packing.existing);
+    let request = packing.request({ ...spec, zone }, spec.id, zones);
+    if (replicas !== null && oneZone && zone === null) {
+      const chosen = packing.zoneForAll(request, count);
+      request = packing.request({ ...spec, zone: chosen }, spec.id, zones);
+    }
+    let left = count;
+    for (let machines = 0; left > 0 && machines < mostMachines; machines++) {
+      const packed = packing.place(request, left);
+      if (!packed) break;
+      const { bin, tasks } = packed;
+      if (oneZone && request.job.zone === null) {
+        request = packing.request({ ...spec, zone: bin.zone }, spec.id, zones);
+      }
+      zones.set(bin.zone, (zones.get(bin.zone) ?? 0) + tasks);
+      left -= tasks;
+    }
+    return count - left;
+  }
+}
+
+/** Where a job that must stay in one zone is packed: where machines are reserved for it, if any are. */
+function zoneToPack(job: Job, existing: ExistingBin[]): string | null {
+  if (!job.oneZone) return job.zone;
+  return existing.find((bin) => bin.reservedForGang === job.id)?.zone ?? job.zone;
+}
+
+function firstOf<T>(items: Iterable<T>, most: number): T[] {
+  const first: T[] = [];
+  for (const item of items) {
+    if (first.length === most) break;
+    first.push(item);
+  }
+  return first;
+}
+
+/** Higher ranks first, then whole-machine work before what goes into gaps, then the oldest. */
+function byRankAndSize(a: JobState, b: JobState): number {
+  return a.rank - b.rank || sizeOf(b.spec) - sizeOf(a.spec) || byAge(a, b);
+}
+
+/** Accelerators count before processors. */
+function sizeOf(job: Job): number {
+  return job.gpus * CPUS_PER_GPU + job.cpus;
+}
--- a/packages/core/fair-share/waiting-jobs.ts
+++ b/packages/core/fair-share/waiting-jobs.ts
@@ -1,5 +1,5 @@
 /** All waiting jobs of the fleet. */
-import { conditionsKey } from '../placement/bin-packing.js';
+import { constraintsKey } from '../placement/bin-packing.js';
 import type { JobState } from '../model/model.js';
 import { membersOf } from '../model/replica-groups.js';
 import { WaitingBucket } from './waiting-bucket.js';
@@ -81,5 +81,5 @@
 function bucketKey(job: JobState): string {
   const { spec, rank } = job;
   const { team, kind, gpus } = spec;
-  return `${team} ${rank} ${String(kind === 'gang')} ${gpus} ${membersOf(job)} ${conditionsKey(spec)}`;
+  return `${team} ${rank} ${String(kind === 'gang')} ${gpus} ${membersOf(job)} ${constraintsKey(spec)}`;
 }
--- a/packages/core/index.ts
+++ b/packages/core/index.ts
@@ -9,6 +9,7 @@
 export * from './heartbeats/direct-orders.js';
 export * from './placement/bin-packing.js';
 export * from './fleet-state.js';
+export * from './autoscaling/scale-in.js';
 export type { Dependencies } from './model/job-dependencies.js';
 export type { BestEffortTest } from './model/job-registry.js';
 export { LARGEST_ENTRY } from './model/machine-record-size.js';
--- a/packages/core/placement/bin-packing.ts
+++ b/packages/core/placement/bin-packing.ts
@@ -42,7 +42,7 @@
 }
 
 /** For how many tasks of the job there is capacity beside what is used; Infinity if they need nothing. */
-export function tasksThatFit(job: Job, used: Readonly<Amounts>, type: MachineType): number {
+export function taskCapacity(job: Job, used: Readonly<Amounts>, type: MachineType): number {
   return Math.max(
     0,
     Math.min(
@@ -91,12 +91,12 @@
 }
 
 /** Equal for jobs with the same constraints on machines, amounts and zones of their other tasks apart. */
-export function conditionsKey(job: Job): string {
+export function constraintsKey(job: Job): string {
   const types = job.types === null ? '*' : job.types.join(',');
   return `${types} ${job.zone ?? '*'} ${String(job.spot)}`;
 }
 
 /** Equal for jobs with the same amounts and constraints, zones of their other tasks apart. */
 export function requirementsKey(job: Job): string {
-  return `${job.cpus} ${job.gpus} ${job.memory} ${conditionsKey(job)}`;
+  return `${job.cpus} ${job.gpus} ${job.memory} ${constraintsKey(job)}`;
 }
--- a/packages/core/placement/blocked-shapes.ts
+++ b/packages/core/placement/blocked-shapes.ts
@@ -2,7 +2,7 @@
 import type { Job } from '#wire';
 import type { Amounts } from '../model/amounts.js';
 import type { JobState } from '../model/model.js';
-import { conditionsKey, isBoundByZones } from './bin-packing.js';
+import { constraintsKey, isBoundByZones } from './bin-packing.js';
 
 /**
  * Which capacity a job may use in a round; jobs of the same access fail alike. A best-effort job may use
@@ -51,7 +51,7 @@
 }
 
 function shapeKey(job: Job, access: CapacityAccess): string {
-  return `${access} ${conditionsKey(job)}`;
+  return `${access} ${constraintsKey(job)}`;
 }
 
 function covers(blocked: BlockedShape, { need, rank }: BlockedShape): boolean {
--- a/packages/core/placement/choose-machines-together.ts
+++ b/packages/core/placement/choose-machines-together.ts
@@ -3,7 +3,7 @@
 import { mostEntryBytes } from '../model/machine-record-size.js';
 import type { JobState, Machine } from '../model/model.js';
 import { isReservedForOther } from './availability.js';
-import { bindingZones, tasksThatFit, zoneAllowed, zoneCap } from './bin-packing.js';
+import { bindingZones, taskCapacity, zoneAllowed, zoneCap } from './bin-packing.js';
 import type { PlacementCandidates } from './placement-candidates.js';
 
 /** Tasks that are placed together or not at all: those of a gang, or the members of one replica. */
@@ -69,7 +69,7 @@
     const capacity = Math.min(
       request.tasks,
       Math.floor((machineRecordBytes - machine.recordBytes) / entrySize),
-      tasksThatFit(spec, machine.used, type),
+      taskCapacity(spec, machine.used, type),
     );
     if (capacity > 0) options.push({ machine, capacity, cost });
   }
--- a/packages/core/placement/gang-reservations.ts
+++ b/packages/core/placement/gang-reservations.ts
@@ -2,7 +2,7 @@
 import type { MachineType } from '#wire';
 import { ZERO_AMOUNTS } from '../model/amounts.js';
 import { isCordoned } from './availability.js';
-import { kindAllowed, tasksThatFit } from './bin-packing.js';
+import { kindAllowed, taskCapacity } from './bin-packing.js';
 import type { FleetState } from '../fleet-state.js';
 import { byRankAndAge } from '../fair-share/job-order.js';
 import type { MachineRegistry } from '../model/machine-registry.js';
@@ -142,7 +142,7 @@
     let collected = byZone.get(zone);
     if (!collected) byZone.set(zone, (collected = { machines: [], capacity: 0 }));
     collected.machines.push(machine);
-    collected.capacity += tasksThatFit(spec, ZERO_AMOUNTS, type);
+    collected.capacity += taskCapacity(spec, ZERO_AMOUNTS, type);
     if (collected.capacity < spec.tasks) continue;
     chosen = collected.machines;
     break;
