--- a/packages/core/autoscaling/bin-packing.ts
+++ b/packages/core/autoscaling/bin-packing.ts
@@ -107,7 +107,7 @@
     return this.cheapestKind({ job, gangId: null, tasksByZone: null, requirements })?.zone ?? null;
   }
 
-  /** From now on what best-effort work takes of the existing machines counts, too. */
+  /** From now on what best-effort work uses of the existing machines counts, too. */
   countBestEffort(): void {
     for (const { machine, used } of this.existing) addAmounts(used, machine.usedBestEffort, 1);
   }
--- a/packages/core/autoscaling/bins.ts
+++ b/packages/core/autoscaling/bins.ts
@@ -11,7 +11,7 @@
 export interface Bin extends MachineKind {
   /** Null if it would be provisioned. */
   machine: Machine | null;
-  /** What firm work takes of it, what the plan has packed included. */
+  /** The amounts that firm work uses, with what the plan has packed. */
   used: Amounts;
   /** Firm work is there, or the plan has packed something. */
   isNeeded: boolean;
@@ -70,7 +70,7 @@
   return { machine: null, type, zone, spot, used, isNeeded: false, reservedForGang: null };
 }
 
-/** Whether one more task of the job has capacity there and may go there, zones of its other tasks apart. */
+/** Whether one more task of the job has capacity there and may go there; zones of its other tasks are checked elsewhere. */
 export function canHold(bin: Bin, job: Job): boolean {
   const { used, type, zone, spot } = bin;
   return hasCapacity(job, used, type) && kindAllowed(job, type, zone, spot);
--- a/packages/core/fair-share/best-effort.ts
+++ b/packages/core/fair-share/best-effort.ts
@@ -21,7 +21,7 @@
   return rank === LOWEST_RANK && !hasGuarantee(quota);
 }
 
-/** What all but best-effort tasks take of the machine. */
+/** The amounts that firm tasks use on the machine. */
 export function firmUse({ used, usedBestEffort }: Machine): Amounts {
   const firm = { ...used };
   addAmounts(firm, usedBestEffort, -1);
--- a/packages/core/fair-share/fair-shares.ts
+++ b/packages/core/fair-share/fair-shares.ts
@@ -1,7 +1,7 @@
 /** Fair shares: where teams stand towards their quota, and whose turn it is (docs/design.md). */
 import type { Job } from '#wire';
 import type { FleetState } from '../fleet-state.js';
-import type { Amounts } from '../model/amounts.js';
+import { type Amounts, multipliedAmounts } from '../model/amounts.js';
 import { hasGuarantee, NO_QUOTA, type TeamQuota, teamWeight, withinLimit } from './team-quota.js';
 
 /** Compares what teams use and have received with their guarantees and limits. */
@@ -30,6 +30,11 @@
     return quota !== undefined && withinLimit(quota, this.fleet.usage.ofTeam(team), more);
   }
 
+  /** Whether the limit of the job's team allows `count` more of its tasks. */
+  allowsTasks(job: Job, count: number): boolean {
+    return this.withinLimit(job.team, multipliedAmounts(job, count));
+  }
+
   /** Whether the team uses more than its guarantee; one without a guarantee always borrows. */
   isBorrowing(team: string): boolean {
     const quota = this.guaranteeOf(team);
@@ -46,7 +51,7 @@
     return this.guaranteeCheck(job.team)(job);
   }
 
-  /** A check whether one more task stays within the guarantee, beside what the team uses at this moment. */
+  /** A check whether one more task stays within the guarantee, in addition to what the team uses at this moment. */
   guaranteeCheck(team: string): (need: Pick<Amounts, 'cpus' | 'gpus'>) => boolean {
     const quota = this.guaranteeOf(team);
     if (quota === null) return () => false;
--- a/packages/core/fair-share/team-queue.ts
+++ b/packages/core/fair-share/team-queue.ts
@@ -39,7 +39,7 @@
     return compareRanked(active, idleJob) <= 0 ? active : idleJob;
   }
 
-  /** Goes past a job that has had its turn. One that got its first place has left the idle jobs by itself. */
+  /** Goes past a job that has had its turn. One whose first task was placed has left the idle jobs already. */
   advance(job: JobState): void {
     if (this.active.at(this.nextActive)?.job === job) this.nextActive++;
     else if (this.bucket.idle.at(this.nextIdle)?.job === job) this.nextIdle++;
--- a/packages/core/fair-share/team-quota.ts
+++ b/packages/core/fair-share/team-quota.ts
@@ -31,7 +31,7 @@
   );
 }
 
-/** How many times the team may use `more` beside what it uses; Infinity if nothing bounds it. */
+/** How many times the team may use `more` in addition to what it uses; Infinity if nothing bounds it. */
 export function timesWithinLimit(quota: TeamQuota, used: Amounts, more: Amounts): number {
   return Math.min(
     timesWithin(quota.cpuLimit, used.cpus, more.cpus),
@@ -45,7 +45,7 @@
   return Math.floor((limit + ROUNDING - used) / more);
 }
 
-/** Whether the team may use `more` beside what it uses. */
+/** Whether the team may use `more` in addition to what it uses. */
 export function withinLimit(quota: TeamQuota, used: Amounts, more: Amounts): boolean {
   return (
     (quota.cpuLimit === 0 || used.cpus + more.cpus <= quota.cpuLimit + ROUNDING) &&
--- a/packages/core/fair-share/waiting-bucket.ts
+++ b/packages/core/fair-share/waiting-bucket.ts
@@ -15,8 +15,8 @@
 /**
  * Waiting jobs of one team and rank whose tasks differ at most in their need of processors and memory.
  * Those without a task anywhere are kept in order, least served first and then the oldest, so that a
- * round takes the next one without a look at the others. The rest, whose service grows all the time,
- * are no more than there are tasks on machines.
+ * round gets the next one without visiting the others. The rest, whose service grows all the time, are no
+ * more than there are tasks on machines.
  */
 export class WaitingBucket {
   /** Jobs without a task anywhere, least served first. */
@@ -29,12 +29,13 @@
   maxCpus: number;
   private readonly entries = new Map<JobState, IdleEntry>();
 
-  /** Stands for all jobs of the bucket in what they have in common. */
+  /** The job that the bucket was made for; what it has in common with the others stands for all. */
   readonly sample: Job;
   /** Rank that counts for its jobs. */
   readonly rank: number;
+  /** Whether its jobs are best-effort. */
   readonly isBestEffort: boolean;
-  /** Members of each replica of its jobs, 1 if their tasks are by themselves. */
+  /** Members of each replica of its jobs; 1 if each task is by itself. */
   readonly members: number;
 
   constructor(sample: JobState) {
--- a/packages/core/placement/availability.ts
+++ b/packages/core/placement/availability.ts
@@ -2,18 +2,22 @@
 import { LARGEST_ENTRY } from '../model/machine-record-size.js';
 import type { Machine } from '../model/model.js';
 
+/** Whether the machine is drained, or the cloud has given notice that it will reclaim it. */
+export function isLeaving({ draining, reclaimAt }: Machine): boolean {
+  return draining || reclaimAt !== null;
+}
+
 /** Whether the machine is up and is to stay, and its record has space for another task. */
 export function canTakeTasks(machine: Machine, machineRecordBytes: number): boolean {
   return (
     machine.state === 'up' &&
-    !machine.draining &&
-    machine.reclaimAt === null &&
+    !isLeaving(machine) &&
     !machine.failedInList &&
     machine.recordBytes + LARGEST_ENTRY <= machineRecordBytes
   );
 }
 
-/** Whether the machine is cordoned: it takes nothing new for a while, though it is up. */
+/** Whether the machine is cordoned: it is given no new tasks for a while, though it is up. */
 export function isCordoned({ cordonedUntil, failures }: Machine, now: number): boolean {
   return cordonedUntil > now || failures.cordonedUntil > now;
 }
@@ -23,7 +27,7 @@
   return !isCordoned(machine, now) && canTakeTasks(machine, machineRecordBytes);
 }
 
-/** Whether a reservation for a gang keeps out what has this id; null stands for tasks of no gang. */
-export function isReservedForOther(reservedForGang: string | null, id: string | null): boolean {
-  return reservedForGang !== null && reservedForGang !== id;
+/** Whether a machine is reserved for a gang other than the job with this id; null stands for no job. */
+export function isReservedForOther(reservedForGang: string | null, jobId: string | null): boolean {
+  return reservedForGang !== null && reservedForGang !== jobId;
 }
--- a/packages/core/placement/bin-packing.ts
+++ b/packages/core/placement/bin-packing.ts
@@ -32,7 +32,7 @@
   return (!spot || job.spot) && (job.zone === null || job.zone === zone) && typeFits(job, type);
 }
 
-/** Whether the machine type has capacity for one more task of the job beside what is used. */
+/** Whether the machine type has capacity for one more task of the job in addition to what is used. */
 export function hasCapacity(job: Job, used: Readonly<Amounts>, type: MachineType): boolean {
   return (
     used.cpus + job.cpus <= type.cpus + ROUNDING &&
@@ -41,7 +41,7 @@
   );
 }
 
-/** For how many tasks of the job there is capacity beside what is used; Infinity if they need nothing. */
+/** For how many tasks of the job there is capacity in addition to what is used; Infinity if they need nothing. */
 export function taskCapacity(job: Job, used: Readonly<Amounts>, type: MachineType): number {
   return Math.max(
     0,
@@ -90,13 +90,13 @@
   return (counts.get(zone) ?? 0) < zoneCap(job);
 }
 
-/** Equal for jobs with the same constraints on machines, amounts and zones of their other tasks apart. */
+/** Equal for jobs with the same constraints on the type, zone and kind of machine. */
 export function constraintsKey(job: Job): string {
   const types = job.types === null ? '*' : job.types.join(',');
   return `${types} ${job.zone ?? '*'} ${String(job.spot)}`;
 }
 
-/** Equal for jobs with the same amounts and constraints, zones of their other tasks apart. */
+/** Equal for jobs whose tasks need the same amounts under the same constraints. */
 export function requirementsKey(job: Job): string {
   return `${job.cpus} ${job.gpus} ${job.memory} ${constraintsKey(job)}`;
 }
--- a/packages/core/placement/choose-machine.test.ts
+++ b/packages/core/placement/choose-machine.test.ts
@@ -30,7 +30,7 @@
   for (const machine of fleet.machines.values()) {
     const type = fleet.machines.types.get(machine.type)!;
     if (!isUsable(machine, fleet.settings.machineRecordBytes, now)) continue;
-    if (fleet.holds.isHeldFromJob(machine, state, now)) continue;
+    if (fleet.holds.isHeldForOther(machine, state, now)) continue;
     if (machine.reservedForGang !== null && machine.reservedForGang !== spec.id) continue;
     if ((machine.spot && !spec.spot) || !typeFits(spec, type)) continue;
     if (
--- a/packages/core/placement/choose-machine.ts
+++ b/packages/core/placement/choose-machine.ts
@@ -31,7 +31,7 @@
     if (isReservedForOther(machine.reservedForGang, spec.id)) continue;
     if (job.isBestEffort && !mayUseSpareCapacity(fleet, job, machine, candidate.type, now))
       continue;
-    if (fleet.holds.isHeldFromJob(machine, job, now)) continue;
+    if (fleet.holds.isHeldForOther(machine, job, now)) continue;
     if (fleet.failures.isExcluded(job, machine, now)) continue;
     if (!zoneAllowed(spec, machine.zone, ownZones)) continue;
     best = machine;
--- a/packages/core/placement/choose-machines-together.ts
+++ b/packages/core/placement/choose-machines-together.ts
@@ -63,7 +63,7 @@
   for (const candidate of candidates.forJob(job)) {
     const { machine, type } = candidate;
     const cost = candidates.cost(candidate, job);
-    if (cost === Infinity || fleet.holds.isHeldFromJob(machine, job, now)) continue;
+    if (cost === Infinity || fleet.holds.isHeldForOther(machine, job, now)) continue;
     if (isReservedForOther(machine.reservedForGang, spec.id)) continue;
     if (fleet.failures.isExcluded(job, machine, now)) continue;
     const capacity = Math.min(
--- a/packages/core/placement/gang-reservations.ts
+++ b/packages/core/placement/gang-reservations.ts
@@ -1,7 +1,7 @@
 /** Gang reservations: machines that are kept free until a waiting gang can start. */
 import type { MachineType } from '#wire';
 import { ZERO_AMOUNTS } from '../model/amounts.js';
-import { isCordoned } from './availability.js';
+import { isCordoned, isLeaving } from './availability.js';
 import { kindAllowed, taskCapacity } from './bin-packing.js';
 import type { FleetState } from '../fleet-state.js';
 import { byRankAndAge } from '../fair-share/job-order.js';
@@ -49,9 +49,15 @@
     const byGang = reservedByGang(emptying);
     for (const gang of gangs.sort(byRankAndAge)) {
       const { holds, failures } = this.fleet;
-      const isHeld = (machine: Machine) =>
-        holds.isHeldFromJob(machine, gang, now) || failures.isExcluded(gang, machine, now);
-      reserveFor(this.fleet.machines, gang, emptying, byGang.get(gang.spec.id) ?? [], isHeld);
+      const isUnavailable = (machine: Machine) =>
+        holds.isHeldForOther(machine, gang, now) || failures.isExcluded(gang, machine, now);
+      reserveFor(
+        this.fleet.machines,
+        gang,
+        emptying,
+        byGang.get(gang.spec.id) ?? [],
+        isUnavailable,
+      );
     }
     this.stopBestEffortOnReserved(emptying, now);
   }
@@ -74,13 +80,13 @@
     }
   }
 
-  /** Ends reservations of machines that leave, and of gangs that wait no more. */
+  /** Ends reservations of machines that are gone or leave, and of gangs that wait no more. */
   private releaseObsolete(waitingGangs: Set<string>): void {
     const { machines } = this.fleet;
     for (const machine of machines.groups.reserved) {
-      const leaves = machine.state === 'expired' || machine.draining || machine.reclaimAt !== null;
+      const isGone = machine.state === 'expired' || isLeaving(machine);
       const gang = machine.reservedForGang;
-      if (leaves || gang === null || !waitingGangs.has(gang)) machines.reserve(machine, null);
+      if (isGone || gang === null || !waitingGangs.has(gang)) machines.reserve(machine, null);
     }
   }
 
@@ -125,19 +131,19 @@
 
 /**
  * Reserves the machines that are empty soonest and hold the whole gang; none if no set does. A machine
- * whose capacity is held for other work is left to it: reserved as well, it would serve neither of the two.
+ * whose capacity is held for another job is not reserved as well, or neither of the two could use it.
  */
 function reserveFor(
   machines: MachineRegistry,
   { spec }: JobState,
   emptying: EmptyingMachine[],
   own: EmptyingMachine[],
-  isHeld: (machine: Machine) => boolean,
+  isUnavailable: (machine: Machine) => boolean,
 ): void {
   const byZone = new Map<string, MachineSet>();
   let chosen: Machine[] = [];
   for (const { machine, type } of soonestFirst(emptying, own)) {
-    if (!kindAllowed(spec, type, machine.zone, machine.spot) || isHeld(machine)) continue;
+    if (!kindAllowed(spec, type, machine.zone, machine.spot) || isUnavailable(machine)) continue;
     const zone = spec.oneZone ? machine.zone : '';
     let collected = byZone.get(zone);
     if (!collected) byZone.set(zone, (collected = { machines: [], capacity: 0 }));
--- a/packages/core/placement/placement-cost.ts
+++ b/packages/core/placement/placement-cost.ts
@@ -40,7 +40,7 @@
 
 /**
  * Cost of a place for any other task. The wait for the image counts as it is; an empty machine is worth
- * keeping whole for gangs; work that may use spot machines should; else the tightest packing wins.
+ * keeping empty for gangs; work that may use spot machines should; else the tightest packing wins.
  */
 export function placementCost(job: Job, machine: Machine, type: MachineType): number {
   const fetchS = fetchTime(job, machine, type);
--- a/packages/core/placement/placement-round.ts
+++ b/packages/core/placement/placement-round.ts
@@ -3,7 +3,6 @@
 import type { FairShares } from '../fair-share/fair-shares.js';
 import type { WaitingBucket } from '../fair-share/waiting-bucket.js';
 import type { FleetState } from '../fleet-state.js';
-import { multipliedAmounts } from '../model/amounts.js';
 import type { JobState } from '../model/model.js';
 import { type JobReplicas, needsOneZone } from '../model/replica-groups.js';
 import { bindingZones } from './bin-packing.js';
@@ -31,7 +30,7 @@
     readonly now: number,
   ) {
     this.candidates = new PlacementCandidates(fleet, now);
-    this.heldFor = fleet.holds.machinesByJob(now);
+    this.heldFor = fleet.holds.machineCountByJob(now);
   }
 
   /** Whether the job need not be tried: it backs off, is probed enough, or fails like one before it. */
@@ -106,8 +105,7 @@
   private placeTogether(job: JobState, request: JointRequest, first: number): number {
     const { fleet, candidates, now } = this;
     const { assignments } = fleet;
-    const amounts = multipliedAmounts(job.spec, request.tasks);
-    if (!this.shares.withinLimit(job.spec.team, amounts)) return 0;
+    if (!this.shares.allowsTasks(job.spec, request.tasks)) return 0;
     const machines = chooseMachinesTogether(fleet, job, request, candidates, now);
     if (!machines) return 0;
     const attempt = assignments.newAttempt();
--- a/packages/core/placement/scheduler.ts
+++ b/packages/core/placement/scheduler.ts
@@ -1,4 +1,4 @@
-/** The scheduler: rounds in which waiting tasks are given machines, and preempt others for them. */
+/** The scheduler: rounds that give waiting tasks machines, and then preempt tasks for those left waiting. */
 import { FairShares } from '../fair-share/fair-shares.js';
 import { type PrecedenceTier, precedenceTiers } from '../fair-share/precedence-tiers.js';
 import type { TeamQueue } from '../fair-share/team-queue.js';
--- a/packages/core/preemption/capacity-holds.ts
+++ b/packages/core/preemption/capacity-holds.ts
@@ -36,7 +36,7 @@
    * Whether the capacity is held for another job that still waits and is not of lower rank. A hold that has
    * run out, or whose job is over, is released.
    */
-  isHeldFromJob(machine: Machine, job: JobState, now: number): boolean {
+  isHeldForOther(machine: Machine, job: JobState, now: number): boolean {
     const hold = machine.capacityHold;
     if (hold === null || hold.job === job) return false;
     if (now > hold.until || hold.job.phase !== 'accepted') {
@@ -47,7 +47,7 @@
   }
 
   /** On how many machines capacity is held for each job. */
-  machinesByJob(now: number): Map<JobState, number> {
+  machineCountByJob(now: number): Map<JobState, number> {
     const counts = new Map<JobState, number>();
     for (const { capacityHold } of this.machines) {
       if (capacityHold && capacityHold.until >= now) {
--- a/packages/core/preemption/preemption.ts
+++ b/packages/core/preemption/preemption.ts
@@ -1,9 +1,8 @@
-/** Preemption: stops tasks for waiting jobs that take precedence, a few tasks in each round. */
+/** Preemption: stops tasks for waiting jobs of higher precedence, on a few machines in each round. */
 import type { FairShares } from '../fair-share/fair-shares.js';
 import type { WaitingBucket } from '../fair-share/waiting-bucket.js';
 import { oldestFirst } from '../fair-share/waiting-order.js';
 import type { FleetState } from '../fleet-state.js';
-import { multipliedAmounts } from '../model/amounts.js';
 import type { JobState, Machine } from '../model/model.js';
 import { membersOf } from '../model/replica-groups.js';
 import { BlockedShapes, type CapacityAccess, mayBlockShape } from '../placement/blocked-shapes.js';
@@ -17,7 +16,7 @@
 /** What is found out in the course of one round. */
 interface PreemptionRound {
   readonly now: number;
-  /** Whether any best-effort task has a place somewhere. */
+  /** Whether any best-effort task is assigned to a machine. */
   readonly anyBestEffort: boolean;
   /** Machines with a task that is being stopped. */
   readonly stopping: Set<Machine>;
@@ -71,7 +70,7 @@
       now,
       anyBestEffort: usage.groups().some(({ isBestEffort }) => isBestEffort),
       stopping: new Set(machines.groups.stopping),
-      heldMachines: holds.machinesByJob(now),
+      heldMachines: holds.machineCountByJob(now),
       blocked: new Map(buckets.map((bucket) => [bucket, new BlockedShapes()])),
     };
   }
@@ -117,7 +116,7 @@
 
   /** Whether one more task of the job, or one more replica with all members, exceeds its team's limit. */
   private wouldExceedLimit(job: JobState): boolean {
-    return !this.shares.withinLimit(job.spec.team, multipliedAmounts(job.spec, membersOf(job)));
+    return !this.shares.allowsTasks(job.spec, membersOf(job));
   }
 
   /** Spares the jobs after it that need as much the same search. */
@@ -140,7 +139,7 @@
     job: JobState,
     victims: Victims,
     { stopping, heldMachines, now }: PreemptionRound,
-  ) {
+  ): void {
     const { machine, assignments } = victims;
     stopping.add(machine);
     const formerJob = machine.capacityHold?.job;
--- a/packages/core/preemption/victim-selection.ts
+++ b/packages/core/preemption/victim-selection.ts
@@ -4,6 +4,7 @@
 import { addAmounts } from '../model/amounts.js';
 import type { Assignment, JobState, Machine } from '../model/model.js';
 import { membersOf, needsOneZone } from '../model/replica-groups.js';
+import { isLeaving } from '../placement/availability.js';
 import { hasCapacity, kindAllowed, tasksByZone, zoneAllowed } from '../placement/bin-packing.js';
 import { chooseMachinesTogether } from '../placement/choose-machines-together.js';
 import { PlacementCandidates } from '../placement/placement-candidates.js';
@@ -74,9 +75,9 @@
     const zones = tasksByZone(job);
     let best: Victims | null = null;
     for (const machine of this.fleet.machines.values()) {
-      if (machine.state !== 'up' || machine.draining || machine.reclaimAt !== null) continue;
+      if (machine.state !== 'up' || isLeaving(machine)) continue;
       if (zone !== null && machine.zone !== zone) continue;
-      if (excluded.has(machine) || this.fleet.holds.isHeldFromJob(machine, job, now)) continue;
+      if (excluded.has(machine) || this.fleet.holds.isHeldForOther(machine, job, now)) continue;
       if (machine.reservedForGang !== null || !zoneAllowed(job.spec, machine.zone, zones)) continue;
       if (this.fleet.failures.isExcluded(job, machine, now)) continue;
       const assignments = this.victimsOn(machine, job, now);
