--- a/packages/core/fair-share/team-quota.ts
+++ b/packages/core/fair-share/team-quota.ts
@@ -1,6 +1,7 @@
+/** Quota: what is guaranteed to a team, and what it may use at the most. */
 import { type Amounts, ROUNDING } from '../model/amounts.js';
 
-/** A team's guarantee and limit. For a limit, 0 means that there is none. */
+/** A team's guarantee and limit, in processors and accelerators. For a limit, 0 means that there is none. */
 export interface TeamQuota {
   guaranteedCpus: number;
   guaranteedGpus: number;
@@ -8,7 +9,7 @@
   gpuLimit: number;
 }
 
-/** Of a team with neither guarantee nor limit. */
+/** The quota of a team with neither guarantee nor limit. */
 export const NO_QUOTA: TeamQuota = {
   guaranteedCpus: 0,
   guaranteedGpus: 0,
@@ -30,7 +31,7 @@
   );
 }
 
-/** How many times the team may use `more` beside what it uses; Infinity if nothing bounds it. */
+/** How many times the team may use `more` in addition to what it uses; Infinity if nothing bounds it. */
 export function timesWithinLimit(quota: TeamQuota, used: Amounts, more: Amounts): number {
   return Math.min(
     timesWithin(quota.cpuLimit, used.cpus, more.cpus),
@@ -44,7 +45,7 @@
   return Math.floor((limit + ROUNDING - used) / more);
 }
 
-/** Whether the team may use `more` beside what it uses. */
+/** Whether the team may use `more` in addition to what it uses. */
 export function withinLimit(quota: TeamQuota, used: Amounts, more: Amounts): boolean {
   return (
     (quota.cpuLimit === 0 || used.cpus + more.cpus <= quota.cpuLimit + ROUNDING) &&
--- a/packages/core/fair-share/waiting-bucket.ts
+++ b/packages/core/fair-share/waiting-bucket.ts
@@ -1,37 +1,41 @@
+/** Waiting buckets: like jobs that wait, in the order in which they are served. */
 import type { Job } from '#wire';
 import type { Amounts } from '../model/amounts.js';
 import type { JobState } from '../model/model.js';
 import { membersOf } from '../model/replica-groups.js';
+import { byAge } from './job-order.js';
 
-/** A job that has no task anywhere. Its place among such jobs stays the same however much time passes. */
+/** A job that has no task anywhere. Its position among such jobs never changes, as all service decays alike. */
 interface IdleEntry {
   job: JobState;
-  /** See `ServiceCounter.restingOrder`. */
+  /** See `ServiceCounter.idleOrder`. */
   service: number;
 }
 
 /**
  * Waiting jobs of one team and rank whose tasks differ at most in their need of processors and memory.
  * Those without a task anywhere are kept in order, least served first and then the oldest, so that a
- * round takes the next one without a look at the others. The rest, whose service grows all the time,
- * are no more than there are tasks on machines.
+ * round gets the next one without visiting the others. The rest, whose service grows all the time, are no
+ * more than there are tasks on machines.
  */
 export class WaitingBucket {
+  /** Jobs without a task anywhere, least served first. */
   readonly idle: IdleEntry[] = [];
   /** Jobs that have tasks somewhere. */
   readonly active = new Set<JobState>();
   /** No task in the bucket needs less than this. */
-  readonly least: Amounts;
+  readonly minAmounts: Amounts;
   /** No task in the bucket needs more processors. */
-  mostCpus: number;
+  maxCpus: number;
   private readonly entries = new Map<JobState, IdleEntry>();
 
-  /** Stands for all jobs of the bucket in what they have in common. */
+  /** The job that the bucket was made for; what it has in common with the others stands for all. */
   readonly sample: Job;
   /** Rank that counts for its jobs. */
   readonly rank: number;
+  /** Whether its jobs are best-effort. */
   readonly isBestEffort: boolean;
-  /** Members of each replica of its jobs, 1 if their tasks are by themselves. */
+  /** Members of each replica of its jobs; 1 if each task is by itself. */
   readonly members: number;
 
   constructor(sample: JobState) {
@@ -40,30 +44,31 @@
     this.isBestEffort = sample.isBestEffort;
     this.members = membersOf(sample);
     const { cpus, gpus, memory } = sample.spec;
-    this.least = { cpus, gpus, memory };
-    this.mostCpus = cpus;
+    this.minAmounts = { cpus, gpus, memory };
+    this.maxCpus = cpus;
   }
 
+  /** Number of jobs. */
   get size(): number {
     return this.idle.length + this.active.size;
   }
 
-  /** Takes a job in that has begun to wait. */
+  /** Adds a job that has begun to wait. */
   add(job: JobState): void {
     const { cpus, memory } = job.spec;
-    this.least.cpus = Math.min(this.least.cpus, cpus);
-    this.least.memory = Math.min(this.least.memory, memory);
-    this.mostCpus = Math.max(this.mostCpus, cpus);
+    this.minAmounts.cpus = Math.min(this.minAmounts.cpus, cpus);
+    this.minAmounts.memory = Math.min(this.minAmounts.memory, memory);
+    this.maxCpus = Math.max(this.maxCpus, cpus);
     if (job.assignments.size > 0) this.active.add(job);
     else this.addIdle(job);
   }
 
-  /** The job does not wait any more. */
+  /** Removes a job that does not wait any more. */
   remove(job: JobState): void {
     if (!this.active.delete(job)) this.removeIdle(job);
   }
 
-  /** A task of the job has got a place or lost it. */
+  /** To be called when a task of the job was assigned, or its assignment has ended. */
   placesChanged(job: JobState): void {
     if (job.assignments.size > 0 === this.active.has(job)) return;
     this.remove(job);
@@ -77,7 +82,7 @@
   }
 
   /** Jobs that have never received service, the oldest first. */
-  *neverServed(): Generator<JobState> {
+  *neverServed(): Generator<JobState, undefined> {
     for (const { job, service } of this.idle) {
       if (service !== -Infinity) return;
       yield job;
@@ -91,24 +96,24 @@
   }
 
   private addIdle(job: JobState): void {
-    const entry = { job, service: job.service.restingOrder() };
+    const entry = { job, service: job.service.idleOrder() };
     this.entries.set(job, entry);
-    this.idle.splice(this.placeOf(entry), 0, entry);
+    this.idle.splice(this.positionOf(entry), 0, entry);
   }
 
   private removeIdle(job: JobState): void {
     const entry = this.entries.get(job);
     if (!entry) return;
     this.entries.delete(job);
-    this.idle.splice(this.placeOf(entry), 1);
+    this.idle.splice(this.positionOf(entry), 1);
   }
 
   /** Where the entry is or belongs. */
-  private placeOf(entry: IdleEntry): number {
+  private positionOf(entry: IdleEntry): number {
     return this.firstFrom((other) => compareIdle(other, entry) >= 0);
   }
 
-  /** Index of the first entry that `isFrom` holds for, and all after it. */
+  /** Index of the first entry for which `isFrom` is true; it must be true for all after it, too. */
   private firstFrom(isFrom: (entry: IdleEntry) => boolean): number {
     let low = 0;
     let high = this.idle.length;
@@ -125,8 +130,3 @@
   if (a.service !== b.service) return a.service < b.service ? -1 : 1;
   return byAge(a.job, b.job);
 }
-
-/** The job whose turn began first, then the one that has waited longest. */
-export function byAge(a: JobState, b: JobState): number {
-  return a.startableAt - b.startableAt || a.waitingOrder - b.waitingOrder;
-}
--- a/packages/core/index.ts
+++ b/packages/core/index.ts
@@ -33,9 +33,10 @@
 export * from './placement/placement-cost.js';
 export * from './placement/scheduler.js';
 
-export { HOLD_HEARTBEATS as HOLD_REPORTS } from './preemption/capacity-holds.js';
+export { HOLD_HEARTBEATS } from './preemption/capacity-holds.js';
 
 export * from './autoscaling/arrival-statistics.js';
 export * from './autoscaling/capacity-planner.js';
 export * from './autoscaling/consolidation.js';
 export * from './autoscaling/refusals.js';
+export * from './autoscaling/scale-in.js';
--- a/packages/core/placement/availability.ts
+++ b/packages/core/placement/availability.ts
@@ -1,18 +1,23 @@
+/** Availability: whether a machine may be given new tasks, whatever they need. */
 import { LARGEST_ENTRY } from '../model/machine-record-size.js';
 import type { Machine } from '../model/model.js';
 
-/** Whether the machine is up and will stay, and its record has room for another task. */
+/** Whether the machine is drained, or the cloud has given notice that it will reclaim it. */
+export function isLeaving({ draining, reclaimAt }: Machine): boolean {
+  return draining || reclaimAt !== null;
+}
+
+/** Whether the machine is up and is to stay, and its record has space for another task. */
 export function canTakeTasks(machine: Machine, machineRecordBytes: number): boolean {
   return (
     machine.state === 'up' &&
-    !machine.draining &&
-    machine.reclaimAt === null &&
+    !isLeaving(machine) &&
     !machine.failedInList &&
     machine.recordBytes + LARGEST_ENTRY <= machineRecordBytes
   );
 }
 
-/** Whether the machine takes nothing new for a while, though it is up. */
+/** Whether the machine is cordoned: it is given no new tasks for a while, though it is up. */
 export function isCordoned({ cordonedUntil, failures }: Machine, now: number): boolean {
   return cordonedUntil > now || failures.cordonedUntil > now;
 }
@@ -21,3 +26,8 @@
 export function isUsable(machine: Machine, machineRecordBytes: number, now: number): boolean {
   return !isCordoned(machine, now) && canTakeTasks(machine, machineRecordBytes);
 }
+
+/** Whether a machine is reserved for a gang other than the job with this id; null stands for no job. */
+export function isReservedForOther(reservedForGang: string | null, jobId: string | null): boolean {
+  return reservedForGang !== null && reservedForGang !== jobId;
+}
--- a/packages/replicas/replica-groups.ts
+++ b/packages/replicas/replica-groups.ts
@@ -2,7 +2,7 @@
   type Assignment,
   chooseMachinesTogether,
   type FleetState,
-  HOLD_REPORTS,
+  HOLD_HEARTBEATS,
   type JobReplicas,
   type JobState,
   type Machine,
@@ -212,7 +212,7 @@
     this.requireFleet().holds.hold(
       machine,
       job,
-      now + HOLD_REPORTS * this.options.heartbeatIntervalS,
+      now + HOLD_HEARTBEATS * this.options.heartbeatIntervalS,
     );
   }
 
