--- /dev/null
+++ b/packages/shards/migration-exploration.test.ts
@@ -0,0 +1,46 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { exploreMoves, type MoveBudget, type MoveMistake } from '#testing';
+
+const LOST_ANSWER: MoveBudget = { requests: 1, crashes: 0, lapses: 0, lostAnswers: 1 };
+const CRASH: MoveBudget = { requests: 1, crashes: 1, lapses: 0, lostAnswers: 0 };
+const LAPSE: MoveBudget = { requests: 1, crashes: 0, lapses: 1, lostAnswers: 0 };
+const TWO_REQUESTS: MoveBudget = { requests: 2, crashes: 0, lapses: 0, lostAnswers: 0 };
+
+/** `MOVE_BUDGET=1,1,1,1` in the environment explores that many requests, crashes, lapses and lost answers instead. */
+function budgets(): MoveBudget[] {
+  const given = process.env.MOVE_BUDGET?.split(',').map(Number);
+  if (!given) return [LOST_ANSWER, CRASH, LAPSE, TWO_REQUESTS];
+  const [requests, crashes, lapses, lostAnswers] = given;
+  return [{ requests, crashes, lapses, lostAnswers }];
+}
+
+test('in no order of events of a migration are there two leaders, and every order leads back to one', () => {
+  for (const budget of budgets()) {
+    const { states, moved, twoOwners: twoLeaders, stuck } = exploreMoves(budget, 'none');
+    console.log(`${JSON.stringify(budget)}: ${states} states, ${moved} after a move`);
+    assert.deepEqual({ twoLeaders, stuck }, { twoLeaders: null, stuck: null });
+    assert.ok(moved > 100, 'the shard moved');
+  }
+});
+
+// Each guard is shown to be needed by a world without it.
+const harmful: [MoveMistake, MoveBudget][] = [
+  ['trusts-its-grant', LOST_ANSWER],
+  ['resumes-on-silence', LOST_ANSWER],
+  ['resumes-on-failure', LOST_ANSWER],
+  ['takes-without-record', LOST_ANSWER],
+  ['takes-without-term', CRASH],
+  ['quiesces-without-record', LOST_ANSWER],
+];
+for (const [mistake, budget] of harmful) {
+  test(`the exploration finds two leaders if one ${mistake}`, () => {
+    const { twoOwners: twoLeaders } = exploreMoves(budget, mistake);
+    assert.ok(twoLeaders !== null);
+  });
+}
+
+test('the exploration finds a shard that nobody decides about if a leader waits-for-ever', () => {
+  const { stuck } = exploreMoves(CRASH, 'waits-for-ever');
+  assert.ok(stuck !== null);
+});
--- /dev/null
+++ b/packages/shards/migration-record.ts
@@ -0,0 +1,67 @@
+/** The records that the migration of a shard leaves in the state service. */
+import type { Change, Condition } from '#wire';
+import { shardKey, WORLD } from '#store';
+import { encodeMoveResult } from './migration-record-codec.js';
+
+/** What every phase of a migration records. */
+interface MigrationBase {
+  /** Term of the leader that is to transfer the shard: the source of the transfer. */
+  fromTerm: number;
+  /** Name of the controller that is to lead the shard: the target of the transfer. */
+  target: string;
+  /** Why the migration was requested, in the words of whoever requested it. */
+  reason: string;
+}
+
+/**
+ * A migration under way. Each phase is durable before anybody acts on it:
+ * - `requested`: an operator asks for it;
+ * - `prepared`: the target is ready, and renews the lease that will hold the shard's key;
+ * - `quiesced`: the source makes no more decisions, and its election lease proves nothing any more.
+ */
+export type MoveRecord =
+  | (MigrationBase & { phase: 'requested' })
+  | (MigrationBase & { phase: 'prepared' | 'quiesced'; leaseId: number });
+
+/** A migration's record as last observed. */
+export interface SeenMove {
+  /** Null: it cannot be read, and all that can be done about it is to withdraw it. */
+  record: MoveRecord | null;
+  version: number;
+}
+
+/** How the last migration of a shard ended. */
+export interface MoveResult {
+  /** `taken-back`: the source stayed the leader after it had begun the transfer. */
+  outcome: 'moved' | 'refused' | 'taken-back';
+  target: string;
+  reason: string;
+  /** Why the shard was not transferred; empty if it was. */
+  failureReason: string;
+}
+
+/** Key of the record of the migration under way. */
+export function moveKey(shard: number): string {
+  return `${WORLD}moves/${shard}`;
+}
+
+/** Key of the record of how the last migration ended. */
+export function moveResultKey(shard: number): string {
+  return `${WORLD}move-results/${shard}`;
+}
+
+/** Holds while the shard is in this term and its migration's record has this version; 0: there is no record. */
+export function moveConditions(shard: number, term: number, version: number): Condition[] {
+  return [
+    { key: shardKey(shard), version: term },
+    { key: moveKey(shard), version },
+  ];
+}
+
+/** Ends a migration: removes its record and stores the result. */
+export function endMove(shard: number, result: MoveResult): Change[] {
+  return [
+    { delete: moveKey(shard) },
+    { put: moveResultKey(shard), value: encodeMoveResult(result) },
+  ];
+}
--- /dev/null
+++ b/packages/shards/source-state-machine.ts
@@ -0,0 +1,242 @@
+/**
+ * The source of a planned transfer: a state machine without clock and I/O. The leader stops all decisions, records so
+ * in the migration's record, and from the moment at which it sends that no longer takes its election lease as proof
+ * that nobody else leads. It decides again only once it knows for certain that the target cannot become the leader any
+ * more (docs/safety.md, point 11).
+ *
+ * Texts of refusals are stored with the result and printed by the command line; they keep their words.
+ */
+import { shardKey } from '#store';
+import {
+  endMove,
+  moveConditions,
+  moveKey,
+  type MoveRecord,
+  type MoveResult,
+  type SeenMove,
+} from './migration-record.js';
+import { encodeMove } from './migration-record-codec.js';
+import type { Transaction, TransactionOutcome } from './transaction.js';
+
+/** What the leader goes by; times are steady seconds. */
+export interface SourceView {
+  now: number;
+  shard: number;
+  /** The leader's term. */
+  term: number;
+  /** The leader's name. */
+  name: string;
+  /** The migration's record as the watch has shown it last; null if there is none. */
+  move: SeenMove | null;
+  /** All decisions have stopped, and none is on its way to the state service. */
+  paused: boolean;
+  /** What keeps the controller of that name from becoming the leader now; null if nothing does. */
+  obstacle: (controller: string) => string | null;
+  limits: MigrationLimits;
+}
+
+/** How long the leader waits for the others; seconds. */
+export interface MigrationLimits {
+  /** From the first sight of a request until its target is prepared, and for decisions to stop. */
+  prepareS: number;
+  /** For the target to become the leader once decisions have stopped. */
+  switchS: number;
+}
+
+/** How far the source has come. */
+export type SourceState =
+  | { phase: 'deciding'; request: { version: number; seenAt: number } | null }
+  | { phase: 'pausing'; preparedVersion: number; since: number }
+  /** The record that says so is on its way, and may be applied at any time from now on. */
+  | { phase: 'quiescing'; preparedVersion: number; since: number }
+  | { phase: 'quiesced'; preparedVersion: number; since: number }
+  | Retracting
+  /** Another controller leads the shard: the watch will show it. */
+  | { phase: 'over' };
+
+/** The migration is to be undone. */
+interface Retracting {
+  phase: 'retracting';
+  preparedVersion: number;
+  since: number;
+  failureReason: string;
+  /** What a read has shown since then; undefined before one has. */
+  seen?: SeenMove | null;
+}
+
+/** What the leader is to do. */
+export type SourceAction =
+  | { kind: 'wait' }
+  /** Stop all decisions. */
+  | { kind: 'pause'; target: string }
+  /** Decide again, as before the migration. */
+  | { kind: 'resume' }
+  /** Read the migration's record in the state service. */
+  | { kind: 'read' }
+  | { kind: 'refuse'; target: string; failureReason: string; transaction: Transaction }
+  | { kind: 'quiesce'; transaction: Transaction }
+  | { kind: 'retract'; transaction: Transaction };
+
+/** The state to keep, and what to do. */
+export interface SourceStep {
+  state: SourceState;
+  action: SourceAction;
+}
+
+/** The state of a leader that takes part in no migration. */
+export const DECIDING: SourceState = { phase: 'deciding', request: null };
+
+const WAIT: SourceAction = { kind: 'wait' };
+
+/**
+ * Since when a successor may lead without the source knowing, so that the election lease of the source proves nothing;
+ * null if none may. Steady seconds.
+ */
+export function successorPossibleSince(state: SourceState): number | null {
+  switch (state.phase) {
+    case 'deciding':
+    case 'pausing':
+      return null;
+    case 'quiescing':
+    case 'quiesced':
+    case 'retracting':
+      return state.since;
+    case 'over':
+      return -Infinity;
+  }
+}
+
+/** What to do next; `state` is to be kept whether or not there is anything to do. */
+export function stepSource(state: SourceState, view: SourceView): SourceStep {
+  switch (state.phase) {
+    case 'deciding':
+      return stepDeciding(state, view);
+    case 'pausing':
+      return stepPausing(state, view);
+    case 'quiesced':
+      if (view.now - state.since <= view.limits.switchS) return { state, action: WAIT };
+      return retracting(state, `${targetOf(view)} did not take the part in time`);
+    case 'retracting':
+      return { state, action: retraction(state, view) };
+    case 'quiescing':
+    case 'over':
+      return { state, action: WAIT };
+  }
+}
+
+function stepDeciding(state: SourceState & { phase: 'deciding' }, view: SourceView): SourceStep {
+  const migration = view.move;
+  const record = migration?.record ?? null;
+  if (migration === null || record === null || record.fromTerm > view.term) {
+    return { state: DECIDING, action: WAIT };
+  }
+  const seenAt = state.request?.seenAt ?? view.now;
+  const next: SourceState = { phase: 'deciding', request: { version: migration.version, seenAt } };
+  const failureReason = reasonToRefuse(record, view.now - seenAt, view);
+  if (failureReason !== null) {
+    return { state: next, action: refuse(record, migration.version, failureReason, view) };
+  }
+  if (record.phase === 'requested') return { state: next, action: WAIT };
+  const pausing: SourceState = {
+    phase: 'pausing',
+    preparedVersion: migration.version,
+    since: view.now,
+  };
+  return { state: pausing, action: { kind: 'pause', target: record.target } };
+}
+
+/** Why the migration is not to be carried out; null if nothing speaks against it. */
+function reasonToRefuse(record: MoveRecord, waitedS: number, view: SourceView): string | null {
+  if (record.fromTerm < view.term) return 'the part has changed its owner since';
+  if (record.phase === 'quiesced') return 'it was undone';
+  if (record.target === view.name) return `${record.target} owns the part already`;
+  const obstacle = view.obstacle(record.target);
+  if (obstacle !== null && record.phase === 'prepared') return obstacle;
+  if (waitedS <= view.limits.prepareS) return null;
+  return obstacle ?? `${record.target} was not prepared in time`;
+}
+
+function refuse(
+  { target, reason }: MoveRecord,
+  version: number,
+  failureReason: string,
+  { shard, term }: SourceView,
+): SourceAction {
+  const result: MoveResult = { outcome: 'refused', target, reason, failureReason };
+  const transaction = {
+    conditions: moveConditions(shard, term, version),
+    changes: endMove(shard, result),
+  };
+  return { kind: 'refuse', target, failureReason, transaction };
+}
+
+function stepPausing(state: SourceState & { phase: 'pausing' }, view: SourceView): SourceStep {
+  const { preparedVersion, since } = state;
+  const { now, shard, term } = view;
+  const migration = view.move;
+  if (migration?.version !== preparedVersion || migration.record?.phase !== 'prepared') {
+    return { state: DECIDING, action: { kind: 'resume' } };
+  }
+  if (now - since > view.limits.prepareS) {
+    return retracting(state, 'decisions did not stop in time');
+  }
+  if (!view.paused) return { state, action: WAIT };
+  const value = encodeMove({ ...migration.record, phase: 'quiesced' });
+  const transaction = {
+    conditions: moveConditions(shard, term, preparedVersion),
+    changes: [{ put: moveKey(shard), value }],
+  };
+  const quiescing = { phase: 'quiescing', preparedVersion, since: now } as const;
+  return { state: quiescing, action: { kind: 'quiesce', transaction } };
+}
+
+function retracting(
+  { preparedVersion, since }: { preparedVersion: number; since: number },
+  failureReason: string,
+): SourceStep {
+  const state = { phase: 'retracting', preparedVersion, since, failureReason } as const;
+  return { state, action: { kind: 'read' } };
+}
+
+/**
+ * Undoes the migration on the condition of the term and of what was read. If the record is neither quiesced nor the
+ * one that may still become so, nothing is to be changed: then the same conditions alone are tested.
+ */
+function retraction(
+  { preparedVersion, failureReason, seen }: Retracting,
+  { shard, term }: SourceView,
+): SourceAction {
+  if (seen === undefined) return { kind: 'read' };
+  const conditions = moveConditions(shard, term, seen?.version ?? 0);
+  const maySwitch = seen?.record?.phase === 'quiesced' || seen?.version === preparedVersion;
+  const { target = '', reason = '' } = seen?.record ?? {};
+  const result: MoveResult = { outcome: 'taken-back', target, reason, failureReason };
+  const changes = maySwitch ? endMove(shard, result) : [];
+  return { kind: 'retract', transaction: { conditions, changes } };
+}
+
+/** Records what a read of the migration's record has shown; null if there is none. */
+export function sourceRead(state: SourceState, seen: SeenMove | null): SourceState {
+  return state.phase === 'retracting' ? { ...state, seen } : state;
+}
+
+/** Handles the outcome of the transaction that the last step asked for. */
+export function sourceAnswered(
+  state: SourceState,
+  outcome: TransactionOutcome,
+  { shard }: Pick<SourceView, 'shard'>,
+): SourceStep {
+  if (state.phase === 'quiescing') {
+    if (outcome.kind === 'applied') return { state: { ...state, phase: 'quiesced' }, action: WAIT };
+    return retracting(state, 'that decisions stopped could not be recorded');
+  }
+  if (state.phase !== 'retracting') return { state, action: WAIT };
+  if (outcome.kind === 'applied') return { state: DECIDING, action: { kind: 'resume' } };
+  const isOver = outcome.kind === 'failed' && outcome.keys.includes(shardKey(shard));
+  if (isOver) return { state: { phase: 'over' }, action: WAIT };
+  return retracting(state, state.failureReason);
+}
+
+function targetOf(view: SourceView): string {
+  return view.move?.record?.target ?? 'the target';
+}
--- /dev/null
+++ b/packages/shards/target-state-machine.ts
@@ -0,0 +1,126 @@
+/**
+ * The target of a planned transfer: a state machine without clock and I/O. The target records that it is ready, with
+ * the lease that will hold the shard's key, and becomes the leader once the source has recorded that it makes no more
+ * decisions; both on the condition of the source's term and of the migration's record (docs/safety.md, point 11).
+ */
+import { encodeLeader, shardKey } from '#store';
+import {
+  endMove,
+  moveConditions,
+  moveKey,
+  type MoveRecord,
+  type MoveResult,
+  type SeenMove,
+} from './migration-record.js';
+import { encodeMove } from './migration-record-codec.js';
+import type { Transaction, TransactionOutcome } from './transaction.js';
+
+/** What a controller that may become the leader goes by. */
+export interface TargetView {
+  shard: number;
+  /** This controller's name. */
+  name: string;
+  /** A lease that is certainly alive; null while there is none. */
+  leaseId: number | null;
+  /** Version of the shard's key as last observed; 0 while the shard has no leader. */
+  shardVersion: number;
+  /** The migration's record as the watch has shown it last; null if there is none. */
+  move: SeenMove | null;
+  /** The state service serves this controller, and it knows all jobs. */
+  ready: boolean;
+}
+
+/** How far the target has come. */
+export type TargetState =
+  | { phase: 'idle' }
+  /** The transaction that makes this controller the leader may be applied without its knowledge. */
+  | { phase: 'switching'; moveVersion: number; fromTerm: number };
+
+/** What the target is to do. */
+export type TargetAction =
+  | { kind: 'wait' }
+  /** Prefetch the records, then record that the target is ready. */
+  | { kind: 'prepare'; transaction: Transaction }
+  /** Become the leader. */
+  | { kind: 'switch'; transaction: Transaction };
+
+/** The state to keep, and what to do. */
+export interface TargetStep {
+  state: TargetState;
+  action: TargetAction;
+}
+
+/** The state of a controller that is the target of no migration. */
+export const IDLE: TargetState = { phase: 'idle' };
+
+const WAIT: TargetAction = { kind: 'wait' };
+
+/** Whether a transaction that makes this controller the leader may still be applied. */
+export function mayTakeShard({ phase }: TargetState): boolean {
+  return phase === 'switching';
+}
+
+/** What to do next; what was sent without an answer is sent again as it was. */
+export function stepTarget(state: TargetState, view: TargetView): TargetStep {
+  const wait: TargetStep = { state: dropObsoleteSwitch(state, view), action: WAIT };
+  const { name, leaseId, shardVersion } = view;
+  const migration = view.move;
+  const record = migration?.record ?? null;
+  if (migration === null || record === null) return wait;
+  const isTarget = record.target === name && record.fromTerm === shardVersion;
+  if (!isTarget || !view.ready || leaseId === null) return wait;
+  const isPrepared = record.phase !== 'requested' && record.leaseId === leaseId;
+  if (!isPrepared) {
+    if (record.phase === 'quiesced') return wait;
+    const transaction = prepareTransaction(record, migration.version, leaseId, view);
+    return { state: wait.state, action: { kind: 'prepare', transaction } };
+  }
+  if (record.phase === 'prepared') return wait;
+  const transaction = switchTransaction(record, migration.version, leaseId, view);
+  const switching: TargetState = {
+    phase: 'switching',
+    moveVersion: migration.version,
+    fromTerm: shardVersion,
+  };
+  return { state: switching, action: { kind: 'switch', transaction } };
+}
+
+/** Once a condition of the switch is seen to have changed, the switch cannot be applied any more. */
+function dropObsoleteSwitch(state: TargetState, view: TargetView): TargetState {
+  if (state.phase !== 'switching') return state;
+  const mayBeApplied =
+    view.move?.version === state.moveVersion && view.shardVersion === state.fromTerm;
+  return mayBeApplied ? state : IDLE;
+}
+
+function prepareTransaction(
+  { fromTerm, target, reason }: MoveRecord,
+  version: number,
+  leaseId: number,
+  { shard }: TargetView,
+): Transaction {
+  const value = encodeMove({ fromTerm, target, reason, phase: 'prepared', leaseId });
+  return {
+    conditions: moveConditions(shard, fromTerm, version),
+    changes: [{ put: moveKey(shard), value }],
+  };
+}
+
+function switchTransaction(
+  { fromTerm, target, reason }: MoveRecord,
+  version: number,
+  leaseId: number,
+  { shard, name }: TargetView,
+): Transaction {
+  const value = encodeLeader({ leader: name, leaseId });
+  const result: MoveResult = { outcome: 'moved', target, reason, failureReason: '' };
+  return {
+    conditions: moveConditions(shard, fromTerm, version),
+    changes: [{ put: shardKey(shard), value, lease: leaseId }, ...endMove(shard, result)],
+  };
+}
+
+/** Handles the outcome of the last transaction: only a failure proves that the switch was not applied. */
+export function targetAnswered(state: TargetState, outcome: TransactionOutcome): TargetState {
+  return outcome.kind === 'failed' ? IDLE : state;
+}
--- a/packages/testing/move-model/canonical.ts
+++ b/packages/testing/move-model/canonical.ts
@@ -9,7 +9,7 @@
   'preparedVersion',
   'moveVersion',
 ]);
-const GRANTS = new Set(['grant', 'lease', 'nextGrant', 'liveGrants']);
+const GRANTS = new Set(['grant', 'lease', 'leaseId', 'nextGrant', 'liveGrants']);
 
 /**
  * A text that is the same for states that differ in nothing that matters: of revisions and grants only the order
