--- a/packages/cli/shard-commands.ts
+++ b/packages/cli/shard-commands.ts
@@ -1,5 +1,11 @@
 import type { Command } from 'commander';
-import { MoveRequests, type RequestOutcome, type ShardStatus } from '#shards';
+import {
+  encodeMove,
+  encodeMoveResult,
+  MoveRequests,
+  type RequestOutcome,
+  type ShardStatus,
+} from '#shards';
 import { NoAnswer, nodeRuntime, StateApi, StateRefused } from '#wire';
 import type { PlatformSettings } from '#controller';
 import { CommandError, ExitCode } from './command-error.js';
@@ -48,9 +54,15 @@
     });
 }
 
-/** The names that operators' programs read. */
-function shardStatusToJson({ shard, leader, move, lastMove }: ShardStatus): object {
-  return { part: shard, owner: leader, move, lastMove };
+/** The names that operators' programs read: those of the stored records. */
+function shardStatusToJson({ shard, leader, migration, lastMigration }: ShardStatus): object {
+  const isRecord = migration !== null && migration !== 'unreadable';
+  return {
+    part: shard,
+    owner: leader,
+    move: isRecord ? encodeMove(migration) : migration,
+    lastMove: lastMigration && encodeMoveResult(lastMigration),
+  };
 }
 
 function addMove(shard: Command, output: Output): void {
--- a/packages/shards/index.ts
+++ b/packages/shards/index.ts
@@ -1,7 +1,13 @@
-/** Planned moves of a part from one controller to another (docs/parts.md). */
-export * from './move-record.js';
-export * from './move-requests.js';
-export * from './move-source.js';
-export * from './move-target.js';
+/**
+ * Planned migrations of a shard from one controller to another (docs/parts.md). The package owns the records
+ * `world/moves/<shard>` and `world/move-results/<shard>`; it imports `wire`, `core` and `store` only.
+ */
+export * from './migration-record.js';
+export * from './migration-record-codec.js';
+export * from './migration-requests.js';
+export * from './migration-transaction.js';
+export { RecordsAhead } from './record-prefetch.js';
 export * from './shard-migrator.js';
-export { RecordsAhead } from './record-copy.js';
+export * from './source-state-machine.js';
+export * from './target-state-machine.js';
+export type { MigrationLog, TransferableLeader } from './transferable-leader.js';
--- /dev/null
+++ b/packages/shards/migration-record-codec.ts
@@ -0,0 +1,77 @@
+/**
+ * Maps the records of migrations between their stored form and the code's names. Versions that run side by side, and
+ * operators' programs, read the stored form: its fields keep their names and their order.
+ */
+import { compileSchema } from '#wire';
+import type { MoveRecord, MoveResult } from './migration-record.js';
+
+/** A migration under way, as it is stored. */
+export interface StoredMigration {
+  fromTerm: number;
+  to: string;
+  reason: string;
+  phase: 'requested' | 'prepared' | 'quiesced';
+  /** The lease that the target renews; absent while the phase is `requested`. */
+  grant?: number;
+}
+
+/** How the last migration ended, as it is stored. */
+export interface StoredMigrationResult {
+  outcome: 'moved' | 'refused' | 'taken-back';
+  to: string;
+  reason: string;
+  why: string;
+}
+
+const RECORD_FIELDS = { to: 'target', grant: 'leaseId' };
+const RESULT_FIELDS = { to: 'target', why: 'failureReason' };
+
+const MAX_TEXT_LENGTH = 200;
+const text = { type: 'string', maxLength: MAX_TEXT_LENGTH };
+const revision = { type: 'integer', minimum: 0 };
+
+const storedSchema = {
+  type: 'object',
+  required: ['fromTerm', 'to', 'reason', 'phase'],
+  properties: {
+    fromTerm: revision,
+    to: { ...text, minLength: 1 },
+    reason: text,
+    phase: { enum: ['requested', 'prepared', 'quiesced'] },
+    grant: revision,
+  },
+  if: { properties: { phase: { enum: ['prepared', 'quiesced'] } } },
+  then: { required: ['grant'] },
+};
+
+const isStoredMigration = compileSchema<StoredMigration>('moveRecord', storedSchema);
+
+/** Reads a record of any origin; null if it is damaged or of a form that this version does not know. */
+export function decodeMove(value: unknown): MoveRecord | null {
+  return isStoredMigration(value) ? (renameFields(value, RECORD_FIELDS) as MoveRecord) : null;
+}
+
+/** The stored form of a migration's record. */
+export function encodeMove(record: MoveRecord): StoredMigration {
+  return renameFields(record, inverse(RECORD_FIELDS)) as StoredMigration;
+}
+
+/** Reads the result of a migration, which only this service writes. */
+export function decodeMoveResult(value: unknown): MoveResult {
+  return renameFields(value as StoredMigrationResult, RESULT_FIELDS) as MoveResult;
+}
+
+/** The stored form of a migration's result. */
+export function encodeMoveResult(result: MoveResult): StoredMigrationResult {
+  return renameFields(result, inverse(RESULT_FIELDS)) as StoredMigrationResult;
+}
+
+/** Renames some fields and keeps the others, which a later version may have added. */
+function renameFields(record: object, names: Readonly<Record<string, string>>): unknown {
+  const fields: [string, unknown][] = Object.entries(record);
+  return Object.fromEntries(fields.map(([name, value]) => [names[name] ?? name, value]));
+}
+
+function inverse(names: Readonly<Record<string, string>>): Record<string, string> {
+  return Object.fromEntries(Object.entries(names).map(([from, to]) => [to, from]));
+}
--- a/packages/shards/migration-record.ts
+++ b/packages/shards/migration-record.ts
@@ -1,7 +1,5 @@
 /** The records that the migration of a shard leaves in the state service. */
-import type { Change, Condition } from '#wire';
-import { shardKey, WORLD } from '#store';
-import { encodeMoveResult } from './migration-record-codec.js';
+import { WORLD } from '#store';
 
 /** What every phase of a migration records. */
 interface MigrationBase {
@@ -49,19 +47,3 @@
 export function moveResultKey(shard: number): string {
   return `${WORLD}move-results/${shard}`;
 }
-
-/** Holds while the shard is in this term and its migration's record has this version; 0: there is no record. */
-export function moveConditions(shard: number, term: number, version: number): Condition[] {
-  return [
-    { key: shardKey(shard), version: term },
-    { key: moveKey(shard), version },
-  ];
-}
-
-/** Ends a migration: removes its record and stores the result. */
-export function endMove(shard: number, result: MoveResult): Change[] {
-  return [
-    { delete: moveKey(shard) },
-    { put: moveResultKey(shard), value: encodeMoveResult(result) },
-  ];
-}
--- a/packages/shards/migration-requests.ts
+++ b/packages/shards/migration-requests.ts
@@ -1,9 +1,9 @@
 /** Requests for migrations of a shard, and their state: what the command line and other programs call. */
 import { type Clock, pause, type StateApi } from '#wire';
 import { decodeLeader, shardKey } from '#store';
-import { endMove, moveConditions, moveKey, moveResultKey } from './migration-record.js';
-import type { MoveRecord, MoveResult } from './migration-record.js';
+import { moveKey, type MoveRecord, type MoveResult, moveResultKey } from './migration-record.js';
 import { decodeMove, decodeMoveResult, encodeMove } from './migration-record-codec.js';
+import { endMigration, migrationConditions } from './migration-transaction.js';
 
 /** Time from one read of a migration's record to the next while its end is waited for. */
 const POLL_INTERVAL_MS = 100;
@@ -68,7 +68,7 @@
   private async recordRequest(fromTerm: number, target: string, reason: string): Promise<boolean> {
     const { shard, api } = this;
     const value = encodeMove({ fromTerm, target, reason, phase: 'requested' });
-    const conditions = moveConditions(shard, fromTerm, 0);
+    const conditions = migrationConditions(shard, fromTerm, 0);
     const outcome = await api.txn(conditions, [{ put: moveKey(shard), value }]);
     return outcome.ok;
   }
@@ -116,7 +116,7 @@
     const { target = '', reason = '' } = record ?? {};
     const result: MoveResult = { outcome: 'refused', target, reason, failureReason };
     const conditions = [{ key: moveKey(shard), version: entry.version }];
-    const outcome = await api.txn(conditions, endMove(shard, result));
+    const outcome = await api.txn(conditions, endMigration(shard, result));
     return outcome.ok;
   }
 }
--- /dev/null
+++ b/packages/shards/record-prefetch.ts
@@ -0,0 +1,37 @@
+/** Prefetches what a new leader loads, so that a planned transfer leaves little to read while nobody decides. */
+import { listAll, type StateClient } from '#store';
+import type { Entry } from '#wire';
+import { RecordCopy } from './record-copy.js';
+
+/** Copies of the records that a new leader loads, made before the shard is transferred to it. */
+export class RecordsAhead {
+  private readonly copies = new Map<string, RecordCopy>();
+
+  constructor(
+    private readonly client: StateClient,
+    private readonly prefixes: readonly string[],
+  ) {}
+
+  /** Reads all prefixes of which there is no copy yet; rejects as the client does. */
+  async prepare(signal: AbortSignal): Promise<void> {
+    const missing = this.prefixes.filter((prefix) => !this.copies.has(prefix));
+    const loading = missing.map(async (prefix) => {
+      const copy = new RecordCopy(this.client, prefix);
+      await copy.load(signal);
+      return { prefix, copy };
+    });
+    for (const { prefix, copy } of await Promise.all(loading)) this.copies.set(prefix, copy);
+  }
+
+  /** All records under a prefix as of a moment after this was called. A copy serves one read. */
+  async read(prefix: string, signal: AbortSignal): Promise<Entry[]> {
+    const copy = this.copies.get(prefix);
+    this.copies.delete(prefix);
+    return copy ? copy.readCurrent(signal) : listAll(this.client, prefix, signal);
+  }
+
+  /** Drops all copies. */
+  forget(): void {
+    this.copies.clear();
+  }
+}
--- a/packages/shards/send-transaction.ts
+++ b/packages/shards/send-transaction.ts
@@ -1,26 +1,26 @@
+/** Sends transactions of a migration and keeps the local cache up to date with them. */
 import { NoAnswer, StateRefused, type TxnOutcome } from '#wire';
 import type { PrefixCache, StateClient } from '#store';
-import type { Transaction } from './move-record.js';
-import type { TransactionOutcome } from './move-source.js';
+import type { Transaction, TransactionOutcome } from './migration-transaction.js';
 
-/** Sends a transaction once; what it has changed is known to the cache at once. */
+/** Sends a transaction once; the cache holds its changes as soon as it is known to be applied. */
 export async function sendTransaction(
   client: StateClient,
   world: PrefixCache,
   { conditions, changes }: Transaction,
   signal: AbortSignal,
 ): Promise<TransactionOutcome> {
-  let out: TxnOutcome;
+  let outcome: TxnOutcome;
   try {
-    out = await client.txn(conditions, changes, true, signal);
+    outcome = await client.txn(conditions, changes, true, signal);
   } catch (err) {
     if (err instanceof NoAnswer || err instanceof StateRefused) return { kind: 'unknown' };
     throw err;
   }
-  if (!out.ok) return { kind: 'failed', keys: 'failed' in out ? out.failed : [] };
+  if (!outcome.ok) return { kind: 'failed', keys: 'failed' in outcome ? outcome.failed : [] };
   for (const change of changes) {
-    if ('put' in change) world.applyLocal(change.put, change.value, out.revision);
-    else world.applyLocal(change.delete, undefined, out.revision);
+    if ('put' in change) world.applyLocal(change.put, change.value, outcome.revision);
+    else world.applyLocal(change.delete, undefined, outcome.revision);
   }
   return { kind: 'applied' };
 }
--- a/packages/shards/source-state-machine.ts
+++ b/packages/shards/source-state-machine.ts
@@ -7,16 +7,14 @@
  * Texts of refusals are stored with the result and printed by the command line; they keep their words.
  */
 import { shardKey } from '#store';
-import {
-  endMove,
-  moveConditions,
-  moveKey,
-  type MoveRecord,
-  type MoveResult,
-  type SeenMove,
-} from './migration-record.js';
+import { moveKey, type MoveRecord, type MoveResult, type SeenMove } from './migration-record.js';
 import { encodeMove } from './migration-record-codec.js';
-import type { Transaction, TransactionOutcome } from './transaction.js';
+import {
+  endMigration,
+  migrationConditions,
+  type Transaction,
+  type TransactionOutcome,
+} from './migration-transaction.js';
 
 /** What the leader goes by; times are steady seconds. */
 export interface SourceView {
@@ -164,8 +162,8 @@
 ): SourceAction {
   const result: MoveResult = { outcome: 'refused', target, reason, failureReason };
   const transaction = {
-    conditions: moveConditions(shard, term, version),
-    changes: endMove(shard, result),
+    conditions: migrationConditions(shard, term, version),
+    changes: endMigration(shard, result),
   };
   return { kind: 'refuse', target, failureReason, transaction };
 }
@@ -183,7 +181,7 @@
   if (!view.paused) return { state, action: WAIT };
   const value = encodeMove({ ...migration.record, phase: 'quiesced' });
   const transaction = {
-    conditions: moveConditions(shard, term, preparedVersion),
+    conditions: migrationConditions(shard, term, preparedVersion),
     changes: [{ put: moveKey(shard), value }],
   };
   const quiescing = { phase: 'quiescing', preparedVersion, since: now } as const;
@@ -207,11 +205,11 @@
   { shard, term }: SourceView,
 ): SourceAction {
   if (seen === undefined) return { kind: 'read' };
-  const conditions = moveConditions(shard, term, seen?.version ?? 0);
+  const conditions = migrationConditions(shard, term, seen?.version ?? 0);
   const maySwitch = seen?.record?.phase === 'quiesced' || seen?.version === preparedVersion;
   const { target = '', reason = '' } = seen?.record ?? {};
   const result: MoveResult = { outcome: 'taken-back', target, reason, failureReason };
-  const changes = maySwitch ? endMove(shard, result) : [];
+  const changes = maySwitch ? endMigration(shard, result) : [];
   return { kind: 'retract', transaction: { conditions, changes } };
 }
 
--- a/packages/shards/target-state-machine.ts
+++ b/packages/shards/target-state-machine.ts
@@ -4,16 +4,14 @@
  * decisions; both on the condition of the source's term and of the migration's record (docs/safety.md, point 11).
  */
 import { encodeLeader, shardKey } from '#store';
-import {
-  endMove,
-  moveConditions,
-  moveKey,
-  type MoveRecord,
-  type MoveResult,
-  type SeenMove,
-} from './migration-record.js';
+import { moveKey, type MoveRecord, type MoveResult, type SeenMove } from './migration-record.js';
 import { encodeMove } from './migration-record-codec.js';
-import type { Transaction, TransactionOutcome } from './transaction.js';
+import {
+  endMigration,
+  migrationConditions,
+  type Transaction,
+  type TransactionOutcome,
+} from './migration-transaction.js';
 
 /** What a controller that may become the leader goes by. */
 export interface TargetView {
@@ -101,7 +99,7 @@
 ): Transaction {
   const value = encodeMove({ fromTerm, target, reason, phase: 'prepared', leaseId });
   return {
-    conditions: moveConditions(shard, fromTerm, version),
+    conditions: migrationConditions(shard, fromTerm, version),
     changes: [{ put: moveKey(shard), value }],
   };
 }
@@ -115,8 +113,8 @@
   const value = encodeLeader({ leader: name, leaseId });
   const result: MoveResult = { outcome: 'moved', target, reason, failureReason: '' };
   return {
-    conditions: moveConditions(shard, fromTerm, version),
-    changes: [{ put: shardKey(shard), value, lease: leaseId }, ...endMove(shard, result)],
+    conditions: migrationConditions(shard, fromTerm, version),
+    changes: [{ put: shardKey(shard), value, lease: leaseId }, ...endMigration(shard, result)],
   };
 }
 
--- a/packages/shards/transfer-source.ts
+++ b/packages/shards/transfer-source.ts
@@ -1,44 +1,72 @@
-import type { Clock } from '#wire';
-import { decodeMove, moveKey, type SeenMove, type Transaction } from './move-record.js';
+/** The I/O of the source of a transfer: takes the steps of its state machine and carries them out. */
+import type { Clock, Runtime } from '#wire';
+import type { LeaderElection, PrefixCache, StateClient } from '#store';
+import { moveKey, type SeenMove } from './migration-record.js';
+import { decodeMove } from './migration-record-codec.js';
+import { sendTransaction } from './send-transaction.js';
 import {
   DECIDING,
+  type MigrationLimits,
   type SourceAction,
   sourceAnswered,
   sourceRead,
   type SourceState,
   stepSource,
   successorPossibleSince,
-} from './move-source.js';
-import type { TransferableLeader, ShardMigratorOptions } from './shard-migrator.js';
-import { sendTransaction } from './send-transaction.js';
+} from './source-state-machine.js';
+import type { Transaction } from './migration-transaction.js';
+import type { MigrationLog, TransferableLeader } from './transferable-leader.js';
+
+const MS_PER_S = 1000;
+
+/** What the source of a transfer needs. */
+export interface TransferSourceOptions {
+  runtime: Pick<Runtime, 'clock'>;
+  client: StateClient;
+  /** Holds the records of the shard and of its migrations. */
+  world: PrefixCache;
+  election: LeaderElection;
+  /** This controller's name. */
+  name: string;
+  shard: number;
+  limits: MigrationLimits;
+  /** The leader in this controller; null while it leads nothing. */
+  leader: () => TransferableLeader | null;
+  /** What keeps a controller from becoming the leader now; null if nothing does. */
+  obstacle: (controller: string) => string | null;
+  log: MigrationLog;
+}
 
-/** Carries out what the owner of the part has to do for a move. */
+/** Carries out what the leader of the shard has to do for a transfer. */
 export class TransferSource {
   private state: SourceState = DECIDING;
-  /** The term that the state is about; 0 while nothing is owned. */
+  /** The term that the state is about; 0 while this controller leads nothing. */
   private term = 0;
   private paused = false;
+  /** Steady seconds. */
   private pausedAt = -Infinity;
   private readonly clock: Clock;
 
-  /** `wake` is to be called when a step may have become possible. */
+  /** `wake` is called when a step may have become possible. */
   constructor(
-    private readonly options: ShardMigratorOptions,
+    private readonly options: TransferSourceOptions,
     private readonly wake: () => void,
   ) {
     this.clock = options.runtime.clock;
   }
 
   /** Does what is due; true if there may be more to do at once. */
-  async step(move: SeenMove | null, signal: AbortSignal): Promise<boolean> {
+  async step(migration: SeenMove | null, signal: AbortSignal): Promise<boolean> {
     const leader = this.options.leader();
     const term = leader?.ready ? leader.term.term : 0;
     if (term !== this.term) this.beginTerm(term);
     if (leader === null || term === 0) return false;
     const { shard, name, obstacle, limits } = this.options;
-    const view = { shard, term, name, obstacle, limits, move, paused: this.paused };
-    const { state, action } = stepSource(this.state, { ...view, now: this.clock.now() });
-    // Before anything is sent: from then on the grant may prove nothing.
+    const { paused } = this;
+    const now = this.clock.now();
+    const view = { now, shard, term, name, move: migration, paused, obstacle, limits };
+    const { state, action } = stepSource(this.state, view);
+    // Before anything is sent: from then on the election lease may prove nothing.
     this.setState(state);
     return this.act(action, leader, signal);
   }
@@ -64,27 +92,29 @@
       case 'wait':
         return false;
       case 'pause':
-        this.pause(leader, action.to);
+        this.pause(leader, action.target);
         return false;
       case 'resume':
         this.resume(leader);
         return true;
       case 'read':
         return this.read(leader, signal);
-      case 'refuse':
-        this.log('part not moved', { to: action.to, why: action.why });
+      case 'refuse': {
+        const { target, failureReason } = action;
+        this.log('shard migration refused', { target, reason: failureReason });
         await sendTransaction(client, world, action.transaction, signal);
         return false;
+      }
       case 'quiesce':
       case 'retract':
         return this.send(action.transaction, leader, signal);
     }
   }
 
-  private pause(leader: TransferableLeader, to: string): void {
+  private pause(leader: TransferableLeader, target: string): void {
     this.paused = false;
     this.pausedAt = this.clock.now();
-    this.log('part to be moved', { to });
+    this.log('shard migration started: decisions stop', { target });
     void leader.pause().then(() => {
       if (!this.isCurrent(leader)) return;
       this.paused = true;
@@ -94,8 +124,8 @@
 
   private resume(leader: TransferableLeader): void {
     this.paused = false;
-    const pausedMs = Math.round((this.clock.now() - this.pausedAt) * 1000);
-    this.log('part kept', { pausedMs });
+    const pausedMs = Math.round((this.clock.now() - this.pausedAt) * MS_PER_S);
+    this.log('shard migration undone: decisions resume', { pausedMs });
     leader.resume();
   }
 
@@ -113,7 +143,7 @@
     return outcome.kind !== 'unknown';
   }
 
-  /** Reads the move's record as the state service holds it now. */
+  /** Reads the migration's record as the state service holds it now; false if there is nothing more to do at once. */
   private async read(leader: TransferableLeader, signal: AbortSignal): Promise<boolean> {
     const { client, shard } = this.options;
     try {
@@ -123,6 +153,7 @@
       this.setState(sourceRead(this.state, seen));
       return true;
     } catch {
+      // Whatever failed, the state still asks for the read, and the next step tries again.
       return false;
     }
   }
@@ -134,6 +165,6 @@
 
   private log(message: string, fields: object): void {
     const { log, shard } = this.options;
-    log.info({ part: shard, term: this.term, ...fields }, message);
+    log.info({ shard, term: this.term, ...fields }, message);
   }
 }
--- a/packages/shards/transfer-target.ts
+++ b/packages/shards/transfer-target.ts
@@ -1,4 +1,8 @@
-import type { SeenMove } from './move-record.js';
+/** The I/O of the target of a transfer: takes the steps of its state machine and carries them out. */
+import type { LeaderElection, PrefixCache, StateClient } from '#store';
+import type { SeenMove } from './migration-record.js';
+import type { RecordsAhead } from './record-prefetch.js';
+import { sendTransaction } from './send-transaction.js';
 import {
   IDLE,
   mayTakeShard,
@@ -6,43 +10,50 @@
   type TargetAction,
   targetAnswered,
   type TargetState,
-} from './move-target.js';
-import type { ShardMigratorOptions } from './shard-migrator.js';
-import { sendTransaction } from './send-transaction.js';
+} from './target-state-machine.js';
+import type { MigrationLog, TransferableLeader } from './transferable-leader.js';
 
-/** Carries out what the target of a move has to do. */
+/** What the target of a transfer needs. */
+export interface TransferTargetOptions {
+  client: StateClient;
+  /** Holds the records of the shard and of its migrations. */
+  world: PrefixCache;
+  election: LeaderElection;
+  /** This controller's name. */
+  name: string;
+  shard: number;
+  /** The leader in this controller; null while it leads nothing. */
+  leader: () => TransferableLeader | null;
+  /** The state service serves this controller, and it knows all jobs. */
+  canLead: () => boolean;
+  /** Prefetches what a new leader loads. */
+  ahead: Pick<RecordsAhead, 'prepare' | 'forget'>;
+  log: MigrationLog;
+}
+
+/** Carries out what the target of a transfer has to do. */
 export class TransferTarget {
   private state: TargetState = IDLE;
 
-  constructor(private readonly options: ShardMigratorOptions) {}
+  constructor(private readonly options: TransferTargetOptions) {}
 
   /** Does what is due; true if there may be more to do at once. */
-  async step(move: SeenMove | null, signal: AbortSignal): Promise<boolean> {
-    const { election, shard, name, canLead, leader } = this.options;
+  async step(migration: SeenMove | null, signal: AbortSignal): Promise<boolean> {
+    const { ahead, election, shard, name, canLead, leader } = this.options;
     const { state, action } = stepTarget(this.state, {
       shard,
       name,
       leaseId: election.provenLeaseId,
       shardVersion: election.currentLeader?.version ?? 0,
-      move,
+      move: migration,
       ready: canLead() && leader() === null,
     });
-    if (move?.record?.to !== name && leader() === null) this.options.ahead.forget();
-    // Before anything is sent: from then on we may own without knowing.
+    if (migration?.record?.target !== name && leader() === null) ahead.forget();
+    // Before anything is sent: from then on this controller may lead without knowing.
     this.setState(state);
     return this.act(action, signal);
   }
 
-  /** False if that failed, and is to be tried again. */
-  private async readAhead(signal: AbortSignal): Promise<boolean> {
-    try {
-      await this.options.ahead.prepare(signal);
-      return true;
-    } catch {
-      return false;
-    }
-  }
-
   private setState(state: TargetState): void {
     this.state = state;
     this.options.election.transfer.mayTakeShard = mayTakeShard(state);
@@ -51,11 +62,26 @@
   private async act(action: TargetAction, signal: AbortSignal): Promise<boolean> {
     const { client, world, log, shard } = this.options;
     if (action.kind === 'wait') return false;
-    if (action.kind === 'prepare' && !(await this.readAhead(signal))) return false;
+    if (action.kind === 'prepare' && !(await this.prefetch(signal))) return false;
     const outcome = await sendTransaction(client, world, action.transaction, signal);
     this.setState(targetAnswered(this.state, outcome));
     if (outcome.kind !== 'applied') return false;
-    log.info({ part: shard }, action.kind === 'switch' ? 'part taken' : 'ready for the part');
+    const message =
+      action.kind === 'switch'
+        ? 'shard migration completed: this controller leads the shard'
+        : 'shard migration prepared: this controller is ready to lead the shard';
+    log.info({ shard }, message);
     return true;
   }
+
+  /** False if a read failed. */
+  private async prefetch(signal: AbortSignal): Promise<boolean> {
+    try {
+      await this.options.ahead.prepare(signal);
+      return true;
+    } catch {
+      // Whatever failed, nothing was changed: the next step prefetches what is missing.
+      return false;
+    }
+  }
 }
--- a/packages/testing/move-model/events.ts
+++ b/packages/testing/move-model/events.ts
@@ -54,7 +54,8 @@
   if (budget.requests === 0 || part === null || move !== null || part.leader === to) return;
   list.add(`request ${to}`, true, (draft) => {
     draft.budget.requests--;
-    const record = { fromTerm: part.version, to, reason: '', phase: 'requested' } as const;
+    const fromTerm = part.version;
+    const record = { fromTerm, target: to, reason: '', phase: 'requested' } as const;
     draft.move = { record, version: ++draft.revision };
   });
 }
--- a/packages/testing/moves/loopback-run.ts
+++ b/packages/testing/moves/loopback-run.ts
@@ -150,7 +150,7 @@
     target: ControllerProcess,
     fromMs: number,
   ): void {
-    const paused = source.run.log.since('part to be moved', fromMs)[0];
+    const paused = source.run.log.since('shard migration started: decisions stop', fromMs)[0];
     const decides = target.run.log.since('owner', fromMs)[0];
     if (paused && decides) this.undecidedMs.push(decides.receivedAtMs - paused.receivedAtMs);
   }
--- a/packages/testing/moves/moves.test.ts
+++ b/packages/testing/moves/moves.test.ts
@@ -31,7 +31,9 @@
       .of('task-completed', BUSY_FROM_S)
       .filter(({ atS, job, index }) => movesBetween(startedAt.get(`${job}/${index}`)!, atS) > 0);
     assert.ok(completed.length >= 20, `${completed.length} tasks ran across a move and completed`);
-    const paused = controllers.flatMap(({ log }) => log.entries('part kept'));
+    const paused = controllers.flatMap(({ log }) =>
+      log.entries('shard migration undone: decisions resume'),
+    );
     assert.deepEqual(paused, [], 'no move failed');
   });
 });
--- a/packages/testing/simulation/faults/operator-requests.ts
+++ b/packages/testing/simulation/faults/operator-requests.ts
@@ -1,4 +1,4 @@
-import { moveKey, type MoveRecord } from '#shards';
+import { encodeMove, moveKey } from '#shards';
 import { decodeLeader, shardKey } from '#store';
 import type { StateService } from '../../standins/index.js';
 import type { SimulatedController } from '../controllers.js';
@@ -41,7 +41,12 @@
   const { store } = state;
   const part = store.get(shardKey(PART));
   if (!part || store.get(moveKey(PART)) || decodeLeader(part.value).leader === to) return;
-  const value: MoveRecord = { fromTerm: part.version, to, reason: 'a test', phase: 'requested' };
+  const value = encodeMove({
+    fromTerm: part.version,
+    target: to,
+    reason: 'a test',
+    phase: 'requested',
+  });
   const changes = [{ put: moveKey(PART), value }];
   store.apply(changes);
   const sent = { clientHost: 'operator', answered: true, heldS: 0 };
--- a/packages/testing/simulation/move-phases.ts
+++ b/packages/testing/simulation/move-phases.ts
@@ -1,4 +1,4 @@
-import { type MoveRecord, moveKey } from '#shards';
+import { moveKey, type MoveRecord, type StoredMigration } from '#shards';
 import { decodeLeader, shardKey } from '#store';
 import type { Change } from '#wire';
 import type { WorldEvent } from '../standins/index.js';
@@ -38,7 +38,7 @@
   private take(change: Change, together: Change[]): void {
     if ('delete' in change) return;
     if (change.put === moveKey(PART)) {
-      const { phase, to } = change.value as MoveRecord;
+      const { phase, to } = change.value as StoredMigration;
       this.source = this.ownerNow();
       this.target = to;
       this.reached(phase);
