--- a/packages/replicas/group-machine.test.ts
+++ b/packages/replicas/group-state-machine.test.ts
@@ -9,7 +9,7 @@
   newGroup,
   phaseOf,
   step,
-} from './group-machine.js';
+} from './group-state-machine.js';
 
 const MEMBERS = 3;
 
@@ -57,7 +57,7 @@
   assert.equal(phaseOf(after(each('placed', 8), gone)), 'reserved');
 });
 
-test('a new owner adopts the newest generation if the records name all of it, and ends the others', () => {
+test('a new leader adopts the newest generation if the records name all of it, and ends the others', () => {
   const old: GroupEvent = { kind: 'inherited', member: 1, generation: 5 };
   const adopted = step(after([old, ...each('inherited', 7)]), { kind: 'loaded' });
   assert.deepEqual(adopted.stop, [{ member: 1, generation: 5 }]);
@@ -65,7 +65,7 @@
   assert.equal(phaseOf(after(each('running', 7), adopted.state)), 'whole');
 });
 
-test('a new owner ends a generation of which the records lack a member', () => {
+test('a new leader ends a generation of which the records lack a member', () => {
   const [first, second] = each('inherited', 7);
   const judged = step(after([first, second]), { kind: 'loaded' });
   assert.equal(judged.stop.length, 2);
--- a/packages/replicas/group-machine.ts
+++ b/packages/replicas/group-state-machine.ts
@@ -1,7 +1,7 @@
 /**
  * The state machine of one replica group: the members of one replica, which start, serve and end together. Pure: it
  * knows neither clock nor machines. A generation is the attempt number that all members of one start carry. Attempt
- * numbers rise with the owner's term, so a generation also tells terms apart (docs/replica-groups.md).
+ * numbers rise with the leader's term, so a generation also tells terms apart (docs/replica-groups.md).
  */
 
 /** What a group is doing, as operators see it. */
@@ -24,10 +24,11 @@
 /** Why a generation ended or ends. */
 export type EndReason =
   | 'member-lost'
-  /** The records that a new owner read do not name every member. */
+  /** The records that a new leader loaded do not name every member. */
   | 'incomplete-records'
   /** Not all members ran in time. */
   | 'start-deadline'
+  /** The cloud takes a member's machine back. */
   | 'notice'
   | 'preempted'
   /** A member was stopped by itself. */
@@ -42,6 +43,7 @@
   readonly ending: boolean;
 }
 
+/** What is known of a group; it is never changed in place. */
 export interface GroupState {
   /** Members of the replica. */
   readonly members: number;
@@ -65,7 +67,7 @@
   | ({ kind: 'placed' } & MemberRef)
   /** Found in the records of an earlier term. */
   | ({ kind: 'inherited' } & MemberRef)
-  /** Reported though no record names it; it is being stopped already. */
+  /** In a worker's heartbeat though no record names it; it is being stopped already. */
   | ({ kind: 'unrecorded' } & MemberRef)
   /** All records of earlier terms have been read. */
   | { kind: 'loaded' }
@@ -78,37 +80,47 @@
   /** The whole generation is to end. */
   | { kind: 'end'; reason: EndReason };
 
+/** What an event changes, and what has to be done about it. */
 export interface GroupStep {
   state: GroupState;
   /** Members to be stopped now, which the state counts as ending already. */
   stop: MemberRef[];
 }
 
-/** A member was given a place that breaks the rules of a generation. */
-class GroupViolation extends Error {}
+/** A member was given a place that breaks the rules of a generation: a fault of the program. */
+class GenerationViolation extends Error {
+  override readonly name = 'GenerationViolation';
+
+  constructor(
+    readonly member: MemberRef,
+    reason: string,
+  ) {
+    super(`member ${member.member} of generation ${member.generation}: ${reason}`);
+  }
+}
 
 /** A group without any place. */
 export function newGroup(members: number): GroupState {
   return { members, generation: 0, places: [], reason: null, ending: false };
 }
 
-/** What comes of an event. */
+/** Applies an event; throws GenerationViolation for a place that must not be given. */
 export function step(state: GroupState, event: GroupEvent): GroupStep {
   switch (event.kind) {
     case 'placed':
-      return unchanged(place(state, event));
+      return unchanged(addPlace(state, event));
     case 'inherited':
-      return unchanged(found(state, { ...refOf(event), stage: 'recorded', ending: false }));
+      return unchanged(withPlace(state, { ...refOf(event), stage: 'recorded', ending: false }));
     case 'unrecorded':
-      return unchanged(found(state, { ...refOf(event), stage: 'recorded', ending: true }));
+      return unchanged(withPlace(state, { ...refOf(event), stage: 'recorded', ending: true }));
     case 'loaded':
-      return judgeRecords(state);
+      return adoptInherited(state);
     case 'recorded':
       return unchanged(markRecorded(state, event));
     case 'running':
       return unchanged(markRunning(state, event));
     case 'stopping':
-      return endIfNewest(changePlace(state, event, { ending: true }), event, 'member-stopped');
+      return endIfNewest(updatePlace(state, event, { ending: true }), event, 'member-stopped');
     case 'gone':
       return endIfNewest(withoutPlace(state, event), event, 'member-lost');
     case 'end':
@@ -127,6 +139,7 @@
   return places.length === 0;
 }
 
+/** What the group is doing, as operators see it. */
 export function phaseOf(state: GroupState): GroupPhase {
   const { places, ending, reason } = state;
   if (places.length === 0) return 'waiting';
@@ -150,42 +163,44 @@
   return places.filter((each) => each.generation === generation);
 }
 
-function place(state: GroupState, { member, generation }: MemberRef): GroupState {
+function addPlace(state: GroupState, ref: MemberRef): GroupState {
+  const { member, generation } = ref;
   const isNew = state.places.length === 0;
   if (isNew && generation <= state.generation) {
-    throw new GroupViolation(`generation ${generation} after ${state.generation}`);
+    throw new GenerationViolation(ref, `it is placed after generation ${state.generation}`);
   }
   if (!isNew && (generation !== state.generation || state.ending)) {
-    throw new GroupViolation(`member ${member} placed while another generation has places`);
+    throw new GenerationViolation(ref, 'it is placed while another generation has places');
   }
   if (state.places.some((each) => each.member === member)) {
-    throw new GroupViolation(`member ${member} has a place already`);
+    throw new GenerationViolation(ref, 'it has a place already');
   }
   const added: MemberPlace = { member, generation, stage: 'reserved', ending: false };
   return { ...state, generation, places: [...state.places, added], ending: false };
 }
 
-function found(state: GroupState, added: MemberPlace): GroupState {
+/** A place that was found, of whatever generation. */
+function withPlace(state: GroupState, added: MemberPlace): GroupState {
   const generation = Math.max(state.generation, added.generation);
   return { ...state, generation, places: [...state.places, added] };
 }
 
-/** A new owner adopts the newest generation if the records name all of it, and ends all others. */
-function judgeRecords(state: GroupState): GroupStep {
+/** A new leader adopts the newest generation if the records name all of it, and ends all others. */
+function adoptInherited(state: GroupState): GroupStep {
   if (state.places.length === 0) return unchanged(state);
   const isNewest = (each: MemberPlace) => each.generation === state.generation;
   if (!isComplete(state)) return endGeneration(state, 'incomplete-records');
   return stopPlaces(state, (each) => !isNewest(each));
 }
 
-/** A machine's record is written anew with each change of it; a member that runs goes on running. */
+/** A machine's record is written again with each change of it; a member that runs goes on running. */
 function markRecorded(state: GroupState, event: MemberRef): GroupState {
   const place = state.places.find((each) => isAt(each, event));
-  return place?.stage === 'reserved' ? changePlace(state, event, { stage: 'recorded' }) : state;
+  return place?.stage === 'reserved' ? updatePlace(state, event, { stage: 'recorded' }) : state;
 }
 
 function markRunning(state: GroupState, event: MemberRef): GroupState {
-  const next = changePlace(state, event, { stage: 'running' });
+  const next = updatePlace(state, event, { stage: 'running' });
   return phaseOf(next) === 'whole' ? { ...next, reason: null } : next;
 }
 
@@ -208,7 +223,7 @@
   return { state: { ...state, places }, stop: stopped.map(refOf) };
 }
 
-function changePlace(
+function updatePlace(
   state: GroupState,
   ref: MemberRef,
   change: Partial<Pick<MemberPlace, 'stage' | 'ending'>>,
--- a/packages/replicas/job-replica-groups.ts
+++ b/packages/replicas/job-replica-groups.ts
@@ -1,7 +1,29 @@
+/** The replica groups of one job. */
 import type { Assignment, JobReplicas, JobState, PlaceOrigin, ReplicaShape, TaskEnd } from '#core';
-import { Group } from './group.js';
-import { type MemberRef, mayBePlaced, mayStart } from './group-machine.js';
-import type { ReplicaGroups } from './replica-groups.js';
+import { Group } from './replica-group.js';
+import {
+  type EndReason,
+  type GroupEvent,
+  type MemberRef,
+  mayBePlaced,
+  mayStart,
+} from './group-state-machine.js';
+
+/** What the groups of one job ask of the groups of all jobs. */
+export interface GroupRegistry {
+  /** A group gets its first place. */
+  groupAdded(group: Group): void;
+  /** Applies an event to a group, and does what follows from it. */
+  apply(group: Group, event: GroupEvent, now: number): void;
+  /** Ends the whole generation of a group. */
+  end(group: Group, reason: EndReason, now: number): void;
+  /** The cloud takes the machine of a member back. */
+  moveOff(group: Group, now: number): void;
+  /** Whether one more replica that is being repaired may start now. */
+  mayStartRepair(group: Group): boolean;
+  /** The job is over for its user. */
+  jobClosed(job: JobState, groups: JobReplicaGroups): void;
+}
 
 /** The replica groups of one job. Groups that never had a place are not held one by one. */
 export class JobReplicaGroups implements JobReplicas {
@@ -9,15 +31,15 @@
   readonly sameZone: boolean;
   private readonly groups = new Map<number, Group>();
   /** Groups that had places once and have none now. */
-  private readonly returned = new Set<Group>();
-  /** All groups from here on never had a place. */
-  private nextFresh = 0;
+  private readonly withoutPlaces = new Set<Group>();
+  /** Index from which on no group ever had a place. */
+  private firstNeverPlaced = 0;
   private closed = false;
 
   constructor(
     private readonly job: JobState,
     shape: ReplicaShape,
-    private readonly registry: ReplicaGroups,
+    private readonly registry: GroupRegistry,
   ) {
     this.members = shape.members;
     this.sameZone = shape.sameZone;
@@ -42,20 +64,20 @@
     const group = this.groupOf(assignment.index, now);
     const isFirst = mayBePlaced(group.state);
     this.registry.apply(group, { kind: origin, ...this.refOf(assignment) }, now);
-    this.returned.delete(group);
+    this.withoutPlaces.delete(group);
     if (isFirst) group.placedAt = now;
   }
 
   placeRecorded(assignment: Assignment, now: number): void {
-    this.note('recorded', assignment, now);
+    this.applyEvent('recorded', assignment, now);
   }
 
   memberRunning(assignment: Assignment, now: number): void {
-    this.note('running', assignment, now);
+    this.applyEvent('running', assignment, now);
   }
 
   memberStopping(assignment: Assignment, now: number): void {
-    this.note('stopping', assignment, now);
+    this.applyEvent('stopping', assignment, now);
   }
 
   placeEnded(assignment: Assignment, cause: TaskEnd['cause'], now: number): void {
@@ -63,7 +85,7 @@
     const group = this.groupOf(assignment.index, now);
     if (cause !== 'stopped') group.lostBy = cause;
     this.registry.apply(group, { kind: 'gone', ...this.refOf(assignment) }, now);
-    if (mayBePlaced(group.state)) this.returned.add(group);
+    if (mayBePlaced(group.state)) this.withoutPlaces.add(group);
   }
 
   mayStart({ index, attempt }: Assignment): boolean {
@@ -85,16 +107,18 @@
   }
 
   waiting(limit: number, now: number): number[] {
-    const found: number[] = [];
-    for (const group of this.returned) {
-      if (found.length === limit) return found;
-      if (group.notBefore <= now && this.registry.mayStartRepair(group)) found.push(group.index);
+    const indices: number[] = [];
+    for (const group of this.withoutPlaces) {
+      if (indices.length === limit) return indices;
+      if (group.backoffUntil <= now && this.registry.mayStartRepair(group))
+        indices.push(group.index);
     }
-    while (this.nextFresh < this.size && this.groups.has(this.nextFresh)) this.nextFresh++;
-    for (let index = this.nextFresh; index < this.size && found.length < limit; index++) {
-      if (!this.groups.has(index)) found.push(index);
+    while (this.firstNeverPlaced < this.size && this.groups.has(this.firstNeverPlaced))
+      this.firstNeverPlaced++;
+    for (let index = this.firstNeverPlaced; index < this.size && indices.length < limit; index++) {
+      if (!this.groups.has(index)) indices.push(index);
     }
-    return found;
+    return indices;
   }
 
   jobClosed(): void {
@@ -102,7 +126,7 @@
     this.registry.jobClosed(this.job, this);
   }
 
-  private note(
+  private applyEvent(
     kind: 'recorded' | 'running' | 'stopping',
     assignment: Assignment,
     now: number,
--- /dev/null
+++ b/packages/replicas/replica-capacity.ts
@@ -0,0 +1,59 @@
+/** Capacity for the members of a replica that starts again: what is held for them, and how long it takes to use it. */
+import {
+  type Assignment,
+  chooseMachinesTogether,
+  type FleetState,
+  HOLD_REPORTS,
+  type JobState,
+  type Machine,
+  needsOneZone,
+  PlacementCandidates,
+} from '#core';
+import type { Group } from './replica-group.js';
+
+/** Holds capacity in a leader's fleet for replicas that start again. Times are steady seconds. */
+export class ReplicaCapacity {
+  constructor(
+    private readonly fleet: FleetState,
+    private readonly heartbeatIntervalS: number,
+  ) {}
+
+  /**
+   * Holds the machines of the survivors, which have the image, until the replica starts again, and capacity for its
+   * other members if there is any.
+   */
+  holdForRestart(group: Group, survivors: Assignment[], now: number): void {
+    for (const { machine } of survivors) {
+      if (machine.reclaimAt === null) this.hold(machine, group.job, now);
+    }
+    const lost = group.members - survivors.length;
+    if (lost > 0) this.holdForMembers(group, lost, now);
+  }
+
+  /** Finds and holds capacity for so many members; false if there is none. */
+  holdForMembers(group: Group, members: number, now: number): boolean {
+    const { fleet } = this;
+    const candidates = new PlacementCandidates(fleet, now);
+    const request = { tasks: members, oneZone: needsOneZone(group.job) };
+    const machines = chooseMachinesTogether(fleet, group.job, request, candidates, now);
+    for (const machine of machines ?? []) this.hold(machine, group.job, now);
+    return machines !== null;
+  }
+
+  private hold(machine: Machine, job: JobState, now: number): void {
+    if (machine.capacityHold !== null) return;
+    const until = now + HOLD_REPORTS * this.heartbeatIntervalS;
+    this.fleet.holds.hold(machine, job, until);
+  }
+
+  /** Nominal seconds of the slowest fetch of the replica's image on the machines of its members. */
+  slowestFetchS(group: Group): number {
+    const { machines } = this.fleet;
+    let slowestS = 0;
+    for (const { machine } of group.assignments()) {
+      const rate = machines.typeOf(machine)?.fetchGbPerS;
+      if (rate !== undefined) slowestS = Math.max(slowestS, group.job.spec.imageGb / rate);
+    }
+    return slowestS;
+  }
+}
--- a/packages/replicas/replica-exploration.test.ts
+++ b/packages/replicas/replica-exploration.test.ts
@@ -4,16 +4,16 @@
 
 const QUIET = { failures: 0, ownerChanges: 0, lostCommands: 0, requests: 0 };
 const FAILURE: ReplicaBudget = { ...QUIET, failures: 1 };
-const OWNER_CHANGES: ReplicaBudget = { ...QUIET, ownerChanges: 1 };
+const LEADER_CHANGES: ReplicaBudget = { ...QUIET, ownerChanges: 1 };
 const FAILURE_AND_REQUEST: ReplicaBudget = { ...QUIET, failures: 1, requests: 1 };
-const FAILURE_AND_OWNER: ReplicaBudget = { ...QUIET, failures: 1, ownerChanges: 1 };
+const FAILURE_AND_LEADER_CHANGE: ReplicaBudget = { ...QUIET, failures: 1, ownerChanges: 1 };
 
-/** `REPLICA_BUDGET=2,1,1,1` in the environment explores that many failures, changes of owner, lost commands and requests. */
+/** `REPLICA_BUDGET=2,1,1,1` in the environment explores that many failures, changes of leader, lost commands and requests. */
 function budgets(): ReplicaBudget[] {
   const given = process.env.REPLICA_BUDGET?.split(',').map(Number);
-  if (!given) return [OWNER_CHANGES, FAILURE_AND_REQUEST];
-  const [failures, ownerChanges, lostCommands, requests] = given;
-  return [{ failures, ownerChanges, lostCommands, requests }];
+  if (!given) return [LEADER_CHANGES, FAILURE_AND_REQUEST];
+  const [failures, leaderChanges, lostCommands, requests] = given;
+  return [{ failures, ownerChanges: leaderChanges, lostCommands, requests }];
 }
 
 test('no order of events gives a broken answer or two generations, and every order leads to a whole replica', () => {
@@ -27,12 +27,12 @@
 
 // Each guard is shown to be needed by a world without it.
 const harmful: [ReplicaMistake, ReplicaBudget, string][] = [
-  ['starts-unrecorded', OWNER_CHANGES, 'two generations'],
+  ['starts-unrecorded', LEADER_CHANGES, 'two generations'],
   ['places-before-gone', FAILURE, 'two generations'],
   ['keeps-the-rest', FAILURE, 'incomplete generation kept'],
-  ['adopts-incomplete', FAILURE_AND_OWNER, 'incomplete generation kept'],
-  ['records-without-term', OWNER_CHANGES, 'two generations'],
-  ['obeys-old-tokens', OWNER_CHANGES, 'two generations'],
+  ['adopts-incomplete', FAILURE_AND_LEADER_CHANGE, 'incomplete generation kept'],
+  ['records-without-term', LEADER_CHANGES, 'two generations'],
+  ['obeys-old-tokens', LEADER_CHANGES, 'two generations'],
   ['trusts-silence', FAILURE, 'two generations'],
   ['answers-without-mates', FAILURE_AND_REQUEST, 'broken answer'],
 ];
--- a/packages/replicas/group.ts
+++ b/packages/replicas/replica-group.ts
@@ -1,3 +1,4 @@
+/** One replica group: its state machine, and what the leader remembers of it beside that. */
 import type { Assignment, JobState, TaskEnd } from '#core';
 import {
   type EndReason,
@@ -8,33 +9,33 @@
   newGroup,
   phaseOf,
   step,
-} from './group-machine.js';
+} from './group-state-machine.js';
 
 /** A change of a group's phase. */
 export interface PhaseChange {
   group: Group;
   from: GroupPhase;
   to: GroupPhase;
-  /** Why the generation before ended; null if the group has been whole since or never was begun. */
+  /** Why the previous generation ended; null if the group has been whole since, or no generation was begun. */
   reason: EndReason | null;
 }
 
-/** One replica group with what its owner remembers of it beside the state machine. Times are steady seconds. */
+/** One replica group. Times are steady seconds. */
 export class Group {
   state: GroupState;
   phase: GroupPhase = 'waiting';
   /** Since when it is in this phase. */
   since: number;
-  /** When a generation of it first ended since it was whole; null if none did. */
-  brokenSince: number | null = null;
+  /** When a generation of it first ended since it was last whole; null if none did. */
+  incompleteSince: number | null = null;
   /** How the member that was lost last ended. */
   lostBy: TaskEnd['cause'] | null = null;
-  /** When the present generation got its places. */
+  /** When the current generation got its places. */
   placedAt = 0;
-  /** Starts that failed since it was whole. */
+  /** Starts that failed since it was last whole. */
   failedStarts = 0;
-  /** It gets no places before. */
-  notBefore = 0;
+  /** End of its backoff: it gets no places before. */
+  backoffUntil = 0;
 
   constructor(
     readonly job: JobState,
@@ -47,7 +48,7 @@
     this.since = now;
   }
 
-  /** Takes an event in; returns the members to be stopped and how the phase changed. */
+  /** Applies an event; returns the members to be stopped, and the change of phase or null. */
   apply(event: GroupEvent, now: number): { stop: MemberRef[]; change: PhaseChange | null } {
     const { reason } = this.state;
     const { state, stop } = step(this.state, event);
--- a/packages/replicas/replica-groups.test.ts
+++ b/packages/replicas/replica-groups.test.ts
@@ -54,7 +54,7 @@
     return this.fleet.addJob(job, now, 'accepted', now, { shape: { members, sameZone } });
   }
 
-  /** All that was placed is recorded, started and reported as running. */
+  /** All that was placed is recorded, started and in the heartbeats as running. */
   settle(now: number): void {
     for (const assignment of this.assignments()) this.fleet.assignments.recorded(assignment, now);
     for (const { name } of this.fleet.machines.values()) this.heartbeat(name, now);
@@ -89,7 +89,7 @@
   assert.equal(
     new Set(placed.map(({ job }) => job)).size,
     1,
-    'the other holds no part of the room',
+    'the other holds no part of the capacity',
   );
   assert.equal(new Set(placed.map(({ attempt }) => attempt)).size, 1, 'one generation');
   world.addMachine('n-5', 'b');
@@ -103,7 +103,7 @@
   assert.equal(world.fleet.usage.ofTeam('red').gpus, 12);
 });
 
-test('members that must share a zone do, also if another zone has more room', () => {
+test('members that must share a zone do, also if another zone has more capacity', () => {
   const world = new GroupWorld(4);
   world.submit({ tasks: 3 }, 3, true);
   assert.equal(world.scheduler.place(1), 0, 'two machines in each zone');
@@ -112,7 +112,7 @@
   assert.deepEqual(new Set(world.assignments().map(({ machine }) => machine.zone)), new Set(['b']));
 });
 
-test('members that must share a zone are rented for in one, also if others have some room', () => {
+test('machines for members that must share a zone are requested in one, also if others have some capacity', () => {
   const world = new GroupWorld(4);
   world.submit({ tasks: 3 }, 3, true);
   const planner = new CapacityPlanner({
@@ -121,13 +121,13 @@
     objectives: [],
     teams: new Map([['red', NO_QUOTA]]),
   });
-  const { scaleOut: rent } = planner.plan(1);
-  assert.equal(rent.length, 1);
-  assert.equal(rent[0].count, 1, 'beside the two machines of that zone');
-  planner.scaleOutRefused(rent[0], 100);
+  const { scaleOut } = planner.plan(1);
+  assert.equal(scaleOut.length, 1);
+  assert.equal(scaleOut[0].count, 1, 'beside the two machines of that zone');
+  planner.scaleOutRefused(scaleOut[0], 100);
   const [other] = planner.plan(2).scaleOut;
-  assert.notEqual(other.zone, rent[0].zone, 'a zone that gives no machines is left');
-  world.addMachine('n-4', rent[0].zone);
+  assert.notEqual(other.zone, scaleOut[0].zone, 'a zone that gives no machines is left');
+  world.addMachine('n-4', scaleOut[0].zone);
   world.fleet.machines.updateTotals();
   assert.deepEqual(planner.plan(3).scaleOut, []);
 });
@@ -152,7 +152,7 @@
   assert.equal(orders(first.machine.name, 2), 1);
 });
 
-test('survivors of a lost member are stopped, their room is held, and all start anew together', () => {
+test('survivors of a lost member are stopped, their capacity is held, and all start again together', () => {
   const world = new GroupWorld(4);
   world.submit({ tasks: 3 }, 3);
   world.scheduler.place(1);
@@ -177,7 +177,7 @@
   );
 });
 
-test('a start that is not whole in time gives its room up, and comes back after a growing pause', () => {
+test('a start that is not whole in time releases its capacity, and is placed again after a growing backoff', () => {
   const world = new GroupWorld(3);
   world.submit({ tasks: 3, imageGb: 5 }, 3);
   world.scheduler.place(1);
@@ -194,7 +194,7 @@
   assert.equal(world.assignments().length, 0);
 });
 
-test('no more broken replicas start at the same time than the bound says, urgent ranks first', () => {
+test('no more replicas are repaired at the same time than the limit allows, urgent ranks first', () => {
   const world = new GroupWorld(24);
   for (let i = 0; i < 12; i++) world.submit({ id: `j-${i}`, tasks: 2, rank: i < 6 ? 2 : 1 }, 2);
   world.scheduler.place(1);
@@ -215,7 +215,7 @@
   assert.ok([...starting].every(({ spec }) => spec.rank === 1));
 });
 
-test('a new owner adopts a replica that its records name whole, and ends one that they name in part', () => {
+test('a new leader adopts a replica that its records name whole, and ends one that they name in part', () => {
   const world = new GroupWorld(5);
   const whole = world.submit({ id: 'j-1', tasks: 3 }, 3);
   const partial = world.submit({ id: 'j-2', tasks: 3 }, 3);
@@ -232,7 +232,7 @@
   assert.equal(stopped.length, 2);
 });
 
-test('urgent work stops a replica as a whole', () => {
+test('urgent work preempts a replica as a whole', () => {
   const world = new GroupWorld(3);
   world.submit({ id: 'j-1', tasks: 3, rank: 3 }, 3);
   world.scheduler.place(1);
@@ -244,7 +244,7 @@
   assert.ok(members.every(({ stop }) => stop !== null));
 });
 
-test('room is made for a replica only if all of its members get some', () => {
+test('work is preempted for a replica only if all of its members get capacity', () => {
   const world = new GroupWorld(2);
   const low = world.fleet.addJob(
     aJob({ id: 'j-1', kind: 'service', rank: 3, tasks: 2, gpus: 4 }),
@@ -264,7 +264,7 @@
   assert.deepEqual(isStopped(), [true, true]);
 });
 
-test('a notice moves a replica once there is room for its members elsewhere, or when little time is left', () => {
+test('a reclaim notice moves a replica once there is capacity for its members elsewhere, or when little time is left', () => {
   const world = new GroupWorld(3);
   world.submit({ tasks: 3 }, 3);
   world.scheduler.place(1);
--- a/packages/replicas/replica-rows.ts
+++ b/packages/replicas/replica-rows.ts
@@ -1,8 +1,10 @@
-/** What operators are shown of replica groups. */
-import type { Group } from './group.js';
-import type { EndReason, GroupPhase } from './group-machine.js';
+/** The rows of the endpoint `/replicas`, which operators' programs read: the names are part of its JSON. */
+import type { Group } from './replica-group.js';
+import type { EndReason, GroupPhase } from './group-state-machine.js';
 import type { ReplicaGroups } from './replica-groups.js';
 
+const TENTHS = 10;
+
 /** One replica. */
 export interface ReplicaRow {
   job: string;
@@ -19,7 +21,7 @@
   machines: string[];
 }
 
-/** All replicas that have or had a place, those that are not whole first. */
+/** All replicas that have or had a place, those that are not whole first, then those longest in their phase. */
 export function replicaRows(groups: ReplicaGroups, now: number): ReplicaRow[] {
   const rows = [...groups.groups()].map((group) => rowOf(group, now));
   const isWhole = ({ phase }: ReplicaRow) => Number(phase === 'whole');
@@ -34,8 +36,12 @@
     replica: index,
     generation: state.generation,
     phase,
-    forS: Math.round((now - since) * 10) / 10,
+    forS: roundToTenths(now - since),
     why: state.reason,
     machines: [...group.assignments()].map(({ machine }) => machine.name),
   };
 }
+
+function roundToTenths(seconds: number): number {
+  return Math.round(seconds * TENTHS) / TENTHS;
+}
--- a/packages/replicas/shapes.test.ts
+++ b/packages/replicas/replica-shapes.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { aJob, STD } from '#testing';
-import { shapeOf, whyNeverWhole } from './shapes.js';
+import { shapeOf, whyNeverWhole } from './replica-shapes.js';
 
 const CLASSES = {
   fixed: { members: 3, sameZone: true },
--- a/packages/replicas/shapes.ts
+++ b/packages/replicas/replica-shapes.ts
@@ -1,8 +1,8 @@
-/** Which jobs have replicas of several members, and which of these can never be placed. */
+/** Which jobs have replicas of several members, and which of these replicas can never be placed. */
 import { type ReplicaShape, typeFits, zoneCap } from '#core';
 import { type Job, JOB_FIELDS, type MachineType } from '#wire';
 
-/** What operators say of the replicas of a class. */
+/** What operators configure for the replicas of a class. */
 export interface ReplicaClass {
   /** Tasks of one replica; `job`: all tasks of the job are one replica. */
   members: number | 'job';
@@ -13,7 +13,7 @@
 /** By name of the class. */
 export type ReplicaClasses = Readonly<Record<string, ReplicaClass>>;
 
-/** How the job's tasks form replicas; null if each task is by itself. */
+/** How the job's tasks form replicas; null if each task is a replica. */
 export function shapeOf(job: Job, classes: ReplicaClasses): ReplicaShape | null {
   if (job.kind !== 'service' || !Object.hasOwn(classes, job.class)) return null;
   const { members, sameZone } = classes[job.class];
@@ -21,7 +21,7 @@
   return count > 1 ? { members: count, sameZone } : null;
 }
 
-/** Why the job's replicas can never be placed, or null. No machine types: not known yet. */
+/** Why the job's replicas can never be placed, or null; an empty list of machine types means that none is known yet. */
 export function whyNeverWhole(
   job: Job,
   { members, sameZone }: ReplicaShape,
--- a/packages/replicas/group-limits.ts
+++ b/packages/replicas/start-limits.ts
@@ -1,11 +1,15 @@
-/** How long a start of a replica may take, how long a failed one waits, and how many repairs start at once. */
+/** Limits on the starts of replicas: the deadline, the backoff after a failed start, and the repairs at a time. */
 
-/** Leases that a start may take beside the fetch of its image. */
+/** Worker leases that a start may take beside the fetch of its image. */
 const START_LEASES = 2;
 /** Multiple of the nominal time of an image's fetch: several images may share a machine's rate. */
 const FETCH_MARGIN = 3;
-/** Failed starts after which neither deadline nor back-off grows any more. */
+/** Failed starts after which neither the deadline nor the backoff grows any more. */
 const MOST_DOUBLINGS = 5;
+/** Longest backoff after the first failed start, in worker leases. */
+const FIRST_BACKOFF_LEASES = 1 / 2;
+/** Share of a backoff that is random. */
+const JITTER_SHARE = 1 / 2;
 /** Share of the machines on which replicas that are being repaired may start at the same time, and the least number. */
 const REPAIRS_SHARE = 1 / 8;
 const LEAST_REPAIRS = 4;
@@ -15,10 +19,10 @@
   return (START_LEASES * leaseS + FETCH_MARGIN * fetchS) * doubled(failedStarts);
 }
 
-/** Seconds for which a replica whose start failed gets no places; `random` is from 0 to 1 and spreads them. */
+/** Seconds for which a replica whose start failed gets no places; `random`, from 0 to 1, adds the jitter. */
 export function backoffS(leaseS: number, failedStarts: number, random: number): number {
-  const longestS = (leaseS / 2) * doubled(failedStarts);
-  return longestS * (1 / 2 + random / 2);
+  const longestS = FIRST_BACKOFF_LEASES * leaseS * doubled(failedStarts);
+  return longestS * (1 - JITTER_SHARE + JITTER_SHARE * random);
 }
 
 /** How many replicas that lost a member may start at the same time, so that a lost zone overloads nothing. */
