--- a/packages/dependencies/dependency-graph.test.ts
+++ b/packages/dependencies/dependency-graph.test.ts
@@ -7,7 +7,7 @@
 
 interface SampleJob {
   id: string;
-  awaits: string[];
+  dependencies: string[];
   own: Urgency;
 }
 
@@ -27,16 +27,16 @@
     if (this.outcomes.has(job.id)) return;
     this.jobs.set(job.id, job);
     this.urgencies.set(job.id, this.graph.urgencyOf(job.id));
-    this.take(this.graph.accepted(job.id, job.awaits));
+    this.apply(this.graph.accepted(job.id, job.dependencies));
     this.urgencies.set(job.id, this.graph.urgencyOf(job.id));
   }
 
   end(id: string, outcome: Outcome): void {
     this.outcomes.set(id, outcome);
-    this.take(this.graph.ended(id, outcome));
+    this.apply(this.graph.ended(id, outcome));
   }
 
-  private take(changes: DependencyChange[]): void {
+  private apply(changes: DependencyChange[]): void {
     for (const change of changes) {
       if (change.kind === 'cancelled') this.outcomes.set(change.job, 'cancelled');
       else if (change.kind === 'startable') this.startable.push(change.job);
@@ -45,14 +45,16 @@
   }
 }
 
-function aJob(id: string, awaits: string[] = [], rank = 3, dueAtMs = Infinity): SampleJob {
-  return { id, awaits, own: { rank, dueAtMs } };
+function aJob(id: string, dependencies: string[] = [], rank = 3, dueAtMs = Infinity): SampleJob {
+  return { id, dependencies, own: { rank, dueAtMs } };
 }
 
 /** The same by going through all jobs. */
 function isCancelled(jobs: Map<string, SampleJob>, own: Map<string, Outcome>, id: string): boolean {
   if (own.has(id)) return own.get(id) === 'cancelled';
-  return jobs.get(id)?.awaits.some((awaited) => isCancelled(jobs, own, awaited)) ?? false;
+  return (
+    jobs.get(id)?.dependencies.some((dependency) => isCancelled(jobs, own, dependency)) ?? false
+  );
 }
 
 function urgencyOf(
@@ -61,8 +63,8 @@
   id: string,
 ): Urgency {
   let urgency = jobs.get(id)!.own;
-  for (const { id: other, awaits } of jobs.values()) {
-    if (!awaits.includes(id) || isOver(other)) continue;
+  for (const { id: other, dependencies } of jobs.values()) {
+    if (!dependencies.includes(id) || isOver(other)) continue;
     urgency = mostUrgent(urgency, urgencyOf(jobs, isOver, other));
   }
   return urgency;
@@ -72,7 +74,7 @@
   const anyPlan = fc.record({
     jobs: fc.array(
       fc.record({
-        awaits: fc.array(fc.nat(20), { maxLength: 3 }),
+        dependencies: fc.array(fc.nat(20), { maxLength: 3 }),
         rank: fc.nat(3),
         dueAtMs: fc.constantFrom(100, 200, Infinity),
       }),
@@ -85,8 +87,8 @@
   let waiting = 0;
   fc.assert(
     fc.property(anyPlan, ({ jobs: plans, ends, order }) => {
-      const all = plans.map(({ awaits, rank, dueAtMs }, number) => {
-        const earlier = number === 0 ? [] : [...new Set(awaits.map((each) => each % number))];
+      const all = plans.map(({ dependencies, rank, dueAtMs }, number) => {
+        const earlier = number === 0 ? [] : [...new Set(dependencies.map((each) => each % number))];
         return aJob(
           `j-${number}`,
           earlier.map((each) => `j-${each}`),
@@ -95,12 +97,12 @@
         );
       });
       const jobs = new Map(all.map((job) => [job.id, job]));
-      // Only what awaits nothing that is open can be done, and nothing ends twice.
+      // Only a job without open dependencies can be done, and nothing ends twice.
       const own = new Map<string, Outcome>();
       for (const { job: number, isDone } of ends) {
         const job = all.at(number);
         if (!job || own.has(job.id) || isCancelled(jobs, own, job.id)) continue;
-        const isReady = job.awaits.every((awaited) => own.get(awaited) === 'done');
+        const isReady = job.dependencies.every((dependency) => own.get(dependency) === 'done');
         if (!isDone || isReady) own.set(job.id, isDone ? 'done' : 'cancelled');
       }
       // Each record is read once as it is now, or first as accepted and later as it ended.
@@ -114,14 +116,14 @@
       });
       for (const { run } of events.sort((one, other) => one.at - other.at)) run();
       const isOver = (id: string) => own.has(id) || isCancelled(jobs, own, id);
-      for (const { id, awaits } of all) {
+      for (const { id, dependencies } of all) {
         const expected = isCancelled(jobs, own, id) ? 'cancelled' : own.get(id);
         assert.equal(records.outcomes.get(id), expected, id);
         if (isOver(id)) {
           if (!own.has(id)) cancelledWithOthers++;
           continue;
         }
-        const isWaiting = awaits.some((awaited) => own.get(awaited) !== 'done');
+        const isWaiting = dependencies.some((dependency) => own.get(dependency) !== 'done');
         if (isWaiting) waiting++;
         assert.equal(records.graph.isWaiting(id), isWaiting, id);
         assert.deepEqual(records.graph.urgencyOf(id), urgencyOf(jobs, isOver, id), id);
@@ -133,7 +135,7 @@
   assert.ok(cancelledWithOthers > 50 && waiting > 100, `${cancelledWithOthers}, ${waiting}`);
 });
 
-test('a job is startable once, when the last that it awaits is done', () => {
+test('a job is startable once, when the last of its dependencies is done', () => {
   const records = new Records();
   for (const job of [aJob('a'), aJob('b'), aJob('c', ['a', 'b'])]) records.accept(job);
   assert.deepEqual(records.graph.awaitedBy('c'), ['a', 'b']);
@@ -178,7 +180,7 @@
   assert.deepEqual(records.startable, ['b', 'c']);
 });
 
-test('nothing is kept of jobs that neither await others nor are awaited', () => {
+test('nothing is kept of jobs that have neither dependencies nor dependents', () => {
   const records = new Records();
   const job = aJob('a');
   records.accept(job);
--- a/packages/dependencies/dependency-graph.ts
+++ b/packages/dependencies/dependency-graph.ts
@@ -1,13 +1,13 @@
 /**
- * Jobs that await others. Whether a job may start, is cancelled and how urgent it is follows from the durable
- * records of the jobs that it needs and of those that need it, whatever the order in which they are read.
+ * The DAG of jobs and their dependencies. Whether a job may start or is cancelled, and how urgent it is, follows from
+ * the durable records of its dependencies and dependents, whatever the order in which they are read.
  */
 import { isSameUrgency, mostUrgent, type Urgency } from './urgency.js';
 
 /** How a job ended. */
 export type Outcome = 'done' | 'cancelled';
 
-/** What the graph asks about jobs that were accepted. */
+/** What the graph asks about accepted jobs. */
 export interface KnownJobs {
   /** Null while the job is open or not known. */
   outcomeOf(id: string): Outcome | null;
@@ -17,142 +17,143 @@
 
 /** What follows for one job from what happened to another. */
 export type DependencyChange =
-  /** All that it awaits is done. */
+  /** All its dependencies are done. */
   | { kind: 'startable'; job: string }
-  /** A job that it needs is cancelled, and so is it. */
+  /** One of its dependencies, direct or not, is cancelled, and so is it. */
   | { kind: 'cancelled'; job: string }
-  /** Jobs that need it have come or gone. */
+  /** Its own dependents, direct or not, have come or gone. */
   | { kind: 'urgency'; job: string; urgency: Urgency };
 
-/** A job that awaits others or that others await. */
+/** An open job that has dependencies or dependents. */
 interface Node {
   id: string;
-  /** What it awaits and what is not over. */
-  readonly awaits: Set<Node>;
-  /** Open jobs that await it. */
+  readonly openDependencies: Set<Node>;
+  /** Open jobs that depend on it. */
   readonly dependents: Set<Node>;
-  /** Of itself and of all that need it. */
+  /** The most urgent of its own and of those of all its dependents, direct or not. */
   urgency: Urgency;
 }
 
 const NOT_URGENT: Urgency = { rank: Infinity, dueAtMs: Infinity };
 
-/** The open jobs that await others or that others await. */
+/** The open jobs that have dependencies or dependents; others cost nothing. */
 export class DependencyGraph {
   private readonly nodes = new Map<string, Node>();
 
   constructor(private readonly jobs: KnownJobs) {}
 
-  /** Whether the job awaits others that are not done. */
+  /** Whether the job has dependencies that are not done. */
   isWaiting(id: string): boolean {
-    return (this.nodes.get(id)?.awaits.size ?? 0) > 0;
+    return (this.nodes.get(id)?.openDependencies.size ?? 0) > 0;
   }
 
-  /** What the job awaits and what is not done. */
+  /** Ids of the job's dependencies that are not done. */
   awaitedBy(id: string): string[] {
-    return [...(this.nodes.get(id)?.awaits ?? [])].map((awaited) => awaited.id);
+    return [...(this.nodes.get(id)?.openDependencies ?? [])].map((dependency) => dependency.id);
   }
 
-  /** How urgent the job is by itself and by all that need it. */
+  /** How urgent the job is, by itself and by all its dependents, direct or not. */
   urgencyOf(id: string): Urgency {
     return this.nodes.get(id)?.urgency ?? this.jobs.urgencyOf(id) ?? NOT_URGENT;
   }
 
   /**
-   * An open job became known, and `KnownJobs` knows it. If a job that it needs is cancelled, the first change says
-   * that it is, too.
+   * Records an open job, which `KnownJobs` knows already. If one of its dependencies is cancelled, the first change
+   * says that it is, too.
    */
-  accepted(id: string, awaits: readonly string[]): DependencyChange[] {
-    if (awaits.some((awaited) => this.jobs.outcomeOf(awaited) === 'cancelled')) {
+  accepted(id: string, dependencies: readonly string[]): DependencyChange[] {
+    if (dependencies.some((dependency) => this.jobs.outcomeOf(dependency) === 'cancelled')) {
       return [{ kind: 'cancelled', job: id }, ...this.ended(id, 'cancelled')];
     }
-    const open = awaits.filter((awaited) => this.jobs.outcomeOf(awaited) === null);
+    const open = dependencies.filter((dependency) => this.jobs.outcomeOf(dependency) === null);
     const known = this.nodes.get(id);
     if (known === undefined && open.length === 0) return [];
     const node = known ?? this.add(id);
-    // Jobs that need it may have become known before it.
+    // Its dependents may have become known before it.
     node.urgency = mostUrgent(node.urgency, this.jobs.urgencyOf(id) ?? NOT_URGENT);
-    for (const awaited of open) this.link(node, awaited);
-    return this.raise(node);
+    for (const dependency of open) this.link(node, dependency);
+    return this.raiseDependencies(node);
   }
 
-  /** A job is over, and `KnownJobs` knows how it ended. */
+  /** Records that a job is over; `KnownJobs` knows how it ended already. */
   ended(id: string, outcome: Outcome): DependencyChange[] {
     const node = this.nodes.get(id);
     if (node === undefined) return [];
-    return outcome === 'done' ? this.done(node) : this.cancelled(node);
+    return outcome === 'done' ? this.recordDone(node) : this.recordCancelled(node);
   }
 
-  private done(node: Node): DependencyChange[] {
+  private recordDone(node: Node): DependencyChange[] {
     this.remove(node);
     const changes: DependencyChange[] = [];
     for (const dependent of node.dependents) {
-      dependent.awaits.delete(node);
-      if (dependent.awaits.size > 0) continue;
+      dependent.openDependencies.delete(node);
+      if (dependent.openDependencies.size > 0) continue;
       changes.push({ kind: 'startable', job: dependent.id });
-      this.dropIfAlone(dependent);
+      this.dropIfUnlinked(dependent);
     }
     return changes;
   }
 
-  /** With all that need it, directly or through others. */
-  private cancelled(first: Node): DependencyChange[] {
+  /** Cancels all its dependents, direct or not. */
+  private recordCancelled(first: Node): DependencyChange[] {
     const removed = new Set([first]);
-    // What is added while the set is gone through is gone through as well.
+    // A set that grows while it is iterated yields what was added, too.
     for (const node of removed) for (const dependent of node.dependents) removed.add(dependent);
-    const needed = new Set<Node>();
+    const remaining = new Set<Node>();
     for (const node of removed) {
-      for (const awaited of node.awaits) if (!removed.has(awaited)) needed.add(awaited);
+      for (const dependency of node.openDependencies) {
+        if (!removed.has(dependency)) remaining.add(dependency);
+      }
       this.remove(node);
     }
     removed.delete(first);
     const changes = [...removed].map(({ id }) => ({ kind: 'cancelled', job: id }) as const);
-    return [...changes, ...this.recompute(needed)];
+    return [...changes, ...this.recomputeUrgency(remaining)];
   }
 
   private add(id: string): Node {
     const urgency = this.jobs.urgencyOf(id) ?? NOT_URGENT;
-    const node: Node = { id, awaits: new Set(), dependents: new Set(), urgency };
+    const node: Node = { id, openDependencies: new Set(), dependents: new Set(), urgency };
     this.nodes.set(id, node);
     return node;
   }
 
-  private link(node: Node, awaited: string): void {
-    const needed = this.nodes.get(awaited) ?? this.add(awaited);
-    node.awaits.add(needed);
-    needed.dependents.add(node);
+  private link(node: Node, dependencyId: string): void {
+    const dependency = this.nodes.get(dependencyId) ?? this.add(dependencyId);
+    node.openDependencies.add(dependency);
+    dependency.dependents.add(node);
   }
 
   private remove(node: Node): void {
     this.nodes.delete(node.id);
-    for (const awaited of node.awaits) {
-      awaited.dependents.delete(node);
-      this.dropIfAlone(awaited);
+    for (const dependency of node.openDependencies) {
+      dependency.dependents.delete(node);
+      this.dropIfUnlinked(dependency);
     }
   }
 
-  private dropIfAlone({ id, awaits, dependents }: Node): void {
-    if (awaits.size === 0 && dependents.size === 0) this.nodes.delete(id);
+  private dropIfUnlinked({ id, openDependencies, dependents }: Node): void {
+    if (openDependencies.size === 0 && dependents.size === 0) this.nodes.delete(id);
   }
 
-  /** Makes all that the job needs at least as urgent as it is. */
-  private raise(first: Node): DependencyChange[] {
+  /** Makes all dependencies of the job, direct or not, at least as urgent as it is. */
+  private raiseDependencies(first: Node): DependencyChange[] {
     const raised = new Set<Node>();
     const open = [first];
     for (let node = open.pop(); node !== undefined; node = open.pop()) {
-      for (const awaited of node.awaits) {
-        const urgency = mostUrgent(awaited.urgency, node.urgency);
-        if (isSameUrgency(urgency, awaited.urgency)) continue;
-        awaited.urgency = urgency;
-        raised.add(awaited);
-        open.push(awaited);
+      for (const dependency of node.openDependencies) {
+        const urgency = mostUrgent(dependency.urgency, node.urgency);
+        if (isSameUrgency(urgency, dependency.urgency)) continue;
+        dependency.urgency = urgency;
+        raised.add(dependency);
+        open.push(dependency);
       }
     }
     return [...raised].map(urgencyChange);
   }
 
-  /** Finds out anew how urgent these jobs are, and all that they need. */
-  private recompute(first: Iterable<Node>): DependencyChange[] {
+  /** Computes again how urgent these jobs and all their dependencies, direct or not, are. */
+  private recomputeUrgency(first: Iterable<Node>): DependencyChange[] {
     const changed = new Set<Node>();
     const open = [...first];
     for (let node = open.pop(); node !== undefined; node = open.pop()) {
@@ -161,7 +162,7 @@
       if (isSameUrgency(urgency, node.urgency)) continue;
       node.urgency = urgency;
       changed.add(node);
-      open.push(...node.awaits);
+      open.push(...node.openDependencies);
     }
     return [...changed].map(urgencyChange);
   }
--- a/packages/dependencies/urgency.ts
+++ b/packages/dependencies/urgency.ts
@@ -1,3 +1,5 @@
+/** How urgent jobs are, and which of two urgencies counts. */
+
 /** How urgent a job is. */
 export interface Urgency {
   /** 0 is the most urgent. */
@@ -6,7 +8,7 @@
   dueAtMs: number;
 }
 
-/** The more urgent of both in each respect. */
+/** The more urgent of both in rank and in due time. */
 export function mostUrgent(one: Urgency, other: Urgency): Urgency {
   return {
     rank: Math.min(one.rank, other.rank),
@@ -14,6 +16,7 @@
   };
 }
 
+/** Whether both are equally urgent in rank and in due time. */
 export function isSameUrgency(one: Urgency, other: Urgency): boolean {
   return one.rank === other.rank && one.dueAtMs === other.dueAtMs;
 }
