--- a/packages/bundle/schema-checks.test.ts
+++ b/packages/bundle/schema-checks.test.ts
@@ -2,6 +2,7 @@
 import { readFileSync } from 'node:fs';
 import { createRequire } from 'node:module';
 import { test } from 'node:test';
+import { runInThisContext } from 'node:vm';
 import type { ValidateFunction } from 'ajv';
 import fc from 'fast-check';
 import { parse as parseToml } from 'smol-toml';
@@ -30,7 +31,7 @@
 /** What is right by each schema, to be made wrong in one place. */
 const GOOD: Record<string, fc.Arbitrary<Json>> = {
   job: anyJob.map(jobToWire),
-  report: anyReport.map(heartbeatToWire),
+  heartbeat: anyReport.map(heartbeatToWire),
   moveRecord: anyMoveRecord,
   platformSettings: fc.constant(parseToml(readExample('settings.toml'))),
   operatorSettings: fc.constant(JSON.parse(readExample('operator.json')) as Json),
@@ -46,7 +47,9 @@
 function evaluate(code: string): Checks {
   const module = { exports: {} as Checks };
   const require = createRequire(import.meta.url);
-  new Function('module', 'exports', 'require', code)(module, module.exports, require);
+  const wrapped = `(function (module, exports, require) {${code}\n})`;
+  const define = runInThisContext(wrapped) as (...args: unknown[]) => void;
+  define(module, module.exports, require);
   return module.exports;
 }
 
--- a/packages/wire/http.test.ts
+++ b/packages/wire/cbor-client.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { CountingRuntime } from '#testing';
 import { encode } from './cbor.js';
-import { CborClient, NoAnswer } from './http.js';
+import { CborClient, NoAnswer } from './cbor-client.js';
 import { Listener } from './listener.js';
 
 test('a client keeps its connection, on plain streams too, and a closed one answers no call', async () => {
--- a/packages/wire/cloud.ts
+++ b/packages/wire/cloud-client.ts
@@ -1,7 +1,9 @@
-import { CborClient } from './http.js';
+/** The client of the cloud that machines are provisioned from, and the codec of its messages. */
+import { type Answer, CborClient } from './cbor-client.js';
+import { HttpStatus } from './http-status.js';
 import type { Runtime } from './runtime.js';
 
-/** A kind of machine that can be rented, with its nominal sizes. */
+/** A type of machine that can be provisioned, with its nominal sizes. */
 export interface MachineType {
   name: string;
   cpus: number;
@@ -14,7 +16,7 @@
   /** Money per hour. */
   price: number;
   spotPrice: number;
-  /** Nominal time from a rental until the worker reports; seconds. */
+  /** Nominal time from a provisioning request to the worker's first heartbeat; seconds. */
   bootS: number;
   zones: string[];
 }
@@ -28,11 +30,11 @@
   zone: string;
   spot: boolean;
   state: 'booting' | 'running' | 'failed';
-  /** Since the rental, at the time that the list describes; seconds. */
+  /** Since it was provisioned, at the time that the list describes; seconds. */
   ageS: number;
 }
 
-/** Machines of one type, zone and kind that are asked for together. */
+/** Machines of one type, zone and kind (spot or not) that are requested together. */
 export interface ProvisionRequest {
   type: string;
   zone: string;
@@ -40,7 +42,7 @@
   count: number;
 }
 
-/** What became of a rental; `trouble` did nothing and may be asked for again under the same name. */
+/** The result of a provisioning request; `trouble`: nothing was done, and the same request may be repeated. */
 export type ProvisionOutcome = { machines: string[] } | 'no-capacity' | 'trouble';
 
 interface RawType {
@@ -66,15 +68,25 @@
   ageS: number;
 }
 
-/** A refusal or an outage of the cloud's interface; nothing was carried out. */
-class CloudRefused extends Error {}
+/** The cloud refused a call or had an outage; nothing was carried out. */
+class CloudRefused extends Error {
+  override readonly name = 'CloudRefused';
+
+  constructor(
+    method: string,
+    path: string,
+    readonly status: number,
+  ) {
+    super(`the cloud refused ${method} ${path}: status ${status}`);
+  }
+}
 
 /** Machines on one page of the list. */
-const PAGE = 500;
+const PAGE_SIZE = 500;
 const MAX_SOCKETS = 4;
 /** Machines that one call may release. */
 export const RELEASE_AT_ONCE = 100;
-/** Machines that one call may rent. */
+/** Machines that one call may provision. */
 export const MACHINES_PER_REQUEST = 50;
 
 /** The cloud's interface, call by call. Calls reject with NoAnswer or CloudRefused. */
@@ -89,10 +101,10 @@
     this.http = new CborClient(runtime, address, MAX_SOCKETS);
   }
 
-  /** All machine types that can be rented. */
+  /** All machine types that can be provisioned. */
   async catalog(signal?: AbortSignal): Promise<MachineType[]> {
-    const res = await this.call('GET', '/catalog', undefined, signal);
-    return (res as { rigs: RawType[] }).rigs.map(readType);
+    const body = (await this.call('GET', '/catalog', undefined, signal)) as { rigs: RawType[] };
+    return body.rigs.map(readType);
   }
 
   /** One page of the machine list, and whether more follow. */
@@ -101,14 +113,14 @@
     signal?: AbortSignal,
   ): Promise<{ machines: ListedMachine[]; more: boolean }> {
     const from = after === null ? '' : `after=${encodeURIComponent(after)}&`;
-    const res = (await this.call('GET', `/hosts?${from}most=${PAGE}`, undefined, signal)) as {
+    const page = (await this.call('GET', `/hosts?${from}most=${PAGE_SIZE}`, undefined, signal)) as {
       hosts: RawMachine[];
       more: boolean;
     };
-    return { more: res.more, machines: res.hosts.map(readMachine) };
+    return { more: page.more, machines: page.hosts.map(readMachine) };
   }
 
-  /** Rents machines under a name that was never used before, or repeats that same request. */
+  /** Provisions machines under a name that was never used before, or repeats that same request. */
   async provision(
     request: string,
     { type, zone, spot, count }: ProvisionRequest,
@@ -121,19 +133,23 @@
       loaner: spot,
       number: Math.min(count, MACHINES_PER_REQUEST),
     };
-    const res = await this.http.call('POST', '/hosts', { timeoutMs: this.timeoutMs, signal, body });
-    if (res.status === 200) return { machines: (res.body as { hosts: string[] }).hosts };
-    if (res.status === 503 && (res.body as { error?: string } | null)?.error === 'no capacity') {
-      return 'no-capacity';
+    const answer = await this.http.call('POST', '/hosts', {
+      timeoutMs: this.timeoutMs,
+      signal,
+      body,
+    });
+    if (answer.status === HttpStatus.ok) {
+      return { machines: (answer.body as { hosts: string[] }).hosts };
     }
-    return 'trouble';
+    return isWithoutCapacity(answer) ? 'no-capacity' : 'trouble';
   }
 
-  /** Resolves only on the answer that proves the machines gone. */
+  /** Deprovisions machines; resolves only on the answer that proves them gone. */
   async release(machines: string[], signal?: AbortSignal): Promise<void> {
     await this.call('POST', '/hosts/release', { hosts: machines }, signal);
   }
 
+  /** Ends all calls, also later ones, with NoAnswer. */
   close(): void {
     this.http.close();
   }
@@ -144,12 +160,18 @@
     body: unknown,
     signal?: AbortSignal,
   ): Promise<unknown> {
-    const res = await this.http.call(method, path, { timeoutMs: this.timeoutMs, signal, body });
-    if (res.status !== 200) throw new CloudRefused(`${method} ${path}: ${res.status}`);
-    return res.body;
+    const { timeoutMs } = this;
+    const answer = await this.http.call(method, path, { timeoutMs, signal, body });
+    if (answer.status !== HttpStatus.ok) throw new CloudRefused(method, path, answer.status);
+    return answer.body;
   }
 }
 
+function isWithoutCapacity({ status, body }: Answer): boolean {
+  const error = (body as { error?: string } | null)?.error;
+  return status === HttpStatus.unavailable && error === 'no capacity';
+}
+
 function readType(raw: RawType): MachineType {
   return {
     name: raw.name,
--- a/packages/wire/heartbeat.test.ts
+++ b/packages/wire/heartbeat.test.ts
@@ -5,7 +5,7 @@
 import { decode, encode } from './cbor.js';
 import { parseHeartbeat, heartbeatToWire } from './heartbeat.js';
 
-test('reports survive their way through the wire format', () => {
+test('heartbeats survive their way through the wire format', () => {
   fc.assert(
     fc.property(anyReport, (heartbeat) =>
       assert.deepEqual(parseHeartbeat(decode(encode(heartbeatToWire(heartbeat)))), heartbeat),
--- a/packages/wire/heartbeat.ts
+++ b/packages/wire/heartbeat.ts
@@ -1,9 +1,9 @@
-/** A worker's report: the types, and how it is read and written. */
+/** A worker's heartbeat: the types, and the codec between them and the protocol's words. */
 import { MalformedBody } from './cbor.js';
 import { compileSchema } from './schema.js';
 import { taskName, type TaskRef } from './task.js';
 
-/** Where a task is on its machine; `exited` until the worker is told to forget it. */
+/** How far a task has come on its machine; `exited` until the worker is told to forget it. */
 export type TaskState = 'fetching' | 'waiting' | 'running' | 'saving' | 'exited';
 /** Why a task exited (docs/glossary.md). */
 export type Cause =
@@ -28,11 +28,11 @@
   spot: boolean;
   /** Rises when the worker's lease has run out. */
   agentEpoch: number;
-  /** Number of the message in its session. */
+  /** Number of the message in its agent epoch. */
   sequence: number;
   /** The largest fencing token that the worker has obeyed. */
   fencingToken: number;
-  /** Seconds until the cloud takes the machine back; null if it has not said so. */
+  /** Seconds until the cloud reclaims the machine; null if it has not announced that. */
   noticeS: number | null;
   tasks: TaskStatus[];
 }
@@ -108,13 +108,14 @@
   kept?: boolean | null;
 }
 
-const valid = compileSchema<RawHeartbeat>('report', schema);
+const isRawHeartbeat = compileSchema<RawHeartbeat>('heartbeat', schema);
 
-/** Reads a worker's report, or throws MalformedBody naming the field. */
+/** Reads a worker's heartbeat; throws MalformedBody, which names the field. */
 export function parseHeartbeat(raw: unknown): Heartbeat {
-  if (!valid(raw)) {
-    const first = valid.errors?.[0];
-    throw new MalformedBody(`${first?.instancePath || 'body'} ${first?.message ?? 'invalid'}`);
+  if (!isRawHeartbeat(raw)) {
+    const first = isRawHeartbeat.errors?.[0];
+    const path = first?.instancePath ?? '';
+    throw new MalformedBody(`${path === '' ? 'body' : path} ${first?.message ?? 'invalid'}`);
   }
   return {
     machine: raw.host,
@@ -137,6 +138,7 @@
     index: Number(piece.slice(slash + 1)),
     attempt: tryNo,
     state: STATES[phase],
+    // A cause that this version does not know counts as a failure.
     cause: cause ? (CAUSES[cause] ?? 'error') : null,
     checkpointed: kept === true,
   };
@@ -152,7 +154,7 @@
   >;
 }
 
-/** The protocol's form of a report; what a worker sends. */
+/** The protocol's form of a heartbeat: what a worker sends. */
 export function heartbeatToWire(heartbeat: Heartbeat): Record<string, unknown> {
   return {
     host: heartbeat.machine,
--- a/packages/wire/job.ts
+++ b/packages/wire/job.ts
@@ -1,17 +1,18 @@
+/** A job as its user submits it: the types, and the codec between them and the protocol's words. */
 import type { ErrorObject } from 'ajv';
 import { MalformedBody } from './cbor.js';
 import { compileSchema } from './schema.js';
 
-/** `array`: independent tasks; `gang`: all at once or none; `service`: replicas that run until the abort. */
+/** `array`: independent tasks; `gang`: all at once or none; `service`: replicas that run until they are cancelled. */
 export type Kind = 'array' | 'gang' | 'service';
 
-/** A job in the words used inside the service. Amounts are per task; times are seconds. */
+/** A job in the terms of the code. Amounts are per task; times are seconds. */
 export interface Job {
   /** Chosen by the user, like `j-000412`. */
   id: string;
   /** Jobs with the same objective. */
   class: string;
-  /** Whose guarantee and limit count. */
+  /** The team whose quota counts. */
   team: string;
   kind: Kind;
   /** 0 is the most urgent. */
@@ -42,13 +43,15 @@
   saveS: number;
   /** When the job should be done, from its submission on; null if there is no deadline. */
   deadlineS: number | null;
-  /** Ids of the jobs that must be done before any task of this one starts, each once. */
+  /** Ids of the dependencies: jobs that must be done before any task of this one starts, each once. */
+  // eslint-disable-next-line local/retired-words -- the public client API keeps its names
   awaits: readonly string[];
 }
 
-/** How a job stands for its user; `pending` means that no task runs. */
+/** The state of a job as its user sees it; `pending` means that no task runs. */
 export type Phase = 'pending' | 'running' | 'done' | 'aborted';
 
+/** Tasks that a job may have. */
 export const MAX_TASKS = 100_000;
 /** Bounds on texts, so that any legal job fits one value of the state service. */
 const MAX_NAME = 256;
@@ -137,14 +140,15 @@
   snapshotEveryS: number;
   snapshotS: number;
   dueS?: number | null;
+  // eslint-disable-next-line local/retired-words -- the protocol's word
   awaits?: string[] | null;
 }
 
-const valid = compileSchema<RawJob>('job', schema);
+const isRawJob = compileSchema<RawJob>('job', schema);
 
-/** Reads a submission, or throws MalformedBody naming the field. */
+/** Reads a submission; throws MalformedBody, which names the field. */
 export function parseJob(raw: unknown): Job {
-  if (!valid(raw)) throw new MalformedBody(whyInvalid(valid.errors?.[0]));
+  if (!isRawJob(raw)) throw new MalformedBody(describeError(isRawJob.errors?.[0]));
   return {
     id: raw.id,
     class: raw.lane,
@@ -171,7 +175,7 @@
 }
 
 /** Names the field and what is wrong with it. */
-function whyInvalid(error: ErrorObject | undefined): string {
+function describeError(error: ErrorObject | undefined): string {
   if (!error) return 'body: is invalid';
   const path = error.instancePath.slice(1).replaceAll('/', '.');
   if (error.keyword === 'required') return `${String(error.params.missingProperty)}: is missing`;
@@ -194,10 +198,11 @@
   awaits: 'awaits',
 } as const;
 
-/** The protocol's form of a job; what a client submits. A job that awaits none has the form of older versions. */
+/** The protocol's form of a job: what a client submits. Without dependencies it has the form of older versions. */
 export function jobToWire(job: Job): Record<string, unknown> {
-  const { awaits } = job;
-  return awaits.length > 0 ? { ...plainJobToWire(job), awaits: [...awaits] } : plainJobToWire(job);
+  const dependencies = job.awaits;
+  if (dependencies.length === 0) return plainJobToWire(job);
+  return { ...plainJobToWire(job), awaits: [...dependencies] };
 }
 
 function plainJobToWire(job: Job): Record<string, unknown> {
@@ -225,7 +230,7 @@
   };
 }
 
-/** What a user is told of a job. */
+/** What a user is told of a job; numbers of tasks. */
 export interface JobView {
   id: string;
   phase: Phase;
--- a/packages/wire/listener.ts
+++ b/packages/wire/listener.ts
@@ -1,9 +1,12 @@
+/** Servers on the network of a Runtime. */
 import type net from 'node:net';
 import type { Duplex } from 'node:stream';
 import type { HostPort, Network } from './runtime.js';
 
 /** An address could not be listened on; the cause is the network's own error. */
 export class ListenError extends Error {
+  override readonly name = 'ListenError';
+
   constructor(
     readonly address: HostPort,
     cause: unknown,
@@ -15,27 +18,27 @@
 
 /** A server on a network and the connections that it holds, so that both can be ended together. */
 export class Listener {
-  private readonly held = new Set<Duplex>();
+  private readonly openConnections = new Set<Duplex>();
 
   constructor(
     private readonly network: Network,
     private readonly server: net.Server,
   ) {
     server.on('connection', (connection: Duplex) => {
-      this.held.add(connection);
-      connection.once('close', () => this.held.delete(connection));
+      this.openConnections.add(connection);
+      connection.once('close', () => this.openConnections.delete(connection));
     });
   }
 
   /** Connections that are open now. */
   get connections(): number {
-    return this.held.size;
+    return this.openConnections.size;
   }
 
   /** Resolves once the server is reachable; rejects with ListenError. */
   async open(address: HostPort): Promise<void> {
     // One connection that cannot be accepted is no reason to stop serving the others.
-    this.server.on('error', () => {});
+    this.server.on('error', () => undefined);
     try {
       await this.network.listen(this.server, address);
     } catch (err) {
@@ -45,8 +48,14 @@
 
   /** Stops listening and ends all connections; resolves once they are gone. */
   async close(): Promise<void> {
-    const closed = [new Promise<void>((resolve) => this.server.close(() => resolve()))];
-    for (const connection of this.held) {
+    const closed = [
+      new Promise<void>((resolve) => {
+        this.server.close(() => {
+          resolve();
+        });
+      }),
+    ];
+    for (const connection of this.openConnections) {
       closed.push(new Promise((resolve) => connection.once('close', resolve)));
       connection.destroy();
     }
--- a/packages/wire/agent.ts
+++ b/packages/wire/network-agent.ts
@@ -1,9 +1,10 @@
+/** Connections of HTTP clients on the network of a Runtime. */
 import http from 'node:http';
 import net from 'node:net';
 import type { Duplex } from 'node:stream';
 import type { Network } from './runtime.js';
 
-/** What http.Agent calls on a connection that it keeps, beyond what every stream has. */
+/** Methods of a socket that http.Agent calls on a connection that it keeps, and that other streams lack. */
 const SOCKET_METHODS = ['ref', 'unref', 'setKeepAlive', 'setTimeout'] as const;
 
 /** Keeps connections as http.Agent does, but takes them from the given network. */
@@ -15,6 +16,7 @@
     super({ keepAlive: true, maxSockets, scheduling: 'lifo' });
   }
 
+  /** Called by http.Agent; the connection may still be opening. */
   override createConnection(options: {
     host: string;
     port: number;
@@ -24,12 +26,13 @@
     if (connection instanceof net.Socket) {
       const probeMs = options.keepAliveInitialDelay;
       connection.once('connect', () => connection.setKeepAlive(true, probeMs));
-    } else standInForSocket(connection);
+    } else addSocketMethods(connection);
     return connection;
   }
 }
 
-function standInForSocket(stream: Duplex): void {
+/** Adds those methods, without effect, to a stream that is no socket. */
+function addSocketMethods(stream: Duplex): void {
   const methods = stream as unknown as Record<string, unknown>;
   for (const name of SOCKET_METHODS) methods[name] ??= () => stream;
 }
--- a/packages/wire/runtime.ts
+++ b/packages/wire/runtime.ts
@@ -1,8 +1,9 @@
+/** What a process takes from the machine that it runs on, behind interfaces. */
 import net from 'node:net';
 import type { Duplex } from 'node:stream';
 
 /**
- * What a process takes from the machine it runs on: time, chance and connections. Production code
+ * The machine as one process sees it: time, randomness and connections. Production code
  * receives it instead of calling Node directly, so that several controllers can run inside one
  * process on a simulated clock and network (packages/testing).
  */
@@ -51,36 +52,18 @@
   return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) };
 }
 
-/** Resolves after so many milliseconds of the clock; rejects with the signal's reason if it aborts. */
-export function sleep(clock: Clock, delayMs: number, signal?: AbortSignal): Promise<void> {
-  return new Promise((resolve, reject) => {
-    if (signal?.aborted) {
-      reject(signal.reason as Error);
-      return;
-    }
-    const onAbort = () => {
-      timer.cancel();
-      reject(signal?.reason as Error);
-    };
-    const timer = clock.setTimer(() => {
-      signal?.removeEventListener('abort', onAbort);
-      resolve();
-    }, delayMs);
-    signal?.addEventListener('abort', onAbort, { once: true });
-  });
-}
-
-/** Like sleep, but a signal ends it early without an error. */
-export async function pause(clock: Clock, delayMs: number, signal?: AbortSignal): Promise<void> {
-  await sleep(clock, delayMs, signal).catch(() => {});
-}
+const MS_PER_S = 1000;
 
 const nodeClock: Clock = {
-  now: () => performance.now() / 1000,
+  now: () => performance.now() / MS_PER_S,
   wallMs: () => Date.now(),
   setTimer(callback, delayMs) {
     const handle = setTimeout(callback, delayMs);
-    return { cancel: () => clearTimeout(handle) };
+    return {
+      cancel: () => {
+        clearTimeout(handle);
+      },
+    };
   },
 };
 
--- a/packages/wire/schema.ts
+++ b/packages/wire/schema.ts
@@ -1,3 +1,4 @@
+/** Compiles the JSON schemas by which data from outside is checked. */
 import { Ajv, type Options, type ValidateFunction } from 'ajv';
 
 /**
--- a/packages/wire/serving/cloud.ts
+++ b/packages/wire/serving/cloud.ts
@@ -5,7 +5,7 @@
   MACHINES_PER_REQUEST,
   type ListedMachine,
   type MachineType,
-} from '../cloud.js';
+} from '../cloud-client.js';
 import {
   asFields,
   booleanField,
@@ -23,7 +23,7 @@
   | { op: 'release'; machines: string[] }
   | { op: 'list'; after: string | null; limit: number };
 
-/** A request to rent machines of one type, zone and kind. */
+/** A request to provision machines of one type, zone and kind (spot or not). */
 export interface RawProvisionRequest {
   op: 'rent';
   /** Name that makes the request idempotent. */
@@ -91,7 +91,7 @@
   return { status: 200, body: { rigs } };
 }
 
-/** The machines rented; none is the refusal for want of capacity. */
+/** The machines that were provisioned; none: the refusal for want of capacity. */
 export function provisionReply(machines: string[]): WireReply {
   if (machines.length === 0) return { status: 503, body: { error: 'no capacity' } };
   return { status: 200, body: { hosts: machines } };
--- a/packages/wire/serving/message.ts
+++ b/packages/wire/serving/message.ts
@@ -19,7 +19,7 @@
   body?: unknown;
 }
 
-/** The request cannot be read; a repetition would fare the same. */
+/** The request cannot be read; a retry would have the same result. */
 export const MALFORMED: WireReply = { status: 400, body: { error: 'malformed' } };
 /** Above the allowed rate; nothing was done. */
 export const TOO_MANY_REQUESTS: WireReply = { status: 429, body: { error: 'too many requests' } };
@@ -28,5 +28,6 @@
 
 /** Bytes of a body as the protocol counts them: in its JSON form. */
 export function wireSize(body: unknown): number {
-  return Buffer.byteLength(JSON.stringify(body) ?? '');
+  const json = JSON.stringify(body) as string | undefined;
+  return json === undefined ? 0 : Buffer.byteLength(json);
 }
--- a/packages/wire/serving/state.ts
+++ b/packages/wire/serving/state.ts
@@ -1,6 +1,6 @@
 /** The state service's side of its interface: requests read, answers written. */
 import { MalformedBody } from '../cbor.js';
-import type { Change, Condition, Entry, TxnOutcome, WatchOutcome } from '../state.js';
+import type { Change, Condition, Entry, TxnOutcome, WatchOutcome } from '../state-api.js';
 import { asFields, integerField, integerQuery, listField, textField } from './fields.js';
 import type { WireReply, WireRequest } from './message.js';
 
--- a/packages/wire/serving/worker.ts
+++ b/packages/wire/serving/worker.ts
@@ -1,12 +1,12 @@
-/** The worker's side of its interface: answers to reports and direct commands, as it reads them. */
+/** The worker's side of its interface: answers to heartbeats and direct commands, as it reads them. */
 import { MalformedBody } from '../cbor.js';
-import type { Order } from '../order.js';
+import type { Order } from '../worker-orders.js';
 import type { TaskRef } from '../task.js';
 import { asFields, integerField, listField, textField, type Fields } from './fields.js';
 
-/** What a controller answers to a report. */
+/** What a controller answers to a heartbeat. */
 export interface HeartbeatAnswer {
-  /** Null: the answer has none, and is to be dropped. */
+  /** Null: the answer has none, and must be ignored. */
   fencingToken: number | null;
   orders: Order[];
 }
@@ -18,7 +18,7 @@
   orders: Order[];
 }
 
-/** Reads the body of a 200 to a report; throws MalformedBody. */
+/** Reads the body of a 200 to a heartbeat; throws MalformedBody. */
 export function parseHeartbeatAnswer(body: unknown): HeartbeatAnswer {
   const fields = asFields(body);
   const hasFencingToken = fields.baton !== undefined && fields.baton !== null;
@@ -28,7 +28,7 @@
   };
 }
 
-/** Reads a direct command; throws MalformedBody, also if token or session is missing. */
+/** Reads a direct command; throws MalformedBody, also if fencing token or agent epoch is missing. */
 export function parseDirectCommand(body: unknown): DirectCommand {
   const fields = asFields(body);
   return {
--- a/packages/wire/state.ts
+++ b/packages/wire/state-api.ts
@@ -1,4 +1,6 @@
-import { type Answer, CborClient } from './http.js';
+/** The client of the state service, a consensus-backed key-value store, and the codec of its messages. */
+import { type Answer, CborClient } from './cbor-client.js';
+import { HttpStatus } from './http-status.js';
 import type { Runtime } from './runtime.js';
 
 /** A key of the store with its value. */
@@ -9,7 +11,7 @@
   version: number;
 }
 
-/** What a transaction depends on. */
+/** What a compare-and-swap transaction depends on: the key has this version. */
 export interface Condition {
   key: string;
   /** 0: the key does not exist. */
@@ -19,7 +21,7 @@
 /** A key that is written, detached from any lease but the one given, or removed. */
 export type Change = { put: string; value: unknown; lease?: number } | { delete: string };
 
-/** Done; or nothing was done, since conditions failed or the lease of a change has ended. */
+/** Applied; or nothing was done, since conditions failed or the lease of a change has expired. */
 export type TxnOutcome =
   | { ok: true; revision: number }
   | { ok: false; failed: string[]; revision: number }
@@ -33,19 +35,23 @@
   version: number;
 }
 
-/** All changes up to a revision; `too-old`: the keys must be read anew. */
+/** All changes up to a revision; `too-old`: they are no longer known, and the keys must be read again. */
 export type WatchOutcome = { revision: number; events: WatchEvent[] } | 'too-old';
 
 /** The state service did not execute the request (429 or 503). */
 export class StateRefused extends Error {
+  override readonly name = 'StateRefused';
+
   constructor(readonly status: number) {
     super(`state service answered ${status}`);
   }
 }
 
-/** The state service calls a transaction malformed: nothing was done, and a repetition would fare the same. */
+/** The state service calls a transaction malformed: nothing was done, and a retry would have the same result. */
 export class TxnMalformed extends Error {
-  constructor(reason: string) {
+  override readonly name = 'TxnMalformed';
+
+  constructor(readonly reason: string) {
     super(`state service calls a transaction malformed: ${reason}`);
   }
 }
@@ -56,6 +62,11 @@
   stamp: number;
 }
 
+interface RawTxnAnswer {
+  epoch: number;
+  failed?: string[];
+}
+
 interface RawEvent {
   set?: string;
   remove?: string;
@@ -63,19 +74,21 @@
   stamp: number;
 }
 
-const LIST_PAGE = 1000;
+/** Keys on one page of a list. */
+const PAGE_SIZE = 1000;
 
+/** How one call is made. */
 interface Call {
   body?: unknown;
   timeoutMs?: number;
   signal: AbortSignal | undefined;
-  /** Statuses besides 200 that are an answer and no refusal. */
-  expected?: number[];
+  /** Statuses besides 200 that are a result and no refusal. */
+  expected?: readonly number[];
 }
 
 /**
- * The state service's interface, call by call; budgets and retries are the store package's. Calls reject
- * with NoAnswer or StateRefused.
+ * The state service's interface, call by call; budgets and retries belong to the package `store`. Calls reject with
+ * NoAnswer or StateRefused.
  */
 export class StateApi {
   private readonly http: CborClient;
@@ -90,9 +103,12 @@
 
   /** Reads one key; null if it does not exist. */
   async get(key: string, signal?: AbortSignal): Promise<Entry | null> {
-    const res = await this.call('GET', `/store/${key}`, { signal, expected: [404] });
-    if (res.status === 404) return null;
-    return readEntry(res.body as RawEntry);
+    const answer = await this.call('GET', `/store/${key}`, {
+      signal,
+      expected: [HttpStatus.notFound],
+    });
+    if (answer.status === HttpStatus.notFound) return null;
+    return readEntry(answer.body as RawEntry);
   }
 
   /** Reads a page of the keys with a prefix, after a key if one is given. */
@@ -102,9 +118,9 @@
     signal?: AbortSignal,
   ): Promise<{ entries: Entry[]; more: boolean; revision: number }> {
     const from = after === null ? '' : `&after=${after}`;
-    const path = `/store?prefix=${prefix}${from}&most=${LIST_PAGE}`;
-    const res = await this.call('GET', path, { signal });
-    const raw = res.body as { entries: RawEntry[]; more: boolean; epoch: number };
+    const path = `/store?prefix=${prefix}${from}&most=${PAGE_SIZE}`;
+    const answer = await this.call('GET', path, { signal });
+    const raw = answer.body as { entries: RawEntry[]; more: boolean; epoch: number };
     return {
       entries: raw.entries.map(readEntry),
       more: raw.more,
@@ -112,36 +128,42 @@
     };
   }
 
-  /** Applies all changes if all conditions hold; throws TxnMalformed if no repetition can help. */
+  /** Applies all changes if all conditions hold; rejects with TxnMalformed, too, if no retry can help. */
   async txn(conditions: Condition[], changes: Change[], signal?: AbortSignal): Promise<TxnOutcome> {
     const body = {
       if: conditions.map(({ key, version }) => ({ k: key, stamp: version })),
       apply: changes.map(changeToWire),
     };
-    const res = await this.call('POST', '/multi', { body, signal, expected: [400, 409] });
-    const raw = res.body as { epoch: number; failed?: string[]; error?: string };
-    if (res.status === 200) return { ok: true, revision: raw.epoch };
-    if (res.status === 409) return { ok: false, failed: raw.failed ?? [], revision: raw.epoch };
-    if (raw?.error === 'no such lease') return { ok: false, leaseGone: true };
-    throw new TxnMalformed(raw?.error ?? '');
+    const answer = await this.call('POST', '/multi', {
+      body,
+      signal,
+      expected: [HttpStatus.badRequest, HttpStatus.conflict],
+    });
+    const raw = answer.body as RawTxnAnswer;
+    if (answer.status === HttpStatus.ok) return { ok: true, revision: raw.epoch };
+    if (answer.status === HttpStatus.conflict)
+      return { ok: false, failed: raw.failed ?? [], revision: raw.epoch };
+    const error = (answer.body as { error?: string } | null)?.error;
+    if (error === 'no such lease') return { ok: false, leaseGone: true };
+    throw new TxnMalformed(error ?? '');
   }
 
-  /** Creates a lease; resolves with its number. */
+  /** Creates a lease of so many milliseconds; resolves with its id. */
   async grantLease(ttlMs: number, signal?: AbortSignal): Promise<number> {
-    const res = await this.call('POST', '/grants', { body: { ttlMs }, signal });
-    return (res.body as { permit: number }).permit;
+    const answer = await this.call('POST', '/grants', { body: { ttlMs }, signal });
+    return (answer.body as { permit: number }).permit;
   }
 
-  /** False: the grant has ended. */
+  /** Renews a lease; false if it has expired or was revoked. */
   async renewLease(leaseId: number, signal?: AbortSignal): Promise<boolean> {
     const path = `/grants/${leaseId}/touch`;
-    const res = await this.call('POST', path, { signal, expected: [404] });
-    return res.status === 200;
+    const answer = await this.call('POST', path, { signal, expected: [HttpStatus.notFound] });
+    return answer.status === HttpStatus.ok;
   }
 
-  /** Ends a lease at once, with the keys that hang on it. */
+  /** Revokes a lease at once, with the keys that are attached to it. */
   async revokeLease(leaseId: number, signal?: AbortSignal): Promise<void> {
-    await this.call('DELETE', `/grants/${leaseId}`, { signal, expected: [404] });
+    await this.call('DELETE', `/grants/${leaseId}`, { signal, expected: [HttpStatus.notFound] });
   }
 
   /** Waits until a key with the prefix has changed after a revision, or until the time runs out. */
@@ -152,19 +174,17 @@
     signal?: AbortSignal,
   ): Promise<WatchOutcome> {
     const path = `/changes?prefix=${prefix}&after=${after}&blockMs=${waitMs}`;
-    const res = await this.call('GET', path, {
+    const answer = await this.call('GET', path, {
       timeoutMs: waitMs + this.timeoutMs,
       signal,
-      expected: [410],
+      expected: [HttpStatus.gone],
     });
-    if (res.status === 410) return 'too-old';
-    const raw = res.body as {
-      epoch: number;
-      events: RawEvent[];
-    };
+    if (answer.status === HttpStatus.gone) return 'too-old';
+    const raw = answer.body as { epoch: number; events: RawEvent[] };
     return { revision: raw.epoch, events: raw.events.map(readEvent) };
   }
 
+  /** Ends all calls, also later ones, with NoAnswer. */
   close(): void {
     this.http.close();
   }
@@ -173,7 +193,7 @@
   private async call(method: string, path: string, call: Call): Promise<Answer> {
     const { body, timeoutMs = this.timeoutMs, signal, expected = [] } = call;
     const answer = await this.http.call(method, path, { timeoutMs, signal, body });
-    if (answer.status !== 200 && !expected.includes(answer.status)) {
+    if (answer.status !== HttpStatus.ok && !expected.includes(answer.status)) {
       throw new StateRefused(answer.status);
     }
     return answer;
--- a/packages/wire/task.ts
+++ b/packages/wire/task.ts
@@ -1,6 +1,10 @@
+/** How tasks are named. */
+
 /** One attempt at a task of a job. */
 export interface TaskRef {
+  /** Id of the job. */
   job: string;
+  /** Number of the task in its job, from 0. */
   index: number;
   attempt: number;
 }
--- a/packages/wire/user.ts
+++ b/packages/wire/user-client.ts
@@ -1,5 +1,6 @@
-import { Job, JobView, jobToWire } from './job.js';
-import { CborClient } from './http.js';
+/** The public client for users of the service (docs/clients.md). */
+import { type Job, jobToWire, type JobView } from './job.js';
+import { CborClient } from './cbor-client.js';
 import { nodeRuntime } from './runtime.js';
 
 /** What the service answered a user. */
@@ -11,15 +12,16 @@
   job: JobView | { error?: string } | null;
 }
 
+const DEFAULT_TIMEOUT_MS = 5000;
 const MAX_SOCKETS = 2;
 
-/** A user's client: submit, query, abort. Each call rejects with NoAnswer. */
+/** A client for users: submits, queries and cancels jobs. Each call rejects with NoAnswer. */
 export class UserClient {
   private readonly http: CborClient;
 
   constructor(
     address: string,
-    private readonly timeoutMs = 5000,
+    private readonly timeoutMs = DEFAULT_TIMEOUT_MS,
     runtime = nodeRuntime,
     maxSockets = MAX_SOCKETS,
   ) {
@@ -42,6 +44,7 @@
   }
 
   /** Cancels a job. */
+  // eslint-disable-next-line local/retired-words -- the public client API keeps its names
   abort(id: string): Promise<UserAnswer> {
     return this.call('POST', `/submissions/${id}/abort`, this.timeoutMs);
   }
@@ -51,15 +54,14 @@
     this.http.close();
   }
 
-  private async call(method: string, path: string, timeoutMs: number, body?: unknown) {
-    const {
-      status,
-      retryAfterS,
-      body: job,
-    } = await this.http.call(method, path, {
-      timeoutMs,
-      body,
-    });
-    return { status, retryAfterS, job: job as UserAnswer['job'] };
+  private async call(
+    method: string,
+    path: string,
+    timeoutMs: number,
+    body?: unknown,
+  ): Promise<UserAnswer> {
+    const answer = await this.http.call(method, path, { timeoutMs, body });
+    const { status, retryAfterS } = answer;
+    return { status, retryAfterS, job: answer.body as UserAnswer['job'] };
   }
 }
--- a/packages/wire/pauses.test.ts
+++ b/packages/wire/waits.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { HandClock } from '#testing';
-import { every, WakeablePause } from './pauses.js';
+import { every, WakeablePause } from './waits.js';
 
 test('waits end by time, by a wake or by their signal, and leave no timer', async () => {
   const clock = new HandClock();
--- a/packages/wire/order.test.ts
+++ b/packages/wire/worker-orders.test.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check';
 import { anyAmount, anyCount, anyTaskRef, record, SEEDED } from '#testing';
 import { decode, encode } from './cbor.js';
-import { answerToWire } from './order.js';
+import { answerToWire } from './worker-orders.js';
 import { parseHeartbeatAnswer } from './serving/index.js';
 
 test('orders survive their way to the worker', () => {
--- a/packages/wire/order.ts
+++ b/packages/wire/worker-orders.ts
@@ -1,4 +1,4 @@
-/** What a controller tells a worker: answers to its reports, direct commands and redirects. */
+/** What a controller sends to a worker: answers to its heartbeats, direct commands and redirects. */
 import { taskName, type TaskRef } from './task.js';
 
 /** What a worker is to do with one attempt; `graceS` is the time to save before a stop, in seconds. */
@@ -7,7 +7,7 @@
   | ({ op: 'stop'; graceS: number } & TaskRef)
   | ({ op: 'forget' } & TaskRef);
 
-/** The body of a 200 to a report. */
+/** The body of a 200 to a heartbeat. */
 export function answerToWire(fencingToken: number, orders: Order[]): Record<string, unknown> {
   return { baton: fencingToken, orders: orders.map(orderToWire) };
 }
@@ -21,7 +21,7 @@
   return { baton: fencingToken, tenure: agentEpoch, orders: orders.map(orderToWire) };
 }
 
-/** Where a worker should report instead; without a name it tries the next controller. */
+/** Names the controller that leads, for a worker that reached a follower; without a name it tries the next one. */
 export function redirectToWire(leader: string | null): Record<string, unknown> {
   return leader === null ? {} : { overseer: leader };
 }
