--- a/packages/bundle/bundle-program.ts
+++ b/packages/bundle/bundle-program.ts
@@ -1,3 +1,4 @@
+/** Bundles the compiled program with all its libraries into one file. */
 import { build, type BuildOptions } from 'esbuild';
 import { fileURLToPath } from 'node:url';
 import { replacements } from './replacements.js';
@@ -25,7 +26,7 @@
   banner: { js: "const bundleUrl=require('node:url').pathToFileURL(__filename).href;" },
 };
 
-/** Writes the program with all its libraries in one file. */
+/** Writes target/bin/sorreldale.cjs; rejects if esbuild reports an error. */
 export async function bundleProgram(): Promise<void> {
   await build(OPTIONS);
 }
--- a/packages/bundle/keep-compiled.ts
+++ b/packages/bundle/keep-compiled.ts
@@ -1,6 +1,6 @@
 /**
  * Writes the compiled code of the program, so that a controller need not compile it: neither when it starts nor
- * when it has much to do for the first time, as after a take-over.
+ * when it has much to do for the first time, as after a failover.
  */
 import { writeFileSync } from 'node:fs';
 import { setFlagsFromString } from 'node:v8';
--- a/packages/bundle/main.ts
+++ b/packages/bundle/main.ts
@@ -6,7 +6,7 @@
 import { bundleProgram } from './bundle-program.js';
 import { nodeOptions } from './service-file.js';
 
-/** Compiled code is of use only to a process with the same options, so it is made by such a one. */
+/** Compiled code is of use only to a process with the same options, so such a process makes it. */
 function keepCompiledCode(): void {
   const program = fileURLToPath(new URL('./keep-compiled.js', import.meta.url));
   const { status, error } = spawnSync(process.execPath, [...nodeOptions(), program], {
--- a/packages/bundle/rehearsal.ts
+++ b/packages/bundle/rehearsal.ts
@@ -1,4 +1,4 @@
-/** Runs what controllers run, so that all of it gets compiled. */
+/** Runs what controllers run in a small simulated cluster, so that all of it gets compiled. */
 import { closeSync, openSync } from 'node:fs';
 import { devNull } from 'node:os';
 import { fileURLToPath } from 'node:url';
@@ -11,12 +11,12 @@
 /** Simulated seconds: long enough for machines to boot, and for jobs to come, run, be cancelled and end. */
 const LENGTH_S = 90;
 const LAST_JOBS_S = 70;
-/** By then work runs, which the next owner takes over. */
-const TAKE_OVER_S = 50;
+/** By then work runs, which the next leader takes over. */
+const FAILOVER_S = 50;
 
 /**
- * Plays a day of a small cluster whose controllers are the program's own; with users, machines and a change of
- * owner. Throws if anything went wrong.
+ * Simulates a small cluster whose controllers are the program's own, with users, machines and a failover. Rejects if
+ * anything went wrong.
  */
 export async function rehearse(program: Program): Promise<void> {
   program.loadSettings(EXAMPLE_SETTINGS, null);
@@ -30,11 +30,11 @@
     cluster: SMALL_CLUSTER,
     workload: { classes: USUAL_CLASSES, intensity: 2, untilS: LAST_JOBS_S },
     faults: [
-      { kind: 'controller-crash', controllers: 'leader', atS: TAKE_OVER_S, downS: 5 } as const,
+      { kind: 'controller-crash', controllers: 'leader', atS: FAILOVER_S, downS: 5 } as const,
     ],
     lengthS: LENGTH_S,
   };
   const problems = describeProblems(await runScenario(scenario, SEED, make));
   closeSync(logFile);
-  if (problems.length > 0) throw new Error(`the rehearsal went wrong: ${problems.join('; ')}`);
+  if (problems.length > 0) throw new Error(`the rehearsal failed: ${problems.join('; ')}`);
 }
--- a/packages/bundle/replacements.ts
+++ b/packages/bundle/replacements.ts
@@ -1,27 +1,28 @@
+/** Replaces, in the bundled program, modules that libraries load but this program never calls. */
 import path from 'node:path';
 import { fileURLToPath } from 'node:url';
 import type { Plugin } from 'esbuild';
 
 const DEPLOY = fileURLToPath(new URL('../../deploy/', import.meta.url));
 
-/** A module that a library loads and this program does without. */
+/** A module that a library loads, and the stub that stands in for it. */
 interface Replacement {
   module: string;
-  /** The library that gets another module instead; all others get the true one. */
+  /** The library that gets the stub; all others get the module itself. */
   usedBy: string;
-  /** The other module, in `deploy`. */
-  by: string;
+  /** File name of the stub in `deploy`. */
+  stub: string;
 }
 
 const REPLACEMENTS: Replacement[] = [
-  { module: 'body-parser', usedBy: 'express', by: 'no-body-parser.cjs' },
-  { module: 'thread-stream', usedBy: 'pino', by: 'no-threads.cjs' },
-  { module: 'worker_threads', usedBy: 'pino', by: 'no-threads.cjs' },
-  { module: 'module', usedBy: 'pino', by: 'no-threads.cjs' },
-  { module: 'assert', usedBy: 'sonic-boom', by: 'plain-assert.cjs' },
+  { module: 'body-parser', usedBy: 'express', stub: 'body-parser-stub.cjs' },
+  { module: 'thread-stream', usedBy: 'pino', stub: 'pino-transport-stub.cjs' },
+  { module: 'worker_threads', usedBy: 'pino', stub: 'pino-transport-stub.cjs' },
+  { module: 'module', usedBy: 'pino', stub: 'pino-transport-stub.cjs' },
+  { module: 'assert', usedBy: 'sonic-boom', stub: 'assert-stub.cjs' },
 ];
 
-/** The replacement of a module for the file that imports it. */
+/** The replacement of a module for the file that imports it; undefined if there is none. */
 function replacementFor(module: string, importer: string): Replacement | undefined {
   return REPLACEMENTS.find(
     (each) =>
@@ -29,14 +30,14 @@
   );
 }
 
-/** Leaves out of the bundle what libraries load but this program never calls. */
+/** The plugin of esbuild that makes the replacements. */
 export const replacements: Plugin = {
   name: 'replacements',
   setup(build) {
     const names = REPLACEMENTS.map(({ module }) => module).join('|');
     build.onResolve({ filter: new RegExp(`^(${names})$`) }, ({ path: module, importer }) => {
       const replacement = replacementFor(module, importer);
-      return replacement && { path: path.join(DEPLOY, replacement.by) };
+      return replacement && { path: path.join(DEPLOY, replacement.stub) };
     });
   },
 };
--- a/packages/bundle/schema-checks.ts
+++ b/packages/bundle/schema-checks.ts
@@ -1,4 +1,4 @@
-/** Makes code of all schemas that the program uses. */
+/** Compiles all schemas that the program uses to code at build time, so that ajv need not be loaded. */
 import { Ajv } from 'ajv';
 import standalone from 'ajv/dist/standalone/index.js';
 import type { Plugin } from 'esbuild';
@@ -15,14 +15,15 @@
 export function schemaChecksCode(): string {
   const ajv = new Ajv({ ...SCHEMA_OPTIONS, code: { source: true } });
   for (const [name, schema] of namedSchemas) ajv.addSchema(schema, name);
-  const names = [...namedSchemas.keys()].map((name) => [name, name]);
-  return standaloneCode(ajv, Object.fromEntries(names));
+  const exportNames: Record<string, string> = {};
+  for (const name of namedSchemas.keys()) exportNames[name] = name;
+  return standaloneCode(ajv, exportNames);
 }
 
 const NAMESPACE = 'compiled-schemas';
 const COMPILE_SCHEMA = 'const checks = exports;\nexports.compileSchema = (name) => checks[name];';
 
-/** Puts the checks in the place of the module that compiles schemas. */
+/** The plugin of esbuild that puts the checks in the place of the module that compiles schemas. */
 export const compiledSchemas: Plugin = {
   name: NAMESPACE,
   setup(build) {
--- a/packages/bundle/service-file.ts
+++ b/packages/bundle/service-file.ts
@@ -1,3 +1,4 @@
+/** Reads the deploy file, by which the platform builds and starts the service. */
 import { readFileSync } from 'node:fs';
 import { parse } from 'smol-toml';
 
@@ -10,7 +11,7 @@
   run: string;
 }
 
-/** Node's options in the line that starts a controller. */
+/** The options of Node in the command that starts a controller. */
 export function nodeOptions(): string[] {
   const { run } = parse(readFileSync(SERVICE_FILE, 'utf8')) as unknown as ServiceFile;
   const [, ...args] = run.split(' ');
--- a/packages/cli/arguments.ts
+++ b/packages/cli/arguments.ts
@@ -1,3 +1,4 @@
+/** Checks of arguments of the command line. */
 import { isJobId } from '#wire';
 import { CommandError, ExitCode } from './command-error.js';
 
--- a/packages/cli/command-error.ts
+++ b/packages/cli/command-error.ts
@@ -1,3 +1,5 @@
+/** How commands fail: exit codes and errors. */
+
 /** Exit codes of the command line; README.md lists them for users. */
 export const ExitCode = {
   done: 0,
@@ -12,17 +14,23 @@
   unexpected: 5,
 } as const;
 
+/** One of the exit codes. */
 export type ExitCode = (typeof ExitCode)[keyof typeof ExitCode];
 
 /** Ends a command. Its message is one line for standard error that says what failed and where. */
 export class CommandError extends Error {
+  override readonly name: string = 'CommandError';
+
   constructor(
     readonly exitCode: ExitCode,
     message: string,
+    options?: ErrorOptions,
   ) {
-    super(message);
+    super(message, options);
   }
 }
 
-/** The same for what a controller has already written to its log. */
-export class LoggedError extends CommandError {}
+/** Ends a controller that has already written the reason to its log. */
+export class LoggedError extends CommandError {
+  override readonly name = 'LoggedError';
+}
--- a/packages/cli/commands.ts
+++ b/packages/cli/commands.ts
@@ -1,4 +1,4 @@
-/** The commands that people type. */
+/** The commands that people type, and how they are put together. */
 import { Command, CommanderError } from 'commander';
 import { readFileSync } from 'node:fs';
 import { ExitCode } from './command-error.js';
--- a/packages/cli/examples.test.ts
+++ b/packages/cli/examples.test.ts
@@ -44,7 +44,9 @@
   for (const [number, job] of jobs.entries()) {
     assert.ok(teams.some(({ name }) => name === job.team));
     assert.deepEqual(job.awaits.length > 0, number > 0);
-    for (const awaited of job.awaits) assert.ok(accepted.has(awaited), `${job.id}: ${awaited}`);
+    for (const dependency of job.awaits) {
+      assert.ok(accepted.has(dependency), `${job.id}: ${dependency}`);
+    }
     assert.equal(job.deadlineS !== null, number === jobs.length - 1);
     accepted.add(job.id);
   }
--- a/packages/cli/help.ts
+++ b/packages/cli/help.ts
@@ -1,3 +1,5 @@
+/** Texts of the commands' help. */
+
 /** Text for the end of a command's help: how it may be called. */
 export function examples(...calls: string[]): string {
   const heading = calls.length === 1 ? 'Example:' : 'Examples:';
--- a/packages/cli/job-file.ts
+++ b/packages/cli/job-file.ts
@@ -1,7 +1,8 @@
+/** Reads files with jobs. */
 import { readFileSync } from 'node:fs';
 import { CommandError, ExitCode } from './command-error.js';
 
-/** The map that a JSON file holds, or a CommandError that names the file. What is in it the service checks. */
+/** The object in a JSON file; throws CommandError, which names the file. The service checks what is in the object. */
 export function readJobFile(file: string): object {
   const job = parse(file, read(file));
   if (typeof job === 'object' && job !== null && !Array.isArray(job)) return job;
@@ -13,7 +14,9 @@
     return readFileSync(file, 'utf8');
   } catch (err) {
     const { code, message } = err as NodeJS.ErrnoException;
-    throw new CommandError(ExitCode.badInput, `${file}: cannot be read: ${code ?? message}`);
+    throw new CommandError(ExitCode.badInput, `${file}: cannot be read: ${code ?? message}`, {
+      cause: err,
+    });
   }
 }
 
@@ -22,6 +25,6 @@
     return JSON.parse(text);
   } catch (err) {
     const [reason] = (err as Error).message.split('\n');
-    throw new CommandError(ExitCode.badInput, `${file}: is no JSON: ${reason}`);
+    throw new CommandError(ExitCode.badInput, `${file}: is no JSON: ${reason}`, { cause: err });
   }
 }
--- a/packages/cli/launch.cts
+++ b/packages/cli/launch.cts
@@ -1,7 +1,7 @@
 #!/usr/bin/env node
 /**
  * Starts the bundled program with the compiled code that the build keeps beside it. A controller that comes
- * back must answer before the workers' leases run out, and on a small share of a core most of a start is loading
+ * back must answer before the worker leases expire, and on a small share of a core most of a start is loading
  * code. Without a usable cache the program starts as well, only later.
  *
  * This file is CommonJS, since Node's loader of ES modules alone took as long as a fifth of the bare Node.
@@ -15,6 +15,7 @@
 export type Program = typeof ProgramModule;
 
 const PROGRAM_FILE = join(__dirname, '..', 'bin', 'sorreldale.cjs');
+/** The compiled code that the build keeps. */
 export const CACHE_FILE = join(__dirname, '..', 'bin', 'sorreldale.cache');
 
 /** The program as a script, compiled anew if there is no usable cache of its code. */
@@ -38,6 +39,7 @@
   try {
     return readFileSync(CACHE_FILE);
   } catch {
+    // Without the file the program is compiled, which only takes longer.
     return undefined;
   }
 }
--- a/packages/cli/main.ts
+++ b/packages/cli/main.ts
@@ -10,5 +10,5 @@
   });
 }
 
-/** For the build, which plays a day with the bundled program to have compiled what controllers run. */
+/** For the build, which runs a small cluster of the bundled program so that its code gets compiled. */
 export { Controller, loadSettings, makeLog } from '#controller';
--- a/packages/cli/output.ts
+++ b/packages/cli/output.ts
@@ -1,3 +1,5 @@
+/** The streams that commands write to. */
+
 /** Where a command writes, so that tests can read it. */
 export interface Output {
   /** Results, for programs to read. */
--- a/packages/cli/program.ts
+++ b/packages/cli/program.ts
@@ -1,3 +1,4 @@
+/** The command line: runs a command or a controller, and turns what went wrong into an exit code. */
 import { CommandError, ExitCode, LoggedError } from './command-error.js';
 import type { Output } from './output.js';
 import { serve } from './serve.js';
@@ -11,7 +12,7 @@
     await serve(files);
     return ExitCode.done;
   } catch (err) {
-    return explain(err, output);
+    return printError(err, output);
   }
 }
 
@@ -22,7 +23,7 @@
 }
 
 /** Writes what went wrong in one line, unless it has been written, and returns the exit code. */
-function explain(err: unknown, output: Output): ExitCode {
+function printError(err: unknown, output: Output): ExitCode {
   if (err instanceof LoggedError) return err.exitCode;
   const known = err instanceof CommandError;
   const message = known ? err.message : `unexpected error: ${String(err).split('\n')[0]}`;
--- a/packages/cli/replica-commands.ts
+++ b/packages/cli/replica-commands.ts
@@ -1,3 +1,4 @@
+/** The command `replicas`. */
 import type { Command } from 'commander';
 import { controllerAddress } from './arguments.js';
 import { CommandError, ExitCode } from './command-error.js';
@@ -5,17 +6,19 @@
 import type { Output } from './output.js';
 
 const TIMEOUT_MS = 5000;
+/** Status of a follower's answer. */
 const NOT_LEADER = 503;
 
 /** What a controller answers to operators who ask for its replicas. */
 interface ReplicasAnswer {
   replicas?: object[];
   error?: string;
-  /** Who owns the machines, if another controller was asked. */
+  /** The leader, if a follower was asked. */
+  // eslint-disable-next-line local/retired-words -- the endpoint's field
   owner?: string | null;
 }
 
-/** Adds replicas, for operators at a terminal. */
+/** Adds the command `replicas`, for operators at a terminal. */
 export function addReplicaCommands(program: Command, output: Output): void {
   program
     .command('replicas')
@@ -24,18 +27,18 @@
     .addHelpText('after', examples('replicas --at 10.0.0.1:8080'))
     .action(async ({ at }: { at: string }) => {
       const address = controllerAddress(at);
-      const { status, body } = await ask(address);
+      const { status, body } = await fetchReplicas(address);
       if (body.replicas === undefined) {
         throw new CommandError(
           ExitCode.refused,
-          `replicas: refused by ${address}: ${whyNot(status, body)}`,
+          `replicas: refused by ${address}: ${describeRefusal(status, body)}`,
         );
       }
       for (const row of body.replicas) output.out(`${JSON.stringify(row)}\n`);
     });
 }
 
-async function ask(address: string): Promise<{ status: number; body: ReplicasAnswer }> {
+async function fetchReplicas(address: string): Promise<{ status: number; body: ReplicasAnswer }> {
   try {
     const signal = AbortSignal.timeout(TIMEOUT_MS);
     const response = await fetch(`http://${address}/replicas`, { signal });
@@ -43,12 +46,14 @@
   } catch (err) {
     const cause = err instanceof Error && err.cause instanceof Error ? err.cause : err;
     const why = cause instanceof Error ? cause.message : String(cause);
-    throw new CommandError(ExitCode.noAnswer, `replicas: no answer from ${address}: ${why}`);
+    throw new CommandError(ExitCode.noAnswer, `replicas: no answer from ${address}: ${why}`, {
+      cause: err,
+    });
   }
 }
 
-function whyNot(status: number, { error, owner: leader }: ReplicasAnswer): string {
-  const hint =
-    status !== NOT_LEADER ? '' : leader ? `; ask ${leader}` : '; no controller owns them now';
-  return `${status} ${error ?? 'an answer that cannot be used'}${hint}`;
+function describeRefusal(status: number, { error, owner: leader }: ReplicasAnswer): string {
+  const hint = leader ? `; ask ${leader}` : '; no controller owns them now';
+  const reason = `${status} ${error ?? 'an answer that cannot be used'}`;
+  return status === NOT_LEADER ? reason + hint : reason;
 }
--- a/packages/cli/serve.test.ts
+++ b/packages/cli/serve.test.ts
@@ -27,7 +27,7 @@
 }
 
 /** Starts the program that the build made with the sample settings, but for its two addresses. */
-async function startController(listen: string, clusterListen: string): Promise<ChildProcess> {
+function startController(listen: string, clusterListen: string): ChildProcess {
   const sample = new URL('../../examples/settings.toml', import.meta.url);
   const file = path.join(directory, 'settings.toml');
   const text = readFileSync(sample, 'utf8')
@@ -45,19 +45,19 @@
 
 test('a controller whose address is taken ends with a line that names it and code 4', async () => {
   const { server, address } = await serveNothing();
-  const child = await startController(await freeAddress(), address);
+  const child = startController(await freeAddress(), address);
   let log = '';
   child.stderr!.on('data', (chunk: Buffer) => (log += chunk.toString()));
   const [exitCode] = (await once(child, 'close')) as [number | null];
   server.close();
   assert.equal(exitCode, 4);
   const last = JSON.parse(log.trim().split('\n').at(-1)!) as { msg: string; err: string };
-  assert.equal(last.msg, 'cannot listen');
+  assert.equal(last.msg, 'controller cannot listen: it ends');
   assert.ok(last.err.includes(address), last.err);
 });
 
 test('a controller that is told to end does so with code 0', async () => {
-  const child = await startController(await freeAddress(), await freeAddress());
+  const child = startController(await freeAddress(), await freeAddress());
   // Its first line comes once it listens to signals.
   await once(child.stderr!, 'data');
   child.kill('SIGTERM');
--- a/packages/cli/serve.ts
+++ b/packages/cli/serve.ts
@@ -1,32 +1,43 @@
+/** Runs a controller in this process. */
 import { ListenError, nodeRuntime } from '#wire';
 import { Controller, type Log, makeLog } from '#controller';
 import { ExitCode, LoggedError } from './command-error.js';
 import { readSettings, type SettingsFiles } from './settings-files.js';
 
+const MS_PER_S = 1000;
+
 /** Runs a controller until a signal ends it; throws CommandError if it cannot run. */
 export async function serve(files: SettingsFiles): Promise<void> {
   const settings = readSettings(files);
   const log = makeLog(nodeRuntime.clock, settings.host_name, process.env.LOG_LEVEL);
   const stop = new AbortController();
-  for (const name of ['SIGINT', 'SIGTERM'] as const) process.once(name, () => stop.abort());
+  for (const name of ['SIGINT', 'SIGTERM'] as const) {
+    process.once(name, () => {
+      stop.abort();
+    });
+  }
   logUncaught(log);
-  log.info({ startedMs: Math.round(process.uptime() * 1000) }, 'controller');
+  log.info({ startedMs: Math.round(process.uptime() * MS_PER_S) }, 'controller starting');
   try {
     await new Controller(nodeRuntime, settings, log).run(stop.signal);
   } catch (err) {
     if (err instanceof ListenError) {
-      log.error({ err: err.message }, 'cannot listen');
-      throw new LoggedError(ExitCode.cannotListen, err.message);
+      log.error({ err: err.message }, 'controller cannot listen: it ends');
+      throw new LoggedError(ExitCode.cannotListen, err.message, { cause: err });
     }
-    log.error({ err: describe(err) }, 'unexpected');
-    throw new LoggedError(ExitCode.unexpected, describe(err));
+    log.error({ err: describe(err) }, 'controller failed: it ends');
+    throw new LoggedError(ExitCode.unexpected, describe(err), { cause: err });
   }
 }
 
-/** A fault in one request or duty is logged; the process goes on. */
+/** A fault in one request or loop is logged; the process goes on. */
 function logUncaught(log: Log): void {
-  process.on('uncaughtException', (err) => log.error({ err: err.stack }, 'unexpected'));
-  process.on('unhandledRejection', (err) => log.error({ err: describe(err) }, 'unexpected'));
+  process.on('uncaughtException', (err) => {
+    log.error({ err: err.stack }, 'exception not caught: the controller goes on');
+  });
+  process.on('unhandledRejection', (err) => {
+    log.error({ err: describe(err) }, 'rejection not handled: the controller goes on');
+  });
 }
 
 function describe(err: unknown): string {
--- a/packages/cli/settings-commands.ts
+++ b/packages/cli/settings-commands.ts
@@ -1,10 +1,11 @@
+/** The commands about settings files: `check` and `schema`. */
 import type { Command } from 'commander';
 import { operatorSchema } from '#controller';
 import { examples } from './help.js';
 import type { Output } from './output.js';
 import { readSettings } from './settings-files.js';
 
-/** Adds check and schema. */
+/** Adds the commands `check` and `schema`. */
 export function addSettingsCommands(program: Command, output: Output): void {
   program
     .command('check')
@@ -26,5 +27,7 @@
     .command('schema')
     .description("print the JSON schema of the operators' own settings")
     .addHelpText('after', examples('schema > operator.schema.json'))
-    .action(() => output.out(`${JSON.stringify(operatorSchema, null, 2)}\n`));
+    .action(() => {
+      output.out(`${JSON.stringify(operatorSchema, null, 2)}\n`);
+    });
 }
--- a/packages/cli/settings-files.ts
+++ b/packages/cli/settings-files.ts
@@ -1,3 +1,4 @@
+/** Reads the settings files of a controller. */
 import { BadSettings, loadSettings, type Settings } from '#controller';
 import { CommandError, ExitCode } from './command-error.js';
 
@@ -15,7 +16,7 @@
     return loadSettings(config, operator ?? null);
   } catch (err) {
     if (!(err instanceof BadSettings)) throw err;
-    throw new CommandError(ExitCode.badInput, err.message);
+    throw new CommandError(ExitCode.badInput, err.message, { cause: err });
   }
 }
 
@@ -26,7 +27,8 @@
 export function controllerFiles(args: string[]): SettingsFiles | null {
   const files: Partial<SettingsFiles> = {};
   for (let at = 0; at < args.length; at += 2) {
-    const [option, file] = args.slice(at, at + 2);
+    const option = args[at];
+    const file = args.at(at + 1);
     if (file === undefined || file.startsWith('-')) return null;
     if (option === '--config') files.config = file;
     else if (option === '--operator') files.operator = file;
--- a/packages/cli/shard-commands.test.ts
+++ b/packages/cli/shard-commands.test.ts
@@ -42,7 +42,7 @@
   return { exitCode, out, err };
 }
 
-test('a move that is carried out is told with its term, and one that the owner refuses with its reason', async () => {
+test('a migration that is carried out is printed with its term, and one that the leader refuses with its reason', async () => {
   const { store, config } = await aStateService();
   const asked = run('move', 'controller-1', '--reason', 'a restart', '--settings', config);
   await Promise.race([asked, until(() => store.get(moveKey(0)) !== undefined)]);
@@ -87,7 +87,7 @@
   assert.equal((await run('withdraw', '--settings', config)).exitCode, 1);
 });
 
-test('a damaged move is shown as such and can be withdrawn, and one that is carried out can not', async () => {
+test('a damaged record is shown as such and can be withdrawn, and a migration that is carried out can not', async () => {
   const { store, term, config } = await aStateService();
   store.apply([{ put: moveKey(0), value: { phase: 'unheard of' } }]);
   const shown = JSON.parse((await run('show', '--settings', config)).out) as { move: string };
--- a/packages/cli/shard-commands.ts
+++ b/packages/cli/shard-commands.ts
@@ -1,3 +1,4 @@
+/** The commands about the shard that holds the machines: `part show`, `part move` and `part withdraw`. */
 import type { Command } from 'commander';
 import {
   encodeMove,
@@ -13,16 +14,16 @@
 import type { Output } from './output.js';
 import { readSettings } from './settings-files.js';
 
-/** The part that holds all machines. */
+/** The shard that holds all machines. */
 const SHARD = 0;
 const TIMEOUT_MS = 2000;
 const DEFAULT_WITHIN_S = 30;
 
-interface PartOptions {
+interface ShardOptions {
   settings: string;
 }
 
-interface MoveOptions extends PartOptions {
+interface MoveOptions extends ShardOptions {
   reason: string;
   within: string;
 }
@@ -32,7 +33,7 @@
   "the platform's settings file of any controller (TOML)",
 ] as const;
 
-/** Adds part show, part move and part withdraw, for operators at a terminal. */
+/** Adds the commands `part show`, `part move` and `part withdraw`, for operators at a terminal. */
 export function addShardCommands(program: Command, output: Output): void {
   const shard = program
     .command('part')
@@ -48,7 +49,7 @@
     .description('print who owns the part, and its moves')
     .requiredOption(...SETTINGS)
     .addHelpText('after', examples('part show --settings examples/settings.toml'))
-    .action(async (options: PartOptions) => {
+    .action(async (options: ShardOptions) => {
       const status = await withRequests('part show', options, (requests) => requests.status());
       output.out(`${JSON.stringify(shardStatusToJson(status))}\n`);
     });
@@ -75,13 +76,13 @@
     .option('--within <seconds>', 'how long to wait for it', String(DEFAULT_WITHIN_S))
     .addHelpText('after', examples('part move controller-1 --settings examples/settings.toml'))
     .action(async (controller: string, options: MoveOptions) => {
-      const withinS = seconds(options.within);
+      const withinS = parseSeconds(options.within);
       const name = knownController(controller, options);
       const { reason } = options;
       const outcome = await withRequests(`part move ${name}`, options, (requests) =>
         requests.move(name, reason, withinS),
       );
-      output.out(`${JSON.stringify(requireMoved(name, outcome))}\n`);
+      output.out(`${JSON.stringify(requireMigrated(name, outcome))}\n`);
     });
 }
 
@@ -91,7 +92,7 @@
     .description('take a request to move the part back')
     .requiredOption(...SETTINGS)
     .addHelpText('after', examples('part withdraw --settings examples/settings.toml'))
-    .action(async (options: PartOptions) => {
+    .action(async (options: ShardOptions) => {
       const withdraw = (requests: MoveRequests) => requests.withdraw('withdrawn');
       if (await withRequests('part withdraw', options, withdraw)) return;
       const why = 'no move is there that could be taken back';
@@ -99,8 +100,8 @@
     });
 }
 
-/** Throws CommandError if the part has not moved. */
-function requireMoved(name: string, outcome: RequestOutcome): object {
+/** What is printed of a migration that was carried out; throws CommandError if it was not. */
+function requireMigrated(name: string, outcome: RequestOutcome): object {
   if (outcome.kind === 'moved') return { owner: name, term: outcome.term };
   if (outcome.kind === 'not-moved') {
     throw new CommandError(ExitCode.refused, `part move ${name}: ${outcome.why}`);
@@ -109,14 +110,14 @@
   throw new CommandError(ExitCode.noAnswer, `part move ${name}: withdrawn, ${why}`);
 }
 
-function seconds(text: string): number {
+function parseSeconds(text: string): number {
   const value = text.trim() === '' ? NaN : Number(text);
   if (value > 0 && value < Infinity) return value;
   throw new CommandError(ExitCode.badInput, `--within ${text}: must be a number above 0`);
 }
 
 /** The name as it was given, if the settings name such a controller. */
-function knownController(name: string, { settings }: PartOptions): string {
+function knownController(name: string, { settings }: ShardOptions): string {
   const { host_name, peers } = readSettings({ config: settings });
   const names = [host_name, ...peers.map((peer) => peer.host_name)];
   if (names.includes(name)) return name;
@@ -127,7 +128,7 @@
 /** Asks the state service that the settings name; throws CommandError if it does not answer. */
 async function withRequests<T>(
   subject: string,
-  { settings }: PartOptions,
+  { settings }: ShardOptions,
   ask: (requests: MoveRequests) => Promise<T>,
 ): Promise<T> {
   const { external }: PlatformSettings = readSettings({ config: settings });
@@ -137,7 +138,7 @@
   } catch (err) {
     if (!(err instanceof NoAnswer || err instanceof StateRefused)) throw err;
     const why = `no answer from the state service at ${external.state}: ${err.message}`;
-    throw new CommandError(ExitCode.noAnswer, `${subject}: ${why}`);
+    throw new CommandError(ExitCode.noAnswer, `${subject}: ${why}`, { cause: err });
   } finally {
     api.close();
   }
--- a/packages/cli/user-commands.ts
+++ b/packages/cli/user-commands.ts
@@ -1,3 +1,4 @@
+/** The commands for users: `submit`, `status` and `abort`. */
 import type { Command } from 'commander';
 import { NoAnswer, type UserAnswer, UserClient } from '#wire';
 import { controllerAddress, jobId } from './arguments.js';
@@ -9,14 +10,14 @@
 const OK = 200;
 const CREATED = 201;
 
-/** One question to a controller: what it is about, where it goes, and how it is sent. */
-interface Question {
+/** One request to a controller: what it is about, where it goes, and how it is sent. */
+interface UserRequest {
   subject: string;
   address: string;
   send: (client: UserClient) => Promise<UserAnswer>;
 }
 
-/** Adds submit, status and abort, for people at a terminal. */
+/** Adds the commands `submit`, `status` and `abort`, for people at a terminal. */
 export function addUserCommands(program: Command, output: Output): void {
   const at = ['--at <address>', 'address of a controller', '127.0.0.1:8080'] as const;
   program
@@ -28,7 +29,7 @@
     .action(async (file: string, options: { at: string }) => {
       const job = readJobFile(file);
       const send = (client: UserClient) => client.submitRaw(job);
-      await ask({ subject: `submit ${file}`, address: options.at, send }, output);
+      await sendRequest({ subject: `submit ${file}`, address: options.at, send }, output);
     });
   program
     .command('status')
@@ -38,7 +39,7 @@
     .addHelpText('after', examples('status j-000412 --at 10.0.0.1:8080'))
     .action(async (id: string, options: { at: string }) => {
       const send = (client: UserClient) => client.status(jobId(id));
-      await ask({ subject: `status ${id}`, address: options.at, send }, output);
+      await sendRequest({ subject: `status ${id}`, address: options.at, send }, output);
     });
   program
     .command('abort')
@@ -48,12 +49,12 @@
     .addHelpText('after', examples('abort j-000412 --at 10.0.0.1:8080'))
     .action(async (id: string, options: { at: string }) => {
       const send = (client: UserClient) => client.abort(jobId(id));
-      await ask({ subject: `abort ${id}`, address: options.at, send }, output);
+      await sendRequest({ subject: `abort ${id}`, address: options.at, send }, output);
     });
 }
 
 /** Prints the answer; throws CommandError if there is none, or if it is a refusal. */
-async function ask({ subject, address, send }: Question, output: Output): Promise<void> {
+async function sendRequest({ subject, address, send }: UserRequest, output: Output): Promise<void> {
   const client = new UserClient(controllerAddress(address));
   try {
     const answer = await send(client);
@@ -65,7 +66,7 @@
   } catch (err) {
     if (!(err instanceof NoAnswer)) throw err;
     const why = `no answer from ${address}: ${err.message}`;
-    throw new CommandError(ExitCode.noAnswer, `${subject}: ${why}`);
+    throw new CommandError(ExitCode.noAnswer, `${subject}: ${why}`, { cause: err });
   } finally {
     client.close();
   }
