--- a/packages/cli/launch.cts
+++ b/packages/cli/launch.cts
@@ -18,7 +18,7 @@
 /** The compiled code that the build keeps. */
 export const CACHE_FILE = join(__dirname, '..', 'bin', 'sorreldale.cache');
 
-/** The program as a script, compiled anew if there is no usable cache of its code. */
+/** The program as a script, compiled again if there is no usable cache of its code. */
 export function compileProgram(cachedData: Buffer | undefined): Script {
   // The bundle is pure ASCII, and text of one byte a character is read without decoding.
   const text = readFileSync(PROGRAM_FILE, 'latin1');
--- a/packages/cli/replica-commands.test.ts
+++ b/packages/cli/replica-commands.test.ts
@@ -32,7 +32,7 @@
   assert.deepEqual(result, { exitCode: 0, out, err: '' });
 });
 
-test('a follower is told from a controller on which replica groups are off', async () => {
+test('a follower and a controller on which replica groups are off give different errors', async () => {
   const other = { error: 'this controller does not own the machines', owner: 'controller-2' };
   const elsewhere = await run(await answering(503, other));
   assert.equal(elsewhere.exitCode, 1);
--- a/packages/cli/serve.test.ts
+++ b/packages/cli/serve.test.ts
@@ -56,7 +56,7 @@
   assert.ok(last.err.includes(address), last.err);
 });
 
-test('a controller that is told to end does so with code 0', async () => {
+test('a controller that gets a signal ends with code 0', async () => {
   const child = startController(await freeAddress(), await freeAddress());
   // Its first line comes once it listens to signals.
   await once(child.stderr!, 'data');
--- a/packages/dependencies/dependency-graph.test.ts
+++ b/packages/dependencies/dependency-graph.test.ts
@@ -11,7 +11,7 @@
   own: Urgency;
 }
 
-/** Records as a controller reads them, and a graph that is told of them. */
+/** Records as a controller reads them, and a graph that records them. */
 class Records {
   readonly jobs = new Map<string, SampleJob>();
   /** By their own records, and those that are cancelled with others as the graph said. */
--- a/packages/replicas/group-state-machine.test.ts
+++ b/packages/replicas/group-state-machine.test.ts
@@ -34,7 +34,7 @@
   assert.equal(phaseOf(after(each('running', 7), all)), 'whole');
 });
 
-test('a member that runs goes on running when its record is written anew', () => {
+test('a member that runs goes on running when its record is written again', () => {
   const whole = after([...each('placed', 7), ...each('recorded', 7), ...each('running', 7)]);
   assert.equal(phaseOf(after(each('recorded', 7), whole)), 'whole');
 });
--- a/packages/replicas/replica-shapes.test.ts
+++ b/packages/replicas/replica-shapes.test.ts
@@ -24,7 +24,7 @@
   assert.equal(shapeOf(aJob({ kind: 'gang', class: 'fixed', tasks: 6 }), CLASSES), null);
 });
 
-test('replicas that can never be whole are told with field and reason', () => {
+test('replicas that can never be whole are refused with field and reason', () => {
   const shape = { members: 3, sameZone: false };
   assert.equal(whyNeverWhole(aService({ tasks: 6 }), shape, [STD]), null);
   assert.match(whyNeverWhole(aService({ tasks: 5 }), shape, [STD])!, /^pieces: 5 tasks/);
--- a/packages/shards/index.ts
+++ b/packages/shards/index.ts
@@ -10,4 +10,3 @@
 export * from './shard-migrator.js';
 export * from './source-state-machine.js';
 export * from './target-state-machine.js';
-export type { MigrationLog, TransferableLeader } from './transferable-leader.js';
--- a/packages/shards/migration-requests.ts
+++ b/packages/shards/migration-requests.ts
@@ -27,7 +27,7 @@
   /** The leader did not start on the request in time, and it was withdrawn. */
   | { kind: 'ignored' };
 
-/** Requests migrations of one shard and reports their state. Calls reject with NoAnswer or StateRefused. */
+/** Requests migrations of one shard and shows their state. Calls reject with NoAnswer or StateRefused. */
 export class MoveRequests {
   constructor(
     private readonly api: StateApi,
--- a/packages/shards/record-prefetch.test.ts
+++ b/packages/shards/record-prefetch.test.ts
@@ -15,7 +15,7 @@
   const { store } = state.service;
   for (let i = 0; i < RECORDS; i++) store.apply([{ put: `${PREFIX}n-${i}`, value: { i } }]);
   const { signal } = new AbortController();
-  /** Lets time pass until the promise has settled. */
+  /** Lets time pass until the promise is fulfilled or rejected. */
   const settle = async <T>(promise: Promise<T>): Promise<T> => {
     let done = false;
     void promise.finally(() => (done = true)).catch(() => {});
--- a/packages/shards/shard-migrator.ts
+++ b/packages/shards/shard-migrator.ts
@@ -23,7 +23,7 @@
   /** Something has happened since the last step began. */
   private woken = false;
 
-  /** Make it before the cache runs: the cache reports each record once. */
+  /** Make it before the cache runs: the cache announces each record once. */
   constructor(private readonly options: ShardMigratorOptions) {
     const { runtime, world, shard } = options;
     this.idle = new WakeablePause(runtime.clock);
--- a/packages/shards/source-state-machine.ts
+++ b/packages/shards/source-state-machine.ts
@@ -81,7 +81,7 @@
   action: SourceAction;
 }
 
-/** The state of a leader that takes part in no migration. */
+/** The state of a leader while there is no migration. */
 export const DECIDING: SourceState = { phase: 'deciding', request: null };
 
 const WAIT: SourceAction = { kind: 'wait' };
--- a/packages/wire/cbor-client.ts
+++ b/packages/wire/cbor-client.ts
@@ -34,7 +34,7 @@
   maxBytes?: number;
 }
 
-/** Connections that a client opens at the most, if not told otherwise. */
+/** Connections that a client opens at the most, unless its maker says otherwise. */
 export const MAX_SOCKETS = 16;
 
 /** A keep-alive HTTP client that speaks CBOR with one host. */
--- a/packages/wire/heartbeat.ts
+++ b/packages/wire/heartbeat.ts
@@ -3,7 +3,7 @@
 import { compileSchema } from './schema.js';
 import { taskName, type TaskRef } from './task.js';
 
-/** How far a task has come on its machine; `exited` until the worker is told to forget it. */
+/** How far a task has come on its machine; `exited` until a controller orders the worker to forget it. */
 export type TaskState = 'fetching' | 'waiting' | 'running' | 'saving' | 'exited';
 /** Why a task exited (docs/glossary.md). */
 export type Cause =
--- a/packages/wire/job.ts
+++ b/packages/wire/job.ts
@@ -230,7 +230,7 @@
   };
 }
 
-/** What a user is told of a job; numbers of tasks. */
+/** A job as its user sees it; `done` and `running` are numbers of tasks. */
 export interface JobView {
   id: string;
   phase: Phase;
--- a/packages/wire/schema.ts
+++ b/packages/wire/schema.ts
@@ -19,8 +19,8 @@
 export const namedSchemas = new Map<string, object>();
 
 /**
- * Compiles a JSON schema; its check fills in defaults and leaves the first error in `errors`. The name tells
- * the schema from all others. In the bundled program the checks are code that the build has made of the
+ * Compiles a JSON schema; its check fills in defaults and leaves the first error in `errors`. The name
+ * identifies the schema. In the bundled program the checks are code that the build has made of the
  * schemas (packages/bundle/schema-checks.ts), so that ajv is neither loaded nor compiles anything at a start.
  */
 export function compileSchema<T>(name: string, schema: object): ValidateFunction<T> {
