--- a/packages/shards/transfer-source.ts
+++ b/packages/shards/transfer-source.ts
@@ -11,6 +11,7 @@
   sourceAnswered,
   sourceRead,
   type SourceState,
+  type SourceView,
   stepSource,
   successorPossibleSince,
 } from './source-state-machine.js';
@@ -64,7 +65,16 @@
     const { shard, name, obstacle, limits } = this.options;
     const { paused } = this;
     const now = this.clock.now();
-    const view = { now, shard, term, name, move: migration, paused, obstacle, limits };
+    const view: SourceView = {
+      now,
+      shard,
+      term,
+      name,
+      move: migration,
+      paused,
+      obstacle,
+      limits,
+    };
     const { state, action } = stepSource(this.state, view);
     // Before anything is sent: from then on the election lease may prove nothing.
     this.setState(state);
