--- a/packages/shards/index.ts
+++ b/packages/shards/index.ts
@@ -6,7 +6,7 @@
 export * from './migration-record-codec.js';
 export * from './migration-requests.js';
 export * from './migration-transaction.js';
-export { RecordsAhead } from './record-prefetch.js';
+export * from './record-prefetch.js';
 export * from './shard-migrator.js';
 export * from './source-state-machine.js';
 export * from './target-state-machine.js';
