--- a/packages/cli/launch.cts
+++ b/packages/cli/launch.cts
@@ -1,7 +1,7 @@
 #!/usr/bin/env node
 /**
  * Starts the bundled program with the compiled code that the build keeps beside it. A controller that comes
- * back must answer before the workers' leases run out, and on a small share of a core most of a start is loading
+ * back must answer before the worker leases expire, and on a small share of a core most of a start is loading
  * code. Without a usable cache the program starts as well, only later.
  *
  * This file is CommonJS, since Node's loader of ES modules alone took as long as a fifth of the bare Node.
@@ -15,9 +15,10 @@
 export type Program = typeof ProgramModule;
 
 const PROGRAM_FILE = join(__dirname, '..', 'bin', 'sorreldale.cjs');
+/** The compiled code that the build keeps. */
 export const CACHE_FILE = join(__dirname, '..', 'bin', 'sorreldale.cache');
 
-/** The program as a script, compiled anew if there is no usable cache of its code. */
+/** The program as a script, compiled again if there is no usable cache of its code. */
 export function compileProgram(cachedData: Buffer | undefined): Script {
   // The bundle is pure ASCII, and text of one byte a character is read without decoding.
   const text = readFileSync(PROGRAM_FILE, 'latin1');
@@ -38,6 +39,7 @@
   try {
     return readFileSync(CACHE_FILE);
   } catch {
+    // Without the file the program is compiled, which only takes longer.
     return undefined;
   }
 }
--- a/packages/shards/move-exploration.test.ts
+++ b/packages/shards/migration-exploration.test.ts
@@ -15,12 +15,12 @@
   return [{ requests, crashes, lapses, lostAnswers }];
 }
 
-test('in no order of events of a move are there two owners, and every order leads back to one', () => {
+test('in no order of events of a migration are there two leaders, and every order leads back to one', () => {
   for (const budget of budgets()) {
-    const { states, moved, twoOwners, stuck } = exploreMoves(budget, 'none');
+    const { states, moved, twoOwners: twoLeaders, stuck } = exploreMoves(budget, 'none');
     console.log(`${JSON.stringify(budget)}: ${states} states, ${moved} after a move`);
-    assert.deepEqual({ twoOwners, stuck }, { twoOwners: null, stuck: null });
-    assert.ok(moved > 100, 'the part moved');
+    assert.deepEqual({ twoLeaders, stuck }, { twoLeaders: null, stuck: null });
+    assert.ok(moved > 100, 'the shard moved');
   }
 });
 
@@ -34,13 +34,13 @@
   ['quiesces-without-record', LOST_ANSWER],
 ];
 for (const [mistake, budget] of harmful) {
-  test(`the exploration finds two owners if one ${mistake}`, () => {
-    const { twoOwners } = exploreMoves(budget, mistake);
-    assert.ok(twoOwners !== null);
+  test(`the exploration finds two leaders if one ${mistake}`, () => {
+    const { twoOwners: twoLeaders } = exploreMoves(budget, mistake);
+    assert.ok(twoLeaders !== null);
   });
 }
 
-test('the exploration finds a part that nobody decides about if an owner waits-for-ever', () => {
+test('the exploration finds a shard that nobody decides about if a leader waits-for-ever', () => {
   const { stuck } = exploreMoves(CRASH, 'waits-for-ever');
   assert.ok(stuck !== null);
 });
--- a/packages/testing/models/shard-migration/events.ts
+++ b/packages/testing/models/shard-migration/events.ts
@@ -40,7 +40,8 @@
   if (budget.requests === 0 || shard === null || move !== null || shard.leader === to) return;
   list.add(`request ${to}`, true, (draft) => {
     draft.budget.requests--;
-    const record = { fromTerm: shard.version, to, reason: '', phase: 'requested' } as const;
+    const fromTerm = shard.version;
+    const record = { fromTerm, target: to, reason: '', phase: 'requested' } as const;
     draft.move = { record, version: ++draft.revision };
   });
 }
--- a/packages/testing/simulation/faults/operator-requests.ts
+++ b/packages/testing/simulation/faults/operator-requests.ts
@@ -1,4 +1,4 @@
-import { moveKey, type MoveRecord } from '#shards';
+import { encodeMove, moveKey } from '#shards';
 import { decodeLeader, shardKey } from '#store';
 import type { StateService } from '../../stand-ins/index.js';
 import type { SimulatedController } from '../controllers.js';
@@ -41,7 +41,12 @@
   const { store } = state;
   const shard = store.get(shardKey(SHARD));
   if (!shard || store.get(moveKey(SHARD)) || decodeLeader(shard.value).leader === to) return;
-  const value: MoveRecord = { fromTerm: shard.version, to, reason: 'a test', phase: 'requested' };
+  const value = encodeMove({
+    fromTerm: shard.version,
+    target: to,
+    reason: 'a test',
+    phase: 'requested',
+  });
   const changes = [{ put: moveKey(SHARD), value }];
   store.apply(changes);
   const sent = { clientHost: 'operator', answered: true, heldS: 0 };
