--- a/packages/controller/controller.ts
+++ b/packages/controller/controller.ts
@@ -198,7 +198,8 @@
         stateChanges: client.changes,
       }),
       connections: () => this.httpServer.connections,
-      onSample: (look) => this.log.info({ owner: this.leader() !== null, ...look }, 'vitals'),
+      onSample: (look) =>
+        this.log.info({ leading: this.leader() !== null, ...look }, 'process statistics sampled'),
     });
   }
 
--- a/packages/controller/leadership/fleet-events.ts
+++ b/packages/controller/leadership/fleet-events.ts
@@ -10,18 +10,27 @@
     machineUp(machine, now) {
       planner().machineUp(machine, now);
       const { name, type, zone, spot, requestedAt } = machine;
-      log.debug({ machine: name, type, zone, spot, bootedS: hundredths(now - requestedAt) }, 'up');
+      log.debug(
+        { machine: name, type, zone, spot, bootS: hundredths(now - requestedAt) },
+        'machine came up',
+      );
     },
     jobCrashLooping({ spec, failures }) {
       const { id: job, class: jobClass, team, tasks } = spec;
       const { attempts, longestRunS } = failures;
       const machines = [...failures.machines];
-      const ranS = hundredths(longestRunS);
-      log.info({ job, class: jobClass, team, tasks, attempts, ranS, machines }, 'job suspect');
+      const longestS = hundredths(longestRunS);
+      log.info(
+        { job, class: jobClass, team, tasks, attempts, longestRunS: longestS, machines },
+        'job is crash-looping',
+      );
     },
-    jobRecovered: ({ spec }) => log.info({ job: spec.id }, 'job cleared'),
+    jobRecovered: ({ spec }) => log.info({ job: spec.id }, 'job recovered from its crash loop'),
     machineFaulty({ name, failures }) {
-      log.info({ machine: name, jobs: [...failures.jobs.keys()] }, 'machine broken');
+      log.info(
+        { machine: name, jobs: [...failures.jobs.keys()] },
+        'machine is faulty and will be released',
+      );
     },
     jobClosed: (job, now) => recordTaskEnd(planner(), job, now),
     taskRunning({ job, index, machine, assignedAt }, now) {
@@ -31,16 +40,16 @@
         class: job.spec.class,
         machine: machine.name,
         image: job.spec.image,
-        placedS: hundredths(assignedAt - job.startableAt),
-        fetchedS: hundredths(now - assignedAt),
+        waitedS: hundredths(assignedAt - job.startableAt),
+        startupS: hundredths(now - assignedAt),
       };
-      log.debug(fields, 'task running');
+      log.debug(fields, 'task started running');
     },
     taskEnded({ assignment, cause }, now) {
       const { job, index, attempt, machine } = assignment;
       const ranS = now - (assignment.runningSince ?? now);
       const fields = { job: job.spec.id, task: index, attempt, machine: machine.name, cause, ranS };
-      log.debug(fields, 'task over');
+      log.debug(fields, 'task ended');
     },
   };
 }
--- a/packages/controller/leadership/leadership-terms.ts
+++ b/packages/controller/leadership/leadership-terms.ts
@@ -75,7 +75,7 @@
     this.cloud = null;
     this.shareWrites(term !== null);
     if (!term) return;
-    log.info({ term: term.term }, 'term begins');
+    log.info({ term: term.term }, 'leader elected');
     const end = new AbortController();
     this.term = { id: term.term, end };
     const done = this.lead(term, AbortSignal.any([signal, end.signal]));
@@ -106,7 +106,7 @@
         await leader.run(attempt);
       } catch (err) {
         if (signal.aborted || this.givesUp(leader, err)) return;
-        log.debug({ err: String(err) }, 'owner starts anew');
+        log.debug({ err: String(err) }, 'leader failed to load its records: loading again');
         const delayMs = RELOAD_PAUSE * settings.deployment.workers.report_s * 1000;
         await pause(runtime.clock, delayMs, signal);
       } finally {
@@ -119,7 +119,10 @@
   /** A fleet state that has given orders knows what may still arrive; it can't be made anew in its term. */
   private givesUp(leader: ShardLeader, err: unknown): boolean {
     if (!(err instanceof TermBroken) && !leader.ready) return false;
-    this.options.log.info({ why: String(err), term: leader.term.term }, 'term given up');
+    this.options.log.info(
+      { err: String(err), term: leader.term.term },
+      'leader stepped down: its term cannot go on',
+    );
     this.options.election.resign();
     return true;
   }
--- a/packages/controller/leadership/scheduling-rounds.ts
+++ b/packages/controller/leadership/scheduling-rounds.ts
@@ -32,7 +32,10 @@
       return decided >= ROUND_DECISIONS;
     },
     onError: (err) => {
-      log.error({ err: err instanceof Error ? err.stack : String(err) }, 'unexpected');
+      log.error(
+        { err: err instanceof Error ? err.stack : String(err) },
+        'scheduling round failed: the next one comes as usual',
+      );
     },
   });
 }
--- a/packages/controller/leadership/shard-leader.ts
+++ b/packages/controller/leadership/shard-leader.ts
@@ -113,7 +113,7 @@
     this.ready = true;
     const { jobs: allJobs, machines } = this.fleet;
     const found = { jobs: allJobs.waiting.size, machines: machines.size };
-    this.log.info({ term: this.term.term, ...found }, 'owner');
+    this.log.info({ term: this.term.term, ...found }, 'leader ready');
     const jobs = this.options.jobs.changed.subscribe((record) => {
       this.intake.accept(record);
       if (record.phase !== 'accepted') this.recorder.jobRecords.jobEnded(record.job);
@@ -197,7 +197,7 @@
   private round(signal: AbortSignal): number {
     const now = this.clock.now();
     for (const { name } of this.fleet.leases.expire(now)) {
-      this.log.info({ machine: name }, 'machine silent past its lease');
+      this.log.info({ machine: name }, 'worker lease expired');
     }
     this.fleet.machines.updateTotals();
     evictOnReclaimNotices(this.fleet, now);
@@ -215,7 +215,7 @@
     if (now - this.summaryAt < 10 * this.settings.deployment.workers.report_s) return;
     this.summaryAt = now;
     this.fleet.jobs.removeEnded();
-    this.log.info(this.fleetSummary(), 'fleet');
+    this.log.info(this.fleetSummary(), 'fleet summarised');
   }
 
   /** The fleet, its use and what waits. */
@@ -240,6 +240,6 @@
   }
 
   private logOrders(machine: string, orders: Order[]): void {
-    for (const order of orders) this.log.debug({ machine, ...order }, 'order');
+    for (const order of orders) this.log.debug({ machine, ...order }, 'order sent to worker');
   }
 }
--- a/packages/controller/leadership/standby-renewal.ts
+++ b/packages/controller/leadership/standby-renewal.ts
@@ -38,7 +38,7 @@
     const may = this.term > 0 && this.check.mayRenew(this.view(), this.leader());
     const term = may ? this.term : null;
     if (term !== this.renewing) {
-      this.options.log.info({ term: this.term, renewing: may }, 'standby');
+      this.options.log.info({ term: this.term, renewing: may }, 'standby renewal changed');
       this.renewing = term;
     }
     return term;
--- a/packages/controller/replica-support.test.ts
+++ b/packages/controller/replica-support.test.ts
@@ -74,7 +74,7 @@
   await cluster.world.runUntil(65);
   assert.equal(status, 200);
   const lines = cluster.controllers.flatMap(({ log }) =>
-    log.entries('job older than its replica groups'),
+    log.entries('job predates its replica groups'),
   );
   assert.deepEqual(
     lines.map((line) => line.job),
--- a/packages/controller/replica-support.ts
+++ b/packages/controller/replica-support.ts
@@ -45,7 +45,7 @@
     whyNeverWhole: replicas.whyNeverWhole,
     recordJob: ({ job, replicas: shape }) => {
       if (shape || replicas.shapeOf(job, classes) === null) return;
-      log.info({ job: job.id, class: job.class }, 'job older than its replica groups');
+      log.info({ job: job.id, class: job.class }, 'job predates its replica groups');
     },
     rows: (groups) => replicas.replicaRows(groups, runtime.clock.now()),
     makeGroups: () =>
@@ -62,14 +62,15 @@
   return {
     phaseChanged: ({ group, from, to, reason }) => {
       const machines = [...group.assignments()].map(({ machine }) => machine.name);
-      const fields = { ...nameOf(group), from, to, why: reason, machines };
-      if (to === 'repairing') log.info({ ...fields, lostBy: group.lostBy }, 'replica repair');
-      else log.debug(fields, 'replica');
+      const fields = { ...nameOf(group), from, to, reason, machines };
+      if (to === 'repairing')
+        log.info({ ...fields, lostBy: group.lostBy }, 'replica repair started');
+      else log.debug(fields, 'replica phase changed');
     },
     recovered: ({ group, reason, tookS }) => {
       metrics.recovered(reason, tookS);
       const tookMs = Math.round(tookS * 1000);
-      log.info({ ...nameOf(group), why: reason, tookMs }, 'replica whole again');
+      log.info({ ...nameOf(group), reason, tookMs }, 'replica recovered');
     },
   };
 }
--- a/packages/testing/meetings/faulty-jobs.test.ts
+++ b/packages/testing/meetings/faulty-jobs.test.ts
@@ -96,7 +96,7 @@
 
 /** Rents at a moment at which every faulty job was known to be suspect or was over. */
 function needlessRents(result: ScenarioResult, type: string): number[] {
-  const known = result.controllers.flatMap(({ log }) => log.entries('job suspect'));
+  const known = result.controllers.flatMap(({ log }) => log.entries('job is crash-looping'));
   const waits = faultyJobs(result).map(({ id, atS }) => ({
     id,
     atS,
@@ -161,7 +161,7 @@
       assert.deepEqual(needlessRents(result, 'g8'), []);
       if (faults.length === 0) return;
       // The next leader has learnt of those that were left.
-      const known = result.controllers.flatMap(({ log }) => log.entries('job suspect'));
+      const known = result.controllers.flatMap(({ log }) => log.entries('job is crash-looping'));
       assert.ok(known.some(({ atS }) => atS > CRASH_S && atS < CRASH_S + 3 * CANCEL_S));
     });
   });
--- a/packages/testing/meetings/hand-over-cancellations.test.ts
+++ b/packages/testing/meetings/hand-over-cancellations.test.ts
@@ -18,7 +18,7 @@
 /** When a controller has read its records and begun to schedule, by its log. */
 function readyTimes({ controllers }: ScenarioResult, name: string): number[] {
   const { log } = controllers.find((controller) => controller.name === name)!;
-  return log.entries('owner').map(({ atS }) => atS);
+  return log.entries('leader ready').map(({ atS }) => atS);
 }
 
 test('jobs cancelled in the seconds in which the work changes hands end at once and are not begun anew', async () => {
--- a/packages/testing/meetings/leader-changes.test.ts
+++ b/packages/testing/meetings/leader-changes.test.ts
@@ -22,7 +22,7 @@
 /** When controllers other than the leader began and ended to renew leases for it, by their logs. */
 function standbyChanges({ controllers }: ScenarioResult) {
   return controllers.flatMap(({ name, log }) =>
-    log.entries('standby').map(({ atS, renewing }) => ({ name, atS, renewing })),
+    log.entries('standby renewal changed').map(({ atS, renewing }) => ({ name, atS, renewing })),
   );
 }
 
--- a/packages/testing/moves/loopback-run.ts
+++ b/packages/testing/moves/loopback-run.ts
@@ -13,6 +13,8 @@
 import { OwnerAudit, type OwnerBreach } from './owner-audit.js';
 
 const PART = 0;
+/** The line of a leader that begins to decide; the sources that are run may be older than its present name. */
+const READY_MESSAGES = ['leader ready', 'owner'];
 const SEED = 1;
 const MOVE_WITHIN_S = 20;
 const STATE_TIMEOUT_MS = 2000;
@@ -151,7 +153,7 @@
     fromMs: number,
   ): void {
     const paused = source.run.log.since('part to be moved', fromMs)[0];
-    const decides = target.run.log.since('owner', fromMs)[0];
+    const [decides] = READY_MESSAGES.flatMap((message) => target.run.log.since(message, fromMs));
     if (paused && decides) this.undecidedMs.push(decides.receivedAtMs - paused.receivedAtMs);
   }
 
--- a/packages/testing/simulation/replica-moments.ts
+++ b/packages/testing/simulation/replica-moments.ts
@@ -8,12 +8,12 @@
 interface PhaseLine {
   msg: string;
   to: GroupPhase;
-  why: string | null;
+  reason: string | null;
   machines: string[];
 }
 
 /** Messages of the log that tell of a change of phase. */
-const MESSAGES = ['replica', 'replica repair'];
+const MESSAGES = ['replica phase changed', 'replica repair started'];
 
 /** Follows the phases of replica groups by the controllers' logs. */
 export class ReplicaMoments {
@@ -33,11 +33,11 @@
   /** Takes a line of a controller's log in. */
   observe(line: string): void {
     if (!line.includes('"replica')) return;
-    const { msg, to, why, machines } = JSON.parse(line) as PhaseLine;
+    const { msg, to, reason, machines } = JSON.parse(line) as PhaseLine;
     if (!MESSAGES.includes(msg)) return;
     if (to === 'whole') this.machines = machines;
     this.reached(to, machines);
-    if (why !== null && ['reserved', 'starting', 'whole'].includes(to)) {
+    if (reason !== null && ['reserved', 'starting', 'whole'].includes(to)) {
       this.reached(`${to}-again` as ReplicaMoment, machines);
     }
   }
--- a/packages/testing/sizing/observation.ts
+++ b/packages/testing/sizing/observation.ts
@@ -76,9 +76,12 @@
   }
 }
 
-/** Mean of each number in the `vitals` lines since then. */
+/** The line of process statistics; the sources that are measured may be older than its present name. */
+const STATISTICS_MESSAGES = ['process statistics sampled', 'vitals'];
+
+/** Mean of each number in the lines of process statistics since then. */
 function averageVitals(log: ProcessLog, sinceMs: number): Record<string, number> {
-  const lines = log.since('vitals', sinceMs);
+  const lines = STATISTICS_MESSAGES.flatMap((message) => log.since(message, sinceMs));
   const names = Object.keys(lines[0] ?? {}).filter((name) => typeof lines[0][name] === 'number');
   const sum = (name: string) => lines.reduce((total, line) => total + (line[name] as number), 0);
   return Object.fromEntries(names.map((name) => [name, sum(name) / lines.length]));
