--- a/packages/controller/leadership/fleet-events.ts
+++ b/packages/controller/leadership/fleet-events.ts
@@ -1,66 +1,77 @@
-import type { CapacityPlanner, FleetListener, JobState } from '#core';
+/** Tells the capacity planner and the log what happens to machines, jobs and tasks. */
+import type { Assignment, CapacityPlanner, FleetListener, JobState, Machine, TaskEnd } from '#core';
 import type { Log } from '../observability/log.js';
 
 /**
- * Tells the planner and the log what happens to machines and tasks. The planner is made from the state
- * that this listener is given to, so it is asked for when something happens.
+ * The listener of a leader's fleet state. The planner is made from that state, so it is asked for when
+ * something happens.
  */
 export function fleetListener(planner: () => CapacityPlanner, log: Log): FleetListener {
   return {
     machineUp(machine, now) {
       planner().machineUp(machine, now);
-      const { name, type, zone, spot, requestedAt } = machine;
-      log.debug(
-        { machine: name, type, zone, spot, bootS: hundredths(now - requestedAt) },
-        'machine came up',
-      );
+      logMachineUp(log, machine, now);
     },
-    jobCrashLooping({ spec, failures }) {
-      const { id: job, class: jobClass, team, tasks } = spec;
-      const { attempts, longestRunS } = failures;
-      const machines = [...failures.machines];
-      const longestS = hundredths(longestRunS);
-      log.info(
-        { job, class: jobClass, team, tasks, attempts, longestRunS: longestS, machines },
-        'job is crash-looping',
-      );
+    jobCrashLooping(job) {
+      logCrashLoop(log, job);
+    },
+    jobRecovered({ spec }) {
+      log.info({ job: spec.id }, 'job recovered from its crash loop');
     },
-    jobRecovered: ({ spec }) => log.info({ job: spec.id }, 'job recovered from its crash loop'),
     machineFaulty({ name, failures }) {
-      log.info(
-        { machine: name, jobs: [...failures.jobs.keys()] },
-        'machine is faulty and will be released',
-      );
+      const jobs = [...failures.jobs.keys()];
+      log.info({ machine: name, jobs }, 'machine is faulty and will be released');
+    },
+    jobClosed({ spec, hasOpenDependencies }, now) {
+      // A job that still had open dependencies was never counted as an arrival.
+      if (!hasOpenDependencies) planner().jobEnded(spec, now);
     },
-    jobClosed: (job, now) => recordTaskEnd(planner(), job, now),
-    taskRunning({ job, index, machine, assignedAt }, now) {
-      const fields = {
-        job: job.spec.id,
-        task: index,
-        class: job.spec.class,
-        machine: machine.name,
-        image: job.spec.image,
-        waitedS: hundredths(assignedAt - job.startableAt),
-        startupS: hundredths(now - assignedAt),
-      };
-      log.debug(fields, 'task started running');
+    taskRunning(assignment, now) {
+      logTaskRunning(log, assignment, now);
     },
-    taskEnded({ assignment, cause }, now) {
-      const { job, index, attempt, machine } = assignment;
-      const ranS = now - (assignment.runningSince ?? now);
-      const fields = { job: job.spec.id, task: index, attempt, machine: machine.name, cause, ranS };
-      log.debug(fields, 'task ended');
+    taskEnded(end, now) {
+      logTaskEnd(log, end, now);
     },
   };
 }
 
-/** One that still awaited others has not counted as come. */
-function recordTaskEnd(
-  planner: CapacityPlanner,
-  { spec, hasOpenDependencies }: JobState,
-  now: number,
-): void {
-  if (!hasOpenDependencies) planner.jobEnded(spec, now);
+function logMachineUp(log: Log, { name, type, zone, spot, requestedAt }: Machine, now: number) {
+  const bootS = hundredths(now - requestedAt);
+  log.debug({ machine: name, type, zone, spot, bootS }, 'machine came up');
+}
+
+function logCrashLoop(log: Log, { spec, failures }: JobState): void {
+  const fields = {
+    job: spec.id,
+    class: spec.class,
+    team: spec.team,
+    tasks: spec.tasks,
+    attempts: failures.attempts,
+    longestRunS: hundredths(failures.longestRunS),
+    machines: [...failures.machines],
+  };
+  log.info(fields, 'job is crash-looping');
+}
+
+function logTaskRunning(log: Log, assignment: Assignment, now: number): void {
+  const { job, index, machine, assignedAt } = assignment;
+  const fields = {
+    job: job.spec.id,
+    task: index,
+    class: job.spec.class,
+    machine: machine.name,
+    image: job.spec.image,
+    waitedS: hundredths(assignedAt - job.startableAt),
+    startupS: hundredths(now - assignedAt),
+  };
+  log.debug(fields, 'task started running');
+}
+
+function logTaskEnd(log: Log, { assignment, cause }: TaskEnd, now: number): void {
+  const { job, index, attempt, machine, runningSince } = assignment;
+  const ranS = now - (runningSince ?? now);
+  const fields = { job: job.spec.id, task: index, attempt, machine: machine.name, cause, ranS };
+  log.debug(fields, 'task ended');
 }
 
 function hundredths(seconds: number): number {
--- /dev/null
+++ b/packages/controller/leadership/leader-components.ts
@@ -0,0 +1,188 @@
+/** Builds what one leader consists of, and names for each component what it takes. */
+import type { CapacityPlanner, FleetState, Scheduler } from '#core';
+import type { ReplicaGroups } from '#replicas';
+import type { GroupCommit, JobRecord, StateClient, Term } from '#store';
+import type { MachineType, Order, Runtime } from '#wire';
+import { JobIntake } from '../jobs/job-intake.js';
+import type { JobTable } from '../jobs/job-table.js';
+import type { Log } from '../observability/log.js';
+import { CancellationRecorder } from '../records/cancellation-recorder.js';
+import { FlushLoop } from '../records/flush-loop.js';
+import { type ReadRecords, RecordLoader } from '../records/record-loader.js';
+import { Recorder } from '../records/recorder.js';
+import type { OptionalReplicaSupport } from '../replica-support.js';
+import type { Settings } from '../settings/settings.js';
+import { makeFleetState, makePlanner, makeScheduler } from './core-from-settings.js';
+import { DirectCommands } from './direct-commands.js';
+import { fleetListener } from './fleet-events.js';
+import { SchedulingRound } from './scheduling-round.js';
+import { roundIntervalMs } from './scheduling-rounds.js';
+
+/** Heartbeat intervals that a direct command may take. */
+const COMMAND_TIMEOUT_INTERVALS = 2;
+
+/** What a leader of one term is made from. */
+export interface ShardLeaderOptions {
+  runtime: Runtime;
+  settings: Settings;
+  client: StateClient;
+  readRecords: ReadRecords;
+  /** Users' changes of jobs. */
+  commits: GroupCommit;
+  jobs: JobTable;
+  term: Term;
+  /** The machine types that are known now. */
+  types: () => MachineType[];
+  replicas: OptionalReplicaSupport;
+  /** The leader may act on workers now. */
+  holdsLeaderLease: () => boolean;
+  /** Told how long each scheduling round took, in milliseconds. */
+  onRound: (ms: number) => void;
+  /** Connections that may be open for direct commands. */
+  directSockets: number;
+  log: Log;
+}
+
+/** What the components ask of the leader that they belong to. */
+export interface LeaderCallbacks {
+  /** Something changed that a scheduling round should look at soon. */
+  requestRound: () => void;
+  /** Commands may go to workers now. */
+  pushCommands: (signal: AbortSignal) => void;
+}
+
+/** The components of a leader; they share its fleet state. */
+export interface LeaderComponents {
+  readonly fleet: FleetState;
+  readonly planner: CapacityPlanner;
+  readonly scheduler: Scheduler;
+  /** Null: each task of a service is a replica by itself. */
+  readonly replicaGroups: ReplicaGroups | null;
+  readonly recorder: Recorder;
+  readonly intake: JobIntake;
+  readonly cancellationRecorder: CancellationRecorder;
+  readonly directCommands: DirectCommands;
+  readonly flushLoop: FlushLoop;
+  readonly schedulingRound: SchedulingRound;
+}
+
+type CoreComponents = Pick<LeaderComponents, 'fleet' | 'planner' | 'scheduler' | 'replicaGroups'>;
+
+/** Builds the components of a leader; none of them does anything by itself yet. */
+export function composeLeader(
+  options: ShardLeaderOptions,
+  callbacks: LeaderCallbacks,
+): LeaderComponents {
+  const { runtime, client, jobs, term, settings, log } = options;
+  const { clock } = runtime;
+  const heartbeatIntervalS = settings.deployment.workers.report_s;
+  const core = composeCore(options);
+  const { fleet } = core;
+  const recorder = new Recorder({ runtime, client, fleet, jobs, term, heartbeatIntervalS, log });
+  const intake = composeIntake(options, core);
+  const cancellationRecorder = new CancellationRecorder({
+    clock,
+    client,
+    commits: options.commits,
+    jobs,
+    unrecorded: intake.unrecorded,
+    heartbeatIntervalS,
+    log,
+  });
+  const flushLoop = new FlushLoop({
+    clock,
+    recorder,
+    idleMs: roundIntervalMs(settings),
+    onFlushed: callbacks.pushCommands,
+  });
+  return {
+    ...core,
+    recorder,
+    intake,
+    cancellationRecorder,
+    directCommands: composeDirectCommands(options, fleet, callbacks),
+    flushLoop,
+    schedulingRound: new SchedulingRound({ ...core, log }),
+  };
+}
+
+/** Reads what earlier leaders recorded into the components' fleet state. */
+export function composeRecordLoader(
+  options: ShardLeaderOptions,
+  { fleet, recorder, intake, planner }: LeaderComponents,
+): RecordLoader {
+  const { runtime, client, readRecords, jobs, term } = options;
+  return new RecordLoader({
+    client,
+    readRecords,
+    jobs,
+    fleet,
+    recorder,
+    term,
+    acceptJob: (record) => {
+      intake.accept(record);
+    },
+    onJobs: (now) => {
+      planner.assumeSteady(now);
+    },
+    now: () => runtime.clock.now(),
+  });
+}
+
+/** Logs commands that were sent to a worker, in answers to heartbeats or directly. */
+export function logOrders(log: Log, machine: string, orders: Order[]): void {
+  for (const order of orders) log.debug({ machine, ...order }, 'order sent to worker');
+}
+
+function composeCore(options: ShardLeaderOptions): CoreComponents {
+  const { runtime, settings, client, term, replicas, log } = options;
+  const replicaGroups = replicas.support?.makeGroups() ?? null;
+  const fleet = makeFleetState({
+    settings,
+    term,
+    valueBytes: client.limits.valueBytes,
+    listener: fleetListener(() => planner, log),
+    random: () => runtime.random(),
+    replicaGroups,
+  });
+  const planner: CapacityPlanner = makePlanner(settings, fleet);
+  return { fleet, planner, scheduler: makeScheduler(settings, fleet), replicaGroups };
+}
+
+function composeIntake(options: ShardLeaderOptions, { fleet, planner }: CoreComponents): JobIntake {
+  const { runtime, jobs, replicas, log } = options;
+  return new JobIntake({
+    clock: runtime.clock,
+    fleet,
+    planner,
+    jobs,
+    log,
+    onNewJob: (record) => {
+      observeNewJob(record, replicas, log);
+    },
+  });
+}
+
+function observeNewJob(record: JobRecord, { support }: OptionalReplicaSupport, log: Log): void {
+  if (support !== null) support.recordJob(record);
+  else if (record.replicas) {
+    log.info({ job: record.job.id }, 'job needs replica groups, which are switched off');
+  }
+}
+
+function composeDirectCommands(
+  { runtime, settings, directSockets, log }: ShardLeaderOptions,
+  fleet: FleetState,
+  { requestRound }: LeaderCallbacks,
+): DirectCommands {
+  return new DirectCommands({
+    runtime,
+    fleet,
+    timeoutMs: COMMAND_TIMEOUT_INTERVALS * settings.deployment.workers.report_s * 1000,
+    maxConnections: directSockets,
+    onOrders: (machine, orders) => {
+      logOrders(log, machine.name, orders);
+    },
+    onDone: requestRound,
+  });
+}
--- a/packages/controller/leadership/scheduling-rounds.ts
+++ b/packages/controller/leadership/scheduling-rounds.ts
@@ -1,41 +1,54 @@
+/** Paces the scheduling rounds of a leader. */
 import type { Clock } from '#wire';
-import { ROUND_DECISIONS } from './core-from-settings.js';
 import type { Log } from '../observability/log.js';
+import type { PlatformSettings } from '../settings/platform-settings.js';
+import { ROUND_DECISIONS } from './core-from-settings.js';
 import { Pacer } from './pacer.js';
 
-/** Rounds per tick at the most, and the multiple of its own time that a round pauses after. */
-const ROUNDS_A_TICK = 5;
-const ROUND_REST = 3;
+/** Rounds in a heartbeat interval if nothing asks for more. */
+const ROUNDS_PER_HEARTBEAT = 4;
+/** Most rounds in the interval between two rounds that nothing asked for. */
+const MAX_ROUNDS_PER_INTERVAL = 5;
+/** Rest after a round, as a multiple of the round's own length. */
+const REST_RATIO = 3;
 
-export interface RoundsOptions {
+/** What the rounds of a leader are paced by, and what they run. */
+export interface SchedulingRoundsOptions {
   clock: Clock;
-  /** From one round to the next if nothing asks for more. */
-  tickMs: number;
+  /** From one round to the next if nothing asks for more, in milliseconds. */
+  intervalMs: number;
   /** One scheduling round; returns the number of decisions. */
   round: () => number;
-  /** Told how long each round took. */
+  /** Told how long each round took, in milliseconds. */
   onRound: (ms: number) => void;
   log: Log;
 }
 
-/** The scheduling rounds of an owner; the next follows at once if one made as many decisions as it may. */
-export function makeRounds({ clock, tickMs, round, onRound, log }: RoundsOptions): Pacer {
+/** From one round to the next if nothing asks for more, in milliseconds. */
+export function roundIntervalMs({ deployment }: PlatformSettings): number {
+  return (deployment.workers.report_s * 1000) / ROUNDS_PER_HEARTBEAT;
+}
+
+/**
+ * The scheduling rounds of a leader; the next follows at once if one made as many decisions as it may. An
+ * error of a round is logged, and the next one comes as usual.
+ */
+export function makeSchedulingRounds(options: SchedulingRoundsOptions): Pacer {
+  const { clock, intervalMs, round, onRound, log } = options;
   return new Pacer({
     clock,
-    periodMs: tickMs,
-    minRestMs: tickMs / ROUNDS_A_TICK,
-    restRatio: ROUND_REST,
+    periodMs: intervalMs,
+    minRestMs: intervalMs / MAX_ROUNDS_PER_INTERVAL,
+    restRatio: REST_RATIO,
     run: () => {
       const startedAt = clock.now();
-      const decided = round();
+      const decisions = round();
       onRound((clock.now() - startedAt) * 1000);
-      return decided >= ROUND_DECISIONS;
+      return decisions >= ROUND_DECISIONS;
     },
     onError: (err) => {
-      log.error(
-        { err: err instanceof Error ? err.stack : String(err) },
-        'scheduling round failed: the next one comes as usual',
-      );
+      const text = err instanceof Error ? err.stack : String(err);
+      log.error({ err: text }, 'scheduling round failed: the next one comes as usual');
     },
   });
 }
