--- a/packages/controller/leadership/leadership-terms.ts
+++ b/packages/controller/leadership/leadership-terms.ts
@@ -1,56 +1,56 @@
-import { setMaxListeners } from 'node:events';
+/** Follows the terms that the election gives to this controller, and leads each of them. */
 import { filter } from 'rxjs';
 import { listAll, type Term } from '#store';
-import { aborted, type CloudClient, pause } from '#wire';
-import { CloudReconciler } from '../cloud/cloud-reconciler.js';
-import type { LeaderLeaseState } from './leader-lease-check.js';
+import { aborted, pause } from '#wire';
 import type { ReadRecords } from '../records/record-loader.js';
-import { ShardLeader } from './shard-leader.js';
 import { TermBroken } from '../records/recorder.js';
 import type { ControllerServices } from '../services.js';
+import {
+  type AttemptOutcome,
+  LeadershipAttempt,
+  type LeadershipAttemptOptions,
+} from './leadership-attempt.js';
+import type { ShardLeader } from './shard-leader.js';
+import { shareWrites } from './write-shares.js';
 
-/**
- * Shares of the state service's rate of changes that one controller may use while it owns or does not. The
- * owner's records are nearly all changes that there are. Each has its least share to itself; up to the most it
- * may use what the others leave.
- */
-const LEADER_WRITES = { least: 0.6, most: 0.8 };
-const FOLLOWER_MAX_WRITES = 0.3;
-const ALL_FOLLOWERS_MIN_WRITES = 0.3;
-/** Share of a report period from a failed load of the records to the next. */
+/** Share of a heartbeat interval from a failed load of the records to the next. */
 const RELOAD_PAUSE = 1 / 5;
 
-export interface LeadershipTermsOptions extends ControllerServices {
-  cloud: CloudClient;
-  /** Whether the present owner may answer workers. */
-  leaderLeaseState: () => LeaderLeaseState;
-  /** Told how long each scheduling round took. */
-  onRound: (roundMs: number) => void;
-  /** Connections that may be open for direct commands. */
-  directSockets: number;
-}
+/** What terms are led with. */
+export interface LeadershipTermsOptions
+  extends LeadershipAttemptOptions, Pick<ControllerServices, 'election'> {}
 
-/** Runs an owner, and what it does at the cloud, while this controller holds the part. */
+/** Leads the shard, and reconciles its machines at the cloud, while this controller holds the leader key. */
 export class LeadershipTerms {
-  /** The owner of the present term, null while nothing is owned here. */
-  current: ShardLeader | null = null;
-  /** Its dealings with the cloud. */
-  private cloud: CloudReconciler | null = null;
-  /** Aborts when the present term ends. */
-  private term: { id: number; end: AbortController } | null = null;
-  /** How a new owner reads its records. */
-  readRecords: ReadRecords = (prefix, signal) => listAll(this.options.client, prefix, signal);
-  /** What is still ending, too. */
+  /** The attempt that is under way; null while this controller does not lead. */
+  private attempt: LeadershipAttempt | null = null;
+  /** The term that is led, and what ends it here. */
+  private currentTerm: { id: number; end: AbortController } | null = null;
+  private readRecords: ReadRecords = (prefix, signal) =>
+    listAll(this.options.client, prefix, signal);
+  /** All terms that have not ended yet; earlier ones may still be ending. */
   private readonly running = new Set<Promise<void>>();
 
   constructor(private readonly options: LeadershipTermsOptions) {}
 
-  /** Follows the ownership until the signal aborts; resolves once the last term has ended. */
+  /** The leader of the current term; null while this controller does not lead. */
+  get current(): ShardLeader | null {
+    return this.attempt?.leader ?? null;
+  }
+
+  /** Replaces the way in which new leaders read their records. */
+  readRecordsWith(readRecords: ReadRecords): void {
+    this.readRecords = readRecords;
+  }
+
+  /** Follows the election until the signal aborts; resolves once the last term has ended. */
   async run(signal: AbortSignal): Promise<void> {
     this.shareWrites(false);
     const terms = this.options.election.term
-      .pipe(filter((term) => term?.term !== this.term?.id))
-      .subscribe((term) => this.change(term, signal));
+      .pipe(filter((term) => term?.term !== this.currentTerm?.id))
+      .subscribe((term) => {
+        this.changeTerm(term, signal);
+      });
     await aborted(signal);
     terms.unsubscribe();
     await Promise.all(this.running);
@@ -58,111 +58,72 @@
 
   /** Stops all decisions; resolves once none is on its way to the state service or the cloud. */
   async pause(): Promise<void> {
-    await Promise.all([this.current?.pause(), this.cloud?.pause()]);
+    await this.attempt?.pause();
   }
 
   /** Decides again after a pause. */
   resume(): void {
-    this.current?.resume();
-    this.cloud?.resume();
+    this.attempt?.resume();
   }
 
-  private change(term: Term | null, signal: AbortSignal): void {
-    const { log } = this.options;
-    this.term?.end.abort();
-    this.term = null;
-    this.current = null;
-    this.cloud = null;
+  private changeTerm(term: Term | null, signal: AbortSignal): void {
+    this.currentTerm?.end.abort();
+    this.currentTerm = null;
+    this.attempt = null;
     this.shareWrites(term !== null);
     if (!term) return;
-    log.info({ term: term.term }, 'leader elected');
+    this.options.log.info({ term: term.term }, 'leader elected');
     const end = new AbortController();
-    this.term = { id: term.term, end };
+    this.currentTerm = { id: term.term, end };
     const done = this.lead(term, AbortSignal.any([signal, end.signal]));
     this.running.add(done);
     void done.finally(() => this.running.delete(done));
   }
 
-  private shareWrites(owns: boolean): void {
+  private shareWrites(leads: boolean): void {
     const { settings, client } = this.options;
-    const others = settings.deployment.nodes - 1;
-    if (others === 0) return;
-    const least = Math.min(FOLLOWER_MAX_WRITES, ALL_FOLLOWERS_MIN_WRITES / others);
-    client.shareWrites(owns ? LEADER_WRITES : { least, most: FOLLOWER_MAX_WRITES });
+    shareWrites(client, settings.deployment.nodes, leads);
   }
 
+  /** Resolves once the term is over here; a leader that failed to load its records is replaced by a new one. */
   private async lead(term: Term, signal: AbortSignal): Promise<void> {
-    const { runtime, settings, log } = this.options;
-    while (!signal.aborted) {
-      const leader = this.makeLeader(term);
-      this.current = leader;
-      const end = new AbortController();
-      const attempt = AbortSignal.any([signal, end.signal]);
-      // Every call to a worker listens to it.
-      setMaxListeners(0, attempt);
-      this.cloud = this.makeCloudReconciler(leader);
-      const cloud = this.cloud.run(attempt);
-      try {
-        await leader.run(attempt);
-      } catch (err) {
-        if (signal.aborted || this.givesUp(leader, err)) return;
-        log.debug({ err: String(err) }, 'leader failed to load its records: loading again');
-        const delayMs = RELOAD_PAUSE * settings.deployment.workers.report_s * 1000;
-        await pause(runtime.clock, delayMs, signal);
-      } finally {
-        end.abort();
-        await cloud;
-      }
+    let outcome: AttemptOutcome = 'retry';
+    while (outcome === 'retry' && !signal.aborted) {
+      const attempt = new LeadershipAttempt(this.options, term, this.readRecords);
+      this.attempt = attempt;
+      outcome = await attempt.run(signal, (err) => this.onFailure(attempt.leader, err, signal));
     }
   }
 
-  /** A fleet state that has given orders knows what may still arrive; it can't be made anew in its term. */
-  private givesUp(leader: ShardLeader, err: unknown): boolean {
-    if (!(err instanceof TermBroken) && !leader.ready) return false;
-    this.options.log.info(
-      { err: String(err), term: leader.term.term },
-      'leader stepped down: its term cannot go on',
-    );
-    this.options.election.resign();
-    return true;
+  private async onFailure(
+    leader: ShardLeader,
+    err: unknown,
+    signal: AbortSignal,
+  ): Promise<AttemptOutcome> {
+    const { runtime, settings, log } = this.options;
+    if (signal.aborted) return 'over';
+    if (isFinal(leader, err)) {
+      this.stepDown(leader, err);
+      return 'over';
+    }
+    log.debug({ err: String(err) }, 'leader failed to load its records: loading again');
+    const delayMs = RELOAD_PAUSE * settings.deployment.workers.report_s * 1000;
+    await pause(runtime.clock, delayMs, signal);
+    return 'retry';
   }
 
-  private makeLeader(term: Term): ShardLeader {
-    const { runtime, settings, client, commits, jobs, types, replicas, leaderLeaseState, log } =
-      this.options;
-    return new ShardLeader({
-      runtime,
-      settings,
-      client,
-      readRecords: this.readRecords,
-      commits,
-      jobs,
-      term,
-      types: () => types.all(),
-      replicas,
-      holdsLeaderLease: () => leaderLeaseState() !== 'none',
-      onRound: this.options.onRound,
-      directSockets: this.options.directSockets,
-      log,
-    });
+  private stepDown({ term }: ShardLeader, err: unknown): void {
+    const { log, election } = this.options;
+    const fields = { err: String(err), term: term.term };
+    log.info(fields, 'leader stepped down: its term cannot go on');
+    election.resign();
   }
+}
 
-  private makeCloudReconciler(leader: ShardLeader): CloudReconciler {
-    const { runtime, settings, client, cloud, types, leaderLeaseState, log } = this.options;
-    const { deployment, host_name } = settings;
-    return new CloudReconciler({
-      runtime,
-      cloud,
-      leader,
-      name: host_name,
-      rps: deployment.cloud.rps,
-      listLagS: deployment.cloud.list_lag_s,
-      heartbeatIntervalS: deployment.workers.report_s,
-      leaseS: deployment.workers.lease_s,
-      onTypes: (listed, signal) => types.publish(listed, signal),
-      mayScaleOut: () => ['granted', 'attested'].includes(leaderLeaseState()),
-      mayScaleIn: () => leaderLeaseState() === 'granted' && !client.failing,
-      log,
-    });
-  }
+/**
+ * Whether the error ends the term. A fleet state that has given orders knows what may still arrive, so it can't
+ * be built again in its term.
+ */
+function isFinal(leader: ShardLeader, err: unknown): boolean {
+  return err instanceof TermBroken || leader.ready;
 }
--- a/packages/controller/leadership/shard-migration.ts
+++ b/packages/controller/leadership/shard-migration.ts
@@ -26,7 +26,7 @@
   const { settings, terms, jobs, client } = options;
   const { ShardMigrator, RecordsAhead } = await import('#shards');
   const ahead = new RecordsAhead(client, [MACHINES, PROGRESS]);
-  terms.readRecords = (prefix, signal) => ahead.read(prefix, signal);
+  terms.readRecordsWith((prefix, signal) => ahead.read(prefix, signal));
   return new ShardMigrator({
     ...options,
     name: settings.host_name,
