--- a/packages/controller/leadership/leader-lease.ts
+++ b/packages/controller/leadership/leader-lease.ts
@@ -1,23 +1,29 @@
-import { LeaderLeaseState, LeaderLeaseCheck, LeaderLeaseLimits } from './leader-lease-check.js';
+/** Whether the leader here may still act, by all that this controller knows. */
+import {
+  LeaderLeaseCheck,
+  type LeaderLeaseLimits,
+  type LeaderLeaseState,
+} from './leader-lease-check.js';
 import type { ShardLeader } from './shard-leader.js';
 import type { PlatformSettings } from '../settings/platform-settings.js';
 import type { ControllerServices } from '../services.js';
 import type { StatusExchange } from '../peers/status-exchange.js';
 import { graceAfterLoss } from '../settings/time-bounds.js';
 
-/** Report periods after which a peer that was not heard counts as out of reach. */
-const SILENCE_PERIODS = 2;
+/** Heartbeat intervals without a statement after which a peer counts as unreachable. */
+const SILENCE_INTERVALS = 2;
 
-type Services = Pick<ControllerServices, 'runtime' | 'settings' | 'client' | 'jobs' | 'election'>;
+type Services = Pick<ControllerServices, 'runtime' | 'client' | 'jobs' | 'election'>;
 
+/** What the state of a leader lease is drawn from. */
 export interface LeaderLeaseOptions extends Services {
   limits: LeaderLeaseLimits;
   statuses: StatusExchange;
 }
 
-/** Judges the present owner by all that this controller knows. */
+/** The lease of the leader here; a new term begins with a new check. */
 export class LeaderLease {
-  /** The term that the judge was made for. */
+  /** The term that the check was made for; 0 before the first. */
   private term = 0;
   private check: LeaderLeaseCheck;
 
@@ -25,17 +31,18 @@
     this.check = new LeaderLeaseCheck(options.limits);
   }
 
-  /** Whether the owner may answer workers now; null if nothing is owned here. */
-  stateFor(leader: ShardLeader | null): LeaderLeaseState {
+  /** Whether the leader may act now; `none` if this controller does not lead. */
+  evaluate(leader: Pick<ShardLeader, 'term'> | null): LeaderLeaseState {
     if (leader === null) return 'none';
-    if (leader.term.term !== this.term) {
-      this.term = leader.term.term;
+    const { term } = leader.term;
+    if (term !== this.term) {
+      this.term = term;
       this.check = new LeaderLeaseCheck(this.options.limits);
     }
     const { runtime, client, jobs, election, statuses } = this.options;
     return this.check.evaluate({
       now: runtime.clock.now(),
-      term: leader.term.term,
+      term,
       leaseProvenUntil: election.provenUntil,
       leaseRenewedAt: election.soleLeaderAt,
       jobsCurrentAt: jobs.cache.syncedAt,
@@ -46,12 +53,12 @@
   }
 }
 
-/** How many peers must be heard, and how old what they state may be. */
+/** How many peers must attest, how old their statements may be, and how long a leader goes on without them. */
 export function leaderLeaseLimits({ deployment }: PlatformSettings): LeaderLeaseLimits {
   const { nodes, workers } = deployment;
   return {
     peerCount: nodes - 1,
-    silenceS: SILENCE_PERIODS * workers.report_s,
+    silenceS: SILENCE_INTERVALS * workers.report_s,
     graceS: graceAfterLoss(workers.cancel_s, workers.lease_s, workers.report_s),
   };
 }
--- a/packages/controller/leadership/shard-migration.ts
+++ b/packages/controller/leadership/shard-migration.ts
@@ -1,52 +1,72 @@
-import type { ShardMigrator } from '#shards';
+/** Joins the package `shards`, which carries out planned moves of the shard, to this controller. */
+import type { ShardMigrator, TransferableLeader } from '#shards';
 import { MACHINES, type PrefixCache, PROGRESS } from '#store';
 import type { MoveSettings } from '../settings/operator-settings.js';
 import type { LeadershipTerms } from './leadership-terms.js';
 import type { ControllerServices } from '../services.js';
 import type { StatusExchange } from '../peers/status-exchange.js';
 
-/** Looks in a report period if nothing happens. */
+/** How often a migration is looked at in a heartbeat interval if nothing happens. */
 const POLLS_PER_HEARTBEAT = 4;
 
-export interface ShardMigrationOptions extends ControllerServices {
-  /** Holds the records of the part and of its moves. */
+type Services = Pick<
+  ControllerServices,
+  'runtime' | 'settings' | 'client' | 'election' | 'jobs' | 'log'
+>;
+
+/** What planned moves of the shard need of this controller. */
+export interface ShardMigrationOptions extends Services {
+  /** Holds the records of the shard and of its moves. */
   world: PrefixCache;
   statuses: StatusExchange;
   terms: LeadershipTerms;
   shard: number;
-  /** A controller that was not heard for this long is out of reach; seconds. */
+  /** A controller without a statement for this long is unreachable; seconds. */
   silenceS: number;
 }
 
-/** Loads what carries out planned moves of the part; to be called only if the operators have switched them on. */
+/** Loads the migrator; to be called only if the operators have switched moves on. */
 export async function loadShardMigrator(
   options: ShardMigrationOptions,
   limits: MoveSettings,
 ): Promise<ShardMigrator> {
-  const { settings, terms, jobs, client } = options;
+  const { runtime, settings, client, election, jobs, world, shard, terms, log } = options;
   const { ShardMigrator, RecordsAhead } = await import('#shards');
   const ahead = new RecordsAhead(client, [MACHINES, PROGRESS]);
   terms.readRecordsWith((prefix, signal) => ahead.read(prefix, signal));
   return new ShardMigrator({
-    ...options,
+    runtime,
+    client,
+    world,
+    election,
     name: settings.host_name,
+    shard,
     limits,
     pollIntervalMs: (settings.deployment.workers.report_s * 1000) / POLLS_PER_HEARTBEAT,
     leader: () => transferableLeader(terms),
     obstacle: (controller) => obstacleTo(controller, options),
     canLead: () => jobs.cache.ready && !client.failing,
     ahead,
+    log,
   });
 }
 
-function transferableLeader(terms: LeadershipTerms) {
+/** The leader here as far as a move concerns it; null while this controller does not lead. */
+function transferableLeader(terms: LeadershipTerms): TransferableLeader | null {
   const leader = terms.current;
   if (leader === null) return null;
   const { term, ready } = leader;
-  return { term, ready, pause: () => terms.pause(), resume: () => terms.resume() };
+  return {
+    term,
+    ready,
+    pause: () => terms.pause(),
+    resume: () => {
+      terms.resume();
+    },
+  };
 }
 
-/** What keeps a controller from becoming the owner now; null if nothing does. */
+/** What keeps a controller from becoming the leader now; null if nothing does. */
 function obstacleTo(
   controller: string,
   { runtime, settings, statuses, silenceS }: ShardMigrationOptions,
--- a/packages/controller/leadership/standby-renewal.ts
+++ b/packages/controller/leadership/standby-renewal.ts
@@ -4,10 +4,7 @@
 import { StandbyRenewalCheck, StandbyView } from './standby-renewal-check.js';
 import type { StatusExchange } from '../peers/status-exchange.js';
 
-type Services = Pick<
-  ControllerServices,
-  'runtime' | 'settings' | 'client' | 'jobs' | 'election' | 'log'
->;
+type Services = Pick<ControllerServices, 'runtime' | 'client' | 'jobs' | 'election' | 'log'>;
 
 export interface StandbyRenewalOptions extends Services {
   limits: LeaderLeaseLimits;
