--- a/packages/controller/leadership/core-from-settings.ts
+++ b/packages/controller/leadership/core-from-settings.ts
@@ -1,3 +1,4 @@
+/** Makes the fleet state, the planner and the scheduler of a term from the settings. */
 import { CapacityPlanner, FleetListener, FleetState, isBestEffort, Random, Scheduler } from '#core';
 import type { ReplicaGroups } from '#replicas';
 import type { Term } from '#store';
@@ -7,10 +8,14 @@
 /** Decisions in one scheduling round; the next round follows at once if more could be made. */
 export const ROUND_DECISIONS = 200;
 
+/** Heartbeat intervals that the last answer of a former leader may still be on its way. */
+const FORMER_LEADER_INTERVALS = 2;
+
+/** What the fleet state of a term is made from. */
 export interface FleetStateOptions {
   settings: Settings;
   term: Term;
-  /** The state service's limit for one record. */
+  /** The state service's limit for one record, in bytes. */
   valueBytes: number;
   listener: FleetListener;
   random: Random;
@@ -18,17 +23,18 @@
   replicaGroups: ReplicaGroups | null;
 }
 
-/** The state of a term's part. */
+/** The fleet state of a new term; nothing of earlier terms is loaded yet. */
 export function makeFleetState(options: FleetStateOptions): FleetState {
   const { settings, term, valueBytes, listener, random, replicaGroups } = options;
   const teams = teamQuotas(settings.deployment.teams);
-  const { cancel_s, lease_s, report_s, gang_peer_s } = settings.deployment.workers;
+  const { workers } = settings.deployment;
+  const { cancel_s: cancelS, lease_s: leaseS, report_s: heartbeatIntervalS } = workers;
   const fleet = new FleetState({
     settings: {
-      leaseS: lease_s,
-      heartbeatIntervalS: report_s,
-      gangPeerS: gang_peer_s,
-      formerLeaderS: graceAfterLoss(cancel_s, lease_s, report_s) + 2 * report_s,
+      leaseS,
+      heartbeatIntervalS,
+      gangPeerS: workers.gang_peer_s,
+      formerLeaderS: formerLeaderS(cancelS, leaseS, heartbeatIntervalS),
       halfLifeS: settings.operator.shareHalfLifeS,
       machineRecordBytes: valueBytes,
     },
@@ -43,11 +49,19 @@
   return fleet;
 }
 
+/** How long a former leader may still answer workers after this one was elected; seconds. */
+function formerLeaderS(cancelS: number, leaseS: number, heartbeatIntervalS: number): number {
+  const graceS = graceAfterLoss(cancelS, leaseS, heartbeatIntervalS);
+  return graceS + FORMER_LEADER_INTERVALS * heartbeatIntervalS;
+}
+
+/** The planner of scale-out and scale-in, with the objectives that name a class. */
 export function makePlanner(settings: Settings, fleet: FleetState): CapacityPlanner {
   const { deployment, operator } = settings;
-  const objectives = deployment.objectives
-    .filter((o) => o.class !== undefined)
-    .map((o) => ({ class: o.class!, kind: o.kind, withinS: o.within_s ?? Infinity }));
+  const objectives = deployment.objectives.flatMap(
+    ({ class: jobClass, kind, within_s: withinS }) =>
+      jobClass === undefined ? [] : [{ class: jobClass, kind, withinS: withinS ?? Infinity }],
+  );
   return new CapacityPlanner({
     fleet,
     settings: {
@@ -60,6 +74,7 @@
   });
 }
 
+/** The scheduler of a term, with the teams' quotas. */
 export function makeScheduler(settings: Settings, fleet: FleetState): Scheduler {
   const { deployment, operator } = settings;
   return new Scheduler(fleet, teamQuotas(deployment.teams), {
--- a/packages/controller/leadership/direct-commands.ts
+++ b/packages/controller/leadership/direct-commands.ts
@@ -1,9 +1,12 @@
+/** Commands that go to workers at once instead of waiting for their next heartbeat. */
 import { CborClient, commandToWire, Order, parseHeartbeat, Runtime } from '#wire';
 import type { FleetState, Machine } from '#core';
 
+/** What direct commands are sent with. */
 export interface DirectCommandsOptions {
   runtime: Runtime;
   fleet: FleetState;
+  /** How long an answer may take. */
   timeoutMs: number;
   /** Connections that may be open at once: one for each machine would not fit a large fleet. */
   maxConnections: number;
@@ -13,7 +16,10 @@
   onDone: () => void;
 }
 
-/** Commands that go to workers at once instead of waiting for their next report. */
+/**
+ * Sends a machine's pending commands on a connection of its own. A command without an answer counts as possibly
+ * carried out; the fleet state then fences it off (docs/safety.md, point 6).
+ */
 export class DirectCommands {
   /** Least recently used first. */
   private readonly clients = new Map<string, { addr: string; http: CborClient }>();
@@ -27,7 +33,7 @@
     const { runtime, fleet, maxConnections, onOrders } = this.options;
     const now = runtime.clock.now();
     for (const machine of [...fleet.machinesWithCommands]) {
-      // The rest goes out with the next push, or in answers to reports.
+      // The rest goes out with the next push, or in answers to heartbeats.
       if (this.busy.size >= maxConnections) return;
       const orders = fleet.directOrders.nextOrders(machine, now);
       if (orders.length === 0) continue;
@@ -41,8 +47,9 @@
     return this.clients.size;
   }
 
+  /** Closes all connections; calls that are under way end by their signal. */
   close(): void {
-    for (const c of this.clients.values()) c.http.close();
+    for (const { http } of this.clients.values()) http.close();
     this.clients.clear();
   }
 
@@ -75,16 +82,16 @@
     const options = { timeoutMs, signal, body };
     this.busy.add(machine.name);
     try {
-      const res = await this.client(machine).call('POST', '/orders', options);
-      if (res.status === 200) {
+      const answer = await this.client(machine).call('POST', '/orders', options);
+      if (answer.status === 200) {
         fleet.directOrders.finish(
           machine,
           orders,
-          { kind: 'executed', heartbeat: parseHeartbeat(res.body) },
+          { kind: 'executed', heartbeat: parseHeartbeat(answer.body) },
           clock.now(),
         );
       } else {
-        const refused = res.status === 409 || res.status === 400;
+        const refused = answer.status === 409 || answer.status === 400;
         fleet.directOrders.finish(
           machine,
           orders,
--- a/packages/controller/leadership/leader-lease-check.ts
+++ b/packages/controller/leadership/leader-lease-check.ts
@@ -1,16 +1,16 @@
+/** The checks by which a leader knows whether it may still act, and when it should step down. */
 import type { PeerStatus } from '../peers/peer-status.js';
 import { PeerProof, ProofView } from '../peers/peer-proof.js';
 
 /**
- * Whether the owner of a part may still answer workers (docs/safety.md, point 7). Two things must
- * hold: nobody else can act as the owner, and every cancellation that a user was told of is known.
- * Each is known for certain as of some moment; after the later of these moments the owner goes on for
- * a bounded time. All times are steady seconds of this process.
+ * What a leader knows about its right to act (docs/safety.md, point 7). Two things must hold: nobody else can
+ * act as the leader, and every cancellation that a user was told of is known. Each is certain as of some
+ * moment; after it the leader goes on for a bounded time. All times are steady seconds of this process.
  */
 export interface LeaderLeaseView extends ProofView {
-  /** The grant surely lives until then, so nobody else can own. */
+  /** The election lease surely lives until then, so nobody else can lead. */
   leaseProvenUntil: number;
-  /** When the last renewal of the grant that succeeded was sent: nobody else could own then. */
+  /** When the last successful renewal of the election lease was sent: nobody else could lead then. */
   leaseRenewedAt: number;
   /** When the newest request was sent that brought all cancellations in. */
   jobsCurrentAt: number;
@@ -18,24 +18,30 @@
   failingSince: number;
 }
 
+/** The bounds of a leader lease. */
 export interface LeaderLeaseLimits {
   /** Controllers besides this one. */
   peerCount: number;
-  /** A peer that was not heard for this long is out of reach. */
+  /** A peer without a statement for this long is unreachable. */
   silenceS: number;
-  /** How long the owner may go on after the last moment at which all was certain; see graceAfterLoss. */
+  /** How long the leader may go on after the last moment at which all was certain; see graceAfterLoss. */
   graceS: number;
 }
 
 /**
- * - `granted`: the grant proves that nobody else owns;
- * - `attested`: the state service serves nobody, as all peers state;
- * - `grace`: nothing is proven now, but it was a short time ago;
- * - `none`: workers must be turned away.
+ * The states of a leader lease:
+ * - `granted`: the election lease proves that nobody else leads; the leader may do everything;
+ * - `attested`: the election lease is past its proven life, but all peers lately attested that the state service
+ *   serves nobody, so nobody can campaign; the leader answers workers and scales out, but never in;
+ * - `grace`: neither is proven now, but both conditions were certain less than `graceS` ago; the leader answers
+ *   workers and asks nothing of the cloud;
+ * - `none`: the leader must not act, and turns workers away.
+ *
+ * `granted` also ends `graceS` after the cancellations were last known.
  */
 export type LeaderLeaseState = 'granted' | 'attested' | 'grace' | 'none';
 
-/** Judges the owner of one term; make a new one for each. */
+/** Evaluates the lease of the leader of one term; make a new one for each. */
 export class LeaderLeaseCheck {
   private readonly proof: PeerProof;
 
@@ -43,6 +49,7 @@
     this.proof = new PeerProof(limits.peerCount);
   }
 
+  /** The state at `view.now`. What peers attested is remembered from one call to the next. */
   evaluate(view: LeaderLeaseView): LeaderLeaseState {
     const { now } = view;
     const { graceS, silenceS } = this.limits;
@@ -58,14 +65,21 @@
   }
 }
 
-/** What shows that somebody else owns, or will claim. */
+/** A peer counts as served if that was later than our first failure by this share of `silenceS`. */
+const SERVED_MARGIN = 1 / 4;
+/** A leader that a smaller share of its machines reaches is out of their reach. */
+const MIN_REACHABLE_SHARE = 1 / 8;
+/** More than this share of the machines must reach peers before a leader steps down for it. */
+const MIN_SHARE_AT_PEERS = 1 / 16;
+
+/** What shows that somebody else leads or will campaign; times in steady seconds. */
 export interface SuccessorView {
   now: number;
   term: number;
   failingSince: number;
 }
 
-/** The peer owns, has seen a newer owner, or will claim: it is served while we are not. */
+/** The peer leads, has seen a newer leader, or will campaign: the state service serves it while we are refused. */
 export function isSuccessor(
   view: SuccessorView,
   peer: PeerStatus | null,
@@ -76,18 +90,18 @@
   const reachable = view.now - peer.receivedAt <= silenceS;
   // Whether we have failed again since doesn't matter: a cut that swallows requests shows their
   // failure only when they time out.
-  const servedSince = peer.servedAt > view.failingSince + silenceS / 4;
+  const servedSince = peer.servedAt > view.failingSince + silenceS * SERVED_MARGIN;
   return reachable && servedSince && !peer.frame.refused;
 }
 
-/** Of the machines that should report, an owner lately heard so few that most can't reach it. */
+/** Whether so few of the machines that should send heartbeats lately did that most can't reach the leader. */
 export function reachesFewWorkers(machines: number, reachable: number): boolean {
-  return reachable < machines / 8;
+  return reachable < machines * MIN_REACHABLE_SHARE;
 }
 
 /**
- * An owner that its workers can't reach holds its term while all their leases run out. It hears next to
- * none of the machines that should report, and its peers hear some of those ask for it.
+ * Whether the leader should step down since its workers can't reach it: it would hold its term while all their
+ * leases expire. Next to no machine that should send heartbeats reaches it, and some of them reach its peers.
  */
 export function isIsolatedFromWorkers(
   machines: number,
@@ -95,6 +109,7 @@
   reachableByPeers: number,
 ): boolean {
   return (
-    reachesFewWorkers(machines, reachable) && reachableByPeers > Math.max(reachable, machines / 16)
+    reachesFewWorkers(machines, reachable) &&
+    reachableByPeers > Math.max(reachable, machines * MIN_SHARE_AT_PEERS)
   );
 }
--- a/packages/controller/leadership/leader-reachability.ts
+++ b/packages/controller/leadership/leader-reachability.ts
@@ -1,30 +1,31 @@
+/** Where workers find the leader, and what becomes of them if it falls silent. */
 import type { PeerStatus } from '../peers/peer-status.js';
 
-/** Whether a controller is heard now; steady seconds. */
+/** Whether a controller's latest statement is recent; steady seconds. */
 function isReachable(peer: PeerStatus | null, now: number, silenceS: number): boolean {
   return peer !== null && now - peer.receivedAt <= silenceS;
 }
 
-/** The owner of the part as another controller knows it; steady seconds. */
+/** The leader as a follower knows it; steady seconds. */
 export interface LeaderReachView {
   now: number;
-  /** The owner's latest statement; null if it was never heard. */
+  /** The leader's latest statement; null if there never was one. */
   leader: PeerStatus | null;
-  /** The latest statement of each other controller; null if it was never heard. */
+  /** The latest statement of each other controller; null if there never was one. */
   peers: (PeerStatus | null)[];
-  /** A controller that was not heard for this long is out of reach. */
+  /** A controller without a statement for this long is unreachable. */
   silenceS: number;
 }
 
 /**
- * Whether a worker that asks for the owner should be sent to it. A worker waits for several seconds for an
- * answer from an owner that is silent or cut off, which may be the rest of its lease; elsewhere it soon finds
- * the next owner.
+ * Whether a worker that asks for the leader should be redirected to it. A worker waits for several seconds for
+ * the answer of a leader that is silent or partitioned, which may be the rest of its lease; elsewhere it soon
+ * finds the next leader.
  */
 export function mayReachLeader({ now, leader, peers, silenceS }: LeaderReachView): boolean {
   if (leader === null) return true;
   if (isReachable(leader, now, silenceS)) return !leader.frame.unreachable;
-  // Cut off from all peers, this controller can't tell whether the owner is silent for others too.
+  // Partitioned from all peers, this controller can't tell whether the leader is silent for others too.
   return !peers.some((peer) => isReachable(peer, now, silenceS));
 }
 
@@ -44,8 +45,8 @@
 }
 
 /**
- * Whether the workers of an owner would lose their leases if it fell silent: they wait for an answer there, and then
- * once more at the next controller, which is silent already. Others should own rather than this controller.
+ * Whether the workers of a leader here would lose their leases if it fell silent: they wait for an answer there, and
+ * then once more at the next controller, which is silent already. Others should lead rather than this controller.
  */
 export function leavesWorkersStranded(
   next: PeerStatus | null,
--- a/packages/controller/leadership/pacer.ts
+++ b/packages/controller/leadership/pacer.ts
@@ -1,5 +1,7 @@
+/** Runs a piece of work now and then, with rests between the runs. */
 import { Clock, every, Timer } from '#wire';
 
+/** What is run, and how often. */
 export interface PacerOptions {
   clock: Clock;
   /** Runs come at least this often. */
@@ -27,11 +29,15 @@
 
   constructor(private readonly options: PacerOptions) {}
 
+  /** Runs from the next period on; `stop` ends it. */
   start(): void {
     const { clock, periodMs } = this.options;
-    this.ticks = every(clock, periodMs, () => this.request());
+    this.ticks = every(clock, periodMs, () => {
+      this.request();
+    });
   }
 
+  /** Cancels all timers; nothing runs until the next start. */
   stop(): void {
     this.ticks?.cancel();
     this.rest?.cancel();
@@ -58,7 +64,10 @@
     }
     this.running = false;
     if (this.ticks === null) return;
-    this.rest = clock.setTimer(() => this.endRest(), Math.max(minRestMs, restRatio * lastRunMs));
+    const restMs = Math.max(minRestMs, restRatio * lastRunMs);
+    this.rest = clock.setTimer(() => {
+      this.endRest();
+    }, restMs);
   }
 
   private runOnce(): boolean {
--- a/packages/controller/leadership/reclaim-notices.ts
+++ b/packages/controller/leadership/reclaim-notices.ts
@@ -1,6 +1,11 @@
+/** Graceful eviction from spot machines that the cloud is about to reclaim. */
 import type { FleetState } from '#core';
 
-/** What can be saved is saved before the cloud takes a machine that it gave notice of; services move at once. */
+/**
+ * Evicts the tasks of machines with a reclaim notice: batch work with checkpoints writes one before the machine
+ * is gone, services move at once, and replicas of several members move as a whole. Work without checkpoints runs
+ * on, since stopping it early would save nothing. `now` in steady seconds.
+ */
 export function evictOnReclaimNotices(fleet: FleetState, now: number): void {
   for (const machine of fleet.machines.groups.noticed) {
     for (const task of [...machine.tasks.values()]) {
@@ -9,8 +14,8 @@
         task.job.replicas.moveOff(task, now);
         continue;
       }
-      const worthStopping = checkpointS > 0 || kind === 'service';
-      if (task.stop === null && worthStopping) fleet.assignments.stopGracefully(task, now);
+      const isWorthStopping = checkpointS > 0 || kind === 'service';
+      if (task.stop === null && isWorthStopping) fleet.assignments.stopGracefully(task, now);
     }
   }
 }
--- a/packages/controller/leadership/standby-renewal.ts
+++ b/packages/controller/leadership/standby-renewal.ts
@@ -1,3 +1,4 @@
+/** Standby renewal: a follower renews worker leases in an outage, by all that this controller knows. */
 import type { LeaderLeaseLimits } from './leader-lease-check.js';
 import type { PeerStatus } from '../peers/peer-status.js';
 import type { ControllerServices } from '../services.js';
@@ -6,15 +7,16 @@
 
 type Services = Pick<ControllerServices, 'runtime' | 'client' | 'jobs' | 'election' | 'log'>;
 
+/** What standby renewal is decided from. */
 export interface StandbyRenewalOptions extends Services {
   limits: LeaderLeaseLimits;
   statuses: StatusExchange;
 }
 
-/** Renews workers' leases for an owner that has ended in an outage, by all that this controller knows. */
+/** Decides whether worker leases are renewed here for a leader that has ended; a new term begins with a new check. */
 export class StandbyRenewal {
   private check: StandbyRenewalCheck;
-  /** The term that the judge was made for. */
+  /** The term that the check was made for; 0 before the first. */
   private term = 0;
   /** The term in whose name leases were renewed last, for the log. */
   private renewing: number | null = null;
@@ -25,23 +27,23 @@
 
   /** To be called whenever a peer's statement has come. */
   recordStatus(): void {
-    this.follow();
+    this.followElection();
     this.check.record(this.view(), this.leader());
   }
 
-  /** The term in whose name reports may be answered now, or null. */
+  /** The term in whose name heartbeats may be answered now, or null. */
   renewableTerm(): number | null {
-    this.follow();
-    const may = this.term > 0 && this.check.mayRenew(this.view(), this.leader());
-    const term = may ? this.term : null;
+    this.followElection();
+    const mayRenew = this.term > 0 && this.check.mayRenew(this.view(), this.leader());
+    const term = mayRenew ? this.term : null;
     if (term !== this.renewing) {
-      this.options.log.info({ term: this.term, renewing: may }, 'standby renewal changed');
+      this.options.log.info({ term: this.term, renewing: mayRenew }, 'standby renewal changed');
       this.renewing = term;
     }
     return term;
   }
 
-  private follow(): void {
+  private followElection(): void {
     const { term } = this.options.election.newestLeader;
     if (term === this.term) return;
     this.term = term;
--- a/packages/controller/replica-support.ts
+++ b/packages/controller/replica-support.ts
@@ -1,3 +1,4 @@
+/** Joins the package `replicas`, loaded only if operators have switched it on, to this controller. */
 import type { ReplicaShape } from '#core';
 import type { Group, ReplicaClasses, ReplicaGroups, ReplicaListener, ReplicaRow } from '#replicas';
 import type { JobRecord } from '#store';
@@ -12,19 +13,22 @@
   shapeOf(job: Job): ReplicaShape | null;
   /** Why the job's replicas can never be placed, or null. */
   whyNeverWhole(job: Job, shape: ReplicaShape, types: MachineType[]): string | null;
-  /** The replica groups of a new owner. */
+  /** The replica groups of a new leader. */
   makeGroups(): ReplicaGroups;
+  /** The replicas as operators see them now. */
   rows(groups: ReplicaGroups): ReplicaRow[];
-  /** An open job is taken in that was accepted while each task of its class was a replica by itself. */
+  /** Logs an open job that was accepted while each task of its class was a replica by itself. */
   recordJob(record: JobRecord): void;
+  /** What was measured of repairs. */
   readonly metrics: ReplicaMetrics;
 }
 
-/** Filled before any duty runs, if operators have switched replica groups on. */
+/** Filled before any component runs, if operators have switched replica groups on. */
 export interface OptionalReplicaSupport {
   support: ReplicaSupport | null;
 }
 
+/** What replica support takes of this controller. */
 export interface ReplicaSupportOptions {
   runtime: Runtime;
   settings: Settings;
--- a/packages/controller/services.ts
+++ b/packages/controller/services.ts
@@ -1,3 +1,4 @@
+/** What most components of a controller share. */
 import { NO_QUOTA, teamWeight } from '#core';
 import { GroupCommit, LeaderElection, StateClient } from '#store';
 import type { Runtime } from '#wire';
@@ -9,7 +10,7 @@
 import { type Settings, teamQuotas } from './settings/settings.js';
 import type { StateAccess } from './state-access.js';
 
-/** The part that holds all machines. */
+/** The shard that holds all machines. */
 export const ONLY_SHARD = 0;
 
 /** Cancellations whose records are remembered, to be told to peers that have not read them. */
@@ -20,7 +21,7 @@
 /** Submissions and cancellations that may wait for their record, in seconds of the allowed rate. */
 const COMMIT_QUEUE_S = 2;
 
-/** What most duties of a controller need: its surroundings, and what it knows by the state service. */
+/** The surroundings of a controller, and what it knows by the state service. */
 export interface ControllerServices {
   runtime: Runtime;
   settings: Settings;
@@ -36,7 +37,7 @@
   replicas: OptionalReplicaSupport;
 }
 
-/** Weights of teams whose submissions wait side by side: their parts of all guarantees, as a share. */
+/** Weights of teams whose submissions wait side by side: their shares of all guaranteed quotas. */
 function submissionWeights({ deployment, operator }: Settings): (team: string) => number {
   const quotas = teamQuotas(deployment.teams);
   const guaranteed = { cpus: 0, gpus: 0, memory: 0 };
@@ -47,7 +48,7 @@
   return (team) => teamWeight(quotas.get(team) ?? NO_QUOTA, guaranteed, operator.floorWeight);
 }
 
-/** `hesitates` tells whether others should rather own than this controller. */
+/** Makes the shared services; `defersCampaign` tells whether others should rather lead than this controller. */
 export function makeServices(
   runtime: Runtime,
   settings: Settings,
--- a/packages/controller/state-access.ts
+++ b/packages/controller/state-access.ts
@@ -1,3 +1,4 @@
+/** How this controller uses the state service: its client, the share of the rates, and the caches. */
 import { JOBS, MAX_VALUE_BYTES, PrefixCache, StateClient, type StateLimits, WORLD } from '#store';
 import { type Runtime, StateApi } from '#wire';
 import type { StateSettings } from './settings/platform-settings.js';
@@ -5,13 +6,13 @@
 
 /** How long the state service may hold a request of a watch. */
 const WATCH_MS = 10_000;
-/** Shares of a report period for which changes of jobs gather, at the owner and elsewhere. */
+/** Shares of a heartbeat interval for which changes of jobs gather, at the leader and at followers. */
 const LEADER_BATCHING = 1 / 50;
-const OTHERS_GATHER = 1 / 2;
+const FOLLOWER_BATCHING = 1 / 2;
 /** Share of the state service's rates that one controller may use, among others and alone. */
 const STATE_SHARE = 0.55;
 const SOLE_STATE_SHARE = 0.9;
-/** Share of a report period that questions wait for the read index, and share it. */
+/** Share of a heartbeat interval that queries wait for the read index, and share it. */
 const SYNC_SPACING = 1 / 5;
 /** The read indexes of all controllers together take a fifth of the state service's rate at the most. */
 const SYNC_RATE_SHARE = 1 / 5;
@@ -19,7 +20,7 @@
 /** The state service as this controller uses it. */
 export interface StateAccess {
   client: StateClient;
-  /** Who owns the part, and which machine types exist. */
+  /** Who leads the shard, and which machine types exist. */
   world: PrefixCache;
   /** All jobs. */
   jobs: PrefixCache;
@@ -43,7 +44,7 @@
   return Math.min(MAX_VALUE_BYTES, Math.floor(valueKb * 1024));
 }
 
-/** Nothing is sent before the caches run; `owning` tells whether this controller owns now. */
+/** Nothing is sent before the caches run; `leading` tells whether this controller leads now. */
 export function accessState(
   runtime: Runtime,
   { external, deployment }: Settings,
@@ -58,7 +59,7 @@
   const leastSpacingMs = (nodes * 1000) / (limits.rps * SYNC_RATE_SHARE);
   const syncSpacingMs = Math.max(leastSpacingMs, heartbeatIntervalMs * SYNC_SPACING);
   const caching = { client, runtime, watchMs: WATCH_MS, syncSpacingMs };
-  const gatherMs = () => heartbeatIntervalMs * (leading() ? LEADER_BATCHING : OTHERS_GATHER);
+  const gatherMs = () => heartbeatIntervalMs * (leading() ? LEADER_BATCHING : FOLLOWER_BATCHING);
   return {
     client,
     world: new PrefixCache({ ...caching, prefix: WORLD }),
