--- a/packages/controller/controller.test.ts
+++ b/packages/controller/controller.test.ts
@@ -63,7 +63,7 @@
       stopThreshold: 0.5,
       gangLeaseS: 48,
       preemptAfterS: 1,
-      ownerTtlS: 1,
+      electionLeaseTtlS: 1,
       reserveSigmas: 2,
       idleHoldS: 24,
       arrivalMemoryS: 48,
--- a/packages/controller/index.ts
+++ b/packages/controller/index.ts
@@ -7,5 +7,6 @@
 export * from './peers/peer-status.js';
 export * from './settings/platform-settings.js';
 export * from './settings/settings.js';
+export * from './settings/settings-error.js';
 export * from './leadership/standby-renewal-check.js';
 export * from './settings/time-bounds.js';
--- a/packages/controller/leadership/leader-lease-check.test.ts
+++ b/packages/controller/leadership/leader-lease-check.test.ts
@@ -120,7 +120,9 @@
 test('settings that leave an owner no time to learn of a cancellation are refused', () => {
   const workers = { report_s: 1, lease_s: 10, gang_wait_s: 45, gang_peer_s: 8, cancel_s: 35 };
   assert.equal(checkTimes(workers), null);
-  assert.match(checkTimes({ ...workers, cancel_s: 13 })!, /cancel_s: must be at least 14\.0[2-3]/);
+  const problem = checkTimes({ ...workers, cancel_s: 13 });
+  assert.equal(problem?.field, 'deployment.workers.cancel_s');
+  assert.match(problem.reason, /^must be at least 14\.0[2-3]/);
   assert.equal(checkTimes({ ...workers, cancel_s: 14.03 }), null);
 });
 
--- a/packages/controller/replica-support.test.ts
+++ b/packages/controller/replica-support.test.ts
@@ -88,14 +88,12 @@
   const members = { members: 2, sameZone: false };
   assert.equal(checkReplicaClasses(platform, { model: members }), null);
   assert.equal(checkReplicaClasses(platform, null), null);
-  assert.match(
-    checkReplicaClasses(platform, { typo: members })!,
-    /^replicaGroups\.typo: no objective/,
-  );
-  assert.match(
-    checkReplicaClasses(platform, { batch: members })!,
-    /^replicaGroups\.batch: is no class/,
-  );
+  const typo = checkReplicaClasses(platform, { typo: members });
+  assert.equal(typo?.field, 'replicaGroups.typo');
+  assert.match(typo.reason, /^no objective/);
+  const batch = checkReplicaClasses(platform, { batch: members });
+  assert.equal(batch?.field, 'replicaGroups.batch');
+  assert.match(batch.reason, /^is no class/);
   const valid = compileSchema<object>('replicaGroupsTest', operatorSchema);
   const isValid = (value: object) => valid({ replicaGroups: { model: value } });
   assert.ok(isValid({ members: 2 }) && isValid({ members: 'job', sameZone: true }));
--- a/packages/controller/services.ts
+++ b/packages/controller/services.ts
@@ -65,7 +65,7 @@
     cache: world,
     name: settings.host_name,
     shard: ONLY_SHARD,
-    ttlS: settings.operator.ownerTtlS,
+    ttlS: settings.operator.electionLeaseTtlS,
     defersCampaign,
   });
   return {
--- a/packages/controller/settings/operator-settings.test.ts
+++ b/packages/controller/settings/operator-settings.test.ts
@@ -14,7 +14,7 @@
   const workers = { lease_s: 10, report_s: 2 };
   const platform = { deployment: { workers } } as unknown as PlatformSettings;
   const settings = withDefaults({ ownerTtlS: 4 }, platform);
-  assert.equal(settings.ownerTtlS, 4);
+  assert.equal(settings.electionLeaseTtlS, 4);
   assert.equal(settings.preemptAfterS, 4);
   assert.equal(settings.gangLeaseS, 120);
   assert.equal(settings.reserveSigmas, 2);
--- a/packages/controller/settings/operator-settings.ts
+++ b/packages/controller/settings/operator-settings.ts
@@ -1,10 +1,13 @@
+/** The operators' file: its fields, schema and defaults, and how its names map to those of the code. */
 import type { ReplicaClasses } from '#replicas';
 import { MAX_TASKS } from '#wire';
 import type { PlatformSettings } from './platform-settings.js';
 
-/** The operators' own settings, in force; docs/operator.schema.json describes them. */
-export interface OperatorSettings extends PlainSettings {
-  /** Planned moves of the part; null: they are switched off, and nothing of them is loaded. */
+/** The operators' own settings, in force; docs/operator.schema.json describes the file. */
+export interface OperatorSettings extends Omit<PlainSettings, 'ownerTtlS'> {
+  /** Time to live of the election lease, seconds; `ownerTtlS` in the file. */
+  electionLeaseTtlS: number;
+  /** Planned moves of the shard; null: they are switched off, and nothing of them is loaded. */
   moves: MoveSettings | null;
   /** Classes whose replicas have several members; null: switched off, and nothing of it is loaded. */
   replicaGroups: ReplicaClasses | null;
@@ -22,18 +25,20 @@
   sameZone?: boolean;
 }
 
-/** How long a planned move of the part may take. */
+/** How long a planned move of the shard may take; seconds. */
 export interface MoveSettings {
   prepareS: number;
   switchS: number;
 }
 
+/** Settings that are one number each, by their names in the file. */
 interface PlainSettings {
   shareHalfLifeS: number;
   floorWeight: number;
   stopThreshold: number;
   gangLeaseS: number;
   preemptAfterS: number;
+  // eslint-disable-next-line local/retired-words -- a name of the operators' file
   ownerTtlS: number;
   reserveSigmas: number;
   idleHoldS: number;
@@ -56,8 +61,8 @@
 const positive = { type: 'number', exclusiveMinimum: 0 };
 const amount = { type: 'number', minimum: 0 };
 const ratio = { type: 'number', minimum: 0, maximum: 1 };
-/** What the state service accepts as a grant's time to live; seconds. */
-const grantLife = { type: 'number', minimum: 0.1, maximum: 600 };
+/** What the state service accepts as a lease's time to live; seconds. */
+const leaseTtl = { type: 'number', minimum: 0.1, maximum: 600 };
 
 const fields: Record<keyof PlainSettings, OperatorField> = {
   shareHalfLifeS: {
@@ -89,7 +94,7 @@
   },
   ownerTtlS: {
     description: 'Time to live of the grant that holds a part, seconds.',
-    schema: grantLife,
+    schema: leaseTtl,
     default: { times: 0.25, of: 'lease_s' },
   },
   reserveSigmas: {
@@ -182,8 +187,10 @@
 /** What is in force: the operators' own values, and defaults for the rest. */
 export function withDefaults(own: OperatorFile, platform: PlatformSettings): OperatorSettings {
   const { moves, replicaGroups, ...plain } = own;
+  const { ownerTtlS: electionLeaseTtlS, ...others } = complete(fields, plain, platform);
   return {
-    ...complete(fields, plain, platform),
+    ...others,
+    electionLeaseTtlS,
     moves: moves === undefined ? null : complete(moveFields, moves, platform),
     replicaGroups: replicaGroups === undefined ? null : replicaClasses(replicaGroups),
   };
--- a/packages/controller/settings/platform-settings.ts
+++ b/packages/controller/settings/platform-settings.ts
@@ -9,7 +9,7 @@
   gpus_max: number;
 }
 
-/** Limits of the state service. */
+/** Limits of the state service: requests and changes a second, kB of a value, operations of a transaction. */
 export interface StateLimitSettings {
   rps: number;
   write_rps: number;
@@ -37,6 +37,7 @@
     teams: TeamSettings[];
     objectives: { kind: string; class?: string; within_s?: number; share?: number }[];
     workers: {
+      // eslint-disable-next-line local/retired-words -- a name of the platform's file
       report_s: number;
       lease_s: number;
       gang_wait_s: number;
--- a/packages/controller/settings/replica-classes.ts
+++ b/packages/controller/settings/replica-classes.ts
@@ -1,22 +1,26 @@
+/** Whether the classes of replica groups agree with the platform's settings. */
 import type { ReplicaClasses } from '#replicas';
 import type { PlatformSettings } from './platform-settings.js';
+import type { SettingsProblem } from './settings-error.js';
 
-/** Objectives that say of a class that its jobs end by themselves, which services do not. */
+/** Kinds of objectives that say of a class that its jobs end by themselves, which services do not. */
 const ENDING_KINDS = ['finished', 'deadline'];
 
 /** Why the classes of replica groups contradict the platform's settings, or null. */
 export function checkReplicaClasses(
   { deployment }: PlatformSettings,
   classes: ReplicaClasses | null,
-): string | null {
+): SettingsProblem | null {
   for (const name of Object.keys(classes ?? {})) {
+    const field = `replicaGroups.${name}`;
     const objectives = deployment.objectives.filter((each) => each.class === name);
     if (objectives.length === 0) {
-      return `replicaGroups.${name}: no objective of the platform's settings names this class`;
+      return { field, reason: "no objective of the platform's settings names this class" };
     }
     const ending = objectives.find(({ kind }) => ENDING_KINDS.includes(kind));
     if (ending) {
-      return `replicaGroups.${name}: is no class of services, since an objective of kind ${ending.kind} says that its jobs end`;
+      const reason = `is no class of services, since an objective of kind ${ending.kind} says that its jobs end`;
+      return { field, reason };
     }
   }
   return null;
--- /dev/null
+++ b/packages/controller/settings/settings-error.ts
@@ -0,0 +1,25 @@
+/** What can be wrong with a settings file. */
+
+/** One field that can't be used. */
+export interface SettingsProblem {
+  /** Path of the field in its file, like `deployment.workers.cancel_s`. */
+  field: string;
+  /** Why it can't be used. */
+  reason: string;
+}
+
+/** The field of a problem that concerns a file as a whole. */
+export const WHOLE_FILE = 'the file';
+
+/** A settings file that can't be used; the message names file, field and reason. */
+export class BadSettings extends Error {
+  override readonly name = 'BadSettings';
+
+  constructor(
+    readonly file: string,
+    readonly problem: SettingsProblem,
+    options?: ErrorOptions,
+  ) {
+    super(`${file}: ${problem.field}: ${problem.reason}`, options);
+  }
+}
--- a/packages/controller/settings/settings.ts
+++ b/packages/controller/settings/settings.ts
@@ -1,5 +1,6 @@
+/** Reads the settings of a controller from its files, and checks them before anything starts. */
 import { readFileSync } from 'node:fs';
-import type { ValidateFunction } from 'ajv';
+import type { ErrorObject, ValidateFunction } from 'ajv';
 import { parse as parseToml } from 'smol-toml';
 import { compileSchema } from '#wire';
 import type { TeamQuota } from '#core';
@@ -11,11 +12,9 @@
 } from './operator-settings.js';
 import { platformSchema, PlatformSettings, TeamSettings } from './platform-settings.js';
 import { checkReplicaClasses } from './replica-classes.js';
+import { BadSettings, type SettingsProblem, WHOLE_FILE } from './settings-error.js';
 import { checkMoveTimes, checkTimes } from './time-bounds.js';
 
-/** A settings file that can't be used; the message names file, field and reason. */
-export class BadSettings extends Error {}
-
 /** Guarantees and limits by team, in the core's words. */
 export function teamQuotas(teams: TeamSettings[]): Map<string, TeamQuota> {
   return new Map(
@@ -31,48 +30,70 @@
   );
 }
 
+/** All that a controller is set to: the platform's file, and the operators' settings in force. */
 export interface Settings extends PlatformSettings {
   operator: OperatorSettings;
 }
 
+/** What errors name if the operators have no file. */
+const NO_OPERATOR_FILE = 'defaults';
+
 const validPlatform = compileSchema<PlatformSettings>('platformSettings', platformSchema);
 const validOperator = compileSchema<OperatorFile>('operatorSettings', operatorSchema);
 
-function check<T>(file: string, value: unknown, valid: ValidateFunction<T>): T {
-  if (valid(value)) return value;
-  const first = valid.errors?.[0];
-  const path = (first?.instancePath ?? '').slice(1).replaceAll('/', '.');
-  const missing = first?.keyword === 'required' ? String(first.params.missingProperty) : '';
-  const field = [path, missing].filter(Boolean).join('.') || 'the file';
-  throw new BadSettings(`${file}: ${field}: ${missing ? 'is missing' : first?.message}`);
+/**
+ * Reads and checks the platform's file and, if given, the operators'. Throws BadSettings if a file can't be
+ * read, a field is not valid, or the settings contradict each other.
+ */
+export function loadSettings(platformFile: string, operatorFile: string | null): Settings {
+  const platform = validated(platformFile, read(platformFile, parseToml), validPlatform);
+  const raw = operatorFile === null ? {} : read(operatorFile, JSON.parse);
+  const operatorName = operatorFile ?? NO_OPERATOR_FILE;
+  const own = validated(operatorName, raw, validOperator);
+  const settings = { ...platform, operator: withDefaults(own, platform) };
+  const { workers } = platform.deployment;
+  const { moves, replicaGroups } = settings.operator;
+  refuse(platformFile, checkTimes(workers));
+  refuse(operatorName, checkMoveTimes(workers, moves));
+  refuse(operatorName, checkReplicaClasses(platform, replicaGroups));
+  return settings;
+}
+
+function refuse(file: string, problem: SettingsProblem | null): void {
+  if (problem !== null) throw new BadSettings(file, problem);
 }
 
+/** The content of a settings file; throws BadSettings. */
 function read(file: string, parse: (text: string) => unknown): unknown {
-  let content: string;
+  const content = readText(file);
   try {
-    content = readFileSync(file, 'utf8');
+    return parse(content);
   } catch (err) {
-    throw new BadSettings(`${file}: the file: ${(err as NodeJS.ErrnoException).code ?? err}`);
+    const [reason] = (err as Error).message.split('\n');
+    throw new BadSettings(file, { field: WHOLE_FILE, reason }, { cause: err });
   }
+}
+
+function readText(file: string): string {
   try {
-    return parse(content);
+    return readFileSync(file, 'utf8');
   } catch (err) {
-    const reason = (err as Error).message.split('\n')[0];
-    throw new BadSettings(`${file}: the file: ${reason}`);
+    const reason = (err as NodeJS.ErrnoException).code ?? String(err);
+    throw new BadSettings(file, { field: WHOLE_FILE, reason }, { cause: err });
   }
 }
 
-/** Reads and checks the platform's file and, if given, the operator's. */
-export function loadSettings(platformFile: string, operatorFile: string | null): Settings {
-  const platform = check(platformFile, read(platformFile, parseToml), validPlatform);
-  const raw = operatorFile === null ? {} : read(operatorFile, JSON.parse);
-  const operator = check(operatorFile ?? 'defaults', raw, validOperator);
-  const settings = { ...platform, operator: withDefaults(operator, platform) };
-  const problem = checkTimes(settings.deployment.workers);
-  if (problem) throw new BadSettings(`${platformFile}: ${problem}`);
-  const moveProblem = checkMoveTimes(settings.deployment.workers, settings.operator.moves);
-  if (moveProblem) throw new BadSettings(`${operatorFile}: ${moveProblem}`);
-  const classProblem = checkReplicaClasses(platform, settings.operator.replicaGroups);
-  if (classProblem) throw new BadSettings(`${operatorFile}: ${classProblem}`);
-  return settings;
+/** The value if it keeps to the schema; throws BadSettings with the first field that does not. */
+function validated<T>(file: string, value: unknown, valid: ValidateFunction<T>): T {
+  if (valid(value)) return value;
+  throw new BadSettings(file, problemOf(valid.errors?.[0]));
+}
+
+function problemOf(error: ErrorObject | undefined): SettingsProblem {
+  const path = (error?.instancePath ?? '').slice(1).replaceAll('/', '.');
+  if (error?.keyword === 'required') {
+    const missing = String(error.params.missingProperty);
+    return { field: path === '' ? missing : `${path}.${missing}`, reason: 'is missing' };
+  }
+  return { field: path === '' ? WHOLE_FILE : path, reason: error?.message ?? 'is not valid' };
 }
--- a/packages/controller/state-limits.test.ts
+++ b/packages/controller/state-limits.test.ts
@@ -21,7 +21,8 @@
 } from '#store';
 import { aJob, aMachine, aRecorder, STD, StateWorld } from '#testing';
 import { MachineTypes } from './cloud/machine-types.js';
-import { BadSettings, loadSettings } from './settings/settings.js';
+import { loadSettings } from './settings/settings.js';
+import { BadSettings } from './settings/settings-error.js';
 import { stateLimits } from './state-access.js';
 
 const EXAMPLE = fileURLToPath(new URL('../../examples/settings.toml', import.meta.url));
