--- a/packages/controller/controller.test.ts
+++ b/packages/controller/controller.test.ts
@@ -23,9 +23,9 @@
 
 /** A cloud whose machines never come up. */
 async function aCloud() {
-  let rented = 0;
+  let provisioned = 0;
   const hosting = {
-    addressOf: (number: number) => ({ host: '127.0.0.1', port: (rented = number) }),
+    addressOf: (number: number) => ({ host: '127.0.0.1', port: (provisioned = number) }),
     powerOn: () => {},
     powerOff: () => {},
     giveNotice: () => {},
@@ -34,7 +34,7 @@
   const cloud = new CloudService(nodeRuntime, options, hosting);
   cloud.setBootProfile({ ...USUAL_BOOTS, neverShare: 1 });
   const { target } = await cloud.listen(FREE_LOOPBACK_PORT);
-  return { cloud, cloudAt: target, rented: () => rented };
+  return { cloud, cloudAt: target, provisioned: () => provisioned };
 }
 
 function settingsFor(stateAt: string, cloudAt: string, number: number): Settings {
@@ -75,7 +75,7 @@
 
 test('two controllers in one process serve over plain streams and end all that they started', async () => {
   const { state, stateAt } = await aStateService();
-  const { cloud, cloudAt, rented } = await aCloud();
+  const { cloud, cloudAt, provisioned } = await aCloud();
   const log = makeLog(nodeRuntime.clock, 'c', 'error');
   const runtime = new CountingRuntime();
   const stop = new AbortController();
@@ -85,7 +85,7 @@
   const client = new UserClient('127.0.0.1:101', 5000, runtime);
   const job = aJob({ cpus: 1, gpus: 1, memory: 1 });
   await until(async () => (await client.submit(job).catch(() => null))?.status === 201);
-  await until(() => rented() > 0);
+  await until(() => provisioned() > 0);
   // One call is under way when the controllers end.
   const last = client.abort(job.id).catch(() => null);
   stop.abort();
--- a/packages/controller/leadership/direct-commands.test.ts
+++ b/packages/controller/leadership/direct-commands.test.ts
@@ -17,7 +17,7 @@
 }
 
 test('direct commands to many machines keep to their share of the sockets', async () => {
-  // Guards against one kept connection for each of hundreds of machines, beside all reports.
+  // Guards against one kept connection for each of hundreds of machines, beside all heartbeats.
   const machines = 12;
   const most = 3;
   const fleet = aFleet();
--- a/packages/controller/leadership/leader-election-model.test.ts
+++ b/packages/controller/leadership/leader-election-model.test.ts
@@ -17,11 +17,11 @@
   return { violations, attestedSteps, standbySteps };
 }
 
-test('an owner that goes on harms nobody, whatever the state service, peers and connections do', () => {
+test('a leader that goes on harms nobody, whatever the state service, peers and connections do', () => {
   const { violations, attestedSteps, standbySteps } = playAll('none');
   assert.deepEqual([...violations], []);
-  assert.ok(attestedSteps > 1000, 'owners did go on by the statements of their peers');
-  assert.ok(standbySteps > 100, 'leases were renewed for owners that had ended');
+  assert.ok(attestedSteps > 1000, 'leaders did go on by the statements of their peers');
+  assert.ok(standbySteps > 100, 'leases were renewed for leaders that had ended');
 });
 
 // Each check is shown to be able to fail by one deliberate mistake.
@@ -32,7 +32,7 @@
   ['renews-for-the-living', 'renews-beside-owner'],
 ];
 for (const [fault, violation] of noticed) {
-  test(`the model notices an owner that ${fault}`, () => {
+  test(`the model notices the fault ${fault}`, () => {
     assert.ok(playAll(fault).violations.has(violation));
   });
 }
--- a/packages/controller/leadership/leader-lease-check.test.ts
+++ b/packages/controller/leadership/leader-lease-check.test.ts
@@ -8,7 +8,7 @@
 
 const LIMITS = { peerCount: 2, silenceS: 2, graceS: 12 };
 
-/** An owner that the state service has refused since second 10. */
+/** What a leader knows that the state service has refused since second 10. */
 function viewAt(now: number, peers: (PeerStatus | null)[], over: Partial<LeaderLeaseView> = {}) {
   return {
     now,
@@ -23,63 +23,63 @@
   };
 }
 
-function judgeOnce(view: LeaderLeaseView) {
+function evaluateOnce(view: LeaderLeaseView) {
   return new LeaderLeaseCheck(LIMITS).evaluate(view);
 }
 
-test('an owner goes on through an outage for as long as all peers state that nobody is served', () => {
-  const judge = new LeaderLeaseCheck(LIMITS);
+test('a leader goes on through an outage for as long as all peers attest that nobody is served', () => {
+  const check = new LeaderLeaseCheck(LIMITS);
   for (let now = 10; now < 200; now++) {
     const expected = now < 13 ? 'granted' : 'attested';
-    assert.equal(judge.evaluate(viewAt(now, [aPeerStatus(now), aPeerStatus(now)])), expected);
+    assert.equal(check.evaluate(viewAt(now, [aPeerStatus(now), aPeerStatus(now)])), expected);
   }
   // Once one falls silent, the time since the last proof is bounded.
   const silent = (now: number) => viewAt(now, [aPeerStatus(now), aPeerStatus(199)]);
-  assert.equal(judge.evaluate(silent(205)), 'grace');
-  assert.equal(judge.evaluate(silent(209)), 'grace');
-  assert.equal(judge.evaluate(silent(211)), 'none');
+  assert.equal(check.evaluate(silent(205)), 'grace');
+  assert.equal(check.evaluate(silent(209)), 'grace');
+  assert.equal(check.evaluate(silent(211)), 'none');
 });
 
 test('what one peer does not state falls back to the bound after the loss', () => {
   const incomplete: [string, PeerStatus | null][] = [
-    ['never heard', null],
+    ['never stated anything', null],
     ['nothing read of ours', { ...aPeerStatus(20), asOf: -Infinity }],
     ['restarted without the records', aPeerStatus(20, { loaded: false })],
-    ['may own', aPeerStatus(20, { mayLead: true })],
+    ['may lead', aPeerStatus(20, { mayLead: true })],
     ['too many cancellations to tell', aPeerStatus(20, { cancelledSince: Infinity })],
     ['its last request was served', aPeerStatus(20, { refused: false })],
   ];
   for (const [why, peer] of incomplete) {
-    assert.equal(judgeOnce(viewAt(20, [aPeerStatus(20), peer])), 'grace', why);
-    assert.equal(judgeOnce(viewAt(22, [aPeerStatus(22), peer])), 'none', why);
+    assert.equal(evaluateOnce(viewAt(20, [aPeerStatus(20), peer])), 'grace', why);
+    assert.equal(evaluateOnce(viewAt(22, [aPeerStatus(22), peer])), 'none', why);
   }
 });
 
 test('what a peer stated before it fell silent counts as of then, and no longer', () => {
   const silent = aPeerStatus(17);
-  assert.equal(judgeOnce(viewAt(20, [aPeerStatus(20), silent])), 'grace');
-  assert.equal(judgeOnce(viewAt(28, [aPeerStatus(28), silent])), 'grace');
-  assert.equal(judgeOnce(viewAt(29, [aPeerStatus(29), silent])), 'none');
+  assert.equal(evaluateOnce(viewAt(20, [aPeerStatus(20), silent])), 'grace');
+  assert.equal(evaluateOnce(viewAt(28, [aPeerStatus(28), silent])), 'grace');
+  assert.equal(evaluateOnce(viewAt(29, [aPeerStatus(29), silent])), 'none');
 });
 
-test('an owner yields at once to a peer that is served, or that knows a newer term', () => {
+test('a leader gives way at once to a peer that is served, or that knows a newer term', () => {
   const served = { ...aPeerStatus(20, { refused: false }), servedAt: 19 };
-  assert.equal(judgeOnce(viewAt(20, [aPeerStatus(20), served])), 'none');
-  // Guards against an owner whose requests were swallowed by a cut: with every failure noticed only a
+  assert.equal(evaluateOnce(viewAt(20, [aPeerStatus(20), served])), 'none');
+  // Guards against a leader whose requests were swallowed by a cut: with every failure noticed only a
   // second later, a peer always seemed to be served after its newest failure, and it went on for good.
-  assert.equal(judgeOnce(viewAt(20, [null, { ...served, servedAt: 19.9 }])), 'none');
+  assert.equal(evaluateOnce(viewAt(20, [null, { ...served, servedAt: 19.9 }])), 'none');
   const newer = aPeerStatus(12, { newestLeader: { term: TERM + 1, name: 'c-1' } });
-  assert.equal(judgeOnce(viewAt(20, [aPeerStatus(20), newer])), 'none');
+  assert.equal(evaluateOnce(viewAt(20, [aPeerStatus(20), newer])), 'none');
   // Guards against a fleet that dies: two seconds of refusal alone counted for the whole outage that
   // followed, though by then nobody was served.
   const servedBefore = { ...aPeerStatus(20), servedAt: 12 };
-  assert.equal(judgeOnce(viewAt(20, [aPeerStatus(20), servedBefore])), 'attested');
+  assert.equal(evaluateOnce(viewAt(20, [aPeerStatus(20), servedBefore])), 'attested');
 });
 
-test('a grant alone does not entitle once cancellations may be unknown for too long', () => {
+test('an election lease alone is not enough once cancellations may be unknown for too long', () => {
   const over = { leaseProvenUntil: 100, leaseRenewedAt: 99 };
-  assert.equal(judgeOnce(viewAt(21, [null, null], over)), 'granted');
-  assert.equal(judgeOnce(viewAt(23, [null, null], over)), 'none');
+  assert.equal(evaluateOnce(viewAt(21, [null, null], over)), 'granted');
+  assert.equal(evaluateOnce(viewAt(23, [null, null], over)), 'none');
 });
 
 test('with nobody to ask, no answer is given past the bound, whatever else is true', () => {
@@ -90,7 +90,7 @@
       fc.nat(100),
       (now, jobsCurrentAt, leaseRenewedAt) => {
         const view = viewAt(now, [null, null], { jobsCurrentAt, leaseRenewedAt });
-        const out = judgeOnce(view);
+        const out = evaluateOnce(view);
         if (now >= jobsCurrentAt + LIMITS.graceS) assert.equal(out, 'none');
         if (now >= Math.max(13, leaseRenewedAt + LIMITS.graceS)) assert.equal(out, 'none');
       },
@@ -100,9 +100,9 @@
 });
 
 test('a single controller has nobody to ask and goes on', () => {
-  const judge = new LeaderLeaseCheck({ ...LIMITS, peerCount: 0 });
-  assert.equal(judge.evaluate(viewAt(500, [])), 'attested');
-  assert.equal(judgeOnce(viewAt(500, [])), 'none', 'peers are missing in the settings');
+  const check = new LeaderLeaseCheck({ ...LIMITS, peerCount: 0 });
+  assert.equal(check.evaluate(viewAt(500, [])), 'attested');
+  assert.equal(evaluateOnce(viewAt(500, [])), 'none', 'peers are missing in the settings');
 });
 
 test('the grace leaves the workers time to end before a cancellation must be over', () => {
@@ -117,7 +117,7 @@
   );
 });
 
-test('settings that leave an owner no time to learn of a cancellation are refused', () => {
+test('settings that leave a leader no time to learn of a cancellation are refused', () => {
   const workers = { report_s: 1, lease_s: 10, gang_wait_s: 45, gang_peer_s: 8, cancel_s: 35 };
   assert.equal(checkTimes(workers), null);
   const problem = checkTimes({ ...workers, cancel_s: 13 });
@@ -126,12 +126,12 @@
   assert.equal(checkTimes({ ...workers, cancel_s: 14.03 }), null);
 });
 
-test('an owner yields when its workers ask its peers for it, and only then', () => {
-  // Guards against a fleet whose leases all run out while its owner keeps the part but is cut from
+test('a leader steps down when its workers ask its peers for it, and only then', () => {
+  // Guards against a fleet whose leases all run out while their leader keeps the shard but is cut from
   // the workers, and against resigning over a few lost machines or a fleet that is gone.
   assert.equal(isIsolatedFromWorkers(40, 0, 10), true);
   assert.equal(isIsolatedFromWorkers(40, 0, 0), false, 'nobody asks');
   assert.equal(isIsolatedFromWorkers(40, 30, 10), false, 'a zone is out of reach');
-  assert.equal(isIsolatedFromWorkers(40, 4, 4), false, 'as many are heard here');
+  assert.equal(isIsolatedFromWorkers(40, 4, 4), false, 'as many reach us');
   assert.equal(isIsolatedFromWorkers(0, 0, 0), false);
 });
--- a/packages/controller/leadership/leader-reachability.test.ts
+++ b/packages/controller/leadership/leader-reachability.test.ts
@@ -15,17 +15,17 @@
   return mayReachLeader({ now: NOW, leader, peers: [leader, ...others], silenceS: SILENCE_S });
 }
 
-test('workers are sent to an owner that is heard, or of which nothing is known yet', () => {
+test('workers are redirected to a leader that is reachable, or of which nothing is known yet', () => {
   assert.ok(mayReach(statusAt(29), statusAt(29)));
   assert.ok(mayReach(null, statusAt(29)));
 });
 
-test('workers are not sent to an owner that has fallen silent or hears none of them', () => {
+test('workers are not redirected to a leader that is unreachable or that none of them reaches', () => {
   assert.ok(!mayReach(statusAt(20), statusAt(29)));
   assert.ok(!mayReach(statusAt(29, true), statusAt(29)));
 });
 
-test('a controller that hears no peer sends workers to the owner all the same', () => {
+test('a controller that reaches no peer redirects workers to the leader all the same', () => {
   assert.ok(mayReach(statusAt(20), statusAt(20), null));
 });
 
@@ -36,11 +36,11 @@
   assert.equal(nextForWorkers('c-0', []), null);
 });
 
-test('others should own if the next controller for our workers is silent', () => {
+test('others should lead if the next controller for our workers is unreachable', () => {
   const view = { now: NOW, peers: [statusAt(20), statusAt(29)], silenceS: SILENCE_S };
   assert.ok(leavesWorkersStranded(statusAt(20), view));
   assert.ok(leavesWorkersStranded(null, view));
   assert.ok(!leavesWorkersStranded(statusAt(29), view));
   const alone = { ...view, peers: [statusAt(20), null] };
-  assert.ok(!leavesWorkersStranded(statusAt(20), alone), 'nobody else is heard');
+  assert.ok(!leavesWorkersStranded(statusAt(20), alone), 'nobody else is reachable');
 });
--- a/packages/controller/state-limits.test.ts
+++ b/packages/controller/state-limits.test.ts
@@ -73,7 +73,7 @@
   }
 });
 
-test('parts of the done tasks fit the smaller limit, and an older version reads them as the same tasks', () => {
+test('chunks of the done tasks keep to the smaller limit, and an older version reads them as the same tasks', () => {
   for (const [layoutBytes, valueBytes] of [
     [8192, 2048],
     [8192, 3000],
@@ -100,13 +100,13 @@
         assert.equal(layout.firstTask(label, value), first);
         keys.add(key);
       }
-      // A job that fits one part of the older version and one value has the record that it always had.
+      // A job that fits one chunk of the older version and one value has the record that it always had.
       if (tasks <= 4000 && valueBytes >= 2048) assert.deepEqual([...keys], [progressKey('j-1', 0)]);
     }
   }
 });
 
-test('what an older version recorded under the larger limit is read, and written anew in parts that fit', async () => {
+test('what an older version recorded under the larger limit is read, and written again in chunks that keep to the smaller one', async () => {
   const limits = { valueBytes: 2048, layoutBytes: 8192 };
   const { state, store, fleet, record, recorder, sync, flush } = await aRecorder(limits);
   const { unit } = new ProgressLayout({ valueBytes: 8192 });
@@ -154,7 +154,7 @@
   assert.equal(next.fleet.jobs.get('j-1')!.done.size, expected.length);
 });
 
-test('a machine takes as many tasks as its record holds, and one that holds more is recorded once it fits', async () => {
+test('a machine takes as many tasks as its record holds, and one that holds more is recorded once that is small enough', async () => {
   // Guards against a record that an older version wrote under a larger limit: it was refused for ever.
   const limits = { valueBytes: 2048, layoutBytes: 8192 };
   const { store, fleet, record, recorder, sync, flush, tasksOn } = await aRecorder(limits);
@@ -195,7 +195,7 @@
   assert.ok(emptyRecordBytes({ type: 'std', zone: 'a', spot: true }) < 150);
 });
 
-test('a job whose record an older version wrote above the limit still becomes done or aborted', () => {
+test('a job whose record an older version wrote above the limit still becomes done or cancelled', () => {
   const types = Array.from({ length: 200 }, (_, number) => `a-type-with-a-long-name-${number}`);
   const job = aJob({ types, class: 'c'.repeat(256), image: 'é'.repeat(256), awaits: ['j-000002'] });
   for (const phase of ['done', 'cancelled'] as const) {
