--- a/packages/controller/leadership/direct-commands.ts
+++ b/packages/controller/leadership/direct-commands.ts
@@ -1,6 +1,9 @@
 /** Commands that go to workers at once instead of waiting for their next heartbeat. */
 import { CborClient, commandToWire, Order, parseHeartbeat, Runtime } from '#wire';
-import type { FleetState, Machine } from '#core';
+import type { DirectOutcome, FleetState, Machine } from '#core';
+
+/** Status codes with which a worker states that it executed nothing: fenced off, or unreadable to it. */
+const EXECUTED_NOTHING = [409, 400];
 
 /** What direct commands are sent with. */
 export interface DirectCommandsOptions {
@@ -82,23 +85,8 @@
     const options = { timeoutMs, signal, body };
     this.busy.add(machine.name);
     try {
-      const answer = await this.client(machine).call('POST', '/orders', options);
-      if (answer.status === 200) {
-        fleet.directOrders.finish(
-          machine,
-          orders,
-          { kind: 'executed', heartbeat: parseHeartbeat(answer.body) },
-          clock.now(),
-        );
-      } else {
-        const refused = answer.status === 409 || answer.status === 400;
-        fleet.directOrders.finish(
-          machine,
-          orders,
-          { kind: refused ? 'refused' : 'unknown' },
-          clock.now(),
-        );
-      }
+      const { status, body: answer } = await this.client(machine).call('POST', '/orders', options);
+      fleet.directOrders.finish(machine, orders, outcomeOf(status, answer), clock.now());
     } catch {
       // No answer, or one that can't be read: the commands may have been carried out.
       fleet.directOrders.finish(machine, orders, { kind: 'unknown' }, clock.now());
@@ -108,3 +96,9 @@
     onDone();
   }
 }
+
+/** What a worker's answer says of the commands; throws MalformedBody if it can't be read. */
+function outcomeOf(status: number, body: unknown): DirectOutcome {
+  if (status === 200) return { kind: 'executed', heartbeat: parseHeartbeat(body) };
+  return { kind: EXECUTED_NOTHING.includes(status) ? 'refused' : 'unknown' };
+}
--- a/packages/controller/leadership/leader-lease-check.ts
+++ b/packages/controller/leadership/leader-lease-check.ts
@@ -1,6 +1,6 @@
 /** The checks by which a leader knows whether it may still act, and when it should step down. */
-import type { PeerStatus } from '../peers/peer-status.js';
-import { PeerProof, ProofView } from '../peers/peer-proof.js';
+import { PeerProof, type ProofView } from '../peers/peer-proof.js';
+import { isSuccessor } from './successor.js';
 
 /**
  * What a leader knows about its right to act (docs/safety.md, point 7). Two things must hold: nobody else can
@@ -29,15 +29,15 @@
 }
 
 /**
- * The states of a leader lease:
- * - `granted`: the election lease proves that nobody else leads; the leader may do everything;
- * - `attested`: the election lease is past its proven life, but all peers lately attested that the state service
- *   serves nobody, so nobody can campaign; the leader answers workers and scales out, but never in;
- * - `grace`: neither is proven now, but both conditions were certain less than `graceS` ago; the leader answers
- *   workers and asks nothing of the cloud;
- * - `none`: the leader must not act, and turns workers away.
- *
- * `granted` also ends `graceS` after the cancellations were last known.
+ * The states of a leader lease. In all but the last, the leader answers workers and commands them.
+ * - `granted`: the election lease proves that nobody else leads. The leader may scale out, and also in while the
+ *   state service serves it.
+ * - `attested`: the election lease is past its proven life, but all peers lately attested that they neither lead
+ *   nor can campaign, and that no cancellation is unknown here. The leader may scale out.
+ * - `grace`: neither is proven now, but both conditions were certain less than `graceS` ago. The leader may not
+ *   scale.
+ * - `none`: the leader may not act, and turns workers away. It follows also from `granted` once cancellations may
+ *   have been unknown for `graceS`.
  */
 export type LeaderLeaseState = 'granted' | 'attested' | 'grace' | 'none';
 
@@ -65,35 +65,11 @@
   }
 }
 
-/** A peer counts as served if that was later than our first failure by this share of `silenceS`. */
-const SERVED_MARGIN = 1 / 4;
 /** A leader that a smaller share of its machines reaches is out of their reach. */
 const MIN_REACHABLE_SHARE = 1 / 8;
 /** More than this share of the machines must reach peers before a leader steps down for it. */
 const MIN_SHARE_AT_PEERS = 1 / 16;
 
-/** What shows that somebody else leads or will campaign; times in steady seconds. */
-export interface SuccessorView {
-  now: number;
-  term: number;
-  failingSince: number;
-}
-
-/** The peer leads, has seen a newer leader, or will campaign: the state service serves it while we are refused. */
-export function isSuccessor(
-  view: SuccessorView,
-  peer: PeerStatus | null,
-  silenceS: number,
-): boolean {
-  if (peer === null) return false;
-  if (peer.frame.newestLeader.term > view.term) return true;
-  const reachable = view.now - peer.receivedAt <= silenceS;
-  // Whether we have failed again since doesn't matter: a cut that swallows requests shows their
-  // failure only when they time out.
-  const servedSince = peer.servedAt > view.failingSince + silenceS * SERVED_MARGIN;
-  return reachable && servedSince && !peer.frame.refused;
-}
-
 /** Whether so few of the machines that should send heartbeats lately did that most can't reach the leader. */
 export function reachesFewWorkers(machines: number, reachable: number): boolean {
   return reachable < machines * MIN_REACHABLE_SHARE;
--- a/packages/controller/leadership/reclaim-notices.ts
+++ b/packages/controller/leadership/reclaim-notices.ts
@@ -1,5 +1,5 @@
 /** Graceful eviction from spot machines that the cloud is about to reclaim. */
-import type { FleetState } from '#core';
+import type { Assignment, FleetState } from '#core';
 
 /**
  * Evicts the tasks of machines with a reclaim notice: batch work with checkpoints writes one before the machine
@@ -9,13 +9,17 @@
 export function evictOnReclaimNotices(fleet: FleetState, now: number): void {
   for (const machine of fleet.machines.groups.noticed) {
     for (const task of [...machine.tasks.values()]) {
-      const { checkpointS, kind } = task.job.spec;
-      if (task.stop === null && task.job.replicas !== null) {
-        task.job.replicas.moveOff(task, now);
-        continue;
-      }
-      const isWorthStopping = checkpointS > 0 || kind === 'service';
-      if (task.stop === null && isWorthStopping) fleet.assignments.stopGracefully(task, now);
+      if (task.stop === null) evict(fleet, task, now);
     }
   }
 }
+
+function evict(fleet: FleetState, task: Assignment, now: number): void {
+  const { spec, replicas } = task.job;
+  if (replicas !== null) {
+    replicas.moveOff(task, now);
+    return;
+  }
+  const isWorthStopping = spec.checkpointS > 0 || spec.kind === 'service';
+  if (isWorthStopping) fleet.assignments.stopGracefully(task, now);
+}
--- a/packages/controller/leadership/standby-renewal-check.ts
+++ b/packages/controller/leadership/standby-renewal-check.ts
@@ -1,6 +1,7 @@
 /** The check by which a follower knows whether it may renew worker leases in an outage. */
-import { LeaderLeaseLimits, isSuccessor, SuccessorView } from './leader-lease-check.js';
-import { PeerProof, ProofView } from '../peers/peer-proof.js';
+import type { LeaderLeaseLimits } from './leader-lease-check.js';
+import { isSuccessor, type SuccessorView } from './successor.js';
+import { PeerProof, type ProofView } from '../peers/peer-proof.js';
 import type { PeerStatus } from '../peers/peer-status.js';
 
 /** What a follower knows; steady seconds of this process. */
