--- a/packages/controller/leadership/leader-components.ts
+++ b/packages/controller/leadership/leader-components.ts
@@ -14,9 +14,9 @@
 import type { Settings } from '../settings/settings.js';
 import { makeFleetState, makePlanner, makeScheduler } from './core-from-settings.js';
 import { DirectCommands } from './direct-commands.js';
-import { fleetListener } from './fleet-events.js';
+import { fleetListener } from './fleet-listener.js';
 import { SchedulingRound } from './scheduling-round.js';
-import { roundIntervalMs } from './scheduling-rounds.js';
+import { roundIntervalMs } from './round-pacing.js';
 
 /** Heartbeat intervals that a direct command may take. */
 const COMMAND_TIMEOUT_INTERVALS = 2;
--- a/packages/controller/leadership/shard-leader.ts
+++ b/packages/controller/leadership/shard-leader.ts
@@ -14,7 +14,7 @@
   type ShardLeaderOptions,
 } from './leader-components.js';
 import type { Pacer } from './pacer.js';
-import { makeSchedulingRounds, roundIntervalMs } from './scheduling-rounds.js';
+import { makeSchedulingRounds, roundIntervalMs } from './round-pacing.js';
 
 /** What a leader answers to a heartbeat. */
 export interface HeartbeatAnswer {
