--- a/packages/controller/leadership/direct-commands.ts
+++ b/packages/controller/leadership/direct-commands.ts
@@ -1,9 +1,15 @@
+/** Commands that go to workers at once instead of waiting for their next heartbeat. */
 import { CborClient, commandToWire, Order, parseHeartbeat, Runtime } from '#wire';
-import type { FleetState, Machine } from '#core';
+import type { DirectOutcome, FleetState, Machine } from '#core';
 
+/** Status codes with which a worker states that it executed nothing: fenced off, or unreadable to it. */
+const EXECUTED_NOTHING = [409, 400];
+
+/** What direct commands are sent with. */
 export interface DirectCommandsOptions {
   runtime: Runtime;
   fleet: FleetState;
+  /** How long an answer may take. */
   timeoutMs: number;
   /** Connections that may be open at once: one for each machine would not fit a large fleet. */
   maxConnections: number;
@@ -13,7 +19,10 @@
   onDone: () => void;
 }
 
-/** Commands that go to workers at once instead of waiting for their next report. */
+/**
+ * Sends a machine's pending commands on a connection of its own. A command without an answer counts as possibly
+ * carried out; the fleet state then fences it off (docs/safety.md, point 6).
+ */
 export class DirectCommands {
   /** Least recently used first. */
   private readonly clients = new Map<string, { addr: string; http: CborClient }>();
@@ -27,7 +36,7 @@
     const { runtime, fleet, maxConnections, onOrders } = this.options;
     const now = runtime.clock.now();
     for (const machine of [...fleet.machinesWithCommands]) {
-      // The rest goes out with the next push, or in answers to reports.
+      // The rest goes out with the next push, or in answers to heartbeats.
       if (this.busy.size >= maxConnections) return;
       const orders = fleet.directOrders.nextOrders(machine, now);
       if (orders.length === 0) continue;
@@ -41,8 +50,9 @@
     return this.clients.size;
   }
 
+  /** Closes all connections; calls that are under way end by their signal. */
   close(): void {
-    for (const c of this.clients.values()) c.http.close();
+    for (const { http } of this.clients.values()) http.close();
     this.clients.clear();
   }
 
@@ -75,23 +85,8 @@
     const options = { timeoutMs, signal, body };
     this.busy.add(machine.name);
     try {
-      const res = await this.client(machine).call('POST', '/orders', options);
-      if (res.status === 200) {
-        fleet.directOrders.finish(
-          machine,
-          orders,
-          { kind: 'executed', heartbeat: parseHeartbeat(res.body) },
-          clock.now(),
-        );
-      } else {
-        const refused = res.status === 409 || res.status === 400;
-        fleet.directOrders.finish(
-          machine,
-          orders,
-          { kind: refused ? 'refused' : 'unknown' },
-          clock.now(),
-        );
-      }
+      const { status, body: answer } = await this.client(machine).call('POST', '/orders', options);
+      fleet.directOrders.finish(machine, orders, outcomeOf(status, answer), clock.now());
     } catch {
       // No answer, or one that can't be read: the commands may have been carried out.
       fleet.directOrders.finish(machine, orders, { kind: 'unknown' }, clock.now());
@@ -101,3 +96,9 @@
     onDone();
   }
 }
+
+/** What a worker's answer says of the commands; throws MalformedBody if it can't be read. */
+function outcomeOf(status: number, body: unknown): DirectOutcome {
+  if (status === 200) return { kind: 'executed', heartbeat: parseHeartbeat(body) };
+  return { kind: EXECUTED_NOTHING.includes(status) ? 'refused' : 'unknown' };
+}
--- /dev/null
+++ b/packages/controller/leadership/fleet-listener.ts
@@ -0,0 +1,79 @@
+/** Tells the capacity planner and the log what happens to machines, jobs and tasks. */
+import type { Assignment, CapacityPlanner, FleetListener, JobState, Machine, TaskEnd } from '#core';
+import type { Log } from '../observability/log.js';
+
+/**
+ * The listener of a leader's fleet state. The planner is made from that state, so it is asked for when
+ * something happens.
+ */
+export function fleetListener(planner: () => CapacityPlanner, log: Log): FleetListener {
+  return {
+    machineUp(machine, now) {
+      planner().machineUp(machine, now);
+      logMachineUp(log, machine, now);
+    },
+    jobCrashLooping(job) {
+      logCrashLoop(log, job);
+    },
+    jobRecovered({ spec }) {
+      log.info({ job: spec.id }, 'job recovered from its crash loop');
+    },
+    machineFaulty({ name, failures }) {
+      const jobs = [...failures.jobs.keys()];
+      log.info({ machine: name, jobs }, 'machine is faulty and will be released');
+    },
+    jobClosed({ spec, hasOpenDependencies }, now) {
+      // A job that still had open dependencies was never counted as an arrival.
+      if (!hasOpenDependencies) planner().jobEnded(spec, now);
+    },
+    taskRunning(assignment, now) {
+      logTaskRunning(log, assignment, now);
+    },
+    taskEnded(end, now) {
+      logTaskEnd(log, end, now);
+    },
+  };
+}
+
+function logMachineUp(log: Log, { name, type, zone, spot, requestedAt }: Machine, now: number) {
+  const bootS = hundredths(now - requestedAt);
+  log.debug({ machine: name, type, zone, spot, bootS }, 'machine came up');
+}
+
+function logCrashLoop(log: Log, { spec, failures }: JobState): void {
+  const fields = {
+    job: spec.id,
+    class: spec.class,
+    team: spec.team,
+    tasks: spec.tasks,
+    attempts: failures.attempts,
+    longestRunS: hundredths(failures.longestRunS),
+    machines: [...failures.machines],
+  };
+  log.info(fields, 'job is crash-looping');
+}
+
+function logTaskRunning(log: Log, assignment: Assignment, now: number): void {
+  const { job, index, machine, assignedAt } = assignment;
+  const fields = {
+    job: job.spec.id,
+    task: index,
+    class: job.spec.class,
+    machine: machine.name,
+    image: job.spec.image,
+    waitedS: hundredths(assignedAt - job.startableAt),
+    startupS: hundredths(now - assignedAt),
+  };
+  log.debug(fields, 'task started running');
+}
+
+function logTaskEnd(log: Log, { assignment, cause }: TaskEnd, now: number): void {
+  const { job, index, attempt, machine, runningSince } = assignment;
+  const ranS = now - (runningSince ?? now);
+  const fields = { job: job.spec.id, task: index, attempt, machine: machine.name, cause, ranS };
+  log.debug(fields, 'task ended');
+}
+
+function hundredths(seconds: number): number {
+  return Math.round(seconds * 100) / 100;
+}
--- a/packages/controller/replica-support.ts
+++ b/packages/controller/replica-support.ts
@@ -1,3 +1,4 @@
+/** Joins the package `replicas`, loaded only if operators have switched it on, to this controller. */
 import type { ReplicaShape } from '#core';
 import type { Group, ReplicaClasses, ReplicaGroups, ReplicaListener, ReplicaRow } from '#replicas';
 import type { JobRecord } from '#store';
@@ -12,19 +13,22 @@
   shapeOf(job: Job): ReplicaShape | null;
   /** Why the job's replicas can never be placed, or null. */
   whyNeverWhole(job: Job, shape: ReplicaShape, types: MachineType[]): string | null;
-  /** The replica groups of a new owner. */
+  /** The replica groups of a new leader. */
   makeGroups(): ReplicaGroups;
+  /** The replicas as operators see them now. */
   rows(groups: ReplicaGroups): ReplicaRow[];
-  /** An open job is taken in that was accepted while each task of its class was a replica by itself. */
+  /** Logs an open job that was accepted while each task of its class was a replica by itself. */
   recordJob(record: JobRecord): void;
+  /** What was measured of repairs. */
   readonly metrics: ReplicaMetrics;
 }
 
-/** Filled before any duty runs, if operators have switched replica groups on. */
+/** Filled before any component runs, if operators have switched replica groups on. */
 export interface OptionalReplicaSupport {
   support: ReplicaSupport | null;
 }
 
+/** What replica support takes of this controller. */
 export interface ReplicaSupportOptions {
   runtime: Runtime;
   settings: Settings;
@@ -45,7 +49,7 @@
     whyNeverWhole: replicas.whyNeverWhole,
     recordJob: ({ job, replicas: shape }) => {
       if (shape || replicas.shapeOf(job, classes) === null) return;
-      log.info({ job: job.id, class: job.class }, 'job older than its replica groups');
+      log.info({ job: job.id, class: job.class }, 'job predates its replica groups');
     },
     rows: (groups) => replicas.replicaRows(groups, runtime.clock.now()),
     makeGroups: () =>
@@ -62,14 +66,15 @@
   return {
     phaseChanged: ({ group, from, to, reason }) => {
       const machines = [...group.assignments()].map(({ machine }) => machine.name);
-      const fields = { ...nameOf(group), from, to, why: reason, machines };
-      if (to === 'repairing') log.info({ ...fields, lostBy: group.lostBy }, 'replica repair');
-      else log.debug(fields, 'replica');
+      const fields = { ...nameOf(group), from, to, reason, machines };
+      if (to === 'repairing')
+        log.info({ ...fields, lostBy: group.lostBy }, 'replica repair started');
+      else log.debug(fields, 'replica phase changed');
     },
     recovered: ({ group, reason, tookS }) => {
       metrics.recovered(reason, tookS);
       const tookMs = Math.round(tookS * 1000);
-      log.info({ ...nameOf(group), why: reason, tookMs }, 'replica whole again');
+      log.info({ ...nameOf(group), reason, tookMs }, 'replica recovered');
     },
   };
 }
