--- a/packages/controller/cloud/cloud-reconciler.test.ts
+++ b/packages/controller/cloud/cloud-reconciler.test.ts
@@ -9,34 +9,35 @@
 import { FREE_LOOPBACK_PORT, serveCbor } from '../../testing/standins/index.js';
 
 interface Permission {
-  rent: boolean;
-  release: boolean;
+  scaleOut: boolean;
+  scaleIn: boolean;
 }
 
-/** A cloud that notes what it is asked for, with one failed machine to give back. */
+/** A cloud that records the requests that it gets. */
 class RecordingCloud {
-  readonly asked: string[] = [];
+  readonly requests: string[] = [];
 
-  async catalog() {
-    return [];
+  catalog() {
+    return Promise.resolve([]);
   }
 
-  async list() {
-    return { machines: [], more: false };
+  list() {
+    return Promise.resolve({ machines: [], more: false });
   }
 
-  async release(names: string[]) {
-    this.asked.push(`release ${names.join(' ')}`);
+  release(names: string[]) {
+    this.requests.push(`release ${names.join(' ')}`);
+    return Promise.resolve();
   }
 
-  async provision() {
-    this.asked.push('rent');
-    return { machines: [] };
+  provision() {
+    this.requests.push('provision');
+    return Promise.resolve({ machines: [] });
   }
 }
 
-/** An owner that has read its records long ago, with a planner of its own. */
-function anOwner(
+/** A leader that has read its records long ago, with a planner of its own. */
+function aLeader(
   fleet: FleetState,
   planner: Pick<CapacityPlanner, 'plan' | 'scaleOutRefused'>,
 ): ShardLeader {
@@ -45,13 +46,14 @@
   return { fleet, planner, term, ...state, requestRound: () => {} } as unknown as ShardLeader;
 }
 
-async function callsOf(permission: Permission): Promise<string[]> {
+/** The requests that a leader with one failed machine and one scale-out sends under these permissions. */
+async function requestsOf(permission: Permission): Promise<string[]> {
   const stop = new AbortController();
   const cloud = new RecordingCloud();
   const fleet = aFleet();
   fleet.machines.markFailed(aMachine(fleet, 'n-1'));
   let plans = 0;
-  const leader = anOwner(fleet, {
+  const leader = aLeader(fleet, {
     plan: () => {
       plans++;
       return {
@@ -62,7 +64,7 @@
     },
     scaleOutRefused: () => {},
   });
-  const duty = new CloudReconciler({
+  const reconciler = new CloudReconciler({
     runtime: nodeRuntime,
     cloud: cloud as unknown as CloudClient,
     leader,
@@ -71,31 +73,34 @@
     listLagS: 0.01,
     heartbeatIntervalS: 0.02,
     leaseS: 0.2,
-    onTypes: async () => {},
-    mayScaleOut: () => permission.rent,
-    mayScaleIn: () => permission.release,
+    onTypes: () => Promise.resolve(),
+    mayScaleOut: () => permission.scaleOut,
+    mayScaleIn: () => permission.scaleIn,
     log: makeLog(nodeRuntime.clock, 'c-0', 'error'),
   });
-  const done = duty.run(stop.signal);
+  const done = reconciler.run(stop.signal);
   await new Promise((resolve) => setTimeout(resolve, 150));
   stop.abort();
   await done;
-  return [...new Set(cloud.asked)];
+  return [...new Set(cloud.requests)];
 }
 
-test('only an owner that nobody can have succeeded rents, and releases only while it is served', async () => {
-  // Guards against a former owner that rents a second fleet for the work it takes for lost, and gives
-  // back machines that its successor uses.
-  assert.deepEqual(await callsOf({ rent: false, release: false }), []);
-  assert.deepEqual(await callsOf({ rent: true, release: false }), ['rent']);
-  assert.deepEqual(await callsOf({ rent: true, release: true }), ['release n-1', 'rent']);
+test('only a leader that nobody can have succeeded scales out, and scales in only while the state service serves it', async () => {
+  // Guards against a former leader that provisions a second fleet for the work it takes for lost, and
+  // deprovisions machines that its successor uses.
+  assert.deepEqual(await requestsOf({ scaleOut: false, scaleIn: false }), []);
+  assert.deepEqual(await requestsOf({ scaleOut: true, scaleIn: false }), ['provision']);
+  assert.deepEqual(await requestsOf({ scaleOut: true, scaleIn: true }), [
+    'release n-1',
+    'provision',
+  ]);
 });
 
-/** A cloud without room that answers no rent before that many have come. */
+/** A cloud without capacity that answers no provisioning request before that many have come. */
 async function aFullCloud(calls: number) {
   const asked: number[] = [];
-  let release = () => {};
-  const all = new Promise<void>((resolve) => (release = resolve));
+  let answerAll = () => {};
+  const all = new Promise<void>((resolve) => (answerAll = resolve));
   const server = await serveCbor(
     nodeRuntime,
     FREE_LOOPBACK_PORT,
@@ -103,7 +108,7 @@
       if (path === '/catalog') return { status: 200, body: { rigs: [] } };
       if (method === 'GET') return { status: 200, body: { hosts: [], more: false } };
       asked.push((body as { number: number }).number);
-      if (asked.length === calls) release();
+      if (asked.length === calls) answerAll();
       await all;
       return { status: 503, body: { error: 'no capacity' } };
     },
@@ -111,8 +116,8 @@
   return { server, asked };
 }
 
-test('the rents of one plan do not wait for the answers to each other', async () => {
-  // Guards against a fleet that is rented kind by kind: the last came seconds after the first.
+test('the provisioning requests of one plan do not wait for the answers to each other', async () => {
+  // Guards against a fleet that is provisioned kind by kind: the last came seconds after the first.
   const counts = [40, 40, 60];
   const kinds = counts.map((count, i) => ({ type: 'std', zone: 'abc'[i], spot: false, count }));
   const calls = 4;
@@ -121,7 +126,7 @@
   fleet.machines.setType(STD);
   const stop = new AbortController();
   const refused: string[] = [];
-  const leader = anOwner(fleet, {
+  const leader = aLeader(fleet, {
     plan: () => ({ scaleOut: refused.length === 0 ? kinds : [], scaleIn: [], consolidation: null }),
     scaleOutRefused: ({ zone }) => {
       refused.push(zone);
@@ -130,7 +135,7 @@
   });
   const client = new CloudClient(nodeRuntime, server.target, 60_000);
   const log = makeLog(nodeRuntime.clock, 'c-0', 'error');
-  const duty = new CloudReconciler({
+  const reconciler = new CloudReconciler({
     runtime: nodeRuntime,
     cloud: client,
     leader,
@@ -139,12 +144,12 @@
     listLagS: 1,
     heartbeatIntervalS: 1,
     leaseS: 10,
-    onTypes: async () => {},
+    onTypes: () => Promise.resolve(),
     mayScaleOut: () => true,
     mayScaleIn: () => true,
     log,
   });
-  await duty.run(stop.signal);
+  await reconciler.run(stop.signal);
   client.close();
   server.close();
   // What one call may ask for is bounded, and a full portion is no refusal of the rest.
--- a/packages/controller/cloud/cloud-reconciler.ts
+++ b/packages/controller/cloud/cloud-reconciler.ts
@@ -1,24 +1,25 @@
-import { Clock, CloudClient, MachineType, pause, RELEASE_AT_ONCE, Runtime } from '#wire';
-import { Consolidation, FleetState, beginScaleIn, Machine, startConsolidation } from '#core';
+/** The loop that keeps the cloud's machines and the fleet state of a leader in step. */
+import { beginScaleIn, type Consolidation, type FleetState, startConsolidation } from '#core';
 import { Budget } from '#store';
-import type { CloudAccess } from './cloud-access.js';
+import { type Clock, type CloudClient, type MachineType, pause, type Runtime } from '#wire';
+import type { ShardLeader } from '../leadership/shard-leader.js';
 import type { Log } from '../observability/log.js';
 import { MachineCatalog } from './machine-catalog.js';
+import { MachineDeprovisioner } from './machine-deprovisioner.js';
 import { MachineList } from './machine-list.js';
-import type { ShardLeader } from '../leadership/shard-leader.js';
 import { MachineProvisioner } from './machine-provisioner.js';
-import { unusableMachines } from './unusable-machines.js';
 
-/** Report periods that a new owner listens before it plans, unless it is the first. */
-const LISTEN_PERIODS = 4;
-/** Shares of a report period from one step to the next, and what a failed step adds to it. */
-const STEP_PAUSE = 1 / 4;
-const FAILURE_PAUSE = 1 / 2;
+/** Heartbeat intervals that a new leader receives heartbeats before it plans, unless it is the first. */
+const HEARTBEATS_BEFORE_PLAN = 4;
+/** Shares of a heartbeat interval from one step to the next, and what a failed step adds to it. */
+const STEP_PAUSE_SHARE = 1 / 4;
+const FAILURE_PAUSE_SHARE = 1 / 2;
 /** Each pause is drawn between this share of itself and as much above it. */
-const LEAST_PAUSE = 0.75;
-/** Share of the allowed rate that is used; a former owner's last calls may still count. */
+const MIN_JITTER = 0.75;
+/** Share of the allowed rate that is used; a former leader's last calls may still count. */
 const RATE_SHARE = 0.85;
 
+/** What a `CloudReconciler` works on. */
 export interface CloudReconcilerOptions {
   runtime: Runtime;
   cloud: CloudClient;
@@ -27,21 +28,26 @@
   name: string;
   /** Requests a second that the cloud allows to all controllers together. */
   rps: number;
-  /** How far the cloud's list of machines may be behind. */
+  /** How far the cloud's list of machines may be behind; seconds. */
   listLagS: number;
   heartbeatIntervalS: number;
+  /** Length of a worker lease; seconds. */
   leaseS: number;
-  /** Told of the machine types whenever they were asked for. */
+  /** Called with the machine types after each read of the catalog. */
   onTypes: (types: MachineType[], signal: AbortSignal) => Promise<void>;
-  /** Nobody else can own the part now, so what is rented is not rented twice. */
+  /** Whether no other controller can lead the shard now, so that nothing is provisioned twice. */
   mayScaleOut: () => boolean;
-  /** Besides, the state service serves us: what is stopped here can start elsewhere at once. */
+  /** Whether, besides, the state service serves us: what is stopped here can start elsewhere at once. */
   mayScaleIn: () => boolean;
   log: Log;
 }
 
-/** The leader's dealings with the cloud: the list, rents and releases. */
+/**
+ * Reads the cloud's catalog and list of machines, and scales the fleet out and in as the leader's
+ * planner asks. One step at a time; a step that fails is logged at debug and tried again.
+ */
 export class CloudReconciler {
+  /** When the fleet was last planned; steady seconds. */
   private plannedAt = -Infinity;
   private paused = false;
   /** The step that is under way; resolved if none is. */
@@ -50,25 +56,33 @@
   private readonly leader: ShardLeader;
   private readonly fleet: FleetState;
   private readonly log: Log;
-  private readonly access: CloudAccess;
   private readonly catalog: MachineCatalog;
   private readonly machineList: MachineList;
   private readonly provisioner: MachineProvisioner;
+  private readonly deprovisioner: MachineDeprovisioner;
 
   constructor(private readonly options: CloudReconcilerOptions) {
-    const { cloud, leader, rps } = options;
-    this.clock = options.runtime.clock;
-    ({ leader: this.leader, log: this.log } = options);
-    this.fleet = leader.fleet;
-    this.access = { cloud, budget: new Budget(this.clock, rps * RATE_SHARE) };
-    const { clock, fleet } = this;
-    const parts = { ...options, ...this.access, clock, fleet };
-    this.catalog = new MachineCatalog(parts);
-    this.machineList = new MachineList(parts);
-    this.provisioner = new MachineProvisioner(parts);
+    const { cloud, leader, name, rps, listLagS, heartbeatIntervalS, leaseS, log } = options;
+    const { onTypes, mayScaleOut, mayScaleIn } = options;
+    const { clock } = options.runtime;
+    const { fleet } = leader;
+    this.clock = clock;
+    this.leader = leader;
+    this.fleet = fleet;
+    this.log = log;
+    const access = { cloud, budget: new Budget(clock, rps * RATE_SHARE) };
+    this.catalog = new MachineCatalog({ ...access, fleet, heartbeatIntervalS, onTypes });
+    const machineList = new MachineList({ ...access, clock, fleet, listLagS, heartbeatIntervalS });
+    this.machineList = machineList;
+    this.provisioner = new MachineProvisioner({ ...access, clock, leader, name, mayScaleOut, log });
+    const requestRound = () => {
+      leader.requestRound();
+    };
+    const scaleIn = { clock, fleet, machineList, leaseS, mayScaleIn, requestRound, log };
+    this.deprovisioner = new MachineDeprovisioner({ ...access, ...scaleIn });
   }
 
-  /** Deals with the cloud until the signal aborts; what fails is tried again. */
+  /** Reconciles until the signal aborts. Never rejects. */
   async run(signal: AbortSignal): Promise<void> {
     const { heartbeatIntervalS } = this.options;
     while (!signal.aborted) {
@@ -76,28 +90,33 @@
         if (!this.paused) this.current = this.step(signal);
         await this.current;
       } catch (err) {
+        // eslint-disable-next-line @typescript-eslint/no-unnecessary-condition -- it may have aborted in the step
         if (signal.aborted) return;
-        this.log.debug({ err: String(err) }, 'cloud');
-        await this.rest(heartbeatIntervalS * FAILURE_PAUSE, signal);
+        this.log.debug({ err: String(err) }, 'cloud reconciliation failed, will be retried');
+        await this.pauseFor(heartbeatIntervalS * FAILURE_PAUSE_SHARE, signal);
       }
-      await this.rest(heartbeatIntervalS * STEP_PAUSE, signal);
+      await this.pauseFor(heartbeatIntervalS * STEP_PAUSE_SHARE, signal);
     }
   }
 
-  /** Asks the cloud for nothing more; resolves once no call is under way. */
+  /** Sends no further request to the cloud; resolves once no call is under way. */
   async pause(): Promise<void> {
     this.paused = true;
-    await this.current.catch(() => {});
+    try {
+      await this.current;
+    } catch {
+      // Nothing is lost: `run` awaits the same step, logs its failure and retries it after `resume`.
+    }
   }
 
-  /** Goes on after a pause. */
+  /** Reconciles again after a pause. */
   resume(): void {
     this.paused = false;
   }
 
-  private async rest(seconds: number, signal: AbortSignal): Promise<void> {
-    const spread = LEAST_PAUSE + this.options.runtime.random() * 2 * (1 - LEAST_PAUSE);
-    await pause(this.clock, seconds * 1000 * spread, signal);
+  private async pauseFor(seconds: number, signal: AbortSignal): Promise<void> {
+    const jitter = MIN_JITTER + this.options.runtime.random() * 2 * (1 - MIN_JITTER);
+    await pause(this.clock, seconds * 1000 * jitter, signal);
   }
 
   private async step(signal: AbortSignal): Promise<void> {
@@ -105,20 +124,20 @@
     const now = this.clock.now();
     await this.catalog.refreshIfDue(now, signal);
     await this.machineList.refreshIfDue(now, signal);
-    // A former owner that doesn't know of its successor yet takes every machine for silent, and those
-    // that it was about to return for empty: it must neither rent nor release on that.
+    // A former leader that doesn't know of its successor yet takes every machine for unreachable, and those
+    // that it was about to scale in for empty: it must neither scale out nor scale in on that.
     if (!mayScaleOut()) return;
-    if (mayScaleIn()) await this.scaleInUnusable(now, signal);
+    if (mayScaleIn()) await this.deprovisioner.deprovisionUnusable(now, signal);
     if (!this.mayPlan(now) || now - this.plannedAt < heartbeatIntervalS) return;
     this.plannedAt = now;
     await this.carryOutPlan(now, signal);
   }
 
-  /** After a take-over, first hear what is there. */
+  /** After a failover, first wait for heartbeats of the machines that are there. */
   private mayPlan(now: number): boolean {
-    const { leader, options, machineList: list } = this;
-    const listenS = leader.first ? 0 : LISTEN_PERIODS * options.heartbeatIntervalS;
-    return leader.ready && list.known && now - leader.startedAt > listenS;
+    const { leader, machineList, options } = this;
+    const waitS = leader.first ? 0 : HEARTBEATS_BEFORE_PLAN * options.heartbeatIntervalS;
+    return leader.ready && machineList.loaded && now - leader.startedAt > waitS;
   }
 
   private async carryOutPlan(now: number, signal: AbortSignal): Promise<void> {
@@ -126,7 +145,7 @@
     if (consolidation !== null && this.options.mayScaleIn()) this.consolidate(consolidation, now);
     if (scaleIn.length > 0) {
       for (const machine of scaleIn) beginScaleIn(this.fleet, machine, now);
-      this.log.info({ machines: scaleIn.map((machine) => machine.name) }, 'surplus');
+      this.log.info({ machines: scaleIn.map((machine) => machine.name) }, 'scale-in started');
     }
     await this.provisioner.provisionAll(scaleOut, signal);
   }
@@ -135,25 +154,6 @@
     startConsolidation(this.fleet, consolidation, now);
     this.leader.requestRound();
     const { machine, moves } = consolidation;
-    this.log.info({ machine: machine.name, replicas: moves.length }, 'emptied');
-  }
-
-  private async scaleInUnusable(now: number, signal: AbortSignal): Promise<void> {
-    const unusable = unusableMachines(this.fleet, now, this.options.leaseS);
-    if (unusable.length > 0) await this.release(unusable.slice(0, RELEASE_AT_ONCE), signal);
-  }
-
-  private async release(machines: Machine[], signal: AbortSignal): Promise<void> {
-    const names = machines.map((machine) => machine.name);
-    for (const machine of machines) this.fleet.machines.drain(machine);
-    await this.access.budget.acquire(1, true, signal);
-    // The wait for the budget may have been long, or the process may have stood still in it.
-    if (!this.options.mayScaleIn()) return;
-    await this.access.cloud.release(names, signal);
-    const now = this.clock.now();
-    for (const name of names) this.fleet.removeMachine(name, now);
-    this.machineList.recordReleased(names, now);
-    this.log.info({ machines: names }, 'released');
-    this.leader.requestRound();
+    this.log.info({ machine: machine.name, replicas: moves.length }, 'consolidation started');
   }
 }
--- a/packages/controller/cloud/machine-catalog.ts
+++ b/packages/controller/cloud/machine-catalog.ts
@@ -1,34 +1,43 @@
+/** Reads the cloud's catalog of machine types into the fleet state. */
 import type { FleetState } from '#core';
 import type { MachineType } from '#wire';
 import type { CloudAccess } from './cloud-access.js';
 
-/** Report periods from one look at the machine types to the next. */
-const CATALOG_PERIODS = 30;
+/** Heartbeat intervals from one read of the catalog to the next. */
+const CATALOG_INTERVALS = 30;
 
+/** What a `MachineCatalog` works on. */
 export interface MachineCatalogOptions extends CloudAccess {
   fleet: FleetState;
   heartbeatIntervalS: number;
-  /** Told of the machine types whenever they were asked for. */
+  /** Called with the machine types after each read of the catalog. */
   onTypes: (types: MachineType[], signal: AbortSignal) => Promise<void>;
 }
 
 /** Keeps the fleet's machine types as the cloud's catalog has them. */
 export class MachineCatalog {
-  /** When the types were asked for last; steady seconds. */
+  /** When the catalog was last read; steady seconds. */
   private readAt = -Infinity;
 
   constructor(private readonly options: MachineCatalogOptions) {}
 
-  /** Reads the catalog if no type is known or the last look is old by now. */
+  /**
+   * Reads the catalog if no type is known or the last read is too old. `now` is in steady seconds.
+   * Rejects if the cloud or `onTypes` fails; the next call then reads again.
+   */
   async refreshIfDue(now: number, signal: AbortSignal): Promise<void> {
-    const { cloud, budget, fleet, heartbeatIntervalS, onTypes } = this.options;
-    const { machines } = fleet;
-    if (now - this.readAt <= CATALOG_PERIODS * heartbeatIntervalS && machines.types.size > 0)
-      return;
+    if (!this.isDue(now)) return;
+    const { cloud, budget, fleet, onTypes } = this.options;
     await budget.acquire(1, false, signal);
     const types = await cloud.catalog(signal);
-    for (const type of types) machines.setType(type);
+    for (const type of types) fleet.machines.setType(type);
     await onTypes(types, signal);
     this.readAt = now;
   }
+
+  private isDue(now: number): boolean {
+    const { fleet, heartbeatIntervalS } = this.options;
+    const isOld = now - this.readAt > CATALOG_INTERVALS * heartbeatIntervalS;
+    return isOld || fleet.machines.types.size === 0;
+  }
 }
--- /dev/null
+++ b/packages/controller/cloud/machine-deprovisioner.ts
@@ -0,0 +1,51 @@
+/** Gives machines back to the cloud. */
+import type { FleetState, Machine } from '#core';
+import { type Clock, RELEASE_AT_ONCE } from '#wire';
+import type { Log } from '../observability/log.js';
+import type { CloudAccess } from './cloud-access.js';
+import type { MachineList } from './machine-list.js';
+import { unusableMachines } from './unusable-machines.js';
+
+/** What a `MachineDeprovisioner` works on. */
+export interface MachineDeprovisionerOptions extends CloudAccess {
+  clock: Clock;
+  fleet: FleetState;
+  machineList: MachineList;
+  /** Length of a worker lease; seconds. */
+  leaseS: number;
+  /** Whether this controller certainly leads and what it stops can start elsewhere at once. */
+  mayScaleIn: () => boolean;
+  /** Called once tasks were removed with their machines. */
+  requestRound: () => void;
+  log: Log;
+}
+
+/** Deprovisions machines on which nothing can run. */
+export class MachineDeprovisioner {
+  constructor(private readonly options: MachineDeprovisionerOptions) {}
+
+  /**
+   * Deprovisions as many unusable machines as one call may. `now` is in steady seconds. Rejects if the
+   * cloud fails; the machines are then found again by the next call.
+   */
+  async deprovisionUnusable(now: number, signal: AbortSignal): Promise<void> {
+    const { fleet, leaseS } = this.options;
+    const unusable = unusableMachines(fleet, now, leaseS);
+    if (unusable.length > 0) await this.deprovision(unusable.slice(0, RELEASE_AT_ONCE), signal);
+  }
+
+  private async deprovision(machines: Machine[], signal: AbortSignal): Promise<void> {
+    const { cloud, budget, clock, fleet, machineList, mayScaleIn, log } = this.options;
+    const names = machines.map((machine) => machine.name);
+    for (const machine of machines) fleet.machines.drain(machine);
+    await budget.acquire(1, true, signal);
+    // The wait for the budget may have been long, or the process may have stood still in it.
+    if (!mayScaleIn()) return;
+    await cloud.release(names, signal);
+    const now = clock.now();
+    for (const name of names) fleet.removeMachine(name, now);
+    machineList.recordDeprovisioned(names, now);
+    log.info({ machines: names }, 'machines deprovisioned');
+    this.options.requestRound();
+  }
+}
--- a/packages/controller/cloud/machine-list.ts
+++ b/packages/controller/cloud/machine-list.ts
@@ -1,14 +1,16 @@
+/** Reads the cloud's list of machines into the fleet state. */
 import type { FleetState } from '#core';
 import type { Clock, ListedMachine } from '#wire';
 import type { CloudAccess } from './cloud-access.js';
 
-/** Report periods from one list to the next, if the list's lag does not ask for more. */
-const LIST_PERIODS = 2;
+/** Heartbeat intervals from one list to the next, if the list's lag does not ask for more. */
+const LIST_INTERVALS = 2;
 /** Share of the list's lag from one list to the next. */
 const LIST_LAG_SHARE = 1 / 2;
-/** Multiple of the list's lag for which a release is remembered. */
-const RELEASE_MEMORY = 20;
+/** Multiple of the list's lag for which a deprovisioned machine is remembered. */
+const DEPROVISIONED_MEMORY_LAGS = 20;
 
+/** What a `MachineList` works on. */
 export interface MachineListOptions extends CloudAccess {
   clock: Clock;
   fleet: FleetState;
@@ -17,30 +19,33 @@
   heartbeatIntervalS: number;
 }
 
-/** Keeps the fleet in step with the cloud's list of machines, which lags behind what was released. */
+/** Keeps the fleet in step with the cloud's list of machines, which lags behind deprovisioning. */
 export class MachineList {
-  /** When the last complete list was asked for; steady seconds. */
+  /** When the last complete list was requested; steady seconds. */
   private listedAt = -Infinity;
-  /** When each machine was released, for as long as the list may still show it; steady seconds. */
-  private readonly releasedAt = new Map<string, number>();
+  /** When each machine was deprovisioned, for as long as the list may still show it; steady seconds. */
+  private readonly deprovisionedAt = new Map<string, number>();
 
   constructor(private readonly options: MachineListOptions) {}
 
   /** Whether a complete list has been read. */
-  get known(): boolean {
+  get loaded(): boolean {
     return this.listedAt > -Infinity;
   }
 
-  /** Reads the list if the last one is old by now. */
+  /**
+   * Reads the list if the last one is too old. `now` is in steady seconds. Rejects if the cloud fails;
+   * what was read until then is kept, and the next call reads the list from its start.
+   */
   async refreshIfDue(now: number, signal: AbortSignal): Promise<void> {
     const { heartbeatIntervalS, listLagS } = this.options;
-    const periodS = Math.max(LIST_PERIODS * heartbeatIntervalS, listLagS * LIST_LAG_SHARE);
-    if (now - this.listedAt > periodS) await this.refresh(signal);
+    const intervalS = Math.max(LIST_INTERVALS * heartbeatIntervalS, listLagS * LIST_LAG_SHARE);
+    if (now - this.listedAt > intervalS) await this.refresh(signal);
   }
 
-  /** These machines are gone, whatever later lists show. */
-  recordReleased(names: string[], now: number): void {
-    for (const name of names) this.releasedAt.set(name, now);
+  /** These machines are gone, whatever later lists show. `now` is in steady seconds. */
+  recordDeprovisioned(names: string[], now: number): void {
+    for (const name of names) this.deprovisionedAt.set(name, now);
   }
 
   private async refresh(signal: AbortSignal): Promise<void> {
@@ -50,7 +55,7 @@
       for (const machine of page) this.apply(machine, now);
     }
     this.listedAt = now;
-    this.forgetOldReleases(now);
+    this.forgetOldDeprovisioned(now);
     fleet.machines.updateTotals();
   }
 
@@ -70,24 +75,24 @@
 
   private apply(listed: ListedMachine, now: number): void {
     const { machines } = this.options.fleet;
-    if (this.releasedAt.has(listed.name)) return;
+    if (this.deprovisionedAt.has(listed.name)) return;
     const known = machines.get(listed.name);
     if (known) {
       if (listed.state === 'failed') machines.markFailed(known);
       return;
     }
     const bootS = machines.types.get(listed.type)?.bootS ?? 0;
-    // One that is listed as running has a boot time's worth of patience to report to us.
+    // One that is listed as running has a boot time to send its first heartbeat to this leader.
     const requestedAt = listed.state === 'booting' ? now - listed.ageS : now - bootS;
     const machine = machines.register(listed, 'booting', requestedAt);
     if (listed.state === 'failed') machines.markFailed(machine);
   }
 
-  private forgetOldReleases(now: number): void {
+  private forgetOldDeprovisioned(now: number): void {
     const { listLagS, heartbeatIntervalS } = this.options;
-    const memoryS = RELEASE_MEMORY * Math.max(listLagS, heartbeatIntervalS);
-    for (const [name, releasedAt] of this.releasedAt) {
-      if (now - releasedAt > memoryS) this.releasedAt.delete(name);
+    const memoryS = DEPROVISIONED_MEMORY_LAGS * Math.max(listLagS, heartbeatIntervalS);
+    for (const [name, deprovisionedAt] of this.deprovisionedAt) {
+      if (now - deprovisionedAt > memoryS) this.deprovisionedAt.delete(name);
     }
   }
 }
--- a/packages/controller/cloud/machine-provisioner.ts
+++ b/packages/controller/cloud/machine-provisioner.ts
@@ -1,36 +1,41 @@
+/** Requests machines from the cloud, as the capacity planner asks for them. */
 import type { ScaleOutRequest } from '#core';
-import { type Clock, NoAnswer, MACHINES_PER_REQUEST } from '#wire';
-import type { CloudAccess } from './cloud-access.js';
-import type { Log } from '../observability/log.js';
+import { type Clock, MACHINES_PER_REQUEST, NoAnswer } from '#wire';
 import type { ShardLeader } from '../leadership/shard-leader.js';
+import type { Log } from '../observability/log.js';
+import type { CloudAccess } from './cloud-access.js';
 
-/** Share of a type's boot time for which a refused kind of machine is not asked for again. */
-const REFUSED_FOR = 1 / 3;
-/** Calls for one rental whose outcome is unknown. */
+/** Share of a type's boot time for which a refused kind of machine is not requested again. */
+const REFUSED_FOR_BOOT_SHARE = 1 / 3;
+/** Calls for one request whose outcome is unknown or that the cloud could not serve. */
 const PROVISION_ATTEMPTS = 4;
 
+/** What a `MachineProvisioner` works on. */
 export interface MachineProvisionerOptions extends CloudAccess {
   clock: Clock;
-  leader: ShardLeader;
+  leader: Pick<ShardLeader, 'fleet' | 'planner' | 'term'>;
   /** This controller's name. */
   name: string;
-  /** Nobody else can own the part now, so what is rented is not rented twice. */
+  /** Whether no other controller can lead the shard now, so that nothing is provisioned twice. */
   mayScaleOut: () => boolean;
   log: Log;
 }
 
-/** Rents machines in a term, under request names that no other life of any controller uses. */
+/** Provisions machines in a term, under request names that no other incarnation of any controller uses. */
 export class MachineProvisioner {
   private requests = 0;
 
   constructor(private readonly options: MachineProvisionerOptions) {}
 
   /**
-   * Rents what a plan asks for. The calls go out together, as fast as the rate allows: each second that
-   * one waits for the answer to another is a second that somebody's replica is not up.
+   * Provisions what a plan asks for. The calls go out together, as fast as the rate allows: each second that
+   * one waits for the answer to another is a second that somebody's replica is not up. Rejects with the first
+   * error of the cloud other than a missing answer.
    */
   async provisionAll(scaleOuts: ScaleOutRequest[], signal: AbortSignal): Promise<void> {
-    const calls = scaleOuts.flatMap(portions).map((portion) => this.provision(portion, signal));
+    const calls = scaleOuts
+      .flatMap(splitByCall)
+      .map((scaleOut) => this.provision(scaleOut, signal));
     await Promise.all(calls);
   }
 
@@ -46,7 +51,7 @@
         this.register(request, scaleOut, outcome === 'no-capacity' ? [] : outcome.machines);
         return;
       } catch (err) {
-        // Unknown outcome: the same name again gives the same answer and rents nothing more.
+        // Unknown outcome: the same name again gives the same answer and provisions nothing more.
         if (!(err instanceof NoAnswer)) throw err;
       }
     }
@@ -64,20 +69,20 @@
     const now = clock.now();
     if (names.length < count) {
       const bootS = machines.types.get(type)?.bootS ?? 0;
-      leader.planner.scaleOutRefused(scaleOut, now + bootS * REFUSED_FOR);
+      leader.planner.scaleOutRefused(scaleOut, now + bootS * REFUSED_FOR_BOOT_SHARE);
     }
     for (const name of names) {
       machines.register({ name, addr: '', type, zone, spot }, 'booting', now);
     }
-    log.info({ request, ...scaleOut, got: names.length }, 'rent');
+    log.info({ request, ...scaleOut, provisioned: names.length }, 'scale-out completed');
   }
 }
 
-/** Parts that one call each may rent. */
-function portions(scaleOut: ScaleOutRequest): ScaleOutRequest[] {
-  const parts: ScaleOutRequest[] = [];
+/** Requests of at most as many machines as one call may provision. */
+function splitByCall(scaleOut: ScaleOutRequest): ScaleOutRequest[] {
+  const requests: ScaleOutRequest[] = [];
   for (let left = scaleOut.count; left > 0; left -= MACHINES_PER_REQUEST) {
-    parts.push({ ...scaleOut, count: Math.min(left, MACHINES_PER_REQUEST) });
+    requests.push({ ...scaleOut, count: Math.min(left, MACHINES_PER_REQUEST) });
   }
-  return parts;
+  return requests;
 }
--- a/packages/controller/cloud/machine-types.ts
+++ b/packages/controller/cloud/machine-types.ts
@@ -1,7 +1,8 @@
+/** The machine types as all controllers know them, by their record in the state service. */
+import { type PrefixCache, sizeInJson, type StateClient, TYPES_KEY } from '#store';
 import type { MachineType } from '#wire';
-import { PrefixCache, sizeInJson, StateClient, TYPES_KEY } from '#store';
 
-/** The machine types that can be rented, recorded for the controllers that don't ask the cloud. */
+/** The machine types that can be provisioned, recorded for the controllers that don't ask the cloud. */
 export class MachineTypes {
   private types: MachineType[] = [];
   /** What the records hold, by page. */
@@ -14,11 +15,7 @@
   ) {
     world.changes.subscribe(({ key, value }) => {
       const page = pageOf(key);
-      if (page === null) return;
-      if (value) this.pages.set(page, value as MachineType[]);
-      else this.pages.delete(page);
-      const inOrder = [...this.pages].sort(([one], [other]) => one - other);
-      this.types = inOrder.flatMap(([, types]) => types);
+      if (page !== null) this.applyPage(page, value);
     });
   }
 
@@ -27,7 +24,10 @@
     return this.types;
   }
 
-  /** Records the types as the cloud has just listed them, if their nominal sizes differ. */
+  /**
+   * Records the types as the cloud has just listed them, if their nominal sizes differ. Rejects if the state
+   * service does not answer or refuses the request.
+   */
   async publish(types: MachineType[], signal: AbortSignal): Promise<void> {
     if (this.types.length > 0 && sizesOf(types) === sizesOf(this.types)) {
       this.types = types;
@@ -37,9 +37,16 @@
     const puts = pages.map((value, page) => ({ put: typesKey(page), value }));
     const removed = [...this.pages.keys()].filter((page) => page >= pages.length);
     const changes = [...puts, ...removed.map((page) => ({ delete: typesKey(page) }))];
-    const out = await this.client.txn([], changes, true, signal);
-    if (!out.ok) return;
-    for (const { put, value } of puts) this.world.applyLocal(put, value, out.revision);
+    const outcome = await this.client.txn([], changes, true, signal);
+    if (!outcome.ok) return;
+    for (const { put, value } of puts) this.world.applyLocal(put, value, outcome.revision);
+  }
+
+  private applyPage(page: number, value: unknown): void {
+    if (value) this.pages.set(page, value as MachineType[]);
+    else this.pages.delete(page);
+    const inOrder = [...this.pages].sort(([one], [other]) => one - other);
+    this.types = inOrder.flatMap(([, types]) => types);
   }
 }
 
@@ -56,16 +63,21 @@
 
 /** The types in as few values as hold them, each of at most so many bytes unless one type alone is larger. */
 function typePages(types: MachineType[], valueBytes: number): MachineType[][] {
-  const pages: MachineType[][] = [[]];
+  let page: MachineType[] = [];
+  const pages = [page];
   for (const type of types) {
-    const page = pages.at(-1)!;
-    if (page.length > 0 && sizeInJson([...page, type]) > valueBytes) pages.push([type]);
-    else page.push(type);
+    if (page.length > 0 && sizeInJson([...page, type]) > valueBytes) {
+      page = [];
+      pages.push(page);
+    }
+    page.push(type);
   }
   return pages;
 }
 
 /** Prices and times vary; these do not. */
 function sizesOf(types: MachineType[]): string {
-  return JSON.stringify(types.map((t) => [t.name, t.cpus, t.gpus, t.memory, t.zones]));
+  return JSON.stringify(
+    types.map(({ name, cpus, gpus, memory, zones }) => [name, cpus, gpus, memory, zones]),
+  );
 }
--- a/packages/controller/cloud/unusable-machines.ts
+++ b/packages/controller/cloud/unusable-machines.ts
@@ -1,29 +1,33 @@
+/** Which machines are to be deprovisioned because nothing can run on them. */
 import type { FleetState, Machine } from '#core';
 
-/** Multiple of a type's boot time after which a machine that has never reported is given back. */
-const BOOT_LATE = 4;
-/** Leases for which a machine may be silent before it is given back. */
-const EXPIRED_LEASES = 2;
+/** Multiple of a type's boot time after which a machine without a heartbeat counts as never booted. */
+const BOOT_TIMEOUT_FACTOR = 4;
+/** Worker leases, counted from the lease expiry, after which a machine is given up. */
+const LEASES_AFTER_EXPIRY = 2;
 
-/** Machines that cost money for nothing: failed, never up, long silent, or empty and not wanted. */
+/**
+ * Machines that cost money for nothing: failed, never booted, long without a heartbeat, or drained.
+ * `now` is in steady seconds, `leaseS` is the length of a worker lease.
+ */
 export function unusableMachines(fleet: FleetState, now: number, leaseS: number): Machine[] {
   const { machines } = fleet;
   const isUnusable = (machine: Machine) =>
     machine.failedInList ||
-    neverCameUp(machine, machines.typeOf(machine)?.bootS ?? 0, now) ||
-    isLongSilent(machine, leaseS, now) ||
-    isEmptyAndUnwanted(machine);
+    neverBooted(machine, machines.typeOf(machine)?.bootS ?? 0, now) ||
+    isLongExpired(machine, leaseS, now) ||
+    isDrained(machine);
   return [...machines.groups.unsettled].filter(isUnusable);
 }
 
-function neverCameUp(machine: Machine, bootS: number, now: number): boolean {
-  return machine.state === 'booting' && now - machine.requestedAt > BOOT_LATE * bootS;
+function neverBooted(machine: Machine, bootS: number, now: number): boolean {
+  return machine.state === 'booting' && now - machine.requestedAt > BOOT_TIMEOUT_FACTOR * bootS;
 }
 
-function isLongSilent(machine: Machine, leaseS: number, now: number): boolean {
-  return machine.state === 'expired' && now - machine.expiredAt > EXPIRED_LEASES * leaseS;
+function isLongExpired(machine: Machine, leaseS: number, now: number): boolean {
+  return machine.state === 'expired' && now - machine.expiredAt > LEASES_AFTER_EXPIRY * leaseS;
 }
 
-function isEmptyAndUnwanted(machine: Machine): boolean {
+function isDrained(machine: Machine): boolean {
   return machine.draining && machine.tasks.size === 0;
 }
--- a/packages/testing/meetings/cut-or-frozen-leader.test.ts
+++ b/packages/testing/meetings/cut-or-frozen-leader.test.ts
@@ -118,7 +118,10 @@
     const ranOn = confirmed.filter(({ job }) => lastTaskLeftAt(result, job) > freeze.untilS + 2);
     assert.ok(ranOn.length >= 1, 'no cancelled job ran on');
     const { log } = result.controllers.find(({ name }) => name === leader.owner)!;
-    const dealings = [...log.entries('rent'), ...log.entries('released')];
+    const dealings = [
+      ...log.entries('scale-out completed'),
+      ...log.entries('machines deprovisioned'),
+    ];
     assert.deepEqual(
       dealings.filter(({ atS }) => atS > freeze.untilS && atS < cut.untilS),
       [],
--- a/packages/testing/meetings/faulty-jobs.test.ts
+++ b/packages/testing/meetings/faulty-jobs.test.ts
@@ -102,7 +102,7 @@
     atS,
     untilS: cancelledAt(result, id),
   }));
-  const rents = result.controllers.flatMap(({ log }) => log.entries('rent'));
+  const rents = result.controllers.flatMap(({ log }) => log.entries('scale-out completed'));
   return rents
     .filter((rent) => rent.type === type)
     .map(({ atS }) => atS)
