--- a/packages/controller/jobs/job-intake.test.ts
+++ b/packages/controller/jobs/job-intake.test.ts
@@ -6,7 +6,8 @@
 
 const LIMITS = { rps: 100, writeRps: 100, valueBytes: 8192, txnOps: 24 };
 
-async function anIntake(asked: string[]) {
+/** An intake whose users have asked to cancel these jobs. */
+async function anIntake(requested: string[]) {
   const world = await StateWorld.start(LIMITS);
   const fleet = aFleet();
   const arrivals: string[] = [];
@@ -15,7 +16,7 @@
     fleet,
     planner: { jobArrived: (job) => void arrivals.push(job.id) },
     jobs: {
-      isCancelled: (id) => asked.includes(id),
+      isCancelled: (id) => requested.includes(id),
       hasOpenDependencies: () => false,
       openDependenciesOf: () => [],
       urgencyOf: () => ({ rank: 2, dueAtMs: Infinity }),
@@ -29,8 +30,8 @@
   return { job: aJob({ id }), acceptedAtMs: 0, phase: 'accepted', version: 1 };
 }
 
-test('a job whose cancellation was asked for before its owner read it is never begun', async () => {
-  // Guards against starts in the half report period until a new owner, or the owner of a job that came
+test('a job whose cancellation was requested before its leader read it is never begun', async () => {
+  // Guards against starts in the half heartbeat interval until a new leader, or the leader of a job that came
   // after the request, looked at what users had asked for.
   const { fleet, intake, arrivals } = await anIntake(['j-1']);
   intake.accept(accepted('j-1'));
--- a/packages/controller/jobs/job-table.test.ts
+++ b/packages/controller/jobs/job-table.test.ts
@@ -8,7 +8,7 @@
 import { JobTable } from './job-table.js';
 
 const LIMITS = { rps: 150, writeRps: 50, valueBytes: 8192, txnOps: 24 };
-/** Most of the heap of the smallest controller that the jobs of a long swarm may take. */
+/** Most of the heap of the smallest controller that one job may take. */
 const ENDED_JOB_BYTES = 300;
 const OPEN_JOB_BYTES = 600;
 
