--- a/packages/controller/leadership/leadership-terms.ts
+++ b/packages/controller/leadership/leadership-terms.ts
@@ -6,7 +6,7 @@
 import type { LeaderLeaseState } from './leader-lease-check.js';
 import type { ReadRecords } from '../records/record-loader.js';
 import { ShardLeader } from './shard-leader.js';
-import { TermBroken } from '../records/recorder.js';
+import { TermBroken } from '../records/term-broken.js';
 import type { ControllerServices } from '../services.js';
 
 /**
--- a/packages/controller/records/cancellation-recorder.test.ts
+++ b/packages/controller/records/cancellation-recorder.test.ts
@@ -12,10 +12,10 @@
   USERS_HOST,
 } from '#testing';
 
-const REPORT_S = SMALL_CLUSTER.deployment.workers.report_s;
+const HEARTBEAT_INTERVAL_S = SMALL_CLUSTER.deployment.workers.report_s;
 const ID = 'j-1';
 
-/** A cluster whose job runs, and the controllers that don't own. */
+/** A cluster whose job runs, and the controllers that don't lead. */
 async function aClusterWithJob() {
   const cluster = new Cluster(SMALL_CLUSTER, 3);
   const runtime = cluster.serviceRuntime('users', 'users', USERS_HOST);
@@ -37,8 +37,8 @@
   return decodeJob(entry.value, entry.version);
 }
 
-test('a cancellation whose controller ends before it is recorded is recorded by the owner', async () => {
-  // Guards against jobs that were ended in memory, but called pending until another owner began them anew.
+test('a cancellation whose controller ends before it is recorded is recorded by the leader', async () => {
+  // Guards against jobs that were ended in memory, but called pending until another leader began them again.
   const { cluster, followers, userAt } = await aClusterWithJob();
   assert.equal(cluster.timeline.of('task-started').length, 1);
   cluster.state.beginLateWrites(1, [30, 30]);
@@ -48,9 +48,9 @@
   await cluster.world.runUntil(60.2);
   cluster.state.endLateWrites();
   followers[0].process.crash();
-  await cluster.world.runUntil(60.2 + 3 * REPORT_S);
+  await cluster.world.runUntil(60.2 + 3 * HEARTBEAT_INTERVAL_S);
   assert.equal(recordOf(cluster).phase, 'accepted');
-  await cluster.world.runUntil(60.2 + 8 * REPORT_S);
+  await cluster.world.runUntil(60.2 + 8 * HEARTBEAT_INTERVAL_S);
   const recorded = recordOf(cluster);
   assert.equal(recorded.phase, 'cancelled');
   // The late write of the controller that ended changes nothing.
@@ -70,7 +70,7 @@
   const { value } = cluster.state.store.get(jobKey(ID))!;
   const done = { ...(value as object), phase: 'done' };
   const version = cluster.state.store.apply([{ put: jobKey(ID), value: done }]);
-  await cluster.world.runUntil(60.2 + 12 * REPORT_S);
+  await cluster.world.runUntil(60.2 + 12 * HEARTBEAT_INTERVAL_S);
   assert.equal(recordOf(cluster).phase, 'done');
   assert.equal(recordOf(cluster).version, version);
   assert.deepEqual(cluster.world.uncaught, []);
--- a/packages/controller/records/cancellation-recorder.ts
+++ b/packages/controller/records/cancellation-recorder.ts
@@ -1,57 +1,58 @@
-import { encodeEndedJob, type GroupCommit, jobKey, type StateClient } from '#store';
+/** Records cancellations whose own controller did not. */
+import type { GroupCommit, StateClient } from '#store';
 import type { Clock } from '#wire';
 import type { JobTable } from '../jobs/job-table.js';
 import type { Log } from '../observability/log.js';
+import { jobEnding } from './job-ending.js';
 
-/** Report periods that the controller which took a request has to record it, and between attempts. */
-const PATIENCE_PERIODS = 4;
+/** Heartbeat intervals that the controller with the request has to record it, and between attempts. */
+const PATIENCE_INTERVALS = 4;
 
+/** What a `CancellationRecorder` works on. */
 export interface CancellationRecorderOptions {
   clock: Clock;
   client: StateClient;
   commits: GroupCommit;
   jobs: JobTable;
-  /** Jobs that were ended on request before a record said so, and since when each waits; see JobIntake. */
+  /** Jobs that were cancelled on request before a record said so, and since when each waits; see JobIntake. */
   unrecorded: Map<string, number>;
   heartbeatIntervalS: number;
   log: Log;
 }
 
 /**
- * Records cancellations that an owner has acted upon and that nobody else has recorded: the controller that
- * took the request may have ended, or the user may have given up repeating it. Until then such a job would be
- * called pending while nothing of it runs. A job that was recorded as done before stays done.
+ * Records cancellations that a leader has acted upon and that nobody else has recorded: the controller that
+ * accepted the request may have ended, or the user may have given up repeating it. Until then such a job would
+ * be called pending while nothing of it runs. A job that was recorded as done before stays done.
  */
 export class CancellationRecorder {
   constructor(private readonly options: CancellationRecorderOptions) {}
 
-  /** Begins to record what is due. */
+  /** Begins to record what is due. What fails is logged at debug and tried again later. */
   push(): void {
-    const { clock, client, unrecorded, heartbeatIntervalS } = this.options;
+    const { clock, client, unrecorded, heartbeatIntervalS, log } = this.options;
     if (unrecorded.size === 0 || client.failing) return;
     const now = clock.now();
-    for (const [id, waitsSince] of unrecorded) {
-      if (now < waitsSince + PATIENCE_PERIODS * heartbeatIntervalS) continue;
+    for (const [id, waitingSince] of unrecorded) {
+      if (now < waitingSince + PATIENCE_INTERVALS * heartbeatIntervalS) continue;
       unrecorded.set(id, now);
-      // What fails is tried again.
-      void this.record(id).catch(() => {});
+      this.record(id).catch((err: unknown) => {
+        log.debug({ job: id, err: String(err) }, 'cancellation not recorded, will be retried');
+      });
     }
   }
 
   private async record(id: string): Promise<void> {
-    const { jobs, commits, log } = this.options;
+    const { client, jobs, commits, log } = this.options;
     const record = jobs.get(id);
     if (record?.phase !== 'accepted') return;
-    const key = jobKey(id);
-    const { valueBytes } = this.options.client.limits;
-    const value = encodeEndedJob({ ...record, phase: 'cancelled' }, valueBytes);
-    const condition = { key, version: record.version };
-    const outcome = await commits.commit(record.job.team, [condition], [{ put: key, value }]);
+    const { condition, change } = jobEnding(record, 'cancelled', client.limits.valueBytes);
+    const outcome = await commits.commit(record.job.team, [condition], [change]);
     if (!outcome.ok) {
       await jobs.cache.sync();
       return;
     }
-    jobs.cache.applyLocal(key, value, outcome.revision);
-    log.info({ job: id }, 'cancellation recorded by the owner');
+    jobs.cache.applyLocal(change.put, change.value, outcome.revision);
+    log.info({ job: id }, 'cancellation recorded by the leader');
   }
 }
--- a/packages/controller/records/flush-loop.ts
+++ b/packages/controller/records/flush-loop.ts
@@ -1,27 +1,29 @@
+/** The loop that records what a leader decides. */
 import { type Clock, WakeablePause } from '#wire';
 import type { Recorder } from './recorder.js';
 
+/** What a `FlushLoop` works on. */
 export interface FlushLoopOptions {
   clock: Clock;
   recorder: Recorder;
-  /** From one look at what is to be recorded to the next if nothing wakes the loop. */
+  /** From one check of what is to be recorded to the next if nothing wakes the loop; milliseconds. */
   idleMs: number;
-  /** Told after each transaction. */
+  /** Called after each transaction. */
   onFlushed: (signal: AbortSignal) => void;
 }
 
-/** Records what an owner has decided, one transaction after another, for as long as its term lasts. */
+/** Records what a leader has decided, one transaction after another, for as long as its term lasts. */
 export class FlushLoop {
   private readonly idle: WakeablePause;
   private paused = false;
-  /** Told once no transaction is under way. */
-  private onRest: () => void = () => {};
+  /** Called while no transaction is under way. */
+  private onIdle: (() => void) | null = null;
 
   constructor(private readonly options: FlushLoopOptions) {
     this.idle = new WakeablePause(options.clock);
   }
 
-  /** Runs until the signal aborts; rejects with TermBroken if the term must be given up. */
+  /** Runs until the signal aborts; rejects with TermBroken if the term must end. */
   async run(signal: AbortSignal): Promise<void> {
     const { recorder, idleMs, onFlushed } = this.options;
     while (!signal.aborted) {
@@ -29,7 +31,7 @@
         await recorder.flush(signal);
         onFlushed(signal);
       } else {
-        this.onRest();
+        this.onIdle?.();
         await this.idle.wait(idleMs, signal);
       }
     }
@@ -44,15 +46,15 @@
   pause(): Promise<void> {
     this.paused = true;
     return new Promise((resolve) => {
-      this.onRest = resolve;
+      this.onIdle = resolve;
       this.idle.wake();
     });
   }
 
-  /** Records again. */
+  /** Records again after a pause. */
   resume(): void {
     this.paused = false;
-    this.onRest = () => {};
+    this.onIdle = null;
     this.idle.wake();
   }
 }
--- a/packages/controller/records/job-records.test.ts
+++ b/packages/controller/records/job-records.test.ts
@@ -13,7 +13,7 @@
 
 test('whatever the size of values and transactions, machines and progress are recorded in time', async () => {
   // Guards against a loop without a pause where no value could be sure to fit, and against transactions
-  // that the state service refuses for ever because all parts of a job were to share one.
+  // that the state service refuses for ever because all chunks of a job were to share one.
   const done = [0, 30_000, 60_000, 99_999];
   for (const [valueBytes, txnOps] of [
     [512, 2],
@@ -37,7 +37,7 @@
     const revision = state.service.store.revision;
     aJobWithDone(fleet, [60_001]);
     await flush();
-    // Only the part that differs is written.
+    // Only the chunk that differs is written.
     assert.equal(state.service.store.revision, revision + 1);
     assert.equal(fleet.unrecorded.doneTasksOf(job.spec.id).size, 0);
     assert.equal(state.service.store.get('jobs/j-1')?.version, 2);
--- a/packages/controller/records/job-records.ts
+++ b/packages/controller/records/job-records.ts
@@ -1,7 +1,6 @@
+/** The records of what is done of jobs. */
 import type { FleetState, JobState } from '#core';
 import {
-  encodeEndedJob,
-  jobKey,
   type ProgressChunk,
   progressKey,
   ProgressLayout,
@@ -10,43 +9,48 @@
 } from '#store';
 import type { Job } from '#wire';
 import type { JobTable } from '../jobs/job-table.js';
-import type { RecordChange } from './record-batch.js';
+import { jobEnding } from './job-ending.js';
+import type { RecordChange } from './record-change.js';
 
-/** Part of a job's done tasks as an earlier term recorded it. */
+/** Done bits in a byte of a chunk. */
+const TASKS_PER_BYTE = 8;
+
+/** A chunk of a job's done tasks as an earlier term recorded it. */
 export interface RecordedChunk {
-  /** Last part of the record's key. */
+  /** What the record's key ends with: the place of the chunk. */
   label: number;
   value: ProgressValue;
   version: number;
 }
 
-/** Part of a job whose record lacks some done tasks. */
+/** A chunk of a job whose record lacks some done tasks. */
 interface UnrecordedChunk extends ProgressChunk {
-  /** Those that it lacks. */
-  lacking: number[];
+  /** The done tasks that the record lacks. */
+  unrecordedTasks: number[];
   /** Of its record, 0 if there is none. */
   version: number;
 }
 
+/** What `JobRecords` works on. */
 export interface JobRecordsOptions {
   fleet: FleetState;
   jobs: JobTable;
   limits: StateLimits;
 }
 
-/** The records of which tasks are done: in parts while a job is open, then that all of it is. */
+/** The records of which tasks are done: in chunks while a job is open, then that all of it is. */
 export class JobRecords {
   private readonly layout: ProgressLayout;
-  /** Versions, by key, of the parts of each open job. */
+  /** Versions, by key, of the chunks of each open job. */
   private readonly chunks = new Map<string, Map<string, number>>();
-  /** Versions, by key, of parts whose jobs are over. */
+  /** Versions, by key, of chunks whose jobs are over. */
   private readonly obsolete = new Map<string, number>();
 
   constructor(private readonly options: JobRecordsOptions) {
     this.layout = new ProgressLayout(options.limits);
   }
 
-  /** Takes a part of a job's done tasks from the record that an earlier term left. */
+  /** Accepts a chunk of a job's done tasks from the record that an earlier term left. */
   loaded(id: string, { label, value, version }: RecordedChunk): void {
     const key = progressKey(id, label);
     const job = this.options.fleet.jobs.get(id);
@@ -54,18 +58,22 @@
       const first = this.layout.firstTask(label, value);
       job.done.addText(first, value.done);
       this.recordChunk(id, key, version);
-      this.recordBeyond(job, first, value);
+      this.markBeyondUnrecorded(job, first, value);
     } else if (this.hasEnded(id)) this.obsolete.set(key, version);
   }
 
   /**
-   * An older version may have written a longer part than is written now. Before its record is written anew, shorter,
-   * the done tasks beyond have records of their own: parts that have none come first (`unrecordedChunks`).
+   * An older version may have written a longer chunk than is written now. Before its record is replaced by a shorter
+   * one, the done tasks beyond have records of their own: chunks that have none come first (`unrecordedChunks`).
    */
-  private recordBeyond({ spec, done }: JobState, first: number, { done: text }: ProgressValue) {
+  private markBeyondUnrecorded(
+    { spec, done }: JobState,
+    first: number,
+    { done: text }: ProgressValue,
+  ): void {
     const { unrecorded } = this.options.fleet;
     const chunk = this.layout.chunkOf(spec.id, spec.tasks, first);
-    const end = Math.min(spec.tasks, first + Buffer.byteLength(text, 'base64') * 8);
+    const end = Math.min(spec.tasks, first + Buffer.byteLength(text, 'base64') * TASKS_PER_BYTE);
     for (let task = chunk.first + chunk.tasks; task < end; task++) {
       if (!done.has(task)) continue;
       unrecorded.taskDone(spec.id, task);
@@ -79,26 +87,28 @@
     else this.chunks.set(id, new Map([[key, version]]));
   }
 
-  /** Parts that jobs that are over have left. */
+  /** How many chunks jobs that are over have left. */
   get obsoleteCount(): number {
     return this.obsolete.size;
   }
 
-  /** The job's record says that it is over, so nobody needs the parts any more. */
+  /** The job's record says that it is over, so nobody needs the chunks any more. */
   jobEnded({ id }: Job): void {
     for (const [key, version] of this.chunks.get(id) ?? []) this.obsolete.set(key, version);
     this.chunks.delete(id);
   }
 
-  /** Deletes what jobs that are over have left. */
+  /** The changes that delete what jobs that are over have left. */
   removals(): RecordChange[] {
     return [...this.obsolete].map(([key, version]) => {
-      const durable = () => void this.obsolete.delete(key);
-      return { key, version, change: { delete: key }, guards: [], durable, again: () => {} };
+      const onDurable = () => {
+        this.obsolete.delete(key);
+      };
+      return { key, version, change: { delete: key }, onDurable };
     });
   }
 
-  /** What is to be recorded of a job now; all of it together makes the job saved. */
+  /** What is to be recorded of a job now: that it is done, or its chunks with done tasks that no record has. */
   changesOf(job: JobState): RecordChange[] {
     if (job.phase !== 'accepted') return [];
     return job.done.size === job.spec.tasks ? this.doneChange(job) : this.progressChanges(job);
@@ -114,33 +124,33 @@
     const { id } = job.spec;
     const record = jobs.get(id);
     if (record?.phase !== 'accepted') return [];
-    const key = jobKey(id);
-    const value = encodeEndedJob({ ...record, phase: 'done' }, limits.valueBytes);
-    const durable = (revision: number) => jobs.cache.applyLocal(key, value, revision);
-    const again = () => void fleet.unrecorded.jobs.add(id);
-    const change = { put: key, value };
-    return [{ key, version: record.version, change, guards: [], durable, again }];
+    const { condition, change } = jobEnding(record, 'done', limits.valueBytes);
+    const onDurable = (revision: number) => {
+      jobs.cache.applyLocal(change.put, change.value, revision);
+    };
+    const onNotApplied = () => void fleet.unrecorded.jobs.add(id);
+    return [{ ...condition, change, onDurable, onNotApplied }];
   }
 
   private progressChanges(job: JobState): RecordChange[] {
     const { fleet } = this.options;
     const { id } = job.spec;
     return this.unrecordedChunks(job).map((chunk) => {
-      const { key, lacking, version } = chunk;
-      const again = () => void fleet.unrecorded.jobs.add(id);
-      const durable = (revision: number) => {
+      const { key, unrecordedTasks, version } = chunk;
+      const onNotApplied = () => void fleet.unrecorded.jobs.add(id);
+      const onDurable = (revision: number) => {
         // A user may have cancelled it while the transaction was on its way.
         if (this.hasEnded(id)) this.obsolete.set(key, revision);
         else this.recordChunk(id, key, revision);
-        fleet.unrecorded.tasksRecorded(id, lacking);
+        fleet.unrecorded.tasksRecorded(id, unrecordedTasks);
       };
       const done = job.done.textOf(chunk.first, chunk.tasks);
       const change = { put: key, value: this.layout.valueOf(chunk, done) };
-      return { key, version, change, guards: [], durable, again };
+      return { key, version, change, onDurable, onNotApplied };
     });
   }
 
-  /** The parts with tasks that are not recorded, the one that was recorded longest ago first. */
+  /** The chunks with done tasks that are not recorded, the one that was recorded longest ago first. */
   private unrecordedChunks({ spec }: JobState): UnrecordedChunk[] {
     const versions = this.chunks.get(spec.id);
     const byKey = new Map<string, UnrecordedChunk>();
@@ -148,8 +158,8 @@
       const chunk = this.layout.chunkOf(spec.id, spec.tasks, task);
       const known = byKey.get(chunk.key);
       const version = versions?.get(chunk.key) ?? 0;
-      if (known) known.lacking.push(task);
-      else byKey.set(chunk.key, { ...chunk, lacking: [task], version });
+      if (known) known.unrecordedTasks.push(task);
+      else byKey.set(chunk.key, { ...chunk, unrecordedTasks: [task], version });
     }
     return [...byKey.values()].sort((one, other) => one.version - other.version);
   }
--- a/packages/controller/records/machine-records.ts
+++ b/packages/controller/records/machine-records.ts
@@ -1,9 +1,12 @@
+/** The records of machines. */
 import type { Assignment, FleetState, Machine } from '#core';
 import { jobKey, MACHINES, type MachineRecord, type StateLimits } from '#store';
 import type { Clock, Condition } from '#wire';
 import type { JobTable } from '../jobs/job-table.js';
-import { RecordBatch, type RecordChange } from './record-batch.js';
+import { RecordBatch } from './record-batch.js';
+import type { RecordChange } from './record-change.js';
 
+/** What `MachineRecords` works on. */
 export interface MachineRecordsOptions {
   clock: Pick<Clock, 'now'>;
   fleet: FleetState;
@@ -11,6 +14,15 @@
   limits: StateLimits;
 }
 
+/** What a machine's record may name now. */
+interface RecordableAssignments {
+  assignments: Assignment[];
+  /** Conditions on the jobs of tasks that the record names for the first time. */
+  guards: Condition[];
+  /** Whether these are all assignments of the machine. */
+  isComplete: boolean;
+}
+
 /** The records of machines and what is assigned to them. */
 export class MachineRecords {
   /** By name of the machine, as far as recorded. */
@@ -18,39 +30,61 @@
 
   constructor(private readonly options: MachineRecordsOptions) {}
 
+  /** Starts from the version of a machine's record that an earlier term left. */
   loaded(name: string, version: number): void {
     this.versions.set(name, version);
   }
 
   /** What is to be recorded of a machine now; null if nothing is. */
   changeOf(name: string): RecordChange | null {
-    const { fleet, clock } = this.options;
+    const machine = this.options.fleet.machines.get(name);
+    return machine ? this.putOf(machine) : this.deletionOf(name);
+  }
+
+  private deletionOf(name: string): RecordChange | null {
+    const version = this.versionOf(name);
+    if (version === 0) return null;
     const key = MACHINES + name;
-    const version = this.versions.get(name) ?? 0;
-    const machine = fleet.machines.get(name);
-    const rank = fleet.unrecorded.urgentMachines.get(name);
-    const again = () => {
-      if (rank === undefined) fleet.unrecorded.machines.add(name);
-      else fleet.unrecorded.markMachineUrgent(name, rank);
+    const onDurable = () => {
+      this.versions.delete(name);
     };
-    if (!machine) {
-      if (version === 0) return null;
-      const durable = () => void this.versions.delete(name);
-      return { key, version, change: { delete: key }, guards: [], durable, again };
-    }
+    return { key, version, change: { delete: key }, onDurable, onNotApplied: this.retryOf(name) };
+  }
+
+  private putOf(machine: Machine): RecordChange | null {
+    const { fleet, clock, limits } = this.options;
+    const { name } = machine;
+    const version = this.versionOf(name);
     if (machine.tasks.size === 0 && version === 0) return null;
     // An older version may have recorded more than fits now. The record says too much until tasks have gone.
-    if (machine.recordBytes > this.options.limits.valueBytes) return null;
-    const { assignments, guards, complete } = this.nameable(machine);
-    const durable = (revision: number) => {
+    if (machine.recordBytes > limits.valueBytes) return null;
+    const { assignments, guards, isComplete } = this.recordable(machine);
+    const onNotApplied = this.retryOf(name);
+    const onDurable = (revision: number) => {
       this.versions.set(name, revision);
       const now = clock.now();
       for (const assignment of assignments) fleet.assignments.recorded(assignment, now);
       fleet.fencing.recorded(machine, revision);
-      if (!complete) again();
+      if (!isComplete) onNotApplied();
     };
+    const key = MACHINES + name;
     const change = { put: key, value: encodeMachine(machine, assignments) };
-    return { key, version, change, guards, durable, again };
+    return { key, version, change, guards, onDurable, onNotApplied };
+  }
+
+  /** 0 if the machine has no record. */
+  private versionOf(name: string): number {
+    return this.versions.get(name) ?? 0;
+  }
+
+  /** Marks the machine unrecorded again, as urgent as it is when this is called. */
+  private retryOf(name: string): () => void {
+    const { unrecorded } = this.options.fleet;
+    const rank = unrecorded.urgentMachines.get(name);
+    return () => {
+      if (rank === undefined) unrecorded.machines.add(name);
+      else unrecorded.markMachineUrgent(name, rank);
+    };
   }
 
   /**
@@ -58,22 +92,22 @@
    * durable, so it must not be if the task's job was cancelled before: that is a condition, and there
    * may be only so many in a transaction.
    */
-  private nameable(machine: Machine) {
+  private recordable(machine: Machine): RecordableAssignments {
     const { jobs, limits } = this.options;
     const maxGuards = RecordBatch.maxGuards(limits);
     const guards = new Map<string, Condition>();
     const assignments: Assignment[] = [];
     for (const assignment of machine.tasks.values()) {
       const { id } = assignment.job.spec;
-      const guarded = !assignment.recorded && assignment.stop === null;
-      if (guarded && !guards.has(id)) {
+      const needsGuard = !assignment.recorded && assignment.stop === null;
+      if (needsGuard && !guards.has(id)) {
         if (guards.size === maxGuards) continue;
         guards.set(id, { key: jobKey(id), version: jobs.get(id)?.version ?? 0 });
       }
       assignments.push(assignment);
     }
-    const complete = assignments.length === machine.tasks.size;
-    return { assignments, guards: [...guards.values()], complete };
+    const isComplete = assignments.length === machine.tasks.size;
+    return { assignments, guards: [...guards.values()], isComplete };
   }
 }
 
--- a/packages/controller/records/record-batch.ts
+++ b/packages/controller/records/record-batch.ts
@@ -1,3 +1,4 @@
+/** Changes of records that go into one transaction. */
 import {
   CONDITIONS_PER_CHANGE,
   shardKey,
@@ -6,22 +7,12 @@
   type Term,
   TXN_BYTES,
 } from '#store';
-import type { Change, Condition } from '#wire';
+import type { Condition } from '#wire';
+import type { RecordChange } from './record-change.js';
 import type { RemovalMarker } from './removal-marker.js';
 
-/** A change of one of the owner's records, and what follows from it. */
-export interface RecordChange {
-  key: string;
-  /** The change is conditional on this version; 0: the record does not exist. */
-  version: number;
-  change: Change;
-  /** Conditions on records that the change leaves as they are. */
-  guards: Condition[];
-  /** To be called with its revision once the change is durable; a delete's has no meaning. */
-  durable: (revision: number) => void;
-  /** To be called if nothing was changed: it is to be recorded later. */
-  again: () => void;
-}
+/** Conditions of a transaction that are no guards: the term, the removal marker and the changed record. */
+const CONDITIONS_BESIDE_GUARDS = 3;
 
 /** Changes that share a transaction, within the limits of the state service. */
 export class RecordBatch {
@@ -30,13 +21,12 @@
   /** Versions by key; each key counts once, however many changes depend on it. */
   private readonly conditions = new Map<string, number>();
   private bytes = 0;
+  private hasDeletion = false;
 
-  private deletes = false;
-
-  /** All is conditional on the term. */
+  /** All changes are conditional on the term. */
   constructor(
     term: Term,
-    private readonly marker: RemovalMarker,
+    private readonly removalMarker: RemovalMarker,
     private readonly limits: StateLimits,
     readonly maxChanges: number,
   ) {
@@ -45,52 +35,52 @@
 
   /** Guards that a single change may have. */
   static maxGuards({ txnOps }: StateLimits): number {
-    // Three are for the term, the removal marker and the changed record itself.
-    return txnOps * CONDITIONS_PER_CHANGE - 3;
+    return txnOps * CONDITIONS_PER_CHANGE - CONDITIONS_BESIDE_GUARDS;
   }
 
   /**
-   * Takes the change in unless one of the same record is in already; false if there are `maxChanges`
-   * already or it doesn't fit beside the others.
+   * Adds the change unless one of the same record is in already. Returns false, and adds nothing, if there are
+   * `maxChanges` already or it doesn't fit beside the others; the first change is always added.
    */
   add(change: RecordChange, maxChanges = this.maxChanges): boolean {
     if (this.changedKeys.has(change.key)) return true;
-    const together = this.withMarker(change);
-    const conditions = [...together.flatMap(conditionsOf), ...this.creationGuards(change)];
+    const together = this.withRemovalMarker(change);
+    const conditions = [...together.flatMap(conditionsOf), ...this.creationConditions(change)];
     const added = conditions.filter(({ key }) => !this.conditions.has(key));
     const bytes = sizeInJson(together.map((each) => each.change)) + sizeInJson(added);
     const isFirst = this.changes.length === 0;
     const isWithinLimit = this.changes.length + together.length <= maxChanges;
-    if (!isFirst && !(isWithinLimit && this.fits(added.length, bytes))) return false;
+    if (!isFirst && !(isWithinLimit && this.hasCapacity(added.length, bytes))) return false;
     this.changes.push(...together);
     this.changedKeys.add(change.key);
-    this.deletes ||= 'delete' in change.change;
+    this.hasDeletion ||= 'delete' in change.change;
     for (const { key, version } of added) this.conditions.set(key, version);
     this.bytes += bytes;
     return true;
   }
 
   /** With the first deletion the removal marker changes, too. */
-  private withMarker(change: RecordChange): RecordChange[] {
-    const isFirstDeletion = 'delete' in change.change && !this.deletes;
-    return isFirstDeletion ? [change, this.marker.change()] : [change];
+  private withRemovalMarker(change: RecordChange): RecordChange[] {
+    const isFirstDeletion = 'delete' in change.change && !this.hasDeletion;
+    return isFirstDeletion ? [change, this.removalMarker.change()] : [change];
   }
 
-  private creationGuards({ change, version }: RecordChange): Condition[] {
-    return 'put' in change && version === 0 ? [this.marker.condition()] : [];
+  private creationConditions({ change, version }: RecordChange): Condition[] {
+    return 'put' in change && version === 0 ? [this.removalMarker.condition()] : [];
   }
 
+  /** The conditions of the transaction: the term, and every record that it changes or depends on. */
   allConditions(): Condition[] {
     return [...this.conditions].map(([key, version]) => ({ key, version }));
   }
 
-  private fits(conditions: number, bytes: number): boolean {
+  private hasCapacity(conditions: number, bytes: number): boolean {
     const maxConditions = this.limits.txnOps * CONDITIONS_PER_CHANGE;
-    const enough = this.conditions.size + conditions <= maxConditions;
-    return enough && this.bytes + bytes <= TXN_BYTES;
+    const isWithinConditions = this.conditions.size + conditions <= maxConditions;
+    return isWithinConditions && this.bytes + bytes <= TXN_BYTES;
   }
 }
 
-function conditionsOf({ key, version, guards }: RecordChange): Condition[] {
+function conditionsOf({ key, version, guards = [] }: RecordChange): Condition[] {
   return [{ key, version }, ...guards];
 }
--- a/packages/controller/records/record-loader.ts
+++ b/packages/controller/records/record-loader.ts
@@ -1,23 +1,26 @@
+/** How a new leader reads what earlier leaders have recorded. */
 import type { FleetState } from '#core';
 import {
   decodeJob,
   jobKey,
-  JobRecord,
+  type JobRecord,
   MACHINES,
-  MachineRecord,
+  type MachineRecord,
   PROGRESS,
   type ProgressValue,
   removalsKey,
-  StateClient,
-  Term,
+  type StateClient,
+  type Term,
 } from '#store';
 import type { Entry } from '#wire';
 import type { JobTable } from '../jobs/job-table.js';
-import { Recorder, TermBroken } from './recorder.js';
+import type { Recorder } from './recorder.js';
+import { TermBroken } from './term-broken.js';
 
 /** Resolves with all records under a prefix as of a moment after the call. */
 export type ReadRecords = (prefix: string, signal: AbortSignal) => Promise<Entry[]>;
 
+/** What a `RecordLoader` works on. */
 export interface RecordLoaderOptions {
   client: StateClient;
   readRecords: ReadRecords;
@@ -25,34 +28,37 @@
   fleet: FleetState;
   recorder: Recorder;
   term: Term;
-  /** Takes a job in. */
+  /** Accepts a job into the fleet state. */
   acceptJob: (record: JobRecord) => void;
-  /** Told when all jobs are taken in, before machines and progress are. */
+  /** Called when all jobs are accepted, before machines and progress are; steady seconds. */
   onJobs: (now: number) => void;
-  /** Steady seconds. */
+  /** The time in steady seconds. */
   now: () => number;
 }
 
-/** Reads what earlier owners have recorded into the fleet state of a new term. */
+/** Reads what earlier leaders have recorded into the fleet state of a new term. */
 export class RecordLoader {
   constructor(private readonly options: RecordLoaderOptions) {}
 
-  /** Returns how many machines were recorded; throws TermBroken if the records contradict each other. */
+  /**
+   * Returns how many machines were recorded. Rejects with TermBroken if the records contradict each other, and
+   * with an error of the state service if they can't be read; the fleet state must then not be used.
+   */
   async load(signal: AbortSignal): Promise<number> {
     const { client, readRecords, jobs, fleet, recorder, term, onJobs, now } = this.options;
-    // All that is durable before our claim, jobs first: records name them.
+    // All that was durable before this term's election, jobs first: records name them.
     await jobs.cache.sync();
     const [machines, progress, removals] = await Promise.all([
       readRecords(MACHINES, signal),
       readRecords(PROGRESS, signal),
       client.call(true, signal, (api) => api.get(removalsKey(term.shard), signal)),
     ]);
-    const held = new Set(machines.flatMap(jobsOn));
-    const ended = await this.readEnded(held, signal);
-    recorder.removals.loaded(removals?.version ?? 0);
-    // Nothing is waited for from here on, so that no change of a job is missed.
+    const assignedJobs = new Set(machines.flatMap(jobsOn));
+    const ended = await this.readEnded(assignedJobs, signal);
+    recorder.removalMarker.restore(removals?.version ?? 0);
+    // No `await` from here on, so that no change of a job is missed.
     const loadedAt = now();
-    this.acceptJobs(held, ended);
+    this.acceptJobs(assignedJobs, ended);
     onJobs(loadedAt);
     for (const entry of progress) this.acceptProgress(entry);
     for (const entry of machines) this.acceptMachine(entry, loadedAt);
@@ -61,19 +67,22 @@
   }
 
   /** Jobs that are over matter only as long as a machine may hold their tasks. */
-  private acceptJobs(held: Set<string>, ended: Map<string, JobRecord>): void {
+  private acceptJobs(assignedJobs: Set<string>, ended: Map<string, JobRecord>): void {
     const { jobs, acceptJob } = this.options;
     for (const id of jobs.ids()) {
-      if (jobs.get(id)?.phase !== 'accepted' && !held.has(id)) continue;
+      if (jobs.get(id)?.phase !== 'accepted' && !assignedJobs.has(id)) continue;
       const record = jobs.fullRecord(id) ?? ended.get(id);
       if (record) acceptJob(record);
     }
   }
 
   /** Records of jobs that are over and of which the table keeps no more than that. */
-  private async readEnded(held: Set<string>, signal: AbortSignal): Promise<Map<string, JobRecord>> {
+  private async readEnded(
+    assignedJobs: Set<string>,
+    signal: AbortSignal,
+  ): Promise<Map<string, JobRecord>> {
     const { client, jobs } = this.options;
-    const missing = [...held].filter((id) => jobs.get(id) && !jobs.fullRecord(id));
+    const missing = [...assignedJobs].filter((id) => jobs.get(id) && !jobs.fullRecord(id));
     const read = (id: string) => client.call(true, signal, (api) => api.get(jobKey(id), signal));
     const entries = await Promise.all(missing.map(read));
     const records = entries
@@ -89,17 +98,20 @@
   }
 
   private acceptMachine({ key, value, version }: Entry, now: number): void {
-    const { fleet, recorder } = this.options;
+    const { fleet, recorder, term } = this.options;
     const { addr, type, zone, spot, tasks } = value as MachineRecord;
     const name = key.slice(MACHINES.length);
     recorder.machineRecords.loaded(name, version);
     const machine = fleet.machines.register({ name, addr, type, zone, spot }, 'up', now);
-    // Until now this term has renewed leases without the fleet's state (ReportHandler.renewLease).
+    // Until now this term has renewed worker leases without the fleet's state (HeartbeatEndpoint.renewLease).
     machine.answeredAt = now;
     machine.answeredSince = now;
     for (const [id, index, attempt] of tasks) {
       const job = fleet.jobs.get(id);
-      if (!job) throw new TermBroken(`record of ${name} names unknown job ${id}`);
+      if (!job) {
+        const detail = `the record of machine ${name} names job ${id}, which has no record`;
+        throw new TermBroken(term.term, 'unknown-job', detail);
+      }
       fleet.assignments.inherit(job, index, machine, attempt, now);
     }
   }
--- a/packages/controller/records/recorder.test.ts
+++ b/packages/controller/records/recorder.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { MACHINES } from '#store';
 import { aJob, aMachine, aRecorder } from '#testing';
-import { TermBroken } from './recorder.js';
+import { TermBroken, type TermLossReason } from './term-broken.js';
 
 test('a task is not recorded, and so never starts, once its job was cancelled', async () => {
   // Guards against starts after a confirmed cancellation that the watch had not brought yet.
@@ -54,30 +54,30 @@
 });
 
 test('a transaction that was applied without an answer is known by a record that it put', async () => {
-  // Guards against version 0 of a deleted record as the revision of all: the token of a machine that was
-  // handed over became 0, and the next change of its record ended the term.
+  // Guards against version 0 of a deleted record as the revision of all: the fencing token of a
+  // machine became 0, and the next change of its record ended the term.
   const { state, fleet, record, sync, flush, tasksOn, term } = await aRecorder();
   record(aJob({ id: 'j-1', tasks: 3 }), 'accepted');
   await sync();
   const job = fleet.jobs.get('j-1')!;
-  const [released, handedOver] = ['n-1', 'n-2'].map((name) => aMachine(fleet, name));
+  const [released, fenced] = ['n-1', 'n-2'].map((name) => aMachine(fleet, name));
   fleet.assignments.assign(job, 0, released, 1, 0);
-  fleet.assignments.assign(job, 1, handedOver, 2, 0);
+  fleet.assignments.assign(job, 1, fenced, 2, 0);
   await flush();
   fleet.removeMachine('n-1', 0);
-  handedOver.fence = 'requested';
-  fleet.assignments.assign(job, 2, handedOver, 3, 0);
+  fenced.fence = 'requested';
+  fleet.assignments.assign(job, 2, fenced, 3, 0);
   state.service.beginLostAnswers(1);
   const flushed = flush();
   await state.run(0.2);
   state.service.endLateWrites();
   // Known with the repetition, which does not wait for the first to time out.
   await state.run(0.2);
-  assert.equal(handedOver.fence, 'recorded');
+  assert.equal(fenced.fence, 'recorded');
   await flushed;
   assert.equal(tasksOn('n-1'), undefined);
-  assert.equal(handedOver.fencingToken, state.service.store.get(`${MACHINES}n-2`)?.version);
-  assert.ok(handedOver.fencingToken > term);
+  assert.equal(fenced.fencingToken, state.service.store.get(`${MACHINES}n-2`)?.version);
+  assert.ok(fenced.fencingToken > term);
   fleet.assignments.stop(job.assignments.get(2)![0], 0, 0);
   await flush();
   assert.deepEqual(tasksOn('n-2'), ['j-1']);
@@ -91,14 +91,19 @@
   assert.equal(tasksOn('n-2'), undefined);
 });
 
+/** Whether an error says that this term must end, and for this reason. */
+function isTermBroken(term: number, reason: TermLossReason): (err: unknown) => boolean {
+  return (err) => err instanceof TermBroken && err.term === term && err.reason === reason;
+}
+
 test('a transaction that is called malformed ends the term and is not repeated', async () => {
-  const { state, fleet, record, sync, flush } = await aRecorder({}, { txnOps: 4 });
+  const { state, fleet, record, sync, flush, term } = await aRecorder({}, { txnOps: 4 });
   record(aJob({ id: 'j-1', tasks: 5 }), 'accepted');
   await sync();
   const job = fleet.jobs.get('j-1')!;
   for (let i = 0; i < 5; i++) fleet.assignments.assign(job, i, aMachine(fleet, `n-${i}`), 1, 0);
   const revision = state.service.store.revision;
-  await assert.rejects(flush(0.1), TermBroken);
+  await assert.rejects(flush(0.1), isTermBroken(term, 'transaction-malformed'));
   assert.equal(state.service.store.revision, revision);
 });
 
@@ -127,12 +132,12 @@
 });
 
 test('a record that somebody else has changed ends the term', async () => {
-  const { store, fleet, record, sync, flush } = await aRecorder();
+  const { store, fleet, record, sync, flush, term } = await aRecorder();
   record(aJob({ id: 'j-1' }), 'accepted');
   await sync();
   fleet.assignments.assign(fleet.jobs.get('j-1')!, 0, aMachine(fleet, 'n-1'), 1, 0);
   store.apply([{ put: `${MACHINES}n-1`, value: { tasks: [] } }]);
-  await assert.rejects(flush(), TermBroken);
+  await assert.rejects(flush(), isTermBroken(term, 'record-changed'));
 });
 
 /** A fleet state with as many open jobs, each to be given a machine of its own. */
--- a/packages/controller/records/removal-marker.ts
+++ b/packages/controller/records/removal-marker.ts
@@ -1,12 +1,13 @@
+/** The record by which late copies of a transaction are kept from creating deleted records again. */
 import { removalsKey, type Term } from '#store';
 import type { Condition } from '#wire';
-import type { RecordChange } from './record-batch.js';
+import type { RecordChange } from './record-change.js';
 
 /**
  * A record that changes with each transaction that deletes other records, and on whose version each
- * transaction depends that creates one. Else a transaction that was sent twice could be carried out for a
- * second time after its record was deleted, when the record has the same version 0 as before, and bring it
- * back.
+ * transaction depends that creates one. Else a transaction that was sent twice could be applied for a
+ * second time after its record was deleted, when the record has the same version 0 as before, and create
+ * it again.
  */
 export class RemovalMarker {
   private version = 0;
@@ -14,8 +15,8 @@
 
   constructor(private readonly term: Term) {}
 
-  /** The version that earlier terms left, 0 if there is no such record. */
-  loaded(version: number): void {
+  /** Starts from the version that earlier terms left, 0 if there is no such record. */
+  restore(version: number): void {
     this.version = version;
   }
 
@@ -28,13 +29,9 @@
   change(): RecordChange {
     const value = { term: this.term.term, removals: ++this.removals };
     const { key, version } = this.condition();
-    return {
-      key,
-      version,
-      change: { put: key, value },
-      guards: [],
-      durable: (revision) => (this.version = revision),
-      again: () => {},
+    const onDurable = (revision: number) => {
+      this.version = revision;
     };
+    return { key, version, change: { put: key, value }, onDurable };
   }
 }
--- a/packages/testing/meetings/upgrade.test.ts
+++ b/packages/testing/meetings/upgrade.test.ts
@@ -102,7 +102,8 @@
 
 /** Terms that ended because the state service found a transaction malformed. */
 function malformed({ controllers }: ScenarioResult): string[] {
-  const entries = controllers.flatMap(({ log }) => log.entries('transaction refused'));
+  const message = 'state transaction refused as malformed, leader steps down';
+  const entries = controllers.flatMap(({ log }) => log.entries(message));
   return entries.map((entry) => JSON.stringify(entry));
 }
 
