--- a/packages/controller/records/term-broken.ts
+++ b/packages/controller/records/term-broken.ts
@@ -17,8 +17,6 @@
 
 /** The records are not as this term left them, or can't be changed any more: the leader must step down. */
 export class TermBroken extends Error {
-  override readonly name: string = TermBroken.name;
-
   constructor(
     /** The term that must end. */
     readonly term: number,
@@ -27,5 +25,6 @@
     options?: ErrorOptions,
   ) {
     super(`term ${term} must end: ${detail}`, options);
+    this.name = new.target.name;
   }
 }
