--- a/packages/controller/jobs/job-table.test.ts
+++ b/packages/controller/jobs/job-table.test.ts
@@ -66,3 +66,37 @@
   assert.equal(jobs.fullRecord('j-000000'), undefined);
   assert.equal(jobs.fullRecord('j-001999')?.job.id, 'j-001999');
 });
+
+test('what becomes known of jobs is told by one event each, in order, also of those that depend on them', async () => {
+  const { cache, jobs } = await aTable();
+  const events: string[] = [];
+  jobs.events.subscribe((event) => {
+    if (event.kind !== 'record') events.push(`${event.kind} ${event.job}`);
+    else events.push(`${event.record.phase} ${event.record.job.id}`);
+  });
+  let version = 0;
+  const record = (id: string, dependencies: string[], phase: 'accepted' | 'cancelled' | 'done') => {
+    const value = encodeJob({
+      job: aJob({ id, awaits: dependencies, rank: 2 }),
+      acceptedAtMs: 0,
+      phase,
+    });
+    cache.applyLocal(jobKey(id), value, ++version);
+  };
+  record('j-1', [], 'accepted');
+  record('j-2', ['j-1'], 'accepted');
+  record('j-3', ['j-2'], 'accepted');
+  assert.deepEqual(jobs.openDependenciesOf('j-3'), ['j-2']);
+  record('j-1', [], 'done');
+  record('j-2', ['j-1'], 'cancelled');
+  assert.deepEqual(events, [
+    'accepted j-1',
+    'accepted j-2',
+    'accepted j-3',
+    'done j-1',
+    'startable j-2',
+    'cancelled j-2',
+    'cancelled j-3',
+  ]);
+  assert.ok(jobs.isCancelled('j-3'));
+});
