--- a/packages/controller/leadership/leadership-terms.ts
+++ b/packages/controller/leadership/leadership-terms.ts
@@ -3,7 +3,7 @@
 import { listAll, type Term } from '#store';
 import { aborted, pause } from '#wire';
 import type { ReadRecords } from '../records/record-loader.js';
-import { TermBroken } from '../records/recorder.js';
+import { TermBroken } from '../records/term-broken.js';
 import type { ControllerServices } from '../services.js';
 import {
   type AttemptOutcome,
--- a/packages/shards/index.ts
+++ b/packages/shards/index.ts
@@ -10,3 +10,4 @@
 export * from './shard-migrator.js';
 export * from './source-state-machine.js';
 export * from './target-state-machine.js';
+export type { TransferableLeader } from './transferable-leader.js';
