--- a/packages/testing/models/shard-migration/canonical.ts
+++ b/packages/testing/models/shard-migration/canonical.ts
@@ -1,6 +1,6 @@
 import type { ModelState } from './state.js';
 
-/** Names of fields that hold revisions, or grants; other numbers stay as they are. */
+/** Names of fields that hold revisions, or leases, in stored records too; other numbers stay as they are. */
 const REVISIONS = new Set([
   'revision',
   'version',
@@ -9,26 +9,26 @@
   'preparedVersion',
   'moveVersion',
 ]);
-const GRANTS = new Set(['grant', 'lease', 'leaseId', 'nextGrant', 'liveGrants']);
+const LEASES = new Set(['grant', 'lease', 'leaseId', 'nextLeaseId', 'liveLeases']);
 
 /**
- * A text that is the same for states that differ in nothing that matters: of revisions and grants only the order
+ * A text that is the same for states that differ in nothing that matters: of revisions and leases only the order
  * does, not the numbers.
  */
 export function canonicalKey(state: ModelState): string {
   const revisions: number[] = [0];
-  const grants: number[] = [0];
+  const leases: number[] = [0];
   const collect = (name: string, value: number) => {
     if (REVISIONS.has(name)) revisions.push(value);
-    else if (GRANTS.has(name)) grants.push(value);
+    else if (LEASES.has(name)) leases.push(value);
   };
   walk(state, '', collect, () => {});
   const revisionRanks = ranks(revisions);
-  const leaseRanks = ranks(grants);
+  const leaseRanks = ranks(leases);
   let text = '';
   const write = (name: string, value: number) => {
     if (REVISIONS.has(name)) text += revisionRanks.get(value);
-    else if (GRANTS.has(name)) text += leaseRanks.get(value);
+    else if (LEASES.has(name)) text += leaseRanks.get(value);
     else text += value;
     text += ',';
   };
