--- a/packages/controller/peers/cancellation-relay.ts
+++ b/packages/controller/peers/cancellation-relay.ts
@@ -1,44 +1,48 @@
+/** Passes users' cancellation requests on to the leader and the peers before they are recorded. */
 import type { CancellationNotice, Frame } from '#peer';
 import type { ShardLeader } from '../leadership/shard-leader.js';
 import type { ControllerServices } from '../services.js';
 
 type Services = Pick<ControllerServices, 'runtime' | 'cancellations'>;
 
+/** What the relay reads, and how it reaches the peers. */
 export interface CancellationRelayOptions extends Services {
-  /** Null while nothing is owned here. */
+  /** The leader that runs in this process; null while this controller is a follower. */
   leader: () => ShardLeader | null;
-  /** Tells all peers. */
+  /** Sends a frame to all peers. */
   send: (frame: Frame) => void;
 }
 
 /**
- * Brings users' requests for cancellation to whoever owns. The record comes by the watch, or not at all if
- * an outage begins in between; the tasks end in any case.
+ * Brings users' cancellation requests to the leader. The record reaches it by the watch, or not at all
+ * if an outage begins in between; the tasks end in either case.
  */
 export class CancellationRelay {
   constructor(private readonly options: CancellationRelayOptions) {}
 
-  /** A user asks here. */
+  /** Accepts a cancellation request that a user sent to this controller. */
   request(job: string): void {
     this.options.cancellations.addRequested(job, this.now());
     this.endTasks();
     this.options.send({ kind: 'abort', job, ageMs: 0 });
   }
 
-  /** A peer tells that a user has asked. */
+  /** Accepts a cancellation request that a user sent to a peer. */
   receive(notice: CancellationNotice): void {
     this.options.cancellations.addFromPeer(notice, this.now());
     this.endTasks();
   }
 
-  /** Ends the tasks of all jobs whose cancellation was asked for, if this controller owns. */
+  /** Ends the tasks of all jobs whose cancellation was requested, if this controller leads. */
   endTasks(): void {
     const leader = this.options.leader();
     if (!leader?.ready) return;
-    for (const { job } of this.options.cancellations.requests(this.now())) leader.cancelJob(job);
+    for (const { job } of this.options.cancellations.requests(this.now())) {
+      leader.cancelJob(job);
+    }
   }
 
-  /** What a peer is told on a new connection. */
+  /** The frames that a new connection to a peer begins with. */
   greeting(): Frame[] {
     const requests = this.options.cancellations.requests(this.now());
     return requests.map((request) => ({ kind: 'abort', ...request }));
--- a/packages/controller/peers/cancellations.ts
+++ b/packages/controller/peers/cancellations.ts
@@ -1,83 +1,94 @@
+/** The cancellations that this controller knows of, recorded or only requested. */
 import type { CancellationNotice } from '#peer';
 
-/** A cancellation that the state service holds, at the revision of its record. */
+/** A cancellation that the state service holds, with the revision of its record. */
 interface RecordedCancellation {
   job: string;
   revision: number;
 }
 
-/** What is told of the cancellations after a revision. */
+/** What a peer is told of the cancellations after a revision. */
 export interface CancellationList {
   /** The list is complete from this revision on; Infinity if it can't be complete. */
   since: number;
   cancelled: CancellationNotice[];
 }
 
-/** Cancellations told at once; more do not fit a status frame's purpose of being small. */
+/** Cancellations in one list; a status frame has to stay small. */
 const MAX_ANNOUNCED = 2000;
 
 /**
  * The cancellations that this controller knows: those recorded, in the order in which they became
- * known, and those that users have asked for here or at a peer, whose record may still be under way.
- * Kept for as long as a task of such a job may be allowed to run anywhere.
+ * known, and those that users requested here or at a peer, whose record may still be under way.
+ * Each is kept for as long as a task of its job may still be allowed to run anywhere.
  */
 export class Cancellations {
   private recorded: RecordedCancellation[] = [];
-  /** Requests by job, and when the user asked; steady seconds. */
-  private readonly requested = new Map<string, number>();
-  /** Recorded ones up to this revision may have been dropped from the list. */
+  /** When each job's cancellation was requested; steady seconds. */
+  private readonly requestedAt = new Map<string, number>();
+  /** Recorded cancellations up to this revision may have been dropped. */
   private droppedUpTo = 0;
 
+  /**
+   * @param maxRecorded Recorded cancellations that are kept at least, if there were as many.
+   * @param keepRequestedS Seconds for which a request is kept.
+   */
   constructor(
     private readonly maxRecorded: number,
     private readonly keepRequestedS: number,
   ) {}
 
+  /** Adds a cancellation that the state service holds, with the revision of its record. */
   addRecorded(job: string, revision: number): void {
     this.recorded.push({ job, revision });
     if (this.recorded.length <= 2 * this.maxRecorded) return;
     const dropped = this.recorded.splice(0, this.maxRecorded);
-    for (const { revision: at } of dropped) this.droppedUpTo = Math.max(this.droppedUpTo, at);
+    for (const cancellation of dropped) {
+      this.droppedUpTo = Math.max(this.droppedUpTo, cancellation.revision);
+    }
   }
 
-  /** A user asks here. */
+  /** Adds a request that a user sent to this controller. `now` is steady seconds. */
   addRequested(job: string, now: number): void {
-    this.requested.set(job, now);
+    this.requestedAt.set(job, now);
   }
 
   /**
-   * A peer tells of a cancellation. What it tells never renews a request that is known, and one that is
-   * too old is not taken up again: else controllers would remind each other of it for ever.
+   * Adds a request that a peer told of. It never renews one that is known, and one that is too old is
+   * ignored: otherwise controllers would remind each other of it for ever. `now` is steady seconds.
    */
   addFromPeer({ job, ageMs }: CancellationNotice, now: number): void {
     const ageS = ageMs / 1000;
-    if (!this.requested.has(job) && ageS <= this.keepRequestedS) {
-      this.requested.set(job, now - ageS);
+    if (!this.requestedAt.has(job) && ageS <= this.keepRequestedS) {
+      this.requestedAt.set(job, now - ageS);
     }
   }
 
+  /** Whether the cancellation of a job was requested, here or at a peer, and is still kept. */
   wasRequested(job: string): boolean {
-    return this.requested.has(job);
+    return this.requestedAt.has(job);
   }
 
-  /** What users have asked for; what was asked for too long ago is dropped. */
+  /** All requests that are still kept; drops the older ones. `now` is steady seconds. */
   requests(now: number): CancellationNotice[] {
     const notices: CancellationNotice[] = [];
-    for (const [job, at] of this.requested) {
-      if (now - at > this.keepRequestedS) this.requested.delete(job);
-      else notices.push({ job, ageMs: Math.max(0, Math.round((now - at) * 1000)) });
+    for (const [job, requestedAt] of this.requestedAt) {
+      const ageS = now - requestedAt;
+      if (ageS > this.keepRequestedS) this.requestedAt.delete(job);
+      else notices.push({ job, ageMs: Math.max(0, Math.round(ageS * 1000)) });
     }
     return notices;
   }
 
-  /** All that is known and newer than the revision, and all that may still be recorded. */
+  /** All recorded cancellations after the revision, and all requests that may still be recorded. */
   listSince(revision: number, now: number): CancellationList {
-    const told = new Map<string, CancellationNotice>();
-    for (const { job, revision: at } of this.recorded) {
-      if (at > revision) told.set(job, { job, ageMs: 0 });
+    const known = new Map<string, CancellationNotice>();
+    for (const cancellation of this.recorded) {
+      const { job } = cancellation;
+      if (cancellation.revision > revision) known.set(job, { job, ageMs: 0 });
     }
-    for (const request of this.requests(now)) told.set(request.job, request);
-    const cancelled = [...told.values()];
+    for (const request of this.requests(now)) known.set(request.job, request);
+    const cancelled = [...known.values()];
     if (cancelled.length > MAX_ANNOUNCED) {
       return { since: Infinity, cancelled: cancelled.slice(0, MAX_ANNOUNCED) };
     }
--- /dev/null
+++ b/packages/controller/peers/own-status.ts
@@ -0,0 +1,29 @@
+/** What this controller states about itself in its status frames. */
+import type { FollowerHeartbeats } from '../heartbeats/follower-heartbeats.js';
+import type { ControllerServices } from '../services.js';
+import type { OwnStatus } from './status-exchange.js';
+
+/** Where the fields of the status come from. */
+export interface OwnStatusSources extends Pick<ControllerServices, 'client' | 'jobs' | 'election'> {
+  followerHeartbeats: FollowerHeartbeats;
+  /** Whether a leader runs in this process. */
+  isLeading: () => boolean;
+  /** Whether that leader is reached by hardly any of its workers. */
+  isUnreachable: (now: number) => boolean;
+}
+
+/** Reads the status of this controller at `now`, in steady seconds. */
+export function readOwnStatus(sources: OwnStatusSources, now: number): OwnStatus {
+  const { client, jobs, election, followerHeartbeats } = sources;
+  return {
+    servedAgoMs: (now - client.lastOkAt) * 1000,
+    refused: client.failing,
+    loaded: jobs.cache.ready,
+    leading: sources.isLeading(),
+    mayLead: election.mayLead,
+    newestLeader: election.newestLeader,
+    unreachable: sources.isUnreachable(now),
+    followerHeartbeats: followerHeartbeats.count(),
+    jobsRevision: jobs.cache.completeTo,
+  };
+}
--- a/packages/controller/peers/peer-link.ts
+++ b/packages/controller/peers/peer-link.ts
@@ -1,11 +1,12 @@
+/** Makes the connections to the peers that the settings name. */
 import { type Frame, PeerLink } from '#peer';
 import { parseHostPort, type Runtime } from '#wire';
 import type { Settings } from '../settings/settings.js';
 
-/** Attempts to reach a peer in a report period. */
-const DIALS = 2;
+/** Attempts to reach a peer in one heartbeat interval. */
+const DIALS_PER_INTERVAL = 2;
 
-/** The connections to the peers of the settings; the greeting is what each new connection begins with. */
+/** Makes the connections to all peers; each new one begins with the frames of `greeting`. */
 export function makePeerLink(
   runtime: Runtime,
   settings: Settings,
@@ -17,7 +18,7 @@
     self: host_name,
     listen: parseHostPort(cluster_listen),
     peers: peers.map((peer) => ({ name: peer.host_name, addr: peer.peer_addr })),
-    retryMs: (deployment.workers.report_s * 1000) / DIALS,
+    retryMs: (deployment.workers.report_s * 1000) / DIALS_PER_INTERVAL,
     greeting,
   });
 }
--- a/packages/controller/peers/peer-proof.ts
+++ b/packages/controller/peers/peer-proof.ts
@@ -1,41 +1,43 @@
+/** What the statements of all peers prove together (docs/safety.md, point 7). */
 import type { PeerStatus } from './peer-status.js';
 
-/** What a proof about one term is drawn from. */
+/** What a proof about one term is drawn from; times are steady seconds. */
 export interface ProofView {
   now: number;
   term: number;
   /** Revision up to which all cancellations are known here. */
   jobsRevision: number;
-  /** The latest statement of each other controller; null if it was never heard. */
+  /** The latest statement of each other controller; null if none has arrived. */
   peers: (PeerStatus | null)[];
 }
 
 /**
- * What the statements of all peers together prove about one term: that nobody owns a newer one, and that
- * every confirmed cancellation is known here. Each is certain as of some moment (docs/safety.md, point
- * 7); steady seconds of this process.
+ * Proves two things about one term from the statements of all peers: that nobody leads in a newer one,
+ * and that every confirmed cancellation is known here. Each is certain as of some moment; all moments
+ * are steady seconds of this process.
  */
 export class PeerProof {
-  /** Nobody owned a newer term as of this moment. */
+  /** Nobody led in a newer term as of this moment. */
   soleLeaderAt = -Infinity;
-  /** All that each peer had confirmed is known as of this moment. */
-  private readonly informedBy: number[];
+  /** For each peer, the moment as of which all cancellations that it had confirmed are known. */
+  private readonly informedAtByPeer: number[];
 
   constructor(private readonly peerCount: number) {
-    this.informedBy = new Array<number>(peerCount).fill(-Infinity);
+    this.informedAtByPeer = new Array<number>(peerCount).fill(-Infinity);
   }
 
   /** Every cancellation that any peer had confirmed by this moment is known. */
   get informedAt(): number {
-    return this.peerCount === 0 ? Infinity : Math.min(...this.informedBy);
+    return this.peerCount === 0 ? Infinity : Math.min(...this.informedAtByPeer);
   }
 
-  /** Takes in what the statements prove by now. */
+  /** Records both proofs. */
   record(view: ProofView): void {
     this.recordSoleLeader(view);
     this.recordInformed(view);
   }
 
+  /** Records since when the statements prove that nobody leads in a newer term. */
   recordSoleLeader(view: ProofView): void {
     const { now, peers } = view;
     // Peers that the settings don't name can't attest anything.
@@ -44,18 +46,20 @@
     this.soleLeaderAt = Math.max(this.soleLeaderAt, Math.min(now, ...soleLeaderAt));
   }
 
+  /** Records since when the statements prove that every confirmed cancellation is known here. */
   recordInformed(view: ProofView): void {
     const { peers } = view;
     if (peers.length !== this.peerCount) return;
-    peers.forEach((peer, i) => {
-      this.informedBy[i] = Math.max(this.informedBy[i], informedAsOf(view, peer));
+    peers.forEach((peer, index) => {
+      const informedAt = informedAsOf(view, peer);
+      this.informedAtByPeer[index] = Math.max(this.informedAtByPeer[index], informedAt);
     });
   }
 }
 
 /**
- * The peer does not own, has no claim under way, and is refused by the state service, so that it can't
- * claim.
+ * The moment as of which the peer surely did not lead and could not be elected: the state service
+ * refused it, and no campaign of its own was under way.
  */
 function soleLeaderAsOf(view: ProofView, peer: PeerStatus | null): number {
   if (peer === null) return -Infinity;
@@ -63,7 +67,10 @@
   return refused && !mayLead && newestLeader.term <= view.term ? peer.asOf : -Infinity;
 }
 
-/** The peer lists all cancellations that it knows or may have recorded, those of its earlier lives too. */
+/**
+ * The moment as of which the peer surely had listed all cancellations that it knew or might have
+ * recorded, those of its earlier incarnations included.
+ */
 function informedAsOf(view: ProofView, peer: PeerStatus | null): number {
   if (peer === null) return -Infinity;
   const { loaded, cancelledSince } = peer.frame;
--- a/packages/controller/peers/peer-status.test.ts
+++ b/packages/controller/peers/peer-status.test.ts
@@ -3,7 +3,7 @@
 import type { StatusFrame, StatusReference } from '#peer';
 import { PeerStatusTable } from './peer-status.js';
 
-const OWN_LIFE = 7;
+const OWN_INCARNATION = 7;
 
 function statusOf(
   incarnation: number,
@@ -30,7 +30,7 @@
 }
 
 test('a statement is as old as our own frame that it echoes, however late it arrives', () => {
-  const table = new PeerStatusTable(OWN_LIFE, ['c-1']);
+  const table = new PeerStatusTable(OWN_INCARNATION, ['c-1']);
   const first = table.beginRound(100);
   table.beginRound(101);
   assert.ok(table.accept('c-1', statusOf(1, 1, first), 130));
@@ -41,8 +41,8 @@
   assert.deepEqual(table.echoFor('c-1'), { incarnation: 1, sequence: 1 });
 });
 
-test('an echo of an earlier life of ours, or none, proves nothing', () => {
-  const table = new PeerStatusTable(OWN_LIFE, ['c-1']);
+test('an echo of an earlier incarnation of ours, or none, proves nothing', () => {
+  const table = new PeerStatusTable(OWN_INCARNATION, ['c-1']);
   table.beginRound(100);
   table.accept('c-1', statusOf(1, 1, { incarnation: 6, sequence: 1 }), 101);
   assert.equal(table.get('c-1')?.asOf, -Infinity);
@@ -50,8 +50,8 @@
   assert.equal(table.get('c-1')?.asOf, -Infinity);
 });
 
-test('frames that a cut held back do not replace newer ones, nor those of a later life', () => {
-  const table = new PeerStatusTable(OWN_LIFE, ['c-1']);
+test('frames that a cut held back do not replace newer ones, nor those of a later incarnation', () => {
+  const table = new PeerStatusTable(OWN_INCARNATION, ['c-1']);
   assert.ok(table.accept('c-1', statusOf(1, 5, null), 10));
   assert.ok(!table.accept('c-1', statusOf(1, 4, null), 11));
   assert.ok(table.accept('c-1', statusOf(2, 1, null), 12));
@@ -59,8 +59,8 @@
   assert.equal(table.get('c-1')?.frame.incarnation, 2);
 });
 
-test('every peer that the settings name has a place, heard or not', () => {
-  const table = new PeerStatusTable(OWN_LIFE, ['c-1', 'c-2']);
+test('every peer that the settings name has an entry, whether a statement has arrived or not', () => {
+  const table = new PeerStatusTable(OWN_INCARNATION, ['c-1', 'c-2']);
   table.accept('c-2', statusOf(1, 1, null), 10);
   assert.equal(table.all()[0], null);
   assert.equal(table.all()[1]?.frame.incarnation, 1);
--- a/packages/controller/peers/peer-status.ts
+++ b/packages/controller/peers/peer-status.ts
@@ -1,11 +1,12 @@
+/** The newest statement of each peer, ordered by what the frames say and not by their arrival. */
 import type { StatusFrame, StatusReference } from '#peer';
 
-/** Status rounds whose sending time is kept; older echoes say nothing of use. */
+/** Status rounds whose sending time is kept; echoes of older ones are of no use. */
 const ROUNDS_KEPT = 64;
-/** Former lives of a peer that are remembered, so that what they still have under way is known as old. */
+/** Former incarnations of a peer that are remembered, so that their late frames are known as old. */
 const INCARNATIONS_KEPT = 16;
 
-/** What a peer last stated, with the times at which that was so; steady seconds of this process. */
+/** A peer's newest statement and what is known of its age; steady seconds of this process. */
 export interface PeerStatus {
   frame: StatusFrame;
   /** When the frame arrived. The network may have held it for long. */
@@ -15,10 +16,22 @@
    * process sent then. -Infinity if it has read none.
    */
   asOf: number;
-  /** When the state service last served the peer, or later. */
+  /** No earlier than when the state service last served the peer. */
   servedAt: number;
 }
 
+/** Heartbeat intervals for which a peer's newest statement counts as current. */
+export const CURRENT_STATUS_INTERVALS = 2;
+
+/** Whether the peer's newest statement arrived within the last `withinS` seconds. */
+export function isReachable(
+  status: PeerStatus | null,
+  now: number,
+  withinS: number,
+): status is PeerStatus {
+  return status !== null && now - status.receivedAt <= withinS;
+}
+
 /**
  * The newest statement of each peer. A connection that was cut may deliver old frames late, so frames
  * count by their own order and by what they echo, not by when they arrive.
@@ -31,12 +44,12 @@
   private sequence = 0;
 
   constructor(
-    /** Tells this process from its earlier lives. */
+    /** Tells this run of the process from earlier ones. */
     private readonly incarnation: number,
     private readonly peers: readonly string[],
   ) {}
 
-  /** Opens a round of status frames; all of them carry the reference returned. */
+  /** Begins a round of status frames; all of them carry the reference that is returned. */
   beginRound(now: number): StatusReference {
     this.sequence++;
     this.sentAt.set(this.sequence, now);
@@ -44,19 +57,16 @@
     return { incarnation: this.incarnation, sequence: this.sequence };
   }
 
-  /** What a frame to this peer echoes. */
+  /** The peer's newest frame that was read, which the next frame to the peer echoes. */
   echoFor(peer: string): StatusReference | null {
     const frame = this.statuses.get(peer)?.frame;
     return frame ? { incarnation: frame.incarnation, sequence: frame.sequence } : null;
   }
 
-  /** Takes a frame in; false if it is older than what is known of the peer. */
+  /** Accepts a frame; false if it is older than what is known of the peer. */
   accept(peer: string, frame: StatusFrame, now: number): boolean {
     const known = this.statuses.get(peer)?.frame;
-    if (known?.incarnation === frame.incarnation) {
-      if (frame.sequence <= known.sequence) return false;
-    } else if (known && !this.beginIncarnation(peer, known.incarnation, frame.incarnation))
-      return false;
+    if (known && !this.isNewer(peer, known, frame)) return false;
     this.statuses.set(peer, {
       frame,
       receivedAt: now,
@@ -66,16 +76,23 @@
     return true;
   }
 
+  /** The newest statement of one peer. */
   get(peer: string): PeerStatus | undefined {
     return this.statuses.get(peer);
   }
 
-  /** One entry for each peer that the settings name; null if it was never heard. */
+  /** One entry for each peer that the settings name; null if none has arrived. */
   all(): (PeerStatus | null)[] {
     return this.peers.map((peer) => this.statuses.get(peer) ?? null);
   }
 
-  /** Whether the frame's life is a new one of the peer. */
+  /** Whether a frame is newer than the known one: by its sequence, or by its incarnation. */
+  private isNewer(peer: string, known: StatusFrame, frame: StatusFrame): boolean {
+    if (known.incarnation === frame.incarnation) return frame.sequence > known.sequence;
+    return this.beginIncarnation(peer, known.incarnation, frame.incarnation);
+  }
+
+  /** Records that the peer has a new incarnation; false if it is a former one. */
   private beginIncarnation(peer: string, last: number, next: number): boolean {
     const former = this.formerIncarnations.get(peer) ?? [];
     if (former.includes(next)) return false;
@@ -84,7 +101,7 @@
   }
 
   private whenSent(echo: StatusReference | null): number {
-    if (echo === null || echo.incarnation !== this.incarnation) return -Infinity;
+    if (echo?.incarnation !== this.incarnation) return -Infinity;
     return this.sentAt.get(echo.sequence) ?? -Infinity;
   }
 }
--- a/packages/controller/peers/status-exchange.ts
+++ b/packages/controller/peers/status-exchange.ts
@@ -1,8 +1,9 @@
+/** Exchanges status frames with the peers. */
 import type { Frame, StatusFrame, StatusReference } from '#peer';
 import type { Cancellations } from './cancellations.js';
-import { PeerStatus, PeerStatusTable } from './peer-status.js';
+import { type PeerStatus, PeerStatusTable } from './peer-status.js';
 
-/** What a controller states to all peers alike. */
+/** What a controller states to all peers alike; the rest of a frame depends on its recipient. */
 export type OwnStatus = Pick<
   StatusFrame,
   | 'servedAgoMs'
@@ -16,8 +17,9 @@
   | 'jobsRevision'
 >;
 
+/** What the exchange is made of. */
 export interface StatusExchangeOptions {
-  /** Tells this process from its earlier lives; 0 to Number.MAX_SAFE_INTEGER. */
+  /** Tells this run of the process from earlier ones; 0 to Number.MAX_SAFE_INTEGER. */
   incarnation: number;
   /** Names of all other controllers. */
   peers: readonly string[];
@@ -27,8 +29,8 @@
 }
 
 /**
- * Tells each peer how this controller is served and which cancellations it knows, and keeps what the
- * peers state. Cancellations go into each frame, not only into frames of their own, so that a statement
+ * Tells each peer how the state service serves this controller and which cancellations it knows, and
+ * keeps what the peers state. Cancellations go into each frame, not only into frames of their own, so that a statement
  * that arrives is complete whatever was lost before.
  */
 export class StatusExchange {
@@ -38,17 +40,17 @@
     this.table = new PeerStatusTable(options.incarnation, options.peers);
   }
 
-  /** The latest statement of each peer, null where none came. */
+  /** The latest statement of each peer, null where none has arrived. */
   statuses(): (PeerStatus | null)[] {
     return this.table.all();
   }
 
-  /** The latest statement of one peer; null if it was never heard, or is no peer. */
+  /** The latest statement of one peer; null if none has arrived, or if it is no peer. */
   statusOf(peer: string): PeerStatus | null {
     return this.table.get(peer) ?? null;
   }
 
-  /** One round: a frame to each peer. */
+  /** Sends one round of status frames, one to each peer. `now` is steady seconds. */
   send(own: OwnStatus, now: number): void {
     const reference = this.table.beginRound(now);
     for (const peer of this.options.peers) {
@@ -56,9 +58,11 @@
     }
   }
 
-  /** Takes a peer's frame in; its cancellations count however late it comes. */
+  /** Accepts a peer's frame; its cancellations count however late it arrives. */
   receive(peer: string, frame: StatusFrame, now: number): void {
-    for (const notice of frame.cancelled) this.options.cancellations.addFromPeer(notice, now);
+    for (const notice of frame.cancelled) {
+      this.options.cancellations.addFromPeer(notice, now);
+    }
     this.table.accept(peer, frame, now);
   }
 
--- /dev/null
+++ b/packages/controller/peers/step-down.ts
@@ -0,0 +1,129 @@
+/** Decides when the leader of this process steps down in favour of another controller. */
+import type { StatusFrame } from '#peer';
+import { REACHABLE_INTERVALS } from '../heartbeats/follower-heartbeats.js';
+import { WorkerSilence } from '../heartbeats/worker-silence.js';
+import { isIsolatedFromWorkers, reachesFewWorkers } from '../leadership/leader-lease-check.js';
+import type { ShardLeader } from '../leadership/shard-leader.js';
+import { countReachable } from '../observability/fleet-summary.js';
+import type { ControllerServices } from '../services.js';
+import { CURRENT_STATUS_INTERVALS, isReachable, type PeerStatus } from './peer-status.js';
+import type { StatusExchange } from './status-exchange.js';
+
+type Services = Pick<ControllerServices, 'runtime' | 'settings' | 'client' | 'election' | 'log'>;
+
+/** What the monitor judges by. */
+export interface StepDownMonitorOptions extends Services {
+  statuses: StatusExchange;
+  /** Seconds from one check of the isolation to the next. */
+  checkIntervalS: number;
+  /** The leader that runs in this process; null while this controller is a follower. */
+  leader: () => ShardLeader | null;
+}
+
+/** How many machines should send heartbeats to the leader, and how many lately did. */
+interface WorkerCounts {
+  machines: number;
+  reachable: number;
+}
+
+/**
+ * Resigns the leadership if a newer leader is known, or if the workers reach other controllers but not
+ * this one. Stepping down proves nothing to anybody; it lets the workers find the next leader early.
+ */
+export class StepDownMonitor {
+  private readonly heartbeatIntervalS: number;
+  private readonly workerSilence: WorkerSilence;
+
+  constructor(private readonly options: StepDownMonitorOptions) {
+    this.heartbeatIntervalS = options.settings.deployment.workers.report_s;
+    this.workerSilence = new WorkerSilence({
+      heartbeatIntervalS: this.heartbeatIntervalS,
+      sampleIntervalS: options.checkIntervalS,
+    });
+  }
+
+  /** Steps down if a peer has seen a newer leader: the term of ours is over. */
+  checkNewestLeader(newestLeader: StatusFrame['newestLeader']): void {
+    const { leader, log, election } = this.options;
+    const term = leader()?.term.term;
+    if (term === undefined || newestLeader.term <= term) return;
+    const { term: newerTerm, name: newerLeader } = newestLeader;
+    log.info({ term, newerTerm, newerLeader }, 'leader stepped down: newer leader known');
+    election.resign();
+  }
+
+  /** Steps down if the workers don't reach the leader and another controller can replace it. */
+  checkIsolation(): void {
+    const { runtime, settings, election, log } = this.options;
+    const leader = this.options.leader();
+    if (!leader?.ready) return;
+    const now = runtime.clock.now();
+    const allSilent = this.workerSilence.sample(leader.fleet, now);
+    const workers = this.countWorkers(now);
+    const reachableByPeers = this.countReachableByPeers(now);
+    const isIsolated =
+      workers !== null &&
+      isIsolatedFromWorkers(workers.machines, workers.reachable, reachableByPeers);
+    if (!(isIsolated || allSilent) || !this.canBeReplaced(now)) return;
+    const { term } = leader.term;
+    log.info(
+      { term, ...workers, reachableByPeers, allSilent },
+      'leader stepped down: workers unreachable',
+    );
+    election.resign(settings.deployment.workers.lease_s);
+  }
+
+  /** Whether hardly any worker reaches the leader; false while this controller is a follower. `now` is steady seconds. */
+  isUnreachable(now: number): boolean {
+    const workers = this.countWorkers(now);
+    return workers !== null && reachesFewWorkers(workers.machines, workers.reachable);
+  }
+
+  /**
+   * The workers of the leader; null while there is none, or it began a short time ago. After a failover
+   * the workers need some time to find it. A whole worker lease would be too long: a leader that none of
+   * them ever reaches would let all their leases expire.
+   */
+  private countWorkers(now: number): WorkerCounts | null {
+    const leader = this.options.leader();
+    if (!leader?.ready) return null;
+    const discoveryS = (REACHABLE_INTERVALS + 1) * this.heartbeatIntervalS;
+    if (now - leader.startedAt < discoveryS) return null;
+    return countReachable(leader.fleet, now, REACHABLE_INTERVALS * this.heartbeatIntervalS);
+  }
+
+  /**
+   * Whether a reachable peer can be elected, since the state service serves it. While it refuses us, all
+   * peers have to be refused as well: then they renew worker leases for a leader that has stepped down.
+   */
+  private canBeReplaced(now: number): boolean {
+    const peers = this.options.statuses.statuses();
+    if (this.options.client.failing) {
+      return peers.every((peer) => this.isLoaded(peer, now) && canOnlyRenewLeases(peer));
+    }
+    return peers.some((peer) => this.isLoaded(peer, now) && !peer.frame.refused);
+  }
+
+  /** Whether the peer is reachable and has read all jobs. */
+  private isLoaded(peer: PeerStatus | null, now: number): peer is PeerStatus {
+    return this.isCurrent(peer, now) && peer.frame.loaded;
+  }
+
+  private isCurrent(peer: PeerStatus | null, now: number): peer is PeerStatus {
+    return isReachable(peer, now, CURRENT_STATUS_INTERVALS * this.heartbeatIntervalS);
+  }
+
+  /** Number of workers that lately sent heartbeats to peers, none of which leads. */
+  private countReachableByPeers(now: number): number {
+    let workers = 0;
+    for (const peer of this.options.statuses.statuses()) {
+      if (this.isCurrent(peer, now)) workers += peer.frame.followerHeartbeats;
+    }
+    return workers;
+  }
+}
+
+/** Whether the state service refuses the peer and no campaign of the peer's is under way. */
+function canOnlyRenewLeases({ frame }: PeerStatus): boolean {
+  return frame.refused && !frame.mayLead;
+}
--- a/packages/testing/on-call/silent-workers.test.ts
+++ b/packages/testing/on-call/silent-workers.test.ts
@@ -101,7 +101,9 @@
   await playMeeting(steadyScenario('stands still', BEGIN_S + 50, faults), [1, 2], (result) => {
     const freezes = result.faults.of('controller-freeze');
     assert.equal(freezes.length, 3);
-    const given = result.controllers.flatMap(({ log }) => log.entries('cut from the workers'));
+    const given = result.controllers.flatMap(({ log }) =>
+      log.entries('leader stepped down: workers unreachable'),
+    );
     assert.deepEqual(given, []);
     assert.deepEqual(killedTasks(result, BEGIN_S, BEGIN_S + 50), []);
   });
