--- a/packages/controller/api/admission.test.ts
+++ b/packages/controller/api/admission.test.ts
@@ -8,7 +8,7 @@
 const LIMITS = { rps: 150, writeRps: 50, valueBytes: 8192, txnOps: 24 };
 const SHARE = 0.3;
 const PER_SECOND = SHARE * LIMITS.writeRps;
-const REPORT_S = 1;
+const HEARTBEAT_INTERVAL_S = 1;
 
 async function anAdmission(weightOf?: (team: string) => number) {
   const state = await StateWorld.start(LIMITS);
@@ -16,12 +16,18 @@
   const client = state.client(runtime, { share: SHARE });
   const commits = new GroupCommit({ client, runtime, maxQueue: 100, weightOf });
   const log = pino({ enabled: false });
-  const admission = new Admission({ runtime, client, commits, heartbeatIntervalS: REPORT_S, log });
+  const admission = new Admission({
+    runtime,
+    client,
+    commits,
+    heartbeatIntervalS: HEARTBEAT_INTERVAL_S,
+    log,
+  });
   let submitted = 0;
   const recorded: { team: string; afterS: number }[] = [];
   /** After how many seconds the user is to come again; null if the submission waits for its record. */
   const submit = (team: string): number | null => {
-    const retryAfterS = admission.refuse(team);
+    const retryAfterS = admission.refusalDelayS(team);
     if (retryAfterS !== null) return retryAfterS;
     const key = `jobs/${submitted++}`;
     const sentAt = state.now;
@@ -41,7 +47,7 @@
   assert.deepEqual(admission.totals(), { guests: refused.length });
   await state.run(4);
   assert.equal(recorded.length, outcomes.length - refused.length);
-  assert.ok(Math.max(...recorded.map(({ afterS }) => afterS)) < 2.5 * REPORT_S);
+  assert.ok(Math.max(...recorded.map(({ afterS }) => afterS)) < 2.5 * HEARTBEAT_INTERVAL_S);
 });
 
 test('those who are refused return as fast as their submissions can be recorded, and not together', async () => {
@@ -73,7 +79,7 @@
     assert.ok(refusedHosts.every((retryAfterS) => retryAfterS === null));
     const waits = recorded.filter(({ team }) => team === 'hosts').map(({ afterS }) => afterS);
     assert.equal(waits.length, 30);
-    assert.ok(Math.max(...waits) < REPORT_S, `${Math.max(...waits)} s`);
+    assert.ok(Math.max(...waits) < HEARTBEAT_INTERVAL_S, `${Math.max(...waits)} s`);
     assert.ok(recorded.filter(({ team }) => team === 'guests').length > 5 * PER_SECOND);
   }
 });
@@ -92,7 +98,7 @@
 test('the longer the state service fails, the more the returns of those it did not serve are spread', async () => {
   const { state, admission, client } = await anAdmission();
   const returns = () => Array.from({ length: 200 }, () => admission.retryAfterFailureS());
-  assert.deepEqual(new Set(returns()), new Set([REPORT_S]));
+  assert.deepEqual(new Set(returns()), new Set([HEARTBEAT_INTERVAL_S]));
   state.service.beginOutage();
   for (const [outageS, mostS] of [
     [4, 2],
@@ -101,8 +107,8 @@
     client.call(false, undefined, (api) => api.get('x')).catch(() => {});
     await state.run(outageS);
     const spread = returns();
-    assert.ok(Math.min(...spread) >= REPORT_S && Math.max(...spread) <= mostS + 0.5);
-    assert.ok(Math.max(...spread) - Math.min(...spread) > (mostS - REPORT_S) / 2);
+    assert.ok(Math.min(...spread) >= HEARTBEAT_INTERVAL_S && Math.max(...spread) <= mostS + 0.5);
+    assert.ok(Math.max(...spread) - Math.min(...spread) > (mostS - HEARTBEAT_INTERVAL_S) / 2);
   }
 });
 
--- a/packages/controller/api/admission.ts
+++ b/packages/controller/api/admission.ts
@@ -1,20 +1,25 @@
-import { type GroupCommit, type StateClient } from '#store';
+/** Limits how many submissions wait for their records, team by team. */
+import type { GroupCommit, StateClient } from '#store';
 import type { Runtime } from '#wire';
 import type { Log } from '../observability/log.js';
 
-/** Report periods that a submission may be expected to wait for its record; past that it is refused. */
-const MAX_WAIT_PERIODS = 2;
-/** The same if the other controllers begin to take all that they may: users hear an answer within 5 s or not at all. */
+/** Heartbeat intervals that a submission may be expected to wait for its record; else it is refused. */
+const MAX_WAIT_INTERVALS = 2;
+/**
+ * Longest wait, in seconds, if the other controllers begin to use their whole share of the rates: a user
+ * gives up after 5 s.
+ */
 const MAX_LONGEST_WAIT_S = 4;
-/** Users wait so long at the most, whatever Retry-After says (docs of the protocol); seconds. */
+/** Longest time, in seconds, that a user waits before a retry, whatever `Retry-After` says. */
 const MAX_RETRY_AFTER_S = 30;
-/** Part of the time for which the state service has failed over which returning users spread. */
+/** Share of the time for which the state service has failed over which retries are spread. */
 const FAILURE_SPREAD = 1 / 4;
-/** Report periods over which they spread at the most. */
-const FAILURE_SPREAD_PERIODS = 4;
-/** Report periods between two lines of the log about one team. */
-const LOG_PERIODS = 10;
+/** Heartbeat intervals over which retries are spread at most. */
+const MAX_FAILURE_SPREAD_INTERVALS = 4;
+/** Heartbeat intervals between two log lines about one team. */
+const LOG_INTERVALS = 10;
 
+/** What admission is decided by. */
 export interface AdmissionOptions {
   runtime: Runtime;
   client: Pick<StateClient, 'usersChangesPerS' | 'usersWaitS' | 'failingSince'>;
@@ -23,68 +28,68 @@
   log: Log;
 }
 
-/** What is known of a team's submissions that were refused. */
+/** The submissions of a team that were refused. */
 interface Refusals {
   total: number;
-  /** When the last of those that were told to come back is due; steady seconds. */
-  lastReturnAt: number;
+  /** When the last retry of those that got a time of their own is due; steady seconds. */
+  lastRetryAt: number;
   loggedAt: number;
 }
 
 /**
- * Decides at once whether a submission may wait for its record. A team's submissions wait only for those of its
- * own and for the turns of the teams beside it, so one that overruns is refused while others are accepted.
- * Controllers decide alone: each knows its own part of the state service's rate.
+ * Decides at once whether a submission may wait for its record. A team's submissions wait only for those
+ * of its own and for the turns of other teams, so a team that overruns is refused while others are
+ * accepted. Each controller decides alone, by its own share of the state service's rates.
  */
 export class Admission {
   private readonly refusals = new Map<string, Refusals>();
 
   constructor(private readonly options: AdmissionOptions) {}
 
-  /** Null if the submission may wait; else after how many seconds its user is to come again. */
-  refuse(team: string): number | null {
+  /** Null if a submission of the team may wait; else the seconds after which its user is to retry. */
+  refusalDelayS(team: string): number | null {
     const { client, commits, heartbeatIntervalS } = this.options;
     const { expected, longest } = client.usersWaitS(commits.ahead(team) + 1);
     const isInTime =
-      expected <= MAX_WAIT_PERIODS * heartbeatIntervalS && longest <= MAX_LONGEST_WAIT_S;
+      expected <= MAX_WAIT_INTERVALS * heartbeatIntervalS && longest <= MAX_LONGEST_WAIT_S;
     if (!commits.full && isInTime) return null;
     return this.retryAfterS(team);
   }
 
   /**
-   * After how many seconds a user is to come again whose request the state service did not serve. It grows with
-   * the time for which nobody has been served, so that fewer come in vain and not all return at its end.
+   * Seconds after which a user is to retry whose request the state service did not serve. They grow with
+   * the time for which the service has failed, so that fewer retry in vain and not all at its end.
    */
   retryAfterFailureS(): number {
     const { runtime, client, heartbeatIntervalS } = this.options;
     const failingForS = Math.max(0, runtime.clock.now() - client.failingSince);
     const spreadS = Math.min(
-      FAILURE_SPREAD_PERIODS * heartbeatIntervalS,
+      MAX_FAILURE_SPREAD_INTERVALS * heartbeatIntervalS,
       failingForS * FAILURE_SPREAD,
     );
     return heartbeatIntervalS + runtime.random() * spreadS;
   }
 
-  /** Submissions refused since the start, by team. */
+  /** Number of submissions refused since the start, by team. */
   totals(): Record<string, number> {
     return Object.fromEntries([...this.refusals].map(([team, { total }]) => [team, total]));
   }
 
   /**
-   * After how many seconds the user of a submission that is refused is to come again. Those who were refused
-   * return one by one, as fast as their team's submissions are recorded and after all that wait now. Past
-   * the longest time that a user waits they are spread by chance.
+   * Records a refusal; the seconds after which its user is to retry. Retries come one by one, as fast as
+   * the team's submissions are recorded and after all that wait now. Past the longest time that a user
+   * waits they are spread at random.
    */
   retryAfterS(team: string): number {
     const { runtime, client, commits } = this.options;
     const { expected } = client.usersWaitS(commits.ahead(team) + 1);
     const now = runtime.clock.now();
     const refusals = this.refusalsOf(team);
-    const perSecond = client.usersChangesPerS * commits.shareOf(team);
-    const returnAt = Math.max(refusals.lastReturnAt, now + expected) + 1 / perSecond;
-    const isWithin = returnAt <= now + MAX_RETRY_AFTER_S;
-    if (isWithin) refusals.lastReturnAt = returnAt;
-    const retryAfterS = isWithin ? returnAt - now : MAX_RETRY_AFTER_S * (1 - runtime.random() / 2);
+    const recordsPerS = client.usersChangesPerS * commits.shareOf(team);
+    const retryAt = Math.max(refusals.lastRetryAt, now + expected) + 1 / recordsPerS;
+    const isInTurn = retryAt <= now + MAX_RETRY_AFTER_S;
+    if (isInTurn) refusals.lastRetryAt = retryAt;
+    const retryAfterS = isInTurn ? retryAt - now : MAX_RETRY_AFTER_S * (1 - runtime.random() / 2);
     this.recordRefusal(team, refusals, retryAfterS);
     return retryAfterS;
   }
@@ -92,7 +97,7 @@
   private refusalsOf(team: string): Refusals {
     let refusals = this.refusals.get(team);
     if (!refusals) {
-      refusals = { total: 0, lastReturnAt: -Infinity, loggedAt: -Infinity };
+      refusals = { total: 0, lastRetryAt: -Infinity, loggedAt: -Infinity };
       this.refusals.set(team, refusals);
     }
     return refusals;
@@ -102,7 +107,7 @@
     const { runtime, heartbeatIntervalS, log } = this.options;
     refusals.total++;
     const now = runtime.clock.now();
-    if (now < refusals.loggedAt + LOG_PERIODS * heartbeatIntervalS) return;
+    if (now < refusals.loggedAt + LOG_INTERVALS * heartbeatIntervalS) return;
     refusals.loggedAt = now;
     log.info({ team, refused: refusals.total, retryAfterS }, 'submissions refused');
   }
--- a/packages/controller/api/dependency-validator.test.ts
+++ b/packages/controller/api/dependency-validator.test.ts
@@ -59,8 +59,8 @@
     [['j-2', 'j-99'], /^awaits: j-99 was never accepted$/],
   ];
   for (const user of CONTROLLERS) {
-    for (const [awaits, error] of refusals) {
-      const answer = await submit(user, { id: 'j-10', awaits });
+    for (const [dependencies, error] of refusals) {
+      const answer = await submit(user, { id: 'j-10', awaits: dependencies });
       assert.equal(answer.status, 422);
       assert.match(errorOf(answer), error);
     }
@@ -73,14 +73,17 @@
 
 test('what is no list of job ids is malformed, and what is none is as if it were left out', async () => {
   const { ask, users, upload } = await aCluster();
-  const body = (awaits: unknown) => ({ ...jobToWire(upload({ id: 'j-10' })), awaits });
-  for (const awaits of ['j-1', 7, [7], ['x'], [null], { a: 1 }, ['j-']]) {
-    const answer = await ask(users[0].submitRaw(body(awaits)));
-    assert.equal(answer.status, 400, JSON.stringify(awaits));
+  const body = (dependencies: unknown) => ({
+    ...jobToWire(upload({ id: 'j-10' })),
+    awaits: dependencies,
+  });
+  for (const dependencies of ['j-1', 7, [7], ['x'], [null], { a: 1 }, ['j-']]) {
+    const answer = await ask(users[0].submitRaw(body(dependencies)));
+    assert.equal(answer.status, 400, JSON.stringify(dependencies));
     assert.match(errorOf(answer), /^awaits/);
   }
-  for (const [number, awaits] of [null, [], undefined].entries()) {
-    const plain = { ...body(awaits), id: `j-2${number}` };
+  for (const [number, dependencies] of [null, [], undefined].entries()) {
+    const plain = { ...body(dependencies), id: `j-2${number}` };
     assert.equal((await ask(users[0].submitRaw(plain))).status, 201);
   }
   const many = Array.from({ length: 3000 }, (_, number) => `j-${100_000_000 + number}`);
--- a/packages/controller/api/health-endpoint.ts
+++ b/packages/controller/api/health-endpoint.ts
@@ -1,14 +1,16 @@
+/** Serves the health checks of the load balancer. */
 import type { Express } from 'express';
 import { isHealthy } from './health.js';
-import { reply } from './http-bodies.js';
+import { replyHealth } from './replies.js';
 import type { ControllerServices } from '../services.js';
 import type { StatusExchange } from '../peers/status-exchange.js';
 
-/** Report periods for which a refusal, or a peer's silence, may last before it counts. */
-const PATIENCE_PERIODS = 2;
+/** Heartbeat intervals for which a refusal, or a peer's silence, may last before it counts. */
+const PATIENCE_INTERVALS = 2;
 
 type Services = Pick<ControllerServices, 'runtime' | 'settings' | 'client' | 'jobs' | 'types'>;
 
+/** What the health of a controller depends on. */
 export interface HealthEndpointOptions extends Services {
   statuses: StatusExchange;
 }
@@ -17,14 +19,14 @@
 export class HealthEndpoint {
   constructor(private readonly options: HealthEndpointOptions) {}
 
+  /** Adds the route. */
   mount(app: Express): void {
     app.get('/healthz', (_req, res) => {
-      const ok = this.healthy();
-      reply(res, ok ? 200 : 503, { ok });
+      replyHealth(res, this.isHealthy());
     });
   }
 
-  private healthy(): boolean {
+  private isHealthy(): boolean {
     const { runtime, settings, client, jobs, types, statuses } = this.options;
     return isHealthy({
       now: runtime.clock.now(),
@@ -33,7 +35,7 @@
       lastOkAt: client.lastOkAt,
       lastFailAt: client.lastFailAt,
       peers: statuses.statuses(),
-      patienceS: PATIENCE_PERIODS * settings.deployment.workers.report_s,
+      patienceS: PATIENCE_INTERVALS * settings.deployment.workers.report_s,
     });
   }
 }
--- a/packages/controller/api/health.ts
+++ b/packages/controller/api/health.ts
@@ -1,16 +1,18 @@
-import type { PeerStatus } from '../peers/peer-status.js';
+/** Whether users should be sent to this controller. */
+import { isReachable, type PeerStatus } from '../peers/peer-status.js';
 
-/** How this controller is served, and what its peers say; steady seconds. */
+/** How the state service serves this controller, and what its peers state; steady seconds. */
 export interface HealthView {
   now: number;
   /** The jobs and the machine types are known. */
   loaded: boolean;
-  /** The newest request to the state service whose outcome is known was not served. */
+  /** The state service did not serve the newest request whose outcome is known. */
   refused: boolean;
-  /** When the newest requests were sent that the state service served, and did not. */
+  /** When the newest request was sent that the state service served. */
   lastOkAt: number;
+  /** When the newest request was sent that the state service did not serve. */
   lastFailAt: number;
-  /** The latest statement of each other controller; null if it was never heard. */
+  /** The latest statement of each other controller; null if none has arrived. */
   peers: (PeerStatus | null)[];
   /** For how long a refusal, or a peer's silence, may last before it counts. */
   patienceS: number;
@@ -25,10 +27,8 @@
   const { now, lastOkAt, patienceS } = view;
   if (!view.loaded) return false;
   if (!view.refused || view.lastFailAt - lastOkAt < patienceS) return true;
-  const reachable = view.peers.filter(
-    (peer) => peer !== null && now - peer.receivedAt <= patienceS,
-  );
+  const reachable = view.peers.filter((peer) => isReachable(peer, now, patienceS));
   // Cut off from the peers as well, this controller can't know whether they are served.
   if (reachable.length === 0) return view.peers.length === 0;
-  return !reachable.some((peer) => !peer!.frame.refused && peer!.servedAt > lastOkAt + patienceS);
+  return !reachable.some((peer) => !peer.frame.refused && peer.servedAt > lastOkAt + patienceS);
 }
--- a/packages/controller/api/http-interface.ts
+++ b/packages/controller/api/http-interface.ts
@@ -1,3 +1,4 @@
+/** Joins the HTTP server with all that answers requests. */
 import { parseHostPort } from '#wire';
 import type { Admission } from './admission.js';
 import type { CancellationRelay } from '../peers/cancellation-relay.js';
@@ -22,7 +23,7 @@
   /** Connections of workers and users that may be open. */
   maxConnections: number;
   statuses: StatusExchange;
-  /** A controller that was not heard for this long is out of reach; seconds. */
+  /** A controller that has sent nothing for this long is unreachable; seconds. */
   silenceS: number;
   cancellationRelay: CancellationRelay;
   standby: StandbyRenewal;
@@ -31,13 +32,13 @@
   metrics: MetricsEndpoint;
   eventLoopDelay: EventLoopDelayMonitor;
   admission: Admission;
-  /** Null while nothing is owned here. */
+  /** The leader that runs in this process; null while this controller is a follower. */
   leader: () => ShardLeader | null;
-  /** Null while no owner here may answer workers. */
+  /** The same leader while it holds the leader lease; else null. */
   activeLeader: () => ShardLeader | null;
 }
 
-/** The server for workers, users and health checks, with all its routes. */
+/** Makes the server for workers, users, operators and health checks, with all its routes. */
 export function makeHttpServer(options: HttpInterfaceOptions): HttpServer {
   const { services, statuses, metrics, maxConnections } = options;
   const { runtime, settings } = services;
@@ -79,7 +80,9 @@
     },
     admission,
     overloadedForS: () => eventLoopDelay.overloadedForS,
-    onCancel: (job) => cancellationRelay.request(job),
+    onCancel: (job) => {
+      cancellationRelay.request(job);
+    },
     crowded,
   });
 }
--- a/packages/controller/api/http-server.ts
+++ b/packages/controller/api/http-server.ts
@@ -1,21 +1,25 @@
+/** The HTTP server for workers, users and health checks. */
 import http from 'node:http';
 import express, { type Express, type Request, type Response } from 'express';
 import { aborted, type HostPort, Listener, type Network } from '#wire';
-import { reply, takeBody } from './http-bodies.js';
+import { replyError } from './replies.js';
+import { collectBody } from './request-body.js';
 
-/** How long a connection of a worker or user is kept without a request. */
+/** How long a connection of a worker or user is kept without a request; milliseconds. */
 const KEEP_ALIVE_MS = 75_000;
 /** Share of the server's connections above which users' connections are not kept. */
-const CROWDED = 0.9;
+const CROWDED_SHARE = 0.9;
 
-/** Answers a report; the body is undefined if it is too large. */
+/** Answers a heartbeat; the body is undefined if it is too large. */
 export type HeartbeatHandler = (body: unknown, res: http.ServerResponse) => void;
 
+/** What the server listens on and what it serves. */
 export interface HttpServerOptions {
   network: Network;
   address: HostPort;
+  /** Connections that may be open at a time. */
   maxConnections: number;
-  /** Adds all routes but that of reports. */
+  /** Adds all routes but that of heartbeats. */
   mount: (app: Express) => void;
   onHeartbeat: HeartbeatHandler;
 }
@@ -36,14 +40,14 @@
     this.listener = new Listener(options.network, server);
   }
 
-  /** Connections that are open now. */
+  /** Number of connections that are open now. */
   get connections(): number {
     return this.listener.connections;
   }
 
-  /** Few connections are left. */
+  /** Whether few connections are left. */
   get crowded(): boolean {
-    return this.connections > CROWDED * this.options.maxConnections;
+    return this.connections > CROWDED_SHARE * this.options.maxConnections;
   }
 
   /** Serves until the signal aborts, then ends all connections; rejects with ListenError. */
@@ -55,50 +59,54 @@
 }
 
 /**
- * Reports go past express: nearly all requests to an owner are reports, and express's way to the handler
- * cost more than the handler. All else is express's.
+ * Passes heartbeats by express: nearly all requests to a leader are heartbeats, and express's way to the
+ * handler cost more than the handler. Express serves everything else.
  */
 export function withHeartbeats(app: Express, onHeartbeat: HeartbeatHandler): http.RequestListener {
   return (req, res) => {
-    if (req.method === 'POST' && req.url === '/hello')
-      takeBody(req, (body) => onHeartbeat(body, res));
-    else app(req, res);
+    if (req.method === 'POST' && req.url === '/hello') {
+      collectBody(req, (body) => {
+        onHeartbeat(body, res);
+      });
+    } else app(req, res);
   };
 }
 
-/** The common frame of the HTTP side: raw bodies within the limit. */
+/** An express application that hands raw bodies within the limit to its routes. */
 export function makeApp(): Express {
   const app = express();
   app.disable('x-powered-by');
   app.disable('etag');
   app.set('query parser', false);
-  app.use((req, _res, next) =>
-    takeBody(req, (body) => {
+  app.use((req, _res, next) => {
+    collectBody(req, (body) => {
       req.body = body;
       next();
-    }),
-  );
+    });
+  });
   return app;
 }
 
-/** Unknown paths, wrong methods and bodies that could not be read. To be mounted last. */
+/** The method that each known path allows. */
+const ALLOWED_METHODS = [
+  { path: /^\/(submissions|hello)\/?$/, method: 'POST' },
+  { path: /^\/submissions\/[^/]+\/?$/, method: 'GET' },
+  { path: /^\/submissions\/[^/]+\/abort\/?$/, method: 'POST' },
+  { path: /^\/(healthz|metrics|replicas)\/?$/, method: 'GET' },
+];
+
+/** Answers unknown paths, wrong methods and bodies that could not be read. To be mounted last. */
 export function mountFallbacks(app: Express): void {
-  const methods: [RegExp, string][] = [
-    [/^\/(submissions|hello)\/?$/, 'POST'],
-    [/^\/submissions\/[^/]+\/?$/, 'GET'],
-    [/^\/submissions\/[^/]+\/abort\/?$/, 'POST'],
-    [/^\/(healthz|metrics|replicas)\/?$/, 'GET'],
-  ];
   app.use((req: Request, res: Response) => {
-    const known = methods.find(([path]) => path.test(req.path));
-    if (!known) reply(res, 404, { error: 'unknown path' });
+    const known = ALLOWED_METHODS.find(({ path }) => path.test(req.path));
+    if (!known) replyError(res, 404, 'unknown path');
     else {
-      res.setHeader('Allow', known[1]);
-      reply(res, 405, { error: 'wrong method' });
+      res.setHeader('Allow', known.method);
+      replyError(res, 405, 'wrong method');
     }
   });
   app.use((err: unknown, _req: Request, res: Response, next: () => void) => {
     if (res.headersSent) next();
-    else reply(res, 400, { error: err instanceof Error ? err.message : 'unreadable' });
+    else replyError(res, 400, err instanceof Error ? err.message : 'unreadable');
   });
 }
--- a/packages/controller/api/replica-endpoint.test.ts
+++ b/packages/controller/api/replica-endpoint.test.ts
@@ -9,7 +9,7 @@
 
 const ROW = { job: 'j-1', replica: 0, generation: 7, phase: 'whole' };
 const SUPPORT = { rows: () => [ROW] } as unknown as ReplicaSupport;
-const OWNER = { replicaGroups: {} } as unknown as ShardLeader;
+const LEADER = { replicaGroups: {} } as unknown as ShardLeader;
 
 async function ask(support: ReplicaSupport | null, leader: ShardLeader | null) {
   const app = express();
@@ -23,11 +23,11 @@
   return { status: response.status, body: (await response.json()) as Record<string, unknown> };
 }
 
-test('the owner lists replicas, another controller names it, and without the section there are none', async () => {
-  assert.deepEqual(await ask(SUPPORT, OWNER), { status: 200, body: { replicas: [ROW] } });
+test('the leader lists replicas, a follower names the leader, and without the section there are none', async () => {
+  assert.deepEqual(await ask(SUPPORT, LEADER), { status: 200, body: { replicas: [ROW] } });
   const elsewhere = await ask(SUPPORT, null);
   assert.equal(elsewhere.status, 503);
   assert.equal(elsewhere.body.owner, 'controller-2');
-  const off = await ask(null, OWNER);
+  const off = await ask(null, LEADER);
   assert.equal(off.status, 404);
 });
--- a/packages/controller/api/replica-endpoint.ts
+++ b/packages/controller/api/replica-endpoint.ts
@@ -1,16 +1,18 @@
+/** Serves the replicas of several members to operators. */
 import type { Express } from 'express';
 import type { LeaderElection } from '#store';
 import type { ShardLeader } from '../leadership/shard-leader.js';
 import type { OptionalReplicaSupport } from '../replica-support.js';
 
+/** What the list of replicas is read from. */
 export interface ReplicaEndpointOptions {
   replicas: OptionalReplicaSupport;
-  /** Null while nothing is owned here. */
+  /** The leader that runs in this process; null while this controller is a follower. */
   leader: () => ShardLeader | null;
   election: Pick<LeaderElection, 'currentLeader'>;
 }
 
-/** Serves `/replicas` to operators: the replicas of several members, if they are switched on. */
+/** Adds the route `/replicas`, which answers with 404 if replica groups are switched off. */
 export function mountReplicas(app: Express, options: ReplicaEndpointOptions): void {
   app.get('/replicas', (_req, res) => {
     const { support } = options.replicas;
--- a/packages/controller/api/submission-check.ts
+++ b/packages/controller/api/submission-check.ts
@@ -1,12 +1,14 @@
+/** Judges submissions by themselves, whatever is known of their ids. */
 import { type ReplicaShape, type TeamQuota, typeFits, withinLimit } from '#core';
 import { encodeJob, jobKey, type JobRecord, sizeInJson } from '#store';
 import { type Job, JOB_FIELDS, type MachineType, MalformedBody, parseJob } from '#wire';
 import type { ControllerServices } from '../services.js';
 import { teamQuotas } from '../settings/settings.js';
 
+/** No resources at all. */
 const NOTHING = { cpus: 0, gpus: 0, memory: 0 };
 
-/** Why a submission is turned away for good. */
+/** Why a submission is refused for good. */
 export interface Refusal {
   status: 400 | 422;
   error: string;
@@ -15,7 +17,7 @@
 /** A job that may be accepted. */
 export type AcceptableJob = Pick<JobRecord, 'job' | 'replicas'>;
 
-/** Judges submissions by themselves, whatever is known of their ids. */
+/** Refuses submissions that are malformed or can never run. */
 export class SubmissionCheck {
   private readonly teams: Map<string, TeamQuota>;
 
@@ -28,7 +30,10 @@
     this.teams = teamQuotas(services.settings.deployment.teams);
   }
 
-  /** The job as it is to be recorded, with how its tasks form replicas if each has several, or why it is refused. */
+  /**
+   * The job as it is to be recorded, with the shape of its replicas if they have several members, or why
+   * it is refused.
+   */
   check(raw: unknown): AcceptableJob | { refusal: Refusal } {
     try {
       const job = this.withoutUnknownTypes(parseJob(raw));
@@ -45,14 +50,14 @@
     }
   }
 
-  /** Of many types those that do not exist here need no place in the record. */
+  /** Leaves out machine types that don't exist, so that a long list doesn't fill the record. */
   private withoutUnknownTypes(job: Job): Job {
     const known = new Set(this.services.types.all().map((type) => type.name));
     if (job.types === null || known.size === 0 || job.types.length <= known.size) return job;
     return { ...job, types: job.types.filter((type) => known.has(type)) };
   }
 
-  /** Why a job can never run, or null. */
+  /** Why a job can never run, or null. Not by its machine types while these are not known. */
   private whyNever(job: Job): string | null {
     if (job.awaits.includes(job.id)) return `${JOB_FIELDS.awaits}: a job can't await itself`;
     const quota = this.teams.get(job.team);
@@ -61,6 +66,7 @@
     return whyBeyondLimit(job, quota) ?? (types.length > 0 ? whyNoTypeFits(job, types) : null);
   }
 
+  /** Why no replica of the job can ever have all its members, or null. */
   private whyNeverWhole(job: Job, shape: ReplicaShape | null): string | null {
     const { replicas, types } = this.services;
     if (shape === null || replicas.support === null) return null;
@@ -72,6 +78,7 @@
     return `lane, crew, bundle, rigs, yard, awaits: their record would be larger than ${valueBytes} bytes`;
   }
 
+  /** Whether the record fits one value of the state service. */
   private fitsRecord({ job, replicas }: AcceptableJob): boolean {
     const value = encodeJob({
       job,
@@ -83,7 +90,7 @@
   }
 }
 
-/** Why the job needs more than its team's limit, or null: of an array one task at a time, else all tasks. */
+/** Why the job needs more than its team's limit, or null: one task of an array, else all tasks. */
 function whyBeyondLimit(job: Job, quota: TeamQuota): string | null {
   const tasksAtOnce = job.kind === 'array' ? 1 : job.tasks;
   for (const amount of ['cpus', 'gpus'] as const) {
--- /dev/null
+++ b/packages/controller/api/submission-handler.ts
@@ -0,0 +1,131 @@
+/** Answers `POST /submissions`. */
+import type { Request, Response } from 'express';
+import { encodeJob } from '#store';
+import { type Clock, isJobId, type MachineType, NoAnswer, StateRefused } from '#wire';
+import type { JobTable } from '../jobs/job-table.js';
+import type { Admission } from './admission.js';
+import type { DependencyValidator } from './dependency-validator.js';
+import type { JobStore } from './job-store.js';
+import { replyError, replyJob } from './replies.js';
+import { readBody } from './request-body.js';
+import type { AcceptableJob, Refusal, SubmissionCheck } from './submission-check.js';
+
+/** Status with which the state service refuses requests above its rates. */
+const TOO_MANY_REQUESTS = 429;
+/** The version of a record that doesn't exist. */
+const NO_RECORD = 0;
+/** Seconds after which a user repeats a submission that could not be decided. */
+const UNDECIDED_RETRY_S = 1;
+
+/** What decides about a submission. */
+export interface SubmissionHandlerOptions {
+  clock: Clock;
+  jobs: JobTable;
+  store: JobStore;
+  submissions: SubmissionCheck;
+  dependencies: DependencyValidator;
+  admission: Admission;
+  types: () => MachineType[];
+  /** Seconds after which submissions are accepted again if this process is overloaded; else null. */
+  overloadedForS: () => number | null;
+}
+
+/** Accepts submissions, refuses those that can never run, and tells of jobs that are known already. */
+export class SubmissionHandler {
+  constructor(private readonly options: SubmissionHandlerOptions) {}
+
+  /** Answers one submission. Rejects with MalformedBody, or with an error of the state service. */
+  async submit(req: Request, res: Response): Promise<void> {
+    const { jobs, store, submissions, types, dependencies, admission } = this.options;
+    const overloadedForS = this.options.overloadedForS();
+    if (overloadedForS !== null) {
+      replyError(res, 503, 'overloaded', overloadedForS);
+      return;
+    }
+    const raw = readBody(req.body);
+    const id = typeof raw.id === 'string' && isJobId(raw.id) ? raw.id : null;
+    const known = id === null ? undefined : jobs.get(id);
+    if (id !== null && known) {
+      // An idempotent repetition: a known job is known whatever the new body says.
+      const current = await store.lookUp(id);
+      replyJob(res, 200, jobs.view(id, current ?? known));
+      return;
+    }
+    const checked = submissions.check(raw);
+    if ('refusal' in checked) {
+      await this.refuseUnlessKnown(id, checked.refusal, res);
+      return;
+    }
+    if (types().length === 0) {
+      replyError(res, 503, 'machine types are not known yet', UNDECIDED_RETRY_S);
+      return;
+    }
+    const { job } = checked;
+    const error = await dependencies.rejectionReason(job);
+    if (error !== null) {
+      await this.refuseUnlessKnown(job.id, { status: 422, error }, res);
+      return;
+    }
+    const retryAfterS = admission.refusalDelayS(job.team);
+    if (retryAfterS === null) await this.accept(checked, res);
+    else this.refuseForRate(res, retryAfterS);
+  }
+
+  /** Another controller may have accepted the id a moment ago; it is null if the body has none. */
+  private async refuseUnlessKnown(
+    id: string | null,
+    { status, error }: Refusal,
+    res: Response,
+  ): Promise<void> {
+    const { jobs, store } = this.options;
+    const known = id === null ? undefined : await store.lookUp(id);
+    if (id !== null && known) replyJob(res, 200, jobs.view(id, known));
+    else replyError(res, status, error);
+  }
+
+  private refuseForRate(res: Response, retryAfterS: number): void {
+    replyError(res, 429, 'more submissions than can be recorded', retryAfterS);
+  }
+
+  private async accept(acceptable: AcceptableJob, res: Response): Promise<void> {
+    const { jobs, admission, dependencies } = this.options;
+    const { job } = acceptable;
+    // Beside the record, since it takes as long.
+    const outcomesKnown = dependencies.syncOutcomes(job);
+    outcomesKnown.catch(() => {
+      // Thrown below, where it is waited for, unless the record fails before.
+    });
+    let isNew: boolean;
+    try {
+      isNew = await this.record(acceptable);
+    } catch (err) {
+      if (!(err instanceof StateRefused && err.status === TOO_MANY_REQUESTS)) throw err;
+      this.refuseForRate(res, admission.retryAfterS(job.team));
+      return;
+    }
+    await outcomesKnown;
+    const known = jobs.get(job.id);
+    if (!known) replyError(res, 503, 'not known whether it was recorded', UNDECIDED_RETRY_S);
+    else if (!isNew) replyJob(res, 200, jobs.view(job.id, known));
+    else replyJob(res, 201, { id: job.id, phase: jobs.view(job.id, known).phase });
+  }
+
+  /** Records an accepted job; false if that was done before, or if it is not known whether it was. */
+  private async record({ job, replicas }: AcceptableJob): Promise<boolean> {
+    const { clock, store } = this.options;
+    const value = encodeJob({ job, replicas, acceptedAtMs: clock.wallMs(), phase: 'accepted' });
+    const write = { id: job.id, team: job.team, value, version: NO_RECORD };
+    try {
+      const outcome = await store.commit(write);
+      if (outcome.ok) {
+        store.applyCommitted(write, outcome.revision);
+        return true;
+      }
+    } catch (err) {
+      if (!(err instanceof NoAnswer)) throw err;
+      // It may have been applied, or may be later; the record tells, and a repetition finds it.
+    }
+    store.applyRead(job.id, await store.read(job.id));
+    return false;
+  }
+}
--- a/packages/controller/api/user-burst.test.ts
+++ b/packages/controller/api/user-burst.test.ts
@@ -4,10 +4,10 @@
 import { aJob, Cluster, formatAddress, serviceAddress, SMALL_CLUSTER, USERS_HOST } from '#testing';
 
 const WRITE_RPS = SMALL_CLUSTER.deployment.state.write_rps;
-/** The part of all changes that a controller may make that does not own. */
+/** The share of all changes that a follower may make. */
 const SHARE = 0.3;
 
-/** A cluster with an owner, and a way to make users of a controller that has never owned. */
+/** A cluster with a leader, and a way to make users of a controller that has never led. */
 async function aClusterAndUsers() {
   const cluster = new Cluster(SMALL_CLUSTER, 1);
   const runtime = cluster.serviceRuntime('users', 'users', USERS_HOST);
@@ -20,7 +20,7 @@
   return { cluster, aUser, now: () => cluster.world.now };
 }
 
-test('a burst of submissions and aborts at a controller that has never owned is answered in its share', async () => {
+test('a burst of submissions and cancellations at a controller that has never led is answered in its share', async () => {
   const { cluster, aUser, now } = await aClusterAndUsers();
   const ids = Array.from({ length: 40 }, (_, i) => `j-${i}`);
   const submitted: number[] = [];
@@ -36,12 +36,12 @@
   assert.equal(submitted.length, ids.length);
   // The state service answers slowly, so that all that come meanwhile share the next transaction.
   cluster.state.setLatency({ usualMs: [400, 400], slowShare: 0, slowMs: [0, 0] });
-  let aborted = 0;
+  let cancelled = 0;
   for (const id of ids)
     void aUser()
       .abort(id)
-      .then(({ status }) => status === 200 && aborted++);
+      .then(({ status }) => status === 200 && cancelled++);
   await cluster.world.runUntil(now() + 10);
-  assert.equal(aborted, ids.length);
+  assert.equal(cancelled, ids.length);
   assert.deepEqual(cluster.world.uncaught, []);
 });
--- a/packages/controller/heartbeats/follower-heartbeats.ts
+++ b/packages/controller/heartbeats/follower-heartbeats.ts
@@ -1,9 +1,10 @@
+/** The workers that send their heartbeats to this controller while it is a follower. */
 import type { Clock } from '#wire';
 
-/** Report periods within which a worker counts as heard, here or by a peer. */
+/** Heartbeat intervals within which a worker counts as reachable, from here or from a peer. */
 export const REACHABLE_INTERVALS = 3;
 
-/** The workers that lately reported here although this controller does not own. */
+/** Counts the workers whose heartbeats lately reached this controller although it doesn't lead. */
 export class FollowerHeartbeats {
   /** Steady seconds by machine. */
   private readonly lastHeartbeatAt = new Map<string, number>();
@@ -13,15 +14,16 @@
     private readonly heartbeatIntervalS: number,
   ) {}
 
+  /** Records a heartbeat of the machine as of now. */
   record(machine: string): void {
     this.lastHeartbeatAt.set(machine, this.clock.now());
   }
 
-  /** How many workers there are. */
+  /** Number of workers with a heartbeat within the last `REACHABLE_INTERVALS`. */
   count(): number {
     const since = this.clock.now() - REACHABLE_INTERVALS * this.heartbeatIntervalS;
-    for (const [machine, at] of this.lastHeartbeatAt) {
-      if (at < since) this.lastHeartbeatAt.delete(machine);
+    for (const [machine, lastAt] of this.lastHeartbeatAt) {
+      if (lastAt < since) this.lastHeartbeatAt.delete(machine);
     }
     return this.lastHeartbeatAt.size;
   }
--- a/packages/controller/heartbeats/heartbeat-endpoint.ts
+++ b/packages/controller/heartbeats/heartbeat-endpoint.ts
@@ -1,3 +1,4 @@
+/** Answers the heartbeats of workers. */
 import type { ServerResponse } from 'node:http';
 import {
   answerToWire,
@@ -7,85 +8,91 @@
   redirectToWire,
   type Heartbeat,
 } from '#wire';
-import { readBody, reply } from '../api/http-bodies.js';
+import { reply, replyError } from '../api/replies.js';
+import { readBody } from '../api/request-body.js';
 import { mayReachLeader } from '../leadership/leader-reachability.js';
 import type { ShardLeader } from '../leadership/shard-leader.js';
 import type { ControllerServices } from '../services.js';
-import { WorkerConnections } from '../api/sockets.js';
 import type { StandbyRenewal } from '../leadership/standby-renewal.js';
 import type { StatusExchange } from '../peers/status-exchange.js';
 import type { FollowerHeartbeats } from './follower-heartbeats.js';
+import { WorkerConnections } from './worker-connections.js';
 import type { ProcessStatistics } from '../observability/process-statistics.js';
 
-/** A token that every worker drops. */
+/** Lower than the fencing token of any term, so that every worker drops the answer. */
 const NO_FENCING_TOKEN = 0;
 
 type Services = Pick<ControllerServices, 'runtime' | 'settings' | 'jobs' | 'election' | 'log'>;
 
+/** What the answer to a heartbeat depends on. */
 export interface HeartbeatEndpointOptions extends Services {
-  /** The owner of the present term if it may answer workers now. */
+  /** The leader that runs in this process, if it holds the leader lease; else null. */
   activeLeader: () => ShardLeader | null;
   standby: StandbyRenewal;
   statuses: StatusExchange;
-  /** A controller that was not heard for this long is out of reach. */
+  /** A controller that has sent nothing for this long is unreachable; seconds. */
   silenceS: number;
   followerHeartbeats: FollowerHeartbeats;
   statistics: ProcessStatistics;
 }
 
-/** Answers the reports of workers: as the owner if entitled, else with who owns. */
+/** Answers as the leader while its leader lease is held, else with the controller that leads. */
 export class HeartbeatEndpoint {
   private readonly connections = new WorkerConnections();
 
   constructor(private readonly options: HeartbeatEndpointOptions) {}
 
+  /** Answers one heartbeat; the body is undefined if it was too large. */
   handle(body: unknown, res: ServerResponse): void {
     let heartbeat: Heartbeat;
     try {
       heartbeat = parseHeartbeat(readBody(body));
     } catch (err) {
-      reply(res, 400, { error: err instanceof MalformedBody ? err.message : 'unreadable' });
+      replyError(res, 400, err instanceof MalformedBody ? err.message : 'unreadable');
       return;
     }
     this.options.statistics.heartbeats++;
     const leader = this.options.activeLeader();
-    if (leader === null) this.answerAsOther(heartbeat, res);
-    else if (this.isNewer(heartbeat, leader.fleet.fencing.newestFencingToken))
-      this.resign(heartbeat, res);
-    else if (leader.ready) this.answer(leader, heartbeat, res);
+    if (leader === null) this.answerAsFollower(heartbeat, res);
+    else if (this.hasSeenNewerLeader(heartbeat, leader.fleet.fencing.newestFencingToken))
+      this.stepDown(heartbeat, res);
+    else if (leader.ready) this.answerAsLeader(leader, heartbeat, res);
     else this.renewLease(leader.term.term, heartbeat, res);
   }
 
-  /** Not the owner, or not entitled. */
-  private answerAsOther(heartbeat: Heartbeat, res: ServerResponse): void {
+  /** Answers without a leader lease: renews the worker's lease as a standby, or redirects it. */
+  private answerAsFollower(heartbeat: Heartbeat, res: ServerResponse): void {
     const term = this.options.standby.renewableTerm();
-    if (term !== null && !this.isNewer(heartbeat, term)) this.renewLease(term, heartbeat, res);
+    if (term !== null && !this.hasSeenNewerLeader(heartbeat, term))
+      this.renewLease(term, heartbeat, res);
     else this.redirect(heartbeat, res);
   }
 
-  /** Somebody commands this worker whose term is newer than the token. */
-  private isNewer(heartbeat: Heartbeat, fencingToken: number): boolean {
+  /** Whether the worker has seen a newer fencing token, so that a newer leader commands it. */
+  private hasSeenNewerLeader(heartbeat: Heartbeat, fencingToken: number): boolean {
     return heartbeat.fencingToken > fencingToken;
   }
 
-  private resign({ machine, fencingToken }: Heartbeat, res: ServerResponse): void {
-    this.options.log.info({ machine, token: fencingToken }, 'a newer token is out');
+  private stepDown({ machine, fencingToken }: Heartbeat, res: ServerResponse): void {
+    const line = 'leader stepped down: newer fencing token seen';
+    this.options.log.info({ machine, fencingToken }, line);
     this.options.election.resign();
     reply(res, 421, redirectToWire(null));
   }
 
+  /** Sends the worker to the leader if it may reach it; elsewhere it soon finds the next one. */
   private redirect(heartbeat: Heartbeat, res: ServerResponse): void {
     const { settings, election, followerHeartbeats } = this.options;
     followerHeartbeats.record(heartbeat.machine);
     const { currentLeader } = election;
     if (!currentLeader || currentLeader.leader === settings.host_name)
-      reply(res, 503, { error: 'no owner yet' });
-    else if (this.mayReach(currentLeader.leader))
+      replyError(res, 503, 'no owner yet');
+    else if (this.isLeaderReachable(currentLeader.leader))
       reply(res, 421, redirectToWire(currentLeader.leader));
-    else reply(res, 503, { error: 'the owner is out of reach' });
+    else replyError(res, 503, 'the owner is out of reach');
   }
 
-  private mayReach(leader: string): boolean {
+  private isLeaderReachable(leader: string): boolean {
     const { runtime, statuses, silenceS } = this.options;
     return mayReachLeader({
       now: runtime.clock.now(),
@@ -96,8 +103,8 @@
   }
 
   /**
-   * Leases must not run out while an owner reads its records, nor because an owner has ended in an
-   * outage. Nothing can be started, but what users have cancelled ends.
+   * Renews the worker's lease without the fleet's state: leases must not expire while a leader reads its
+   * records, nor because a leader has ended in an outage. Nothing is started; cancelled tasks are stopped.
    */
   private renewLease(term: number, heartbeat: Heartbeat, res: ServerResponse): void {
     const stops: Order[] = heartbeat.tasks
@@ -106,11 +113,11 @@
     reply(res, 200, answerToWire(term, stops));
   }
 
-  private answer(leader: ShardLeader, heartbeat: Heartbeat, res: ServerResponse): void {
+  private answerAsLeader(leader: ShardLeader, heartbeat: Heartbeat, res: ServerResponse): void {
     const { machine } = heartbeat;
     const answer = leader.acceptHeartbeat(heartbeat);
     if (answer === null) {
-      // A late copy: its worker must drop the answer, which is not counted as a renewal.
+      // A late copy: its worker must drop the answer, which doesn't count as a lease renewal.
       reply(res, 200, answerToWire(NO_FENCING_TOKEN, []));
       return;
     }
--- a/packages/testing/meetings/chained-mistakes.test.ts
+++ b/packages/testing/meetings/chained-mistakes.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { DependencyGraph } from '#dependencies';
 import { DependencyValidator } from '../../controller/api/dependency-validator.js';
-import { UserApi } from '../../controller/api/user-api.js';
+import { JobStore } from '../../controller/api/job-store.js';
 import { JobRegistry } from '../../core/model/job-registry.js';
 import type { JobState } from '../../core/model/model.js';
 import { runScenario, type Fault, type ScenarioResult } from '../simulation/index.js';
@@ -107,7 +107,7 @@
 
 test('an answer by what a controller happens to know is found', async () => {
   const result = await playWith(
-    UserApi.prototype,
+    JobStore.prototype,
     'lookUp',
     () =>
       function (this: { options: { jobs: { get(id: string): unknown } } }, id: string) {
