--- a/packages/controller/api/http-interface.ts
+++ b/packages/controller/api/http-interface.ts
@@ -75,8 +75,8 @@
     submissions: new SubmissionCheck(services),
     types: () => types.all(),
     onRequest: (kind) => {
-      statistics.questions++;
-      return metrics.timeQuestion(kind);
+      statistics.userRequests++;
+      return metrics.timeUserRequest(kind);
     },
     admission,
     overloadedForS: () => eventLoopDelay.overloadedForS,
--- a/packages/controller/controller.ts
+++ b/packages/controller/controller.ts
@@ -57,7 +57,6 @@
     private readonly settings: Settings,
     private readonly log: Log,
   ) {
-    const { clock } = runtime;
     const { deployment } = settings;
     this.heartbeatIntervalS = deployment.workers.report_s;
     this.sockets = socketShares(deployment.limits.sockets, settings.peers.length);
@@ -82,7 +81,7 @@
     this.metrics = this.makeMetrics();
     this.terms = this.makeLeadershipTerms();
     this.eventLoopDelay = new EventLoopDelayMonitor(runtime);
-    this.followerHeartbeats = new FollowerHeartbeats(clock, this.heartbeatIntervalS);
+    this.followerHeartbeats = new FollowerHeartbeats(runtime.clock, this.heartbeatIntervalS);
     this.coordinator = this.makePeerCoordinator();
     this.httpServer = this.makeHttpServer();
   }
@@ -198,7 +197,8 @@
         stateChanges: client.changes,
       }),
       connections: () => this.httpServer.connections,
-      onSample: (look) => this.log.info({ owner: this.leader() !== null, ...look }, 'vitals'),
+      onSample: (sample) =>
+        this.log.info({ leading: this.leader() !== null, ...sample }, 'process statistics sampled'),
     });
   }
 
--- a/packages/controller/observability/log.ts
+++ b/packages/controller/observability/log.ts
@@ -1,6 +1,8 @@
+/** The log of a controller: one JSON object a line. */
 import { pino } from 'pino';
 import type { Clock } from '#wire';
 
+/** A log that takes the fields of a line and its message. */
 export type Log = pino.Logger;
 
 const LEVELS = ['error', 'warn', 'info', 'debug'];
@@ -8,17 +10,19 @@
 /** File descriptor of standard error. */
 const STANDARD_ERROR = 2;
 
-/** Synchronous, to standard error unless another file is given, at LOG_LEVEL (error, info, debug). */
+/**
+ * Makes a log that writes synchronously. An unknown level counts as `info`; `file` is a descriptor.
+ */
 export function makeLog(
   clock: Clock,
   name: string,
   level: string | undefined,
   file: number = STANDARD_ERROR,
 ): Log {
-  const known = level !== undefined && LEVELS.includes(level) ? level : 'info';
+  const knownLevel = level !== undefined && LEVELS.includes(level) ? level : 'info';
   const timestamp = () => `,"time":"${new Date(clock.wallMs()).toISOString()}"`;
   return pino(
-    { level: known, base: { node: name }, timestamp },
+    { level: knownLevel, base: { node: name }, timestamp },
     pino.destination({ dest: file, sync: true }),
   );
 }
--- a/packages/controller/observability/metrics-endpoint.ts
+++ b/packages/controller/observability/metrics-endpoint.ts
@@ -1,12 +1,14 @@
+/** Serves the metrics of a controller to operators. */
 import type { Express } from 'express';
 import type { StateClient } from '#store';
 import type { Clock } from '#wire';
 import type { Admission } from '../api/admission.js';
-import { Metrics } from './metrics.js';
+import { type GaugeValues, Metrics } from './metrics.js';
 import type { ShardLeader } from '../leadership/shard-leader.js';
 import type { OptionalReplicaSupport } from '../replica-support.js';
 import type { ProcessStatistics } from './process-statistics.js';
 
+/** What the metrics are read from. */
 export interface MetricsEndpointOptions {
   clock: Clock;
   heartbeatIntervalS: number;
@@ -14,46 +16,59 @@
   client: StateClient;
   admission: Admission;
   replicas: OptionalReplicaSupport;
-  /** Null while nothing is owned here. */
+  /** The leader that runs in this process; null while this controller is a follower. */
   leader: () => ShardLeader | null;
 }
 
-/** Serves `/metrics`. The metrics are loaded with the first request for them; until then none is kept. */
+/** The values of the label `of` that differ from the names of the counts. */
+const TOTAL_LABELS: Record<string, string> = { heartbeats: 'reports', userRequests: 'questions' };
+
+/** Serves `/metrics`. The metrics are loaded with the first request; until then none is kept. */
 export class MetricsEndpoint {
   private loading: Promise<Metrics> | null = null;
   private loaded: Metrics | null = null;
 
   constructor(private readonly options: MetricsEndpointOptions) {}
 
+  /** Adds the route. */
   mount(app: Express): void {
     app.get('/metrics', (_req, res, next) => {
       this.loading ??= this.load();
       this.loading
-        .then(async (metrics) => res.type(metrics.contentType).end(await metrics.text()))
+        .then(async (metrics) => {
+          res.type(metrics.contentType).end(await metrics.text());
+        })
         .catch(next);
     });
   }
 
-  /** Times the answer to a report from now until the function that it returns is called. */
+  /** Times the answer to a heartbeat from now until the function that it returns is called. */
   timeHeartbeat(): () => void {
-    return this.time((metrics, seconds) => metrics.heartbeats.observe(seconds));
+    return this.time((metrics, seconds) => {
+      metrics.heartbeats.observe(seconds);
+    });
   }
 
   /** Times the answer to a user's request in the same way. */
-  timeQuestion(kind: string): () => void {
-    return this.time((metrics, seconds) => metrics.questions.observe({ kind }, seconds));
+  timeUserRequest(kind: string): () => void {
+    return this.time((metrics, seconds) => {
+      metrics.userRequests.observe({ kind }, seconds);
+    });
   }
 
+  /** Observes the time of a scheduling round, in ms. */
   observeRound(roundMs: number): void {
     this.loaded?.rounds.observe(roundMs / 1000);
   }
 
   private time(observe: (metrics: Metrics, seconds: number) => void): () => void {
     const { loaded: metrics } = this;
-    if (metrics === null) return () => {};
+    if (metrics === null) return doNothing;
     const { clock } = this.options;
     const startedAt = clock.now();
-    return () => observe(metrics, clock.now() - startedAt);
+    return () => {
+      observe(metrics, clock.now() - startedAt);
+    };
   }
 
   private async load(): Promise<Metrics> {
@@ -65,7 +80,7 @@
 
   private register(metrics: Metrics): void {
     const { statistics, client, admission, leader } = this.options;
-    metrics.gauge('total', 'Counts since the start', 'of', () => statistics.totals());
+    metrics.gauge('total', 'Counts since the start', 'of', () => labelTotals(statistics.totals()));
     metrics.gauge('held', 'What the process holds now', 'of', () => statistics.held());
     metrics.gauge('term', 'Term of the part that is owned here, 0 if none', null, () => ({
       '': leader()?.term.term ?? 0,
@@ -78,20 +93,20 @@
       'team_index',
       'Index of each team',
       'team',
-      () => leader()?.fleetSummary().index ?? {},
+      () => leader()?.fleetSummary().fairShareIndex ?? {},
     );
     metrics.gauge(
       'waiting',
       'Tasks that wait for a place',
       'class',
-      () => leader()?.fleetSummary().waiting ?? {},
+      () => leader()?.fleetSummary().waitingTasks ?? {},
     );
-    const awaitingHelp = 'Jobs that await others which are not done';
-    metrics.gauge('awaiting_jobs', awaitingHelp, null, () => ({
+    const openDependenciesHelp = 'Jobs that await others which are not done';
+    metrics.gauge('awaiting_jobs', openDependenciesHelp, null, () => ({
       '': leader()?.fleet.jobs.jobsWithOpenDependencies ?? 0,
     }));
-    const suspectHelp = 'Jobs whose tasks fail on every machine tried';
-    metrics.gauge('suspect_jobs', suspectHelp, null, () => ({
+    const crashLoopingHelp = 'Jobs whose tasks fail on every machine tried';
+    metrics.gauge('suspect_jobs', crashLoopingHelp, null, () => ({
       '': leader()?.fleet.failures.crashLoopingJobs.size ?? 0,
     }));
     metrics.gauge(
@@ -117,3 +132,13 @@
     metrics.gauge('replica_broken_seconds', secondsHelp, 'of', seconds);
   }
 }
+
+/** The counts under the names that the metric's label gives them. */
+function labelTotals(totals: Record<string, number>): GaugeValues {
+  const entries = Object.entries(totals);
+  return Object.fromEntries(entries.map(([name, total]) => [TOTAL_LABELS[name] ?? name, total]));
+}
+
+function doNothing(): void {
+  // No metrics are loaded, so that there is nothing to observe.
+}
--- a/packages/controller/observability/metrics.ts
+++ b/packages/controller/observability/metrics.ts
@@ -1,24 +1,27 @@
+/** The metrics of a controller, by the library of Prometheus. */
 import type { Histogram, Registry } from 'prom-client';
 
-/** Shares of a report period. */
+/** Upper bounds of the histograms' buckets, in heartbeat intervals. */
 const BUCKETS = [0.0004, 0.001, 0.004, 0.01, 0.04, 0.1, 0.4, 1];
 
-export interface Labelled {
-  /** Value by label; '' where there is none. */
-  [label: string]: number;
-}
+/** The values of a gauge by the values of its label; the key is '' if it has no label. */
+export type GaugeValues = Record<string, number>;
 
 /**
- * What `/metrics` shows, in Prometheus' text form. Gauges are read when they are asked for. The library
- * is loaded with the first request for them, from which on times are observed: to load it at each start
- * cost a controller a tenth of a second that the workers' leases may not have.
+ * What `/metrics` shows, in Prometheus' text form. Gauges are read with each request. The library is
+ * loaded with the first one, and times are observed from then on: to load it at each start cost a
+ * controller a tenth of a second that the worker leases may not have.
  */
 export class Metrics {
   private readonly registry: Registry;
+  /** Seconds to answer a heartbeat. */
   readonly heartbeats: Histogram;
-  readonly questions: Histogram<'kind'>;
+  /** Seconds to answer a user's request. */
+  readonly userRequests: Histogram<'kind'>;
+  /** Seconds of a scheduling round. */
   readonly rounds: Histogram;
 
+  /** Loads the library and makes the metrics. Buckets follow from the heartbeat interval in seconds. */
   static async load(heartbeatIntervalS: number): Promise<Metrics> {
     return new Metrics(await import('prom-client'), heartbeatIntervalS);
   }
@@ -30,14 +33,14 @@
     const { Histogram, Registry } = library;
     this.registry = new Registry();
     const registers = [this.registry];
-    const buckets = BUCKETS.map((b) => b * heartbeatIntervalS);
+    const buckets = BUCKETS.map((bound) => bound * heartbeatIntervalS);
     this.heartbeats = new Histogram({
       name: 'sorreldale_report_seconds',
       help: 'Time to answer a report of a worker',
       buckets,
       registers,
     });
-    this.questions = new Histogram({
+    this.userRequests = new Histogram({
       name: 'sorreldale_user_request_seconds',
       help: 'Time to answer a request of a user',
       labelNames: ['kind'],
@@ -52,8 +55,8 @@
     });
   }
 
-  /** A group of values that is worked out anew for each request. */
-  gauge(name: string, help: string, label: string | null, read: () => Labelled): void {
+  /** Adds a gauge whose values are read with each request. */
+  gauge(name: string, help: string, label: string | null, read: () => GaugeValues): void {
     new this.library.Gauge({
       name: `sorreldale_${name}`,
       help,
@@ -69,10 +72,12 @@
     });
   }
 
+  /** All metrics in the text form. */
   text(): Promise<string> {
     return this.registry.metrics();
   }
 
+  /** The content type of the text form. */
   get contentType(): string {
     return this.registry.contentType;
   }
--- a/packages/controller/observability/process-statistics.ts
+++ b/packages/controller/observability/process-statistics.ts
@@ -1,35 +1,41 @@
-import { Clock, pause } from '#wire';
+/** Counts what one controller does and holds. */
+import { type Clock, pause } from '#wire';
 
-/** Report periods between two looks. */
+/** Least time that rates are taken over, in seconds. */
+const MIN_SAMPLE_S = 1e-3;
+/** Heartbeat intervals between two samples. */
 const SAMPLE_INTERVALS = 10;
 
+/** Where the figures come from and who is told of them. */
 export interface ProcessStatisticsOptions {
   clock: Clock;
   heartbeatIntervalS: number;
-  /** What others count since the start. */
+  /** What others have counted since the start. */
   counted: () => Record<string, number>;
-  /** Connections of workers and users that are open now. */
+  /** Number of connections of workers and users that are open now. */
   connections: () => number;
-  /** Told of each look. */
+  /** Told of each sample. */
   onSample: (sample: Record<string, number>) => void;
 }
 
-/** What one controller did and holds, counted where it happens; for its log and for operators. */
+/** The figures of one controller, counted where things happen; for its log and for `/metrics`. */
 export class ProcessStatistics {
+  /** Heartbeats of workers, whatever they were answered. */
   heartbeats = 0;
-  questions = 0;
+  userRequests = 0;
   peerFrames = 0;
+  /** Scheduling rounds, and the time that they took in ms. */
   rounds = 0;
   roundMs = 0;
   private sampledAt: number;
-  private cpu = process.cpuUsage();
-  private last: Record<string, number> = {};
+  private cpuAtSample = process.cpuUsage();
+  private totalsAtSample: Record<string, number> = {};
 
   constructor(private readonly options: ProcessStatisticsOptions) {
     this.sampledAt = options.clock.now();
   }
 
-  /** Looks once in a while until the signal aborts. */
+  /** Takes a sample at regular intervals until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
     const { clock, heartbeatIntervalS, onSample } = this.options;
     while (!signal.aborted) {
@@ -40,10 +46,10 @@
 
   /** Totals since the start. */
   totals(): Record<string, number> {
-    const { heartbeats, questions, peerFrames, rounds, roundMs } = this;
+    const { heartbeats, userRequests, peerFrames, rounds, roundMs } = this;
     return {
-      reports: heartbeats,
-      questions,
+      heartbeats,
+      userRequests,
       peerFrames,
       rounds,
       roundMs,
@@ -51,32 +57,36 @@
     };
   }
 
-  /** What the process holds now. */
+  /** What the process holds now: connections, and memory in MiB. */
   held(): Record<string, number> {
     const { heapUsed, rss } = process.memoryUsage();
-    return { connections: this.options.connections(), heapMb: mb(heapUsed), sizeMb: mb(rss) };
+    return {
+      connections: this.options.connections(),
+      heapMb: mebibytes(heapUsed),
+      sizeMb: mebibytes(rss),
+    };
   }
 
-  /** Rates since the last call, and what is held now. */
+  /** Rates since the last call, and what is held now. `cores` is the processor time per second. */
   sample(): Record<string, number> {
     const now = this.options.clock.now();
-    const seconds = Math.max(1e-3, now - this.sampledAt);
-    const used = process.cpuUsage(this.cpu);
+    const seconds = Math.max(MIN_SAMPLE_S, now - this.sampledAt);
+    const used = process.cpuUsage(this.cpuAtSample);
     const totals = this.totals();
-    const out: Record<string, number> = {
+    const sample: Record<string, number> = {
       cores: round((used.user + used.system) / 1e6 / seconds),
     };
     for (const [name, total] of Object.entries(totals)) {
-      out[`${name}PerS`] = round((total - (this.last[name] ?? 0)) / seconds);
+      sample[`${name}PerS`] = round((total - (this.totalsAtSample[name] ?? 0)) / seconds);
     }
     this.sampledAt = now;
-    this.cpu = process.cpuUsage();
-    this.last = totals;
-    return { ...out, ...this.held() };
+    this.cpuAtSample = process.cpuUsage();
+    this.totalsAtSample = totals;
+    return { ...sample, ...this.held() };
   }
 }
 
-function mb(bytes: number): number {
+function mebibytes(bytes: number): number {
   return round(bytes / 2 ** 20);
 }
 
--- a/packages/controller/peers/step-down.ts
+++ b/packages/controller/peers/step-down.ts
@@ -1,10 +1,10 @@
 /** Decides when the leader of this process steps down in favour of another controller. */
 import type { StatusFrame } from '#peer';
 import { REACHABLE_INTERVALS } from '../heartbeats/follower-heartbeats.js';
+import { countReachable, type WorkerCounts } from '../heartbeats/reachable-workers.js';
 import { WorkerSilence } from '../heartbeats/worker-silence.js';
 import { isIsolatedFromWorkers, reachesFewWorkers } from '../leadership/leader-lease-check.js';
 import type { ShardLeader } from '../leadership/shard-leader.js';
-import { countReachable } from '../observability/fleet-summary.js';
 import type { ControllerServices } from '../services.js';
 import { CURRENT_STATUS_INTERVALS, isReachable, type PeerStatus } from './peer-status.js';
 import type { StatusExchange } from './status-exchange.js';
@@ -20,12 +20,6 @@
   leader: () => ShardLeader | null;
 }
 
-/** How many machines should send heartbeats to the leader, and how many lately did. */
-interface WorkerCounts {
-  machines: number;
-  reachable: number;
-}
-
 /**
  * Resigns the leadership if a newer leader is known, or if the workers reach other controllers but not
  * this one. Stepping down proves nothing to anybody; it lets the workers find the next leader early.
--- a/packages/controller/peers/task-count-exchange.ts
+++ b/packages/controller/peers/task-count-exchange.ts
@@ -1,7 +1,7 @@
 /** Exchanges the task counts of jobs, which every controller shows to users. */
 import type { CountsFrame, PeerLink } from '#peer';
 import type { ShardLeader } from '../leadership/shard-leader.js';
-import { countAllTasks, countChangedTasks } from '../observability/fleet-summary.js';
+import { countAllTasks, countChangedTasks } from '../observability/task-counts.js';
 import type { ControllerServices } from '../services.js';
 
 /** Rounds of counts from one that holds all open jobs to the next; the others hold what has changed. */
--- a/packages/testing/owner-load/figures.ts
+++ b/packages/testing/owner-load/figures.ts
@@ -3,11 +3,8 @@
 import { encodeFrame } from '#peer';
 import type { StateLimits } from '#store';
 import { commandToWire, encode, parseHeartbeat, heartbeatToWire } from '#wire';
-import {
-  countAllTasks,
-  countChangedTasks,
-  summariseFleet,
-} from '../../controller/observability/fleet-summary.js';
+import { summariseFleet } from '../../controller/observability/fleet-summary.js';
+import { countAllTasks, countChangedTasks } from '../../controller/observability/task-counts.js';
 import type { JobTable } from '../../controller/jobs/job-table.js';
 import { MachineRecords } from '../../controller/records/machine-records.js';
 import { evictOnReclaimNotices } from '../../controller/leadership/reclaim-notices.js';
--- a/packages/testing/sizing/measurements/steady.ts
+++ b/packages/testing/sizing/measurements/steady.ts
@@ -50,6 +50,8 @@
 
 /** What a controller's own counts say, as far as it has logged them. */
 const VITALS: Record<string, string> = {
+  userRequestsPerS: "users' requests",
+  // The same in the lines of earlier builds (`--sources`).
   questionsPerS: "users' requests",
   peerFramesPerS: 'frames from peers',
   roundsPerS: 'rounds',
--- a/packages/testing/sizing/observation.ts
+++ b/packages/testing/sizing/observation.ts
@@ -17,7 +17,7 @@
   /** Resident memory at the end, and its peak; MB. */
   residentMb: number;
   peakMb: number;
-  /** Averages of what the controller's own `vitals` say; empty if it logged none meanwhile. */
+  /** Averages of what the controller's own `process statistics sampled` lines say; empty if it logged none meanwhile. */
   vitals: Record<string, number>;
 }
 
@@ -76,9 +76,12 @@
   }
 }
 
-/** Mean of each number in the `vitals` lines since then. */
+/** The message of the lines with a controller's own figures, and the one of earlier builds (`--sources`). */
+const STATISTICS_LINES = ['process statistics sampled', 'vitals'];
+
+/** Mean of each number in those lines since then. */
 function averageVitals(log: ProcessLog, sinceMs: number): Record<string, number> {
-  const lines = log.since('vitals', sinceMs);
+  const lines = STATISTICS_LINES.flatMap((message) => log.since(message, sinceMs));
   const names = Object.keys(lines[0] ?? {}).filter((name) => typeof lines[0][name] === 'number');
   const sum = (name: string) => lines.reduce((total, line) => total + (line[name] as number), 0);
   return Object.fromEntries(names.map((name) => [name, sum(name) / lines.length]));
--- a/packages/testing/sizing/options.ts
+++ b/packages/testing/sizing/options.ts
@@ -128,7 +128,7 @@
   return program
     .option('--sources <directory>', 'a built checkout whose controllers are measured', OWN_SOURCES)
     .option('--node-options <options>', 'options of Node for the controllers', '')
-    .option('--log-level <level>', "the controllers' (vitals need info)", 'info')
+    .option('--log-level <level>', "the controllers' (process statistics need info)", 'info')
     .option(
       '--throttle <cores>',
       'hold controllers to it by stopping and continuing them',
