--- a/packages/controller/api/admission.test.ts
+++ b/packages/controller/api/admission.test.ts
@@ -112,12 +112,12 @@
   }
 });
 
-test('what is accepted is answered before its user gives up, also when other controllers begin to take their part', async () => {
+test('what is accepted is answered before its user gives up, also when other controllers begin to use their share', async () => {
   const { state, client, submit, recorded } = await anAdmission();
   client.shareWrites({ least: SHARE / 6, most: SHARE });
   const outcomes = Array.from({ length: 100 }, () => submit('guests'));
   const accepted = outcomes.filter((retryAfterS) => retryAfterS === null).length;
-  // From now on the service refuses this controller as soon as it takes more than its least part.
+  // From now on the service refuses this controller as soon as it uses more than its least share.
   const others = state.client(state.controller('10.0.0.2'), { share: 1 - SHARE / 6 });
   const puts = Array.from({ length: 4 }, (_, i) => ({ put: `x/${i}`, value: 0 }));
   const takeAll = async () => {
--- a/packages/controller/api/bad-input.test.ts
+++ b/packages/controller/api/bad-input.test.ts
@@ -138,7 +138,7 @@
   assert.deepEqual(cluster.world.uncaught, []);
 });
 
-test('a report that lists as many tasks as fit is answered within the limit of answers', async () => {
+test('a heartbeat that lists as many tasks as the limit allows is answered within the limit of answers', async () => {
   const { cluster, runtime, address, ask } = await aCluster();
   const worker = new CborClient(runtime, address);
   const pieces = Array.from({ length: 900 }, (_, i) => ({
--- a/packages/controller/peers/status-exchange.ts
+++ b/packages/controller/peers/status-exchange.ts
@@ -30,8 +30,8 @@
 
 /**
  * Tells each peer how the state service serves this controller and which cancellations it knows, and
- * keeps what the peers state. Cancellations go into each frame, not only into frames of their own, so that a statement
- * that arrives is complete whatever was lost before.
+ * keeps what the peers state. Cancellations go into each frame, not only into frames of their own, so
+ * that a statement that arrives is complete whatever was lost before.
  */
 export class StatusExchange {
   private readonly table: PeerStatusTable;
--- a/packages/controller/peers/step-down.ts
+++ b/packages/controller/peers/step-down.ts
@@ -67,7 +67,10 @@
     election.resign(settings.deployment.workers.lease_s);
   }
 
-  /** Whether hardly any worker reaches the leader; false while this controller is a follower. `now` is steady seconds. */
+  /**
+   * Whether hardly any worker reaches the leader; false while this controller is a follower. `now` is
+   * steady seconds.
+   */
   isUnreachable(now: number): boolean {
     const workers = this.countWorkers(now);
     return workers !== null && reachesFewWorkers(workers.machines, workers.reachable);
