--- a/packages/testing/loopback/sizing/observation.ts
+++ b/packages/testing/loopback/sizing/observation.ts
@@ -17,7 +17,7 @@
   /** Resident memory at the end, and its peak; MB. */
   residentMb: number;
   peakMb: number;
-  /** Averages of what the controller's own `vitals` say; empty if it logged none meanwhile. */
+  /** Averages of the controller's own lines of process statistics; empty if it logged none meanwhile. */
   processStatistics: Record<string, number>;
 }
 
