--- a/packages/testing/simulation/faults/user-faults.ts
+++ b/packages/testing/simulation/faults/user-faults.ts
@@ -30,8 +30,8 @@
       users.setOddRequests(true);
       return effect({ end: () => users.setOddRequests(false) });
     case 'close-looks':
-      users.setCloseLooks(true);
-      return effect({ end: () => users.setCloseLooks(false) });
+      users.setPollBursts(true);
+      return effect({ end: () => users.setPollBursts(false) });
   }
 }
 
--- a/packages/testing/simulation/run-scenario.ts
+++ b/packages/testing/simulation/run-scenario.ts
@@ -53,7 +53,7 @@
   const stopWatching = collectRejections(world);
   try {
     await cluster.start();
-    injector.schedule(scenario.faults, () => checker.troublesOver());
+    injector.schedule(scenario.faults, () => checker.faultsEnded());
     cluster.users.start(planJobs(cluster, scenario));
     await world.runUntil(scenario.lengthS);
   } finally {
--- a/packages/testing/stand-ins/balancer/backend.ts
+++ b/packages/testing/stand-ins/balancer/backend.ts
@@ -1,3 +1,4 @@
+/** One node behind the load balancer: its health probes and its open connections. */
 import type { Duplex } from 'node:stream';
 import { CborClient, NoAnswer, parseHostPort, sleep, type HostPort, type Runtime } from '#wire';
 import { NodeHealth } from './node-health.js';
@@ -85,13 +86,15 @@
   }
 
   private recordProbe(success: boolean): void {
-    const wasHealthy = this.health.isHealthy;
-    this.health.recordProbe(success);
-    if (!wasHealthy || this.health.isHealthy) return;
-    const resetIfStillUnhealthy = () => {
-      if (!this.health.isHealthy) this.reset();
-    };
-    this.runtime.clock.setTimer(resetIfStillUnhealthy, RESET_AFTER_S * 1000);
+    const becameUnhealthy = this.health.recordProbe(success);
+    if (!becameUnhealthy) return;
+    this.runtime.clock.setTimer(() => {
+      this.resetIfUnhealthy();
+    }, RESET_AFTER_S * 1000);
+  }
+
+  private resetIfUnhealthy(): void {
+    if (!this.health.isHealthy) this.reset();
   }
 
   private reset(): void {
--- a/packages/testing/stand-ins/balancer/load-balancer.ts
+++ b/packages/testing/stand-ins/balancer/load-balancer.ts
@@ -8,6 +8,7 @@
 /** Nodes that are tried for one connection. */
 const MAX_TRIES = 3;
 
+/** Forwards the connections of users to healthy nodes, the least loaded first. */
 export class LoadBalancer {
   private readonly backends: Backend[];
   private listener: Listener | null = null;
--- a/packages/testing/stand-ins/balancer/node-health.ts
+++ b/packages/testing/stand-ins/balancer/node-health.ts
@@ -1,3 +1,4 @@
+/** When the load balancer removes a node and admits it again. */
 import type { Clock } from '#wire';
 
 const FAILURES_IN_A_ROW = 2;
@@ -14,7 +15,7 @@
 const FAILED_CONNECTIONS = 3;
 const PASSED_OVER_S = 3;
 
-/** What the load balancer thinks of one node. */
+/** The health of one node as the load balancer sees it. */
 export class NodeHealth {
   private healthy = false;
   private everHealthy = false;
@@ -36,20 +37,24 @@
     return this.healthy && this.clock.now() >= this.passedOverUntil;
   }
 
-  /** Part of its full share of new connections, from 0.1 to 1. */
+  /** Fraction of its full share of new connections, from 0.1 to 1. */
   get share(): number {
     return Math.min(1, Math.max(LEAST_SHARE, (this.clock.now() - this.healthySince) / RAMP_S));
   }
 
-  /** Takes in the outcome of a probe. */
-  recordProbe(success: boolean): void {
+  /** Records the outcome of a probe; true if the node has become unhealthy by it. */
+  recordProbe(success: boolean): boolean {
     this.recent.push(success);
     if (this.recent.length > PROBES_REMEMBERED) this.recent.shift();
-    if (this.healthy && this.failsNow()) this.remove();
-    else if (!this.healthy && this.mayReturn()) this.readmit();
+    if (this.healthy && this.failsNow()) {
+      this.remove();
+      return true;
+    }
+    if (!this.healthy && this.mayReturn()) this.readmit();
+    return false;
   }
 
-  /** Takes in whether the node accepted a connection. */
+  /** Records whether the node accepted a connection. */
   recordConnection(accepted: boolean): void {
     this.failedConnections = accepted ? 0 : this.failedConnections + 1;
     if (this.failedConnections < FAILED_CONNECTIONS) return;
--- a/packages/testing/stand-ins/checker/answer-checks.ts
+++ b/packages/testing/stand-ins/checker/answer-checks.ts
@@ -11,6 +11,7 @@
   phase: Phase | null;
 }
 
+/** Compares each answer with what is true and with what the user was told before. */
 export class AnswerChecks implements Check {
   constructor(private readonly context: CheckContext) {}
 
@@ -19,8 +20,8 @@
     const record = this.context.ledger.get(event.request.job);
     if (event.status >= 300) this.checkRefusal(event, record);
     else if (!record)
-      this.heartbeat('invented', event, `nobody submitted it, and it is called known`);
-    else if (!record.runnable) this.heartbeat('accepted_unfit', event, 'it must be refused');
+      this.recordViolation('invented', event, `nobody submitted it, and it is called known`);
+    else if (!record.runnable) this.recordViolation('accepted_unfit', event, 'it must be refused');
     else this.checkPhase(event, record);
   }
 
@@ -30,17 +31,17 @@
     const isFinal = request.kind === 'submit' && (status === 400 || status === 422);
     const knownAt = record?.acceptedAt ?? Infinity;
     if (knownAt > this.context.ledger.sent(request)) {
-      const isWrong = isFinal && record?.runnable && this.areAwaitedKnown(record, request);
-      if (isWrong) this.heartbeat('refused_fit', answer, 'it can run');
+      const isWrong = isFinal && record?.runnable && this.areDependenciesAccepted(record, request);
+      if (isWrong) this.recordViolation('refused_fit', answer, 'it can run');
       return;
     }
     if (status === 404 || isFinal) {
-      this.heartbeat('forgotten', answer, `accepted at ${knownAt.toFixed(3)} s`);
+      this.recordViolation('forgotten', answer, `accepted at ${knownAt.toFixed(3)} s`);
     }
   }
 
-  /** All that the job awaits was called accepted before the request was sent. */
-  private areAwaitedKnown({ job }: JobRecord, request: UserRequest): boolean {
+  /** The user knew that all dependencies of the job were accepted when the request was sent. */
+  private areDependenciesAccepted({ job }: JobRecord, request: UserRequest): boolean {
     const { ledger } = this.context;
     const acceptedAt = job.awaits.map((id) => ledger.get(id)?.acceptedAt ?? Infinity);
     return acceptedAt.every((atS) => atS <= ledger.sent(request));
@@ -50,18 +51,18 @@
     const { phase } = answer;
     if (phase === 'done') this.checkDone(answer, record);
     if (phase === 'aborted' && !this.wasCancelled(record)) {
-      this.heartbeat('went_back', answer, 'its user did not cancel it');
+      this.recordViolation('went_back', answer, 'its user did not cancel it');
     }
     const { final } = record;
     if (final === null || phase === final.phase) return;
     const contradicts = phase === 'done' || phase === 'aborted';
     if (contradicts || final.toldAt <= this.context.ledger.sent(answer.request)) {
       const before = `${final.phase} at ${final.toldAt.toFixed(3)} s`;
-      this.heartbeat('went_back', answer, `it was called ${before}`);
+      this.recordViolation('went_back', answer, `it was called ${before}`);
     }
   }
 
-  /** Its user, or that of a job that it needs, has asked for it. */
+  /** Its user, or that of one of its dependencies, has asked for it. */
   private wasCancelled({ job, cancelAskedAt }: JobRecord): boolean {
     const needed = this.context.ledger.neededBy(job.id);
     return cancelAskedAt !== null || needed.some((each) => each.cancelAskedAt !== null);
@@ -70,13 +71,13 @@
   private checkDone(answer: Answer, { job }: JobRecord): void {
     const completed = this.context.state.completedTasks(job.id).size;
     if (job.kind !== 'service' && completed >= job.tasks) return;
-    this.heartbeat('not_done', answer, `${completed} of ${job.tasks} tasks have completed`);
+    this.recordViolation('not_done', answer, `${completed} of ${job.tasks} tasks have completed`);
   }
 
-  private heartbeat(rule: Rule, { request, status, phase }: Answer, reason: string): void {
+  private recordViolation(rule: Rule, { request, status, phase }: Answer, reason: string): void {
     const sentAt = this.context.ledger.sent(request).toFixed(3);
     const answer = phase === null ? `${status}` : `${status} ${phase}`;
     const explanation = `${request.kind} sent at ${sentAt} s is answered ${answer}: ${reason}`;
-    this.context.heartbeat({ rule, job: request.job, explanation });
+    this.context.recordViolation({ rule, job: request.job, explanation });
   }
 }
--- a/packages/testing/stand-ins/checker/cancel-checks.ts
+++ b/packages/testing/stand-ins/checker/cancel-checks.ts
@@ -3,6 +3,7 @@
 import type { WorldEvent } from '../events.js';
 import type { Check, CheckContext } from './check.js';
 
+/** Checks that the tasks of a cancelled job stop in time and do not start again. */
 export class CancelChecks implements Check {
   /** Jobs whose cancellation was confirmed, and when. */
   private readonly confirmed = new Map<string, number>();
@@ -18,14 +19,19 @@
     const { job } = event.request;
     if (this.confirmed.has(job)) return;
     this.confirmed.set(job, this.context.now());
-    this.clock.setTimer(() => this.checkGone(job), this.context.settings.cancelS * 1000 + 1);
+    this.clock.setTimer(
+      () => {
+        this.checkGone(job);
+      },
+      this.context.settings.cancelS * 1000 + 1,
+    );
   }
 
   private checkStart(machine: string, task: TaskRef): void {
     const confirmedAt = this.confirmed.get(task.job);
     if (confirmedAt === undefined) return;
     const agoS = this.context.now() - confirmedAt;
-    this.context.heartbeat({
+    this.context.recordViolation({
       rule: agoS > this.context.settings.cancelS ? 'ran_cancelled' : 'started_after_cancel',
       job: task.job,
       task,
@@ -36,7 +42,7 @@
 
   private checkGone(job: string): void {
     for (const { machine, task } of this.context.state.started(job)) {
-      this.context.heartbeat({
+      this.context.recordViolation({
         rule: 'ran_cancelled',
         job,
         task,
--- a/packages/testing/stand-ins/checker/check.ts
+++ b/packages/testing/stand-ins/checker/check.ts
@@ -1,3 +1,4 @@
+/** What the checks of the rules have in common: their context, and the limits of teams. */
 import type { Job } from '#wire';
 import type { WorldEvent } from '../events.js';
 import type { WorldState } from '../world-state.js';
@@ -11,6 +12,7 @@
   gpus: number;
 }
 
+/** The settings of the platform that the rules refer to. */
 export interface CheckerSettings {
   teams: TeamLimit[];
   /** After the confirmation of a cancellation, seconds until all tasks must be gone. */
@@ -24,12 +26,12 @@
   readonly ledger: JobLedger;
   /** Seconds. */
   now(): number;
-  /** When all troubles were over; null: they are not. */
-  calmSince(): number | null;
-  heartbeat(finding: Finding): void;
+  /** When all faults had ended; null: some go on. */
+  faultFreeSince(): number | null;
+  recordViolation(finding: Finding): void;
 }
 
-/** One rule, or several that look at the same events. */
+/** One rule, or several that are checked by the same events. */
 export interface Check {
   onEvent?(event: WorldEvent): void;
   /** Called each second. */
@@ -51,6 +53,7 @@
 
 const ROUNDING = 1e-6;
 
+/** Whether the resources in use are above a limit of the team. */
 export function exceedsLimit(used: { cpus: number; gpus: number }, limit: TeamLimit): boolean {
   return (
     (limit.cpus > 0 && used.cpus > limit.cpus + ROUNDING) ||
--- a/packages/testing/stand-ins/checker/dependency-checks.ts
+++ b/packages/testing/stand-ins/checker/dependency-checks.ts
@@ -1,8 +1,9 @@
-/** Rules about jobs that await others. */
+/** Rules about jobs that have dependencies. */
 import type { TaskRef } from '#wire';
 import type { WorldEvent } from '../events.js';
 import type { Check, CheckContext } from './check.js';
 
+/** Checks that a job starts after its dependencies and is cancelled with them. */
 export class DependencyChecks implements Check {
   constructor(private readonly context: CheckContext) {}
 
@@ -18,7 +19,7 @@
     for (const { job } of this.context.ledger.neededBy(task.job)) {
       const completed = this.context.state.completedTasks(job.id).size;
       if (completed >= job.tasks) continue;
-      this.context.heartbeat({
+      this.context.recordViolation({
         rule: 'too_early',
         job: task.job,
         task,
@@ -29,12 +30,13 @@
   }
 
   private checkOpen(job: string, phase: string): void {
-    const { ledger, settings, now } = this.context;
+    const { ledger, settings } = this.context;
+    const now = this.context.now();
     for (const { job: needed, final } of ledger.neededBy(job)) {
-      if (final?.phase !== 'aborted' || now() - final.toldAt <= settings.cancelS) continue;
-      const agoS = (now() - final.toldAt).toFixed(1);
+      if (final?.phase !== 'aborted' || now - final.toldAt <= settings.cancelS) continue;
+      const agoS = (now - final.toldAt).toFixed(1);
       const explanation = `called ${phase} ${agoS} s after ${needed.id}, which it needs, was cancelled`;
-      this.context.heartbeat({ rule: 'orphaned', job, explanation });
+      this.context.recordViolation({ rule: 'orphaned', job, explanation });
     }
   }
 }
--- a/packages/testing/stand-ins/checker/index.ts
+++ b/packages/testing/stand-ins/checker/index.ts
@@ -1,2 +1,3 @@
+/** The checker of the rules of the protocol. */
 export * from './rule-checker.js';
 export { describeViolation, type Violation } from './violation.js';
--- a/packages/testing/stand-ins/checker/job-ledger.ts
+++ b/packages/testing/stand-ins/checker/job-ledger.ts
@@ -1,3 +1,4 @@
+/** What users asked about their jobs and what they were told. */
 import type { Job } from '#wire';
 import type { UserRequest, WorldEvent } from '../events.js';
 
@@ -27,7 +28,7 @@
     return this.records.values();
   }
 
-  /** All jobs that the job needs, directly or through others. */
+  /** All dependencies of the job, direct and indirect ones. */
   neededBy(job: string): JobRecord[] {
     const needed = new Set(this.get(job)?.job.awaits);
     // What is added while the set is gone through is gone through as well.
@@ -40,7 +41,7 @@
     return this.sentAt.get(request) ?? this.now();
   }
 
-  /** Takes in what users do, before any check looks at it. */
+  /** Records what users do, before any check sees it. */
   recordRequest(event: WorldEvent): void {
     if (event.kind === 'asked') this.sentAt.set(event.request, this.now());
     else if (event.kind === 'job-submitted') {
@@ -53,7 +54,7 @@
     }
   }
 
-  /** Takes in what users were told, after all checks have compared it with what was known. */
+  /** Records what users were told, after all checks have compared it with what was known. */
   recordAnswer(event: WorldEvent): void {
     if (event.kind !== 'answered' && event.kind !== 'unanswered') return;
     this.sentAt.delete(event.request);
--- a/packages/testing/stand-ins/checker/mistakes.test.ts
+++ b/packages/testing/stand-ins/checker/mistakes.test.ts
@@ -9,7 +9,7 @@
     'ran_twice',
     'a task starts while it is elsewhere',
     {},
-    async (s) => {
+    (s) => {
       s.start('m-0');
       s.start('m-1', 0, 2);
     },
@@ -18,19 +18,19 @@
     'quota',
     'a team uses more than its limit',
     { gpus: 4 },
-    async (s) => {
+    (s) => {
       s.start('m-0', 0);
       s.start('m-1', 1);
     },
   ],
-  ['wrong_place', 'the type is not allowed', { types: ['big'] }, async (s) => s.start('m-0')],
-  ['wrong_place', 'the zone is not allowed', { zone: 'b' }, async (s) => s.start('m-0')],
-  ['wrong_place', 'no spot machine is allowed', {}, async (s) => s.start('m-spot')],
+  ['wrong_place', 'the type is not allowed', { types: ['big'] }, (s) => s.start('m-0')],
+  ['wrong_place', 'the zone is not allowed', { zone: 'b' }, (s) => s.start('m-0')],
+  ['wrong_place', 'no spot machine is allowed', {}, (s) => s.start('m-spot')],
   [
     'wrong_place',
     'a job of one zone starts in two',
     { oneZone: true },
-    async (s) => {
+    (s) => {
       s.start('m-0', 0);
       s.start('m-2', 1);
     },
@@ -39,7 +39,7 @@
     'wrong_place',
     'more than half of a spread job is in one zone',
     { spread: true },
-    async (s) => {
+    (s) => {
       s.start('m-0', 0);
       s.start('m-1', 1);
     },
@@ -94,11 +94,11 @@
   ],
   [
     'forgotten',
-    'nobody answers about a job once all troubles are over',
+    'nobody answers about a job once all faults have ended',
     {},
     async (s) => {
       s.start('m-0');
-      s.checker.troublesOver();
+      s.checker.faultsEnded();
       s.say({ kind: 'unanswered', request: s.asked('poll') });
       await s.wait(77);
     },
@@ -234,12 +234,12 @@
   ['nothing_ran', 'no task starts', {}, async () => {}],
   [
     'unserved',
-    'a job waits while there is room',
+    'a job waits while there is capacity',
     {},
     async (s) => {
       s.start('m-0');
       s.leave('m-0');
-      s.checker.troublesOver();
+      s.checker.faultsEnded();
       await s.wait(93);
     },
   ],
@@ -250,7 +250,7 @@
     async (s) => {
       s.start('m-2', 0, 1);
       s.leave('m-2', 0, 1);
-      s.checker.troublesOver();
+      s.checker.faultsEnded();
       await s.wait(93);
     },
   ],
@@ -266,10 +266,10 @@
   ],
 ];
 
-for (const [rules, name, own, play] of MISTAKES) {
+for (const [rules, name, overrides, play] of MISTAKES) {
   test(`${rules} is noticed: ${name}`, async () => {
     const script = new Script();
-    await script.begin(own);
+    await script.begin(overrides);
     await play(script);
     assert.deepEqual(script.rules().join(' '), rules);
   });
--- a/packages/testing/stand-ins/checker/rule-checker.test.ts
+++ b/packages/testing/stand-ins/checker/rule-checker.test.ts
@@ -10,7 +10,7 @@
     async (s) => {
       s.start('m-0');
       await s.accepted({ id: 'j-2', awaits: ['j-000001'] });
-      s.checker.troublesOver();
+      s.checker.faultsEnded();
       await s.wait(95);
       s.completed(0);
       s.completed(1);
@@ -30,7 +30,7 @@
   ],
   [
     'a task starts again after it has left',
-    async (s) => {
+    (s) => {
       s.start('m-0');
       s.leave('m-0');
       s.start('m-1', 0, 2);
@@ -77,17 +77,17 @@
     async (s) => {
       s.submitted({ id: 'j-2', gpus: 2, tasks: 3 });
       for (const index of [0, 1, 2]) s.start('m-0', index, 1, 'j-2');
-      s.checker.troublesOver();
+      s.checker.faultsEnded();
       await s.wait(200);
     },
   ],
   [
-    'a silent job during troubles, or one that is asked about in vain for a while',
+    'a silent job during faults, or one that is asked about in vain for a while',
     async (s) => {
       s.start('m-0');
       s.say({ kind: 'unanswered', request: s.asked('poll') });
       await s.wait(300);
-      s.checker.troublesOver();
+      s.checker.faultsEnded();
       await s.wait(70);
       await s.told('poll', 200, 'running');
       await s.wait(100);
--- a/packages/testing/stand-ins/checker/rule-checker.ts
+++ b/packages/testing/stand-ins/checker/rule-checker.ts
@@ -17,15 +17,18 @@
 
 const TICK_MS = 1000;
 
+/** Passes each event to all checks and collects the violations that they find. */
 export class RuleChecker {
   /** The true state of the world, also for faults that choose by it. */
   readonly state = new WorldState();
-  readonly observe: Observer = (event) => this.take(event);
+  readonly observe: Observer = (event) => {
+    this.apply(event);
+  };
   private readonly ledger: JobLedger;
   private readonly log: ViolationLog;
   private readonly checks: Check[];
   private readonly ticks: Timer;
-  private calmSince: number | null = null;
+  private faultFreeSince: number | null = null;
   private anyStart = false;
 
   constructor(
@@ -40,8 +43,10 @@
       state: this.state,
       ledger: this.ledger,
       now,
-      calmSince: () => this.calmSince,
-      heartbeat: (finding) => this.log.add(finding),
+      faultFreeSince: () => this.faultFreeSince,
+      recordViolation: (finding) => {
+        this.log.add(finding);
+      },
     };
     this.checks = [
       new StartChecks(context),
@@ -51,16 +56,18 @@
       new SilenceCheck(context),
       new WaitingCheck(context),
     ];
-    this.ticks = every(clock, TICK_MS, () => this.tick());
+    this.ticks = every(clock, TICK_MS, () => {
+      this.tick();
+    });
   }
 
-  /** All troubles are over from now on: stricter rules hold until troublesBegin(). */
-  troublesOver(): void {
-    this.calmSince ??= this.clock.now();
+  /** All faults have ended: stricter rules hold until faultsBegan(). */
+  faultsEnded(): void {
+    this.faultFreeSince ??= this.clock.now();
   }
 
-  troublesBegin(): void {
-    this.calmSince = null;
+  faultsBegan(): void {
+    this.faultFreeSince = null;
   }
 
   /** All that was found so far. */
@@ -82,7 +89,7 @@
     return this.violations;
   }
 
-  private take(event: WorldEvent): void {
+  private apply(event: WorldEvent): void {
     if (event.kind === 'task-started') this.anyStart = true;
     this.state.apply(event);
     this.ledger.recordRequest(event);
--- a/packages/testing/stand-ins/checker/sample-script.ts
+++ b/packages/testing/stand-ins/checker/sample-script.ts
@@ -1,14 +1,16 @@
+/** Plays events to a rule checker, for the tests of the checks. */
 import type { Job, Phase } from '#wire';
 import { aJob, STD } from '../../samples.js';
 import type { RequestKind, UserRequest, WorldEvent } from '../events.js';
 import { SampleWorld } from '../sample-world.js';
 import { RuleChecker } from './rule-checker.js';
 
+/** Seconds within which the tasks of a cancelled job must be gone in these tests. */
 export const CANCEL_S = 35;
 const JOB = 'j-000001';
 
 /** What a test plays to the checker. */
-export type Play = (script: Script) => Promise<void>;
+export type Play = (script: Script) => void | Promise<void>;
 
 /** Events and waits, played to a checker one after the other. */
 export class Script {
@@ -27,15 +29,15 @@
     for (const event of events) this.checker.observe(event);
   }
 
-  submitted(own: Partial<Job> = {}, runnable = true): void {
-    const job = aJob({ tasks: 2, ...own });
+  submitted(overrides: Partial<Job> = {}, runnable = true): void {
+    const job = aJob({ tasks: 2, ...overrides });
     this.say({ kind: 'job-submitted', id: job.id, job, runnable });
   }
 
   /** Submits another job, which is accepted. */
-  async accepted(own: Partial<Job> & { id: string }): Promise<void> {
-    this.submitted(own);
-    await this.told('submit', 201, 'pending', own.id);
+  async accepted(overrides: Partial<Job> & { id: string }): Promise<void> {
+    this.submitted(overrides);
+    await this.told('submit', 201, 'pending', overrides.id);
   }
 
   machine(name: string, zone = 'a', spot = false): void {
@@ -80,10 +82,10 @@
   }
 
   /** An accepted job of two tasks, two machines in zone a and one in zone b. */
-  async begin(own: Partial<Job> = {}): Promise<void> {
+  async begin(overrides: Partial<Job> = {}): Promise<void> {
     for (const [name, zone] of ['a', 'a', 'b'].entries()) this.machine(`m-${name}`, zone);
     this.machine('m-spot', 'a', true);
-    this.submitted(own);
+    this.submitted(overrides);
     await this.told('submit', 201, 'pending');
   }
 
--- a/packages/testing/stand-ins/checker/silence-check.ts
+++ b/packages/testing/stand-ins/checker/silence-check.ts
@@ -4,9 +4,10 @@
 
 /** All questions about one job fail for so long while most others are answered. */
 const SILENCE_AMONG_ANSWERS_S = 90;
-/** No question about a job is answered for so long once all troubles are over. */
-const SILENCE_IN_CALM_S = 75;
+/** No question about a job is answered for so long once all faults have ended. */
+const SILENCE_WITHOUT_FAULTS_S = 75;
 
+/** Checks that no job is left without answers while others get them. */
 export class SilenceCheck implements Check {
   /** When the first question was sent that failed since the last answer, by job. */
   private readonly failingSince = new Map<string, number>();
@@ -31,18 +32,18 @@
     this.recent = this.recent.filter(({ atS }) => atS > now - SILENCE_AMONG_ANSWERS_S);
     for (const [job, since] of this.failingSince) {
       const record = this.context.ledger.get(job);
-      if (!record || record.acceptedAt === null || record.final !== null) continue;
+      if (typeof record?.acceptedAt !== 'number' || record.final !== null) continue;
       this.checkSilence(job, since, now);
     }
   }
 
   private checkSilence(job: string, since: number, now: number): void {
-    const calmSince = this.context.calmSince() ?? Infinity;
-    const inCalm = now - Math.max(since, calmSince) >= SILENCE_IN_CALM_S;
+    const faultFreeSince = this.context.faultFreeSince() ?? Infinity;
+    const withoutFaults = now - Math.max(since, faultFreeSince) >= SILENCE_WITHOUT_FAULTS_S;
     const amongAnswers = now - since >= SILENCE_AMONG_ANSWERS_S && this.mostAreAnswered();
-    if (!inCalm && !amongAnswers) return;
+    if (!withoutFaults && !amongAnswers) return;
     const explanation = `no question was answered since ${since.toFixed(3)} s`;
-    this.context.heartbeat({ rule: 'forgotten', job, explanation });
+    this.context.recordViolation({ rule: 'forgotten', job, explanation });
   }
 
   private mostAreAnswered(): boolean {
--- a/packages/testing/stand-ins/checker/start-checks.ts
+++ b/packages/testing/stand-ins/checker/start-checks.ts
@@ -4,6 +4,7 @@
 import type { MachineState } from '../world-state.js';
 import { exceedsLimit, teamUse, type Check, type CheckContext } from './check.js';
 
+/** Checks each start of a task against the true state of all machines. */
 export class StartChecks implements Check {
   constructor(private readonly context: CheckContext) {}
 
@@ -23,7 +24,7 @@
       .filter((place) => place.task.index === task.index && place.machine !== machine)
       .map((place) => place.machine);
     if (others.length === 0) return;
-    this.context.heartbeat({
+    this.context.recordViolation({
       rule: 'ran_twice',
       job: task.job,
       task,
@@ -36,8 +37,8 @@
     const { facts } = machine;
     const reason = this.misplacement(machine, job);
     if (reason === null) return;
-    const explanation = `${reason} (type ${facts.type.name}, zone ${facts.zone}, spot ${facts.spot})`;
-    this.context.heartbeat({
+    const explanation = `${reason} (type ${facts.type.name}, zone ${facts.zone}, spot ${String(facts.spot)})`;
+    this.context.recordViolation({
       rule: 'wrong_place',
       job: job.id,
       task,
@@ -52,7 +53,7 @@
     if (facts.spot && !job.spot) return 'spot machines are not allowed';
     const zones = this.context.state
       .started(job.id)
-      .map((place) => this.context.state.machines.get(place.machine)!.facts.zone);
+      .map((place) => this.context.state.machine(place.machine).facts.zone);
     const here = zones.filter((zone) => zone === facts.zone).length;
     if (job.oneZone && here < zones.length) return 'other tasks of the job are in another zone';
     if (job.spread && here > Math.ceil(job.tasks / 2)) return 'more than half are in this zone';
@@ -64,7 +65,7 @@
     if (!limit) return;
     const used = teamUse(this.startedOfTeam(job.team));
     if (!exceedsLimit(used, limit)) return;
-    this.context.heartbeat({
+    this.context.recordViolation({
       rule: 'quota',
       job: job.id,
       task,
--- a/packages/testing/stand-ins/checker/violation.ts
+++ b/packages/testing/stand-ins/checker/violation.ts
@@ -1,3 +1,4 @@
+/** The rules of the protocol and the record of their violations. */
 import { taskName, type TaskRef } from '#wire';
 
 /** The rules of the protocol, and what else the operators count. */
@@ -13,7 +14,7 @@
   | 'nothing_ran'
   | 'too_early'
   | 'orphaned'
-  /** A job waits although there is room for it. */
+  /** A job waits although there is capacity for it. */
   | 'unserved'
   /** A job that can run was refused for good. */
   | 'refused_fit'
@@ -25,6 +26,7 @@
 /** Rules that are counted, but break nothing by themselves. */
 const COUNTED_ONLY: ReadonlySet<Rule> = new Set(['started_after_cancel']);
 
+/** A rule that was broken, or an event that is only counted. */
 export interface Violation {
   rule: Rule;
   /** Seconds of the checker's clock. */
@@ -46,6 +48,7 @@
   machines?: string[];
 }
 
+/** Whether the violation breaks a rule, in contrast to events that are only counted. */
 export function breaksRule({ rule }: Violation): boolean {
   return !COUNTED_ONLY.has(rule);
 }
--- a/packages/testing/stand-ins/checker/waiting-check.ts
+++ b/packages/testing/stand-ins/checker/waiting-check.ts
@@ -1,4 +1,4 @@
-/** The rule that no job is left waiting while a machine that fits has room. */
+/** The rule that no job is left waiting while there is capacity for it. */
 import type { Job } from '#wire';
 import type { MachineFacts } from '../events.js';
 import type { MachineState } from '../world-state.js';
@@ -9,67 +9,68 @@
 const RESOURCES = ['cpus', 'gpus', 'memory'] as const;
 
 /** What is free on a machine. */
-interface Space {
+interface FreeCapacity {
   facts: MachineFacts;
   free: Record<(typeof RESOURCES)[number], number>;
 }
 
+/** Checks, once all faults have ended, that each job that could run gets machines. */
 export class WaitingCheck implements Check {
-  /** Since when each waiting job has had room, by job. */
-  private readonly roomSince = new Map<string, number>();
+  /** Since when there has been capacity for each waiting job. */
+  private readonly capacitySince = new Map<string, number>();
 
   constructor(private readonly context: CheckContext) {}
 
   onTick(): void {
-    if (this.context.calmSince() === null) {
-      this.roomSince.clear();
+    if (this.context.faultFreeSince() === null) {
+      this.capacitySince.clear();
       return;
     }
-    const spaces = [...this.context.state.machines.values()]
+    const machines = [...this.context.state.machines.values()]
       .filter(({ facts, hanging, noticed }) => facts.sound && !hanging && !noticed)
-      .map((machine) => this.spaceOn(machine));
+      .map((machine) => this.freeCapacityOn(machine));
     for (const record of this.context.ledger.all()) {
       const { id } = record.job;
-      if (!this.isWaiting(record) || !this.hasCapacity(record.job, spaces))
-        this.roomSince.delete(id);
+      if (!this.isWaiting(record) || !this.hasCapacity(record.job, machines))
+        this.capacitySince.delete(id);
       else this.checkWait(id);
     }
   }
 
   private checkWait(job: string): void {
     const now = this.context.now();
-    const since = this.roomSince.get(job) ?? now;
-    this.roomSince.set(job, since);
+    const since = this.capacitySince.get(job) ?? now;
+    this.capacitySince.set(job, since);
     if (now - since < LONGEST_WAIT_S) return;
-    const explanation = `none of its tasks has a machine, and there is room since ${since.toFixed(1)} s`;
-    this.context.heartbeat({ rule: 'unserved', job, explanation });
+    const explanation = `none of its tasks has a machine, and there is capacity since ${since.toFixed(1)} s`;
+    this.context.recordViolation({ rule: 'unserved', job, explanation });
   }
 
   private isWaiting({ job, runnable, acceptedAt, cancelAskedAt, final }: JobRecord): boolean {
     const open = runnable && acceptedAt !== null && cancelAskedAt === null && final === null;
     if (!open || this.context.state.places(job.id).length > 0) return false;
-    if (this.awaitsOthers(job)) return false;
+    if (this.hasOpenDependencies(job)) return false;
     return this.context.state.completedTasks(job.id).size < job.tasks;
   }
 
-  private awaitsOthers({ id }: Job): boolean {
+  private hasOpenDependencies({ id }: Job): boolean {
     const { ledger, state } = this.context;
     return ledger.neededBy(id).some(({ job }) => state.completedTasks(job.id).size < job.tasks);
   }
 
-  /** There is room, in the team's limit and on sound machines, for what has to start together. */
-  private hasCapacity(job: Job, spaces: Space[]): boolean {
+  /** There is capacity, in the team's limit and on sound machines, for what has to start together. */
+  private hasCapacity(job: Job, machines: FreeCapacity[]): boolean {
     const needed = job.kind === 'gang' ? job.tasks : 1;
     const limit = this.context.settings.teams.find(({ name }) => name === job.team);
     const used = teamUse([...this.assignedOfTeam(job.team), { job, tasks: needed }]);
     if (limit && exceedsLimit(used, limit)) return false;
-    const places = placesByZone(job, spaces);
+    const places = placesByZone(job, machines);
     if (job.oneZone) return Math.max(0, ...places) >= needed;
     const perZone = job.spread ? Math.ceil(job.tasks / 2) : Infinity;
     return places.reduce((sum, count) => sum + Math.min(count, perZone), 0) >= needed;
   }
 
-  private spaceOn({ facts, tasks }: MachineState): Space {
+  private freeCapacityOn({ facts, tasks }: MachineState): FreeCapacity {
     const { cpus, gpus, memory } = facts.type;
     const free = { cpus, gpus, memory };
     for (const { task } of tasks.values()) {
@@ -86,24 +87,24 @@
   }
 }
 
-/** How many tasks of the job find room in each zone. */
-function placesByZone(job: Job, spaces: Space[]): number[] {
+/** For how many tasks of the job there is capacity in each zone. */
+function placesByZone(job: Job, machines: FreeCapacity[]): number[] {
   const zones = new Map<string, number>();
-  for (const space of spaces) {
-    if (!isAllowed(space, job)) continue;
-    const { zone } = space.facts;
-    zones.set(zone, (zones.get(zone) ?? 0) + tasksThatFit(space, job));
+  for (const machine of machines) {
+    if (!isAllowed(machine, job)) continue;
+    const { zone } = machine.facts;
+    zones.set(zone, (zones.get(zone) ?? 0) + taskCapacity(machine, job));
   }
   return [...zones.values()];
 }
 
-function tasksThatFit({ free }: Space, job: Job): number {
+function taskCapacity({ free }: FreeCapacity, job: Job): number {
   const needed = RESOURCES.filter((resource) => job[resource] > 0);
-  const rooms = needed.map((resource) => Math.floor(free[resource] / job[resource]));
-  return Math.max(0, Math.min(job.tasks, ...rooms));
+  const capacities = needed.map((resource) => Math.floor(free[resource] / job[resource]));
+  return Math.max(0, Math.min(job.tasks, ...capacities));
 }
 
-function isAllowed({ facts }: Space, job: Job): boolean {
+function isAllowed({ facts }: FreeCapacity, job: Job): boolean {
   if (job.types && !job.types.includes(facts.type.name)) return false;
   if (job.zone !== null && job.zone !== facts.zone) return false;
   return job.spot || !facts.spot;
--- a/packages/testing/stand-ins/cloud/boot-times.ts
+++ b/packages/testing/stand-ins/cloud/boot-times.ts
@@ -1,18 +1,21 @@
+/** How long provisioned machines take to boot. */
 import type { Runtime } from '#wire';
+import { uniform, type Span } from '../distributions.js';
 
-/** How long machines take from their rental until they are up. */
+/** How long machines take from their provisioning until they are up. */
 export interface BootProfile {
   /** Usual time as a multiple of the type's nominal one. */
-  usual: [least: number, most: number];
+  usual: Span;
   /** Share of machines that take several times as long. */
   slowShare: number;
-  slow: [least: number, most: number];
+  slow: Span;
   /** Share of machines that never come up. */
   neverShare: number;
   /** Seconds in place of all multiples, if set. */
-  quickS: [least: number, most: number] | null;
+  quickS: Span | null;
 }
 
+/** Boot times around the nominal one; a few machines are slow and a few never come up. */
 export const USUAL_BOOTS: BootProfile = {
   usual: [0.6, 1.5],
   slowShare: 0.03,
@@ -26,7 +29,7 @@
 
 /** Seconds until a machine is up, or null if it never will be. */
 export function drawBootS(runtime: Runtime, profile: BootProfile, nominalS: number): number | null {
-  const span = ([least, most]: [number, number]) => least + (most - least) * runtime.random();
+  const span = (range: Span) => uniform(() => runtime.random(), range);
   if (profile.quickS !== null) return span(profile.quickS);
   if (runtime.random() < profile.neverShare) return null;
   const slow = runtime.random() < profile.slowShare;
--- a/packages/testing/stand-ins/cloud/capacity.ts
+++ b/packages/testing/stand-ins/cloud/capacity.ts
@@ -1,3 +1,4 @@
+/** Limits on the machines that the cloud can provision. */
 /** How many machines of one type, zone and kind the cloud has in all. */
 export interface CapacityLimit {
   /** Absent: any. */
@@ -13,7 +14,7 @@
   spot: boolean;
 }
 
-/** What the cloud can still rent out; without a limit that fits there is no end. */
+/** What the cloud can still provision; a kind of machine that no limit covers is unlimited. */
 export class Capacity {
   constructor(private limits: CapacityLimit[]) {}
 
@@ -21,7 +22,7 @@
     this.limits = limits;
   }
 
-  /** Machines of that kind that may still be rented, given those that are. */
+  /** Machines of that kind that may still be provisioned, given those that are. */
   left(wanted: MachineKind, provisioned: Iterable<MachineKind>): number {
     const held = [...provisioned];
     const lefts = this.limits
--- a/packages/testing/stand-ins/cloud/cloud-service.test.ts
+++ b/packages/testing/stand-ins/cloud/cloud-service.test.ts
@@ -39,7 +39,7 @@
   return outcome.machines;
 }
 
-test('a rental is filled as far as there is room, and its repeat rents nothing', async () => {
+test('a scale-out is filled as far as there is capacity, and its repeat provisions nothing', async () => {
   const { rent: provision } = await aCloud([{ zone: 'a', spot: false, machines: 3 }]);
   const first = provisioned(await provision('r-1', 2));
   assert.deepEqual(first, ['n-000001', 'n-000002']);
@@ -111,7 +111,7 @@
   assert.equal((await list())[0].state, 'failed');
 });
 
-test('spot machines are taken back after a notice, or without one', async () => {
+test('spot machines are taken back after a reclaim notice, or without one', async () => {
   const { world, cloud, told, rent: provision } = await aCloud();
   cloud.setBootProfile(QUICK_BOOTS);
   const [noticed, taken] = provisioned(await provision('r-1', 2, true));
@@ -126,7 +126,7 @@
   assert.deepEqual(told, [`off ${noticed}`]);
 });
 
-test('outages, too many requests and late rentals', async () => {
+test('an outage and a rate above the limit refuse requests, and late scale-outs get no answer', async () => {
   const { world, cloud, rent: provision, list, client } = await aCloud();
   cloud.beginOutage();
   assert.equal(await provision('r-1', 1), 'trouble');
--- a/packages/testing/stand-ins/cloud/cloud-service.ts
+++ b/packages/testing/stand-ins/cloud/cloud-service.ts
@@ -1,4 +1,4 @@
-/** The cloud's interface as the protocol describes it, with its limits and its troubles. */
+/** The cloud's interface as the protocol describes it, with its limits and its faults. */
 import { MalformedBody, type HostPort, type MachineType, type Runtime } from '#wire';
 import * as serving from '#wire/serving';
 import { NO_REPLY, serveCbor, type CborServer, type ServedRequest } from '../http-server.js';
@@ -12,6 +12,7 @@
 import { isRunning, type MachineHosting, type ProvisionedMachine } from './provisioned-machine.js';
 import { SpotPrices } from './spot-prices.js';
 
+/** The settings of the cloud. */
 export interface CloudOptions {
   types: MachineType[];
   capacity: CapacityLimit[];
@@ -23,6 +24,7 @@
 const BURST_S = 2;
 const LATE_REQUEST_S: [number, number] = [2, 12];
 
+/** Serves the API of the cloud: provisions, deletes and lists machines. */
 export class CloudService {
   private readonly park: MachinePark;
   private readonly list: MachineList;
@@ -30,8 +32,8 @@
   private readonly latency: Latency;
   private readonly lostReplies: ReplyLoss;
   private readonly rate: RateLimit;
-  /** Machines by the name of the request that rented them. */
-  private readonly rentals = new Map<string, string[]>();
+  /** Names of machines by the name of the request that provisioned them. */
+  private readonly machinesOfRequest = new Map<string, string[]>();
   private outage = false;
   private server: CborServer | null = null;
 
@@ -74,7 +76,7 @@
     this.latency.profile = profile;
   }
 
-  /** That share of rentals and deletions gets no answer and is carried out late. */
+  /** That share of scale-outs and deletions gets no answer and is carried out late. */
   beginLateRequests(share: number, delayS = LATE_REQUEST_S): void {
     this.lostReplies.begin({ share, delayS });
   }
@@ -83,7 +85,7 @@
     this.lostReplies.end();
   }
 
-  /** How long machines rented from now on take to boot. */
+  /** How long machines provisioned from now on take to boot. */
   setBootProfile(profile: BootProfile = USUAL_BOOTS): void {
     this.park.bootProfile = profile;
   }
@@ -136,13 +138,13 @@
   }
 
   private provision(request: serving.RawProvisionRequest): serving.WireReply {
-    const known = this.rentals.get(request.request);
+    const known = this.machinesOfRequest.get(request.request);
     if (known) return serving.provisionReply(known);
     const type = this.options.types.find(({ name }) => name === request.type);
     if (!type?.zones.includes(request.zone)) throw new MalformedBody('no such type or zone');
     const { zone, spot, count } = request;
     const names = this.park.provision({ type, zone, spot, count }).map((machine) => machine.name);
-    if (names.length > 0) this.rentals.set(request.request, names);
+    if (names.length > 0) this.machinesOfRequest.set(request.request, names);
     return serving.provisionReply(names);
   }
 
--- a/packages/testing/stand-ins/cloud/machine-list.ts
+++ b/packages/testing/stand-ins/cloud/machine-list.ts
@@ -1,3 +1,4 @@
+/** The list of machines as the cloud shows it, which is out of date. */
 import type { ListedMachine, Runtime } from '#wire';
 import type { ProvisionedMachine } from './provisioned-machine.js';
 
--- a/packages/testing/stand-ins/cloud/machine-park.ts
+++ b/packages/testing/stand-ins/cloud/machine-park.ts
@@ -1,9 +1,11 @@
-/** The machines that the cloud has rented out, from their rental until they are gone. */
+/** The machines of the cloud, from their provisioning until they are gone. */
 import type { MachineType, Runtime } from '#wire';
+import { uniform, type Span } from '../distributions.js';
 import { USUAL_BOOTS, drawBootS } from './boot-times.js';
 import { Capacity, type CapacityLimit } from './capacity.js';
 import { isRunning, type MachineHosting, type ProvisionedMachine } from './provisioned-machine.js';
 
+/** A request for machines of one kind. */
 export interface MachineOrder {
   type: MachineType;
   zone: string;
@@ -13,8 +15,9 @@
 
 const NAME_DIGITS = 6;
 /** A notice runs from half to one and a half times as long as it says. */
-const NOTICE_SPREAD: [least: number, most: number] = [0.5, 1.5];
+const NOTICE_SPREAD: Span = [0.5, 1.5];
 
+/** Boots machines, and takes them back on request, on a reclaim notice or when they fail. */
 export class MachinePark {
   bootProfile = USUAL_BOOTS;
   readonly capacity: Capacity;
@@ -29,7 +32,7 @@
     this.capacity = new Capacity(limits);
   }
 
-  /** All machines that are or were rented, in the order of their names. */
+  /** All machines that are or were provisioned, in the order of their names. */
   all(): ProvisionedMachine[] {
     return [...this.machines.values()];
   }
@@ -38,7 +41,7 @@
     return this.machines.get(name);
   }
 
-  /** Rents up to so many machines. */
+  /** Provisions up to so many machines. */
   provision(order: MachineOrder): ProvisionedMachine[] {
     const kept = this.all().filter((machine) => machine.goneAt === null);
     const kinds = kept.map(({ type, zone, spot }) => ({ type: type.name, zone, spot }));
@@ -69,9 +72,13 @@
     if (!isRunning(machine) || machine.noticed) return;
     machine.noticed = true;
     this.hosting.giveNotice(machine, noticeS);
-    const [least, most] = NOTICE_SPREAD;
-    const spread = least + (most - least) * this.runtime.random();
-    this.runtime.clock.setTimer(() => this.remove(machine), noticeS * spread * 1000);
+    const spread = uniform(() => this.runtime.random(), NOTICE_SPREAD);
+    this.runtime.clock.setTimer(
+      () => {
+        this.remove(machine);
+      },
+      noticeS * spread * 1000,
+    );
   }
 
   /** Drops what no list shows any more. */
@@ -98,7 +105,10 @@
     };
     this.machines.set(machine.name, machine);
     const bootS = drawBootS(this.runtime, this.bootProfile, type.bootS);
-    if (bootS !== null) this.runtime.clock.setTimer(() => this.boot(machine), bootS * 1000);
+    if (bootS !== null)
+      this.runtime.clock.setTimer(() => {
+        this.boot(machine);
+      }, bootS * 1000);
     return machine;
   }
 
--- a/packages/testing/stand-ins/cloud/provisioned-machine.ts
+++ b/packages/testing/stand-ins/cloud/provisioned-machine.ts
@@ -1,6 +1,7 @@
+/** One machine of the cloud, and what hosts it. */
 import type { HostPort, MachineType } from '#wire';
 
-/** A machine from its rental on, with the times (of the cloud's clock) at which things happened. */
+/** A machine from its provisioning on, with the times (of the cloud's clock) at which things happened. */
 export interface ProvisionedMachine {
   readonly name: string;
   readonly address: HostPort;
@@ -18,7 +19,7 @@
   noticed: boolean;
 }
 
-/** Where rented machines run: told by the cloud when each comes up and goes. */
+/** Where provisioned machines run: told by the cloud when each comes up and goes. */
 export interface MachineHosting {
   /** Where the worker of the machine with this number, counted from 1, will serve. */
   addressOf(machineNumber: number): HostPort;
--- a/packages/testing/stand-ins/cloud/spot-prices.ts
+++ b/packages/testing/stand-ins/cloud/spot-prices.ts
@@ -1,3 +1,4 @@
+/** Spot prices that change with time. */
 import type { MachineType, Runtime } from '#wire';
 
 const LARGEST_SWING = 1 / 3;
--- a/packages/testing/stand-ins/workload/distributions.ts
+++ b/packages/testing/stand-ins/distributions.ts
@@ -1,6 +1,8 @@
+/** Random numbers and times, drawn from a source of random numbers that the caller gives. */
 /** A number in [0, 1), as Runtime.random. */
 export type Random = () => number;
 
+/** Least and most value of a range. */
 export type Span = [least: number, most: number];
 
 /** Times whose logarithms are normally distributed; seconds. */
@@ -13,6 +15,7 @@
 /** Distance of the 95th percentile from the median in standard deviations. */
 const P95_DEVIATIONS = 1.645;
 
+/** A number of the span, all equally likely. */
 export function uniform(random: Random, [least, most]: Span): number {
   return least + (most - least) * random();
 }
@@ -27,6 +30,7 @@
   return -Math.log(1 - random()) / perSecond;
 }
 
+/** A time drawn from the distribution, in seconds. */
 export function logNormal(random: Random, { medianS, p95S, maxS }: TimeDistribution): number {
   const deviation = Math.log(p95S / medianS) / P95_DEVIATIONS;
   return Math.min(maxS, medianS * Math.exp(deviation * normal(random)));
--- a/packages/testing/stand-ins/events.ts
+++ b/packages/testing/stand-ins/events.ts
@@ -5,6 +5,7 @@
  */
 import type { Cause, Change, Job, MachineType, Phase, TaskRef } from '#wire';
 
+/** What is known of a machine from its start on. */
 export interface MachineFacts {
   name: string;
   /** Tasks neither fail on it nor run much slower than on others of its type. */
@@ -19,6 +20,7 @@
 /** Why a task is on its machine no more; `killed`: its lease ended or the machine is gone. */
 export type LeaveCause = Cause | 'killed';
 
+/** Something that happens to a machine or to a task on it. */
 export type MachineEvent =
   | { kind: 'machine-up'; machine: MachineFacts }
   | { kind: 'machine-gone'; machine: string }
@@ -35,6 +37,7 @@
   /** The result of the task exists, for good. */
   | { kind: 'task-completed'; job: string; index: number };
 
+/** Kinds of requests; `abort` is the word of the protocol for a cancellation. */
 export type RequestKind = 'submit' | 'poll' | 'abort';
 
 /** One request of a user; all events about it hold the same object. */
@@ -43,6 +46,7 @@
   job: string;
 }
 
+/** Something that a user does or is told. */
 export type UserEvent =
   /** A job is about to be submitted for the first time; it must be refused unless it is runnable. */
   | { kind: 'job-submitted'; id: string; job: Job; runnable: boolean }
@@ -66,6 +70,7 @@
   heldS: number;
 }
 
+/** Any event of the world. */
 export type WorldEvent = MachineEvent | UserEvent | TransactionEvent;
 
 /** Takes each event at the moment at which it happens. */
--- a/packages/testing/stand-ins/fleet.ts
+++ b/packages/testing/stand-ins/fleet.ts
@@ -1,5 +1,7 @@
+/** The workers of a run, one on each machine that is up. */
 import type { HostPort, Runtime } from '#wire';
 import type { MachineHosting, ProvisionedMachine } from './cloud/index.js';
+import { uniform, type Span } from './distributions.js';
 import { Worker, type MachineTraits, type WorkerSurroundings } from './worker/index.js';
 
 /** Where the worker of one machine runs. */
@@ -9,6 +11,7 @@
   powerOff(): void;
 }
 
+/** Where workers run and how many of them are faulty or slow. */
 export interface FleetOptions {
   surroundings: WorkerSurroundings;
   /** Where the worker of the machine with this number, counted from 1, will serve. */
@@ -20,13 +23,13 @@
   slowShare?: number;
 }
 
-const USUAL_SPEED: [least: number, most: number] = [0.9, 1.1];
-const SLOW_SPEED: [least: number, most: number] = [0.2, 0.5];
+const USUAL_SPEED: Span = [0.9, 1.1];
+const SLOW_SPEED: Span = [0.2, 0.5];
 /** Actual rate of image fetches as a multiple of the type's. */
-const FETCH_RATE: [least: number, most: number] = [2 / 3, 4 / 3];
-const FAULTY_AFTER_S: [least: number, most: number] = [0.5, 15];
+const FETCH_RATE: Span = [2 / 3, 4 / 3];
+const FAULTY_AFTER_S: Span = [0.5, 15];
 
-/** The workers on the machines that the cloud rents out. */
+/** Starts a worker on each machine that the cloud has up, and ends it with the machine. */
 export class Fleet implements MachineHosting {
   private readonly machines = new Map<string, { worker: Worker; host: MachineHost }>();
 
@@ -71,7 +74,7 @@
 
   private drawTraits(runtime: Runtime, { type }: ProvisionedMachine): MachineTraits {
     const { faultyShare = 0, slowShare = 0 } = this.options;
-    const span = ([least, most]: [number, number]) => least + (most - least) * runtime.random();
+    const span = (range: Span) => uniform(() => runtime.random(), range);
     const slow = runtime.random() < slowShare;
     const faulty = runtime.random() < faultyShare;
     return {
--- a/packages/testing/stand-ins/http-server.ts
+++ b/packages/testing/stand-ins/http-server.ts
@@ -4,6 +4,7 @@
 import { decode, encode, Listener, MalformedBody, type HostPort, type Runtime } from '#wire';
 import { MALFORMED, type WireReply, type WireRequest } from '#wire/serving';
 
+/** A request as the handler of a server gets it. */
 export interface ServedRequest extends WireRequest {
   /** Address of the host that opened the connection; empty if the network does not tell. */
   clientHost: string;
@@ -17,6 +18,7 @@
   request: ServedRequest,
 ) => WireReply | typeof NO_REPLY | Promise<WireReply | typeof NO_REPLY>;
 
+/** The result of a handler that leaves its request unanswered. */
 export const NO_REPLY = Symbol('no reply');
 
 /** What an accepted connection may tell of its other end; net.Socket does. */
@@ -27,6 +29,7 @@
 /** Any free port of this machine's loopback. */
 export const FREE_LOOPBACK_PORT: HostPort = { host: '127.0.0.1', port: 0 };
 
+/** A server that listens. */
 export interface CborServer {
   /** Where it listens; on a real machine port 0 has been replaced by the port that was free. */
   readonly address: HostPort;
@@ -102,7 +105,7 @@
       try {
         resolve(chunks.length === 0 ? null : decode(Buffer.concat(chunks)));
       } catch (err) {
-        reject(err as Error);
+        reject(err instanceof Error ? err : new Error(String(err), { cause: err }));
       }
     });
   });
--- a/packages/testing/stand-ins/index.ts
+++ b/packages/testing/stand-ins/index.ts
@@ -1,3 +1,7 @@
+/**
+ * Stand-ins for everything around the controllers: users, workers, cloud, state service and load
+ * balancer.
+ */
 export * from './balancer/index.js';
 export * from './checker/index.js';
 export * from './cloud/index.js';
--- a/packages/testing/stand-ins/job-storage.ts
+++ b/packages/testing/stand-ins/job-storage.ts
@@ -1,3 +1,6 @@
+/**
+ * The storage from which tasks load their programs and to which they write checkpoints and results.
+ */
 import type { Job } from '#wire';
 import type { Observer } from './events.js';
 
@@ -55,8 +58,8 @@
     if (this.isComplete(jobId)) for (const listener of this.completionListeners) listener(jobId);
   }
 
-  /** Saved progress in seconds of run time; `unit` is the task, or the whole gang. */
-  savedProgress(unit: ProgressUnit): number {
+  /** Checkpointed progress in seconds of run time; `unit` is the task, or the whole gang. */
+  checkpointedProgress(unit: ProgressUnit): number {
     return this.progress.get(unitKey(unit)) ?? 0;
   }
 
--- a/packages/testing/stand-ins/latency.ts
+++ b/packages/testing/stand-ins/latency.ts
@@ -1,16 +1,19 @@
+/** Response times of the services. */
 import { sleep, type Runtime } from '#wire';
+import { uniform, type Span } from './distributions.js';
 
 /** How long a service takes: a usual span, and now and then a longer one. Milliseconds. */
 export interface LatencyProfile {
-  usualMs: [least: number, most: number];
+  usualMs: Span;
   /** Share of requests that take the longer span. */
   slowShare: number;
-  slowMs: [least: number, most: number];
+  slowMs: Span;
 }
 
+/** The usual response times. */
 export const PROMPT: LatencyProfile = { usualMs: [1, 9], slowShare: 0.002, slowMs: [100, 400] };
 
-/** Delays requests; part of each delay passes before the request is executed, part after it. */
+/** Delays requests; some of each delay passes before the request is executed, the rest after it. */
 export class Latency {
   profile: LatencyProfile = PROMPT;
 
@@ -27,7 +30,7 @@
 
   private draw(): number {
     const { usualMs, slowShare, slowMs } = this.profile;
-    const [least, most] = this.runtime.random() < slowShare ? slowMs : usualMs;
-    return least + (most - least) * this.runtime.random();
+    const random = () => this.runtime.random();
+    return uniform(random, random() < slowShare ? slowMs : usualMs);
   }
 }
--- a/packages/testing/stand-ins/lost-replies.ts
+++ b/packages/testing/stand-ins/lost-replies.ts
@@ -1,11 +1,13 @@
+/** The fault that requests are carried out, at once or late, and never answered. */
 import { sleep, type Runtime } from '#wire';
+import { uniform, type Span } from './distributions.js';
 
 /** Requests that get no answer, and when they are carried out all the same. */
 export interface LostReplies {
-  /** Part of the requests, from 0 to 1. */
+  /** Fraction of the requests, from 0 to 1. */
   share: number;
   /** Seconds until one is carried out; null: at once. */
-  delayS: [least: number, most: number] | null;
+  delayS: Span | null;
 }
 
 /** Decides which requests lose their answer and waits out their delays. */
@@ -31,8 +33,7 @@
   /** Resolves when the request that was hit is to be carried out. */
   async due({ delayS }: LostReplies): Promise<void> {
     if (delayS === null) return;
-    const [least, most] = delayS;
-    const waitS = least + (most - least) * this.runtime.random();
+    const waitS = uniform(() => this.runtime.random(), delayS);
     await sleep(this.runtime.clock, waitS * 1000);
   }
 }
--- a/packages/testing/stand-ins/rate-limit.ts
+++ b/packages/testing/stand-ins/rate-limit.ts
@@ -1,3 +1,4 @@
+/** The rate limit of a service. */
 import type { Clock } from '#wire';
 
 /** A token bucket: so many units a second, with bursts of so many seconds' worth. */
--- a/packages/testing/stand-ins/sample-world.ts
+++ b/packages/testing/stand-ins/sample-world.ts
@@ -12,6 +12,7 @@
 
 const STEP_S = 0.05;
 
+/** A simulated network with a host for each process that a test starts. */
 export class SampleWorld {
   readonly world: World;
   readonly network: SimulatedNetwork;
@@ -32,13 +33,22 @@
   host(address: string, role: HostRole): { runtime: Runtime; powerOff: () => void } {
     const host = this.network.addHost(new SimulatedHost(address, role, address, null));
     const skew = { zeroS: 100, drift: 0, wallOffsetMs: 0 };
-    const process = new SimulatedProcess(this.world, this.network, host, address, () => {}, skew);
+    const process = new SimulatedProcess(
+      this.world,
+      this.network,
+      host,
+      address,
+      () => undefined,
+      skew,
+    );
     process.start();
     const powerOff = () => {
       process.crash('silent');
       host.powered = false;
     };
-    return { runtime: process.incarnation!.runtime, powerOff };
+    const { incarnation } = process;
+    if (incarnation === null) throw new Error(`the process on ${address} does not run`);
+    return { runtime: incarnation.runtime, powerOff };
   }
 
   /** A client on a host of its own; calls are answered within its time or reject. */
@@ -56,15 +66,15 @@
 
   /** Runs the world until the promise has settled. */
   async finish<T>(promise: Promise<T>, withinS = 120): Promise<T> {
-    let settled = false;
-    const record = () => (settled = true);
+    const progress = { finished: false };
+    const record = () => (progress.finished = true);
     promise.then(record, record);
     const untilS = this.world.now + withinS;
-    while (!settled && this.world.now < untilS) {
+    while (!progress.finished && this.world.now < untilS) {
       await this.run(STEP_S);
       await nextTurn();
     }
-    if (!settled) throw new Error(`not settled within ${withinS} s`);
+    if (!progress.finished) throw new Error(`not settled within ${withinS} s`);
     return promise;
   }
 }
--- a/packages/testing/stand-ins/state/availability.ts
+++ b/packages/testing/stand-ins/state/availability.ts
@@ -1,3 +1,4 @@
+/** Outages of the state service, for all clients or for one. */
 /** Whom the service serves: nobody during an outage, and never a client that it refuses. */
 export class Availability {
   private outage = false;
--- a/packages/testing/stand-ins/state/key-store.ts
+++ b/packages/testing/stand-ins/state/key-store.ts
@@ -1,16 +1,19 @@
 /** The contents of the state service: keys with versions, one revision, and the latest changes. */
 import type { Change, Condition, Entry, WatchEvent, WatchOutcome } from '#wire';
 import { entryToWire, wireSize } from '#wire/serving';
+import { firstIndexNotBefore } from './binary-search.js';
 import { SortedKeys } from './sorted-keys.js';
 
-/** Changes that a watch can look back upon. */
+/** Number of past changes that a watch can read. */
 export const KEPT_CHANGES = 10_000;
 const MAX_PAGE_BYTES = 512 * 1024;
 
+/** An entry with the lease that it is bound to; null: none. */
 export interface StoredEntry extends Entry {
   lease: number | null;
 }
 
+/** Keys with values and versions, changed by transactions and read by pages and watches. */
 export class KeyStore {
   private readonly entries = new Map<string, StoredEntry>();
   private readonly order = new SortedKeys();
@@ -21,7 +24,7 @@
   private currentRevision = 0;
 
   /** The callback learns of the keys that each transaction put or deleted. */
-  constructor(private readonly onChange: (keys: string[]) => void = () => {}) {}
+  constructor(private readonly onChange: (keys: string[]) => void = () => undefined) {}
 
   get revision(): number {
     return this.currentRevision;
@@ -40,7 +43,8 @@
     const page: StoredEntry[] = [];
     let bytes = 0;
     for (const key of this.order.after(prefix, after)) {
-      const entry = this.entries.get(key)!;
+      const entry = this.entries.get(key);
+      if (!entry) throw new Error(`the order of the keys holds ${key}, which has no entry`);
       bytes += wireSize(entryToWire(entry));
       const full = page.length === limit || (bytes > MAX_PAGE_BYTES && page.length > 0);
       if (full) return { entries: page, more: true };
@@ -112,7 +116,7 @@
     if (keys?.size === 0) this.keysOfLease.delete(lease);
   }
 
-  /** Revision of the newest change that a watch can no longer look back upon. */
+  /** Revision of the newest change that a watch can no longer read. */
   private forgottenRevision(): number {
     const index = this.log.length - KEPT_CHANGES - 1;
     return index < 0 ? this.trimmedRevision : this.log[index].version;
@@ -126,13 +130,6 @@
   }
 
   private firstAfter(revision: number): number {
-    let low = 0;
-    let high = this.log.length;
-    while (low < high) {
-      const middle = (low + high) >> 1;
-      if (this.log[middle].version <= revision) low = middle + 1;
-      else high = middle;
-    }
-    return low;
+    return firstIndexNotBefore(this.log.length, (index) => this.log[index].version <= revision);
   }
 }
--- a/packages/testing/stand-ins/state/leases.ts
+++ b/packages/testing/stand-ins/state/leases.ts
@@ -1,3 +1,4 @@
+/** The leases of the state service. */
 import type { Runtime, Timer } from '#wire';
 
 /** How much later than its time a lease may end, in seconds. */
--- a/packages/testing/stand-ins/state/sorted-keys.ts
+++ b/packages/testing/stand-ins/state/sorted-keys.ts
@@ -1,3 +1,6 @@
+/** The order of the keys in the state service. */
+import { firstIndexNotBefore } from './binary-search.js';
+
 /** The keys of the store in their order, so that a page is found without sorting. */
 export class SortedKeys {
   private readonly keys: string[] = [];
@@ -25,13 +28,6 @@
   }
 
   private firstNotBelow(key: string): number {
-    let low = 0;
-    let high = this.keys.length;
-    while (low < high) {
-      const middle = (low + high) >> 1;
-      if (this.keys[middle] < key) low = middle + 1;
-      else high = middle;
-    }
-    return low;
+    return firstIndexNotBefore(this.keys.length, (index) => this.keys[index] < key);
   }
 }
--- a/packages/testing/stand-ins/state/state-service.test.ts
+++ b/packages/testing/stand-ins/state/state-service.test.ts
@@ -119,7 +119,7 @@
   assert.ok(world.world.now - startedAt >= 0.5);
 });
 
-test('a watch looks back upon 10,000 changes and no more', () => {
+test('a watch can read 10,000 past changes and no more', () => {
   const store = new KeyStore();
   for (let i = 1; i <= KEPT_CHANGES * 1.6; i++) {
     store.apply([put('k', i)]);
--- a/packages/testing/stand-ins/state/state-service.ts
+++ b/packages/testing/stand-ins/state/state-service.ts
@@ -1,4 +1,4 @@
-/** The state service as the protocol describes it, with its limits and its troubles. */
+/** The state service as the protocol describes it, with its limits and its faults. */
 import type { Change, Condition, HostPort, Runtime, TxnOutcome } from '#wire';
 import * as serving from '#wire/serving';
 import type { Observer } from '../events.js';
@@ -24,8 +24,11 @@
   answered: boolean;
 }
 
+/** Serves the API of the state service: reads, transactions, watches and leases. */
 export class StateService {
-  readonly store = new KeyStore((keys) => this.watchers.notify(keys));
+  readonly store = new KeyStore((keys) => {
+    this.watchers.notify(keys);
+  });
   private readonly leases: Leases;
   private readonly availability = new Availability();
   private readonly watchers: Watchers;
@@ -40,9 +43,11 @@
     private readonly runtime: Runtime,
     private limits: StateServiceLimits,
     /** Told of each transaction. */
-    private readonly observer: Observer = () => {},
+    private readonly observer: Observer = () => undefined,
   ) {
-    this.leases = new Leases(runtime, (id) => this.removeKeysOf(id));
+    this.leases = new Leases(runtime, (id) => {
+      this.removeKeysOf(id);
+    });
     this.watchers = new Watchers(runtime.clock);
     this.latency = new Latency(runtime);
     this.lostReplies = new ReplyLoss(runtime);
@@ -198,7 +203,7 @@
   ): Promise<serving.WireReply> {
     const until = this.runtime.clock.now() + waitMs / 1000;
     for (;;) {
-      await this.latency.around(() => {});
+      await this.latency.around(() => undefined);
       await this.availability.whenServed(clientHost);
       const outcome = this.store.changesAfter(prefix, after);
       const over = this.closed || this.runtime.clock.now() >= until;
--- a/packages/testing/stand-ins/state/txn-limits.ts
+++ b/packages/testing/stand-ins/state/txn-limits.ts
@@ -1,3 +1,4 @@
+/** Limits on the size of a transaction. */
 import { MalformedBody, type Change, type Condition } from '#wire';
 import { wireSize } from '#wire/serving';
 
@@ -13,6 +14,7 @@
   txnOps: number;
 }
 
+/** Changes that are carried out together if all conditions hold. */
 export interface Transaction {
   conditions: Condition[];
   changes: Change[];
--- a/packages/testing/stand-ins/state/watchers.ts
+++ b/packages/testing/stand-ins/state/watchers.ts
@@ -1,3 +1,4 @@
+/** The open watches of the state service. */
 import type { Clock } from '#wire';
 
 interface Watcher {
--- a/packages/testing/stand-ins/users/job-conduct.ts
+++ b/packages/testing/stand-ins/users/job-conduct.ts
@@ -1,7 +1,9 @@
+/** What the user of one job does: submits it, polls it and may cancel it. */
 import { jobToWire, pause, type Runtime } from '#wire';
+import { uniform, type Span } from '../distributions.js';
 import type { Observer } from '../events.js';
 import type { PlannedJob } from './planned-job.js';
-import { isAcceptance, isFinal, type Told, type UserRequests } from './requests.js';
+import { isAcceptance, isFinal, type UserResponse, type UserRequests } from './requests.js';
 
 const RETRY_DELAY_S = 1;
 /** A user heeds Retry-After up to this. */
@@ -12,12 +14,13 @@
 const POLL_SPREAD = 0.1;
 /** Share of jobs that their users ask about once more when they are over, and how much later. */
 const LATE_POLL_SHARE = 0.3;
-const LATE_POLL_AFTER_S: [least: number, most: number] = [5, 60];
+const LATE_POLL_AFTER_S: Span = [5, 60];
 
 /** News about a job that others may act on at once. */
 export type JobNews = 'accepted' | 'ended' | 'cancelled';
 
-export interface ConductParts {
+/** What the user of a job needs from the run. */
+export interface JobConductContext {
   runtime: Runtime;
   requests: UserRequests;
   observer: Observer;
@@ -35,7 +38,7 @@
 
   constructor(
     readonly plan: PlannedJob,
-    private readonly parts: ConductParts,
+    private readonly context: JobConductContext,
   ) {}
 
   get id(): string {
@@ -54,17 +57,17 @@
   /** Submits the job, then asks about it until it is over. */
   async run(): Promise<void> {
     const { job } = this.plan.program;
-    this.parts.observer({ kind: 'job-submitted', id: job.id, job, runnable: true });
+    this.context.observer({ kind: 'job-submitted', id: job.id, job, runnable: true });
     if (!(await this.submit())) return;
     this.accepted = true;
     this.milestones.accepted.reach();
-    this.parts.onNews(this.id, 'accepted');
+    this.context.onNews(this.id, 'accepted');
     const { cancelAfterS, repeatAfterS } = this.plan;
     if (cancelAfterS !== null) void this.after(cancelAfterS, () => this.cancel());
     if (repeatAfterS !== null) void this.after(repeatAfterS, () => this.submitOnce());
     await this.pollUntilOver();
-    if (this.parts.runtime.random() < LATE_POLL_SHARE) {
-      await this.after(this.draw(LATE_POLL_AFTER_S), () => this.parts.requests.poll(this.id));
+    if (this.context.runtime.random() < LATE_POLL_SHARE) {
+      await this.after(this.draw(LATE_POLL_AFTER_S), () => this.context.requests.poll(this.id));
     }
   }
 
@@ -72,55 +75,59 @@
   async cancel(): Promise<void> {
     if (this.cancelling) return;
     this.cancelling = true;
-    this.parts.observer({ kind: 'cancel-asked', job: this.id });
+    this.context.observer({ kind: 'cancel-asked', job: this.id });
     while (!this.stopped) {
-      const told = await this.parts.requests.cancel(this.id);
-      if (isFinal(told)) {
-        this.endWith(told);
+      const response = await this.context.requests.cancel(this.id);
+      if (isFinal(response)) {
+        this.endWith(response);
         return;
       }
-      await this.sleep(retryDelayS(told));
+      await this.sleep(retryDelayS(response));
     }
   }
 
   /** Submits the job once more, whatever has become of it. */
   async submitOnce(): Promise<void> {
-    await this.parts.requests.submit(this.id, jobToWire(this.plan.program.job));
+    await this.context.requests.submit(this.id, jobToWire(this.plan.program.job));
   }
 
   private async submit(): Promise<boolean> {
-    const { runtime, requests } = this.parts;
+    const { runtime, requests } = this.context;
     const body = jobToWire(this.plan.program.job);
     const untilS = runtime.clock.now() + SUBMIT_FOR_S;
     while (!this.stopped) {
-      const told = await requests.submit(this.id, body);
-      if (isAcceptance(told)) return true;
-      const refused = told?.status === 400 || told?.status === 422;
+      const response = await requests.submit(this.id, body);
+      if (isAcceptance(response)) return true;
+      const refused = response?.status === 400 || response?.status === 422;
       if (refused || runtime.clock.now() >= untilS) return false;
-      await this.sleep(retryDelayS(told));
+      await this.sleep(retryDelayS(response));
     }
     return false;
   }
 
   private async pollUntilOver(): Promise<void> {
-    while (!this.stopped && !this.over) {
-      const spread = 1 + POLL_SPREAD * (2 * this.parts.runtime.random() - 1);
+    while (!this.isFinished()) {
+      const spread = 1 + POLL_SPREAD * (2 * this.context.runtime.random() - 1);
       await this.sleep(POLL_PERIOD_S * spread);
-      if (this.over || this.stopped) return;
-      const told = await this.parts.requests.poll(this.id);
-      if (isFinal(told)) this.endWith(told);
+      if (this.isFinished()) return;
+      const response = await this.context.requests.poll(this.id);
+      if (isFinal(response)) this.endWith(response);
     }
   }
 
-  private endWith(told: Told | null): void {
+  private endWith(response: UserResponse | null): void {
     if (this.over) return;
     this.over = true;
     this.milestones.over.reach();
-    this.parts.onNews(this.id, told?.phase === 'aborted' ? 'cancelled' : 'ended');
+    this.context.onNews(this.id, response?.phase === 'aborted' ? 'cancelled' : 'ended');
+  }
+
+  private isFinished(): boolean {
+    return this.over || this.stopped;
   }
 
   private get stopped(): boolean {
-    return this.parts.signal.aborted;
+    return this.context.signal.aborted;
   }
 
   private async after(seconds: number, act: () => Promise<unknown>): Promise<void> {
@@ -129,11 +136,11 @@
   }
 
   private sleep(seconds: number): Promise<void> {
-    return pause(this.parts.runtime.clock, seconds * 1000, this.parts.signal);
+    return pause(this.context.runtime.clock, seconds * 1000, this.context.signal);
   }
 
-  private draw([least, most]: [number, number]): number {
-    return least + (most - least) * this.parts.runtime.random();
+  private draw(span: Span): number {
+    return uniform(() => this.context.runtime.random(), span);
   }
 }
 
@@ -148,6 +155,6 @@
   readonly over = new Milestone();
 }
 
-function retryDelayS(told: Told | null): number {
-  return Math.max(RETRY_DELAY_S, Math.min(LONGEST_RETRY_DELAY_S, told?.retryAfterS ?? 0));
+function retryDelayS(response: UserResponse | null): number {
+  return Math.max(RETRY_DELAY_S, Math.min(LONGEST_RETRY_DELAY_S, response?.retryAfterS ?? 0));
 }
--- a/packages/testing/stand-ins/users/odd-requests.ts
+++ b/packages/testing/stand-ins/users/odd-requests.ts
@@ -1,3 +1,4 @@
+/** Requests that are unusual, invalid or about unknown jobs. */
 import { jobToWire, REQUIRED_JOB_FIELDS, type Job, type Runtime } from '#wire';
 import type { Observer } from '../events.js';
 import type { JobConduct } from './job-conduct.js';
@@ -39,7 +40,7 @@
         () => this.submitImpossible(sample),
         () => this.submitIncomplete(sample),
       );
-    await this.pick(choices)!();
+    await this.pickFrom(choices)();
   }
 
   /** A question about a job that nobody has submitted. */
@@ -48,16 +49,17 @@
   }
 
   private async submitImpossible(sample: Job): Promise<void> {
-    const job = { ...this.pick(IMPOSSIBLE)!(sample), id: this.newId() };
+    const job = { ...this.pickFrom(IMPOSSIBLE)(sample), id: this.newId() };
     this.observer({ kind: 'job-submitted', id: job.id, job, runnable: false });
     await this.requests.submit(job.id, jobToWire(job));
   }
 
   private async submitIncomplete(sample: Job): Promise<void> {
     const job = { ...sample, id: this.newId() };
-    const body = jobToWire(job);
     // Without its id it would be nobody's job.
-    delete body[this.pick(REQUIRED_JOB_FIELDS.filter((field) => field !== 'id'))!];
+    const missing = this.pickFrom(REQUIRED_JOB_FIELDS.filter((field) => field !== 'id'));
+    const fields = Object.entries(jobToWire(job)).filter(([field]) => field !== missing);
+    const body = Object.fromEntries(fields);
     this.observer({ kind: 'job-submitted', id: job.id, job, runnable: false });
     await this.requests.submit(job.id, body);
   }
@@ -66,6 +68,12 @@
     return `j-${this.nextId++}`;
   }
 
+  private pickFrom<T>(items: T[]): T {
+    const picked = this.pick(items);
+    if (picked === undefined) throw new Error('there is nothing to pick from');
+    return picked;
+  }
+
   private pick<T>(items: T[]): T | undefined {
     return items[Math.floor(this.runtime.random() * items.length)];
   }
--- a/packages/testing/stand-ins/users/planned-job.ts
+++ b/packages/testing/stand-ins/users/planned-job.ts
@@ -1,11 +1,15 @@
+/** The plan of one job and its user. */
 import type { JobProgram } from '../job-storage.js';
 
 /** A job and what its user will do with it. */
 export interface PlannedJob {
   program: JobProgram;
-  /** Seconds after the start of the plan; a job that awaits others is submitted later if these are not accepted yet. */
+  /**
+   * Seconds after the start of the plan; a job with dependencies is submitted later if these are not
+   * accepted yet.
+   */
   submitAtS: number;
-  /** It is submitted only once all that it awaits is over; not if it is left out. */
+  /** It is submitted only once all its dependencies are over; not if it is left out. */
   isSubmittedLate?: boolean;
   /** Seconds after the acceptance until the user cancels the job; null: never. */
   cancelAfterS: number | null;
--- a/packages/testing/stand-ins/users/requests.ts
+++ b/packages/testing/stand-ins/users/requests.ts
@@ -1,3 +1,4 @@
+/** The HTTP requests of users, observed one by one. */
 import {
   NoAnswer,
   UserClient,
@@ -15,7 +16,7 @@
 const MAX_SOCKETS = 1000;
 
 /** What a user was told; null in place of it if no response came. */
-export interface Told {
+export interface UserResponse {
   status: number;
   phase: Phase | null;
   retryAfterS: number;
@@ -34,15 +35,15 @@
   }
 
   /** The body is in the protocol's words. */
-  submit(job: string, body: unknown): Promise<Told | null> {
+  submit(job: string, body: unknown): Promise<UserResponse | null> {
     return this.ask('submit', job, () => this.client.submitRaw(body));
   }
 
-  poll(job: string): Promise<Told | null> {
+  poll(job: string): Promise<UserResponse | null> {
     return this.ask('poll', job, () => this.client.status(job, POLL_TIMEOUT_MS));
   }
 
-  cancel(job: string): Promise<Told | null> {
+  cancel(job: string): Promise<UserResponse | null> {
     return this.ask('abort', job, () => this.client.abort(job));
   }
 
@@ -54,7 +55,7 @@
     kind: RequestKind,
     job: string,
     send: () => Promise<UserAnswer>,
-  ): Promise<Told | null> {
+  ): Promise<UserResponse | null> {
     const request: UserRequest = { kind, job };
     this.observer({ kind: 'asked', request });
     try {
@@ -71,11 +72,11 @@
 }
 
 /** The user was told that the job is accepted. */
-export function isAcceptance(told: Told | null): boolean {
-  return told?.status === 200 || told?.status === 201;
+export function isAcceptance(response: UserResponse | null): boolean {
+  return response?.status === 200 || response?.status === 201;
 }
 
 /** The job is over, by what the user was told. */
-export function isFinal(told: Told | null): boolean {
-  return told?.status === 200 && (told.phase === 'done' || told.phase === 'aborted');
+export function isFinal(response: UserResponse | null): boolean {
+  return response?.status === 200 && (response.phase === 'done' || response.phase === 'aborted');
 }
--- a/packages/testing/stand-ins/users/users.test.ts
+++ b/packages/testing/stand-ins/users/users.test.ts
@@ -40,10 +40,10 @@
     storage,
     observer: world.observer,
   });
-  const told = (kind: UserEvent['kind']) => world.events.filter((event) => event.kind === kind);
+  const response = (kind: UserEvent['kind']) => world.events.filter((event) => event.kind === kind);
   const times = (path: string) =>
     asked.filter((request) => request.path === path).map(({ atS }) => atS);
-  return { world, users, storage, asked, told, times };
+  return { world, users, storage, asked, told: response, times };
 }
 
 function view(status: number, phase: Phase): WireReply {
@@ -83,34 +83,39 @@
 
 test('a cancellation is repeated until it is answered, and ends the polls', async () => {
   const replies: WireReply[] = [{ status: 503 }, { status: 404 }, view(200, 'aborted')];
-  const { world, users, times, told } = await someUsers(({ path }) => {
+  const {
+    world,
+    users,
+    times,
+    told: response,
+  } = await someUsers(({ path }) => {
     if (path.endsWith('/abort')) return replies.shift()!;
     return view(200, 'running');
   });
   users.submit(aPlan({}, { cancelAfterS: 7, repeatAfterS: 20 }));
   await world.run(12);
   assert.equal(times('/submissions/j-000001/abort').length, 3);
-  assert.equal(told('cancel-asked').length, 1);
+  assert.equal(response('cancel-asked').length, 1);
   const polls = times('/submissions/j-000001').length;
-  // Another five seconds later the user may look once more.
+  // Another five seconds later the user may poll once more.
   await world.run(2.5);
   assert.equal(times('/submissions/j-000001').length, polls);
   await world.run(10);
   assert.equal(times('/submissions').length, 2);
 });
 
-test('no answer is told to the observer as such', async () => {
-  const { world, users, told } = await someUsers(() => null);
+test('the observer learns of requests that get no answer', async () => {
+  const { world, users, told: response } = await someUsers(() => null);
   users.submit(aPlan());
   await world.run(4.9);
-  assert.deepEqual([told('asked').length, told('unanswered').length], [1, 0]);
+  assert.deepEqual([response('asked').length, response('unanswered').length], [1, 0]);
   await world.run(0.2);
-  assert.equal(told('unanswered').length, 1);
+  assert.equal(response('unanswered').length, 1);
 });
 
-test('close looks ask all nodes within milliseconds after each news', async () => {
+test('a burst of polls reaches all nodes within milliseconds after a job is accepted, ended or cancelled', async () => {
   const { world, users, storage, asked } = await someUsers(() => view(200, 'running'));
-  users.setCloseLooks(true);
+  users.setPollBursts(true);
   users.submit(aPlan());
   await world.run(1);
   const looksAt = (node: number, method: string) =>
@@ -123,14 +128,14 @@
   assert.ok(asked.length - before >= 16);
 });
 
-test('some jobs are called off at their end, or many at once', async () => {
-  const { world, users, storage, told } = await someUsers(() => view(200, 'running'));
+test('some jobs are cancelled at their end, or many at once', async () => {
+  const { world, users, storage, told: response } = await someUsers(() => view(200, 'running'));
   const state = new WorldState();
   for (let i = 1; i <= 5; i++) users.submit(aPlan({ id: `j-00000${i}`, tasks: 1 }));
   await world.run(1);
   users.setCancelAtEnd(1);
   storage.complete('j-000001', 0);
-  assert.equal(told('cancel-asked').length, 1);
+  assert.equal(response('cancel-asked').length, 1);
   const type = { ...aJob(), name: 'm', cpus: 9 } as never;
   state.apply({
     kind: 'machine-up',
@@ -142,12 +147,12 @@
   }
   assert.deepEqual(users.cancelNow(2, state), ['m', 'm']);
   await world.run(0.21);
-  assert.equal(told('cancel-asked').length, 3);
+  assert.equal(response('cancel-asked').length, 3);
 });
 
-test('odd requests are of all kinds, and what lacks a field or fits nothing is known as such', async () => {
+test('odd requests are of all kinds, and jobs that lack a field or can run nowhere are marked as not runnable', async () => {
   let phase: Phase = 'running';
-  const { world, users, asked, told } = await someUsers(() => view(200, phase));
+  const { world, users, asked, told: response } = await someUsers(() => view(200, phase));
   users.submit(aPlan({ gpus: 0 }));
   users.submit(aPlan({ id: 'j-000002' }, { cancelAfterS: 2 }));
   users.setOddRequests(true);
@@ -155,7 +160,7 @@
   await world.run(5);
   phase = 'aborted';
   await world.run(100);
-  const unfit = told('job-submitted').filter((e) => e.kind === 'job-submitted' && !e.runnable);
+  const unfit = response('job-submitted').filter((e) => e.kind === 'job-submitted' && !e.runnable);
   const bodies = asked.flatMap((request) => {
     const id = (request.body as { id?: string } | null)?.id;
     return unfit.some((e) => e.kind === 'job-submitted' && e.id === id) ? [request.body] : [];
@@ -170,6 +175,6 @@
     }
   });
   assert.ok(malformed.length > 3 && malformed.length < bodies.length - 3);
-  const aborts = asked.filter(({ path }) => path.endsWith('/abort'));
-  assert.ok(aborts.length > 3);
+  const cancellations = asked.filter(({ path }) => path.endsWith('/abort'));
+  assert.ok(cancellations.length > 3);
 });
--- a/packages/testing/stand-ins/users/users.ts
+++ b/packages/testing/stand-ins/users/users.ts
@@ -5,17 +5,18 @@
 import type { JobStorage } from '../job-storage.js';
 import type { ControllerAddress } from '../worker/index.js';
 import type { WorldState } from '../world-state.js';
-import { CloseLooks } from './close-looks.js';
+import { PollBursts } from './poll-bursts.js';
 import { JobConduct, type JobNews } from './job-conduct.js';
 import { OddRequests } from './odd-requests.js';
 import type { PlannedJob } from './planned-job.js';
 import { UserRequests } from './requests.js';
 
+/** What all users share. */
 export interface UsersOptions {
   runtime: Runtime;
   /** Address of the load balancer. */
   balancer: string;
-  /** The nodes themselves, for close looks. */
+  /** The nodes themselves, for bursts of polls. */
   nodes: ControllerAddress[];
   storage: JobStorage;
   observer: Observer;
@@ -26,37 +27,40 @@
 const CANCEL_NOW_WITHIN_S = 0.2;
 /** A job with a task of such a run time has long to go, in seconds. */
 const LONG_RUN_S = 30;
-/** Of the jobs that are looked at closely, this share is cancelled right after its acceptance. */
+/** Of the jobs that are polled in bursts, this share is cancelled right after its acceptance. */
 const CANCEL_AT_ONCE_SHARE = 0.1;
 
+/** Starts the users of all jobs, and makes their requests follow the faults of the run. */
 export class Users {
   private readonly jobs = new Map<string, JobConduct>();
   private readonly requests: UserRequests;
   private readonly nodes: UserRequests[];
-  private readonly closeLooks: CloseLooks;
+  private readonly pollBursts: PollBursts;
   private readonly oddRequests: OddRequests;
   private readonly stopping = new AbortController();
-  private looksClosely = false;
+  private pollsInBursts = false;
   private odd = false;
   private cancelAtEndShare = 0;
 
   constructor(private readonly options: UsersOptions) {
     const { runtime, balancer, nodes, storage, observer } = options;
-    // Each job listens to it.
-    setMaxListeners(0, this.stopping.signal);
     this.requests = new UserRequests(runtime, balancer, observer);
     this.nodes = nodes.map(({ address }) => new UserRequests(runtime, address, observer));
-    this.closeLooks = new CloseLooks(runtime, this.nodes);
+    this.pollBursts = new PollBursts(runtime, this.nodes);
     this.oddRequests = new OddRequests(runtime, this.requests, observer);
     // Each job under way listens to it.
     setMaxListeners(0, this.stopping.signal);
-    storage.onJobComplete((job) => this.jobEnded(job));
+    storage.onJobComplete((job) => {
+      this.jobEnded(job);
+    });
   }
 
   /** Begins with the plan; its times count from now. */
   start(plan: PlannedJob[]): void {
     for (const job of plan) {
-      this.options.runtime.clock.setTimer(() => this.submit(job), job.submitAtS * 1000);
+      this.options.runtime.clock.setTimer(() => {
+        this.submit(job);
+      }, job.submitAtS * 1000);
     }
     void this.repeat(STRAY_QUESTION_PERIOD_S, () => this.oddRequests.askAboutNothing());
     void this.repeat(ODD_REQUEST_PERIOD_S, () => this.makeOddRequest());
@@ -64,28 +68,30 @@
 
   /** A user submits the job now and goes on by the plan. */
   submit(plan: PlannedJob): void {
-    if (this.stopping.signal.aborted) return;
+    if (this.isStopped()) return;
     this.options.storage.upload(plan.program);
     const conduct = new JobConduct(plan, {
       runtime: this.options.runtime,
       requests: this.requests,
       observer: this.options.observer,
-      onNews: (job, news) => this.received(job, news),
+      onNews: (job, news) => {
+        this.received(job, news);
+      },
       signal: this.stopping.signal,
     });
     this.jobs.set(conduct.id, conduct);
     void this.runInTurn(conduct);
   }
 
-  /** A job that awaits others is submitted once these are accepted, or once they are over. */
+  /** A job with dependencies is submitted once these are accepted, or once they are over. */
   private async runInTurn(conduct: JobConduct): Promise<void> {
     const { isSubmittedLate, program } = conduct.plan;
-    const awaited = program.job.awaits.map((id) => this.jobs.get(id));
-    const needed = awaited.filter((each) => each !== undefined);
+    const dependencies = program.job.awaits.map((id) => this.jobs.get(id));
+    const known = dependencies.filter((each) => each !== undefined);
     await Promise.all(
-      needed.map((each) => (isSubmittedLate ? each.whenOver() : each.whenAccepted())),
+      known.map((each) => (isSubmittedLate ? each.whenOver() : each.whenAccepted())),
     );
-    if (!this.stopping.signal.aborted) await conduct.run();
+    if (!this.isStopped()) await conduct.run();
   }
 
   /** Asks and submits no more. */
@@ -94,13 +100,13 @@
     for (const requests of [this.requests, ...this.nodes]) requests.close();
   }
 
-  /** The user of the job calls it off now. */
+  /** The user of the job cancels it now. */
   cancel(job: string): void {
     void this.jobs.get(job)?.cancel();
   }
 
   /**
-   * Calls off up to so many jobs that run and have long to go, within a fifth of a second; returns the
+   * Cancels up to so many jobs that run and have long to go, within a fifth of a second; returns the
    * machines that they are on.
    */
   cancelNow(count: number, state: WorldState): string[] {
@@ -118,7 +124,7 @@
     return chosen.flatMap((job) => state.started(job.id).map((place) => place.machine));
   }
 
-  /** That share of the jobs that end is called off at the moment of the end; 0 ends it. */
+  /** That share of the jobs that end is cancelled at the moment of the end; 0 ends it. */
   setCancelAtEnd(share: number): void {
     this.cancelAtEndShare = share;
   }
@@ -129,25 +135,25 @@
   }
 
   /** All nodes are asked within milliseconds after a job was accepted, ended or cancelled. */
-  setCloseLooks(looksClosely: boolean): void {
-    this.looksClosely = looksClosely;
+  setPollBursts(pollsInBursts: boolean): void {
+    this.pollsInBursts = pollsInBursts;
   }
 
   private received(job: string, news: JobNews): void {
-    if (!this.looksClosely) return;
-    this.lookAt(job);
+    if (!this.pollsInBursts) return;
+    this.pollInBurst(job);
     const cancelAtOnce = this.options.runtime.random() < CANCEL_AT_ONCE_SHARE;
     if (news === 'accepted' && cancelAtOnce) this.cancel(job);
   }
 
   private jobEnded(job: string): void {
-    if (this.looksClosely) this.lookAt(job);
+    if (this.pollsInBursts) this.pollInBurst(job);
     if (this.options.runtime.random() < this.cancelAtEndShare) this.cancel(job);
   }
 
-  private lookAt(job: string): void {
+  private pollInBurst(job: string): void {
     const conduct = this.jobs.get(job);
-    if (conduct) this.closeLooks.look(conduct.plan.program.job);
+    if (conduct) this.pollBursts.poll(conduct.plan.program.job);
   }
 
   private async makeOddRequest(): Promise<void> {
@@ -156,12 +162,15 @@
 
   private async repeat(periodS: number, act: () => Promise<unknown>): Promise<void> {
     const { clock } = this.options.runtime;
-    const { signal } = this.stopping;
-    while (!signal.aborted) {
-      await pause(clock, periodS * 1000, signal);
-      if (!signal.aborted) await act();
+    while (!this.isStopped()) {
+      await pause(clock, periodS * 1000, this.stopping.signal);
+      if (!this.isStopped()) await act();
     }
   }
+
+  private isStopped(): boolean {
+    return this.stopping.signal.aborted;
+  }
 }
 
 /** Some task of the job would still run for a while. */
--- a/packages/testing/stand-ins/worker/agent-epoch.ts
+++ b/packages/testing/stand-ins/worker/agent-epoch.ts
@@ -1,23 +1,24 @@
+/** The agent epoch, fencing token and lease of a worker. */
 import type { Clock, Timer } from '#wire';
 
 /**
- * Whom a worker obeys and for how long: its session, the highest token it has seen and its lease. The
- * lease runs on while the machine hangs.
+ * Whom a worker obeys and for how long: its agent epoch, the highest fencing token it has seen and its
+ * lease. The lease runs on while the machine hangs.
  */
 export class AgentEpochState {
   private number = 1;
   private sequence = 0;
   private fencingToken = 0;
-  /** When the last answered report was sent, or the session began. */
+  /** When the last answered heartbeat was sent, or the agent epoch began. */
   private renewedAt: number;
   private expiry: Timer | null = null;
 
   constructor(
     private readonly clock: Clock,
     private readonly leaseS: number,
-    /** The lease has ended and the next session has begun. */
+    /** The lease has expired and the next agent epoch has begun. */
     private readonly onExpired: () => void,
-    /** A higher token was seen. */
+    /** A higher fencing token was seen. */
     private readonly onFencingToken: () => void,
   ) {
     this.renewedAt = clock.now();
@@ -36,7 +37,7 @@
     return ++this.sequence;
   }
 
-  /** Whether the answer to a report is to be carried out; if so, it renews the lease. */
+  /** Whether the answer to a heartbeat is to be carried out; if so, it renews the lease. */
   admitAnswer(
     fencingToken: number | null,
     heartbeat: { agentEpoch: number; sentAt: number },
@@ -63,10 +64,15 @@
     return true;
   }
 
-  /** Looks again when the lease would end, since answers only move that time. */
+  /** Checks again when the lease would expire, since answers only move that time. */
   private planExpiry(): void {
     const leftS = this.renewedAt + this.leaseS - this.clock.now();
-    this.expiry = this.clock.setTimer(() => this.checkExpiry(), leftS * 1000 + 1);
+    this.expiry = this.clock.setTimer(
+      () => {
+        this.checkExpiry();
+      },
+      leftS * 1000 + 1,
+    );
   }
 
   private checkExpiry(): void {
--- a/packages/testing/stand-ins/worker/command-server.ts
+++ b/packages/testing/stand-ins/worker/command-server.ts
@@ -1,3 +1,4 @@
+/** The endpoint of a worker for commands that controllers send directly. */
 import type { HostPort, Heartbeat, Runtime } from '#wire';
 import { heartbeatToWire } from '#wire';
 import { parseDirectCommand, type DirectCommand, type WireReply } from '#wire/serving';
@@ -6,9 +7,9 @@
 
 /** The worker as its server for direct commands sees it. */
 export interface CommandTarget {
-  /** Carries the command out, or says false if token or session do not match. */
+  /** Carries the command out, or says false if fencing token or agent epoch do not match. */
   command(command: DirectCommand): boolean;
-  /** The report that the answer holds. */
+  /** The heartbeat that the answer holds. */
   nextHeartbeat(): Heartbeat;
   /** Resolves once the machine does not hang. */
   whenRunning(): Promise<void>;
@@ -16,7 +17,7 @@
 
 /** Serves the commands that controllers send to a worker directly. */
 export class CommandServer {
-  /** Nothing that is sent here is heard. */
+  /** Commands arrive, but are neither carried out nor answered. */
   deaf = false;
   private server: CborServer | null = null;
   private closed = false;
@@ -44,10 +45,10 @@
     const route = `${request.method} ${request.path}`;
     if (route === 'GET /show') return this.reply(200);
     if (route !== 'POST /orders') return { status: 404 };
-    return this.takeCommand(parseDirectCommand(request.body));
+    return this.acceptCommand(parseDirectCommand(request.body));
   }
 
-  private async takeCommand(command: DirectCommand): Promise<WireReply | typeof NO_REPLY> {
+  private async acceptCommand(command: DirectCommand): Promise<WireReply | typeof NO_REPLY> {
     const loss = this.lateCommands.draw();
     if (loss === null) return this.reply(this.target.command(command) ? 200 : 409);
     await this.lateCommands.due(loss);
--- a/packages/testing/stand-ins/worker/execution.ts
+++ b/packages/testing/stand-ins/worker/execution.ts
@@ -1,3 +1,4 @@
+/** The progress of running tasks. */
 import type { Clock, Timer } from '#wire';
 
 /** Progress of a running task or gang, in seconds of run time at nominal speed. */
--- a/packages/testing/stand-ins/worker/freezable-clock.ts
+++ b/packages/testing/stand-ins/worker/freezable-clock.ts
@@ -1,3 +1,4 @@
+/** A clock whose timers can be held up. */
 import type { Clock, Timer } from '#wire';
 
 /** The clock of a machine that may hang: it runs on, but what its timers call waits meanwhile. */
--- a/packages/testing/stand-ins/worker/gang-attempt.ts
+++ b/packages/testing/stand-ins/worker/gang-attempt.ts
@@ -1,3 +1,4 @@
+/** One attempt of a gang, from the arrival of its first task until the last has left. */
 import type { Runtime, Timer } from '#wire';
 import { atLastCheckpoint, type JobProgram, type JobStorage } from '../job-storage.js';
 import { Execution } from './execution.js';
@@ -8,10 +9,10 @@
   /** Not all tasks are there yet. */
   | 'gathering'
   | 'running'
-  /** A first task was told to stop and save. */
+  /** A first task was told to stop and write a checkpoint. */
   | 'stopping'
-  /** All were told in time, and the progress is safe. */
-  | 'saved'
+  /** All were told in time, and the checkpoint is written. */
+  | 'checkpointed'
   /** A task was lost; the others are about to notice. */
   | 'broken'
   | 'done';
@@ -19,7 +20,7 @@
 /** Earliest time at which a task notices a loss, as a share of the longest. */
 const EARLIEST_NOTICE = 0.3;
 
-/** All tasks of one attempt of a gang: they start, progress, complete and save together. */
+/** All tasks of one attempt of a gang: they start, progress, complete and write checkpoints together. */
 export class GangAttempt implements GangCoordinator {
   private phase: GangPhase = 'gathering';
   private readonly members = new Map<number, GangMember>();
@@ -82,10 +83,10 @@
       if (this.phase === 'running') this.beginStop();
       task.enter('saving');
       task.after(saveS, () => {
-        member.hasSaved = true;
-        this.releaseSaved();
+        member.hasCheckpointed = true;
+        this.releaseCheckpointed();
       });
-      this.releaseSaved();
+      this.releaseCheckpointed();
     } else task.exit('stopped');
   }
 
@@ -96,14 +97,19 @@
     this.execution = new Execution(
       this.runtime.clock,
       this.program.runS[0],
-      this.storage.savedProgress(unit),
+      this.storage.checkpointedProgress(unit),
       this.speed(),
-      () => this.complete(),
+      () => {
+        this.complete();
+      },
     );
     for (const { task } of this.members.values()) {
       task.enter('running');
       const failsAfterS = task.host.failsAfterS(this.program);
-      if (failsAfterS !== null) task.after(failsAfterS, () => task.exit('error'));
+      if (failsAfterS !== null)
+        task.after(failsAfterS, () => {
+          task.exit('error');
+        });
     }
     this.execution.run();
   }
@@ -153,10 +159,12 @@
     this.phase = 'stopping';
     this.execution?.pause();
     const delayMs = this.times.gangPeerS * 1000;
-    this.stopDeadline = this.runtime.clock.setTimer(() => this.stopOverdue(), delayMs);
+    this.stopDeadline = this.runtime.clock.setTimer(() => {
+      this.stopOverdue();
+    }, delayMs);
   }
 
-  /** Not all tasks were told to stop in time: the save fails. */
+  /** Not all tasks were told to stop in time: the checkpoint fails. */
   private stopOverdue(): void {
     if (this.phase !== 'stopping') return;
     if (this.allTold()) return;
@@ -164,18 +172,20 @@
     this.fallBack();
     for (const { task } of [...this.members.values()]) {
       const cause = task.state === 'saving' ? 'stopped' : 'peers';
-      task.after(0, () => task.exit(cause));
+      task.after(0, () => {
+        task.exit(cause);
+      });
     }
   }
 
-  /** Tasks that have saved exit once all have been told. */
-  private releaseSaved(): void {
-    const orderly = this.phase === 'stopping' || this.phase === 'saved';
+  /** Tasks that have written their checkpoint exit once all have been told. */
+  private releaseCheckpointed(): void {
+    const orderly = this.phase === 'stopping' || this.phase === 'checkpointed';
     if (!orderly || !this.allTold()) return;
     for (const member of [...this.members.values()]) {
-      if (!member.hasSaved) continue;
+      if (!member.hasCheckpointed) continue;
       if (this.phase === 'stopping') {
-        this.phase = 'saved';
+        this.phase = 'checkpointed';
         this.storage.save(this.unit(), this.execution?.progress() ?? 0);
       }
       member.task.exit('stopped', true);
@@ -184,7 +194,7 @@
 
   private allTold(): boolean {
     const members = [...this.members.values()];
-    const complete = this.phase === 'saved' || members.length === this.program.job.tasks;
+    const complete = this.phase === 'checkpointed' || members.length === this.program.job.tasks;
     return complete && members.every(({ task }) => task.state === 'saving');
   }
 
--- a/packages/testing/stand-ins/worker/gang-member.ts
+++ b/packages/testing/stand-ins/worker/gang-member.ts
@@ -1,3 +1,4 @@
+/** One task of a gang and its link to the others. */
 import type { RunningTask, TaskRun } from './task-host.js';
 
 /** What a task of a gang tells the others, and asks of them. */
@@ -11,7 +12,7 @@
 
 /** A task of a gang. */
 export class GangMember implements TaskRun {
-  hasSaved = false;
+  hasCheckpointed = false;
   hanging = false;
 
   constructor(
--- a/packages/testing/stand-ins/worker/gang-network.ts
+++ b/packages/testing/stand-ins/worker/gang-network.ts
@@ -1,3 +1,4 @@
+/** How the tasks of gangs on different machines find each other. */
 import type { Runtime } from '#wire';
 import { GangAttempt } from './gang-attempt.js';
 import type { GangRendezvous, RunningTask, TaskRun } from './task-host.js';
--- a/packages/testing/stand-ins/worker/gang.test.ts
+++ b/packages/testing/stand-ins/worker/gang.test.ts
@@ -8,9 +8,12 @@
 const UNIT = { job: 'j-000001', index: 'gang' as const };
 
 /** A gang of three on three machines. */
-async function aGang(own: Partial<Job> = {}, runS = 30) {
+async function aGang(overrides: Partial<Job> = {}, runS = 30) {
   const fleet = await new SampleFleet().begin();
-  fleet.upload({ kind: 'gang', tasks: 3, checkpointS: 4, saveS: 2, ...own }, { runS: [runS] });
+  fleet.upload(
+    { kind: 'gang', tasks: 3, checkpointS: 4, saveS: 2, ...overrides },
+    { runS: [runS] },
+  );
   const workers = [await fleet.worker(1), await fleet.worker(0.5), await fleet.worker(1)];
   const states = () => workers.map((worker) => worker.nextHeartbeat().tasks.at(-1)?.state);
   const startAll = async (attempt = 1) => {
@@ -21,8 +24,8 @@
   };
   const stopOne = (index: number, graceS: number) =>
     fleet.order(workers[index], [stop(graceS, index)]);
-  const saved = () => fleet.storage.savedProgress(UNIT);
-  return { fleet, world: fleet.world, workers, states, startAll, stopOne, saved };
+  const checkpointedS = () => fleet.storage.checkpointedProgress(UNIT);
+  return { fleet, world: fleet.world, workers, states, startAll, stopOne, checkpointedS };
 }
 
 test('a gang starts together, takes the speed of its slowest machine and completes together', async () => {
@@ -64,7 +67,7 @@
 ];
 for (const [name, lose] of LOSSES) {
   test(`when a machine ${name}, the others notice and only checkpoints are kept`, async () => {
-    const { fleet, world, workers, startAll, saved } = await aGang();
+    const { fleet, world, workers, startAll, checkpointedS } = await aGang();
     await startAll();
     await world.run(10);
     lose(workers[2]);
@@ -73,7 +76,7 @@
     await world.run(TIMES.gangPeerS);
     const noticed = fleet.leaves().filter((leave) => leave.endsWith('peers'));
     assert.deepEqual(noticed.sort(), ['0:peers', '1:peers']);
-    assert.equal(saved(), 4);
+    assert.equal(checkpointedS(), 4);
   });
 }
 
@@ -89,8 +92,8 @@
   assert.equal(fleet.leaves().length, 3);
 });
 
-test('a gang whose tasks are all told in time saves its progress', async () => {
-  const { fleet, world, states, startAll, stopOne, saved } = await aGang();
+test('a gang whose tasks are all told to stop in time writes a checkpoint', async () => {
+  const { fleet, world, states, startAll, stopOne, checkpointedS } = await aGang();
   await startAll();
   await world.run(10);
   await stopOne(0, 2);
@@ -99,15 +102,15 @@
   await stopOne(1, 2);
   await stopOne(2, 5);
   assert.deepEqual(states(), ['exited', 'saving', 'saving']);
-  assert.ok(saved() > 5 && saved() < 5.6);
+  assert.ok(checkpointedS() > 5 && checkpointedS() < 5.6);
   await world.run(2.1);
   assert.deepEqual(fleet.leaves(), ['0:stopped', '1:stopped', '2:stopped']);
   await startAll(2);
-  await world.run((30 - saved()) / 0.5 + 1);
+  await world.run((30 - checkpointedS()) / 0.5 + 1);
   assert.equal(fleet.leaves().filter((leave) => leave.endsWith('done')).length, 3);
 });
 
-test('the save fails if a task is told too late, or with too little time', async () => {
+test('the checkpoint fails if a task is told to stop too late, or with too little time', async () => {
   const late = await aGang();
   await late.startAll();
   await late.world.run(10);
@@ -115,7 +118,7 @@
   await late.stopOne(1, 2);
   await late.world.run(TIMES.gangPeerS + 0.1);
   assert.deepEqual(late.fleet.leaves().sort(), ['0:stopped', '1:stopped', '2:peers']);
-  assert.equal(late.saved(), 4);
+  assert.equal(late.checkpointedS(), 4);
   const short = await aGang();
   await short.startAll();
   await short.world.run(10);
@@ -123,16 +126,16 @@
   await short.stopOne(1, 1);
   await short.world.run(TIMES.gangPeerS + 0.1);
   assert.deepEqual(short.fleet.leaves().sort(), ['0:peers', '1:stopped', '2:peers']);
-  assert.equal(short.saved(), 4);
+  assert.equal(short.checkpointedS(), 4);
 });
 
-test('a gang that never saves loses its work when it is stopped', async () => {
-  const { fleet, world, startAll, stopOne, saved } = await aGang({ checkpointS: 0 });
+test('a gang that never writes checkpoints loses its work when it is stopped', async () => {
+  const { fleet, world, startAll, stopOne, checkpointedS } = await aGang({ checkpointS: 0 });
   await startAll();
   await world.run(10);
   await stopOne(0, 60);
   assert.deepEqual(fleet.leaves(), ['0:stopped']);
   await world.run(TIMES.gangPeerS + 0.1);
   assert.equal(fleet.leaves().length, 3);
-  assert.equal(saved(), 0);
+  assert.equal(checkpointedS(), 0);
 });
--- a/packages/testing/stand-ins/worker/heartbeat-schedule.ts
+++ b/packages/testing/stand-ins/worker/heartbeat-schedule.ts
@@ -1,3 +1,4 @@
+/** When a worker sends heartbeats. */
 import type { Runtime } from '#wire';
 
 const LEAST_SPACING_S = 0.5;
@@ -6,7 +7,7 @@
 const NEXT_NODE_DELAY_S = 1;
 const REDIRECT_DELAY_S = 0.5;
 
-/** When a worker sends its next report; seconds of the runtime's clock. */
+/** When a worker sends its next heartbeat; seconds of the runtime's clock. */
 export class HeartbeatSchedule {
   private lastSentAt = -Infinity;
   private periodicAt: number;
@@ -27,12 +28,12 @@
     return Math.min(this.periodicAt, this.lastSentAt + LEAST_SPACING_S);
   }
 
-  /** The next report shows something new. */
+  /** The next heartbeat shows something new. */
   recordChange(): void {
     this.changed = true;
   }
 
-  /** A report goes out now. */
+  /** A heartbeat goes out now. */
   recordSent(): void {
     const spread = 1 + PERIOD_SPREAD * (2 * this.runtime.random() - 1);
     this.lastSentAt = this.runtime.clock.now();
--- a/packages/testing/stand-ins/worker/heartbeat-sender.ts
+++ b/packages/testing/stand-ins/worker/heartbeat-sender.ts
@@ -1,29 +1,30 @@
+/** Sends the heartbeats of a worker and follows redirects to the leader. */
 import { CborClient, NoAnswer, pause, WakeablePause, type Answer, type Runtime } from '#wire';
 import { parseRedirect } from '#wire/serving';
 import { NodeChoice, type ControllerAddress } from './node-choice.js';
 import { HeartbeatSchedule } from './heartbeat-schedule.js';
 
-/** How long a worker waits for the answer to a report, in seconds. */
+/** How long a worker waits for the answer to a heartbeat, in seconds. */
 const ANSWER_TIMEOUT_S = 4;
 const MAX_ANSWER_BYTES = 64 * 1024;
 
-/** The worker as its reporter sees it. */
+/** The worker as the sender of its heartbeats sees it. */
 export interface HeartbeatSource {
-  /** The body of the next report. */
+  /** The body of the next heartbeat. */
   nextHeartbeat(): unknown;
-  /** A controller has answered the report with 200, `sentAt` of the runtime's clock. */
+  /** A controller has answered the heartbeat with 200, `sentAt` of the runtime's clock. */
   answered(body: unknown, sentAt: number, node: ControllerAddress): void;
-  /** A report went out to that node. */
+  /** A heartbeat went out to that node. */
   sent(body: unknown, node: ControllerAddress): void;
-  /** A report was answered with that status, or with none in time, `sentAt` of the runtime's clock. */
+  /** A heartbeat was answered with that status, or with none in time, `sentAt` of the runtime's clock. */
   exchanged(status: number | null, sentAt: number, node: ControllerAddress): void;
   /** Resolves once the machine does not hang. */
   whenRunning(): Promise<void>;
 }
 
-/** Sends the reports of one worker, one at a time, to the controller that answers them. */
-export class Reporter {
-  /** Its reports reach no controller. */
+/** Sends the heartbeats of one worker, one at a time, to the controller that answers them. */
+export class HeartbeatSender {
+  /** Its heartbeats reach no controller. */
   mute = false;
   /** No answer reaches it. */
   deaf = false;
@@ -44,7 +45,7 @@
     this.waiting = new WakeablePause(runtime.clock);
   }
 
-  /** Reports until stop(). */
+  /** Sends heartbeats until stop(). */
   async run(): Promise<void> {
     const { signal } = this.stopping;
     while (!signal.aborted) {
--- a/packages/testing/stand-ins/worker/hosted-task.ts
+++ b/packages/testing/stand-ins/worker/hosted-task.ts
@@ -1,3 +1,4 @@
+/** One attempt of a task on one machine. */
 import type { Cause, TaskRef, TaskStatus, TaskState, Timer } from '#wire';
 import type { LeaveCause } from '../events.js';
 import type { JobProgram } from '../job-storage.js';
@@ -9,7 +10,7 @@
 export class HostedTask implements RunningTask {
   state: TaskState = 'fetching';
   private cause: Cause | null = null;
-  private saved = false;
+  private checkpointed = false;
   private claim: ImageClaim | null = null;
   private run: TaskRun | null = null;
   private readonly timers = new Set<Timer>();
@@ -25,8 +26,8 @@
   }
 
   heartbeat(): TaskStatus {
-    const { state, cause, saved } = this;
-    return { ...this.ref, state, cause, checkpointed: saved };
+    const { state, cause, checkpointed } = this;
+    return { ...this.ref, state, cause, checkpointed };
   }
 
   /** Waits for its image, then runs. */
@@ -34,7 +35,9 @@
     const { image, imageGb } = this.program.job;
     this.host.observer({ kind: 'task-assigned', machine: this.host.machine, task: this.ref });
     this.host.taskChanged();
-    this.claim = this.host.images.claim(image, imageGb, () => this.start());
+    this.claim = this.host.images.claim(image, imageGb, () => {
+      this.start();
+    });
     if (this.claim.ready) this.start();
   }
 
@@ -50,10 +53,10 @@
     if (!this.exited) this.leave('killed');
   }
 
-  exit(cause: Cause, saved = false): void {
+  exit(cause: Cause, checkpointed = false): void {
     if (this.exited) return;
     this.cause = cause;
-    this.saved = saved;
+    this.checkpointed = checkpointed;
     this.leave(cause);
     this.host.taskChanged();
   }
--- a/packages/testing/stand-ins/worker/image-cache.ts
+++ b/packages/testing/stand-ins/worker/image-cache.ts
@@ -1,3 +1,4 @@
+/** The images of one machine and their fetches. */
 import type { Clock, Timer } from '#wire';
 
 /** A task's claim on an image, from its start command until it has left the machine. */
@@ -43,7 +44,12 @@
     image.claims.add(onReady);
     image.lastUsedAt = this.clock.now();
     this.planNextArrival();
-    return { ready: image.missingGb === 0, release: () => this.release(image, onReady) };
+    return {
+      ready: image.missingGb === 0,
+      release: () => {
+        this.release(image, onReady);
+      },
+    };
   }
 
   /** Nothing arrives until resume(). */
@@ -98,7 +104,9 @@
     if (this.paused || fetching.length === 0) return;
     const leastGb = Math.min(...fetching.map((image) => image.missingGb));
     const waitS = (leastGb * fetching.length) / this.fetchGbPerS;
-    this.nextArrival = this.clock.setTimer(() => this.deliver(fetching), waitS * 1000);
+    this.nextArrival = this.clock.setTimer(() => {
+      this.deliver(fetching);
+    }, waitS * 1000);
   }
 
   private deliver(fetching: Image[]): void {
--- a/packages/testing/stand-ins/worker/late-heartbeats.ts
+++ b/packages/testing/stand-ins/worker/late-heartbeats.ts
@@ -1,16 +1,18 @@
+/** The fault that heartbeats are delivered a second time, late. */
 import { CborClient, type Runtime } from '#wire';
+import { uniform, type Span } from '../distributions.js';
 import type { ControllerAddress } from './node-choice.js';
 
-/** Which reports have copies that arrive again, and when. */
+/** Which heartbeats have copies that arrive again, and when. */
 export type LateHeartbeatFault =
-  { share: number; delayS: [least: number, most: number] } | { share: number; forNextLeader: true };
+  { share: number; delayS: Span } | { share: number; forNextLeader: true };
 
-/** Copies that are kept of one machine's reports for the next leader. */
+/** Copies that are kept of one machine's heartbeats for the next leader. */
 const MAX_KEPT = 3;
 const SEND_TIMEOUT_MS = 4000;
 
 /**
- * Late copies of the workers' reports. They are the network's doing: they arrive also if their machine
+ * Late copies of the workers' heartbeats. The network delivers them: they arrive also if their machine
  * is gone by then, and nobody sees the answers to them.
  */
 export class LateHeartbeats {
@@ -30,7 +32,7 @@
     this.fault = null;
   }
 
-  /** A machine's report went out to that node; a copy of it may arrive again. */
+  /** A machine's heartbeat went out to that node; a copy of it may arrive again. */
   heartbeatSent(machine: string, body: unknown, node: ControllerAddress): void {
     const { fault } = this;
     if (fault === null || this.runtime.random() >= fault.share) return;
@@ -39,8 +41,7 @@
       this.kept.set(machine, [...kept, body].slice(-MAX_KEPT));
       return;
     }
-    const [least, most] = fault.delayS;
-    const delayS = least + (most - least) * this.runtime.random();
+    const delayS = uniform(() => this.runtime.random(), fault.delayS);
     this.runtime.clock.setTimer(() => void this.deliver(body, node), delayS * 1000);
   }
 
@@ -56,7 +57,8 @@
   private async deliver(body: unknown, node: ControllerAddress): Promise<void> {
     const client = new CborClient(this.runtime, node.address, 1);
     const call = client.call('POST', '/hello', { timeoutMs: SEND_TIMEOUT_MS, body });
-    await call.catch(() => {});
+    // The answer to a copy reaches nobody, so neither does the failure to get one.
+    await call.catch(() => undefined);
     client.close();
   }
 }
--- a/packages/testing/stand-ins/worker/node-choice.ts
+++ b/packages/testing/stand-ins/worker/node-choice.ts
@@ -1,3 +1,4 @@
+/** Which controller a worker sends its heartbeats to. */
 /** A controller as workers know it. */
 export interface ControllerAddress {
   name: string;
@@ -5,7 +6,7 @@
   address: string;
 }
 
-/** Which controller a worker reports to. */
+/** The controller that a worker sends its heartbeats to, and the next one to try. */
 export class NodeChoice {
   private index: number;
 
--- a/packages/testing/stand-ins/worker/sample-workers.ts
+++ b/packages/testing/stand-ins/worker/sample-workers.ts
@@ -20,11 +20,12 @@
 import { LateHeartbeats } from './late-heartbeats.js';
 import { Worker } from './worker.js';
 
+/** The settings of the workers, in seconds. */
 export const TIMES = { heartbeatIntervalS: 1, leaseS: 10, gangWaitS: 40, gangPeerS: 8 };
 const NAMES = ['c-0', 'c-1'];
 const PORT = 8080;
 
-/** A controller that answers reports as it is told. */
+/** A controller that answers heartbeats as a test tells it. */
 class ScriptedController {
   fencingToken = 5;
   /** Orders for the next answer. */
@@ -42,12 +43,13 @@
     return { status: 200, body: answerToWire(this.fencingToken, this.orders.splice(0)) };
   }
 
-  /** The task in the newest report. */
+  /** The task in the newest heartbeat. */
   task(index = 0): TaskStatus | undefined {
     return this.heartbeats.at(-1)?.tasks.find((task) => task.index === index);
   }
 }
 
+/** Workers that send their heartbeats to scripted controllers. */
 export class SampleFleet {
   readonly world = new SampleWorld();
   readonly storage = new JobStorage(this.world.observer);
@@ -95,9 +97,14 @@
     return worker;
   }
 
-  upload(own: Partial<Job>, program: Partial<JobProgram> = {}): Job {
-    const job = aJob(own);
-    this.storage.upload({ job, runS: Array(job.tasks).fill(10), failsAfterS: null, ...program });
+  upload(overrides: Partial<Job>, program: Partial<JobProgram> = {}): Job {
+    const job = aJob(overrides);
+    this.storage.upload({
+      job,
+      runS: Array<number>(job.tasks).fill(10),
+      failsAfterS: null,
+      ...program,
+    });
     return job;
   }
 
@@ -122,14 +129,17 @@
   }
 }
 
+/** A command to start a task of the sample job. */
 export function start(index = 0, attempt = 1): Order {
   return { op: 'start', job: 'j-000001', index, attempt };
 }
 
+/** A command to stop a task of the sample job within the grace period, in seconds. */
 export function stop(graceS: number, index = 0, attempt = 1): Order {
   return { op: 'stop', job: 'j-000001', index, attempt, graceS };
 }
 
+/** A command to forget a task of the sample job. */
 export function forget(index = 0, attempt = 1): Order {
   return { op: 'forget', job: 'j-000001', index, attempt };
 }
--- a/packages/testing/stand-ins/worker/solo-run.ts
+++ b/packages/testing/stand-ins/worker/solo-run.ts
@@ -1,3 +1,4 @@
+/** How a task runs that does not belong to a gang. */
 import { atLastCheckpoint, type ProgressUnit } from '../job-storage.js';
 import { Execution } from './execution.js';
 import type { RunningTask, TaskRun } from './task-host.js';
@@ -11,12 +12,17 @@
     const { host, program, ref } = task;
     this.unit = { job: ref.job, index: ref.index };
     const goalS = program.job.kind === 'service' ? Infinity : program.runS[ref.index];
-    const startS = host.storage.savedProgress(this.unit);
-    this.execution = new Execution(host.clock, goalS, startS, host.speed, () => this.complete());
+    const startS = host.storage.checkpointedProgress(this.unit);
+    this.execution = new Execution(host.clock, goalS, startS, host.speed, () => {
+      this.complete();
+    });
     task.enter('running');
     this.execution.run();
     const failsAfterS = host.failsAfterS(program);
-    if (failsAfterS !== null) task.after(failsAfterS, () => task.exit('error'));
+    if (failsAfterS !== null)
+      task.after(failsAfterS, () => {
+        task.exit('error');
+      });
   }
 
   stop(graceS: number): void {
@@ -26,11 +32,13 @@
     } else if (checkpointS > 0 && graceS >= saveS) {
       this.execution.pause();
       this.task.enter('saving');
-      this.task.after(saveS, () => this.saved());
+      this.task.after(saveS, () => {
+        this.checkpointWritten();
+      });
     } else this.task.exit('stopped');
   }
 
-  /** What is not saved falls back to the last checkpoint. */
+  /** Progress since the last checkpoint is lost. */
   ended(): void {
     this.execution.pause();
     const { checkpointS } = this.task.program.job;
@@ -54,7 +62,7 @@
     this.task.exit('done');
   }
 
-  private saved(): void {
+  private checkpointWritten(): void {
     this.task.host.storage.save(this.unit, this.execution.progress());
     this.task.exit('stopped', true);
   }
--- a/packages/testing/stand-ins/worker/task-host.ts
+++ b/packages/testing/stand-ins/worker/task-host.ts
@@ -1,3 +1,4 @@
+/** The interfaces between a task, the machine that hosts it and the way it runs. */
 import type { Cause, Clock, TaskRef, TaskState } from '#wire';
 import type { Observer } from '../events.js';
 import type { JobProgram, JobStorage } from '../job-storage.js';
@@ -25,7 +26,7 @@
   readonly speed: number;
   /** Seconds after which a task of this program fails on this machine; null: it does not. */
   failsAfterS(program: JobProgram): number | null;
-  /** Something changed that the next report shows. */
+  /** Something changed that the next heartbeat shows. */
   taskChanged(): void;
 }
 
@@ -42,8 +43,8 @@
   readonly host: TaskHost;
   readonly state: TaskState;
   enter(state: TaskState): void;
-  /** The task leaves its machine; `saved` if its progress was checkpointed. */
-  exit(cause: Cause, saved?: boolean): void;
+  /** The task leaves its machine; `checkpointed` if its progress was written just before. */
+  exit(cause: Cause, checkpointed?: boolean): void;
   /** Calls back after so many seconds of the machine's clock unless the task has left by then. */
   after(seconds: number, callback: () => void): void;
 }
--- a/packages/testing/stand-ins/worker/task-table.ts
+++ b/packages/testing/stand-ins/worker/task-table.ts
@@ -1,16 +1,11 @@
-import {
-  taskName,
-  type Cause,
-  type MachineType,
-  type Order,
-  type TaskRef,
-  type TaskStatus,
-} from '#wire';
+/** The tasks of one worker, and the commands about them. */
+import type { Cause, MachineType, Order, TaskRef, TaskStatus } from '#wire';
 import type { JobProgram } from '../job-storage.js';
+import { attemptKey } from '../world-state.js';
 import { HostedTask } from './hosted-task.js';
 import type { TaskHost } from './task-host.js';
 
-/** The tasks that a worker reports, and what commands do to them. */
+/** The tasks that the heartbeats of a worker list, and what commands do to them. */
 export class TaskTable {
   private readonly tasks = new Map<string, HostedTask>();
   /** Starts that were refused, until they are forgotten. */
@@ -89,7 +84,3 @@
     });
   }
 }
-
-function attemptKey({ job, index, attempt }: TaskRef): string {
-  return `${taskName(job, index)} ${attempt}`;
-}
--- a/packages/testing/stand-ins/worker/worker-setup.ts
+++ b/packages/testing/stand-ins/worker/worker-setup.ts
@@ -1,3 +1,4 @@
+/** What a worker is given: what the fleet shares and the traits of its machine. */
 import type { Observer } from '../events.js';
 import type { JobStorage } from '../job-storage.js';
 import type { ReplyLoss } from '../lost-replies.js';
@@ -6,7 +7,7 @@
 import type { ControllerAddress } from './node-choice.js';
 import type { WorkerTimes } from './task-host.js';
 
-/** One report and what became of it; seconds of the worker's clock. */
+/** One heartbeat and what became of it; seconds of the worker's clock. */
 export interface HeartbeatExchange {
   machine: string;
   /** Name of the controller that it was sent to. */
@@ -17,12 +18,12 @@
   endedAtS: number;
 }
 
-/** Is told how workers fare with their reports, for measurements. */
+/** Is told how workers fare with their heartbeats, for measurements. */
 export interface HeartbeatObserver {
   exchanged(exchange: HeartbeatExchange): void;
-  /** The worker obeys the answer of a controller that carried this token. */
+  /** The worker obeys the answer of a controller that carried this fencing token. */
   obeyed?(machine: string, controller: string, fencingToken: number): void;
-  /** The machine's lease has run out. */
+  /** The machine's worker lease has expired. */
   leaseEnded(machine: string): void;
 }
 
--- a/packages/testing/stand-ins/worker/worker.test.ts
+++ b/packages/testing/stand-ins/worker/worker.test.ts
@@ -21,7 +21,7 @@
   );
 }
 
-test('a worker reports by its period, and sooner when something changes', async () => {
+test('a worker sends heartbeats by its interval, and sooner when something changes', async () => {
   const { world, controller, worker } = await aFleet();
   await world.run(60);
   const spacings = controller.heartbeats
@@ -37,7 +37,7 @@
     await world.run(0.25);
   }
   const more = controller.heartbeats.length - before;
-  assert.ok(more >= 4 && more <= 5, `${more} reports in 2 s`);
+  assert.ok(more >= 4 && more <= 5, `${more} heartbeats in 2 s`);
   assert.ok(Math.abs((controller.heartbeats.at(-1)!.noticeS ?? 0) - 106) < 2);
 });
 
@@ -57,7 +57,7 @@
   assert.deepEqual(outcome([again!]), ['exited done']);
 });
 
-/** Orders one after the other, and what the report after the last one says. */
+/** Orders one after the other, and what the heartbeat after the last one says. */
 const COMMANDS: [name: string, jobs: Parameters<SampleFleet['upload']>, Order[], string[]][] = [
   ['an unknown task is refused', [{}], [start(1)], ['exited unknown']],
   ['a task that is there is refused', [{}], [start(), start(0, 2)], ['fetching ', 'exited busy']],
@@ -83,7 +83,7 @@
   });
 }
 
-test('a running task saves if it can and has the time, and a second stop ends that', async () => {
+test('a running task writes a checkpoint if it can and has the time, and a second stop ends that', async () => {
   const job = { checkpointS: 4, saveS: 3 };
   const { fleet, world, worker, controller } = await aFleet([job, { runS: [1000] }]);
   const runAttempt = async (attempt: number, stops: Order[]) => {
@@ -94,7 +94,7 @@
     const heartbeat = controller.heartbeats.at(-1)!.tasks.find((task) => task.attempt === attempt);
     return outcome([heartbeat!])[0];
   };
-  const progress = () => fleet.storage.savedProgress({ job: 'j-000001', index: 0 });
+  const progress = () => fleet.storage.checkpointedProgress({ job: 'j-000001', index: 0 });
   assert.equal(await runAttempt(1, [stop(2, 0, 1)]), 'exited stopped');
   assert.equal(progress(), 4);
   assert.equal(await runAttempt(2, [stop(3, 0, 2)]), 'exited stopped saved');
@@ -104,7 +104,7 @@
   assert.ok(progress() > before && progress() % 4 === 0);
 });
 
-test('answers with a lower token or none are dropped and do not renew the lease', async () => {
+test('answers with a lower fencing token or none are dropped and do not renew the lease', async () => {
   const { fleet, world, controller, worker } = await aFleet();
   controller.orders = [start()];
   await world.run(3);
@@ -174,14 +174,14 @@
   assert.equal((await fleet.order(worker, [start()], 5, 1)).status, 409);
 });
 
-test('a deaf worker reports and hears nothing, a mute one hears commands only', async () => {
+test('a deaf worker sends heartbeats and gets no answers or commands, a mute one gets commands only', async () => {
   const { fleet, world, controller, worker } = await aFleet();
   worker.setDeaf(true);
   await assert.rejects(fleet.order(worker, [start()]));
-  const heard = controller.heartbeats.length;
+  const heartbeatsBefore = controller.heartbeats.length;
   controller.orders = [start()];
   await world.run(TIMES.leaseS);
-  assert.ok(controller.heartbeats.length > heard);
+  assert.ok(controller.heartbeats.length > heartbeatsBefore);
   assert.equal(controller.heartbeats.at(-1)!.tasks.length, 0);
   worker.setDeaf(false);
   await world.run(6);
@@ -192,7 +192,7 @@
   assert.equal(controller.heartbeats.length, before);
 });
 
-test('copies of reports arrive late, or when a new leader has answered', async () => {
+test('copies of heartbeats arrive late, or when a new leader has answered', async () => {
   const { fleet, world, controller, worker } = await aFleet();
   fleet.lateHeartbeats.begin({ share: 1, delayS: [20, 20] });
   await world.run(1);
@@ -217,7 +217,7 @@
   assert.ok(late.length >= 2 && late.every((heartbeat) => heartbeat.sequence > copied));
 });
 
-test('a command that is held up runs once, if token and session still match', async () => {
+test('a command that is held up runs once, if fencing token and agent epoch still match', async () => {
   const { fleet, world, controller, worker } = await aFleet([{ tasks: 2 }]);
   fleet.lateCommands.begin({ share: 1, delayS: [8, 8] });
   await assert.rejects(fleet.order(worker, [start(0)]));
--- a/packages/testing/stand-ins/worker/worker.ts
+++ b/packages/testing/stand-ins/worker/worker.ts
@@ -1,4 +1,4 @@
-/** A worker as the protocol describes it: the program that runs on each rented machine. */
+/** A worker as the protocol describes it: the program that runs on each provisioned machine. */
 import { MalformedBody, parseHostPort, heartbeatToWire, type Heartbeat, type Runtime } from '#wire';
 import { parseHeartbeatAnswer, type DirectCommand, type HeartbeatAnswer } from '#wire/serving';
 import type { MachineFacts, Observer } from '../events.js';
@@ -8,25 +8,26 @@
 import type { GangNetwork } from './gang-network.js';
 import { ImageCache } from './image-cache.js';
 import type { ControllerAddress } from './node-choice.js';
-import { Reporter } from './heartbeat-sender.js';
+import { HeartbeatSender, type HeartbeatSource } from './heartbeat-sender.js';
 import type { TaskHost, WorkerTimes } from './task-host.js';
 import { TaskTable } from './task-table.js';
 import { AgentEpochState } from './agent-epoch.js';
 import type { MachineTraits, WorkerSurroundings } from './worker-setup.js';
 
+/** Hosts tasks, sends heartbeats and carries out the commands of the leader. */
 export class Worker implements TaskHost {
   readonly clock: FreezableClock;
   readonly images: ImageCache;
   private readonly agentEpoch: AgentEpochState;
   private readonly tasks: TaskTable;
-  private readonly reporter: Reporter;
+  private readonly heartbeatSender: HeartbeatSender;
   private readonly server: CommandServer;
   private address: string;
-  private takenAt: number | null = null;
-  /** When a higher token last counted as a change. */
+  private reclaimedAt: number | null = null;
+  /** When a higher fencing token last counted as a change. */
   private fencingTokenRecordedAt = -Infinity;
-  /** Session of the report that is under way. */
-  private reportedAgentEpoch = 0;
+  /** Agent epoch of the heartbeat that is under way. */
+  private sentAgentEpoch = 0;
   private off = false;
 
   constructor(
@@ -37,30 +38,27 @@
   ) {
     this.clock = new FreezableClock(runtime.clock);
     const frozen: Runtime = { ...runtime, clock: this.clock, random: () => runtime.random() };
-    const { times, controllers, lateHeartbeats, lateCommands } = surroundings;
+    const { times, controllers, lateCommands } = surroundings;
     this.address = facts.address;
     this.images = new ImageCache(this.clock, facts.type.cacheGb, traits.fetchGbPerS);
     this.tasks = new TaskTable(facts.type, this);
     this.agentEpoch = new AgentEpochState(
       runtime.clock,
       times.leaseS,
-      () => this.leaseEnded(),
-      () => this.fencingTokenRose(),
-    );
-    this.reporter = new Reporter(frozen, times.heartbeatIntervalS, controllers, {
-      nextHeartbeat: () => {
-        this.reportedAgentEpoch = this.agentEpoch.current;
-        return heartbeatToWire(this.nextHeartbeat());
+      () => {
+        this.leaseEnded();
       },
-      answered: (body, sentAt, node) => this.answered(body, sentAt, node),
-      sent: (body, node) => lateHeartbeats.heartbeatSent(facts.name, body, node),
-      exchanged: (status, sentAtS, { name: controller }) => {
-        const endedAtS = this.clock.now();
-        const exchange = { machine: facts.name, controller, status, sentAtS, endedAtS };
-        surroundings.heartbeatObserver?.exchanged(exchange);
+      () => {
+        this.fencingTokenRose();
       },
-      whenRunning: () => this.clock.whenRunning(),
-    });
+    );
+    const source = this.heartbeatSource();
+    this.heartbeatSender = new HeartbeatSender(
+      frozen,
+      times.heartbeatIntervalS,
+      controllers,
+      source,
+    );
     this.server = new CommandServer(runtime, this, lateCommands);
   }
 
@@ -83,19 +81,19 @@
     return this.traits.speed;
   }
 
-  /** Takes commands and reports from now on. */
+  /** Accepts commands and sends heartbeats from now on. */
   async start(): Promise<void> {
     this.observer({ kind: 'machine-up', machine: this.facts });
     const bound = await this.server.listen(parseHostPort(this.facts.address));
     this.address = `${bound.host}:${bound.port}`;
-    void this.reporter.run();
+    void this.heartbeatSender.run();
   }
 
   /** The machine is gone, and everything on it. */
   powerOff(): void {
     if (this.off) return;
     this.off = true;
-    this.reporter.stop();
+    this.heartbeatSender.stop();
     this.server.close();
     this.agentEpoch.close();
     this.tasks.killAll();
@@ -115,15 +113,15 @@
     return this.clock.isFrozen;
   }
 
-  /** Its reports arrive; answers and commands do not. */
+  /** Its heartbeats arrive; answers and commands do not. */
   setDeaf(deaf: boolean): void {
-    this.reporter.deaf = deaf;
+    this.heartbeatSender.deaf = deaf;
     this.server.deaf = deaf;
   }
 
   /** It reaches no controller; commands still reach it. */
   setMute(mute: boolean): void {
-    this.reporter.mute = mute;
+    this.heartbeatSender.mute = mute;
   }
 
   setSpeed(speed: number): void {
@@ -138,9 +136,9 @@
 
   /** The cloud will take the machine in about so many seconds. */
   giveNotice(noticeS: number): void {
-    this.takenAt = this.clock.now() + noticeS;
+    this.reclaimedAt = this.clock.now() + noticeS;
     this.observer({ kind: 'machine-noticed', machine: this.machine });
-    this.reporter.recordChange();
+    this.heartbeatSender.recordChange();
   }
 
   failsAfterS(program: JobProgram): number | null {
@@ -148,7 +146,7 @@
   }
 
   taskChanged(): void {
-    this.reporter.recordChange();
+    this.heartbeatSender.recordChange();
   }
 
   whenRunning(): Promise<void> {
@@ -172,16 +170,38 @@
       agentEpoch: this.agentEpoch.current,
       sequence: this.agentEpoch.nextSequence(),
       fencingToken: this.agentEpoch.highestFencingToken,
-      noticeS: this.takenAt === null ? null : Math.max(0, this.takenAt - this.clock.now()),
+      noticeS: this.reclaimedAt === null ? null : Math.max(0, this.reclaimedAt - this.clock.now()),
       tasks: this.tasks.heartbeats(),
     };
   }
 
+  private heartbeatSource(): HeartbeatSource {
+    return {
+      nextHeartbeat: () => {
+        this.sentAgentEpoch = this.agentEpoch.current;
+        return heartbeatToWire(this.nextHeartbeat());
+      },
+      answered: (body, sentAt, node) => {
+        this.answered(body, sentAt, node);
+      },
+      sent: (body, node) => {
+        this.surroundings.lateHeartbeats.heartbeatSent(this.machine, body, node);
+      },
+      exchanged: (status, sentAtS, { name: controller }) => {
+        const endedAtS = this.clock.now();
+        const exchange = { machine: this.machine, controller, status, sentAtS, endedAtS };
+        this.surroundings.heartbeatObserver?.exchanged(exchange);
+      },
+      whenRunning: () => this.clock.whenRunning(),
+    };
+  }
+
   private answered(body: unknown, sentAt: number, node: ControllerAddress): void {
     const answer = readAnswer(body);
-    const heartbeat = { agentEpoch: this.reportedAgentEpoch, sentAt };
+    const heartbeat = { agentEpoch: this.sentAgentEpoch, sentAt };
     if (answer === null || !this.agentEpoch.admitAnswer(answer.fencingToken, heartbeat)) return;
-    this.surroundings.heartbeatObserver?.obeyed?.(this.machine, node.name, answer.fencingToken!);
+    const { highestFencingToken } = this.agentEpoch;
+    this.surroundings.heartbeatObserver?.obeyed?.(this.machine, node.name, highestFencingToken);
     this.tasks.execute(answer.orders);
     this.surroundings.lateHeartbeats.obeyed(node);
   }
@@ -189,15 +209,15 @@
   private leaseEnded(): void {
     this.surroundings.heartbeatObserver?.leaseEnded(this.machine);
     this.tasks.killAll();
-    this.reporter.recordChange();
+    this.heartbeatSender.recordChange();
   }
 
-  /** A higher token counts as a change at most once in half of a lease. */
+  /** A higher fencing token counts as a change at most once in half of a lease. */
   private fencingTokenRose(): void {
     const now = this.clock.now();
     if (now - this.fencingTokenRecordedAt < this.times.leaseS / 2) return;
     this.fencingTokenRecordedAt = now;
-    this.reporter.recordChange();
+    this.heartbeatSender.recordChange();
   }
 
   private setHanging(hanging: boolean): void {
--- a/packages/testing/stand-ins/workload/job-class.ts
+++ b/packages/testing/stand-ins/workload/job-class.ts
@@ -1,5 +1,6 @@
+/** Classes of jobs with their resources, arrivals and run times. */
 import type { Job } from '#wire';
-import type { Span, TimeDistribution } from './distributions.js';
+import type { Span, TimeDistribution } from '../distributions.js';
 
 /** When the jobs of a class come. */
 export interface Arrivals {
@@ -20,7 +21,10 @@
 /** What has no usual value. */
 type RequiredNeeds = 'class' | 'kind' | 'rank' | 'cpus' | 'gpus' | 'memory' | 'imageGb';
 
-/** A template of jobs that may run on any on-demand machine and save no checkpoints, unless `needs` says otherwise. */
+/**
+ * A template of jobs that may run on any on-demand machine and write no checkpoints, unless `needs`
+ * says otherwise.
+ */
 export function jobTemplate(
   needs: Pick<JobTemplate, RequiredNeeds> & Partial<JobTemplate>,
 ): JobTemplate {
@@ -71,7 +75,7 @@
   images: 3,
 };
 
-/** Batches of independent tasks that save now and then and run on spot machines too. */
+/** Batches of independent tasks that write checkpoints and run on spot machines too. */
 const BATCHES: JobClass = {
   template: jobTemplate({
     class: 'embedding-batch',
--- a/packages/testing/stand-ins/workload/pipeline.ts
+++ b/packages/testing/stand-ins/workload/pipeline.ts
@@ -1,11 +1,13 @@
-import type { Span } from './distributions.js';
+/** Pipelines of jobs that depend on each other. */
+import type { Span } from '../distributions.js';
 import type { Arrivals, JobClass } from './job-class.js';
 
 /** Jobs that begin when the same others are done. */
 export interface Stage {
   jobClass: JobClass;
   jobs: Span;
-  /** Numbers of the stages whose jobs it awaits. */
+  /** Numbers of the stages whose jobs its jobs depend on. */
+  // eslint-disable-next-line local/retired-words -- saved scenarios hold this name
   awaits: number[];
 }
 
--- a/packages/testing/stand-ins/workload/workload.ts
+++ b/packages/testing/stand-ins/workload/workload.ts
@@ -1,4 +1,4 @@
-/** Makes up the jobs of a run, seeded by the source of chance that it is given. */
+/** Generates the jobs of a run from the random numbers that it is given. */
 import type { Job } from '#wire';
 import type { JobProgram } from '../job-storage.js';
 import type { PlannedJob } from '../users/index.js';
@@ -9,10 +9,11 @@
   uniformInteger,
   type Random,
   type Span,
-} from './distributions.js';
+} from '../distributions.js';
 import type { Arrivals, JobClass } from './job-class.js';
 import type { Pipeline } from './pipeline.js';
 
+/** Which jobs come during a run, and how many. */
 export interface WorkloadOptions {
   classes: JobClass[];
   /** Names of the teams; each job is one's at random. */
@@ -34,12 +35,12 @@
 /** A deadline as a multiple of the estimate, and what comes on top. */
 const DEADLINE_FACTOR = 3;
 const DEADLINE_EXTRA_S = 60;
-/** A cancelled job is called off at this part of its estimate. */
+/** A cancelled job is cancelled at this fraction of its estimate. */
 const CANCEL_AT: Span = [0, 1.2];
 const REPEATED_SHARE = 0.05;
 const REPEATED_AFTER_S: Span = [1, 120];
 const FAILS_AFTER_S: Span = [1, 10];
-/** The user of a job that always fails calls it off after this time. */
+/** The user of a job that always fails cancels it after this time. */
 const MISTAKE_SEEN_AFTER_S: Span = [30, 120];
 
 /** All jobs of a run, in the order in which they come. */
@@ -106,12 +107,12 @@
     const jobsOfStages: PlannedJob[][] = [];
     for (const [number, stage] of stages.entries()) {
       const isLast = number === stages.length - 1;
-      const awaits = stage.awaits.flatMap((each) => jobsOfStages[each].map(jobIdOf));
+      const dependencies = stage.awaits.flatMap((each) => jobsOfStages[each].map(jobIdOf));
       const jobs = Array.from({ length: uniformInteger(this.random, stage.jobs) }, () => {
         const planned = this.make(stage.jobClass, submitAtS);
         const { job } = planned.program;
         if (!mixesTeams) job.team = team;
-        Object.assign(job, { awaits, deadlineS: isLast ? deadlineS : null });
+        Object.assign(job, { awaits: dependencies, deadlineS: isLast ? deadlineS : null });
         return { ...planned, isSubmittedLate: isLast && this.random() < lateShare };
       });
       jobsOfStages.push(jobs);
--- a/packages/testing/stand-ins/world-state.ts
+++ b/packages/testing/stand-ins/world-state.ts
@@ -1,3 +1,4 @@
+/** The true state of the machines and tasks of a run. */
 import { taskName, type TaskRef } from '#wire';
 import type { MachineFacts, WorldEvent } from './events.js';
 
@@ -9,6 +10,7 @@
   started: boolean;
 }
 
+/** A machine that is up, and the tasks on it. */
 export interface MachineState {
   facts: MachineFacts;
   hanging: boolean;
@@ -23,7 +25,7 @@
   private readonly placesOfJob = new Map<string, Set<PlacedTask>>();
   private readonly completed = new Map<string, Set<number>>();
 
-  /** Takes an event in. */
+  /** Applies an event. */
   apply(event: WorldEvent): void {
     switch (event.kind) {
       case 'machine-up': {
@@ -33,13 +35,13 @@
         break;
       }
       case 'machine-noticed':
-        this.machines.get(event.machine)!.noticed = true;
+        this.machine(event.machine).noticed = true;
         break;
       case 'machine-gone':
         this.machines.delete(event.machine);
         break;
       case 'machine-hangs':
-        this.machines.get(event.machine)!.hanging = event.hanging;
+        this.machine(event.machine).hanging = event.hanging;
         break;
       case 'task-assigned':
         this.place({ machine: event.machine, task: event.task, started: false });
@@ -56,6 +58,13 @@
     }
   }
 
+  /** A machine that is up; throws if it is not. */
+  machine(name: string): MachineState {
+    const machine = this.machines.get(name);
+    if (!machine) throw new Error(`machine ${name} is not up`);
+    return machine;
+  }
+
   /** Where tasks of the job are, or wait for their images. */
   places(job: string): PlacedTask[] {
     return [...(this.placesOfJob.get(job) ?? [])];
@@ -77,7 +86,7 @@
 
   private place(place: PlacedTask): void {
     const { machine, task } = place;
-    this.machines.get(machine)!.tasks.set(attemptKey(task), place);
+    this.machine(machine).tasks.set(attemptKey(task), place);
     const places = this.placesOfJob.get(task.job) ?? new Set();
     this.placesOfJob.set(task.job, places.add(place));
   }
@@ -89,7 +98,7 @@
   }
 
   private remove(machine: string, task: TaskRef): void {
-    const tasks = this.machines.get(machine)!.tasks;
+    const tasks = this.machine(machine).tasks;
     const place = tasks.get(attemptKey(task));
     if (!place) return;
     tasks.delete(attemptKey(task));
@@ -99,6 +108,7 @@
   }
 }
 
-function attemptKey({ job, index, attempt }: TaskRef): string {
+/** A key of one attempt of a task; attempts on several machines may share it. */
+export function attemptKey({ job, index, attempt }: TaskRef): string {
   return `${taskName(job, index)} ${attempt}`;
 }
