--- a/packages/testing/loopback/shard-migrations/migrations.test.ts
+++ b/packages/testing/loopback/shard-migrations/migrations.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { BUSY_FROM_S } from '../../fault-combinations/steady-work.js';
-import type { Fault, MovePhase } from '../../simulation/index.js';
+import type { Fault, MigrationPhase } from '../../simulation/index.js';
 import { atPhases, MOVE_EVERY_S, playMoves } from './migration-scenarios.js';
 
-const PHASES: MovePhase[] = ['requested', 'prepared', 'quiesced', 'switched'];
+const PHASES: MigrationPhase[] = ['requested', 'prepared', 'quiesced', 'switched'];
 const SIDES = ['move-source', 'move-target'] as const;
 
 /** One fault on each side of a move in each of its phases. */
@@ -63,7 +63,7 @@
 });
 
 test('answers of each step are lost, and each step is carried out late', async () => {
-  const phases: MovePhase[] = ['requested', 'prepared', 'quiesced'];
+  const phases: MigrationPhase[] = ['requested', 'prepared', 'quiesced'];
   const faults = atPhases(
     phases.flatMap((atMovePhase) => [
       { kind: 'lost-answers', share: 1, forS: 0.5, atMovePhase },
--- a/packages/testing/measurement/costs/cost-run.ts
+++ b/packages/testing/measurement/costs/cost-run.ts
@@ -85,13 +85,13 @@
 async function observe(cluster: Cluster, seconds: number): Promise<Observed> {
   const { world, controllers, costs, ownership: leadership } = cluster;
   const currentLeader = leadership.current();
-  const before = controllers.map(({ host }) => costs.of(host.address));
+  const before = controllers.map(({ host }) => costs.costsOf(host.address));
   await world.runUntil(world.now + seconds);
   if (currentLeader === null || leadership.current()?.term !== currentLeader.term) {
     throw new Error('the part has changed hands');
   }
   const spent = controllers.map(({ host }, index) =>
-    costsBetween(costs.of(host.address), before[index]),
+    costsBetween(costs.costsOf(host.address), before[index]),
   );
   const leaderIndex = controllers.findIndex(({ name }) => name === currentLeader.owner);
   const [leader] = spent.splice(leaderIndex, 1);
--- a/packages/testing/simulation/clock.ts
+++ b/packages/testing/simulation/clock.ts
@@ -1,3 +1,4 @@
+/** The clocks of simulated processes, which drift and start at times of their own. */
 import type { Clock, Timer } from '#wire';
 import type { World } from './world.js';
 
@@ -51,7 +52,9 @@
     };
     const inRange = delayMs >= 1 && delayMs <= MAX_DELAY_MS;
     const delayS = (inRange ? Math.ceil(delayMs) : 1) / 1000 / (1 + this.skew.drift);
-    const event = this.world.schedule(delayS, () => this.process.deliver(fire, 'timer'));
+    const event = this.world.schedule(delayS, () => {
+      this.process.deliver(fire, 'timer');
+    });
     return {
       cancel: () => {
         cancelled = true;
--- a/packages/testing/simulation/cluster-settings.ts
+++ b/packages/testing/simulation/cluster-settings.ts
@@ -1,3 +1,4 @@
+/** What a simulated cluster consists of, and the settings files of its controllers. */
 import type { MachineType } from '#wire';
 import { withDefaults, type OperatorFile, type PlatformSettings, type Settings } from '#controller';
 import type { CapacityLimit, ControllerAddress } from '../stand-ins/index.js';
@@ -70,6 +71,7 @@
   }));
 }
 
+/** The zone of the controller with this index: all zones in turn. */
 export function zoneOfController({ deployment }: SharedSettings, index: number): string {
   return deployment.zones[index % deployment.zones.length];
 }
--- a/packages/testing/simulation/cluster.test.ts
+++ b/packages/testing/simulation/cluster.test.ts
@@ -14,7 +14,7 @@
   return { name, cluster: SMALL_CLUSTER, workload, faults, lengthS };
 }
 
-test('a quiet day serves its work, and the same seed gives the same day', async () => {
+test('without faults all work is served, and the same seed gives the same run', async () => {
   const quiet = scenario('quiet', 240, []);
   const [first, second, other] = [
     await runScenario(quiet, 1),
@@ -31,7 +31,7 @@
   assert.notEqual(first.digest, other.digest);
 });
 
-test('another controller takes over from a leader that crashes, is refused, cut off or frozen', async () => {
+test('another controller becomes leader when the leader crashes, is refused, cut off or frozen', async () => {
   const cutFromState: Omit<Fault & { kind: 'controller-cut' }, 'atS' | 'forS'> = {
     kind: 'controller-cut',
     controllers: 'leader',
--- a/packages/testing/simulation/cluster.ts
+++ b/packages/testing/simulation/cluster.ts
@@ -1,3 +1,4 @@
+/** One simulated cluster: controllers, the services around them, and what observes them. */
 import type { Runtime } from '#wire';
 import {
   CloudService,
@@ -13,7 +14,7 @@
   CHECKER_HOST,
   CLOUD_ADDRESS,
   formatAddress,
-  MACHINE_ROOM_HOST,
+  SHARED_SERVICES_HOST,
   STATE_ADDRESS,
   USERS_HOST,
 } from './addresses.js';
@@ -28,7 +29,7 @@
 import { Machines } from './machines.js';
 import { SimulatedHost, type HostRole } from './host.js';
 import { SimulatedNetwork } from './network.js';
-import { MovePhases } from './move-phases.js';
+import { MigrationPhases } from './migration-phases.js';
 import { LeadershipHistory } from './leadership-history.js';
 import { ReplicaMoments } from './replica-moments.js';
 import { RequestLog } from './request-log.js';
@@ -55,7 +56,7 @@
   readonly balancer: LoadBalancer;
   readonly users: Users;
   readonly ownership: LeadershipHistory;
-  readonly moves: MovePhases;
+  readonly moves: MigrationPhases;
   readonly replicaMoments: ReplicaMoments;
   /** Requests to replicas of several members, and what members answer. */
   readonly replicas: ReplicaService;
@@ -84,14 +85,16 @@
     this.machines = this.makeMachines();
     this.cloud = this.makeCloud();
     const { world, network, requests, costs } = this;
-    const onLogLine = (line: string) => this.replicaMoments.observe(line);
-    const parts = { world, network, cluster: settings, requests, costs, make, onLogLine };
-    this.controllers = makeControllers(parts);
+    const onLogLine = (line: string) => {
+      this.replicaMoments.observe(line);
+    };
+    const services = { world, network, cluster: settings, requests, costs, make, onLogLine };
+    this.controllers = makeControllers(services);
     this.balancer = this.makeBalancer();
     this.users = this.makeUsers();
     this.ownership = new LeadershipHistory(this.world, (key) => this.state.store.get(key) ?? null);
     this.replicas = new ReplicaService(this);
-    this.moves = new MovePhases(() => this.ownership.current()?.owner ?? null);
+    this.moves = new MigrationPhases(() => this.ownership.current()?.owner ?? null);
   }
 
   /** Starts the services and all controllers. */
@@ -107,7 +110,14 @@
   serviceRuntime(name: string, role: HostRole, address: string): Runtime {
     const host = this.network.addHost(new SimulatedHost(name, role, address, null));
     const skew = { zeroS: 0, drift: 0, wallOffsetMs: 0 };
-    const process = new SimulatedProcess(this.world, this.network, host, name, () => {}, skew);
+    const process = new SimulatedProcess(
+      this.world,
+      this.network,
+      host,
+      name,
+      () => undefined,
+      skew,
+    );
     return process.start().runtime;
   }
 
@@ -127,7 +137,7 @@
       storage: this.storage,
       observer: this.observer,
       costs: this.costs,
-      runtime: this.serviceRuntime('machine-room', 'users', MACHINE_ROOM_HOST),
+      runtime: this.serviceRuntime('machine-room', 'users', SHARED_SERVICES_HOST),
     });
   }
 
--- a/packages/testing/simulation/compare-runs.ts
+++ b/packages/testing/simulation/compare-runs.ts
@@ -14,7 +14,7 @@
 } from './comparison/options.js';
 import { type ExpectedRun, planRuns } from './comparison/planned-runs.js';
 import type { PlannedRun, RunOutcome } from './comparison/run-outcome.js';
-import { saveRuns, type SavedRun } from './comparison/saved-runs.js';
+import { saveRuns, type RecordedRun } from './comparison/saved-runs.js';
 import { WorkerPool } from './comparison/worker-pool.js';
 
 const ExitCode = { same: 0, different: 1, badArguments: 2 } as const;
@@ -38,22 +38,28 @@
 
 /** Plays all runs and writes them to the file unless one failed; the exit code. */
 async function save(runs: PlannedRun[], play: Play, file: string): Promise<number> {
-  const saved: SavedRun[] = [];
+  const finished: RecordedRun[] = [];
   for (const { run, played } of runs.map((run) => ({ run, played: play(run) }))) {
     const outcome = await played;
     process.stdout.write(describeRun(run, outcome));
     const { scenario, seed } = run;
-    if (outcome.kind === 'played') saved.push({ scenario, seed, outcome });
+    if (outcome.kind === 'played') finished.push({ scenario, seed, outcome });
   }
-  if (saved.length < runs.length) {
-    process.stdout.write(`${runs.length - saved.length} runs failed; nothing is saved\n`);
+  if (finished.length < runs.length) {
+    process.stdout.write(`${runs.length - finished.length} runs failed; nothing is saved\n`);
     return ExitCode.different;
   }
-  saveRuns(file, saved);
-  process.stdout.write(`${saved.length} runs are saved\n`);
+  saveRuns(file, finished);
+  process.stdout.write(`${finished.length} runs are saved\n`);
   return ExitCode.same;
 }
 
+/** The outcome that the file of the run holds. */
+function expectedOutcome({ outcome, seed }: ExpectedRun): Promise<RunOutcome> {
+  if (outcome !== undefined) return Promise.resolve(outcome);
+  return Promise.reject(new Error(`the run with seed ${seed} has no outcome to compare with`));
+}
+
 async function run(options: ComparisonOptions): Promise<number> {
   const { mode, jobs } = options;
   const pool = new WorkerPool(jobs);
@@ -64,7 +70,7 @@
     case 'save':
       return save(runs, playHere, mode.file);
     case 'against':
-      return compare(runs, playHere, ({ outcome }) => Promise.resolve(outcome!));
+      return compare(runs, playHere, expectedOutcome);
     case 'sources':
       return compare(runs, playHere, (run) => pool.play(mode.simulation, run));
   }
--- a/packages/testing/simulation/comparison/options.ts
+++ b/packages/testing/simulation/comparison/options.ts
@@ -9,6 +9,7 @@
   | { kind: 'against'; file: string }
   | { kind: 'save'; file: string };
 
+/** What the command line asks for. */
 export interface ComparisonOptions {
   mode: ComparisonMode;
   /** A file of runs that are played in place of random ones; null for none. */
--- a/packages/testing/simulation/comparison/run-outcome.ts
+++ b/packages/testing/simulation/comparison/run-outcome.ts
@@ -25,6 +25,7 @@
   reason: string;
 }
 
+/** What became of a run. */
 export type RunOutcome = PlayedRun | FailedRun;
 
 /** The outcome of a run, which another build may have played. */
--- a/packages/testing/simulation/comparison/saved-runs.ts
+++ b/packages/testing/simulation/comparison/saved-runs.ts
@@ -7,41 +7,41 @@
 import type { PlannedRun, PlayedRun } from './run-outcome.js';
 
 /** One line of a file. */
-export interface SavedRun extends PlannedRun {
+export interface RecordedRun extends PlannedRun {
   outcome: PlayedRun;
 }
 
 /** A file that can't be read, or that holds no runs. */
 export class BadRunsFile extends Error {}
 
-/** Writes the file anew. */
-export function saveRuns(file: string, runs: SavedRun[]): void {
+/** Writes the file; former contents are lost. */
+export function saveRuns(file: string, runs: RecordedRun[]): void {
   writeFileSync(file, runs.map(lineOf).join(''));
 }
 
 /** Adds a run to the file; several processes may do so at the same time. */
-export function appendRun(file: string, run: SavedRun): void {
+export function appendRun(file: string, run: RecordedRun): void {
   appendFileSync(file, lineOf(run));
 }
 
 /** Throws BadRunsFile. */
-export function loadRuns(file: string): SavedRun[] {
+export function loadRuns(file: string): RecordedRun[] {
   const runs = parseRuns(file);
   if (runs.length === 0) throw new BadRunsFile(`${file}: holds no runs`);
   return runs;
 }
 
-function parseRuns(file: string): SavedRun[] {
+function parseRuns(file: string): RecordedRun[] {
   try {
     const lines = readFileSync(file, 'utf8').split('\n');
-    return lines.filter((line) => line !== '').map((line) => JSON.parse(line) as SavedRun);
+    return lines.filter((line) => line !== '').map((line) => JSON.parse(line) as RecordedRun);
   } catch (error) {
     throw new BadRunsFile(`${file}: ${String(error)}`);
   }
 }
 
 /** Throws if the run would not be read as it was written. */
-function lineOf(run: SavedRun): string {
+function lineOf(run: RecordedRun): string {
   const text = JSON.stringify(run);
   assert.deepEqual(JSON.parse(text), run);
   return `${text}\n`;
--- a/packages/testing/simulation/comparison/worker-pool.ts
+++ b/packages/testing/simulation/comparison/worker-pool.ts
@@ -9,6 +9,7 @@
 /** Whatever a run writes goes to standard error; standard output holds the comparison. */
 const STANDARD_ERROR = 2;
 
+/** Limits how many runs are played at the same time. */
 export class WorkerPool {
   private running = 0;
   private readonly waiting: (() => void)[] = [];
@@ -49,12 +50,13 @@
     serialization: 'advanced',
     stdio: ['ignore', STANDARD_ERROR, STANDARD_ERROR, 'ipc'],
   });
-  let outcome: RunOutcome | null = null;
+  const received: { outcome: RunOutcome | null } = { outcome: null };
   worker.once('message', (message) => {
-    outcome = message as RunOutcome;
+    received.outcome = message as RunOutcome;
   });
   const closed = once(worker, 'close');
   worker.send(request);
   const [code, signal] = (await closed) as [number | null, NodeJS.Signals | null];
-  return outcome ?? { kind: 'failed', reason: `the process ended early (${signal ?? code})` };
+  if (received.outcome !== null) return received.outcome;
+  return { kind: 'failed', reason: `the process ended early (${signal ?? String(code)})` };
 }
--- a/packages/testing/simulation/connection.ts
+++ b/packages/testing/simulation/connection.ts
@@ -162,7 +162,9 @@
     const { world } = this.network;
     const arrivalS = Math.max(this.lastArrivalS, world.now + this.network.drawLatencyS());
     this.lastArrivalS = arrivalS;
-    world.schedule(arrivalS - world.now, () => this.other.arrive(packet));
+    world.schedule(arrivalS - world.now, () => {
+      this.other.arrive(packet);
+    });
   }
 
   private arrive(packet: Packet): void {
@@ -176,11 +178,14 @@
       this.network.world.record(packet.bytes.length);
       sender.acknowledge(packet.bytes.length);
     }
-    if (!this.closed) this.incarnation.deliver(() => this.take(packet));
+    if (!this.closed)
+      this.incarnation.deliver(() => {
+        this.receive(packet);
+      });
     else if (packet.kind === 'data') this.transmit({ kind: 'reset' });
   }
 
-  private take(packet: Packet): void {
+  private receive(packet: Packet): void {
     const { socket } = this;
     if (socket === null) return;
     if (packet.kind === 'accept') {
--- a/packages/testing/simulation/controller-log.ts
+++ b/packages/testing/simulation/controller-log.ts
@@ -1,3 +1,4 @@
+/** The logs of simulated controllers. */
 import { pino } from 'pino';
 import type { World } from './world.js';
 
@@ -18,7 +19,7 @@
   constructor(
     private readonly world: World,
     private readonly level: 'error' | 'info' | 'debug',
-    private readonly onLine: (text: string) => void = () => {},
+    private readonly onLine: (text: string) => void = () => undefined,
   ) {}
 
   /** A logger that writes here. */
--- a/packages/testing/simulation/controllers.ts
+++ b/packages/testing/simulation/controllers.ts
@@ -1,3 +1,4 @@
+/** The simulated controllers, each a process on a host of its own. */
 import { Controller, type Log, type Settings } from '#controller';
 import type { Runtime } from '#wire';
 import { controllerName, serviceAddress } from './addresses.js';
@@ -27,14 +28,16 @@
   log: Log,
 ) => Pick<Controller, 'run'>;
 
+/** Makes controllers of this build. */
 export const makeOwnController: ControllerMaker = (runtime, settings, log) =>
   new Controller(runtime, settings, log);
 
-export interface ControllerParts {
+/** What all controllers of a cluster share. */
+export interface ControllerServices {
   world: World;
   network: SimulatedNetwork;
   cluster: ClusterSettings;
-  /** Notes what the controllers answer. */
+  /** Records what the controllers answer. */
   requests: RequestLog;
   /** Counts what they do. */
   costs: CostCounter;
@@ -44,13 +47,13 @@
 }
 
 /** Makes the controllers of a cluster; none is started yet. */
-export function makeControllers(parts: ControllerParts): SimulatedController[] {
-  const indexes = Array.from({ length: parts.cluster.controllers }, (_, index) => index);
-  return indexes.map((index) => makeController(parts, index));
+export function makeControllers(services: ControllerServices): SimulatedController[] {
+  const indexes = Array.from({ length: services.cluster.controllers }, (_, index) => index);
+  return indexes.map((index) => makeController(services, index));
 }
 
-function makeController(parts: ControllerParts, index: number): SimulatedController {
-  const { world, network, cluster, requests, costs, make, onLogLine } = parts;
+function makeController(services: ControllerServices, index: number): SimulatedController {
+  const { world, network, cluster, requests, costs, make, onLogLine } = services;
   const name = controllerName(index);
   const zone = zoneOfController(cluster, index);
   const host = new SimulatedHost(name, 'controller', serviceAddress(index).host, zone);
--- a/packages/testing/simulation/costs.ts
+++ b/packages/testing/simulation/costs.ts
@@ -21,7 +21,7 @@
   transactions: number;
   changes: number;
   cloudRequests: number;
-  /** Commands and questions to workers, outside the answers to their reports. */
+  /** Commands and questions to workers, outside the answers to their heartbeats. */
   directCommands: number;
   /** Frames to its peers, and their bytes. */
   peerFrames: number;
@@ -54,14 +54,16 @@
   private readonly byHost = new Map<string, Costs>();
 
   /** A copy of the counts of the controller at that host. */
-  of(host: string): Costs {
+  costsOf(host: string): Costs {
     return { ...this.counts(host) };
   }
 
   /** The runtime of a controller whose use of it is counted. */
   watchController(host: string, runtime: Runtime): Runtime {
     const costs = this.counts(host);
-    const watched = watchRequests(runtime, (req) => void costs[answeredAs(req)]++);
+    const watched = watchRequests(runtime, (req) => {
+      costs[answeredAs(req)]++;
+    });
     return {
       clock: countTimers(costs, watched.clock),
       network: countConnections(costs, watched.network),
@@ -77,7 +79,7 @@
     });
   }
 
-  /** Takes the transactions of the state service in. */
+  /** Counts the transactions of the state service. */
   observe(event: WorldEvent): void {
     if (event.kind !== 'transaction') return;
     const costs = this.byHost.get(event.clientHost);
@@ -98,10 +100,12 @@
   return mapCosts((name) => after[name] - before[name]);
 }
 
+/** The sum of each count. */
 export function sumCosts(all: Costs[]): Costs {
   return mapCosts((name) => all.reduce((sum, costs) => sum + costs[name], 0));
 }
 
+/** Each count times the factor. */
 export function scaleCosts(costs: Costs, factor: number): Costs {
   return mapCosts((name) => costs[name] * factor);
 }
--- a/packages/testing/simulation/counts.ts
+++ b/packages/testing/simulation/counts.ts
@@ -1,3 +1,4 @@
+/** The figures of one run. */
 import type { Timeline } from './timeline.js';
 
 /** What a run came to, in numbers. */
@@ -15,18 +16,19 @@
   answers: Record<string, number>;
 }
 
+/** Counts the events of a run. */
 export function countRun(timeline: Timeline): RunCounts {
   const accepted = new Set<string>();
   const done = new Set<string>();
   const cancelled = new Set<string>();
-  const answers: Record<string, number> = {};
+  const answers = new Map<string, number>();
   for (const { request, status, phase } of timeline.of('answered')) {
-    answers[status] = (answers[status] ?? 0) + 1;
+    answers.set(`${status}`, (answers.get(`${status}`) ?? 0) + 1);
     if (status < 300) accepted.add(request.job);
     if (phase === 'done') done.add(request.job);
     if (phase === 'aborted') cancelled.add(request.job);
   }
-  answers.none = timeline.of('unanswered').length;
+  answers.set('none', timeline.of('unanswered').length);
   return {
     jobsSubmitted: timeline.of('job-submitted').length,
     jobsAccepted: accepted.size,
@@ -35,6 +37,6 @@
     tasksStarted: timeline.of('task-started').length,
     tasksCompleted: timeline.of('task-completed').length,
     tasksKilled: timeline.of('task-left').filter(({ cause }) => cause === 'killed').length,
-    answers,
+    answers: Object.fromEntries(answers),
   };
 }
--- a/packages/testing/simulation/digest.ts
+++ b/packages/testing/simulation/digest.ts
@@ -1,3 +1,5 @@
+/** A hash that tells runs apart. */
+
 const FNV_OFFSET = 0x811c9dc5;
 const FNV_PRIME = 0x01000193;
 const SECOND_OFFSET = 0x9747b28c;
--- a/packages/testing/simulation/event-queue.ts
+++ b/packages/testing/simulation/event-queue.ts
@@ -1,3 +1,4 @@
+/** The queue of the events of a simulated world. */
 /** A callback that waits in the queue for its time. */
 export interface QueuedEvent {
   /** Simulated time in seconds. */
@@ -32,7 +33,7 @@
 
   /** Removes the earliest event. */
   pop(): QueuedEvent | undefined {
-    const first = this.heap[0];
+    const first = this.heap.at(0);
     const last = this.heap.pop();
     if (first !== undefined && last !== undefined && first !== last) {
       this.heap[0] = last;
--- a/packages/testing/simulation/fault-injector.ts
+++ b/packages/testing/simulation/fault-injector.ts
@@ -1,3 +1,4 @@
+/** Starts and ends the faults of a scenario. */
 import type { Cluster } from './cluster.js';
 import { FaultJournal } from './fault-journal.js';
 import { CloudFaults } from './faults/cloud-faults.js';
@@ -13,7 +14,6 @@
 import type { SimulatedMachine } from './machines.js';
 import type {
   CloudFault,
-  ControllerFault,
   Fault,
   MachineFault,
   MessageFault,
@@ -41,7 +41,7 @@
     );
   }
 
-  /** `onAllOver` is called once all faults and what follows directly from them are over. */
+  /** `onAllOver` is called once all faults and their direct effects have ended. */
   schedule(faults: Fault[], onAllOver: () => void): void {
     const { world, controllers } = this.cluster;
     let open = faults.length;
@@ -54,11 +54,13 @@
           if (open === 0) onAllOver();
         });
       };
-      world.schedule(fault.atS - world.now, () => this.awaitMoment(fault, begin));
+      world.schedule(fault.atS - world.now, () => {
+        this.beginWhenDue(fault, begin);
+      });
     }
   }
 
-  private awaitMoment(fault: Fault, begin: () => void): void {
+  private beginWhenDue(fault: Fault, begin: () => void): void {
     const { afterTakeoverS, atMovePhase, atReplicaPhase } = fault;
     const { world, ownership: leadership, moves, replicaMoments } = this.cluster;
     if (atReplicaPhase !== undefined) replicaMoments.onNext(atReplicaPhase, begin);
@@ -86,13 +88,14 @@
     }
     if (isOf<UserFault>(fault, USER_KINDS)) return this.beginUserFault(fault);
     if (fault.kind === 'part-moves') return beginOperatorRequests(this.cluster, fault);
-    return beginControllerFault({ ...this.cluster, roles }, fault as ControllerFault);
+    const { world, network, controllers } = this.cluster;
+    return beginControllerFault({ world, network, controllers, roles }, fault);
   }
 
   private beginUserFault(fault: UserFault): FaultEffect {
     const { world, users, machines, checker } = this.cluster;
     const hang = (hit: SimulatedMachine[]) => this.machineFaults.hang(hit);
-    return beginUserFault({ world, users, machines, truth: checker.state, hang }, fault);
+    return beginUserFault({ world, users, machines, worldState: checker.state, hang }, fault);
   }
 }
 
--- a/packages/testing/simulation/fault-journal.ts
+++ b/packages/testing/simulation/fault-journal.ts
@@ -1,3 +1,4 @@
+/** What the faults of a run have hit. */
 import type { FaultEffect } from './faults/effect.js';
 import type { LeadershipChange } from './leadership-history.js';
 import type { Fault } from './scenario.js';
@@ -8,13 +9,14 @@
   fromS: number;
   /** Equal to `fromS` for a fault of a single moment. */
   untilS: number;
-  /** Who held the part when it began. */
+  /** The leader of the shard when it began. */
   leader: LeadershipChange | null;
   controllers: string[];
   machines: string[];
   jobs: string[];
 }
 
+/** All faults that have begun, in their order. */
 export class FaultJournal {
   readonly records: FaultRecord[] = [];
 
--- a/packages/testing/simulation/faults/cloud-faults.ts
+++ b/packages/testing/simulation/faults/cloud-faults.ts
@@ -1,3 +1,4 @@
+/** Faults of the cloud. */
 import { QUICK_BOOTS, type CloudService } from '../../stand-ins/index.js';
 import type { CloudFault } from '../scenario.js';
 import { effect, type FaultEffect } from './effect.js';
@@ -13,15 +14,29 @@
     const { cloud } = this;
     switch (fault.kind) {
       case 'cloud-outage': {
-        const start = () => cloud.beginOutage();
-        return effect({ end: this.overlap.begin('outage', start, () => cloud.endOutage()) });
+        const start = () => {
+          cloud.beginOutage();
+        };
+        return effect({
+          end: this.overlap.begin('outage', start, () => {
+            cloud.endOutage();
+          }),
+        });
       }
       case 'late-rentals':
         cloud.beginLateRequests(fault.share, fault.delayS);
-        return effect({ end: () => cloud.endLateRequests() });
+        return effect({
+          end: () => {
+            cloud.endLateRequests();
+          },
+        });
       case 'quick-boots':
         cloud.setBootProfile(QUICK_BOOTS);
-        return effect({ end: () => cloud.setBootProfile() });
+        return effect({
+          end: () => {
+            cloud.setBootProfile();
+          },
+        });
     }
   }
 }
--- a/packages/testing/simulation/faults/controller-faults.ts
+++ b/packages/testing/simulation/faults/controller-faults.ts
@@ -1,3 +1,4 @@
+/** Faults of controllers: cuts, crashes, freezes and rolling restarts. */
 import type { SimulatedController } from '../controllers.js';
 import type { SimulatedNetwork } from '../network.js';
 import type { ControllerFault } from '../scenario.js';
@@ -6,14 +7,16 @@
 import { cutFrom } from './link-faults.js';
 import { type Roles, targetControllers } from './targets.js';
 
+/** What faults of controllers act on. */
 export interface ControllerFaultContext {
   world: World;
   network: SimulatedNetwork;
   controllers: SimulatedController[];
-  /** Who has which part now. */
+  /** The leader, and source and target of a migration. */
   roles: Roles;
 }
 
+/** Begins the fault at the controllers that it targets now. */
 export function beginControllerFault(
   context: ControllerFaultContext,
   fault: ControllerFault,
@@ -50,7 +53,9 @@
   const followers = targetControllers(controllers, 'followers', roles);
   const leader = targetControllers(controllers, 'leader', roles);
   [...followers, ...leader].forEach((controller, position) => {
-    world.schedule(position * intervalS, () => controller.process.restart(downS));
+    world.schedule(position * intervalS, () => {
+      controller.process.restart(downS);
+    });
   });
   return effect({ controllers: names(controllers) });
 }
--- a/packages/testing/simulation/faults/duration.ts
+++ b/packages/testing/simulation/faults/duration.ts
@@ -1,6 +1,7 @@
+/** How long faults last. */
 import type { Fault } from '../scenario.js';
 
-/** A transaction, report or command that is held up is carried out within this time. */
+/** A transaction, heartbeat or command that is held up is carried out within this time. */
 const LONGEST_DELAY_S = 30;
 
 /** Seconds from the beginning of a fault until it and all that follows directly from it are over. */
--- a/packages/testing/simulation/faults/effect.ts
+++ b/packages/testing/simulation/faults/effect.ts
@@ -1,3 +1,4 @@
+/** What a fault has hit and how it ends. */
 /** What beginning a fault did. */
 export interface FaultEffect {
   /** Names of the controllers that it hit. */
@@ -10,6 +11,7 @@
   end: (() => void) | null;
 }
 
-export function effect(own: Partial<FaultEffect>): FaultEffect {
-  return { controllers: [], machines: [], jobs: [], end: null, ...own };
+/** An effect that hits nothing and needs no end, but for what is given. */
+export function effect(overrides: Partial<FaultEffect>): FaultEffect {
+  return { controllers: [], machines: [], jobs: [], end: null, ...overrides };
 }
--- a/packages/testing/simulation/faults/link-faults.ts
+++ b/packages/testing/simulation/faults/link-faults.ts
@@ -26,7 +26,11 @@
     network.apply({ opener: one, acceptor: other, effect: mode }),
     network.apply({ opener: other, acceptor: one, effect: mode }),
   ];
-  return () => ends.forEach((end) => end());
+  return () => {
+    ends.forEach((end) => {
+      end();
+    });
+  };
 }
 
 /** Cuts some hosts off from all hosts of these kinds but themselves. */
@@ -50,14 +54,18 @@
   return cutBetween(network, inZone, (host) => !inZone(host), mode);
 }
 
-/** Machines whose reports arrive while answers and direct commands to them are lost. */
+/** Machines whose heartbeats arrive while answers and direct commands to them are lost. */
 export function deafen(network: SimulatedNetwork, machines: SimulatedHost[]): End {
   const isMachine = filterOf(machines);
   const ends = [
     applyBetween(network, isMachine, isController, 'drop-answers'),
     applyBetween(network, isController, isMachine, 'drop'),
   ];
-  return () => ends.forEach((end) => end());
+  return () => {
+    ends.forEach((end) => {
+      end();
+    });
+  };
 }
 
 /** Machines that reach no controller while direct commands reach them. */
--- a/packages/testing/simulation/faults/machine-faults.ts
+++ b/packages/testing/simulation/faults/machine-faults.ts
@@ -1,3 +1,4 @@
+/** Faults of machines and of whole zones. */
 import type { Chance } from '../../random.js';
 import type { CloudService } from '../../stand-ins/index.js';
 import type { Machines, SimulatedMachine } from '../machines.js';
@@ -60,11 +61,19 @@
     const ends = machines.map(({ name, worker }) =>
       this.hangs.begin(
         name,
-        () => worker.hang(),
-        () => worker.resume(),
+        () => {
+          worker.hang();
+        },
+        () => {
+          worker.resume();
+        },
       ),
     );
-    return () => ends.forEach((end) => end());
+    return () => {
+      ends.forEach((end) => {
+        end();
+      });
+    };
   }
 
   private cutZone(zone: string, mode: (MachineFault & { kind: 'zone-cut' })['mode']): FaultEffect {
--- a/packages/testing/simulation/faults/operator-requests.ts
+++ b/packages/testing/simulation/faults/operator-requests.ts
@@ -1,18 +1,20 @@
+/** Requests of the operators during a run. */
 import { moveKey, type MoveRecord } from '#shards';
 import { decodeLeader, shardKey } from '#store';
 import type { StateService } from '../../stand-ins/index.js';
 import type { SimulatedController } from '../controllers.js';
-import type { MovePhases } from '../move-phases.js';
+import type { MigrationPhases } from '../migration-phases.js';
 import type { OperatorRequest } from '../scenario.js';
 import type { World } from '../world.js';
 import { effect, type FaultEffect } from './effect.js';
 
 const SHARD = 0;
 
+/** What requests of the operators act on. */
 export interface OperatorContext {
   world: World;
   state: StateService;
-  moves: MovePhases;
+  moves: MigrationPhases;
   controllers: SimulatedController[];
 }
 
@@ -36,7 +38,7 @@
   });
 }
 
-/** Asks for a move as the command line does: if there is an owner, and no move is under way. */
+/** Requests a migration as the command line does: if there is a leader, and no migration is under way. */
 function requestMove({ state, moves }: OperatorContext, to: string): void {
   const { store } = state;
   const shard = store.get(shardKey(SHARD));
--- a/packages/testing/simulation/faults/overlap.ts
+++ b/packages/testing/simulation/faults/overlap.ts
@@ -1,3 +1,4 @@
+/** Counts faults of one kind that overlap. */
 /** Faults of one kind that overlap: the first begins it, the last ends it. */
 export class Overlap<Key> {
   private readonly counts = new Map<Key, number>();
--- a/packages/testing/simulation/faults/state-faults.ts
+++ b/packages/testing/simulation/faults/state-faults.ts
@@ -1,3 +1,4 @@
+/** Faults of the state service. */
 import type { StateService } from '../../stand-ins/index.js';
 import type { SimulatedController } from '../controllers.js';
 import type { StateFault } from '../scenario.js';
@@ -26,36 +27,63 @@
       case 'state-slow':
         return this.slow(fault.latencyMs);
       case 'late-writes':
-        return this.loseAnswers((state) => state.beginLateWrites(fault.share, fault.delayS));
+        return this.loseAnswers((state) => {
+          state.beginLateWrites(fault.share, fault.delayS);
+        });
       case 'lost-answers':
-        return this.loseAnswers((state) => state.beginLostAnswers(fault.share));
+        return this.loseAnswers((state) => {
+          state.beginLostAnswers(fault.share);
+        });
     }
   }
 
   private outage(): FaultEffect {
     const { state, controllers, overlap } = this;
-    const start = () => state.beginOutage();
-    const end = overlap.begin('outage', start, () => state.endOutage());
+    const start = () => {
+      state.beginOutage();
+    };
+    const end = overlap.begin('outage', start, () => {
+      state.endOutage();
+    });
     return effect({ controllers: controllers.map((c) => c.name), end });
   }
 
   private refuse(hit: SimulatedController[]): FaultEffect {
     const { state, overlap } = this;
     const ends = hit.map(({ host }) => {
-      const start = () => state.refuse(host.address);
-      return overlap.begin(host.name, start, () => state.readmit(host.address));
+      const start = () => {
+        state.refuse(host.address);
+      };
+      return overlap.begin(host.name, start, () => {
+        state.readmit(host.address);
+      });
+    });
+    return effect({
+      controllers: hit.map((c) => c.name),
+      end: () => {
+        ends.forEach((end) => {
+          end();
+        });
+      },
     });
-    return effect({ controllers: hit.map((c) => c.name), end: () => ends.forEach((end) => end()) });
   }
 
   private slow(latencyMs: [number, number]): FaultEffect {
     const { state } = this;
     state.setLatency({ usualMs: latencyMs, slowShare: 0, slowMs: latencyMs });
-    return effect({ end: () => state.setLatency() });
+    return effect({
+      end: () => {
+        state.setLatency();
+      },
+    });
   }
 
   private loseAnswers(start: (state: StateService) => void): FaultEffect {
     start(this.state);
-    return effect({ end: () => this.state.endLateWrites() });
+    return effect({
+      end: () => {
+        this.state.endLateWrites();
+      },
+    });
   }
 }
--- a/packages/testing/simulation/faults/targets.ts
+++ b/packages/testing/simulation/faults/targets.ts
@@ -1,13 +1,14 @@
+/** Which controllers and machines a fault hits. */
 import type { Chance } from '../../random.js';
-import type { MovePhases } from '../move-phases.js';
+import type { MigrationPhases } from '../migration-phases.js';
 import type { SimulatedController } from '../controllers.js';
 import type { ControllerTarget, MachineTarget } from '../scenario.js';
 
-/** Who has which part in what goes on at a moment. */
+/** The leader at a moment, and source and target of the migration at that time. */
 export interface Roles {
-  /** The part's owner; null if there is none. */
+  /** The shard's leader; null if there is none. */
   leaderName: string | null;
-  moves: Pick<MovePhases, 'source' | 'target'>;
+  moves: Pick<MigrationPhases, 'source' | 'target'>;
 }
 
 /** Resolves a target to controllers, given their roles at that moment. */
--- a/packages/testing/simulation/faults/user-faults.ts
+++ b/packages/testing/simulation/faults/user-faults.ts
@@ -1,3 +1,4 @@
+/** What users do during a fault. */
 import type { Users, WorldState } from '../../stand-ins/index.js';
 import type { Machines, SimulatedMachine } from '../machines.js';
 import type { UserFault } from '../scenario.js';
@@ -7,12 +8,13 @@
 /** Machines of cancelled jobs that hang at the most. */
 const MAX_HANGING = 8;
 
+/** What faults of users act on. */
 export interface UserFaultContext {
   world: World;
   users: Users;
   machines: Machines;
   /** Where everything really is. */
-  truth: WorldState;
+  worldState: WorldState;
   /** Makes machines stand still; the returned function lets them go on. */
   hang: (machines: SimulatedMachine[]) => () => void;
 }
@@ -25,21 +27,33 @@
       return cancelNow(context, fault);
     case 'cancel-at-end':
       users.setCancelAtEnd(fault.share);
-      return effect({ end: () => users.setCancelAtEnd(0) });
+      return effect({
+        end: () => {
+          users.setCancelAtEnd(0);
+        },
+      });
     case 'odd-requests':
       users.setOddRequests(true);
-      return effect({ end: () => users.setOddRequests(false) });
+      return effect({
+        end: () => {
+          users.setOddRequests(false);
+        },
+      });
     case 'close-looks':
       users.setPollBursts(true);
-      return effect({ end: () => users.setPollBursts(false) });
+      return effect({
+        end: () => {
+          users.setPollBursts(false);
+        },
+      });
   }
 }
 
 function cancelNow(
-  { world, users, machines, truth, hang }: UserFaultContext,
+  { world, users, machines, worldState, hang }: UserFaultContext,
   { count, hangS }: UserFault & { kind: 'cancel-now' },
 ): FaultEffect {
-  const hit = [...new Set(users.cancelNow(count, truth))];
+  const hit = [...new Set(users.cancelNow(count, worldState))];
   if (hangS !== undefined) {
     const hanging = hit.slice(0, MAX_HANGING).map((name) => machines.get(name));
     const end = hang(hanging.filter((machine) => machine !== undefined));
--- a/packages/testing/simulation/host.ts
+++ b/packages/testing/simulation/host.ts
@@ -1,5 +1,7 @@
+/** The hosts of the simulated network. */
 import type { SimulatedSocket } from './socket.js';
 
+/** What runs on a host. */
 export type HostRole = 'controller' | 'state' | 'cloud' | 'balancer' | 'users' | 'worker';
 
 /** A machine on the network. */
--- a/packages/testing/simulation/incarnation.ts
+++ b/packages/testing/simulation/incarnation.ts
@@ -52,7 +52,9 @@
   freeze(forS: number): void {
     this.frozen = true;
     this.frozenUntilS = Math.max(this.frozenUntilS, this.world.now + forS);
-    this.world.schedule(forS, () => this.wake());
+    this.world.schedule(forS, () => {
+      this.wake();
+    });
   }
 
   /**
@@ -64,7 +66,9 @@
     this.frozen = false;
     const waiting = this.waiting.splice(0);
     for (const { callback, source } of inWakingOrder(waiting, this.chance)) {
-      this.world.schedule(0, () => this.deliver(callback, source));
+      this.world.schedule(0, () => {
+        this.deliver(callback, source);
+      });
     }
   }
 
--- a/packages/testing/simulation/index.ts
+++ b/packages/testing/simulation/index.ts
@@ -1,3 +1,4 @@
+/** The simulated cluster: its world, network, processes, scenarios and faults. */
 export * from './clock.js';
 export * from './connection.js';
 export * from './host.js';
@@ -11,7 +12,7 @@
 export * from './cluster-settings.js';
 export * from './controller-log.js';
 export * from './controllers.js';
-export * from './move-phases.js';
+export * from './migration-phases.js';
 export * from './leadership-history.js';
 export * from './replica-moments.js';
 export * from './scenario.js';
--- a/packages/testing/simulation/leadership-history.ts
+++ b/packages/testing/simulation/leadership-history.ts
@@ -1,21 +1,22 @@
+/** Which controllers have led the shard. */
 import { decodeLeader, shardKey } from '#store';
 import type { World } from './world.js';
 
 const SAMPLE_S = 0.05;
 
-/** Who held the part, from when on; null if nobody. */
+/** The leader of a term, and since when. */
 export interface LeadershipChange {
   atS: number;
   /** Name of the controller. */
   owner: string;
-  /** Version of the part's key. */
+  /** Version of the shard's key. */
   term: number;
 }
 
 /** What the state service holds under a key. */
 export type KeyReader = (key: string) => { value: unknown; version: number } | null;
 
-/** Follows the part's key in the state service. */
+/** Follows the shard's key in the state service. */
 export class LeadershipHistory {
   readonly changes: LeadershipChange[] = [];
   private leader: LeadershipChange | null = null;
@@ -28,31 +29,33 @@
     this.sample();
   }
 
-  /** The holder of the part now, by the state service's word. */
+  /** The present leader of the shard by its key in the state service; null if there is none. */
   current(): LeadershipChange | null {
-    this.look();
+    this.refresh();
     return this.leader;
   }
 
-  /** Calls back once somebody has claimed the part anew. */
+  /** Calls back once another term has begun. */
   onNextChange(callback: () => void): void {
-    this.look();
+    this.refresh();
     this.waiting.push(callback);
   }
 
   private sample(): void {
-    this.look();
-    this.world.scheduleInternal(SAMPLE_S, () => this.sample());
+    this.refresh();
+    this.world.scheduleInternal(SAMPLE_S, () => {
+      this.sample();
+    });
   }
 
-  private look(): void {
+  private refresh(): void {
     const entry = this.read(shardKey(0));
     if (entry === null) {
       this.leader = null;
       return;
     }
     if (entry.version === this.leader?.term) return;
-    const { leader: leader } = decodeLeader(entry.value);
+    const { leader } = decodeLeader(entry.value);
     this.leader = { atS: this.world.now, owner: leader, term: entry.version };
     this.changes.push(this.leader);
     for (const callback of this.waiting.splice(0)) callback();
--- a/packages/testing/simulation/link-rules.ts
+++ b/packages/testing/simulation/link-rules.ts
@@ -1,3 +1,4 @@
+/** Rules that hold back, drop or refuse traffic between hosts. */
 import type { SimulatedHost } from './host.js';
 
 /** What happens to connections while a rule is in force. */
@@ -11,6 +12,7 @@
   /** What the opening side sends arrives, what it should receive is lost. */
   | 'drop-answers';
 
+/** Whether a rule is about the host. */
 export type HostFilter = (host: SimulatedHost) => boolean;
 
 /** Applies to the connections that hosts of one kind open to hosts of another. */
--- a/packages/testing/simulation/machines.ts
+++ b/packages/testing/simulation/machines.ts
@@ -1,3 +1,4 @@
+/** The machines of a simulated cluster and their workers. */
 import {
   Fleet,
   GangNetwork,
@@ -20,7 +21,7 @@
 import { SimulatedProcess } from './process.js';
 import type { World } from './world.js';
 
-/** A rented machine that is up. */
+/** A provisioned machine that is up. */
 export interface SimulatedMachine {
   name: string;
   zone: string;
@@ -29,6 +30,7 @@
   worker: Worker;
 }
 
+/** What the machines of a cluster share. */
 export interface MachinesOptions {
   world: World;
   network: SimulatedNetwork;
@@ -71,7 +73,9 @@
 
   private describe(worker: Worker): SimulatedMachine {
     const { name, zone, spot } = worker.facts;
-    return { name, zone, spot, host: this.hosts.get(name)!, worker };
+    const host = this.hosts.get(name);
+    if (!host) throw new Error(`machine ${name} has no host`);
+    return { name, zone, spot, host, worker };
   }
 
   private hostFor({ name, zone, address }: ProvisionedMachine): MachineHost {
@@ -79,7 +83,7 @@
     const host = network.addHost(new SimulatedHost(name, 'worker', address.host, zone));
     this.hosts.set(name, host);
     const skew = drawSkew(world, name, cluster.deployment.clock_off_ms);
-    const process = new SimulatedProcess(world, network, host, name, () => {}, skew);
+    const process = new SimulatedProcess(world, network, host, name, () => undefined, skew);
     const powerOff = () => {
       host.powered = false;
       process.crash('silent');
--- a/packages/testing/simulation/move-phases.ts
+++ b/packages/testing/simulation/migration-phases.ts
@@ -1,41 +1,42 @@
+/** Follows migrations of the shard, so that faults can begin at a phase. */
 import { type MoveRecord, moveKey } from '#shards';
 import { decodeLeader, shardKey } from '#store';
 import type { Change } from '#wire';
 import type { WorldEvent } from '../stand-ins/index.js';
 
-/** How far a move has come, as its record says; `switched`: the target owns the part. */
-export type MovePhase = MoveRecord['phase'] | 'switched';
+/** The phase of a migration by its record; `switched`: the target leads the shard. */
+export type MigrationPhase = MoveRecord['phase'] | 'switched';
 
 const SHARD = 0;
 
-/** Follows the moves of the part by the transactions that the state service carries out. */
-export class MovePhases {
-  /** The controllers between which the part moves, or moved last. */
+/** Follows the migrations of the shard by the transactions that the state service carries out. */
+export class MigrationPhases {
+  /** The controllers between which the shard moves, or moved last. */
   source: string | null = null;
   target: string | null = null;
   /** How often each phase was reached. */
-  readonly counts: Record<MovePhase, number> = {
+  readonly counts: Record<MigrationPhase, number> = {
     requested: 0,
     prepared: 0,
     quiesced: 0,
     switched: 0,
   };
-  private waiting: { phase: MovePhase; callback: () => void }[] = [];
+  private waiting: { phase: MigrationPhase; callback: () => void }[] = [];
 
-  /** `ownerNow` tells who holds the part now. */
+  /** `leaderNow` tells the present leader of the shard. */
   constructor(private readonly leaderNow: () => string | null) {}
 
   observe(event: WorldEvent): void {
     if (event.kind !== 'transaction' || !event.applied) return;
-    for (const change of event.changes) this.take(change, event.changes);
+    for (const change of event.changes) this.apply(change, event.changes);
   }
 
-  /** Calls back once a move reaches the phase. */
-  onNext(phase: MovePhase, callback: () => void): void {
+  /** Calls back once a migration reaches the phase. */
+  onNext(phase: MigrationPhase, callback: () => void): void {
     this.waiting.push({ phase, callback });
   }
 
-  private take(change: Change, together: Change[]): void {
+  private apply(change: Change, together: Change[]): void {
     if ('delete' in change) return;
     if (change.put === moveKey(SHARD)) {
       const { phase, to } = change.value as MoveRecord;
@@ -49,7 +50,7 @@
     this.reached('switched');
   }
 
-  private reached(phase: MovePhase): void {
+  private reached(phase: MigrationPhase): void {
     this.counts[phase]++;
     const due = this.waiting.filter((each) => each.phase === phase);
     this.waiting = this.waiting.filter((each) => each.phase !== phase);
--- a/packages/testing/simulation/network.test.ts
+++ b/packages/testing/simulation/network.test.ts
@@ -131,7 +131,7 @@
   assert.deepEqual(world.uncaught, []);
 });
 
-test('a crashed process leaves nothing behind and serves anew after its restart', async () => {
+test('a crashed process leaves nothing behind and serves again after its restart', async () => {
   const { world, server, client, results } = aWorld(2);
   await world.runUntil(2.5);
   server.restart(0.2);
@@ -197,7 +197,7 @@
   assert.equal(accepted(), 1);
 });
 
-test('connections beyond the most that a server takes are closed at once', async () => {
+test('connections beyond the limit of a server are closed at once', async () => {
   const { world, network, client, results } = aWorld(7);
   const hold = new SimulatedHost('holder', 'worker', '10.1.0.2', 'a');
   network.addHost(hold);
--- a/packages/testing/simulation/network.ts
+++ b/packages/testing/simulation/network.ts
@@ -128,7 +128,10 @@
     const attempt: Attempt = { incarnation, socket, to, tries: 0 };
     const { host } = incarnation;
     if (!host.hasFreeSocket) this.fail(attempt, 'EMFILE');
-    else this.world.scheduleInternal(this.drawLatencyS(), () => this.tryToOpen(attempt));
+    else
+      this.world.scheduleInternal(this.drawLatencyS(), () => {
+        this.tryToOpen(attempt);
+      });
     host.count(socket);
     return socket;
   }
@@ -148,7 +151,7 @@
 
   private listenersOf(host: SimulatedHost): Map<number, Listener> {
     let listeners = this.listeners.get(host);
-    if (!listeners) this.listeners.set(host, (listeners = new Map()));
+    if (!listeners) this.listeners.set(host, (listeners = new Map<number, Listener>()));
     return listeners;
   }
 
@@ -182,14 +185,19 @@
   }
 
   private tryLater(attempt: Attempt): void {
-    const delayS = CONNECT_RETRIES_S[attempt.tries++];
+    const delayS = CONNECT_RETRIES_S.at(attempt.tries++);
     if (delayS === undefined) this.fail(attempt, 'ETIMEDOUT');
-    else this.world.scheduleInternal(delayS, () => this.tryToOpen(attempt));
+    else
+      this.world.scheduleInternal(delayS, () => {
+        this.tryToOpen(attempt);
+      });
   }
 
   private fail(attempt: Attempt, code: ConnectError): void {
     this.world.schedule(this.drawLatencyS(), () => {
-      attempt.incarnation.deliver(() => attempt.socket.failed(code));
+      attempt.incarnation.deliver(() => {
+        attempt.socket.failed(code);
+      });
     });
   }
 
@@ -204,11 +212,15 @@
       return;
     }
     listener.open++;
-    this.world.schedule(0, () => listener.incarnation.deliver(() => accept(connection, listener)));
+    this.world.schedule(0, () => {
+      listener.incarnation.deliver(() => {
+        accept(connection, listener);
+      });
+    });
   }
 }
 
-/** Hands a connection to the server's program. */
+/** Passes a connection to the server's program. */
 function accept(connection: Connection, listener: Listener): void {
   const { opener, acceptor } = connection;
   const { clock } = acceptor.incarnation.runtime;
@@ -232,7 +244,7 @@
   }
 
   listen(server: net.Server, address: HostPort): Promise<void> {
-    if (!this.incarnation.alive) return new Promise(() => {});
+    if (!this.incarnation.alive) return new Promise(() => undefined);
     return this.network.listen(this.incarnation, server, address.port);
   }
 }
--- a/packages/testing/simulation/process.ts
+++ b/packages/testing/simulation/process.ts
@@ -6,7 +6,7 @@
 import { type CrashVisibility, IncarnationNetwork, type SimulatedNetwork } from './network.js';
 import type { World } from './world.js';
 
-/** What a process runs; called anew for each incarnation. */
+/** What a process runs; called again for each incarnation. */
 export type Program = (runtime: Runtime) => void;
 
 /** A process, which may be started, crashed, restarted and frozen. */
@@ -37,7 +37,9 @@
     const makeNetwork = (run: Incarnation) => new IncarnationNetwork(network, run);
     const incarnation = new Incarnation(world, makeNetwork, host, name, skew);
     this.incarnation = incarnation;
-    incarnation.deliver(() => this.program(incarnation.runtime));
+    incarnation.deliver(() => {
+      this.program(incarnation.runtime);
+    });
     return incarnation;
   }
 
--- a/packages/testing/simulation/replica-moments.ts
+++ b/packages/testing/simulation/replica-moments.ts
@@ -1,10 +1,11 @@
+/** Follows the phases of replica groups, so that faults can begin at one. */
 import type { GroupPhase } from '#replicas';
 import type { World } from './world.js';
 
 /** A phase of a replica group; `-again`: after a member was lost, or the replica was moved or stopped. */
 export type ReplicaMoment = GroupPhase | 'reserved-again' | 'starting-again' | 'whole-again';
 
-/** What an owner's log says of a change of phase. */
+/** What a leader's log says of a change of phase. */
 interface PhaseLine {
   msg: string;
   to: GroupPhase;
@@ -30,7 +31,7 @@
     this.waiting.push({ moment, callback });
   }
 
-  /** Takes a line of a controller's log in. */
+  /** Reads a line of a controller's log. */
   observe(line: string): void {
     if (!line.includes('"replica')) return;
     const { msg, to, why, machines } = JSON.parse(line) as PhaseLine;
@@ -47,7 +48,7 @@
     const due = this.waiting.filter((each) => each.moment === moment);
     this.waiting = this.waiting.filter((each) => each.moment !== moment);
     for (const { callback } of due) {
-      // The owner is in the middle of what it does; the fault comes right after.
+      // The leader is in the middle of an event; the fault begins right after it.
       this.world.schedule(0, () => {
         this.machines = machines;
         callback();
--- a/packages/testing/simulation/replica-service.ts
+++ b/packages/testing/simulation/replica-service.ts
@@ -1,3 +1,4 @@
+/** Replicas of several members, and the requests to them. */
 import { type ReplicaClasses, shapeOf } from '#replicas';
 import { type Answer, brokenAnswers } from './replica-traffic/answers.js';
 import { Members } from './replica-traffic/members.js';
@@ -12,6 +13,7 @@
 /** Seconds from one request to a replica to the next. */
 const REQUEST_EVERY_S = 0.5;
 
+/** The cluster, as far as replicas need it. */
 export interface ReplicaServiceOptions {
   world: World;
   network: SimulatedNetwork;
--- a/packages/testing/simulation/replica-traffic/answers.ts
+++ b/packages/testing/simulation/replica-traffic/answers.ts
@@ -7,6 +7,7 @@
   machine: string;
 }
 
+/** The answer to one request and the members that took part in it. */
 export interface Answer {
   atS: number;
   job: string;
--- a/packages/testing/simulation/replica-traffic/members.ts
+++ b/packages/testing/simulation/replica-traffic/members.ts
@@ -1,3 +1,4 @@
+/** Which members of replicas run on which machines. */
 import { taskName, type TaskRef } from '#wire';
 import type { WorldEvent } from '../../stand-ins/index.js';
 
@@ -7,7 +8,7 @@
   task: TaskRef;
 }
 
-/** Which members run where, by what the stand-ins report: how members find their mates. */
+/** Which members run where, by the events of the stand-ins: how members find their mates. */
 export class Members {
   private readonly byTask = new Map<string, LiveMember[]>();
   private readonly hanging = new Set<string>();
--- a/packages/testing/simulation/replica-traffic/request-traffic.ts
+++ b/packages/testing/simulation/replica-traffic/request-traffic.ts
@@ -1,3 +1,4 @@
+/** Sends requests through the members of replicas. */
 import type { Chance } from '../../random.js';
 import type { Answer, Mark } from './answers.js';
 import type { LiveMember, Members } from './members.js';
@@ -5,6 +6,7 @@
 /** Seconds that a request takes from one member to the next. */
 const HOP_S: [least: number, most: number] = [0.005, 0.06];
 
+/** What the traffic needs from its surroundings. */
 export interface TrafficOptions {
   members: Members;
   chance: Chance;
@@ -19,8 +21,8 @@
 }
 
 /**
- * A router that sends requests to all replicas all the while, and the members' part in them: the first member takes a
- * request, hands it to each of its mates in turn, and answers.
+ * A router that sends requests to all replicas at a fixed interval, and the members' share of the work: the
+ * first member accepts a request, passes it to each of its mates in turn, and answers.
  */
 export class RequestTraffic {
   readonly answers: Answer[] = [];
@@ -33,7 +35,9 @@
     if (!this.going) return;
     for (const replica of members.replicas())
       this.request(replica.job, replica.first, replica.members);
-    schedule(everyS, () => this.start());
+    schedule(everyS, () => {
+      this.start();
+    });
   }
 
   stop(): void {
--- a/packages/testing/simulation/request-log.ts
+++ b/packages/testing/simulation/request-log.ts
@@ -17,6 +17,7 @@
   clientHost: string;
 }
 
+/** Which requests to find; what is left out matches all. */
 export type RequestFilter = Partial<
   Pick<AnsweredRequest, 'controller' | 'method' | 'status' | 'clientHost'>
 > & {
@@ -25,18 +26,22 @@
   untilS?: number;
 };
 
-/** What workers post their reports to. */
+/** What workers post their heartbeats to. */
 export const HEARTBEAT_PATH = /^\/hello$/;
+/** Where users cancel a job. */
 export const CANCEL_PATH = /^\/submissions\/[^/]+\/abort$/;
 
+/** Collects the requests that controllers have answered. */
 export class RequestLog {
   private readonly answered: AnsweredRequest[] = [];
 
   constructor(private readonly world: World) {}
 
-  /** The runtime of a controller whose answers are to be noted. */
+  /** The runtime of a controller whose answers are to be recorded. */
   watch(controller: string, runtime: Runtime): Runtime {
-    return watchRequests(runtime, (req, res) => this.follow(controller, req, res));
+    return watchRequests(runtime, (req, res) => {
+      this.follow(controller, req, res);
+    });
   }
 
   /** The answered requests that match, in the order of their answers. */
@@ -59,7 +64,6 @@
   const { path, fromS = 0, untilS = Infinity, ...exact } = filter;
   if (request.atS < fromS || request.atS > untilS) return false;
   if (path !== undefined && !path.test(request.path)) return false;
-  return Object.entries(exact).every(
-    ([field, value]) => value === undefined || request[field as keyof typeof exact] === value,
-  );
+  const wanted = Object.entries(exact) as [keyof typeof exact, unknown][];
+  return wanted.every(([field, value]) => value === undefined || request[field] === value);
 }
--- a/packages/testing/simulation/run-scenario.ts
+++ b/packages/testing/simulation/run-scenario.ts
@@ -5,7 +5,7 @@
 import { countRun, type RunCounts } from './counts.js';
 import { FaultInjector } from './fault-injector.js';
 import type { FaultJournal } from './fault-journal.js';
-import type { MovePhases } from './move-phases.js';
+import type { MigrationPhases } from './migration-phases.js';
 import type { LeadershipChange } from './leadership-history.js';
 import type { ReplicaMoments } from './replica-moments.js';
 import type { ReplicaService } from './replica-service.js';
@@ -14,6 +14,7 @@
 import type { Timeline } from './timeline.js';
 import type { UncaughtError, World } from './world.js';
 
+/** What came of a run. */
 export interface ScenarioResult {
   scenario: Scenario;
   seed: number;
@@ -25,8 +26,8 @@
   faults: FaultJournal;
   /** Who led from when on. */
   leaders: LeadershipChange[];
-  /** How far moves of the part came. */
-  moves: MovePhases;
+  /** How far migrations of the shard came. */
+  moves: MigrationPhases;
   /** How far replica groups came, and what was asked of them. */
   replicaMoments: ReplicaMoments;
   replicas: ReplicaService;
@@ -53,7 +54,9 @@
   const stopWatching = collectRejections(world);
   try {
     await cluster.start();
-    injector.schedule(scenario.faults, () => checker.faultsEnded());
+    injector.schedule(scenario.faults, () => {
+      checker.faultsEnded();
+    });
     cluster.users.start(planJobs(cluster, scenario));
     await world.runUntil(scenario.lengthS);
   } finally {
@@ -81,7 +84,7 @@
 /** Broken rules and uncaught errors, one line each; empty if all went well. */
 export function describeProblems({ violations, uncaught }: ScenarioResult): string[] {
   const errors = uncaught.map(({ atS, where, error }) => {
-    const text = error instanceof Error ? error.stack : String(error);
+    const text = error instanceof Error ? String(error.stack) : String(error);
     return `${atS.toFixed(3)} s uncaught in ${where}: ${text}`;
   });
   return [...violations.map(describeViolation), ...errors];
--- a/packages/testing/simulation/scenario.ts
+++ b/packages/testing/simulation/scenario.ts
@@ -2,18 +2,18 @@
 import type { JobClass, Pipeline, StateServiceLimits } from '../stand-ins/index.js';
 import type { ClusterSettings } from './cluster-settings.js';
 import type { LinkEffect } from './link-rules.js';
-import type { MovePhase } from './move-phases.js';
+import type { MigrationPhase } from './migration-phases.js';
 import type { ReplicaMoment } from './replica-moments.js';
 
 /** Which controllers a fault is about, decided at the moment at which it begins. */
 export type ControllerTarget =
-  /** The owner of the part at that moment; the first controller if there is none. */
+  /** The leader of the shard at that moment; the first controller if there is none. */
   | 'leader'
   /** All but the leader. */
   | 'followers'
   /** The follower with the lowest number. */
   | 'one-follower'
-  /** The controller that gives the part up in the present or last move, or the one that takes it. */
+  /** The controller that gives the shard up in the present or last migration, or the one that takes it. */
   | 'move-source'
   | 'move-target'
   | 'all'
@@ -23,7 +23,7 @@
 /** Which machines a fault is about, drawn from the running ones at the moment at which it begins. */
 export type MachineTarget =
   | { count: number }
-  /** Part of the running machines, from 0 to 1. */
+  /** Fraction of the running machines, from 0 to 1. */
   | { share: number }
   | { zone: string }
   /** So many machines of the replica that the fault waited for, or else that became whole last. */
@@ -43,8 +43,8 @@
    * it.
    */
   afterTakeoverS?: number;
-  /** If given, the fault waits from `atS` on for the next move of the part to reach this phase. */
-  atMovePhase?: MovePhase;
+  /** If given, the fault waits from `atS` on for the next migration of the shard to reach this phase. */
+  atMovePhase?: MigrationPhase;
   /** If given, the fault waits from `atS` on for the next replica group to reach this phase. */
   atReplicaPhase?: ReplicaMoment;
 }
@@ -53,6 +53,7 @@
   forS: number;
 }
 
+/** Faults of the state service. */
 export type StateFault =
   /** The state service has these limits from now on. */
   | (Timed & { kind: 'state-limits'; limits: Partial<StateServiceLimits> })
@@ -66,13 +67,15 @@
   /** That share of transactions is carried out at once and gets no answer. */
   | (Lasting & { kind: 'lost-answers'; share: number });
 
+/** Faults of the cloud. */
 export type CloudFault =
   | (Lasting & { kind: 'cloud-outage' })
-  /** That share of rentals and releases gets no answer and is carried out late. */
+  /** That share of scale-outs and releases gets no answer and is carried out late. */
   | (Lasting & { kind: 'late-rentals'; share: number; delayS?: [least: number, most: number] })
-  /** Machines rented meanwhile are up within two seconds. */
+  /** Machines provisioned meanwhile are up within two seconds. */
   | (Lasting & { kind: 'quick-boots' });
 
+/** Faults of controllers. */
 export type ControllerFault =
   | (Lasting & {
       kind: 'controller-cut';
@@ -95,6 +98,7 @@
   /** All controllers crash one after another, the leader last. */
   | (Timed & { kind: 'controller-roll'; downS: number; intervalS: number });
 
+/** Faults of machines and zones. */
 export type MachineFault =
   /** Machines end without notice. */
   | (Timed & { kind: 'machine-death'; machines: MachineTarget })
@@ -104,15 +108,16 @@
   | (Lasting & { kind: 'machine-hang'; machines: MachineTarget })
   /** No connection with any controller. */
   | (Lasting & { kind: 'machine-cut'; machines: MachineTarget; mode: CutMode })
-  /** Reports arrive; answers and direct commands are lost. */
+  /** Heartbeats arrive; answers and direct commands are lost. */
   | (Lasting & { kind: 'machine-deaf'; machines: MachineTarget })
-  /** Reports reach no controller; direct commands arrive. */
+  /** Heartbeats reach no controller; direct commands arrive. */
   | (Lasting & { kind: 'machine-mute'; machines: MachineTarget; mode: CutMode })
   /** A zone with its machines and controllers is cut off from everything else. */
   | (Lasting & { kind: 'zone-cut'; zone: string; mode: CutMode });
 
+/** Faults of messages between workers and controllers. */
 export type MessageFault =
-  /** Of that share of reports a copy arrives again, or once a new leader has begun. */
+  /** Of that share of heartbeats a copy arrives again, or once a new leader has begun. */
   | (Lasting & {
       kind: 'late-reports';
       share: number;
@@ -122,6 +127,7 @@
   /** That share of direct commands is carried out later and gets no answer. */
   | (Lasting & { kind: 'late-commands'; share: number; delayS?: [least: number, most: number] });
 
+/** What users do beyond submitting and polling. */
 export type UserFault =
   /** Users cancel that many running jobs within a fifth of a second. */
   | (Timed & { kind: 'cancel-now'; count: number; hangS?: number })
@@ -132,9 +138,10 @@
   /** Users ask all controllers within milliseconds of each news about a job. */
   | (Lasting & { kind: 'close-looks' });
 
-/** The operators ask again and again that the part be moved to the next controller. */
+/** The operators ask again and again that the shard be moved to the next controller. */
 export type OperatorRequest = Lasting & { kind: 'part-moves'; everyS: number };
 
+/** Any fault of a scenario. */
 export type Fault =
   | StateFault
   | CloudFault
--- a/packages/testing/simulation/socket.ts
+++ b/packages/testing/simulation/socket.ts
@@ -1,9 +1,10 @@
+/** The sockets of simulated connections. */
 import { Duplex } from 'node:stream';
 import type { Clock, Timer } from '#wire';
 
 /** The connection below a socket. */
 export interface Transport {
-  /** Sends bytes; calls back once there is room for more. */
+  /** Sends bytes; calls back once more may be sent. */
   send(bytes: Buffer, done: () => void): void;
   /** No more bytes follow. */
   finish(): void;
@@ -19,7 +20,7 @@
   /** Idle time after which `timeout` is emitted, in milliseconds; 0 for never. */
   timeout = 0;
   private transport: Transport | null = null;
-  private afterConnect: (() => void)[] = [];
+  private afterConnect: ((transport: Transport) => void)[] = [];
   private activeAt: number;
   private idleTimer: Timer | null = null;
   private idleDueAt = Infinity;
@@ -41,7 +42,7 @@
     if (this.destroyed) return;
     this.transport = transport;
     this.connecting = false;
-    for (const write of this.afterConnect.splice(0)) write();
+    for (const write of this.afterConnect.splice(0)) write(transport);
     this.emit('connect');
   }
 
@@ -59,11 +60,15 @@
     if (!this.destroyed) this.destroy(Object.assign(new Error(code), { code }));
   }
 
-  override _read(): void {}
+  override _read(): void {
+    // Bytes are pushed as they arrive.
+  }
 
   override _write(chunk: Buffer, _encoding: BufferEncoding, done: WriteDone): void {
     this.activeAt = this.clock.now();
-    this.whenConnected((transport) => transport.send(chunk, done));
+    this.whenConnected((transport) => {
+      transport.send(chunk, done);
+    });
   }
 
   override _writev(chunks: { chunk: Buffer }[], done: WriteDone): void {
@@ -71,7 +76,9 @@
   }
 
   override _final(done: WriteDone): void {
-    this.whenConnected((transport) => transport.finish());
+    this.whenConnected((transport) => {
+      transport.finish();
+    });
     done();
   }
 
@@ -115,10 +122,10 @@
   private whenConnected(run: (transport: Transport) => void): void {
     const { transport } = this;
     if (transport !== null) run(transport);
-    else this.afterConnect.push(() => run(this.transport!));
+    else this.afterConnect.push(run);
   }
 
-  /** A timer that is due earlier stays and looks again, since HTTP sets timeouts at each request. */
+  /** A timer that is due earlier stays and checks again, since HTTP sets timeouts at each request. */
   private watchIdle(delayMs: number): void {
     const dueAt = this.clock.now() + delayMs / 1000;
     if (this.idleTimer !== null && this.idleDueAt <= dueAt) return;
--- a/packages/testing/simulation/timeline.ts
+++ b/packages/testing/simulation/timeline.ts
@@ -1,3 +1,4 @@
+/** All events of a run. */
 import type { Observer, WorldEvent } from '../stand-ins/index.js';
 import type { World } from './world.js';
 
--- a/packages/testing/simulation/world.ts
+++ b/packages/testing/simulation/world.ts
@@ -9,11 +9,12 @@
 /** Something that a callback of the simulated programs threw. */
 export interface UncaughtError {
   atS: number;
-  /** Process whose callback threw, or the simulation's own part. */
+  /** Process whose callback threw, or `simulation` for the simulation itself. */
   where: string;
   error: unknown;
 }
 
+/** Carries out events in the order of their times. */
 export class World {
   readonly uncaught: UncaughtError[] = [];
   /** Events carried out so far. */
