--- /dev/null
+++ b/packages/testing/models/shard-migration/canonical.test.ts
@@ -0,0 +1,53 @@
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { moveKey } from '#shards';
+import { encodeLeader, shardKey } from '#store';
+import { canonicalKey } from './canonical.js';
+import { firstState, type ModelState, SHARD } from './state.js';
+
+const BUDGET = { requests: 1, crashes: 0, lapses: 0, lostAnswers: 0 };
+
+/** A state with a transaction on its way; all its lease ids and revisions are higher by these numbers. */
+function aState(leaseOffset: number, revisionOffset: number): ModelState {
+  const start = firstState(BUDGET);
+  const leaseId = 2 + leaseOffset;
+  const version = 1 + revisionOffset;
+  const shard = { leader: 'a', leaseId: 1 + leaseOffset, version };
+  const { a, b } = start.controllers;
+  const value = encodeLeader({ leader: 'b', leaseId });
+  return {
+    ...start,
+    revision: version,
+    shard,
+    liveLeases: [1 + leaseOffset, leaseId],
+    nextLeaseId: 3 + leaseOffset,
+    controllers: {
+      a: { ...a, leaseId: 1 + leaseOffset, shard, term: version },
+      b: { ...b, leaseId, shard },
+    },
+    pending: [
+      {
+        from: 'b',
+        incarnation: 1,
+        transaction: {
+          conditions: [{ key: moveKey(SHARD), version }],
+          changes: [{ put: shardKey(SHARD), value, lease: leaseId }],
+        },
+      },
+    ],
+  };
+}
+
+test('states that differ only in the numbers of leases are one', () => {
+  assert.equal(canonicalKey(aState(7, 0)), canonicalKey(aState(0, 0)));
+});
+
+test('states that differ only in the numbers of revisions are one', () => {
+  assert.equal(canonicalKey(aState(0, 5)), canonicalKey(aState(0, 0)));
+});
+
+test('states in which another controller holds the lease of the shard differ', () => {
+  const state = aState(0, 0);
+  const other = { ...state, shard: { leader: 'a', leaseId: 2, version: 1 } };
+  assert.notEqual(canonicalKey(other), canonicalKey(state));
+});
--- a/packages/testing/models/shard-migration/canonical.ts
+++ b/packages/testing/models/shard-migration/canonical.ts
@@ -1,6 +1,7 @@
+/** One text for all states of the model that are alike. */
 import type { ModelState } from './state.js';
 
-/** Names of fields that hold revisions, or grants; other numbers stay as they are. */
+/** Names of fields that hold revisions; numbers of fields in neither set stay as they are. */
 const REVISIONS = new Set([
   'revision',
   'version',
@@ -9,26 +10,27 @@
   'preparedVersion',
   'moveVersion',
 ]);
-const GRANTS = new Set(['grant', 'lease', 'nextGrant', 'liveGrants']);
+/** Names of fields that hold ids of leases; `grant` and `lease` are those of stored records and changes. */
+const LEASE_IDS = new Set(['leaseId', 'grant', 'lease', 'nextLeaseId', 'liveLeases']);
 
 /**
- * A text that is the same for states that differ in nothing that matters: of revisions and grants only the order
+ * A text that is the same for states that differ in nothing that matters: of revisions and lease ids only the order
  * does, not the numbers.
  */
 export function canonicalKey(state: ModelState): string {
   const revisions: number[] = [0];
-  const grants: number[] = [0];
+  const leaseIds: number[] = [0];
   const collect = (name: string, value: number) => {
     if (REVISIONS.has(name)) revisions.push(value);
-    else if (GRANTS.has(name)) grants.push(value);
+    else if (LEASE_IDS.has(name)) leaseIds.push(value);
   };
-  walk(state, '', collect, () => {});
+  walk(state, '', collect, () => undefined);
   const revisionRanks = ranks(revisions);
-  const leaseRanks = ranks(grants);
+  const leaseRanks = ranks(leaseIds);
   let text = '';
   const write = (name: string, value: number) => {
     if (REVISIONS.has(name)) text += revisionRanks.get(value);
-    else if (GRANTS.has(name)) text += leaseRanks.get(value);
+    else if (LEASE_IDS.has(name)) text += leaseRanks.get(value);
     else text += value;
     text += ',';
   };
--- a/packages/testing/models/shard-migration/controller.ts
+++ b/packages/testing/models/shard-migration/controller.ts
@@ -41,7 +41,7 @@
 export function restart(state: Draft<ModelState>, name: ControllerName): void {
   const { incarnation } = state.controllers[name];
   const leaseId = state.nextLeaseId++;
-  state.liveGrants.push(leaseId);
+  state.liveLeases.push(leaseId);
   state.controllers[name] = {
     incarnation: incarnation + 1,
     leaseId,
--- a/packages/testing/models/shard-migration/events.ts
+++ b/packages/testing/models/shard-migration/events.ts
@@ -30,7 +30,7 @@
     addTroubles(list, name);
   }
   state.pending.forEach((_, index) => addArrival(list, index));
-  for (const leaseId of state.liveGrants) addEndOfLease(list, leaseId);
+  for (const leaseId of state.liveLeases) addEndOfLease(list, leaseId);
   return list.events;
 }
 
@@ -75,9 +75,9 @@
 
 /** The part is free: whoever sees that may claim it. */
 function addCampaign(list: MoveEventList, name: ControllerName): void {
-  const { shard, controllers, liveGrants } = list.state;
+  const { shard, controllers, liveLeases } = list.state;
   const { leaseId, proven, shard: seen } = controllers[name];
-  if (shard !== null || seen !== null || !proven || !liveGrants.includes(leaseId)) return;
+  if (shard !== null || seen !== null || !proven || !liveLeases.includes(leaseId)) return;
   list.add(`${name} claims`, false, (draft) => {
     draft.shard = { leader: name, leaseId, version: ++draft.revision };
     synchronise(draft, name);
@@ -85,7 +85,7 @@
 }
 
 function addTroubles(list: MoveEventList, name: ControllerName): void {
-  const { budget, controllers, liveGrants } = list.state;
+  const { budget, controllers, liveLeases } = list.state;
   const { proven, leaseId, waiting } = controllers[name];
   if (budget.crashes > 0) {
     list.add(`${name} crashes`, true, (draft) => {
@@ -101,7 +101,7 @@
   }
   if (!proven) {
     list.add(`${name} is served again`, false, (draft) => {
-      if (!liveGrants.includes(leaseId)) loseLease(draft, name);
+      if (!liveLeases.includes(leaseId)) loseLease(draft, name);
       draft.controllers[name].proven = true;
     });
   }
@@ -117,7 +117,7 @@
 function loseLease(draft: Draft<ModelState>, name: ControllerName): void {
   const controller = draft.controllers[name];
   controller.leaseId = draft.nextLeaseId++;
-  draft.liveGrants.push(controller.leaseId);
+  draft.liveLeases.push(controller.leaseId);
   synchronise(draft, name);
 }
 
--- a/packages/testing/models/shard-migration/service.ts
+++ b/packages/testing/models/shard-migration/service.ts
@@ -14,7 +14,7 @@
     .map(({ key }) => key);
   const lease = changes.map((change) => ('put' in change ? change.lease : undefined)).find(Boolean);
   if (keys.length > 0) return { kind: 'failed', keys };
-  if (lease !== undefined && !state.liveGrants.includes(lease)) return { kind: 'failed', keys: [] };
+  if (lease !== undefined && !state.liveLeases.includes(lease)) return { kind: 'failed', keys: [] };
   if (changes.length > 0) state.revision++;
   for (const change of changes) {
     if ('delete' in change) {
@@ -30,7 +30,7 @@
 
 /** A grant ends, and the part's key with it if it hangs on it. */
 export function endLease(state: Draft<ModelState>, leaseId: number): void {
-  state.liveGrants = state.liveGrants.filter((each) => each !== leaseId);
+  state.liveLeases = state.liveLeases.filter((each) => each !== leaseId);
   if (state.shard?.leaseId !== leaseId) return;
   state.shard = null;
   state.revision++;
--- a/packages/testing/models/shard-migration/state.ts
+++ b/packages/testing/models/shard-migration/state.ts
@@ -54,7 +54,7 @@
   revision: number;
   shard: StoredShard | null;
   move: SeenMove | null;
-  liveGrants: number[];
+  liveLeases: number[];
   nextLeaseId: number;
   controllers: Record<ControllerName, ModelController>;
   pending: PendingTransaction[];
@@ -80,7 +80,7 @@
     revision: 1,
     shard,
     move: null,
-    liveGrants: [1, 2],
+    liveLeases: [1, 2],
     nextLeaseId: 3,
     controllers: { a: controller(1, 1), b: controller(2, 0) },
     pending: [],
