--- a/packages/cli/replica-commands.ts
+++ b/packages/cli/replica-commands.ts
@@ -14,7 +14,7 @@
   replicas?: object[];
   error?: string;
   /** The leader, if a follower was asked. */
-  // eslint-disable-next-line local/retired-words -- the endpoint's field
+
   owner?: string | null;
 }
 
--- a/packages/cli/settings-files.ts
+++ b/packages/cli/settings-files.ts
@@ -1,5 +1,5 @@
 /** Reads the settings files of a controller. */
-import { BadSettings, loadSettings, type Settings } from '#controller';
+import { SettingsError, loadSettings, type Settings } from '#controller';
 import { CommandError, ExitCode } from './command-error.js';
 
 /** The files that a controller's settings come from. */
@@ -15,7 +15,7 @@
   try {
     return loadSettings(config, operator ?? null);
   } catch (err) {
-    if (!(err instanceof BadSettings)) throw err;
+    if (!(err instanceof SettingsError)) throw err;
     throw new CommandError(ExitCode.badInput, err.message, { cause: err });
   }
 }
--- a/packages/cli/shard-commands.test.ts
+++ b/packages/cli/shard-commands.test.ts
@@ -4,7 +4,7 @@
 import path from 'node:path';
 import { after, test } from 'node:test';
 import { fileURLToPath } from 'node:url';
-import { moveKey, moveResultKey } from '#shards';
+import { migrationKey, migrationResultKey } from '#shards';
 import { shardKey } from '#store';
 import { nodeRuntime } from '#wire';
 import { FREE_LOOPBACK_PORT, StateService } from '../testing/stand-ins/index.js';
@@ -45,11 +45,11 @@
 test('a migration that is carried out is printed with its term, and one that the leader refuses with its reason', async () => {
   const { store, config } = await aStateService();
   const asked = run('move', 'controller-1', '--reason', 'a restart', '--settings', config);
-  await Promise.race([asked, until(() => store.get(moveKey(0)) !== undefined)]);
-  assert.equal((store.get(moveKey(0))!.value as { reason: string }).reason, 'a restart');
+  await Promise.race([asked, until(() => store.get(migrationKey(0)) !== undefined)]);
+  assert.equal((store.get(migrationKey(0))!.value as { reason: string }).reason, 'a restart');
   const term = store.apply([
     { put: shardKey(0), value: { owner: 'controller-1', grant: 2 } },
-    { delete: moveKey(0) },
+    { delete: migrationKey(0) },
   ]);
   assert.deepEqual(await asked, {
     exitCode: 0,
@@ -57,14 +57,14 @@
     err: '',
   });
   const refused = run('move', 'controller-2', '--settings', config);
-  await Promise.race([refused, until(() => store.get(moveKey(0)) !== undefined)]);
+  await Promise.race([refused, until(() => store.get(migrationKey(0)) !== undefined)]);
   const result = {
     outcome: 'refused',
     to: 'controller-2',
     reason: '',
     why: 'controller-2 is asleep',
   };
-  store.apply([{ delete: moveKey(0) }, { put: moveResultKey(0), value: result }]);
+  store.apply([{ delete: migrationKey(0) }, { put: migrationResultKey(0), value: result }]);
   const { exitCode, err } = await refused;
   assert.deepEqual([exitCode, err], [1, 'part move controller-2: controller-2 is asleep\n']);
 });
@@ -77,9 +77,9 @@
     ignored.err,
     /^part move controller-1: withdrawn, the owner has not taken it up.*\n$/,
   );
-  assert.equal(store.get(moveKey(0)), undefined);
+  assert.equal(store.get(migrationKey(0)), undefined);
   const record = { fromTerm: term, to: 'controller-2', reason: '', phase: 'requested' };
-  store.apply([{ put: moveKey(0), value: record }]);
+  store.apply([{ put: migrationKey(0), value: record }]);
   const second = await run('move', 'controller-1', '--settings', config);
   assert.deepEqual(second.exitCode, 1);
   assert.match(second.err, /a move to controller-2 is under way/);
@@ -89,7 +89,7 @@
 
 test('a damaged record is shown as such and can be withdrawn, and a migration that is carried out can not', async () => {
   const { store, term, config } = await aStateService();
-  store.apply([{ put: moveKey(0), value: { phase: 'unheard of' } }]);
+  store.apply([{ put: migrationKey(0), value: { phase: 'unheard of' } }]);
   const shown = JSON.parse((await run('show', '--settings', config)).out) as { move: string };
   assert.equal(shown.move, 'unreadable');
   assert.deepEqual(shown, {
@@ -100,9 +100,9 @@
   });
   assert.equal((await run('withdraw', '--settings', config)).exitCode, 0);
   const record = { fromTerm: term, to: 'controller-2', reason: '', phase: 'quiesced', grant: 3 };
-  store.apply([{ put: moveKey(0), value: record }]);
+  store.apply([{ put: migrationKey(0), value: record }]);
   assert.equal((await run('withdraw', '--settings', config)).exitCode, 1);
-  assert.ok(store.get(moveKey(0)));
+  assert.ok(store.get(migrationKey(0)));
 });
 
 test('unknown controllers, times that are none and a silent state service end with one line', async () => {
--- a/packages/cli/shard-commands.ts
+++ b/packages/cli/shard-commands.ts
@@ -1,9 +1,9 @@
 /** The commands about the shard that holds the machines: `part show`, `part move` and `part withdraw`. */
 import type { Command } from 'commander';
 import {
-  encodeMove,
-  encodeMoveResult,
-  MoveRequests,
+  encodeMigration,
+  encodeMigrationResult,
+  MigrationRequests,
   type RequestOutcome,
   type ShardStatus,
 } from '#shards';
@@ -61,8 +61,8 @@
   return {
     part: shard,
     owner: leader,
-    move: isRecord ? encodeMove(migration) : migration,
-    lastMove: lastMigration && encodeMoveResult(lastMigration),
+    move: isRecord ? encodeMigration(migration) : migration,
+    lastMove: lastMigration && encodeMigrationResult(lastMigration),
   };
 }
 
@@ -93,7 +93,7 @@
     .requiredOption(...SETTINGS)
     .addHelpText('after', examples('part withdraw --settings examples/settings.toml'))
     .action(async (options: ShardOptions) => {
-      const withdraw = (requests: MoveRequests) => requests.withdraw('withdrawn');
+      const withdraw = (requests: MigrationRequests) => requests.withdraw('withdrawn');
       if (await withRequests('part withdraw', options, withdraw)) return;
       const why = 'no move is there that could be taken back';
       throw new CommandError(ExitCode.refused, `part withdraw: ${why}`);
@@ -104,7 +104,7 @@
 function requireMigrated(name: string, outcome: RequestOutcome): object {
   if (outcome.kind === 'moved') return { owner: name, term: outcome.term };
   if (outcome.kind === 'not-moved') {
-    throw new CommandError(ExitCode.refused, `part move ${name}: ${outcome.why}`);
+    throw new CommandError(ExitCode.refused, `part move ${name}: ${outcome.reason}`);
   }
   const why = "the owner has not taken it up; is the section moves in its operators' settings?";
   throw new CommandError(ExitCode.noAnswer, `part move ${name}: withdrawn, ${why}`);
@@ -129,12 +129,12 @@
 async function withRequests<T>(
   subject: string,
   { settings }: ShardOptions,
-  ask: (requests: MoveRequests) => Promise<T>,
+  ask: (requests: MigrationRequests) => Promise<T>,
 ): Promise<T> {
   const { external }: PlatformSettings = readSettings({ config: settings });
   const api = new StateApi(nodeRuntime, external.state, TIMEOUT_MS);
   try {
-    return await ask(new MoveRequests(api, nodeRuntime.clock, SHARD));
+    return await ask(new MigrationRequests(api, nodeRuntime.clock, SHARD));
   } catch (err) {
     if (!(err instanceof NoAnswer || err instanceof StateRefused)) throw err;
     const why = `no answer from the state service at ${external.state}: ${err.message}`;
--- a/packages/controller/api/admission.test.ts
+++ b/packages/controller/api/admission.test.ts
@@ -114,7 +114,7 @@
 
 test('what is accepted is answered before its user gives up, also when other controllers begin to use their share', async () => {
   const { state, client, submit, recorded } = await anAdmission();
-  client.shareWrites({ least: SHARE / 6, most: SHARE });
+  client.setChangeShares({ least: SHARE / 6, most: SHARE });
   const outcomes = Array.from({ length: 100 }, () => submit('guests'));
   const accepted = outcomes.filter((retryAfterS) => retryAfterS === null).length;
   // From now on the service refuses this controller as soon as it uses more than its least share.
@@ -125,7 +125,7 @@
   };
   void takeAll();
   await state.run(8);
-  assert.ok(client.refused > 0);
+  assert.ok(client.requestsRefused > 0);
   assert.equal(recorded.length, accepted);
   assert.ok(Math.max(...recorded.map(({ afterS }) => afterS)) < 5);
 });
--- a/packages/controller/api/admission.ts
+++ b/packages/controller/api/admission.ts
@@ -23,7 +23,7 @@
 export interface AdmissionOptions {
   runtime: Runtime;
   client: Pick<StateClient, 'usersChangesPerS' | 'usersWaitS' | 'failingSince'>;
-  commits: Pick<GroupCommit, 'ahead' | 'shareOf' | 'full'>;
+  commits: Pick<GroupCommit, 'changesAhead' | 'shareOf' | 'isFull'>;
   heartbeatIntervalS: number;
   log: Log;
 }
@@ -49,10 +49,10 @@
   /** Null if a submission of the team may wait; else the seconds after which its user is to retry. */
   refusalDelayS(team: string): number | null {
     const { client, commits, heartbeatIntervalS } = this.options;
-    const { expected, longest } = client.usersWaitS(commits.ahead(team) + 1);
+    const { expected, longest } = client.usersWaitS(commits.changesAhead(team) + 1);
     const isInTime =
       expected <= MAX_WAIT_INTERVALS * heartbeatIntervalS && longest <= MAX_LONGEST_WAIT_S;
-    if (!commits.full && isInTime) return null;
+    if (!commits.isFull && isInTime) return null;
     return this.retryAfterS(team);
   }
 
@@ -82,7 +82,7 @@
    */
   retryAfterS(team: string): number {
     const { runtime, client, commits } = this.options;
-    const { expected } = client.usersWaitS(commits.ahead(team) + 1);
+    const { expected } = client.usersWaitS(commits.changesAhead(team) + 1);
     const now = runtime.clock.now();
     const refusals = this.refusalsOf(team);
     const recordsPerS = client.usersChangesPerS * commits.shareOf(team);
--- a/packages/controller/api/bad-input.test.ts
+++ b/packages/controller/api/bad-input.test.ts
@@ -22,7 +22,7 @@
   const runtime = cluster.serviceRuntime('users', 'users', USERS_HOST);
   await cluster.start();
   await cluster.world.runUntil(5);
-  const leader = cluster.ownership.current()?.owner;
+  const leader = cluster.leadership.current()?.leader;
   const { index } = cluster.controllers.find(({ name }) => name === leader)!;
   const address = formatAddress(serviceAddress(index));
   const user = new UserClient(address, 5000, runtime);
@@ -118,7 +118,7 @@
     assert.equal(status, 201);
   }
   await cluster.world.runUntil(60);
-  const leader = cluster.ownership.current()?.owner;
+  const leader = cluster.leadership.current()?.leader;
   cluster.controllers.find(({ name }) => name === leader)!.process.restart(1);
   await cluster.world.runUntil(75);
   const small = aJob({ id: 'j-5', team: 'red', rank: 0, gpus: 0 });
--- a/packages/controller/api/health-endpoint.ts
+++ b/packages/controller/api/health-endpoint.ts
@@ -30,8 +30,8 @@
     const { runtime, settings, client, jobs, types, statuses } = this.options;
     return isHealthy({
       now: runtime.clock.now(),
-      loaded: jobs.cache.ready && types.all().length > 0,
-      refused: client.failing,
+      loaded: jobs.cache.isLoaded && types.all().length > 0,
+      refused: client.isFailing,
       lastOkAt: client.lastOkAt,
       lastFailAt: client.lastFailAt,
       peers: statuses.statuses(),
--- a/packages/controller/api/health.test.ts
+++ b/packages/controller/api/health.test.ts
@@ -5,7 +5,7 @@
 
 function peer(receivedAt: number, servedAt: number, refused: boolean): PeerStatus {
   const frame = { refused } as PeerStatus['frame'];
-  return { receivedAt, servedAt, asOf: receivedAt, frame };
+  return { receivedAt, lastServedAt: servedAt, statedAfter: receivedAt, frame };
 }
 
 /** Refused since second 10; it is second 30. */
--- a/packages/controller/api/health.ts
+++ b/packages/controller/api/health.ts
@@ -30,5 +30,5 @@
   const reachable = view.peers.filter((peer) => isReachable(peer, now, patienceS));
   // Cut off from the peers as well, this controller can't know whether they are served.
   if (reachable.length === 0) return view.peers.length === 0;
-  return !reachable.some((peer) => !peer.frame.refused && peer.servedAt > lastOkAt + patienceS);
+  return !reachable.some((peer) => !peer.frame.refused && peer.lastServedAt > lastOkAt + patienceS);
 }
--- a/packages/controller/api/http-server.ts
+++ b/packages/controller/api/http-server.ts
@@ -1,7 +1,7 @@
 /** The HTTP server for workers, users and health checks. */
 import http from 'node:http';
 import express, { type Express, type Request, type Response } from 'express';
-import { aborted, type HostPort, Listener, type Network } from '#wire';
+import { signalAborted, type HostPort, Listener, type Network } from '#wire';
 import { replyError } from './replies.js';
 import { collectBody } from './request-body.js';
 
@@ -53,7 +53,7 @@
   /** Serves until the signal aborts, then ends all connections; rejects with ListenError. */
   async run(signal: AbortSignal): Promise<void> {
     await this.listener.open(this.options.address);
-    await aborted(signal);
+    await signalAborted(signal);
     await this.listener.close();
   }
 }
--- a/packages/controller/api/submission-check.test.ts
+++ b/packages/controller/api/submission-check.test.ts
@@ -11,7 +11,7 @@
   const runtime = cluster.serviceRuntime('users', 'users', USERS_HOST);
   await cluster.start();
   await cluster.world.runUntil(5);
-  const leader = cluster.ownership.current()?.owner;
+  const leader = cluster.leadership.current()?.leader;
   const [here, there] = cluster.controllers
     .filter(({ name }) => name !== leader)
     .map(({ index }) => new UserClient(formatAddress(serviceAddress(index)), 5000, runtime));
--- a/packages/controller/api/user-api.ts
+++ b/packages/controller/api/user-api.ts
@@ -1,6 +1,6 @@
 /** The routes of users: submissions, queries and cancellations. */
 import type { Express, Request, Response } from 'express';
-import { type GroupCommit, NotReady, type StateClient } from '#store';
+import { type GroupCommit, CacheNotLoaded, type StateClient } from '#store';
 import {
   type Clock,
   isJobId,
@@ -100,7 +100,11 @@
   private replyFailure(res: Response, err: unknown): void {
     if (res.headersSent) return;
     if (err instanceof MalformedBody) replyError(res, 400, err.message);
-    else if (err instanceof StateRefused || err instanceof NoAnswer || err instanceof NotReady) {
+    else if (
+      err instanceof StateRefused ||
+      err instanceof NoAnswer ||
+      err instanceof CacheNotLoaded
+    ) {
       const retryAfterS = this.options.admission.retryAfterFailureS();
       replyError(res, 503, 'the state service does not answer', retryAfterS);
     } else replyError(res, 503, 'unexpected trouble', UNEXPECTED_RETRY_S);
--- a/packages/controller/api/user-burst.test.ts
+++ b/packages/controller/api/user-burst.test.ts
@@ -13,7 +13,7 @@
   const runtime = cluster.serviceRuntime('users', 'users', USERS_HOST);
   await cluster.start();
   await cluster.world.runUntil(5);
-  const leader = cluster.ownership.current()?.owner;
+  const leader = cluster.leadership.current()?.leader;
   const follower = cluster.controllers.find(({ name }) => name !== leader)!;
   const address = formatAddress(serviceAddress(follower.index));
   const aUser = () => new UserClient(address, 20_000, runtime);
--- a/packages/controller/cloud/cloud-reconciler.ts
+++ b/packages/controller/cloud/cloud-reconciler.ts
@@ -90,7 +90,6 @@
         if (!this.paused) this.current = this.step(signal);
         await this.current;
       } catch (err) {
-        // eslint-disable-next-line @typescript-eslint/no-unnecessary-condition -- it may have aborted in the step
         if (signal.aborted) return;
         this.log.debug({ err: String(err) }, 'cloud reconciliation failed, will be retried');
         await this.pauseFor(heartbeatIntervalS * FAILURE_PAUSE_SHARE, signal);
@@ -136,8 +135,8 @@
   /** After a failover, first wait for heartbeats of the machines that are there. */
   private mayPlan(now: number): boolean {
     const { leader, machineList, options } = this;
-    const waitS = leader.first ? 0 : HEARTBEATS_BEFORE_PLAN * options.heartbeatIntervalS;
-    return leader.ready && machineList.loaded && now - leader.startedAt > waitS;
+    const waitS = leader.foundNoMachines ? 0 : HEARTBEATS_BEFORE_PLAN * options.heartbeatIntervalS;
+    return leader.recordsLoaded && machineList.loaded && now - leader.startedAt > waitS;
   }
 
   private async carryOutPlan(now: number, signal: AbortSignal): Promise<void> {
--- a/packages/controller/cloud/unusable-machines.ts
+++ b/packages/controller/cloud/unusable-machines.ts
@@ -17,7 +17,7 @@
     neverBooted(machine, machines.typeOf(machine)?.bootS ?? 0, now) ||
     isLongExpired(machine, leaseS, now) ||
     isDrained(machine);
-  return [...machines.groups.unsettled].filter(isUnusable);
+  return [...machines.groups.notInService].filter(isUnusable);
 }
 
 function neverBooted(machine: Machine, bootS: number, now: number): boolean {
--- a/packages/controller/controller-components.ts
+++ b/packages/controller/controller-components.ts
@@ -77,8 +77,8 @@
   log: Log,
 ): ControllerComponents {
   const leadership: Leadership = {
-    leader: () => terms.current,
-    leaseState: () => leases.leaderLease.evaluate(terms.current),
+    leader: () => terms.leader,
+    leaseState: () => leases.leaderLease.evaluate(terms.leader),
   };
   const sockets = socketShares(settings.deployment.limits.sockets, settings.peers.length);
   const state = accessState(runtime, settings, () => leadership.leader() !== null);
@@ -147,9 +147,9 @@
     clock,
     heartbeatIntervalS,
     counted: () => ({
-      stateRequests: client.requests,
-      stateRefused: client.refused,
-      stateChanges: client.changes,
+      stateRequests: client.requestsSent,
+      stateRefused: client.requestsRefused,
+      stateChanges: client.changesSent,
     }),
     connections,
     onSample: (sample) => {
--- a/packages/controller/heartbeats/heartbeat-endpoint.ts
+++ b/packages/controller/heartbeats/heartbeat-endpoint.ts
@@ -56,7 +56,7 @@
     if (leader === null) this.answerAsFollower(heartbeat, res);
     else if (this.hasSeenNewerLeader(heartbeat, leader.fleet.fencing.newestFencingToken))
       this.stepDown(heartbeat, res);
-    else if (leader.ready) this.answerAsLeader(leader, heartbeat, res);
+    else if (leader.recordsLoaded) this.answerAsLeader(leader, heartbeat, res);
     else this.renewLease(leader.term.term, heartbeat, res);
   }
 
--- a/packages/controller/jobs/job-intake.ts
+++ b/packages/controller/jobs/job-intake.ts
@@ -59,7 +59,7 @@
     const now = clock.now();
     if (change.kind === 'urgency') fleet.changeRank(job, change.urgency.rank, now);
     if (change.kind !== 'startable' || !job.hasOpenDependencies) return;
-    fleet.jobs.startable(job, now);
+    fleet.jobs.dependenciesDone(job, now);
     planner.jobArrived(job.spec, now);
     log.debug(
       { job: change.job, waitedS: now - job.acceptedAt },
--- a/packages/controller/jobs/job-table.ts
+++ b/packages/controller/jobs/job-table.ts
@@ -44,7 +44,7 @@
   readonly dependencyChanged = new Subject<DependencyEvent>();
   private readonly records = new Map<string, OpenJob | EndedJob>();
   private readonly recentlyEnded = new Map<string, JobRecord>();
-  private readonly counts = new Map<string, { done: number; running: number }>();
+  private readonly taskCounts = new Map<string, { done: number; running: number }>();
   private readonly dependencies = new DependencyGraph({
     outcomeOf: (id) => this.outcomeOf(id),
     urgencyOf: (id) => this.ownUrgency(id),
@@ -77,7 +77,7 @@
     // Cancelled with a job on which it depends: that is final, whatever its own record says.
     if (known !== undefined && known.phase !== 'accepted') return;
     this.records.set(id, record);
-    const changes = known === undefined ? this.dependencies.accepted(id, dependencies) : [];
+    const changes = known === undefined ? this.dependencies.recordAccepted(id, dependencies) : [];
     const isCancelled = changes.some(({ kind, job }) => kind === 'cancelled' && job === id);
     if (!isCancelled) this.events.next({ kind: 'record', record });
     this.applyDependencyChanges(changes);
@@ -88,7 +88,7 @@
     if (phase === 'cancelled') this.cancellations.addRecorded(job.id, version);
     this.recordEnded(record, phase);
     this.events.next({ kind: 'record', record });
-    this.applyDependencyChanges(this.dependencies.ended(job.id, phase));
+    this.applyDependencyChanges(this.dependencies.recordEnded(job.id, phase));
   }
 
   private applyDependencyChanges(changes: DependencyChange[]): void {
@@ -111,7 +111,7 @@
     const { job, version } = record;
     const isService = job.kind === 'service';
     this.records.set(job.id, { phase, isService, tasks: job.tasks, version });
-    this.counts.delete(job.id);
+    this.taskCounts.delete(job.id);
     this.recentlyEnded.set(job.id, record);
     if (this.recentlyEnded.size <= MAX_RECENTLY_ENDED) return;
     const [oldest] = this.recentlyEnded.keys();
@@ -136,12 +136,12 @@
 
   /** Whether the job depends on others that are not recorded as done. */
   hasOpenDependencies(id: string): boolean {
-    return this.dependencies.isWaiting(id);
+    return this.dependencies.hasOpenDependencies(id);
   }
 
   /** The jobs on which it depends and that are not recorded as done. */
   openDependenciesOf(id: string): string[] {
-    return this.dependencies.awaitedBy(id);
+    return this.dependencies.openDependencies(id);
   }
 
   /** How urgent the job is by itself and by those that depend on it. */
@@ -168,14 +168,14 @@
   }
 
   /** Keeps how many tasks of an open job the leader counts as done and running, for `view`. */
-  recordCounts(id: string, done: number, running: number): void {
-    if (this.records.get(id)?.phase === 'accepted') this.counts.set(id, { done, running });
+  recordTaskCounts(id: string, done: number, running: number): void {
+    if (this.records.get(id)?.phase === 'accepted') this.taskCounts.set(id, { done, running });
   }
 
   /** What a user is told of a job of the table, in the words of the wire. */
   view(id: string, record: OpenJob | EndedJob): JobView {
     if (record.phase === 'done') return { id, phase: 'done', done: record.tasks, running: 0 };
-    const { done, running } = this.counts.get(id) ?? { done: 0, running: 0 };
+    const { done, running } = this.taskCounts.get(id) ?? { done: 0, running: 0 };
     const openPhase: Phase = running > 0 ? 'running' : 'pending';
     const phase: Phase = record.phase === 'cancelled' ? 'aborted' : openPhase;
     return { id, phase, done, running };
--- a/packages/controller/leadership/direct-commands.ts
+++ b/packages/controller/leadership/direct-commands.ts
@@ -86,10 +86,10 @@
     this.busy.add(machine.name);
     try {
       const { status, body: answer } = await this.client(machine).call('POST', '/orders', options);
-      fleet.directOrders.finish(machine, orders, outcomeOf(status, answer), clock.now());
+      fleet.directOrders.applyOutcome(machine, orders, outcomeOf(status, answer), clock.now());
     } catch {
       // No answer, or one that can't be read: the commands may have been carried out.
-      fleet.directOrders.finish(machine, orders, { kind: 'unknown' }, clock.now());
+      fleet.directOrders.applyOutcome(machine, orders, { kind: 'unknown' }, clock.now());
     }
     this.busy.delete(machine.name);
     if (!fleet.machines.has(machine.name)) this.drop(machine.name);
--- a/packages/controller/leadership/leader-components.ts
+++ b/packages/controller/leadership/leader-components.ts
@@ -122,7 +122,7 @@
     acceptJob: (record) => {
       intake.accept(record);
     },
-    onJobs: (now) => {
+    onJobsAccepted: (now) => {
       planner.assumeSteady(now);
     },
     now: () => runtime.clock.now(),
--- a/packages/controller/leadership/leader-election-model.test.ts
+++ b/packages/controller/leadership/leader-election-model.test.ts
@@ -1,15 +1,15 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { OwnershipFault, OwnershipViolation, playOwnership } from '#testing';
+import { LeadershipMistake, LeadershipViolation, playLeadership } from '#testing';
 
 const SEEDS = 200;
 
-function playAll(fault: OwnershipFault) {
-  const violations = new Set<OwnershipViolation>();
+function playAll(fault: LeadershipMistake) {
+  const violations = new Set<LeadershipViolation>();
   let attestedSteps = 0;
   let standbySteps = 0;
   for (let seed = 1; seed <= SEEDS; seed++) {
-    const run = playOwnership(seed, fault);
+    const run = playLeadership(seed, fault);
     for (const violation of run.violations) violations.add(violation);
     attestedSteps += run.attestedSteps;
     standbySteps += run.standbySteps;
@@ -25,7 +25,7 @@
 });
 
 // Each check is shown to be able to fail by one deliberate mistake.
-const noticed: [OwnershipFault, OwnershipViolation][] = [
+const noticed: [LeadershipMistake, LeadershipViolation][] = [
   ['trusts-arrival', 'acts-beside-successor'],
   ['trusts-restarted', 'acts-on-unknown-cancellation'],
   ['ignores-cancelled', 'acts-on-unknown-cancellation'],
--- a/packages/controller/leadership/leader-lease-check.test.ts
+++ b/packages/controller/leadership/leader-lease-check.test.ts
@@ -43,7 +43,7 @@
 test('what one peer does not state falls back to the bound after the loss', () => {
   const incomplete: [string, PeerStatus | null][] = [
     ['never stated anything', null],
-    ['nothing read of ours', { ...aPeerStatus(20), asOf: -Infinity }],
+    ['nothing read of ours', { ...aPeerStatus(20), statedAfter: -Infinity }],
     ['restarted without the records', aPeerStatus(20, { loaded: false })],
     ['may lead', aPeerStatus(20, { mayLead: true })],
     ['too many cancellations to tell', aPeerStatus(20, { cancelledSince: Infinity })],
@@ -67,7 +67,7 @@
   assert.equal(evaluateOnce(viewAt(20, [aPeerStatus(20), served])), 'none');
   // Guards against a leader whose requests were swallowed by a cut: with every failure noticed only a
   // second later, a peer always seemed to be served after its newest failure, and it went on for good.
-  assert.equal(evaluateOnce(viewAt(20, [null, { ...served, servedAt: 19.9 }])), 'none');
+  assert.equal(evaluateOnce(viewAt(20, [null, { ...served, lastServedAt: 19.9 }])), 'none');
   const newer = aPeerStatus(12, { newestLeader: { term: TERM + 1, name: 'c-1' } });
   assert.equal(evaluateOnce(viewAt(20, [aPeerStatus(20), newer])), 'none');
   // Guards against a fleet that dies: two seconds of refusal alone counted for the whole outage that
--- a/packages/controller/leadership/leader-lease.ts
+++ b/packages/controller/leadership/leader-lease.ts
@@ -46,7 +46,7 @@
       leaseProvenUntil: election.provenUntil,
       leaseRenewedAt: election.soleLeaderAt,
       jobsCurrentAt: jobs.cache.syncedAt,
-      jobsRevision: jobs.cache.completeTo,
+      jobsRevision: jobs.cache.revision,
       failingSince: client.failingSince,
       peers: statuses.statuses(),
     });
--- a/packages/controller/leadership/leader-reachability.test.ts
+++ b/packages/controller/leadership/leader-reachability.test.ts
@@ -8,7 +8,7 @@
 
 function statusAt(receivedAt: number, unreachable = false): PeerStatus {
   const frame = { unreachable } as PeerStatus['frame'];
-  return { receivedAt, asOf: receivedAt, servedAt: receivedAt, frame };
+  return { receivedAt, statedAfter: receivedAt, lastServedAt: receivedAt, frame };
 }
 
 function mayReach(leader: PeerStatus | null, ...others: (PeerStatus | null)[]): boolean {
--- a/packages/controller/leadership/leadership-attempt.ts
+++ b/packages/controller/leadership/leadership-attempt.ts
@@ -112,7 +112,7 @@
     leaseS: deployment.workers.lease_s,
     onTypes: (listed, signal) => types.publish(listed, signal),
     mayScaleOut: () => ['granted', 'attested'].includes(leaderLeaseState()),
-    mayScaleIn: () => leaderLeaseState() === 'granted' && !client.failing,
+    mayScaleIn: () => leaderLeaseState() === 'granted' && !client.isFailing,
     log,
   });
 }
--- a/packages/controller/leadership/leadership-terms.ts
+++ b/packages/controller/leadership/leadership-terms.ts
@@ -1,9 +1,9 @@
 /** Follows the terms that the election gives to this controller, and leads each of them. */
 import { filter } from 'rxjs';
 import { listAll, type Term } from '#store';
-import { aborted, pause } from '#wire';
+import { signalAborted, pause } from '#wire';
 import type { ReadRecords } from '../records/record-loader.js';
-import { TermBroken } from '../records/term-broken.js';
+import { TermLostError } from '../records/term-broken.js';
 import type { ControllerServices } from '../services.js';
 import {
   type AttemptOutcome,
@@ -34,7 +34,7 @@
   constructor(private readonly options: LeadershipTermsOptions) {}
 
   /** The leader of the current term; null while this controller does not lead. */
-  get current(): ShardLeader | null {
+  get leader(): ShardLeader | null {
     return this.attempt?.leader ?? null;
   }
 
@@ -51,7 +51,7 @@
       .subscribe((term) => {
         this.changeTerm(term, signal);
       });
-    await aborted(signal);
+    await signalAborted(signal);
     terms.unsubscribe();
     await Promise.all(this.running);
   }
@@ -125,5 +125,5 @@
  * be built again in its term.
  */
 function isFinal(leader: ShardLeader, err: unknown): boolean {
-  return err instanceof TermBroken || leader.ready;
+  return err instanceof TermLostError || leader.recordsLoaded;
 }
--- a/packages/controller/leadership/reclaim-notices.ts
+++ b/packages/controller/leadership/reclaim-notices.ts
@@ -7,7 +7,7 @@
  * on, since stopping it early would save nothing. `now` in steady seconds.
  */
 export function evictOnReclaimNotices(fleet: FleetState, now: number): void {
-  for (const machine of fleet.machines.groups.noticed) {
+  for (const machine of fleet.machines.groups.withReclaimNotice) {
     for (const task of [...machine.tasks.values()]) {
       if (task.stop === null) evict(fleet, task, now);
     }
--- a/packages/controller/leadership/shard-leader.ts
+++ b/packages/controller/leadership/shard-leader.ts
@@ -35,9 +35,9 @@
   /** When this leader was made; steady seconds. */
   readonly startedAt: number;
   /** The records are loaded and orders may have been given. */
-  ready = false;
+  recordsLoaded = false;
   /** No earlier leader has recorded any machine. */
-  first = false;
+  foundNoMachines = false;
   private readonly components: LeaderComponents;
   private readonly summaryLog: FleetSummaryLog;
   /** Null until the records are loaded. */
@@ -72,7 +72,7 @@
    */
   async run(signal: AbortSignal): Promise<void> {
     await this.loadRecords(signal);
-    this.ready = true;
+    this.recordsLoaded = true;
     const { jobs, machines } = this.fleet;
     const found = { jobs: jobs.waiting.size, machines: machines.size };
     this.options.log.info({ term: this.term.term, ...found }, 'leader ready');
@@ -137,7 +137,7 @@
     const { types, runtime } = this.options;
     for (const type of types()) this.fleet.machines.setType(type);
     const loader = composeRecordLoader(this.options, this.components);
-    this.first = (await loader.load(signal)) === 0;
+    this.foundNoMachines = (await loader.load(signal)) === 0;
     this.replicaGroups?.loaded(runtime.clock.now());
   }
 
@@ -178,7 +178,7 @@
     const decisions = schedulingRound.run(now);
     if (recorder.pending) flushLoop.wake();
     this.pushCommands(signal);
-    cancellationRecorder.push();
+    cancellationRecorder.recordDue();
     this.summaryLog.update(now);
     return decisions;
   }
--- a/packages/controller/leadership/shard-migration.ts
+++ b/packages/controller/leadership/shard-migration.ts
@@ -31,8 +31,8 @@
   limits: MoveSettings,
 ): Promise<ShardMigrator> {
   const { runtime, settings, client, election, jobs, world, shard, terms, log } = options;
-  const { ShardMigrator, RecordsAhead } = await import('#shards');
-  const ahead = new RecordsAhead(client, [MACHINES, PROGRESS]);
+  const { ShardMigrator, RecordPrefetch } = await import('#shards');
+  const ahead = new RecordPrefetch(client, [MACHINES, PROGRESS]);
   terms.readRecordsWith((prefix, signal) => ahead.read(prefix, signal));
   return new ShardMigrator({
     runtime,
@@ -45,7 +45,7 @@
     pollIntervalMs: (settings.deployment.workers.report_s * 1000) / POLLS_PER_HEARTBEAT,
     leader: () => transferableLeader(terms),
     obstacle: (controller) => obstacleTo(controller, options),
-    canLead: () => jobs.cache.ready && !client.failing,
+    canLead: () => jobs.cache.isLoaded && !client.isFailing,
     ahead,
     log,
   });
@@ -53,9 +53,9 @@
 
 /** The leader here as far as a move concerns it; null while this controller does not lead. */
 function transferableLeader(terms: LeadershipTerms): TransferableLeader | null {
-  const leader = terms.current;
+  const leader = terms.leader;
   if (leader === null) return null;
-  const { term, ready } = leader;
+  const { term, recordsLoaded: ready } = leader;
   return {
     term,
     ready,
--- a/packages/controller/leadership/standby-renewal.ts
+++ b/packages/controller/leadership/standby-renewal.ts
@@ -62,7 +62,7 @@
       term: this.term,
       mayLead: election.mayLead,
       jobsCurrentAt: jobs.cache.syncedAt,
-      jobsRevision: jobs.cache.completeTo,
+      jobsRevision: jobs.cache.revision,
       failingSince: client.failingSince,
       peers: statuses.statuses(),
     };
--- a/packages/controller/leadership/successor.ts
+++ b/packages/controller/leadership/successor.ts
@@ -22,6 +22,6 @@
   const reachable = view.now - peer.receivedAt <= silenceS;
   // Whether we have failed again since doesn't matter: a cut that swallows requests shows their
   // failure only when they time out.
-  const servedSince = peer.servedAt > view.failingSince + silenceS * SERVED_MARGIN;
+  const servedSince = peer.lastServedAt > view.failingSince + silenceS * SERVED_MARGIN;
   return reachable && servedSince && !peer.frame.refused;
 }
--- a/packages/controller/leadership/write-shares.ts
+++ b/packages/controller/leadership/write-shares.ts
@@ -13,12 +13,12 @@
  * are, so it gets the larger part. A controller without others keeps the whole rate.
  */
 export function shareWrites(
-  client: Pick<StateClient, 'shareWrites'>,
+  client: Pick<StateClient, 'setChangeShares'>,
   nodes: number,
   leads: boolean,
 ): void {
   const others = nodes - 1;
   if (others === 0) return;
   const least = Math.min(FOLLOWER_MAX_WRITES, ALL_FOLLOWERS_MIN_WRITES / others);
-  client.shareWrites(leads ? LEADER_WRITES : { least, most: FOLLOWER_MAX_WRITES });
+  client.setChangeShares(leads ? LEADER_WRITES : { least, most: FOLLOWER_MAX_WRITES });
 }
--- a/packages/controller/observability/metrics-endpoint.ts
+++ b/packages/controller/observability/metrics-endpoint.ts
@@ -86,7 +86,7 @@
       '': leader()?.term.term ?? 0,
     }));
     const budgetHelp = "Left of this controller's part of the state service's rates";
-    metrics.gauge('budget', budgetHelp, 'of', () => client.left());
+    metrics.gauge('budget', budgetHelp, 'of', () => client.available());
     const refusedHelp = 'Submissions refused since the start for want of changes';
     metrics.gauge('refused_submissions', refusedHelp, 'team', () => admission.totals());
     metrics.gauge(
--- a/packages/controller/observability/task-counts.ts
+++ b/packages/controller/observability/task-counts.ts
@@ -16,7 +16,7 @@
 
 /** The counts of the jobs for which they may have changed since the last call. */
 export function countChangedTasks(fleet: FleetState): TaskCounts[] {
-  return fleet.jobs.takeCountsChanged().map(countTasks);
+  return fleet.jobs.drainChangedCounts().map(countTasks);
 }
 
 function countTasks(job: JobState): TaskCounts {
--- a/packages/controller/peers/cancellation-relay.ts
+++ b/packages/controller/peers/cancellation-relay.ts
@@ -36,7 +36,7 @@
   /** Ends the tasks of all jobs whose cancellation was requested, if this controller leads. */
   endTasks(): void {
     const leader = this.options.leader();
-    if (!leader?.ready) return;
+    if (!leader?.recordsLoaded) return;
     for (const { job } of this.options.cancellations.requests(this.now())) {
       leader.cancelJob(job);
     }
--- a/packages/controller/peers/dead-connections.ts
+++ b/packages/controller/peers/dead-connections.ts
@@ -37,7 +37,7 @@
     for (const { host_name: peer } of settings.peers) {
       const status = statuses.statusOf(peer);
       if (!isReachable(status, now, this.currentS)) continue;
-      if (now - status.asOf > this.maxUnreadS) peers.redial(peer, this.maxUnreadS);
+      if (now - status.statedAfter > this.maxUnreadS) peers.redial(peer, this.maxUnreadS);
     }
   }
 }
--- a/packages/controller/peers/own-status.ts
+++ b/packages/controller/peers/own-status.ts
@@ -17,13 +17,13 @@
   const { client, jobs, election, followerHeartbeats } = sources;
   return {
     servedAgoMs: (now - client.lastOkAt) * 1000,
-    refused: client.failing,
-    loaded: jobs.cache.ready,
+    refused: client.isFailing,
+    loaded: jobs.cache.isLoaded,
     leading: sources.isLeading(),
     mayLead: election.mayLead,
     newestLeader: election.newestLeader,
     unreachable: sources.isUnreachable(now),
     followerHeartbeats: followerHeartbeats.count(),
-    jobsRevision: jobs.cache.completeTo,
+    jobsRevision: jobs.cache.revision,
   };
 }
--- a/packages/controller/peers/peer-proof.ts
+++ b/packages/controller/peers/peer-proof.ts
@@ -64,7 +64,7 @@
 function soleLeaderAsOf(view: ProofView, peer: PeerStatus | null): number {
   if (peer === null) return -Infinity;
   const { refused, mayLead, newestLeader } = peer.frame;
-  return refused && !mayLead && newestLeader.term <= view.term ? peer.asOf : -Infinity;
+  return refused && !mayLead && newestLeader.term <= view.term ? peer.statedAfter : -Infinity;
 }
 
 /**
@@ -74,5 +74,5 @@
 function informedAsOf(view: ProofView, peer: PeerStatus | null): number {
   if (peer === null) return -Infinity;
   const { loaded, cancelledSince } = peer.frame;
-  return loaded && cancelledSince <= view.jobsRevision ? peer.asOf : -Infinity;
+  return loaded && cancelledSince <= view.jobsRevision ? peer.statedAfter : -Infinity;
 }
--- a/packages/controller/peers/peer-status.test.ts
+++ b/packages/controller/peers/peer-status.test.ts
@@ -35,9 +35,9 @@
   table.beginRound(101);
   assert.ok(table.accept('c-1', statusOf(1, 1, first), 130));
   const status = table.get('c-1');
-  assert.equal(status?.asOf, 100);
+  assert.equal(status?.statedAfter, 100);
   assert.equal(status?.receivedAt, 130);
-  assert.equal(status?.servedAt, 129.5);
+  assert.equal(status?.lastServedAt, 129.5);
   assert.deepEqual(table.echoFor('c-1'), { incarnation: 1, sequence: 1 });
 });
 
@@ -45,9 +45,9 @@
   const table = new PeerStatusTable(OWN_INCARNATION, ['c-1']);
   table.beginRound(100);
   table.accept('c-1', statusOf(1, 1, { incarnation: 6, sequence: 1 }), 101);
-  assert.equal(table.get('c-1')?.asOf, -Infinity);
+  assert.equal(table.get('c-1')?.statedAfter, -Infinity);
   table.accept('c-1', statusOf(1, 2, null), 102);
-  assert.equal(table.get('c-1')?.asOf, -Infinity);
+  assert.equal(table.get('c-1')?.statedAfter, -Infinity);
 });
 
 test('frames that a cut held back do not replace newer ones, nor those of a later incarnation', () => {
--- a/packages/controller/peers/peer-status.ts
+++ b/packages/controller/peers/peer-status.ts
@@ -15,9 +15,9 @@
    * The peer surely made the statement after this moment: it had read a status frame that this
    * process sent then. -Infinity if it has read none.
    */
-  asOf: number;
+  statedAfter: number;
   /** No earlier than when the state service last served the peer. */
-  servedAt: number;
+  lastServedAt: number;
 }
 
 /** Heartbeat intervals for which a peer's newest statement counts as current. */
@@ -70,8 +70,8 @@
     this.statuses.set(peer, {
       frame,
       receivedAt: now,
-      asOf: this.whenSent(frame.echo),
-      servedAt: now - frame.servedAgoMs / 1000,
+      statedAfter: this.whenSent(frame.echo),
+      lastServedAt: now - frame.servedAgoMs / 1000,
     });
     return true;
   }
--- a/packages/controller/peers/step-down.ts
+++ b/packages/controller/peers/step-down.ts
@@ -50,7 +50,7 @@
   checkIsolation(): void {
     const { runtime, settings, election, log } = this.options;
     const leader = this.options.leader();
-    if (!leader?.ready) return;
+    if (!leader?.recordsLoaded) return;
     const now = runtime.clock.now();
     const allSilent = this.workerSilence.sample(leader.fleet, now);
     const workers = this.countWorkers(now);
@@ -83,7 +83,7 @@
    */
   private countWorkers(now: number): WorkerCounts | null {
     const leader = this.options.leader();
-    if (!leader?.ready) return null;
+    if (!leader?.recordsLoaded) return null;
     const discoveryS = (REACHABLE_INTERVALS + 1) * this.heartbeatIntervalS;
     if (now - leader.startedAt < discoveryS) return null;
     return countReachable(leader.fleet, now, REACHABLE_INTERVALS * this.heartbeatIntervalS);
@@ -95,7 +95,7 @@
    */
   private canBeReplaced(now: number): boolean {
     const peers = this.options.statuses.statuses();
-    if (this.options.client.failing) {
+    if (this.options.client.isFailing) {
       return peers.every((peer) => this.isLoaded(peer, now) && canOnlyRenewLeases(peer));
     }
     return peers.some((peer) => this.isLoaded(peer, now) && !peer.frame.refused);
--- a/packages/controller/peers/task-count-exchange.ts
+++ b/packages/controller/peers/task-count-exchange.ts
@@ -24,7 +24,7 @@
   send(leader: ShardLeader): void {
     const isFull = this.round % FULL_COUNT_ROUNDS === 0;
     this.round++;
-    if (!leader.ready) return;
+    if (!leader.recordsLoaded) return;
     const { peers } = this.options;
     const counts = isFull ? countAllTasks(leader.fleet) : countChangedTasks(leader.fleet);
     this.record(counts);
@@ -35,6 +35,7 @@
 
   /** Records the counts that a leader has sent or made. */
   record(counts: CountsFrame['jobs']): void {
-    for (const { job, done, running } of counts) this.options.jobs.recordCounts(job, done, running);
+    for (const { job, done, running } of counts)
+      this.options.jobs.recordTaskCounts(job, done, running);
   }
 }
--- a/packages/controller/records/batch-sender.ts
+++ b/packages/controller/records/batch-sender.ts
@@ -1,9 +1,9 @@
 /** Sends the transaction of a batch. */
-import { Hedge, shardKey, type StateClient, type Term } from '#store';
+import { HedgedRequests, shardKey, type StateClient, type Term } from '#store';
 import type { Clock } from '#wire';
 import type { BatchSettlement } from './batch-settlement.js';
 import type { RecordBatch } from './record-batch.js';
-import { TermBroken } from './term-broken.js';
+import { TermLostError } from './term-broken.js';
 
 /** Share of a heartbeat interval after which a transaction is sent again beside the first if no answer came. */
 const RESEND_AFTER_SHARE = 1 / 4;
@@ -21,12 +21,12 @@
 
 /** Sends batches, each in copies until one is answered, and tells their changes the outcome. */
 export class BatchSender {
-  private readonly transactions: Hedge;
+  private readonly transactions: HedgedRequests;
 
   constructor(private readonly options: BatchSenderOptions) {
-    this.transactions = new Hedge({
+    this.transactions = new HedgedRequests({
       clock: options.clock,
-      leastDelayS: options.heartbeatIntervalS * RESEND_AFTER_SHARE,
+      minDelayS: options.heartbeatIntervalS * RESEND_AFTER_SHARE,
       maxAttempts: MAX_SENDS,
     });
   }
@@ -54,11 +54,11 @@
       return;
     }
     if (!('failed' in outcome)) {
-      throw new TermBroken(term.term, 'election-lease-gone', 'its election lease has ended');
+      throw new TermLostError(term.term, 'election-lease-gone', 'its election lease has ended');
     }
     const leaderKey = shardKey(term.shard);
     if (outcome.failed.includes(leaderKey)) {
-      throw new TermBroken(term.term, 'leader-key-changed', `${leaderKey} has changed`);
+      throw new TermLostError(term.term, 'leader-key-changed', `${leaderKey} has changed`);
     }
     await settlement.settle(batch, outcome.failed, signal);
   }
--- a/packages/controller/records/cancellation-recorder.test.ts
+++ b/packages/controller/records/cancellation-recorder.test.ts
@@ -25,7 +25,7 @@
   cluster.storage.upload({ job, runS: [1000], failsAfterS: null });
   await cluster.start();
   await cluster.world.runUntil(10);
-  const leader = cluster.ownership.current()?.owner;
+  const leader = cluster.leadership.current()?.leader;
   const followers = cluster.controllers.filter(({ name }) => name !== leader);
   void userAt(followers[0]).submit(job);
   await cluster.world.runUntil(60);
--- a/packages/controller/records/cancellation-recorder.ts
+++ b/packages/controller/records/cancellation-recorder.ts
@@ -29,9 +29,9 @@
   constructor(private readonly options: CancellationRecorderOptions) {}
 
   /** Begins to record what is due. What fails is logged at debug and tried again later. */
-  push(): void {
+  recordDue(): void {
     const { clock, client, unrecorded, heartbeatIntervalS, log } = this.options;
-    if (unrecorded.size === 0 || client.failing) return;
+    if (unrecorded.size === 0 || client.isFailing) return;
     const now = clock.now();
     for (const [id, waitingSince] of unrecorded) {
       if (now < waitingSince + PATIENCE_INTERVALS * heartbeatIntervalS) continue;
--- a/packages/controller/records/flush-loop.ts
+++ b/packages/controller/records/flush-loop.ts
@@ -1,5 +1,5 @@
 /** The loop that records what a leader decides. */
-import { type Clock, WakeablePause } from '#wire';
+import { type Clock, WakeableWait } from '#wire';
 import type { Recorder } from './recorder.js';
 
 /** What a `FlushLoop` works on. */
@@ -14,13 +14,13 @@
 
 /** Records what a leader has decided, one transaction after another, for as long as its term lasts. */
 export class FlushLoop {
-  private readonly idle: WakeablePause;
+  private readonly idle: WakeableWait;
   private paused = false;
   /** Called while no transaction is under way. */
   private onIdle: (() => void) | null = null;
 
   constructor(private readonly options: FlushLoopOptions) {
-    this.idle = new WakeablePause(options.clock);
+    this.idle = new WakeableWait(options.clock);
   }
 
   /** Runs until the signal aborts; rejects with TermBroken if the term must end. */
--- a/packages/controller/records/job-records.test.ts
+++ b/packages/controller/records/job-records.test.ts
@@ -67,7 +67,7 @@
   record(aJob({ id: 'j-3', tasks: 2 }), 'cancelled');
   const left = store.apply([{ put: keys[2], value: { done: 'AQ==' } }]);
   await sync();
-  recorder.jobRecords.loaded('j-3', { label: 0, value: { done: 'AQ==' }, version: left });
+  recorder.jobRecords.restore('j-3', { label: 0, value: { done: 'AQ==' }, version: left });
   for (const { id } of jobs) fleet.jobs.markDone(fleet.jobs.get(id)!, 0);
   // One is cancelled while its progress is on its way to be recorded.
   state.service.beginLostAnswers(1);
@@ -93,7 +93,7 @@
   record(aJob({ id: 'j-1', tasks: 2 }), 'cancelled');
   const left = store.apply([{ put: progressKey('j-1', 0), value: { done: 'AQ==' } }]);
   await sync();
-  recorder.jobRecords.loaded('j-1', { label: 0, value: { done: 'AQ==' }, version: left });
+  recorder.jobRecords.restore('j-1', { label: 0, value: { done: 'AQ==' }, version: left });
   assert.ok(recorder.pending);
   // Somebody else takes most of it.
   const others = Array.from({ length: RECORDER_LIMITS.txnOps + 10 }, () => ({ delete: 'x' }));
--- a/packages/controller/records/job-records.ts
+++ b/packages/controller/records/job-records.ts
@@ -51,7 +51,7 @@
   }
 
   /** Accepts a chunk of a job's done tasks from the record that an earlier term left. */
-  loaded(id: string, { label, value, version }: RecordedChunk): void {
+  restore(id: string, { label, value, version }: RecordedChunk): void {
     const key = progressKey(id, label);
     const job = this.options.fleet.jobs.get(id);
     if (job?.phase === 'accepted') {
--- a/packages/controller/records/machine-records.ts
+++ b/packages/controller/records/machine-records.ts
@@ -31,7 +31,7 @@
   constructor(private readonly options: MachineRecordsOptions) {}
 
   /** Starts from the version of a machine's record that an earlier term left. */
-  loaded(name: string, version: number): void {
+  restore(name: string, version: number): void {
     this.versions.set(name, version);
   }
 
@@ -63,8 +63,8 @@
     const onDurable = (revision: number) => {
       this.versions.set(name, revision);
       const now = clock.now();
-      for (const assignment of assignments) fleet.assignments.recorded(assignment, now);
-      fleet.fencing.recorded(machine, revision);
+      for (const assignment of assignments) fleet.assignments.markRecorded(assignment, now);
+      fleet.fencing.fenceRecorded(machine, revision);
       if (!isComplete) onNotApplied();
     };
     const key = MACHINES + name;
--- a/packages/controller/records/record-loader.ts
+++ b/packages/controller/records/record-loader.ts
@@ -15,7 +15,7 @@
 import type { Entry } from '#wire';
 import type { JobTable } from '../jobs/job-table.js';
 import type { Recorder } from './recorder.js';
-import { TermBroken } from './term-broken.js';
+import { TermLostError } from './term-broken.js';
 
 /** Resolves with all records under a prefix as of a moment after the call. */
 export type ReadRecords = (prefix: string, signal: AbortSignal) => Promise<Entry[]>;
@@ -31,7 +31,7 @@
   /** Accepts a job into the fleet state. */
   acceptJob: (record: JobRecord) => void;
   /** Called when all jobs are accepted, before machines and progress are; steady seconds. */
-  onJobs: (now: number) => void;
+  onJobsAccepted: (now: number) => void;
   /** The time in steady seconds. */
   now: () => number;
 }
@@ -45,7 +45,16 @@
    * with an error of the state service if they can't be read; the fleet state must then not be used.
    */
   async load(signal: AbortSignal): Promise<number> {
-    const { client, readRecords, jobs, fleet, recorder, term, onJobs, now } = this.options;
+    const {
+      client,
+      readRecords,
+      jobs,
+      fleet,
+      recorder,
+      term,
+      onJobsAccepted: onJobs,
+      now,
+    } = this.options;
     // All that was durable before this term's election, jobs first: records name them.
     await jobs.cache.sync();
     const [machines, progress, removals] = await Promise.all([
@@ -94,14 +103,14 @@
   private acceptProgress({ key, value, version }: Entry): void {
     const [id, label] = key.slice(PROGRESS.length).split('/');
     const recorded = { label: Number(label), value: value as ProgressValue, version };
-    this.options.recorder.jobRecords.loaded(id, recorded);
+    this.options.recorder.jobRecords.restore(id, recorded);
   }
 
   private acceptMachine({ key, value, version }: Entry, now: number): void {
     const { fleet, recorder, term } = this.options;
     const { addr, type, zone, spot, tasks } = value as MachineRecord;
     const name = key.slice(MACHINES.length);
-    recorder.machineRecords.loaded(name, version);
+    recorder.machineRecords.restore(name, version);
     const machine = fleet.machines.register({ name, addr, type, zone, spot }, 'up', now);
     // Until now this term has renewed worker leases without the fleet's state (HeartbeatEndpoint.renewLease).
     machine.answeredAt = now;
@@ -110,7 +119,7 @@
       const job = fleet.jobs.get(id);
       if (!job) {
         const detail = `the record of machine ${name} names job ${id}, which has no record`;
-        throw new TermBroken(term.term, 'unknown-job', detail);
+        throw new TermLostError(term.term, 'unknown-job', detail);
       }
       fleet.assignments.inherit(job, index, machine, attempt, now);
     }
--- a/packages/controller/records/recorder.test.ts
+++ b/packages/controller/records/recorder.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { MACHINES } from '#store';
 import { aJob, aMachine, aRecorder } from '#testing';
-import { TermBroken, type TermLossReason } from './term-broken.js';
+import { TermLostError, type TermLossReason } from './term-broken.js';
 
 test('a task is not recorded, and so never starts, once its job was cancelled', async () => {
   // Guards against starts after a confirmed cancellation that the watch had not brought yet.
@@ -92,8 +92,8 @@
 });
 
 /** Whether an error says that this term must end, and for this reason. */
-function isTermBroken(term: number, reason: TermLossReason): (err: unknown) => boolean {
-  return (err) => err instanceof TermBroken && err.term === term && err.reason === reason;
+function isTermLost(term: number, reason: TermLossReason): (err: unknown) => boolean {
+  return (err) => err instanceof TermLostError && err.term === term && err.reason === reason;
 }
 
 test('a transaction that is called malformed ends the term and is not repeated', async () => {
@@ -103,7 +103,7 @@
   const job = fleet.jobs.get('j-1')!;
   for (let i = 0; i < 5; i++) fleet.assignments.assign(job, i, aMachine(fleet, `n-${i}`), 1, 0);
   const revision = state.service.store.revision;
-  await assert.rejects(flush(0.1), isTermBroken(term, 'transaction-malformed'));
+  await assert.rejects(flush(0.1), isTermLost(term, 'transaction-malformed'));
   assert.equal(state.service.store.revision, revision);
 });
 
@@ -137,7 +137,7 @@
   await sync();
   fleet.assignments.assign(fleet.jobs.get('j-1')!, 0, aMachine(fleet, 'n-1'), 1, 0);
   store.apply([{ put: `${MACHINES}n-1`, value: { tasks: [] } }]);
-  await assert.rejects(flush(), isTermBroken(term, 'record-changed'));
+  await assert.rejects(flush(), isTermLost(term, 'record-changed'));
 });
 
 /** A fleet state with as many open jobs, each to be given a machine of its own. */
--- a/packages/controller/records/recorder.ts
+++ b/packages/controller/records/recorder.ts
@@ -11,7 +11,7 @@
 import { MachineRecords } from './machine-records.js';
 import type { RecordBatch } from './record-batch.js';
 import { RemovalMarker } from './removal-marker.js';
-import { TermBroken } from './term-broken.js';
+import { TermLostError } from './term-broken.js';
 
 /** Changes that a transaction may have in any case: a deletion and the removal marker. */
 const MIN_TXN_CHANGES = 2;
@@ -83,7 +83,7 @@
         await this.sender.send(batch, isReserved, signal);
         return;
       } catch (err) {
-        if (err instanceof TermBroken || signal.aborted) throw err;
+        if (err instanceof TermLostError || signal.aborted) throw err;
         if (err instanceof TxnMalformed) throw this.malformed(batch, err);
         log.debug({ err: String(err) }, 'state transaction unanswered, will be sent again');
         isReserved = false;
@@ -93,13 +93,13 @@
   }
 
   /** A repetition would fare the same, so the term can't go on. */
-  private malformed(batch: RecordBatch, cause: TxnMalformed): TermBroken {
+  private malformed(batch: RecordBatch, cause: TxnMalformed): TermLostError {
     const { term, log } = this.options;
     const keys = batch.changes.map(({ key }) => key);
     log.error(
       { err: cause.message, keys },
       'state transaction refused as malformed, leader steps down',
     );
-    return new TermBroken(term.term, 'transaction-malformed', cause.message, { cause });
+    return new TermLostError(term.term, 'transaction-malformed', cause.message, { cause });
   }
 }
--- a/packages/controller/records/term-broken.test.ts
+++ b/packages/controller/records/term-broken.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { TermBroken } from './term-broken.js';
+import { TermLostError } from './term-broken.js';
 
 test('the error that ends a term says its class, the term and what went wrong, and keeps its cause', () => {
   const cause = new Error('too large');
-  const err = new TermBroken(7, 'transaction-malformed', 'too large', { cause });
-  assert.equal(String(err), `${TermBroken.name}: term 7 must end: too large`);
+  const err = new TermLostError(7, 'transaction-malformed', 'too large', { cause });
+  assert.equal(String(err), `${TermLostError.name}: term 7 must end: too large`);
   assert.equal(err.cause, cause);
   assert.equal(err.term, 7);
   assert.equal(err.reason, 'transaction-malformed');
--- a/packages/controller/records/term-broken.ts
+++ b/packages/controller/records/term-broken.ts
@@ -16,7 +16,7 @@
   | 'transaction-malformed';
 
 /** The records are not as this term left them, or can't be changed any more: the leader must step down. */
-export class TermBroken extends Error {
+export class TermLostError extends Error {
   constructor(
     /** The term that must end. */
     readonly term: number,
--- a/packages/controller/replica-support.ts
+++ b/packages/controller/replica-support.ts
@@ -1,6 +1,12 @@
 /** Joins the package `replicas`, loaded only if operators have switched it on, to this controller. */
 import type { ReplicaShape } from '#core';
-import type { Group, ReplicaClasses, ReplicaGroups, ReplicaListener, ReplicaRow } from '#replicas';
+import type {
+  ReplicaGroup,
+  ReplicaClasses,
+  ReplicaGroups,
+  ReplicaListener,
+  ReplicaRow,
+} from '#replicas';
 import type { JobRecord } from '#store';
 import type { Job, MachineType, Runtime } from '#wire';
 import type { Log } from './observability/log.js';
@@ -45,10 +51,10 @@
   const metrics = new ReplicaMetrics();
   return {
     metrics,
-    shapeOf: (job) => replicas.shapeOf(job, classes),
-    whyNeverWhole: replicas.whyNeverWhole,
+    shapeOf: (job) => replicas.replicaShapeOf(job, classes),
+    whyNeverWhole: replicas.unplaceableReason,
     recordJob: ({ job, replicas: shape }) => {
-      if (shape || replicas.shapeOf(job, classes) === null) return;
+      if (shape || replicas.replicaShapeOf(job, classes) === null) return;
       log.info({ job: job.id, class: job.class }, 'job predates its replica groups');
     },
     rows: (groups) => replicas.replicaRows(groups, runtime.clock.now()),
@@ -79,6 +85,6 @@
   };
 }
 
-function nameOf({ job, index, state }: Group) {
+function nameOf({ job, index, state }: ReplicaGroup) {
   return { job: job.spec.id, replica: index, generation: state.generation };
 }
--- a/packages/controller/settings/operator-settings.ts
+++ b/packages/controller/settings/operator-settings.ts
@@ -38,7 +38,7 @@
   stopThreshold: number;
   gangLeaseS: number;
   preemptAfterS: number;
-  // eslint-disable-next-line local/retired-words -- a name of the operators' file
+
   ownerTtlS: number;
   reserveSigmas: number;
   idleHoldS: number;
--- a/packages/controller/settings/settings-error.ts
+++ b/packages/controller/settings/settings-error.ts
@@ -12,7 +12,7 @@
 export const WHOLE_FILE = 'the file';
 
 /** A settings file that can't be used; the message names file, field and reason. */
-export class BadSettings extends Error {
+export class SettingsError extends Error {
   override readonly name = 'BadSettings';
 
   constructor(
--- a/packages/controller/settings/settings.ts
+++ b/packages/controller/settings/settings.ts
@@ -12,7 +12,7 @@
 } from './operator-settings.js';
 import { platformSchema, PlatformSettings, TeamSettings } from './platform-settings.js';
 import { checkReplicaClasses } from './replica-classes.js';
-import { BadSettings, type SettingsProblem, WHOLE_FILE } from './settings-error.js';
+import { SettingsError, type SettingsProblem, WHOLE_FILE } from './settings-error.js';
 import { checkMoveTimes, checkTimes } from './time-bounds.js';
 
 /** Guarantees and limits by team, in the core's words. */
@@ -60,7 +60,7 @@
 }
 
 function refuse(file: string, problem: SettingsProblem | null): void {
-  if (problem !== null) throw new BadSettings(file, problem);
+  if (problem !== null) throw new SettingsError(file, problem);
 }
 
 /** The content of a settings file; throws BadSettings. */
@@ -70,7 +70,7 @@
     return parse(content);
   } catch (err) {
     const [reason] = (err as Error).message.split('\n');
-    throw new BadSettings(file, { field: WHOLE_FILE, reason }, { cause: err });
+    throw new SettingsError(file, { field: WHOLE_FILE, reason }, { cause: err });
   }
 }
 
@@ -79,14 +79,14 @@
     return readFileSync(file, 'utf8');
   } catch (err) {
     const reason = (err as NodeJS.ErrnoException).code ?? String(err);
-    throw new BadSettings(file, { field: WHOLE_FILE, reason }, { cause: err });
+    throw new SettingsError(file, { field: WHOLE_FILE, reason }, { cause: err });
   }
 }
 
 /** The value if it keeps to the schema; throws BadSettings with the first field that does not. */
 function validated<T>(file: string, value: unknown, valid: ValidateFunction<T>): T {
   if (valid(value)) return value;
-  throw new BadSettings(file, problemOf(valid.errors?.[0]));
+  throw new SettingsError(file, problemOf(valid.errors?.[0]));
 }
 
 function problemOf(error: ErrorObject | undefined): SettingsProblem {
--- a/packages/controller/state-limits.test.ts
+++ b/packages/controller/state-limits.test.ts
@@ -22,7 +22,7 @@
 import { aJob, aMachine, aRecorder, STD, StateWorld } from '#testing';
 import { MachineTypes } from './cloud/machine-types.js';
 import { loadSettings } from './settings/settings.js';
-import { BadSettings } from './settings/settings-error.js';
+import { SettingsError } from './settings/settings-error.js';
 import { stateLimits } from './state-access.js';
 
 const EXAMPLE = fileURLToPath(new URL('../../examples/settings.toml', import.meta.url));
@@ -68,7 +68,7 @@
     const named = new RegExp(`deployment\\.state\\.next\\.${field}`);
     assert.throws(
       () => load(bad),
-      (err) => err instanceof BadSettings && named.test(err.message),
+      (err) => err instanceof SettingsError && named.test(err.message),
     );
   }
 });
@@ -122,7 +122,7 @@
     }
     const value = { done: bits.toString('base64') };
     const version = store.apply([{ put: progressKey('j-1', label), value }]);
-    recorder.jobRecords.loaded('j-1', { label, value, version });
+    recorder.jobRecords.restore('j-1', { label, value, version });
   }
   const job = fleet.jobs.get('j-1')!;
   assert.deepEqual(
@@ -149,7 +149,7 @@
   await next.sync();
   for (const { key, value, version } of written) {
     const label = Number(key.split('/').at(-1));
-    next.recorder.jobRecords.loaded('j-1', { label, value: value as ProgressValue, version });
+    next.recorder.jobRecords.restore('j-1', { label, value: value as ProgressValue, version });
   }
   assert.equal(next.fleet.jobs.get('j-1')!.done.size, expected.length);
 });
@@ -170,7 +170,7 @@
   ]);
   const facts = { addr: '', type: 'std', zone: 'a', spot: false };
   const version = store.apply([{ put: `${MACHINES}n-1`, value: { ...facts, tasks } }]);
-  recorder.machineRecords.loaded('n-1', version);
+  recorder.machineRecords.restore('n-1', version);
   for (const [, index, number] of tasks) fleet.assignments.inherit(job, index, machine, number, 0);
   let onRecord = tasksOn('n-1')!.length;
   for (let index = 0; index < 100; index++) {
--- a/packages/core/assignments/assignment-accounting.ts
+++ b/packages/core/assignments/assignment-accounting.ts
@@ -1,12 +1,12 @@
 /** What is counted by assignments: per machine, per team and rank, and per job. */
-import type { FleetTables } from '../fleet-tables.js';
+import type { FleetData } from '../fleet-tables.js';
 import { addAmounts } from '../model/amounts.js';
 import { entryBytes } from '../model/machine-record-size.js';
 import { type Assignment, assignmentsOf, type JobState } from '../model/model.js';
 
 /** Keeps the sums over assignments current as these come, go, stop or change their rank. */
 export class AssignmentAccounting {
-  constructor(private readonly fleet: FleetTables) {}
+  constructor(private readonly fleet: FleetData) {}
 
   /** The assignment has come (1) or gone (-1). */
   count(assignment: Assignment, sign: 1 | -1, now: number): void {
--- a/packages/core/assignments/assignments.ts
+++ b/packages/core/assignments/assignments.ts
@@ -1,6 +1,6 @@
 /** The life of assignments: how a task comes to a machine, is stopped there, and gives its place up. */
 import { taskName } from '#wire';
-import type { FleetTables } from '../fleet-tables.js';
+import type { FleetData } from '../fleet-tables.js';
 import { dominantShare } from '../model/amounts.js';
 import type { EndCause } from '../model/end-cause.js';
 import { type Assignment, assignmentsOf, type JobState, type Machine } from '../model/model.js';
@@ -18,7 +18,7 @@
   private readonly attempts: AttemptNumbers;
   private readonly accounting: AssignmentAccounting;
 
-  constructor(private readonly fleet: FleetTables) {
+  constructor(private readonly fleet: FleetData) {
     this.attempts = new AttemptNumbers(fleet.term);
     this.accounting = new AssignmentAccounting(fleet);
   }
@@ -90,7 +90,7 @@
   }
 
   /** The place is durable in its machine's record. */
-  recorded(assignment: Assignment, now: number): void {
+  markRecorded(assignment: Assignment, now: number): void {
     assignment.recorded = true;
     assignment.job.replicas?.placeRecorded(assignment, now);
   }
--- a/packages/core/autoscaling/bin-packing.ts
+++ b/packages/core/autoscaling/bin-packing.ts
@@ -7,7 +7,7 @@
   requirementsKey,
   taskCapacity,
   typeFits,
-  zoneCap,
+  zoneCapacity,
 } from '../placement/bin-packing.js';
 import { type Bin, canHold, emptyBin, type ExistingBin, packTasks } from './bins.js';
 import { kindKey, type ScaleOutRefusals, type ScaleOutRequest } from './refusals.js';
@@ -206,10 +206,10 @@
 /** Tasks that the bin and its zone have capacity for; at least one, since one was found to have. */
 function capacityFor({ job, tasksByZone }: PackingRequest, { used, type, zone }: Bin): number {
   const inZone = tasksByZone?.get(zone) ?? 0;
-  const zoneCapacity = tasksByZone === null ? Infinity : zoneCap(job) - inZone;
-  return Math.max(1, Math.min(taskCapacity(job, used, type), zoneCapacity));
+  const leftInZone = tasksByZone === null ? Infinity : zoneCapacity(job) - inZone;
+  return Math.max(1, Math.min(taskCapacity(job, used, type), leftInZone));
 }
 
 function isZoneFull(job: Job, zone: string, tasksByZone: Map<string, number> | null): boolean {
-  return tasksByZone !== null && (tasksByZone.get(zone) ?? 0) >= zoneCap(job);
+  return tasksByZone !== null && (tasksByZone.get(zone) ?? 0) >= zoneCapacity(job);
 }
--- a/packages/core/autoscaling/waiting-work.ts
+++ b/packages/core/autoscaling/waiting-work.ts
@@ -85,7 +85,7 @@
 
   private plannedTasks(job: JobState): number {
     const { jobs, failures } = this.fleet;
-    const startable = Math.min(jobs.waitingCount(job), failures.startableTasks(job));
+    const startable = Math.min(jobs.waitingCount(job), failures.maxStartableTasks(job));
     return Math.min(startable, MOST_TASKS_PLANNED);
   }
 
--- a/packages/core/chained-jobs.test.ts
+++ b/packages/core/chained-jobs.test.ts
@@ -47,11 +47,11 @@
   assert.throws(() => fleet.assignments.assign(first, 0, fleet.machines.get('n-1')!, 1, 1));
   const other = add(fleet, { id: 'j-3', gpus: 4 });
   other.startableAt = 50;
-  fleet.jobs.startable(first, 40);
+  fleet.jobs.dependenciesDone(first, 40);
   assert.deepEqual([first.startableAt, first.waitingSince], [40, 40]);
   assert.equal(scheduler.round(41), 1);
   assert.equal(first.assignments.size, 1);
-  fleet.jobs.startable(gang, 42);
+  fleet.jobs.dependenciesDone(gang, 42);
   assert.equal(scheduler.round(43), 2);
 });
 
@@ -59,7 +59,7 @@
   const { fleet } = aScheduledFleet();
   const job = add(fleet, { id: 'j-1' }, true);
   fleet.closeJob(job, 'cancelled', 1);
-  fleet.jobs.startable(job, 2);
+  fleet.jobs.dependenciesDone(job, 2);
   assert.equal(fleet.jobs.waiting.size, 0);
   fleet.jobs.removeEnded();
   assert.equal(fleet.jobs.get('j-1'), undefined);
--- a/packages/core/failures/failure-tracker.ts
+++ b/packages/core/failures/failure-tracker.ts
@@ -77,7 +77,7 @@
   }
 
   /** A task is seen to run. Only one that runs longer than those that failed clears its job. */
-  taskRuns({ job, machine, runningSince }: Assignment, now: number): void {
+  taskRunning({ job, machine, runningSince }: Assignment, now: number): void {
     const { failures } = job;
     failures.unknownStarts = 0;
     if (failures.attempts === 0 || runningSince === null) return;
@@ -97,7 +97,7 @@
   }
 
   /** How many tasks of the job may be started now; a gang or replica is started as a whole if any may. */
-  startableTasks(job: JobState): number {
+  maxStartableTasks(job: JobState): number {
     if (!this.crashLoopingJobs.has(job)) return Infinity;
     if (job.assignments.size === 0 && this.hasEnoughProbes()) return 0;
     const startsAsWhole = job.spec.kind === 'gang' || job.replicas !== null;
--- a/packages/core/failures/machine-failures.ts
+++ b/packages/core/failures/machine-failures.ts
@@ -22,12 +22,12 @@
   /** By job id. */
   jobs: Map<string, FailuresOfJob>;
   /** Quarantined: takes no new work before. */
-  cordonedUntil: number;
+  quarantinedUntil: number;
 }
 
 /** The failures of a machine on which nothing has failed. */
 export function noMachineFailures(): MachineFailures {
-  return { jobs: new Map(), cordonedUntil: 0 };
+  return { jobs: new Map(), quarantinedUntil: 0 };
 }
 
 /**
@@ -49,7 +49,10 @@
     MAX_QUARANTINE_INTERVALS,
     FIRST_QUARANTINE_INTERVALS * 2 ** confirmedJobs(failures),
   );
-  failures.cordonedUntil = Math.max(failures.cordonedUntil, now + intervals * heartbeatIntervalS);
+  failures.quarantinedUntil = Math.max(
+    failures.quarantinedUntil,
+    now + intervals * heartbeatIntervalS,
+  );
 }
 
 /** The job has succeeded on another machine, so its failures were this machine's fault. */
@@ -63,7 +66,7 @@
   const { jobs } = failures;
   if (jobs.get(job)?.isConfirmed !== false) return;
   jobs.delete(job);
-  if (jobs.size === 0) failures.cordonedUntil = 0;
+  if (jobs.size === 0) failures.quarantinedUntil = 0;
 }
 
 /** Whether the failures speak against the machine. */
--- a/packages/core/fair-share/best-effort.ts
+++ b/packages/core/fair-share/best-effort.ts
@@ -1,7 +1,7 @@
 /** Best-effort work: what runs on spare capacity only, and gives way at once (docs/design.md). */
 import type { Job, MachineType } from '#wire';
 import { addAmounts, Amounts, ROUNDING } from '../model/amounts.js';
-import type { FleetTables } from '../fleet-tables.js';
+import type { FleetData } from '../fleet-tables.js';
 import type { Assignment, JobState, Machine } from '../model/model.js';
 import { LOWEST_RANK } from './ranks.js';
 import { hasGuarantee, TeamQuota } from './team-quota.js';
@@ -30,7 +30,7 @@
 
 /** Whether a best-effort task may use the machine's free capacity, as far as firm work is concerned. */
 export function mayUseSpareCapacity(
-  fleet: FleetTables,
+  fleet: FleetData,
   job: JobState,
   machine: Machine,
   type: MachineType,
@@ -51,17 +51,17 @@
 }
 
 /** Whether the job has waited so long without any task that it need not leave capacity for accelerators. */
-export function mayUseAnyCapacity(fleet: FleetTables, job: JobState, now: number): boolean {
+export function mayUseAnyCapacity(fleet: FleetData, job: JobState, now: number): boolean {
   return hasStarvedFor(fleet, job, ANY_CAPACITY_AFTER_BOOTS, now);
 }
 
 /** Whether the job has waited so long without any task that a machine may be provisioned for it. */
-export function mayScaleOutFor(fleet: FleetTables, job: JobState, now: number): boolean {
+export function mayScaleOutFor(fleet: FleetData, job: JobState, now: number): boolean {
   return hasStarvedFor(fleet, job, SCALE_OUT_AFTER_BOOTS, now);
 }
 
 function hasStarvedFor(
-  { machines }: FleetTables,
+  { machines }: FleetData,
   job: JobState,
   boots: number,
   now: number,
@@ -75,7 +75,7 @@
  * bounded time.
  */
 export function mayRunToEnd(
-  { machines }: FleetTables,
+  { machines }: FleetData,
   { job: { spec }, runningSince }: Assignment,
   now: number,
 ): boolean {
--- a/packages/core/fleet-state.ts
+++ b/packages/core/fleet-state.ts
@@ -4,7 +4,7 @@
 import { Assignments } from './assignments/assignments.js';
 import { DirectOrders } from './heartbeats/direct-orders.js';
 import { type Dependencies, independent } from './model/job-dependencies.js';
-import { type FleetOptions, FleetTables } from './fleet-tables.js';
+import { type FleetOptions, FleetData } from './fleet-tables.js';
 import { MachineLeases } from './heartbeats/machine-leases.js';
 import { assignmentsOf, type JobReplicas, type JobState } from './model/model.js';
 import type { MakeReplicas } from './model/replica-groups.js';
@@ -26,7 +26,7 @@
  * messages come in as arguments, and what must be made durable comes out in `unrecorded`. A place is
  * given up only when the task is proven gone (docs/safety.md, point 5). Times are seconds of the steady clock.
  */
-export class FleetState extends FleetTables {
+export class FleetState extends FleetData {
   /** Starts, stops and ends of tasks. */
   readonly assignments: Assignments;
   /** The expiry of workers' leases. */
--- a/packages/core/fleet-tables.ts
+++ b/packages/core/fleet-tables.ts
@@ -32,7 +32,7 @@
  * The data of a shard's fleet. Operations on it take this class; `FleetState` extends it by the operations, so that
  * callers find both in one place.
  */
-export class FleetTables {
+export class FleetData {
   readonly settings: FleetSettings;
   readonly term: number;
   readonly electedAt: number;
--- a/packages/core/heartbeats/direct-orders.test.ts
+++ b/packages/core/heartbeats/direct-orders.test.ts
@@ -16,7 +16,7 @@
     else assert.deepEqual(fleet.leases.expire(20), [machine]);
     const task = { job: job.spec.id, index: 0, attempt: 1, cause: null, checkpointed: false };
     const heartbeat = aReport({ sequence: 2, tasks: [{ ...task, state: 'fetching' }] });
-    fleet.directOrders.finish(machine, orders, { kind: 'executed', heartbeat }, 21);
+    fleet.directOrders.applyOutcome(machine, orders, { kind: 'executed', heartbeat }, 21);
     assert.equal(job.assignments.size, 0, lost);
     assert.equal(fleet.usage.ofTeam('red').gpus, 0, lost);
   }
@@ -34,7 +34,7 @@
   fleet.unrecorded.machines.clear();
   fleet.closeJob(job, 'cancelled', 1.6);
   assert.deepEqual([...fleet.unrecorded.machines], ['n-1']);
-  fleet.fencing.recorded(machine, 150);
+  fleet.fencing.fenceRecorded(machine, 150);
   fleet.heartbeats.handle(aReport({ sequence: 2 }), 2);
   assert.equal(machine.fencingToken, 150, 'the answer carries it');
   assert.equal(job.assignments.size, 1);
--- a/packages/core/heartbeats/direct-orders.ts
+++ b/packages/core/heartbeats/direct-orders.ts
@@ -1,7 +1,7 @@
 /** Orders that are sent to workers between their heartbeats, in direct commands. */
 import type { Heartbeat, Order } from '#wire';
 import { isStartable, startOrder, stopOrder, taskRef } from './answer-orders.js';
-import type { FleetTables } from '../fleet-tables.js';
+import type { FleetData } from '../fleet-tables.js';
 import type { Assignment, Machine, StopRequest } from '../model/model.js';
 import type { StartFencing } from './start-fencing.js';
 import type { TaskReconciler } from './task-reconciler.js';
@@ -27,7 +27,7 @@
  */
 export class DirectOrders {
   constructor(
-    private readonly fleet: FleetTables,
+    private readonly fleet: FleetData,
     private readonly fencing: StartFencing,
     private readonly tasks: TaskReconciler,
   ) {}
@@ -74,7 +74,7 @@
   }
 
   /** Applies the outcome of the orders that `nextOrders` gave. */
-  finish(machine: Machine, orders: Order[], outcome: DirectOutcome, now: number): void {
+  applyOutcome(machine: Machine, orders: Order[], outcome: DirectOutcome, now: number): void {
     const { leaseS, heartbeatIntervalS } = this.fleet.settings;
     machine.directCommandInFlight = false;
     if (outcome.kind === 'unknown') {
--- a/packages/core/heartbeats/heartbeat-processor.test.ts
+++ b/packages/core/heartbeats/heartbeat-processor.test.ts
@@ -24,7 +24,7 @@
   const machine = aMachine(fleet, 'n-1');
   const heartbeat = (sequence: number) => aReport({ sequence });
   fleet.heartbeats.handle(heartbeat(1), 1);
-  fleet.directOrders.finish(machine, [], { kind: 'executed', heartbeat: heartbeat(3) }, 2);
+  fleet.directOrders.applyOutcome(machine, [], { kind: 'executed', heartbeat: heartbeat(3) }, 2);
   assert.deepEqual(fleet.heartbeats.handle(heartbeat(2), 9), { kind: 'answer', orders: [] });
   assert.deepEqual(fleet.heartbeats.handle(heartbeat(2), 9.5), { kind: 'late-copy' });
   assert.deepEqual(fleet.leases.expire(11.6), []);
--- a/packages/core/heartbeats/heartbeat-processor.ts
+++ b/packages/core/heartbeats/heartbeat-processor.ts
@@ -3,7 +3,7 @@
 import { checkAnswerDelivery, type DeliverySettings } from './answer-delivery.js';
 import { ordersForAnswer } from './answer-orders.js';
 import type { Assignments } from '../assignments/assignments.js';
-import type { FleetTables } from '../fleet-tables.js';
+import type { FleetData } from '../fleet-tables.js';
 import type { Machine } from '../model/model.js';
 import type { StartFencing } from './start-fencing.js';
 import type { TaskReconciler } from './task-reconciler.js';
@@ -27,7 +27,7 @@
   private readonly delivery: DeliverySettings;
 
   constructor(
-    private readonly fleet: FleetTables,
+    private readonly fleet: FleetData,
     private readonly assignments: Assignments,
     private readonly fencing: StartFencing,
     private readonly tasks: TaskReconciler,
--- a/packages/core/heartbeats/machine-leases.ts
+++ b/packages/core/heartbeats/machine-leases.ts
@@ -1,6 +1,6 @@
 /** The leases of workers, as far as they can be known here. */
 import type { Assignments } from '../assignments/assignments.js';
-import type { FleetTables } from '../fleet-tables.js';
+import type { FleetData } from '../fleet-tables.js';
 import type { Machine } from '../model/model.js';
 
 /** Steady clocks differ by up to 0.05% each. */
@@ -14,7 +14,7 @@
   private readonly durationS: number;
 
   constructor(
-    private readonly fleet: FleetTables,
+    private readonly fleet: FleetData,
     private readonly assignments: Assignments,
   ) {
     const { leaseS, heartbeatIntervalS } = fleet.settings;
--- a/packages/core/heartbeats/start-fencing.ts
+++ b/packages/core/heartbeats/start-fencing.ts
@@ -1,6 +1,6 @@
 /** Keeps starts that were sent directly and not acknowledged from acting late. */
 import { taskName, type TaskRef } from '#wire';
-import type { FleetTables } from '../fleet-tables.js';
+import type { FleetData } from '../fleet-tables.js';
 import type { Machine } from '../model/model.js';
 
 /** In heartbeat intervals: how long a start may be unacknowledged before it is fenced off. */
@@ -18,7 +18,7 @@
   /** The largest fencing token that any answer of this term may carry; a larger one is another leader's. */
   newestFencingToken: number;
 
-  constructor(private readonly fleet: FleetTables) {
+  constructor(private readonly fleet: FleetData) {
     this.newestFencingToken = fleet.term;
   }
 
@@ -74,7 +74,7 @@
   }
 
   /** The machine's record was written at this revision. */
-  recorded(machine: Machine, revision: number): void {
+  fenceRecorded(machine: Machine, revision: number): void {
     if (machine.fence !== 'requested') return;
     machine.fence = 'recorded';
     machine.fencingToken = revision;
--- a/packages/core/heartbeats/task-reconciler.test.ts
+++ b/packages/core/heartbeats/task-reconciler.test.ts
@@ -43,7 +43,7 @@
   assert.deepEqual(heartbeat(3, STOPPED), []);
   assign(2);
   assert.deepEqual(heartbeat(4, STOPPED), ['start']);
-  fleet.directOrders.finish(machine, orders, { kind: 'refused' }, 1.1);
+  fleet.directOrders.applyOutcome(machine, orders, { kind: 'refused' }, 1.1);
   assert.deepEqual(heartbeat(5, STOPPED), ['forget', 'start']);
 });
 
--- a/packages/core/heartbeats/task-reconciler.ts
+++ b/packages/core/heartbeats/task-reconciler.ts
@@ -1,7 +1,7 @@
 /** Compares the task list of a heartbeat with the state (docs/safety.md, point 5). */
 import { type Heartbeat, type Order, taskName, type TaskRef, type TaskStatus } from '#wire';
 import type { Assignments } from '../assignments/assignments.js';
-import type { FleetTables } from '../fleet-tables.js';
+import type { FleetData } from '../fleet-tables.js';
 import type { Assignment, JobState, Machine } from '../model/model.js';
 import { forgetOrder, killOrder, taskRef } from './answer-orders.js';
 import type { StartFencing } from './start-fencing.js';
@@ -12,7 +12,7 @@
 /** Applies what heartbeats tell of single tasks, listed or missing. Times are seconds of the steady clock. */
 export class TaskReconciler {
   constructor(
-    private readonly fleet: FleetTables,
+    private readonly fleet: FleetData,
     private readonly assignments: Assignments,
     private readonly fencing: StartFencing,
   ) {}
@@ -86,7 +86,7 @@
       this.fleet.listener.taskRunning(assignment, now);
       assignment.job.replicas?.memberRunning(assignment, now);
     }
-    this.fleet.failures.taskRuns(assignment, now);
+    this.fleet.failures.taskRunning(assignment, now);
   }
 
   private exited(
--- a/packages/core/model/job-registry.ts
+++ b/packages/core/model/job-registry.ts
@@ -68,7 +68,7 @@
   }
 
   /** All jobs that the job depends on are done: its turn and its waiting time begin. */
-  startable(job: JobState, now: number): void {
+  dependenciesDone(job: JobState, now: number): void {
     if (!job.hasOpenDependencies) return;
     job.hasOpenDependencies = false;
     job.startableAt = now;
@@ -107,7 +107,7 @@
   }
 
   /** The open jobs whose counts may have changed since the last call. */
-  takeCountsChanged(): JobState[] {
+  drainChangedCounts(): JobState[] {
     const jobs = [...this.jobsWithNewCounts].filter(({ phase }) => phase === 'accepted');
     this.jobsWithNewCounts.clear();
     return jobs;
--- a/packages/core/model/machine-groups.test.ts
+++ b/packages/core/model/machine-groups.test.ts
@@ -16,10 +16,10 @@
 
 const RULES: GroupRule[] = [
   {
-    group: (groups) => groups.unsettled,
+    group: (groups) => groups.notInService,
     belongs: (machine) => machine.state !== 'up' || machine.draining || machine.failedInList,
   },
-  { group: (groups) => groups.noticed, belongs: (machine) => machine.reclaimAt !== null },
+  { group: (groups) => groups.withReclaimNotice, belongs: (machine) => machine.reclaimAt !== null },
   { group: (groups) => groups.reserved, belongs: (machine) => machine.reservedForGang !== null },
   {
     group: (groups) => groups.stopping,
--- a/packages/core/model/machine-groups.ts
+++ b/packages/core/model/machine-groups.ts
@@ -7,19 +7,19 @@
  * second need not walk all machines. A machine that is removed leaves all groups.
  */
 export class MachineGroups {
-  private readonly unsettledMachines = new Set<Machine>();
+  private readonly machinesNotInService = new Set<Machine>();
   private readonly machinesWithNotice = new Set<Machine>();
   private readonly reservedMachines = new Set<Machine>();
   private readonly stoppingMachines = new Set<Machine>();
   private readonly emptyingMachines = new OrderedMachines();
 
   /** Machines that boot, whose lease has expired, that drain, or that the cloud lists as failed. */
-  get unsettled(): ReadonlySet<Machine> {
-    return this.unsettledMachines;
+  get notInService(): ReadonlySet<Machine> {
+    return this.machinesNotInService;
   }
 
   /** Machines that the cloud has given a reclaim notice of. */
-  get noticed(): ReadonlySet<Machine> {
+  get withReclaimNotice(): ReadonlySet<Machine> {
     return this.machinesWithNotice;
   }
 
@@ -46,7 +46,7 @@
 
   /** A machine is gone. */
   remove(machine: Machine): void {
-    for (const group of [this.unsettledMachines, this.machinesWithNotice]) group.delete(machine);
+    for (const group of [this.machinesNotInService, this.machinesWithNotice]) group.delete(machine);
     for (const group of [this.reservedMachines, this.stoppingMachines]) group.delete(machine);
     this.emptyingMachines.setMember(machine, false);
   }
@@ -54,7 +54,7 @@
   /** The machine is up or expired, drains, or is listed as failed. */
   stateChanged(machine: Machine): void {
     const { state, draining, failedInList } = machine;
-    setMember(this.unsettledMachines, machine, state !== 'up' || draining || failedInList);
+    setMember(this.machinesNotInService, machine, state !== 'up' || draining || failedInList);
     this.replicasChanged(machine);
   }
 
--- a/packages/core/model/released-machines.test.ts
+++ b/packages/core/model/released-machines.test.ts
@@ -9,7 +9,7 @@
   const fleet = aFleet();
   const machine = aMachine(fleet, 'n-1');
   machine.fence = 'requested';
-  fleet.fencing.recorded(machine, 150);
+  fleet.fencing.fenceRecorded(machine, 150);
   const heartbeat = aReport({ sequence: 3, fencingToken: 150 });
   assert.equal(fleet.heartbeats.handle(heartbeat, 1).kind, 'answer');
   fleet.removeMachine('n-1', 2);
--- a/packages/core/placement/availability.ts
+++ b/packages/core/placement/availability.ts
@@ -19,7 +19,7 @@
 
 /** Whether the machine is cordoned: it is given no new tasks for a while, though it is up. */
 export function isCordoned({ cordonedUntil, failures }: Machine, now: number): boolean {
-  return cordonedUntil > now || failures.cordonedUntil > now;
+  return cordonedUntil > now || failures.quarantinedUntil > now;
 }
 
 /** Whether new tasks may be placed on the machine now. */
--- a/packages/core/placement/bin-packing.ts
+++ b/packages/core/placement/bin-packing.ts
@@ -58,7 +58,7 @@
 }
 
 /** Most tasks of the job that one zone may hold. */
-export function zoneCap(job: Job): number {
+export function zoneCapacity(job: Job): number {
   return job.spread ? Math.ceil(job.tasks / 2) : job.tasks;
 }
 
@@ -87,7 +87,7 @@
   if (job.oneZone) {
     for (const [other, count] of counts) if (count > 0 && other !== zone) return false;
   }
-  return (counts.get(zone) ?? 0) < zoneCap(job);
+  return (counts.get(zone) ?? 0) < zoneCapacity(job);
 }
 
 /** Equal for jobs with the same constraints on the type, zone and kind of machine. */
--- a/packages/core/placement/choose-machines-together.ts
+++ b/packages/core/placement/choose-machines-together.ts
@@ -3,7 +3,7 @@
 import { mostEntryBytes } from '../model/machine-record-size.js';
 import type { JobState, Machine } from '../model/model.js';
 import { isReservedForOther } from './availability.js';
-import { bindingZones, taskCapacity, zoneAllowed, zoneCap } from './bin-packing.js';
+import { bindingZones, taskCapacity, zoneAllowed, zoneCapacity } from './bin-packing.js';
 import type { PlacementCandidates } from './placement-candidates.js';
 
 /** Tasks that are placed together or not at all: those of a gang, or the members of one replica. */
@@ -94,7 +94,7 @@
     if (zone !== null && machine.zone !== zone) continue;
     if (!zoneAllowed(spec, machine.zone, counts)) continue;
     const inZone = counts.get(machine.zone) ?? 0;
-    const count = Math.min(capacity, tasks - machines.length, zoneCap(spec) - inZone);
+    const count = Math.min(capacity, tasks - machines.length, zoneCapacity(spec) - inZone);
     for (let i = 0; i < count; i++) machines.push(machine);
     if (count > 0) {
       cost = Math.max(cost, optionCost);
--- a/packages/core/placement/placement-round.ts
+++ b/packages/core/placement/placement-round.ts
@@ -37,7 +37,7 @@
   isSkipped(job: JobState): boolean {
     return (
       job.backoffUntil > this.now ||
-      this.fleet.failures.startableTasks(job) === 0 ||
+      this.fleet.failures.maxStartableTasks(job) === 0 ||
       this.isBlocked(job)
     );
   }
@@ -61,7 +61,7 @@
   private placeTasks(job: JobState): number {
     const { assignments, failures, jobs } = this.fleet;
     if (this.isBlocked(job)) return 0;
-    const startable = Math.min(TASKS_PER_TURN, failures.startableTasks(job));
+    const startable = Math.min(TASKS_PER_TURN, failures.maxStartableTasks(job));
     const limit = Math.min(startable, this.decisionsPerRound);
     const zones = bindingZones(job);
     let placed = 0;
@@ -82,7 +82,7 @@
   /** A replica gets machines for all of its members or for none. */
   private placeReplicas(job: JobState, replicas: JobReplicas): number {
     const { members } = replicas;
-    if (this.isBlocked(job) || this.fleet.failures.startableTasks(job) === 0) return 0;
+    if (this.isBlocked(job) || this.fleet.failures.maxStartableTasks(job) === 0) return 0;
     const request = { tasks: members, oneZone: needsOneZone(job) };
     let placed = 0;
     for (const replica of replicas.waiting(Math.ceil(TASKS_PER_TURN / members), this.now)) {
--- a/packages/core/safety.test.ts
+++ b/packages/core/safety.test.ts
@@ -1,13 +1,13 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { type OwnerMistake, type OwnerViolation, playOwners } from '#testing';
+import { type LeaderMistake, type LeaderViolation, playLeaders } from '#testing';
 
 const SEEDS = 60;
 
-function brokenBy(mistake: OwnerMistake, seeds: number): Set<OwnerViolation> {
-  const all = new Set<OwnerViolation>();
+function brokenBy(mistake: LeaderMistake, seeds: number): Set<LeaderViolation> {
+  const all = new Set<LeaderViolation>();
   for (let seed = 1; seed <= seeds; seed++) {
-    for (const rule of playOwners(seed, mistake)) all.add(rule);
+    for (const rule of playLeaders(seed, mistake)) all.add(rule);
   }
   return all;
 }
@@ -17,7 +17,7 @@
 });
 
 // Each check is shown to be able to fail by one deliberate mistake.
-const trips: [OwnerMistake, OwnerViolation][] = [
+const trips: [LeaderMistake, LeaderViolation][] = [
   ['short-lease', 'ran_twice'],
   ['trusts-former-owner', 'ran_twice'],
   ['believes-old-copies', 'ran_twice'],
--- a/packages/dependencies/dependency-graph.test.ts
+++ b/packages/dependencies/dependency-graph.test.ts
@@ -27,13 +27,13 @@
     if (this.outcomes.has(job.id)) return;
     this.jobs.set(job.id, job);
     this.urgencies.set(job.id, this.graph.urgencyOf(job.id));
-    this.apply(this.graph.accepted(job.id, job.dependencies));
+    this.apply(this.graph.recordAccepted(job.id, job.dependencies));
     this.urgencies.set(job.id, this.graph.urgencyOf(job.id));
   }
 
   end(id: string, outcome: Outcome): void {
     this.outcomes.set(id, outcome);
-    this.apply(this.graph.ended(id, outcome));
+    this.apply(this.graph.recordEnded(id, outcome));
   }
 
   private apply(changes: DependencyChange[]): void {
@@ -125,7 +125,7 @@
         }
         const isWaiting = dependencies.some((dependency) => own.get(dependency) !== 'done');
         if (isWaiting) waiting++;
-        assert.equal(records.graph.isWaiting(id), isWaiting, id);
+        assert.equal(records.graph.hasOpenDependencies(id), isWaiting, id);
         assert.deepEqual(records.graph.urgencyOf(id), urgencyOf(jobs, isOver, id), id);
         assert.deepEqual(records.urgencies.get(id), records.graph.urgencyOf(id), `${id} was told`);
       }
@@ -138,12 +138,12 @@
 test('a job is startable once, when the last of its dependencies is done', () => {
   const records = new Records();
   for (const job of [aJob('a'), aJob('b'), aJob('c', ['a', 'b'])]) records.accept(job);
-  assert.deepEqual(records.graph.awaitedBy('c'), ['a', 'b']);
+  assert.deepEqual(records.graph.openDependencies('c'), ['a', 'b']);
   records.end('b', 'done');
-  assert.ok(records.graph.isWaiting('c'));
+  assert.ok(records.graph.hasOpenDependencies('c'));
   assert.deepEqual(records.startable, []);
   records.end('a', 'done');
-  assert.ok(!records.graph.isWaiting('c'));
+  assert.ok(!records.graph.hasOpenDependencies('c'));
   assert.deepEqual(records.startable, ['c']);
 });
 
@@ -174,7 +174,7 @@
   assert.equal(records.urgencies.get('a')?.rank, 1);
   records.end('a', 'done');
   records.end('b', 'done');
-  assert.ok(records.graph.isWaiting('d'));
+  assert.ok(records.graph.hasOpenDependencies('d'));
   records.end('c', 'cancelled');
   assert.equal(records.outcomes.get('d'), 'cancelled');
   assert.deepEqual(records.startable, ['b', 'c']);
@@ -184,7 +184,7 @@
   const records = new Records();
   const job = aJob('a');
   records.accept(job);
-  assert.deepEqual(records.graph.ended('a', 'done'), []);
+  assert.deepEqual(records.graph.recordEnded('a', 'done'), []);
   for (const each of [aJob('b'), aJob('c', ['b'])]) records.accept(each);
   records.end('b', 'done');
   records.end('c', 'done');
--- a/packages/dependencies/dependency-graph.ts
+++ b/packages/dependencies/dependency-graph.ts
@@ -43,12 +43,12 @@
   constructor(private readonly jobs: KnownJobs) {}
 
   /** Whether the job has dependencies that are not done. */
-  isWaiting(id: string): boolean {
+  hasOpenDependencies(id: string): boolean {
     return (this.nodes.get(id)?.openDependencies.size ?? 0) > 0;
   }
 
   /** Ids of the job's dependencies that are not done. */
-  awaitedBy(id: string): string[] {
+  openDependencies(id: string): string[] {
     return [...(this.nodes.get(id)?.openDependencies ?? [])].map((dependency) => dependency.id);
   }
 
@@ -61,9 +61,9 @@
    * Records an open job, which `KnownJobs` knows already. If one of its dependencies is cancelled, the first change
    * says that it is, too.
    */
-  accepted(id: string, dependencies: readonly string[]): DependencyChange[] {
+  recordAccepted(id: string, dependencies: readonly string[]): DependencyChange[] {
     if (dependencies.some((dependency) => this.jobs.outcomeOf(dependency) === 'cancelled')) {
-      return [{ kind: 'cancelled', job: id }, ...this.ended(id, 'cancelled')];
+      return [{ kind: 'cancelled', job: id }, ...this.recordEnded(id, 'cancelled')];
     }
     const open = dependencies.filter((dependency) => this.jobs.outcomeOf(dependency) === null);
     const known = this.nodes.get(id);
@@ -76,7 +76,7 @@
   }
 
   /** Records that a job is over; `KnownJobs` knows how it ended already. */
-  ended(id: string, outcome: Outcome): DependencyChange[] {
+  recordEnded(id: string, outcome: Outcome): DependencyChange[] {
     const node = this.nodes.get(id);
     if (node === undefined) return [];
     return outcome === 'done' ? this.recordDone(node) : this.recordCancelled(node);
--- a/packages/peer/frames.ts
+++ b/packages/peer/frames.ts
@@ -1,7 +1,7 @@
 /** What controllers tell each other; frame-codec.ts maps it to bytes. */
 
 /** One message from a controller to a peer. */
-export type Frame = HelloFrame | StatusFrame | AbortFrame | CountsFrame;
+export type Frame = HelloFrame | StatusFrame | CancellationFrame | CountsFrame;
 
 /** Who sends on this connection; always the first frame. */
 export interface HelloFrame {
@@ -60,7 +60,7 @@
 }
 
 /** A user has asked for this cancellation; sent before the record is made. */
-export interface AbortFrame extends CancellationNotice {
+export interface CancellationFrame extends CancellationNotice {
   kind: 'abort';
 }
 
--- a/packages/peer/peer-link.ts
+++ b/packages/peer/peer-link.ts
@@ -1,7 +1,7 @@
 /** Connections with all other controllers. */
 import net from 'node:net';
 import { Subject } from 'rxjs';
-import { aborted, type HostPort, Listener } from '#wire';
+import { signalAborted, type HostPort, Listener } from '#wire';
 import { AcceptedConnections } from './accepted-connections.js';
 import { DialledConnections, type DialOptions, type PeerAddress } from './dialled-connections.js';
 import type { Frame } from './frames.js';
@@ -56,7 +56,7 @@
     const { listen, peers } = this.options;
     await this.listener.open(listen);
     await Promise.all(peers.map((peer) => this.dialled.keepDialling(peer, signal)));
-    await aborted(signal);
+    await signalAborted(signal);
     await this.listener.close();
   }
 
--- a/packages/replicas/job-replica-groups.ts
+++ b/packages/replicas/job-replica-groups.ts
@@ -1,6 +1,6 @@
 /** The replica groups of one job. */
 import type { Assignment, JobReplicas, JobState, PlaceOrigin, ReplicaShape, TaskEnd } from '#core';
-import { Group } from './replica-group.js';
+import { ReplicaGroup } from './replica-group.js';
 import {
   type EndReason,
   type GroupEvent,
@@ -12,15 +12,15 @@
 /** What the groups of one job ask of the groups of all jobs. */
 export interface GroupRegistry {
   /** A group gets its first place. */
-  groupAdded(group: Group): void;
+  groupAdded(group: ReplicaGroup): void;
   /** Applies an event to a group, and does what follows from it. */
-  apply(group: Group, event: GroupEvent, now: number): void;
+  apply(group: ReplicaGroup, event: GroupEvent, now: number): void;
   /** Ends the whole generation of a group. */
-  end(group: Group, reason: EndReason, now: number): void;
+  end(group: ReplicaGroup, reason: EndReason, now: number): void;
   /** The cloud takes the machine of a member back. */
-  moveOff(group: Group, now: number): void;
+  moveOff(group: ReplicaGroup, now: number): void;
   /** Whether one more replica that is being repaired may start now. */
-  mayStartRepair(group: Group): boolean;
+  mayStartRepair(group: ReplicaGroup): boolean;
   /** The job is over for its user. */
   jobClosed(job: JobState, groups: JobReplicaGroups): void;
 }
@@ -29,9 +29,9 @@
 export class JobReplicaGroups implements JobReplicas {
   readonly members: number;
   readonly sameZone: boolean;
-  private readonly groups = new Map<number, Group>();
+  private readonly groups = new Map<number, ReplicaGroup>();
   /** Groups that had places once and have none now. */
-  private readonly withoutPlaces = new Set<Group>();
+  private readonly withoutPlaces = new Set<ReplicaGroup>();
   /** Index from which on no group ever had a place. */
   private firstNeverPlaced = 0;
   private closed = false;
@@ -55,7 +55,7 @@
   }
 
   /** Groups that have or had places. */
-  known(): IterableIterator<Group> {
+  known(): IterableIterator<ReplicaGroup> {
     return this.groups.values();
   }
 
@@ -136,11 +136,11 @@
     this.registry.apply(group, { kind, ...this.refOf(assignment) }, now);
   }
 
-  private groupOf(taskIndex: number, now: number): Group {
+  private groupOf(taskIndex: number, now: number): ReplicaGroup {
     const index = this.replicaOf(taskIndex);
     let group = this.groups.get(index);
     if (!group) {
-      group = new Group(this.job, index, this.members, now);
+      group = new ReplicaGroup(this.job, index, this.members, now);
       this.groups.set(index, group);
       this.registry.groupAdded(group);
     }
--- a/packages/replicas/replica-capacity.ts
+++ b/packages/replicas/replica-capacity.ts
@@ -9,7 +9,7 @@
   needsOneZone,
   PlacementCandidates,
 } from '#core';
-import type { Group } from './replica-group.js';
+import type { ReplicaGroup } from './replica-group.js';
 
 /** Holds capacity in a leader's fleet for replicas that start again. Times are steady seconds. */
 export class ReplicaCapacity {
@@ -22,7 +22,7 @@
    * Holds the machines of the survivors, which have the image, until the replica starts again, and capacity for its
    * other members if there is any.
    */
-  holdForRestart(group: Group, survivors: Assignment[], now: number): void {
+  holdForRestart(group: ReplicaGroup, survivors: Assignment[], now: number): void {
     for (const { machine } of survivors) {
       if (machine.reclaimAt === null) this.hold(machine, group.job, now);
     }
@@ -31,7 +31,7 @@
   }
 
   /** Finds and holds capacity for so many members; false if there is none. */
-  holdForMembers(group: Group, members: number, now: number): boolean {
+  holdForMembers(group: ReplicaGroup, members: number, now: number): boolean {
     const { fleet } = this;
     const candidates = new PlacementCandidates(fleet, now);
     const request = { tasks: members, oneZone: needsOneZone(group.job) };
@@ -47,7 +47,7 @@
   }
 
   /** Nominal seconds of the slowest fetch of the replica's image on the machines of its members. */
-  slowestFetchS(group: Group): number {
+  slowestFetchS(group: ReplicaGroup): number {
     const { machines } = this.fleet;
     let slowestS = 0;
     for (const { machine } of group.assignments()) {
--- a/packages/replicas/replica-exploration.test.ts
+++ b/packages/replicas/replica-exploration.test.ts
@@ -2,18 +2,18 @@
 import { test } from 'node:test';
 import { exploreReplicas, type ReplicaBudget, type ReplicaMistake } from '#testing';
 
-const QUIET = { failures: 0, ownerChanges: 0, lostCommands: 0, requests: 0 };
+const QUIET = { failures: 0, leaderChanges: 0, lostCommands: 0, requests: 0 };
 const FAILURE: ReplicaBudget = { ...QUIET, failures: 1 };
-const LEADER_CHANGES: ReplicaBudget = { ...QUIET, ownerChanges: 1 };
+const LEADER_CHANGES: ReplicaBudget = { ...QUIET, leaderChanges: 1 };
 const FAILURE_AND_REQUEST: ReplicaBudget = { ...QUIET, failures: 1, requests: 1 };
-const FAILURE_AND_LEADER_CHANGE: ReplicaBudget = { ...QUIET, failures: 1, ownerChanges: 1 };
+const FAILURE_AND_LEADER_CHANGE: ReplicaBudget = { ...QUIET, failures: 1, leaderChanges: 1 };
 
 /** `REPLICA_BUDGET=2,1,1,1` in the environment explores that many failures, changes of leader, lost commands and requests. */
 function budgets(): ReplicaBudget[] {
   const given = process.env.REPLICA_BUDGET?.split(',').map(Number);
   if (!given) return [LEADER_CHANGES, FAILURE_AND_REQUEST];
   const [failures, leaderChanges, lostCommands, requests] = given;
-  return [{ failures, ownerChanges: leaderChanges, lostCommands, requests }];
+  return [{ failures, leaderChanges, lostCommands, requests }];
 }
 
 test('no order of events gives a broken answer or two generations, and every order leads to a whole replica', () => {
--- a/packages/replicas/replica-group.ts
+++ b/packages/replicas/replica-group.ts
@@ -13,7 +13,7 @@
 
 /** A change of a group's phase. */
 export interface PhaseChange {
-  group: Group;
+  group: ReplicaGroup;
   from: GroupPhase;
   to: GroupPhase;
   /** Why the previous generation ended; null if the group has been whole since, or no generation was begun. */
@@ -21,7 +21,7 @@
 }
 
 /** One replica group. Times are steady seconds. */
-export class Group {
+export class ReplicaGroup {
   state: GroupState;
   phase: GroupPhase = 'waiting';
   /** Since when it is in this phase. */
--- a/packages/replicas/replica-groups.test.ts
+++ b/packages/replicas/replica-groups.test.ts
@@ -56,7 +56,8 @@
 
   /** All that was placed is recorded, started and in the heartbeats as running. */
   settle(now: number): void {
-    for (const assignment of this.assignments()) this.fleet.assignments.recorded(assignment, now);
+    for (const assignment of this.assignments())
+      this.fleet.assignments.markRecorded(assignment, now);
     for (const { name } of this.fleet.machines.values()) this.heartbeat(name, now);
   }
 
@@ -145,10 +146,10 @@
     );
     return outcome.kind === 'answer' ? outcome.orders.length : -1;
   };
-  world.fleet.assignments.recorded(first, 1);
-  world.fleet.assignments.recorded(second, 1);
+  world.fleet.assignments.markRecorded(first, 1);
+  world.fleet.assignments.markRecorded(second, 1);
   assert.equal(orders(first.machine.name, 1), 0);
-  world.fleet.assignments.recorded(third, 1);
+  world.fleet.assignments.markRecorded(third, 1);
   assert.equal(orders(first.machine.name, 2), 1);
 });
 
--- a/packages/replicas/replica-groups.ts
+++ b/packages/replicas/replica-groups.ts
@@ -3,7 +3,7 @@
 import type { EndReason, GroupEvent, GroupPhase, MemberRef } from './group-state-machine.js';
 import { type GroupRegistry, JobReplicaGroups } from './job-replica-groups.js';
 import { ReplicaCapacity } from './replica-capacity.js';
-import type { Group, PhaseChange } from './replica-group.js';
+import type { ReplicaGroup, PhaseChange } from './replica-group.js';
 import { backoffS, repairsAtOnce, startDeadlineS } from './start-limits.js';
 
 const NO_GROUPS: Record<GroupPhase, number> = {
@@ -18,7 +18,7 @@
 
 /** A replica is whole again after a member of it was lost, or it was moved or stopped. */
 export interface Recovery {
-  group: Group;
+  group: ReplicaGroup;
   reason: EndReason;
   /** Seconds for which it was not whole. */
   tookS: number;
@@ -53,9 +53,9 @@
   private attached: AttachedFleet | null = null;
   private readonly jobs = new Map<JobState, JobReplicaGroups>();
   /** Groups that have places and are neither whole nor ending. */
-  private readonly starting = new Set<Group>();
+  private readonly starting = new Set<ReplicaGroup>();
   /** Those among them that were whole, or starting, before. */
-  private readonly startingRepairs = new Set<Group>();
+  private readonly startingRepairs = new Set<ReplicaGroup>();
   private readonly phases = new Map<GroupPhase, number>();
 
   constructor(private readonly options: ReplicaGroupsOptions) {}
@@ -89,7 +89,7 @@
   }
 
   /** Groups that have or had places. */
-  *groups(): Generator<Group> {
+  *groups(): Generator<ReplicaGroup> {
     for (const job of this.jobs.values()) yield* job.known();
   }
 
@@ -101,24 +101,24 @@
   }
 
   /** Counts a group that gets its first place. */
-  groupAdded(group: Group): void {
+  groupAdded(group: ReplicaGroup): void {
     this.countPhase(group.phase, 1);
   }
 
   /** Applies an event to a group, and does what follows from it. */
-  apply(group: Group, event: GroupEvent, now: number): void {
+  apply(group: ReplicaGroup, event: GroupEvent, now: number): void {
     const { stop, change } = group.apply(event, now);
     if (change !== null) this.observePhase(change, now);
     this.stopMembers(group, stop, now);
   }
 
   /** Ends the whole generation of a group. */
-  end(group: Group, reason: EndReason, now: number): void {
+  end(group: ReplicaGroup, reason: EndReason, now: number): void {
     this.apply(group, { kind: 'end', reason }, now);
   }
 
   /** Moves a replica off a machine that the cloud takes back: once capacity is held elsewhere, or little time is left. */
-  moveOff(group: Group, now: number): void {
+  moveOff(group: ReplicaGroup, now: number): void {
     if (group.state.ending) return;
     const reclaimTimes = [...group.assignments()]
       .map(({ machine }) => machine.reclaimAt)
@@ -130,7 +130,7 @@
   }
 
   /** Whether one more replica that is being repaired may start now; a first start always may. */
-  mayStartRepair(group: Group): boolean {
+  mayStartRepair(group: ReplicaGroup): boolean {
     if (group.incompleteSince === null) return true;
     const { machines } = this.requireAttached().fleet;
     return this.startingRepairs.size < repairsAtOnce(machines.size);
@@ -162,7 +162,7 @@
     this.phases.set(phase, (this.phases.get(phase) ?? 0) + by);
   }
 
-  private recordRecovery(group: Group, reason: EndReason | null, now: number): void {
+  private recordRecovery(group: ReplicaGroup, reason: EndReason | null, now: number): void {
     const { incompleteSince } = group;
     group.failedStarts = 0;
     group.incompleteSince = null;
@@ -170,14 +170,14 @@
     this.options.listener.recovered({ group, reason, tookS: now - incompleteSince });
   }
 
-  private failStart(group: Group, now: number): void {
+  private failStart(group: ReplicaGroup, now: number): void {
     const { leaseS, random } = this.options;
     group.failedStarts++;
     group.backoffUntil = now + backoffS(leaseS, group.failedStarts, random());
     this.end(group, 'start-deadline', now);
   }
 
-  private stopMembers(group: Group, stop: MemberRef[], now: number): void {
+  private stopMembers(group: ReplicaGroup, stop: MemberRef[], now: number): void {
     if (stop.length === 0) return;
     const isStopped = ({ index, attempt }: Assignment) =>
       stop.some(
@@ -197,7 +197,7 @@
   }
 }
 
-function setMembership(groups: Set<Group>, group: Group, isMember: boolean): void {
+function setMembership(groups: Set<ReplicaGroup>, group: ReplicaGroup, isMember: boolean): void {
   if (isMember) groups.add(group);
   else groups.delete(group);
 }
--- a/packages/replicas/replica-rows.test.ts
+++ b/packages/replicas/replica-rows.test.ts
@@ -22,7 +22,7 @@
     const generation = 70 + number;
     machines.forEach((machine, index) => {
       const member = fleet.assignments.assign(job, index, machine, generation, 1);
-      fleet.assignments.recorded(member, 1);
+      fleet.assignments.markRecorded(member, 1);
       member.startSent = true;
       job.replicas!.memberRunning(member, 5);
     });
--- a/packages/replicas/replica-rows.ts
+++ b/packages/replicas/replica-rows.ts
@@ -1,5 +1,5 @@
 /** The rows of the endpoint `/replicas`, which operators' programs read: the names are part of its JSON. */
-import type { Group } from './replica-group.js';
+import type { ReplicaGroup } from './replica-group.js';
 import type { EndReason, GroupPhase } from './group-state-machine.js';
 import type { ReplicaGroups } from './replica-groups.js';
 
@@ -28,7 +28,7 @@
   return rows.sort((a, b) => isWhole(a) - isWhole(b) || b.forS - a.forS);
 }
 
-function rowOf(group: Group, now: number): ReplicaRow {
+function rowOf(group: ReplicaGroup, now: number): ReplicaRow {
   const { job, index, state, phase, since } = group;
   return {
     job: job.spec.id,
--- a/packages/replicas/replica-shapes.test.ts
+++ b/packages/replicas/replica-shapes.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { aJob, STD } from '#testing';
-import { shapeOf, whyNeverWhole } from './replica-shapes.js';
+import { replicaShapeOf, unplaceableReason } from './replica-shapes.js';
 
 const CLASSES = {
   fixed: { members: 3, sameZone: true },
@@ -13,24 +13,27 @@
 }
 
 test('only services of the classes have replicas of several members', () => {
-  assert.deepEqual(shapeOf(aService({ class: 'fixed', tasks: 6 }), CLASSES), {
+  assert.deepEqual(replicaShapeOf(aService({ class: 'fixed', tasks: 6 }), CLASSES), {
     members: 3,
     sameZone: true,
   });
-  assert.deepEqual(shapeOf(aService({ class: 'whole', tasks: 4 }), CLASSES)?.members, 4);
-  assert.equal(shapeOf(aService({ class: 'whole', tasks: 1 }), CLASSES), null);
-  assert.equal(shapeOf(aService({ class: 'other', tasks: 6 }), CLASSES), null);
-  assert.equal(shapeOf(aService({ class: 'toString', tasks: 6 }), CLASSES), null);
-  assert.equal(shapeOf(aJob({ kind: 'gang', class: 'fixed', tasks: 6 }), CLASSES), null);
+  assert.deepEqual(replicaShapeOf(aService({ class: 'whole', tasks: 4 }), CLASSES)?.members, 4);
+  assert.equal(replicaShapeOf(aService({ class: 'whole', tasks: 1 }), CLASSES), null);
+  assert.equal(replicaShapeOf(aService({ class: 'other', tasks: 6 }), CLASSES), null);
+  assert.equal(replicaShapeOf(aService({ class: 'toString', tasks: 6 }), CLASSES), null);
+  assert.equal(replicaShapeOf(aJob({ kind: 'gang', class: 'fixed', tasks: 6 }), CLASSES), null);
 });
 
 test('replicas that can never be whole are refused with field and reason', () => {
   const shape = { members: 3, sameZone: false };
-  assert.equal(whyNeverWhole(aService({ tasks: 6 }), shape, [STD]), null);
-  assert.match(whyNeverWhole(aService({ tasks: 5 }), shape, [STD])!, /^pieces: 5 tasks/);
+  assert.equal(unplaceableReason(aService({ tasks: 6 }), shape, [STD]), null);
+  assert.match(unplaceableReason(aService({ tasks: 5 }), shape, [STD])!, /^pieces: 5 tasks/);
   const spread = aService({ tasks: 3, spread: true });
-  assert.equal(whyNeverWhole(spread, shape, [STD]), null, 'two of three in one zone');
-  assert.match(whyNeverWhole(spread, { ...shape, sameZone: true }, [STD])!, /^apart: the one zone/);
+  assert.equal(unplaceableReason(spread, shape, [STD]), null, 'two of three in one zone');
+  assert.match(
+    unplaceableReason(spread, { ...shape, sameZone: true }, [STD])!,
+    /^apart: the one zone/,
+  );
   const bound = aService({ tasks: 3, spread: true, zone: 'a' });
-  assert.match(whyNeverWhole(bound, shape, [STD])!, /^apart: 1 zones/);
+  assert.match(unplaceableReason(bound, shape, [STD])!, /^apart: 1 zones/);
 });
--- a/packages/replicas/replica-shapes.ts
+++ b/packages/replicas/replica-shapes.ts
@@ -1,5 +1,5 @@
 /** Which jobs have replicas of several members, and which of these replicas can never be placed. */
-import { type ReplicaShape, typeFits, zoneCap } from '#core';
+import { type ReplicaShape, typeFits, zoneCapacity } from '#core';
 import { type Job, JOB_FIELDS, type MachineType } from '#wire';
 
 /** What operators configure for the replicas of a class. */
@@ -14,7 +14,7 @@
 export type ReplicaClasses = Readonly<Record<string, ReplicaClass>>;
 
 /** How the job's tasks form replicas; null if each task is a replica. */
-export function shapeOf(job: Job, classes: ReplicaClasses): ReplicaShape | null {
+export function replicaShapeOf(job: Job, classes: ReplicaClasses): ReplicaShape | null {
   if (job.kind !== 'service' || !Object.hasOwn(classes, job.class)) return null;
   const { members, sameZone } = classes[job.class];
   const count = members === 'job' ? job.tasks : members;
@@ -22,7 +22,7 @@
 }
 
 /** Why the job's replicas can never be placed, or null; an empty list of machine types means that none is known yet. */
-export function whyNeverWhole(
+export function unplaceableReason(
   job: Job,
   { members, sameZone }: ReplicaShape,
   types: MachineType[],
@@ -32,7 +32,7 @@
   }
   const oneZone = sameZone || job.oneZone;
   const zones = oneZone ? 1 : usableZones(job, types);
-  if (types.length === 0 || zones * zoneCap(job) >= members) return null;
+  if (types.length === 0 || zones * zoneCapacity(job) >= members) return null;
   const where = oneZone ? 'the one zone of a replica' : `${zones} zones with allowed machine types`;
   return `${JOB_FIELDS.spread}: ${where} may not hold the ${members} members of a replica`;
 }
--- a/packages/shards/migration-exploration.test.ts
+++ b/packages/shards/migration-exploration.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { exploreMoves, type MoveBudget, type MoveMistake } from '#testing';
+import { exploreMigrations, type MoveBudget, type MoveMistake } from '#testing';
 
 const LOST_ANSWER: MoveBudget = { requests: 1, crashes: 0, lapses: 0, lostAnswers: 1 };
 const CRASH: MoveBudget = { requests: 1, crashes: 1, lapses: 0, lostAnswers: 0 };
@@ -17,7 +17,7 @@
 
 test('in no order of events of a migration are there two leaders, and every order leads back to one', () => {
   for (const budget of budgets()) {
-    const { states, moved, twoOwners: twoLeaders, stuck } = exploreMoves(budget, 'none');
+    const { states, moved, twoLeaders: twoLeaders, stuck } = exploreMigrations(budget, 'none');
     console.log(`${JSON.stringify(budget)}: ${states} states, ${moved} after a move`);
     assert.deepEqual({ twoLeaders, stuck }, { twoLeaders: null, stuck: null });
     assert.ok(moved > 100, 'the shard moved');
@@ -35,12 +35,12 @@
 ];
 for (const [mistake, budget] of harmful) {
   test(`the exploration finds two leaders if one ${mistake}`, () => {
-    const { twoOwners: twoLeaders } = exploreMoves(budget, mistake);
+    const { twoLeaders: twoLeaders } = exploreMigrations(budget, mistake);
     assert.ok(twoLeaders !== null);
   });
 }
 
 test('the exploration finds a shard that nobody decides about if a leader waits-for-ever', () => {
-  const { stuck } = exploreMoves(CRASH, 'waits-for-ever');
+  const { stuck } = exploreMigrations(CRASH, 'waits-for-ever');
   assert.ok(stuck !== null);
 });
--- a/packages/shards/migration-record-codec.test.ts
+++ b/packages/shards/migration-record-codec.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { MoveRecord, MoveResult } from './migration-record.js';
+import type { MigrationRecord, MigrationResult } from './migration-record.js';
 import {
-  decodeMove,
-  decodeMoveResult,
-  encodeMove,
-  encodeMoveResult,
+  decodeMigration,
+  decodeMigrationResult,
+  encodeMigration,
+  encodeMigrationResult,
 } from './migration-record-codec.js';
 
 const TERM = 7;
@@ -14,42 +14,42 @@
 const PREPARED = { ...REQUEST, phase: 'prepared', grant: 4 };
 
 test('a stored record is read in the terms of the code and written as it was', () => {
-  const prepared: MoveRecord = {
+  const prepared: MigrationRecord = {
     fromTerm: TERM,
     target: 'c-1',
     reason: '',
     phase: 'prepared',
     leaseId: 4,
   };
-  assert.deepEqual(decodeMove(PREPARED), prepared);
-  assert.deepEqual(encodeMove(prepared), PREPARED);
+  assert.deepEqual(decodeMigration(PREPARED), prepared);
+  assert.deepEqual(encodeMigration(prepared), PREPARED);
   const { leaseId, ...request } = { ...prepared, phase: 'requested' } as const;
   assert.equal(leaseId, 4);
-  assert.deepEqual(decodeMove(REQUEST), request);
-  assert.deepEqual(encodeMove(request), REQUEST);
+  assert.deepEqual(decodeMigration(REQUEST), request);
+  assert.deepEqual(encodeMigration(request), REQUEST);
 });
 
 test('fields that a later version adds are kept, in their order', () => {
   const later = { phase: 'prepared', grant: 4, added: true, ...REQUEST_FIELDS };
-  const record = decodeMove(later);
+  const record = decodeMigration(later);
   assert.ok(record);
-  assert.equal(JSON.stringify(encodeMove(record)), JSON.stringify(later));
+  assert.equal(JSON.stringify(encodeMigration(record)), JSON.stringify(later));
 });
 
 test('the result of a migration is read in the terms of the code and written as it was', () => {
   const stored = { outcome: 'refused', to: 'c-1', reason: 'a restart', why: 'c-1 is asleep' };
-  const result: MoveResult = {
+  const result: MigrationResult = {
     outcome: 'refused',
     target: 'c-1',
     reason: 'a restart',
     failureReason: 'c-1 is asleep',
   };
-  assert.deepEqual(decodeMoveResult(stored), result);
-  assert.equal(JSON.stringify(encodeMoveResult(result)), JSON.stringify(stored));
+  assert.deepEqual(decodeMigrationResult(stored), result);
+  assert.equal(JSON.stringify(encodeMigrationResult(result)), JSON.stringify(stored));
 });
 
 test('records that are damaged or of an unknown form are not read', () => {
-  assert.notEqual(decodeMove(PREPARED), null);
+  assert.notEqual(decodeMigration(PREPARED), null);
   const damaged = [
     null,
     'moved',
@@ -61,5 +61,5 @@
     { ...PREPARED, grant: 'four' },
     { ...REQUEST, reason: 'x'.repeat(201) },
   ];
-  for (const value of damaged) assert.equal(decodeMove(value), null, JSON.stringify(value));
+  for (const value of damaged) assert.equal(decodeMigration(value), null, JSON.stringify(value));
 });
--- a/packages/shards/migration-record-codec.ts
+++ b/packages/shards/migration-record-codec.ts
@@ -3,7 +3,7 @@
  * operators' programs, read the stored form: its fields keep their names and their order.
  */
 import { compileSchema } from '#wire';
-import type { MoveRecord, MoveResult } from './migration-record.js';
+import type { MigrationRecord, MigrationResult } from './migration-record.js';
 
 /** A migration under way, as it is stored. */
 export interface StoredMigration {
@@ -47,22 +47,22 @@
 const isStoredMigration = compileSchema<StoredMigration>('moveRecord', storedSchema);
 
 /** Reads a record of any origin; null if it is damaged or of a form that this version does not know. */
-export function decodeMove(value: unknown): MoveRecord | null {
-  return isStoredMigration(value) ? (renameFields(value, RECORD_FIELDS) as MoveRecord) : null;
+export function decodeMigration(value: unknown): MigrationRecord | null {
+  return isStoredMigration(value) ? (renameFields(value, RECORD_FIELDS) as MigrationRecord) : null;
 }
 
 /** The stored form of a migration's record. */
-export function encodeMove(record: MoveRecord): StoredMigration {
+export function encodeMigration(record: MigrationRecord): StoredMigration {
   return renameFields(record, inverse(RECORD_FIELDS)) as StoredMigration;
 }
 
 /** Reads the result of a migration, which only this service writes. */
-export function decodeMoveResult(value: unknown): MoveResult {
-  return renameFields(value as StoredMigrationResult, RESULT_FIELDS) as MoveResult;
+export function decodeMigrationResult(value: unknown): MigrationResult {
+  return renameFields(value as StoredMigrationResult, RESULT_FIELDS) as MigrationResult;
 }
 
 /** The stored form of a migration's result. */
-export function encodeMoveResult(result: MoveResult): StoredMigrationResult {
+export function encodeMigrationResult(result: MigrationResult): StoredMigrationResult {
   return renameFields(result, inverse(RESULT_FIELDS)) as StoredMigrationResult;
 }
 
--- a/packages/shards/migration-record.ts
+++ b/packages/shards/migration-record.ts
@@ -17,19 +17,19 @@
  * - `prepared`: the target is ready, and renews the lease that will hold the shard's key;
  * - `quiesced`: the source makes no more decisions, and its election lease proves nothing any more.
  */
-export type MoveRecord =
+export type MigrationRecord =
   | (MigrationBase & { phase: 'requested' })
   | (MigrationBase & { phase: 'prepared' | 'quiesced'; leaseId: number });
 
 /** A migration's record as last observed. */
-export interface SeenMove {
+export interface ObservedMigration {
   /** Null: it cannot be read, and all that can be done about it is to withdraw it. */
-  record: MoveRecord | null;
+  record: MigrationRecord | null;
   version: number;
 }
 
 /** How the last migration of a shard ended. */
-export interface MoveResult {
+export interface MigrationResult {
   /** `taken-back`: the source stayed the leader after it had begun the transfer. */
   outcome: 'moved' | 'refused' | 'taken-back';
   target: string;
@@ -39,11 +39,11 @@
 }
 
 /** Key of the record of the migration under way. */
-export function moveKey(shard: number): string {
+export function migrationKey(shard: number): string {
   return `${WORLD}moves/${shard}`;
 }
 
 /** Key of the record of how the last migration ended. */
-export function moveResultKey(shard: number): string {
+export function migrationResultKey(shard: number): string {
   return `${WORLD}move-results/${shard}`;
 }
--- a/packages/shards/migration-requests.ts
+++ b/packages/shards/migration-requests.ts
@@ -1,8 +1,17 @@
 /** Requests for migrations of a shard, and their state: what the command line and other programs call. */
 import { type Clock, pause, type StateApi } from '#wire';
 import { decodeLeader, shardKey } from '#store';
-import { moveKey, type MoveRecord, type MoveResult, moveResultKey } from './migration-record.js';
-import { decodeMove, decodeMoveResult, encodeMove } from './migration-record-codec.js';
+import {
+  migrationKey,
+  type MigrationRecord,
+  type MigrationResult,
+  migrationResultKey,
+} from './migration-record.js';
+import {
+  decodeMigration,
+  decodeMigrationResult,
+  encodeMigration,
+} from './migration-record-codec.js';
 import { endMigration, migrationConditions } from './migration-transaction.js';
 
 /** Time from one read of a migration's record to the next while its end is waited for. */
@@ -14,21 +23,21 @@
   /** Null while the shard has no leader. */
   leader: { name: string; term: number } | null;
   /** The migration under way; `unreadable` if its record is damaged or of a later version. */
-  migration: MoveRecord | 'unreadable' | null;
+  migration: MigrationRecord | 'unreadable' | null;
   /** How the last migration ended; null if there was none. */
-  lastMigration: MoveResult | null;
+  lastMigration: MigrationResult | null;
 }
 
 /** What became of a request. Texts for people are printed by the command line as they stand. */
 export type RequestOutcome =
   | { kind: 'moved'; term: number }
   /** Nothing was changed, or the leader has kept the shard. */
-  | { kind: 'not-moved'; why: string }
+  | { kind: 'not-moved'; reason: string }
   /** The leader did not start on the request in time, and it was withdrawn. */
   | { kind: 'ignored' };
 
 /** Requests migrations of one shard and shows their state. Calls reject with NoAnswer or StateRefused. */
-export class MoveRequests {
+export class MigrationRequests {
   constructor(
     private readonly api: StateApi,
     private readonly clock: Clock,
@@ -40,26 +49,26 @@
     const { shard, api } = this;
     const [leader, migration, lastMigration] = await Promise.all([
       api.get(shardKey(shard)),
-      api.get(moveKey(shard)),
-      api.get(moveResultKey(shard)),
+      api.get(migrationKey(shard)),
+      api.get(migrationResultKey(shard)),
     ]);
     return {
       shard,
       leader: leader && { name: decodeLeader(leader.value).leader, term: leader.version },
-      migration: migration && (decodeMove(migration.value) ?? 'unreadable'),
-      lastMigration: lastMigration && decodeMoveResult(lastMigration.value),
+      migration: migration && (decodeMigration(migration.value) ?? 'unreadable'),
+      lastMigration: lastMigration && decodeMigrationResult(lastMigration.value),
     };
   }
 
   /** Requests a migration to the controller of that name and waits for its end, at most `withinS` seconds. */
   async move(target: string, reason: string, withinS: number): Promise<RequestOutcome> {
     const { leader } = await this.status();
-    if (leader === null) return { kind: 'not-moved', why: 'nobody owns the part now' };
+    if (leader === null) return { kind: 'not-moved', reason: 'nobody owns the part now' };
     if (leader.name === target) {
-      return { kind: 'not-moved', why: `${target} owns the part already` };
+      return { kind: 'not-moved', reason: `${target} owns the part already` };
     }
     const isRecorded = await this.recordRequest(leader.term, target, reason);
-    if (!isRecorded) return { kind: 'not-moved', why: await this.describeConflict() };
+    if (!isRecorded) return { kind: 'not-moved', reason: await this.describeConflict() };
     const hasEnded = await this.waitForEnd(withinS);
     return hasEnded ? this.readOutcome(target) : this.withdrawLateRequest();
   }
@@ -67,9 +76,9 @@
   /** False if the leader has changed, or another migration is under way. */
   private async recordRequest(fromTerm: number, target: string, reason: string): Promise<boolean> {
     const { shard, api } = this;
-    const value = encodeMove({ fromTerm, target, reason, phase: 'requested' });
+    const value = encodeMigration({ fromTerm, target, reason, phase: 'requested' });
     const conditions = migrationConditions(shard, fromTerm, 0);
-    const outcome = await api.txn(conditions, [{ put: moveKey(shard), value }]);
+    const outcome = await api.txn(conditions, [{ put: migrationKey(shard), value }]);
     return outcome.ok;
   }
 
@@ -77,7 +86,7 @@
   private async waitForEnd(withinS: number): Promise<boolean> {
     const { shard, api, clock } = this;
     const deadline = clock.now() + withinS;
-    while ((await api.get(moveKey(shard))) !== null) {
+    while ((await api.get(migrationKey(shard))) !== null) {
       if (clock.now() > deadline) return false;
       await pause(clock, POLL_INTERVAL_MS);
     }
@@ -95,7 +104,7 @@
   private async withdrawLateRequest(): Promise<RequestOutcome> {
     const isWithdrawn = await this.withdraw('not carried out in time');
     if (isWithdrawn) return { kind: 'ignored' };
-    return { kind: 'not-moved', why: 'not yet: it is being carried out' };
+    return { kind: 'not-moved', reason: 'not yet: it is being carried out' };
   }
 
   private async readOutcome(target: string): Promise<RequestOutcome> {
@@ -103,19 +112,19 @@
     if (leader?.name === target) return { kind: 'moved', term: leader.term };
     const failureReason = lastMigration?.failureReason ?? '';
     const why = failureReason === '' ? 'the part has changed its owner since' : failureReason;
-    return { kind: 'not-moved', why };
+    return { kind: 'not-moved', reason: why };
   }
 
   /** Withdraws a request unless the source has quiesced; false if there is none that can be withdrawn. */
   async withdraw(failureReason: string): Promise<boolean> {
     const { api, shard } = this;
-    const entry = await api.get(moveKey(shard));
+    const entry = await api.get(migrationKey(shard));
     if (entry === null) return false;
-    const record = decodeMove(entry.value);
+    const record = decodeMigration(entry.value);
     if (record?.phase === 'quiesced') return false;
     const { target = '', reason = '' } = record ?? {};
-    const result: MoveResult = { outcome: 'refused', target, reason, failureReason };
-    const conditions = [{ key: moveKey(shard), version: entry.version }];
+    const result: MigrationResult = { outcome: 'refused', target, reason, failureReason };
+    const conditions = [{ key: migrationKey(shard), version: entry.version }];
     const outcome = await api.txn(conditions, endMigration(shard, result));
     return outcome.ok;
   }
--- a/packages/shards/migration-transaction.ts
+++ b/packages/shards/migration-transaction.ts
@@ -1,8 +1,8 @@
 /** The compare-and-swap transactions of a migration, and what becomes of them. */
 import type { Change, Condition } from '#wire';
 import { shardKey } from '#store';
-import { moveKey, type MoveResult, moveResultKey } from './migration-record.js';
-import { encodeMoveResult } from './migration-record-codec.js';
+import { migrationKey, type MigrationResult, migrationResultKey } from './migration-record.js';
+import { encodeMigrationResult } from './migration-record-codec.js';
 
 /** Changes that are made together, or not at all unless every condition holds. */
 export interface Transaction {
@@ -22,14 +22,14 @@
 export function migrationConditions(shard: number, term: number, version: number): Condition[] {
   return [
     { key: shardKey(shard), version: term },
-    { key: moveKey(shard), version },
+    { key: migrationKey(shard), version },
   ];
 }
 
 /** Ends a migration: removes its record and stores the result. */
-export function endMigration(shard: number, result: MoveResult): Change[] {
+export function endMigration(shard: number, result: MigrationResult): Change[] {
   return [
-    { delete: moveKey(shard) },
-    { put: moveResultKey(shard), value: encodeMoveResult(result) },
+    { delete: migrationKey(shard) },
+    { put: migrationResultKey(shard), value: encodeMigrationResult(result) },
   ];
 }
--- a/packages/shards/record-prefetch.test.ts
+++ b/packages/shards/record-prefetch.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { StateWorld } from '#testing';
 import { listAll } from '#store';
-import { RecordsAhead } from './record-prefetch.js';
+import { RecordPrefetch } from './record-prefetch.js';
 
 const LIMITS = { rps: 5000, writeRps: 5000, valueBytes: 8192, txnOps: 24 };
 const PREFIX = 'machines/';
@@ -22,7 +22,7 @@
     assert.ok(await state.runUntil(() => done, 60));
     return promise;
   };
-  return { store, client, signal, settle, ahead: new RecordsAhead(client, [PREFIX]) };
+  return { store, client, signal, settle, ahead: new RecordPrefetch(client, [PREFIX]) };
 }
 
 test('prefetched records are those of the moment of the read, with one request', async () => {
@@ -35,9 +35,9 @@
   ]);
   store.apply([{ delete: `${PREFIX}n-9` }]);
   store.apply([{ put: `${PREFIX}n-9`, value: 'back' }]);
-  const before = client.requests;
+  const before = client.requestsSent;
   const read = await settle(ahead.read(PREFIX, signal));
-  assert.equal(client.requests - before, 1);
+  assert.equal(client.requestsSent - before, 1);
   const truth = await settle(listAll(client, PREFIX, signal));
   const byKey = (one: { key: string }, other: { key: string }) => (one.key < other.key ? -1 : 1);
   assert.deepEqual(read.sort(byKey), truth.sort(byKey));
@@ -53,9 +53,9 @@
   assert.equal(await count(), RECORDS - RECORDS / 5);
   await settle(ahead.prepare(signal));
   for (let i = 0; i < 11_000; i++) store.apply([{ put: `${PREFIX}n-1`, value: i }]);
-  const before = client.requests;
+  const before = client.requestsSent;
   assert.equal(await count(), RECORDS - RECORDS / 5);
-  assert.ok(client.requests - before > 1, 'all was read again');
-  ahead.forget();
+  assert.ok(client.requestsSent - before > 1, 'all was read again');
+  ahead.clear();
   assert.equal(await count(), RECORDS - RECORDS / 5);
 });
--- a/packages/shards/record-prefetch.ts
+++ b/packages/shards/record-prefetch.ts
@@ -4,7 +4,7 @@
 import { RecordCopy } from './record-copy.js';
 
 /** Copies of the records that a new leader loads, made before the shard is transferred to it. */
-export class RecordsAhead {
+export class RecordPrefetch {
   private readonly copies = new Map<string, RecordCopy>();
 
   constructor(
@@ -31,7 +31,7 @@
   }
 
   /** Drops all copies. */
-  forget(): void {
+  clear(): void {
     this.copies.clear();
   }
 }
--- a/packages/shards/shard-migrator.ts
+++ b/packages/shards/shard-migrator.ts
@@ -1,8 +1,8 @@
 /** The loop that carries out planned migrations of one shard in one controller. */
-import { type Runtime, WakeablePause } from '#wire';
+import { type Runtime, WakeableWait } from '#wire';
 import { shardKey } from '#store';
-import { moveKey, type SeenMove } from './migration-record.js';
-import { decodeMove } from './migration-record-codec.js';
+import { migrationKey, type ObservedMigration } from './migration-record.js';
+import { decodeMigration } from './migration-record-codec.js';
 import { TransferSource, type TransferSourceOptions } from './transfer-source.js';
 import { TransferTarget, type TransferTargetOptions } from './transfer-target.js';
 
@@ -16,24 +16,24 @@
 /** Carries out planned migrations of a shard, as the source and as the target of a transfer. */
 export class ShardMigrator {
   /** The migration's record as the watch has shown it last. */
-  private migration: SeenMove | null = null;
+  private migration: ObservedMigration | null = null;
   private readonly source: TransferSource;
   private readonly target: TransferTarget;
-  private readonly idle: WakeablePause;
+  private readonly idle: WakeableWait;
   /** Something has happened since the last step began. */
   private woken = false;
 
   /** Make it before the cache runs: the cache announces each record once. */
   constructor(private readonly options: ShardMigratorOptions) {
     const { runtime, world, shard } = options;
-    this.idle = new WakeablePause(runtime.clock);
+    this.idle = new WakeableWait(runtime.clock);
     this.source = new TransferSource(options, () => {
       this.wake();
     });
     this.target = new TransferTarget(options);
     world.changes.subscribe(({ key, value, version }) => {
-      if (key === moveKey(shard)) this.observeMigration(value, version);
-      if (key === moveKey(shard) || key === shardKey(shard)) this.wake();
+      if (key === migrationKey(shard)) this.observeMigration(value, version);
+      if (key === migrationKey(shard) || key === shardKey(shard)) this.wake();
     });
   }
 
@@ -76,7 +76,7 @@
       this.migration = null;
       return;
     }
-    const record = decodeMove(value);
+    const record = decodeMigration(value);
     this.migration = { record, version };
     if (record === null) {
       log.info({ shard, version }, 'shard migration record unreadable: it can only be withdrawn');
--- a/packages/shards/source-state-machine.ts
+++ b/packages/shards/source-state-machine.ts
@@ -7,8 +7,13 @@
  * Texts of refusals are stored with the result and printed by the command line; they keep their words.
  */
 import { shardKey } from '#store';
-import { moveKey, type MoveRecord, type MoveResult, type SeenMove } from './migration-record.js';
-import { encodeMove } from './migration-record-codec.js';
+import {
+  migrationKey,
+  type MigrationRecord,
+  type MigrationResult,
+  type ObservedMigration,
+} from './migration-record.js';
+import { encodeMigration } from './migration-record-codec.js';
 import {
   endMigration,
   migrationConditions,
@@ -25,7 +30,7 @@
   /** The leader's name. */
   name: string;
   /** The migration's record as the watch has shown it last; null if there is none. */
-  move: SeenMove | null;
+  migration: ObservedMigration | null;
   /** All decisions have stopped, and none is on its way to the state service. */
   paused: boolean;
   /** What keeps the controller of that name from becoming the leader now; null if nothing does. */
@@ -59,7 +64,7 @@
   since: number;
   failureReason: string;
   /** What a read has shown since then; undefined before one has. */
-  seen?: SeenMove | null;
+  seen?: ObservedMigration | null;
 }
 
 /** What the leader is to do. */
@@ -123,7 +128,7 @@
 }
 
 function stepDeciding(state: SourceState & { phase: 'deciding' }, view: SourceView): SourceStep {
-  const migration = view.move;
+  const migration = view.migration;
   const record = migration?.record ?? null;
   if (migration === null || record === null || record.fromTerm > view.term) {
     return { state: DECIDING, action: WAIT };
@@ -144,7 +149,7 @@
 }
 
 /** Why the migration is not to be carried out; null if nothing speaks against it. */
-function reasonToRefuse(record: MoveRecord, waitedS: number, view: SourceView): string | null {
+function reasonToRefuse(record: MigrationRecord, waitedS: number, view: SourceView): string | null {
   if (record.fromTerm < view.term) return 'the part has changed its owner since';
   if (record.phase === 'quiesced') return 'it was undone';
   if (record.target === view.name) return `${record.target} owns the part already`;
@@ -155,12 +160,12 @@
 }
 
 function refuse(
-  { target, reason }: MoveRecord,
+  { target, reason }: MigrationRecord,
   version: number,
   failureReason: string,
   { shard, term }: SourceView,
 ): SourceAction {
-  const result: MoveResult = { outcome: 'refused', target, reason, failureReason };
+  const result: MigrationResult = { outcome: 'refused', target, reason, failureReason };
   const transaction = {
     conditions: migrationConditions(shard, term, version),
     changes: endMigration(shard, result),
@@ -171,7 +176,7 @@
 function stepPausing(state: SourceState & { phase: 'pausing' }, view: SourceView): SourceStep {
   const { preparedVersion, since } = state;
   const { now, shard, term } = view;
-  const migration = view.move;
+  const migration = view.migration;
   if (migration?.version !== preparedVersion || migration.record?.phase !== 'prepared') {
     return { state: DECIDING, action: { kind: 'resume' } };
   }
@@ -179,10 +184,10 @@
     return retracting(state, 'decisions did not stop in time');
   }
   if (!view.paused) return { state, action: WAIT };
-  const value = encodeMove({ ...migration.record, phase: 'quiesced' });
+  const value = encodeMigration({ ...migration.record, phase: 'quiesced' });
   const transaction = {
     conditions: migrationConditions(shard, term, preparedVersion),
-    changes: [{ put: moveKey(shard), value }],
+    changes: [{ put: migrationKey(shard), value }],
   };
   const quiescing = { phase: 'quiescing', preparedVersion, since: now } as const;
   return { state: quiescing, action: { kind: 'quiesce', transaction } };
@@ -208,18 +213,18 @@
   const conditions = migrationConditions(shard, term, seen?.version ?? 0);
   const maySwitch = seen?.record?.phase === 'quiesced' || seen?.version === preparedVersion;
   const { target = '', reason = '' } = seen?.record ?? {};
-  const result: MoveResult = { outcome: 'taken-back', target, reason, failureReason };
+  const result: MigrationResult = { outcome: 'taken-back', target, reason, failureReason };
   const changes = maySwitch ? endMigration(shard, result) : [];
   return { kind: 'retract', transaction: { conditions, changes } };
 }
 
 /** Records what a read of the migration's record has shown; null if there is none. */
-export function sourceRead(state: SourceState, seen: SeenMove | null): SourceState {
+export function recordSourceRead(state: SourceState, seen: ObservedMigration | null): SourceState {
   return state.phase === 'retracting' ? { ...state, seen } : state;
 }
 
 /** Handles the outcome of the transaction that the last step asked for. */
-export function sourceAnswered(
+export function handleSourceOutcome(
   state: SourceState,
   outcome: TransactionOutcome,
   { shard }: Pick<SourceView, 'shard'>,
@@ -236,5 +241,5 @@
 }
 
 function targetOf(view: SourceView): string {
-  return view.move?.record?.target ?? 'the target';
+  return view.migration?.record?.target ?? 'the target';
 }
--- a/packages/shards/target-state-machine.ts
+++ b/packages/shards/target-state-machine.ts
@@ -4,8 +4,13 @@
  * decisions; both on the condition of the source's term and of the migration's record (docs/safety.md, point 11).
  */
 import { encodeLeader, shardKey } from '#store';
-import { moveKey, type MoveRecord, type MoveResult, type SeenMove } from './migration-record.js';
-import { encodeMove } from './migration-record-codec.js';
+import {
+  migrationKey,
+  type MigrationRecord,
+  type MigrationResult,
+  type ObservedMigration,
+} from './migration-record.js';
+import { encodeMigration } from './migration-record-codec.js';
 import {
   endMigration,
   migrationConditions,
@@ -23,7 +28,7 @@
   /** Version of the shard's key as last observed; 0 while the shard has no leader. */
   shardVersion: number;
   /** The migration's record as the watch has shown it last; null if there is none. */
-  move: SeenMove | null;
+  migration: ObservedMigration | null;
   /** The state service serves this controller, and it knows all jobs. */
   ready: boolean;
 }
@@ -62,7 +67,7 @@
 export function stepTarget(state: TargetState, view: TargetView): TargetStep {
   const wait: TargetStep = { state: dropObsoleteSwitch(state, view), action: WAIT };
   const { name, leaseId, shardVersion } = view;
-  const migration = view.move;
+  const migration = view.migration;
   const record = migration?.record ?? null;
   if (migration === null || record === null) return wait;
   const isTarget = record.target === name && record.fromTerm === shardVersion;
@@ -87,31 +92,31 @@
 function dropObsoleteSwitch(state: TargetState, view: TargetView): TargetState {
   if (state.phase !== 'switching') return state;
   const mayBeApplied =
-    view.move?.version === state.moveVersion && view.shardVersion === state.fromTerm;
+    view.migration?.version === state.moveVersion && view.shardVersion === state.fromTerm;
   return mayBeApplied ? state : IDLE;
 }
 
 function prepareTransaction(
-  { fromTerm, target, reason }: MoveRecord,
+  { fromTerm, target, reason }: MigrationRecord,
   version: number,
   leaseId: number,
   { shard }: TargetView,
 ): Transaction {
-  const value = encodeMove({ fromTerm, target, reason, phase: 'prepared', leaseId });
+  const value = encodeMigration({ fromTerm, target, reason, phase: 'prepared', leaseId });
   return {
     conditions: migrationConditions(shard, fromTerm, version),
-    changes: [{ put: moveKey(shard), value }],
+    changes: [{ put: migrationKey(shard), value }],
   };
 }
 
 function switchTransaction(
-  { fromTerm, target, reason }: MoveRecord,
+  { fromTerm, target, reason }: MigrationRecord,
   version: number,
   leaseId: number,
   { shard, name }: TargetView,
 ): Transaction {
   const value = encodeLeader({ leader: name, leaseId });
-  const result: MoveResult = { outcome: 'moved', target, reason, failureReason: '' };
+  const result: MigrationResult = { outcome: 'moved', target, reason, failureReason: '' };
   return {
     conditions: migrationConditions(shard, fromTerm, version),
     changes: [{ put: shardKey(shard), value, lease: leaseId }, ...endMigration(shard, result)],
@@ -119,6 +124,6 @@
 }
 
 /** Handles the outcome of the last transaction: only a failure proves that the switch was not applied. */
-export function targetAnswered(state: TargetState, outcome: TransactionOutcome): TargetState {
+export function handleTargetOutcome(state: TargetState, outcome: TransactionOutcome): TargetState {
   return outcome.kind === 'failed' ? IDLE : state;
 }
--- a/packages/shards/transfer-source.ts
+++ b/packages/shards/transfer-source.ts
@@ -1,15 +1,15 @@
 /** The I/O of the source of a transfer: takes the steps of its state machine and carries them out. */
 import type { Clock, Runtime } from '#wire';
 import type { LeaderElection, PrefixCache, StateClient } from '#store';
-import { moveKey, type SeenMove } from './migration-record.js';
-import { decodeMove } from './migration-record-codec.js';
+import { migrationKey, type ObservedMigration } from './migration-record.js';
+import { decodeMigration } from './migration-record-codec.js';
 import { sendTransaction } from './send-transaction.js';
 import {
   DECIDING,
   type MigrationLimits,
   type SourceAction,
-  sourceAnswered,
-  sourceRead,
+  handleSourceOutcome,
+  recordSourceRead,
   type SourceState,
   type SourceView,
   stepSource,
@@ -57,7 +57,7 @@
   }
 
   /** Does what is due; true if there may be more to do at once. */
-  async step(migration: SeenMove | null, signal: AbortSignal): Promise<boolean> {
+  async step(migration: ObservedMigration | null, signal: AbortSignal): Promise<boolean> {
     const leader = this.options.leader();
     const term = leader?.ready ? leader.term.term : 0;
     if (term !== this.term) this.beginTerm(term);
@@ -70,7 +70,7 @@
       shard,
       term,
       name,
-      move: migration,
+      migration,
       paused,
       obstacle,
       limits,
@@ -147,7 +147,7 @@
     const { client, world } = this.options;
     const outcome = await sendTransaction(client, world, transaction, signal);
     if (!this.isCurrent(leader)) return false;
-    const { state, action } = sourceAnswered(this.state, outcome, this.options);
+    const { state, action } = handleSourceOutcome(this.state, outcome, this.options);
     this.setState(state);
     if (action.kind === 'resume') this.resume(leader);
     return outcome.kind !== 'unknown';
@@ -157,10 +157,10 @@
   private async read(leader: TransferableLeader, signal: AbortSignal): Promise<boolean> {
     const { client, shard } = this.options;
     try {
-      const entry = await client.call(true, signal, (api) => api.get(moveKey(shard), signal));
+      const entry = await client.call(true, signal, (api) => api.get(migrationKey(shard), signal));
       if (!this.isCurrent(leader)) return false;
-      const seen = entry && { record: decodeMove(entry.value), version: entry.version };
-      this.setState(sourceRead(this.state, seen));
+      const seen = entry && { record: decodeMigration(entry.value), version: entry.version };
+      this.setState(recordSourceRead(this.state, seen));
       return true;
     } catch {
       // Whatever failed, the state still asks for the read, and the next step tries again.
--- a/packages/shards/transfer-target.ts
+++ b/packages/shards/transfer-target.ts
@@ -1,14 +1,14 @@
 /** The I/O of the target of a transfer: takes the steps of its state machine and carries them out. */
 import type { LeaderElection, PrefixCache, StateClient } from '#store';
-import type { SeenMove } from './migration-record.js';
-import type { RecordsAhead } from './record-prefetch.js';
+import type { ObservedMigration } from './migration-record.js';
+import type { RecordPrefetch } from './record-prefetch.js';
 import { sendTransaction } from './send-transaction.js';
 import {
   IDLE,
   mayTakeShard,
   stepTarget,
   type TargetAction,
-  targetAnswered,
+  handleTargetOutcome,
   type TargetState,
 } from './target-state-machine.js';
 import type { MigrationLog, TransferableLeader } from './transferable-leader.js';
@@ -27,7 +27,7 @@
   /** The state service serves this controller, and it knows all jobs. */
   canLead: () => boolean;
   /** Prefetches what a new leader loads. */
-  ahead: Pick<RecordsAhead, 'prepare' | 'forget'>;
+  ahead: Pick<RecordPrefetch, 'prepare' | 'clear'>;
   log: MigrationLog;
 }
 
@@ -38,17 +38,17 @@
   constructor(private readonly options: TransferTargetOptions) {}
 
   /** Does what is due; true if there may be more to do at once. */
-  async step(migration: SeenMove | null, signal: AbortSignal): Promise<boolean> {
+  async step(migration: ObservedMigration | null, signal: AbortSignal): Promise<boolean> {
     const { ahead, election, shard, name, canLead, leader } = this.options;
     const { state, action } = stepTarget(this.state, {
       shard,
       name,
       leaseId: election.provenLeaseId,
       shardVersion: election.currentLeader?.version ?? 0,
-      move: migration,
+      migration,
       ready: canLead() && leader() === null,
     });
-    if (migration?.record?.target !== name && leader() === null) ahead.forget();
+    if (migration?.record?.target !== name && leader() === null) ahead.clear();
     // Before anything is sent: from then on this controller may lead without knowing.
     this.setState(state);
     return this.act(action, signal);
@@ -64,7 +64,7 @@
     if (action.kind === 'wait') return false;
     if (action.kind === 'prepare' && !(await this.prefetch(signal))) return false;
     const outcome = await sendTransaction(client, world, action.transaction, signal);
-    this.setState(targetAnswered(this.state, outcome));
+    this.setState(handleTargetOutcome(this.state, outcome));
     if (outcome.kind !== 'applied') return false;
     const message =
       action.kind === 'switch'
--- a/packages/store/election-lease.ts
+++ b/packages/store/election-lease.ts
@@ -1,6 +1,6 @@
 /** The lease in the state service that holds the leader key of a shard. */
 import type { Runtime } from '#wire';
-import { Hedge } from './hedged-request.js';
+import { HedgedRequests } from './hedged-request.js';
 import type { StateClient } from './state-client.js';
 
 /** Renewals that a leader sends within the lease's time to live while no answer comes. */
@@ -35,12 +35,12 @@
   id: number | null = null;
   /** When the last renewal that succeeded was sent; steady seconds. */
   renewedAt = -Infinity;
-  private readonly renewals: Hedge;
+  private readonly renewals: HedgedRequests;
 
   constructor(private readonly options: ElectionLeaseOptions) {
-    this.renewals = new Hedge({
+    this.renewals = new HedgedRequests({
       clock: options.runtime.clock,
-      leastDelayS: options.ttlS / RENEWALS_PER_TTL,
+      minDelayS: options.ttlS / RENEWALS_PER_TTL,
       maxAttempts: RENEWALS_PER_TTL,
     });
   }
--- a/packages/store/group-commit.test.ts
+++ b/packages/store/group-commit.test.ts
@@ -26,7 +26,7 @@
   assert.ok(recorded.length >= 13, `${recorded.length} recorded`);
   await state.run(40 / (SHARE * LIMITS.writeRps) + 1.25 - 0.85);
   assert.equal(recorded.length, 40);
-  assert.equal(client.refused, 0);
+  assert.equal(client.requestsRefused, 0);
 });
 
 test('a change that the state service calls malformed does not fail those that share its transaction', async () => {
--- a/packages/store/group-commit.ts
+++ b/packages/store/group-commit.ts
@@ -55,12 +55,12 @@
   }
 
   /** No change may be added now. */
-  get full(): boolean {
+  get isFull(): boolean {
     return this.queue.length >= this.options.maxQueue;
   }
 
   /** Changes that are sent before one that the team would add now, if no other is added. */
-  ahead(team: string): number {
+  changesAhead(team: string): number {
     const ofTeam = this.queue.lengthOf(team) / this.queue.shareOf(team);
     return Math.min(this.queue.length, ofTeam);
   }
@@ -76,7 +76,7 @@
    */
   commit(team: string, conditions: Condition[], changes: Change[]): Promise<CommitOutcome> {
     return new Promise((resolve, reject) => {
-      if (this.full) {
+      if (this.isFull) {
         reject(rateRefusal());
         return;
       }
--- a/packages/store/hedged-request.test.ts
+++ b/packages/store/hedged-request.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { NoAnswer, sleep, StateRefused } from '#wire';
 import { StateWorld } from '#testing';
-import { Hedge } from './hedged-request.js';
+import { HedgedRequests } from './hedged-request.js';
 
 const LIMITS = { rps: 100, writeRps: 100, valueBytes: 8192, txnOps: 24 };
 
@@ -10,7 +10,7 @@
 async function aHedge(answerTimesS: number[]) {
   const world = await StateWorld.start(LIMITS);
   const { clock } = world.controller();
-  const hedge = new Hedge({ clock, leastDelayS: 0.25, maxAttempts: 4 });
+  const hedge = new HedgedRequests({ clock, minDelayS: 0.25, maxAttempts: 4 });
   const sent: number[] = [];
   const request = async (signal: AbortSignal) => {
     const number = sent.push(world.now);
--- a/packages/store/hedged-request.ts
+++ b/packages/store/hedged-request.ts
@@ -10,10 +10,10 @@
 const ANSWER_TIME_DECAY = 0.9;
 
 /** When, and how often, a request is sent again. */
-export interface HedgeOptions {
+export interface HedgedRequestOptions {
   clock: Clock;
   /** A request is sent again after so many seconds without an answer, or later if answers are slow. */
-  leastDelayS: number;
+  minDelayS: number;
   /** How often one request is sent at the most. */
   maxAttempts: number;
 }
@@ -23,18 +23,18 @@
  * answer is missing: it may be lost, or slow on one connection only. If all answers are slow, more requests
  * would make them slower, so the delay grows with the time that answers take.
  */
-export class Hedge {
+export class HedgedRequests {
   /** The longest time that an answer is expected to take; seconds. */
   private longestAnswerS = 0;
 
-  constructor(private readonly options: HedgeOptions) {}
+  constructor(private readonly options: HedgedRequestOptions) {}
 
   /**
    * Resolves with the first answer, which ends all other attempts. Rejects with the last error once all
    * that were made have failed: a refusal is not repeated.
    */
   async run<T>(request: Request<T>, signal: AbortSignal): Promise<T> {
-    const { clock, leastDelayS, maxAttempts } = this.options;
+    const { clock, minDelayS: leastDelayS, maxAttempts } = this.options;
     const delayMs = Math.max(leastDelayS, DELAY_FACTOR * this.longestAnswerS) * 1000;
     const attempts = new AbortController();
     const cancel = () => {
@@ -87,7 +87,7 @@
         (error: unknown) => {
           if (--pendingAttempts > 0) return;
           timer?.cancel();
-          // eslint-disable-next-line @typescript-eslint/prefer-promise-reject-errors -- as it came
+
           reject(error);
         },
       );
--- a/packages/store/index.ts
+++ b/packages/store/index.ts
@@ -11,7 +11,7 @@
 export * from './group-commit.js';
 export * from './hedged-request.js';
 export * from './leader-election.js';
-export { listAll, pages } from './pages.js';
+export { listAll, listPages as pages } from './pages.js';
 export * from './prefix-cache.js';
 export * from './progress-layout.js';
 export * from './record-keys.js';
--- a/packages/store/leader-election.test.ts
+++ b/packages/store/leader-election.test.ts
@@ -88,9 +88,9 @@
 test('a leader sends hardly more renewals while answers are slow, and few while none come', async () => {
   const { state, client } = await electLeader(1);
   const requestsIn = async (seconds: number) => {
-    const before = client.requests;
+    const before = client.requestsSent;
     await state.run(seconds);
-    return client.requests - before;
+    return client.requestsSent - before;
   };
   const pauseS = TTL_S / 5;
   const watches = 60 / 10 + 1;
--- a/packages/store/leader-election.ts
+++ b/packages/store/leader-election.ts
@@ -1,6 +1,6 @@
 /** Leader election of one shard: campaigns for its leader key, and the terms that come of it. */
 import { BehaviorSubject } from 'rxjs';
-import { NoAnswer, type Runtime, WakeablePause, type WatchEvent } from '#wire';
+import { NoAnswer, type Runtime, WakeableWait, type WatchEvent } from '#wire';
 import { decodeLeader, encodeLeader, type LeaderRecord } from './codecs/leader-codec.js';
 import { ElectionLease } from './election-lease.js';
 import type { PrefixCache } from './prefix-cache.js';
@@ -74,10 +74,10 @@
   private campaignPauseS = 0;
   /** When the shard was last seen to lose its leader; steady seconds. */
   private leaderlessSince = -Infinity;
-  private readonly stepPause: WakeablePause;
+  private readonly stepPause: WakeableWait;
 
   constructor(private readonly options: LeaderElectionOptions) {
-    this.stepPause = new WakeablePause(options.runtime.clock);
+    this.stepPause = new WakeableWait(options.runtime.clock);
     this.lease = new ElectionLease(options);
     const leaderKey = shardKey(options.shard);
     options.cache.changes.subscribe((event) => {
@@ -152,7 +152,7 @@
   private async step(signal: AbortSignal): Promise<void> {
     const { cache, runtime } = this.options;
     if (!(await this.keepLease(signal))) return;
-    const isLeaderless = this.term.value === null && this.currentLeader === null && cache.ready;
+    const isLeaderless = this.term.value === null && this.currentLeader === null && cache.isLoaded;
     if (!isLeaderless || runtime.clock.now() < this.campaignsFrom()) return;
     // Whoever resigned since the answer came has no lease for the key to hang on.
     const leaseId = this.lease.id;
--- a/packages/store/pages.ts
+++ b/packages/store/pages.ts
@@ -13,7 +13,7 @@
  * All entries under a prefix, page by page; there is at least one page. Throws as
  * `StateClient.callUrgent` does.
  */
-export async function* pages(
+export async function* listPages(
   client: StateClient,
   prefix: string,
   signal?: AbortSignal,
@@ -35,6 +35,6 @@
   signal?: AbortSignal,
 ): Promise<Entry[]> {
   const entries: Entry[] = [];
-  for await (const page of pages(client, prefix, signal)) entries.push(...page.entries);
+  for await (const page of listPages(client, prefix, signal)) entries.push(...page.entries);
   return entries;
 }
--- a/packages/store/prefix-cache.ts
+++ b/packages/store/prefix-cache.ts
@@ -1,7 +1,7 @@
 /** A copy of all keys under a prefix that a watch keeps current. */
 import { Subject } from 'rxjs';
 import { pause, type Runtime, sleep, type WatchEvent } from '#wire';
-import { pages } from './pages.js';
+import { listPages } from './pages.js';
 import type { StateClient } from './state-client.js';
 
 /** Before a failed watch is tried again: at least so long, and up to so much longer. */
@@ -9,7 +9,7 @@
 const RETRY_SPREAD_MS = 300;
 
 /** The cache cannot be brought up to date now, since its keys must be read from the start first. */
-export class NotReady extends Error {
+export class CacheNotLoaded extends Error {
   override readonly name = 'NotReady';
 
   constructor(
@@ -59,12 +59,12 @@
   constructor(private readonly options: PrefixCacheOptions) {}
 
   /** The keys are loaded. */
-  get ready(): boolean {
+  get isLoaded(): boolean {
     return this.loadedRevision !== null;
   }
 
   /** All changes up to this revision are in the cache; 0 before it is loaded. */
-  get completeTo(): number {
+  get revision(): number {
     return this.loadedRevision ?? 0;
   }
 
@@ -82,7 +82,8 @@
 
   /** Resolves once the cache holds all that was durable when this was called; rejects with NotReady. */
   sync(): Promise<void> {
-    if (this.loadedRevision === null) return Promise.reject(new NotReady(this.options.prefix));
+    if (this.loadedRevision === null)
+      return Promise.reject(new CacheNotLoaded(this.options.prefix));
     // The request in flight may have been sent too early; all later callers share the next one.
     if (this.currentSync === null) return this.startSync();
     this.nextSync ??= this.currentSync
@@ -146,11 +147,11 @@
     const sentAt = clock.now();
     this.lastSyncAt = sentAt;
     const after = this.loadedRevision;
-    if (after === null) throw new NotReady(prefix);
+    if (after === null) throw new CacheNotLoaded(prefix);
     const outcome = await client.callUrgent(undefined, (api) => api.changes(prefix, after, 0));
     if (outcome === 'too-old') {
       this.loadedRevision = null;
-      throw new NotReady(prefix);
+      throw new CacheNotLoaded(prefix);
     }
     this.applyAll(outcome.events, outcome.revision);
     this.syncedAt = Math.max(this.syncedAt, sentAt);
@@ -162,7 +163,7 @@
     const loadedKeys = new Set<string>();
     let firstRevision: number | null = null;
     // Page by page: all entries at once would be several times what is kept of them.
-    for await (const page of pages(client, prefix, signal)) {
+    for await (const page of listPages(client, prefix, signal)) {
       firstRevision ??= page.revision;
       for (const entry of page.entries) {
         loadedKeys.add(entry.key);
--- a/packages/store/shared-rate.test.ts
+++ b/packages/store/shared-rate.test.ts
@@ -13,7 +13,7 @@
 test('a leader has its least share beside any number of others who all want more than theirs', async () => {
   const state = await StateWorld.start(LIMITS);
   const leader = state.client(state.controller('10.0.0.1'));
-  leader.shareWrites(LEADER);
+  leader.setChangeShares(LEADER);
   let recorded = 0;
   const record = async () => {
     for (let i = 0; ; i++) {
@@ -29,7 +29,7 @@
   for (let n = 0; n < FOLLOWERS; n++) {
     const runtime = state.controller(`10.0.1.${n}`);
     const client = state.client(runtime);
-    client.shareWrites(OTHERS);
+    client.setChangeShares(OTHERS);
     const commits = new GroupCommit({ client, runtime, maxQueue: 50 });
     const submit = async () => {
       for (let i = 0; ; i++) {
@@ -54,9 +54,9 @@
 test('one controller alone uses what the others leave of the rate, and again after a refusal', async () => {
   const state = await StateWorld.start(LIMITS);
   const client = state.client(state.controller());
-  client.shareWrites(OTHERS);
+  client.setChangeShares(OTHERS);
   const most = OTHERS.most * LIMITS.writeRps;
-  assert.equal(client.left().changes, most);
+  assert.equal(client.available().changes, most);
   // Somebody else uses all that there is.
   const other = state.client(state.controller('10.0.0.2'));
   const puts = (prefix: string, count: number) =>
@@ -67,10 +67,10 @@
   client.txnInBackground([], puts('z', 9)).catch(() => refusals++);
   await state.run(5);
   assert.equal(refusals, 1);
-  assert.ok(client.left().changes <= most / 2 + 1e-9);
+  assert.ok(client.available().changes <= most / 2 + 1e-9);
   for (let s = 0; s < 25; s++) {
     void client.txnInBackground([], [{ put: 'z', value: s }]);
     await state.run(1);
   }
-  assert.ok(client.left().changes > most - 2);
+  assert.ok(client.available().changes > most - 2);
 });
--- a/packages/store/state-client.ts
+++ b/packages/store/state-client.ts
@@ -30,11 +30,11 @@
   private readonly health = new ServiceHealth();
   private readonly closing = new AbortController();
   /** Requests sent since the start. */
-  requests = 0;
+  requestsSent = 0;
   /** Requests refused for the rate since the start. */
-  refused = 0;
+  requestsRefused = 0;
   /** Puts and deletes sent since the start. */
-  changes = 0;
+  changesSent = 0;
 
   /** `share` is the share of the rates that this controller may use, above 0 and at most 1. */
   constructor(
@@ -76,12 +76,12 @@
   }
 
   /** The newest request whose outcome is known was not served. */
-  get failing(): boolean {
+  get isFailing(): boolean {
     return this.health.failing;
   }
 
   /** Sets the least and the largest share of all changes that this controller may make. */
-  shareWrites(shares: RateBounds): void {
+  setChangeShares(shares: RateBounds): void {
     this.changeBudget.setShares(shares);
   }
 
@@ -96,7 +96,7 @@
   }
 
   /** What may be used at once of this controller's shares of the rates. */
-  left(): { requests: number; changes: number } {
+  available(): { requests: number; changes: number } {
     return { requests: this.requestBudget.available(), changes: this.changeBudget.available };
   }
 
@@ -202,7 +202,7 @@
     changes: Change[],
     signal?: AbortSignal,
   ): Promise<TxnOutcome> {
-    this.changes += changes.length;
+    this.changesSent += changes.length;
     try {
       const outcome = await this.callFor(consumer, signal, (api) =>
         api.txn(conditions, changes, signal),
@@ -222,14 +222,14 @@
   ): Promise<T> {
     await this.requestBudget.acquireFor(consumer, 1, signal ?? this.closed);
     const sentAt = this.clock.now();
-    this.requests++;
+    this.requestsSent++;
     try {
       const result = await run(this.api);
       this.health.recordSuccess(sentAt);
       return result;
     } catch (error) {
       // A refusal for the rate shows that the service is there, and so does what it finds malformed.
-      if (isRefusedForRate(error)) this.refused++;
+      if (isRefusedForRate(error)) this.requestsRefused++;
       else if (!(error instanceof TxnMalformed) && !signal?.aborted) {
         this.health.recordFailure(sentAt);
       }
--- a/packages/testing/failing-world.ts
+++ b/packages/testing/failing-world.ts
@@ -68,7 +68,7 @@
         this.starts.set(job.spec.id, (this.starts.get(job.spec.id) ?? 0) + 1);
       }
       if (fails(job, machine)) assignments.end(task, 'error', false, this.now);
-      else failures.taskRuns(task, this.now);
+      else failures.taskRunning(task, this.now);
     }
   }
 }
--- a/packages/testing/fault-combinations/cancellations-during-transfer.test.ts
+++ b/packages/testing/fault-combinations/cancellations-during-transfer.test.ts
@@ -39,7 +39,7 @@
   await playMeeting(scenario, [1, 2, 3, 4], (result) => {
     const [crash] = result.faults.of('controller-crash');
     const successor = result.leaders.find(({ term }) => term > crash.leader!.term)!;
-    const readyAt = readyTimes(result, successor.owner).find((atS) => atS > successor.atS)!;
+    const readyAt = readyTimes(result, successor.leader).find((atS) => atS > successor.atS)!;
     const between = confirmations(result, crash.fromS, readyAt);
     assert.ok(between.length >= 4, `${between.length} confirmations while nobody scheduled`);
     assert.ok(between.some(({ atS }) => atS < successor.atS));
@@ -73,9 +73,9 @@
   await playMeeting(scenario, [1, 2, 3, 4], (result) => {
     const [first, second] = result.faults.of('controller-crash');
     const [outage] = result.faults.of('state-outage');
-    assert.notEqual(second.leader!.owner, first.leader!.owner);
-    assert.deepEqual(second.controllers, [second.leader!.owner]);
-    const ready = readyTimes(result, second.leader!.owner);
+    assert.notEqual(second.leader!.leader, first.leader!.leader);
+    assert.deepEqual(second.controllers, [second.leader!.leader]);
+    const ready = readyTimes(result, second.leader!.leader);
     assert.ok(!ready.some((atS) => atS > second.leader!.atS && atS < outage.untilS));
     const confirmed = confirmations(result, first.fromS, second.fromS);
     assert.ok(confirmed.length >= 3, `${confirmed.length} confirmations`);
@@ -97,7 +97,7 @@
     const [outage] = result.faults.of('state-outage');
     const leader = outage.leader!;
     assert.ok(leader.term > crash.leader!.term);
-    const ready = readyTimes(result, leader.owner);
+    const ready = readyTimes(result, leader.leader);
     assert.ok(!ready.some((atS) => atS > leader.atS && atS < outage.untilS));
     const confirmed = confirmations(result, crash.fromS, outage.fromS);
     assert.ok(confirmed.length >= 3, `${confirmed.length} confirmations`);
@@ -105,7 +105,9 @@
       assert.ok(lastTaskLeftAt(result, job) < outage.fromS + LEASE_S, `${job} ran on`);
     }
     // It has read nothing, and keeps all other work by what it and its peers know.
-    assert.ok(heartbeatsAnswered(result, leader.owner, outage.fromS, outage.untilS) > 10 * LEASE_S);
+    assert.ok(
+      heartbeatsAnswered(result, leader.leader, outage.fromS, outage.untilS) > 10 * LEASE_S,
+    );
     assert.deepEqual(killedTasks(result, BEGIN_S, outage.untilS + LEASE_S), []);
     assert.ok(tasksRunningAt(result, outage.untilS) >= 10);
   });
--- a/packages/testing/fault-combinations/cut-or-frozen-leader.test.ts
+++ b/packages/testing/fault-combinations/cut-or-frozen-leader.test.ts
@@ -25,7 +25,7 @@
   const { leader } = faults.records[0];
   const successor = leaders.find(({ term }) => term > leader!.term);
   assert.ok(leader && successor, 'nobody took over');
-  assert.notEqual(successor.owner, leader.owner);
+  assert.notEqual(successor.leader, leader.leader);
   return { leader, successor };
 }
 
@@ -50,9 +50,9 @@
       const { leader, successor } = leaderAndSuccessor(result);
       const confirmed = confirmations(result, successor.atS, cut.untilS);
       assert.ok(confirmed.length >= 4, `${confirmed.length} confirmations`);
-      assert.ok(confirmed.every(({ controller }) => controller !== leader.owner));
+      assert.ok(confirmed.every(({ controller }) => controller !== leader.leader));
       const lastConfirmedS = Math.max(...confirmed.map(({ atS }) => atS));
-      const heartbeats = heartbeatsAnswered(result, leader.owner, lastConfirmedS, cut.untilS);
+      const heartbeats = heartbeatsAnswered(result, leader.leader, lastConfirmedS, cut.untilS);
       assert.ok(heartbeats > LEASE_S, `${heartbeats} reports answered by the old leader`);
       const ranOn = confirmed.filter(
         ({ job, atS }) => lastTaskLeftAt(result, job) > atS + HEARTBEAT_INTERVAL_S,
@@ -77,7 +77,7 @@
     await playMeeting(scenario, [1, 2], (result) => {
       const [freeze] = result.faults.of('controller-freeze');
       const [outage] = result.faults.of('state-outage');
-      const leader = freeze.leader!.owner;
+      const leader = freeze.leader!.leader;
       assert.deepEqual(outage.leader, freeze.leader);
       assert.ok(freeze.untilS > outage.fromS);
       const confirmed = confirmations(result, freeze.fromS, outage.fromS);
@@ -114,16 +114,16 @@
     const [freeze] = result.faults.of('controller-freeze');
     const [cut] = result.faults.of('controller-cut');
     const { leader, successor } = leaderAndSuccessor(result);
-    assert.deepEqual(cut.controllers, [leader.owner]);
+    assert.deepEqual(cut.controllers, [leader.leader]);
     assert.ok(successor.atS < freeze.untilS, `the successor began at ${successor.atS} s`);
     const confirmed = confirmations(result, freeze.fromS, freeze.untilS);
     assert.ok(confirmed.length >= 3, `${confirmed.length} confirmations`);
     // It had workers once it was awake, and let them go.
-    assert.ok(heartbeatsAnswered(result, leader.owner, freeze.untilS + 2, cut.untilS) > LEASE_S);
-    assert.equal(heartbeatsAnswered(result, leader.owner, freeze.fromS + CANCEL_S, cut.untilS), 0);
+    assert.ok(heartbeatsAnswered(result, leader.leader, freeze.untilS + 2, cut.untilS) > LEASE_S);
+    assert.equal(heartbeatsAnswered(result, leader.leader, freeze.fromS + CANCEL_S, cut.untilS), 0);
     const ranOn = confirmed.filter(({ job }) => lastTaskLeftAt(result, job) > freeze.untilS + 2);
     assert.ok(ranOn.length >= 1, 'no cancelled job ran on');
-    const { log } = result.controllers.find(({ name }) => name === leader.owner)!;
+    const { log } = result.controllers.find(({ name }) => name === leader.leader)!;
     const dealings = [
       ...log.entries('scale-out completed'),
       ...log.entries('machines deprovisioned'),
--- a/packages/testing/fault-combinations/dependency-mistakes.test.ts
+++ b/packages/testing/fault-combinations/dependency-mistakes.test.ts
@@ -43,7 +43,7 @@
 }
 
 test('without a mistake nothing is found', async () => {
-  const result = await playWith(DependencyGraph.prototype, 'ended', (original) => original);
+  const result = await playWith(DependencyGraph.prototype, 'recordEnded', (original) => original);
   assert.deepEqual([...rulesOf(result)], []);
   assert.deepEqual(startsBeforeRecords(result), []);
 });
@@ -62,7 +62,7 @@
         };
         for (const other of this.values()) {
           if (other.hasOpenDependencies && other.spec.awaits.every(isDone)) {
-            this.startable(other, other.waitingSince);
+            this.dependenciesDone(other, other.waitingSince);
           }
         }
       },
@@ -71,14 +71,18 @@
 });
 
 test('a start although something is awaited is found', async () => {
-  const result = await playWith(DependencyGraph.prototype, 'isWaiting', () => () => false);
+  const result = await playWith(
+    DependencyGraph.prototype,
+    'hasOpenDependencies',
+    () => () => false,
+  );
   assert.ok(rulesOf(result).has('too_early'));
 });
 
 test('a cancellation that reaches only the next jobs is found', async () => {
   const result = await playWith(
     DependencyGraph.prototype,
-    'ended',
+    'recordEnded',
     (original) =>
       function (this: DependencyGraph, id: string, outcome: 'done' | 'cancelled') {
         const { nodes } = this as unknown as {
--- a/packages/testing/fault-combinations/flood.test.ts
+++ b/packages/testing/fault-combinations/flood.test.ts
@@ -61,7 +61,7 @@
   await cluster.start();
   cluster.users.start([...hosts, ...guests]);
   world.schedule(CRASH_S, () => {
-    const leader = cluster.ownership.current()!.owner;
+    const leader = cluster.leadership.current()!.leader;
     cluster.controllers.find(({ name }) => name === leader)!.process.restart(4);
   });
   const retryAfters: number[] = [];
--- a/packages/testing/fault-combinations/large-array.test.ts
+++ b/packages/testing/fault-combinations/large-array.test.ts
@@ -26,7 +26,7 @@
   let doneAtCrash = 0;
   world.schedule(CRASH_S, () => {
     doneAtCrash = timeline.of('task-completed').length;
-    const leader = cluster.ownership.current()!.owner;
+    const leader = cluster.leadership.current()!.leader;
     cluster.controllers.find(({ name }) => name === leader)!.process.restart(1);
   });
   const isDone = () =>
--- a/packages/testing/fault-combinations/leader-changes.test.ts
+++ b/packages/testing/fault-combinations/leader-changes.test.ts
@@ -42,7 +42,7 @@
     const inOutage = result.faults
       .of('controller-crash')
       .filter(({ fromS }) => fromS === endsInOutageS);
-    const ended = inOutage[0].leader!.owner;
+    const ended = inOutage[0].leader!.leader;
     const renewing = standbyChanges(result).filter(
       ({ atS, renewing }) => renewing && atS > endsInOutageS && atS < record.untilS,
     );
@@ -92,7 +92,7 @@
         .find({
           path: HEARTBEAT_PATH,
           status: 200,
-          controller: successor.owner,
+          controller: successor.leader,
           fromS: successor.atS,
         })
         .filter(({ clientHost, atS }) => deaf.includes(clientHost) && atS < deafMachines.untilS);
@@ -123,13 +123,13 @@
   await playMeeting(steadyScenario('over and back', endS + 40, faults), [1, 2, 3], (result) => {
     const leaders = result.leaders
       .filter(({ atS }) => atS < endS)
-      .map(({ owner: leader }) => leader);
+      .map(({ leader: leader }) => leader);
     assert.ok(leaders.length > handOvers.length);
     assert.ok(new Set(leaders).size < leaders.length, 'nobody led a second time');
     const [, leaderCrash] = result.faults.of('controller-crash');
-    const returned = leaderCrash.leader!.owner;
+    const returned = leaderCrash.leader!.leader;
     const next = result.leaders.find(({ term }) => term > leaderCrash.leader!.term);
-    assert.equal(next?.owner, returned);
+    assert.equal(next?.leader, returned);
     assert.ok(next.atS < endS + 15);
     assert.ok(heartbeatsAnswered(result, returned, next.atS, endS + 15) > LEASE_S);
     assert.deepEqual(killedTasks(result, BEGIN_S, endS + 40), []);
--- a/packages/testing/fault-combinations/lost-transactions.test.ts
+++ b/packages/testing/fault-combinations/lost-transactions.test.ts
@@ -108,7 +108,7 @@
     const [claim] = claims(lost);
     assert.ok(claim !== undefined, 'the answer to no claim was lost');
     const elected = result.leaders.find(({ atS }) => atS >= claim.atS)!;
-    assert.equal(hostOf(elected.owner), claim.clientHost);
+    assert.equal(hostOf(elected.leader), claim.clientHost);
     const readElsewhere = lost.flatMap((transaction) => jobsReadElsewhere(result, transaction));
     assert.ok(readElsewhere.length >= 3, `${readElsewhere.length} jobs were read elsewhere`);
     assert.ok(confirmations(result, BEGIN_S + 8, BEGIN_S + 20).length >= 3);
--- a/packages/testing/fault-combinations/on-call/leader-cut-from-workers.test.ts
+++ b/packages/testing/fault-combinations/on-call/leader-cut-from-workers.test.ts
@@ -23,7 +23,7 @@
       const [cut] = faults.of('controller-cut');
       const successor = leaders.find(({ term }) => term > cut.leader!.term);
       assert.ok(successor && successor.atS < cut.fromS + LEASE_S, 'nobody took over in time');
-      assert.notEqual(successor.owner, cut.leader!.owner);
+      assert.notEqual(successor.leader, cut.leader!.leader);
       const whole = { faults, leaders, ...result };
       assert.ok(tasksRunningAt(whole, cut.fromS) >= 10, 'little ran');
       assert.deepEqual(killedTasks(whole, cut.fromS, cut.untilS + LEASE_S), []);
--- a/packages/testing/fault-combinations/on-call/leader-cut-in-outage.test.ts
+++ b/packages/testing/fault-combinations/on-call/leader-cut-in-outage.test.ts
@@ -31,7 +31,7 @@
       assert.ok(successor, 'nobody took over');
       const lateS = successor.atS - outage.untilS;
       assert.ok(lateS < LEASE_S / 2, `taken over ${lateS} s after the outage`);
-      assert.notEqual(successor.owner, cut.leader!.owner);
+      assert.notEqual(successor.leader, cut.leader!.leader);
       const before = machinesUp(result, BEGIN_S, BEGIN_S);
       const kept = machinesUp(result, BEGIN_S, cut.untilS);
       assert.ok(kept.length >= before.length - 1, `${kept.length} of ${before.length} kept`);
--- a/packages/testing/fault-combinations/on-call/silent-or-frozen-leader.test.ts
+++ b/packages/testing/fault-combinations/on-call/silent-or-frozen-leader.test.ts
@@ -41,7 +41,7 @@
     (result) => {
       const [crash] = result.faults.of('controller-crash');
       assertTakenOver(result, crash.fromS);
-      const away = heartbeatsAnswered(result, crash.leader!.owner, BEGIN_S, BEGIN_S + AWAY_S);
+      const away = heartbeatsAnswered(result, crash.leader!.leader, BEGIN_S, BEGIN_S + AWAY_S);
       assert.equal(away, 0, 'the leader was not silent');
       // One change of leader: the way back brings about no other.
       assert.equal(result.leaders.filter(({ atS }) => atS > BEGIN_S).length, 1);
@@ -87,7 +87,7 @@
   await playMeeting(scenario, [1, 2, 3, 4], (result) => {
     const [cut] = result.faults.of('controller-cut');
     const [freeze] = result.faults.of('controller-freeze');
-    assert.notEqual(freeze.leader!.owner, cut.leader!.owner);
+    assert.notEqual(freeze.leader!.leader, cut.leader!.leader);
     assert.ok(freeze.untilS < cut.untilS);
     assertTakenOver(result, freeze.fromS);
     assertWorkLived(result, endS);
@@ -110,7 +110,7 @@
   await playMeeting(steadyScenario('frozen take-over', endS, faults), [1, 2, 3], (result) => {
     const [crash] = result.faults.of('controller-crash');
     const [freeze] = result.faults.of('controller-freeze');
-    assert.notEqual(freeze.leader!.owner, crash.leader!.owner);
+    assert.notEqual(freeze.leader!.leader, crash.leader!.leader);
     assert.ok(freeze.leader!.term > crash.leader!.term);
     assertTakenOver(result, freeze.fromS);
     assertWorkLived(result, endS);
--- a/packages/testing/fault-combinations/on-call/silent-workers.test.ts
+++ b/packages/testing/fault-combinations/on-call/silent-workers.test.ts
@@ -25,7 +25,7 @@
 function assertLost(result: ScenarioResult) {
   const [{ leader, fromS, untilS }] = result.faults.of('controller-cut');
   assert.ok(leader, 'nobody led');
-  assert.equal(heartbeatsAnswered(result, leader.owner, fromS + 0.5, untilS), 0);
+  assert.equal(heartbeatsAnswered(result, leader.leader, fromS + 0.5, untilS), 0);
   assert.ok(machinesUp(result, fromS, fromS).length >= 2);
   assert.ok(tasksRunningAt(result, fromS) >= 10);
   return { leader, fromS, untilS };
@@ -40,7 +40,7 @@
       const successor = result.leaders.find(({ term }) => term > leader.term);
       assert.ok(successor, 'nobody took over');
       assert.ok(successor.atS < fromS + WORKER_PATIENCE_S, `taken over at ${successor.atS} s`);
-      assert.notEqual(successor.owner, leader.owner);
+      assert.notEqual(successor.leader, leader.leader);
       assert.deepEqual(killedTasks(result, fromS, untilS + LEASE_S), []);
       assert.ok(tasksRunningAt(result, untilS) >= 10);
     });
@@ -62,7 +62,7 @@
     const { leader, fromS, untilS } = assertLost(result);
     const [crash] = result.faults.of('controller-crash');
     const others = result.controllers.map(({ name }) => name);
-    const left = others.filter((name) => name !== leader.owner && name !== crash.controllers[0]);
+    const left = others.filter((name) => name !== leader.leader && name !== crash.controllers[0]);
     assert.equal(left.length, 1);
     assert.ok(heartbeatsAnswered(result, left[0], fromS, untilS) > LEASE_S);
     assert.deepEqual(killedTasks(result, fromS, untilS), []);
--- a/packages/testing/fault-combinations/refused-then-outage.test.ts
+++ b/packages/testing/fault-combinations/refused-then-outage.test.ts
@@ -47,7 +47,7 @@
 function assertMeeting(result: ScenarioResult): Meeting {
   const [refusal] = result.faults.of('state-refuses');
   const [outage] = result.faults.of('state-outage');
-  const leader = refusal.leader!.owner;
+  const leader = refusal.leader!.leader;
   assert.deepEqual(outage.leader, refusal.leader);
   assert.ok(outage.untilS - outage.fromS > CANCEL_S);
   const confirmed = confirmations(result, refusal.fromS, outage.fromS);
--- a/packages/testing/fault-combinations/slow-state-service.test.ts
+++ b/packages/testing/fault-combinations/slow-state-service.test.ts
@@ -47,7 +47,7 @@
   await playMeeting(scenario, [1, 2, 3], (result) => {
     const [refusal] = result.faults.of('state-refuses');
     const [outage] = result.faults.of('state-outage');
-    const leader = refusal.leader!.owner;
+    const leader = refusal.leader!.leader;
     assert.deepEqual(outage.leader, refusal.leader);
     const whileRefused = confirmations(result, refusal.fromS, outage.fromS);
     assert.ok(whileRefused.length >= 3, `${whileRefused.length} confirmations`);
--- a/packages/testing/leader-load/figures.ts
+++ b/packages/testing/leader-load/figures.ts
@@ -86,7 +86,7 @@
   const orders = fleet.directOrders.nextOrders(machine, now);
   encode(commandToWire(machine.fencingToken, machine.agentEpoch, orders));
   const heartbeat = parseHeartbeat(heartbeatToWire(standing.heartbeatOf(machine)));
-  fleet.directOrders.finish(machine, orders, { kind: 'executed', heartbeat }, now);
+  fleet.directOrders.applyOutcome(machine, orders, { kind: 'executed', heartbeat }, now);
 }
 
 function anyMachine(standing: StandingFleet): Machine {
--- a/packages/testing/leader-load/resting-replicas.test.ts
+++ b/packages/testing/leader-load/resting-replicas.test.ts
@@ -37,7 +37,7 @@
   }
   while (scheduler.place(STEADY_AT) > 0);
   const members = [...fleet.machines.values()].flatMap(({ tasks }) => [...tasks.values()]);
-  for (const each of members) fleet.assignments.recorded(each, STEADY_AT);
+  for (const each of members) fleet.assignments.markRecorded(each, STEADY_AT);
   for (const each of members) each.job.replicas!.memberRunning(each, STEADY_AT);
   standing.settle(STEADY_AT);
   return { standing, groups };
--- a/packages/testing/leader-load/standing-fleet.ts
+++ b/packages/testing/leader-load/standing-fleet.ts
@@ -167,7 +167,7 @@
     for (const name of [...unrecorded.machines]) unrecorded.machineCollected(name);
     unrecorded.jobs.clear();
     machinesWithCommands.clear();
-    jobs.takeCountsChanged();
+    jobs.drainChangedCounts();
   }
 
   /** The next report of a machine; tasks that `exits` names have ended. */
--- a/packages/testing/loopback/replica-groups/failing-controllers.test.ts
+++ b/packages/testing/loopback/replica-groups/failing-controllers.test.ts
@@ -86,7 +86,7 @@
     const [{ fromS, untilS, controllers }] = result.faults.of('controller-freeze');
     const successor = result.leaders.find(({ atS }) => atS > fromS);
     assert.ok(successor && successor.atS < untilS, 'another owned before it woke');
-    assert.notEqual(successor.owner, controllers[0]);
+    assert.notEqual(successor.leader, controllers[0]);
   });
 });
 
--- a/packages/testing/loopback/shard-migrations/loopback-run.ts
+++ b/packages/testing/loopback/shard-migrations/loopback-run.ts
@@ -1,6 +1,6 @@
 /** Many moves of the part between real controller processes, with ends and standstills of either side. */
 import { setTimeout as sleep } from 'node:timers/promises';
-import { MoveRequests, type RequestOutcome } from '#shards';
+import { MigrationRequests, type RequestOutcome } from '#shards';
 import { nodeRuntime, StateApi } from '#wire';
 import { formatAddress } from '../../simulation/addresses.js';
 import { Chance } from '../../random.js';
@@ -74,7 +74,7 @@
   private readonly checker: RuleChecker;
   private readonly cluster: LoopbackCluster;
   private readonly api: StateApi;
-  private readonly requests: MoveRequests;
+  private readonly requests: MigrationRequests;
   private readonly counts: Pick<MoveRunResult, 'moved' | 'notMoved' | 'faults' | 'tasksCompleted'>;
   private readonly moveMs: number[] = [];
   private readonly undecidedMs: number[] = [];
@@ -103,7 +103,7 @@
     this.cluster.heartbeats.onObeyed = (...answer) => this.audit.obeyed(...answer);
     const address = formatAddress(this.cluster.addresses.state(0));
     this.api = new StateApi(nodeRuntime, address, STATE_TIMEOUT_MS);
-    this.requests = new MoveRequests(this.api, nodeRuntime.clock, SHARD);
+    this.requests = new MigrationRequests(this.api, nodeRuntime.clock, SHARD);
   }
 
   async start(): Promise<void> {
@@ -142,7 +142,7 @@
       this.moveMs.push(tookMs);
       return;
     }
-    const why = outcome.kind === 'ignored' ? 'not taken up' : outcome.why;
+    const why = outcome.kind === 'ignored' ? 'not taken up' : outcome.reason;
     counts.notMoved[why] = (counts.notMoved[why] ?? 0) + 1;
   }
 
--- a/packages/testing/loopback/sizing/options.ts
+++ b/packages/testing/loopback/sizing/options.ts
@@ -2,7 +2,7 @@
 import path from 'node:path';
 import { fileURLToPath } from 'node:url';
 import { Command, InvalidArgumentError } from 'commander';
-import { BadSettings, loadSettings, type PlatformSettings } from '#controller';
+import { SettingsError, loadSettings, type PlatformSettings } from '#controller';
 import type { SharedSettings } from '../../simulation/cluster-settings.js';
 import { MEASUREMENTS, type MeasurementName } from './measurement-names.js';
 import { JOBS_PER_MACHINE_MINUTE } from './workload.js';
@@ -200,7 +200,7 @@
   try {
     return loadSettings(file, null);
   } catch (err) {
-    if (err instanceof BadSettings) throw new BadArguments(`--settings ${err.message}`);
+    if (err instanceof SettingsError) throw new BadArguments(`--settings ${err.message}`);
     throw err;
   }
 }
--- a/packages/testing/measurement/costs/cost-run.ts
+++ b/packages/testing/measurement/costs/cost-run.ts
@@ -83,7 +83,7 @@
 
 /** Lets so many seconds pass; throws if the owner changes meanwhile. */
 async function observe(cluster: Cluster, seconds: number): Promise<Observed> {
-  const { world, controllers, costs, ownership: leadership } = cluster;
+  const { world, controllers, costs, leadership: leadership } = cluster;
   const currentLeader = leadership.current();
   const before = controllers.map(({ host }) => costs.costsOf(host.address));
   await world.runUntil(world.now + seconds);
@@ -93,7 +93,7 @@
   const spent = controllers.map(({ host }, index) =>
     costsBetween(costs.costsOf(host.address), before[index]),
   );
-  const leaderIndex = controllers.findIndex(({ name }) => name === currentLeader.owner);
+  const leaderIndex = controllers.findIndex(({ name }) => name === currentLeader.leader);
   const [leader] = spent.splice(leaderIndex, 1);
   return { leader, standbys: spent };
 }
--- a/packages/testing/models/leader-election/checks.ts
+++ b/packages/testing/models/leader-election/checks.ts
@@ -1,5 +1,5 @@
 import type { LeadershipCluster } from './cluster.js';
-import type { OwnershipFault, LeadershipRun } from './model.js';
+import type { LeadershipMistake, LeadershipRun } from './model.js';
 import type { NodeModel } from './node.js';
 import { statementsFor } from './statements.js';
 import { CANCEL_S, FORMER_LEADER_S, GRACE_S, STEP_S } from './timing.js';
@@ -10,7 +10,7 @@
 
   constructor(
     private readonly cluster: LeadershipCluster,
-    private readonly fault: OwnershipFault,
+    private readonly fault: LeadershipMistake,
   ) {}
 
   check(node: NodeModel): void {
--- a/packages/testing/models/leader-election/link.ts
+++ b/packages/testing/models/leader-election/link.ts
@@ -1,8 +1,8 @@
-import type { AbortFrame, StatusFrame } from '#peer';
+import type { CancellationFrame, StatusFrame } from '#peer';
 import { STEP_S } from './timing.js';
 
 /** What one node tells another. */
-export type Message = { kind: 'status'; frame: StatusFrame } | AbortFrame;
+export type Message = { kind: 'status'; frame: StatusFrame } | CancellationFrame;
 
 /** One direction between two nodes: in order, and slow, held back or dead for a while. */
 export class LinkModel {
--- a/packages/testing/models/leader-election/model.ts
+++ b/packages/testing/models/leader-election/model.ts
@@ -1,13 +1,13 @@
 /** One deliberate mistake, to show that the checks can fail. */
-export type OwnershipFault =
+export type LeadershipMistake =
   'none' | 'trusts-arrival' | 'trusts-restarted' | 'ignores-cancelled' | 'renews-for-the-living';
 
 /** What the model found wrong. */
-export type OwnershipViolation =
+export type LeadershipViolation =
   'acts-beside-successor' | 'acts-on-unknown-cancellation' | 'renews-beside-owner';
 
 export interface LeadershipRun {
-  violations: Set<OwnershipViolation>;
+  violations: Set<LeadershipViolation>;
   /** Steps in which an owner went on by the statements of its peers alone. */
   attestedSteps: number;
   /** Steps in which a node renewed leases for an owner that had ended. */
--- a/packages/testing/models/leader-election/statements.ts
+++ b/packages/testing/models/leader-election/statements.ts
@@ -1,9 +1,9 @@
 import type { PeerStatus } from '#controller';
-import type { OwnershipFault } from './model.js';
+import type { LeadershipMistake } from './model.js';
 import type { NodeModel, Statements } from './node.js';
 
 /** What a node goes by, as it takes it with the seeded mistake. */
-export function statementsFor(node: NodeModel, fault: OwnershipFault): Statements {
+export function statementsFor(node: NodeModel, fault: LeadershipMistake): Statements {
   const { table, leader } = node;
   return {
     peers: table.all().map((status) => distort(status, fault)),
@@ -11,12 +11,12 @@
   };
 }
 
-function distort(status: PeerStatus | null, fault: OwnershipFault): PeerStatus | null {
+function distort(status: PeerStatus | null, fault: LeadershipMistake): PeerStatus | null {
   if (status === null) return null;
   const { frame, receivedAt: receivedAt } = status;
   switch (fault) {
     case 'trusts-arrival':
-      return { ...status, asOf: receivedAt };
+      return { ...status, statedAfter: receivedAt };
     case 'trusts-restarted':
       return { ...status, frame: { ...frame, loaded: true } };
     case 'renews-for-the-living':
--- a/packages/testing/models/leader-election/world.ts
+++ b/packages/testing/models/leader-election/world.ts
@@ -8,13 +8,17 @@
 import { LeadershipCluster } from './cluster.js';
 import { LeadershipFaults } from './faults.js';
 import type { Message } from './link.js';
-import type { OwnershipFault, LeadershipRun } from './model.js';
+import type { LeadershipMistake, LeadershipRun } from './model.js';
 import type { NodeModel } from './node.js';
 import { statementsFor } from './statements.js';
 import { HEARTBEAT_INTERVAL_S, STEP_S } from './timing.js';
 
 /** Plays one world and returns what was broken: nothing, unless a fault is seeded. */
-export function playOwnership(seed: number, fault: OwnershipFault, lengthS = 200): LeadershipRun {
+export function playLeadership(
+  seed: number,
+  fault: LeadershipMistake,
+  lengthS = 200,
+): LeadershipRun {
   return new LeadershipWorld(seed, fault).play(lengthS);
 }
 
@@ -25,7 +29,7 @@
 
   constructor(
     seed: number,
-    private readonly fault: OwnershipFault,
+    private readonly fault: LeadershipMistake,
   ) {
     const chance = new Chance(seed);
     this.cluster = new LeadershipCluster(chance);
--- a/packages/testing/models/leader-with-workers/checks.ts
+++ b/packages/testing/models/leader-with-workers/checks.ts
@@ -1,13 +1,13 @@
 import { taskName } from '#wire';
 import type { DurableRecords } from './durable-records.js';
-import type { OwnerViolation } from './mistakes.js';
+import type { LeaderViolation } from './mistakes.js';
 import { TEAMS } from './teams.js';
 import { CANCEL_S, STEP_S } from './timing.js';
 import type { HeldTask, WorkerModel } from './worker.js';
 
 /** Watches the workers and the records for broken rules. */
 export class LeaderChecks {
-  readonly violations = new Set<OwnerViolation>();
+  readonly violations = new Set<LeaderViolation>();
   /** Indices of the tasks that have really been done, by job. */
   private readonly done = new Map<string, Set<number>>();
 
--- a/packages/testing/models/leader-with-workers/leader.ts
+++ b/packages/testing/models/leader-with-workers/leader.ts
@@ -1,7 +1,7 @@
 import { FleetState, Scheduler } from '#core';
 import { STD } from '../../samples.js';
 import type { DurableRecords } from './durable-records.js';
-import type { OwnerMistake } from './mistakes.js';
+import type { LeaderMistake } from './mistakes.js';
 import { markRecorded, RecorderModel } from './recorder.js';
 import { TEAMS, unlimitedTeams } from './teams.js';
 import { FORMER_LEADER_S, LEASE_S, HEARTBEAT_INTERVAL_S } from './timing.js';
@@ -34,7 +34,7 @@
 
   constructor(
     private readonly records: DurableRecords,
-    private readonly mistake: OwnerMistake,
+    private readonly mistake: LeaderMistake,
     now: number,
   ) {
     const term = records.campaign();
--- a/packages/testing/models/leader-with-workers/mistakes.ts
+++ b/packages/testing/models/leader-with-workers/mistakes.ts
@@ -1,5 +1,5 @@
 /** One deliberate mistake, to show that the checks can fail. */
-export type OwnerMistake =
+export type LeaderMistake =
   | 'none'
   | 'short-lease'
   | 'trusts-former-owner'
@@ -13,7 +13,7 @@
   | 'wakes-entitled';
 
 /** What the model found wrong; the names are those of the protocol's rules where there is one. */
-export type OwnerViolation =
+export type LeaderViolation =
   | 'ran_twice'
   | 'quota'
   | 'wrong_place'
--- a/packages/testing/models/leader-with-workers/recorder.ts
+++ b/packages/testing/models/leader-with-workers/recorder.ts
@@ -1,6 +1,6 @@
 import type { FleetState, JobState, Machine } from '#core';
 import type { DurableRecords } from './durable-records.js';
-import type { OwnerMistake } from './mistakes.js';
+import type { LeaderMistake } from './mistakes.js';
 
 /** Makes an owner's state durable under the condition of its term, all at once. */
 export class RecorderModel {
@@ -8,7 +8,7 @@
     private readonly records: DurableRecords,
     private readonly term: number,
     private readonly fleet: FleetState,
-    private readonly mistake: OwnerMistake,
+    private readonly mistake: LeaderMistake,
   ) {}
 
   /** Records all that has changed since the last call. */
@@ -45,7 +45,7 @@
     if (!machine) records.machines.delete(name);
     else {
       markRecorded(machine);
-      fleet.fencing.recorded(machine, records.revision);
+      fleet.fencing.fenceRecorded(machine, records.revision);
       const { zone, spot } = machine;
       const tasks = [...machine.tasks.values()].map(({ job, index, attempt }) => ({
         job: job.spec.id,
--- a/packages/testing/models/leader-with-workers/traffic.ts
+++ b/packages/testing/models/leader-with-workers/traffic.ts
@@ -2,7 +2,7 @@
 import type { Machine, HeartbeatOutcome } from '#core';
 import type { Chance } from '../../random.js';
 import type { Mail } from './mail.js';
-import type { OwnerMistake } from './mistakes.js';
+import type { LeaderMistake } from './mistakes.js';
 import type { LeaderModel } from './leader.js';
 import { ANSWER_LIFE_S, COMMAND_LIFE_S, DELAY_S, LEASE_S } from './timing.js';
 import type { WorkerModel } from './worker.js';
@@ -31,7 +31,7 @@
 export interface TrafficOptions {
   chance: Chance;
   mail: Mail;
-  mistake: OwnerMistake;
+  mistake: LeaderMistake;
   /** The owner of the newest term; null while there is none. */
   leader: () => LeaderModel | null;
 }
@@ -127,11 +127,11 @@
       const outcome = heartbeat
         ? ({ kind: 'executed', heartbeat } as const)
         : ({ kind: 'refused' } as const);
-      directOrders.finish(machine, orders, outcome, at);
+      directOrders.applyOutcome(machine, orders, outcome, at);
     });
     mail.post(givenUpAt, (at) => {
       if (answered) return;
-      directOrders.finish(machine, orders, { kind: 'unknown' }, at);
+      directOrders.applyOutcome(machine, orders, { kind: 'unknown' }, at);
       if (mistake === 'forgets-late-starts') machine.unacknowledgedStarts.clear();
     });
   }
--- a/packages/testing/models/leader-with-workers/world.ts
+++ b/packages/testing/models/leader-with-workers/world.ts
@@ -2,7 +2,7 @@
 import { LeaderChecks } from './checks.js';
 import { DurableRecords } from './durable-records.js';
 import { Mail } from './mail.js';
-import type { OwnerMistake, OwnerViolation } from './mistakes.js';
+import type { LeaderMistake, LeaderViolation } from './mistakes.js';
 import { LeaderModel } from './leader.js';
 import { randomJob, runTimeS } from './random-job.js';
 import { CAMPAIGN_PAUSE_S, LEASE_S, HEARTBEAT_INTERVAL_S, STEP_S } from './timing.js';
@@ -24,11 +24,11 @@
  * simulated clock. It runs the production code of core and models everything around it. Returns the
  * broken rules found, which must be none unless a mistake was seeded.
  */
-export function playOwners(
+export function playLeaders(
   seed: number,
-  mistake: OwnerMistake,
+  mistake: LeaderMistake,
   lengthS = 150,
-): Set<OwnerViolation> {
+): Set<LeaderViolation> {
   return new LeaderWorld(seed, mistake).play(lengthS);
 }
 
@@ -48,7 +48,7 @@
 
   constructor(
     seed: number,
-    private readonly mistake: OwnerMistake,
+    private readonly mistake: LeaderMistake,
   ) {
     const { mail } = this;
     const chance = new Chance(seed);
@@ -64,7 +64,7 @@
     this.traffic = new Traffic({ chance, mail, mistake, leader: () => this.leader });
   }
 
-  play(lengthS: number): Set<OwnerViolation> {
+  play(lengthS: number): Set<LeaderViolation> {
     for (; this.now < lengthS; this.now += STEP_S) this.step();
     if (this.mistake === 'none') this.checks.checkEnd();
     return this.checks.violations;
--- a/packages/testing/models/replica-groups/events.ts
+++ b/packages/testing/models/replica-groups/events.ts
@@ -47,10 +47,10 @@
 function addLeaderChange(list: ReplicaEventList): void {
   const { state, mistake } = list;
   if (state.former !== null) list.add('former owner ends', false, (draft) => (draft.former = null));
-  if (state.budget.ownerChanges === 0) return;
+  if (state.budget.leaderChanges === 0) return;
   for (const ends of [true, false]) {
     list.add(ends ? 'owner ends' : 'owner is deposed', true, (draft) => {
-      draft.budget.ownerChanges--;
+      draft.budget.leaderChanges--;
       draft.former = ends ? null : draft.leader;
       draft.leader = leaderFromRecords(state, mistake);
     });
