--- a/packages/testing/models/replica-groups/state.ts
+++ b/packages/testing/models/replica-groups/state.ts
@@ -60,7 +60,7 @@
 /** How often each trouble may still happen: what keeps the world finite. */
 export interface ReplicaBudget {
   failures: number;
-  ownerChanges: number;
+  leaderChanges: number;
   lostCommands: number;
   requests: number;
 }
@@ -158,7 +158,7 @@
 
 /** A new owner may still come, and read the records. */
 export function areRecordsRead({ budget }: ReplicaModelState): boolean {
-  return budget.ownerChanges > 0;
+  return budget.leaderChanges > 0;
 }
 
 function groupKey(
--- a/packages/testing/models/shard-migration/canonical.test.ts
+++ b/packages/testing/models/shard-migration/canonical.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { moveKey } from '#shards';
+import { migrationKey } from '#shards';
 import { encodeLeader, shardKey } from '#store';
 import { canonicalKey } from './canonical.js';
 import { firstState, type ModelState, SHARD } from './state.js';
@@ -30,7 +30,7 @@
         from: 'b',
         incarnation: 1,
         transaction: {
-          conditions: [{ key: moveKey(SHARD), version }],
+          conditions: [{ key: migrationKey(SHARD), version }],
           changes: [{ put: shardKey(SHARD), value, lease: leaseId }],
         },
       },
--- a/packages/testing/models/shard-migration/controller.ts
+++ b/packages/testing/models/shard-migration/controller.ts
@@ -4,15 +4,15 @@
   DECIDING,
   IDLE,
   type SourceAction,
-  sourceAnswered,
-  sourceRead,
+  handleSourceOutcome,
+  recordSourceRead,
   stepSource,
   stepTarget,
-  targetAnswered,
+  handleTargetOutcome,
   type Transaction,
   type TransactionOutcome,
 } from '#shards';
-import { mistaken, type MoveMistake, trustsLease } from './mistakes.js';
+import { mistaken, type MigrationMistake, trustsLease } from './mistakes.js';
 import { type ControllerName, type ModelController, type ModelState, SHARD } from './state.js';
 
 const LIMITS = { prepareS: 1, switchS: 1 };
@@ -20,7 +20,7 @@
 const LATE_S = 10;
 
 /** It takes its grant for proof that nobody else owns, and acts on that. */
-export function actsAsLeader({ term, proven, source }: ModelController, mistake: MoveMistake) {
+export function actsAsLeader({ term, proven, source }: ModelController, mistake: MigrationMistake) {
   return term !== 0 && proven && trustsLease(source, mistake);
 }
 
@@ -61,7 +61,7 @@
   state: Draft<ModelState>,
   name: ControllerName,
   late: boolean,
-  mistake: MoveMistake,
+  mistake: MigrationMistake,
 ): void {
   const controller = state.controllers[name];
   const { state: source, action } = stepSource(controller.source, {
@@ -69,7 +69,7 @@
     shard: SHARD,
     term: controller.term,
     name,
-    move: controller.move,
+    migration: controller.move,
     paused: controller.paused,
     obstacle: () => null,
     limits: LIMITS,
@@ -82,11 +82,11 @@
   state: Draft<ModelState>,
   name: ControllerName,
   action: SourceAction,
-  mistake: MoveMistake,
+  mistake: MigrationMistake,
 ): void {
   const controller = state.controllers[name];
   if (action.kind === 'pause' || action.kind === 'resume') controller.paused = false;
-  if (action.kind === 'read') controller.source = sourceRead(controller.source, state.move);
+  if (action.kind === 'read') controller.source = recordSourceRead(controller.source, state.move);
   if ('transaction' in action) send(state, name, 'source', action.transaction, mistake);
 }
 
@@ -94,7 +94,7 @@
 export function stepCandidate(
   state: Draft<ModelState>,
   name: ControllerName,
-  mistake: MoveMistake,
+  mistake: MigrationMistake,
 ): void {
   const controller = state.controllers[name];
   const { state: target, action } = stepTarget(controller.target, {
@@ -102,7 +102,7 @@
     name,
     leaseId: controller.proven ? controller.leaseId : null,
     shardVersion: controller.shard?.version ?? 0,
-    move: controller.move,
+    migration: controller.move,
     ready: controller.term === 0,
   });
   controller.target = target;
@@ -114,7 +114,7 @@
   from: ControllerName,
   kind: 'source' | 'target',
   transaction: Transaction,
-  mistake: MoveMistake,
+  mistake: MigrationMistake,
 ): void {
   const controller = state.controllers[from];
   controller.waiting = kind;
@@ -127,15 +127,17 @@
   state: Draft<ModelState>,
   name: ControllerName,
   outcome: TransactionOutcome,
-  mistake: MoveMistake,
+  mistake: MigrationMistake,
 ): void {
   const controller = state.controllers[name];
   const { waiting } = controller;
   controller.waiting = null;
-  if (waiting === 'target') controller.target = targetAnswered(controller.target, outcome);
+  if (waiting === 'target') controller.target = handleTargetOutcome(controller.target, outcome);
   if (waiting !== 'source') return;
   const believed = believe(outcome, controller, mistake);
-  const { state: source, action } = sourceAnswered(controller.source, believed, { shard: SHARD });
+  const { state: source, action } = handleSourceOutcome(controller.source, believed, {
+    shard: SHARD,
+  });
   controller.source = untimed(source);
   act(state, name, action, mistake);
 }
@@ -143,7 +145,7 @@
 function believe(
   outcome: TransactionOutcome,
   { source }: ModelController,
-  mistake: MoveMistake,
+  mistake: MigrationMistake,
 ): TransactionOutcome {
   const takesForDone =
     source.phase === 'retracting' &&
--- a/packages/testing/models/shard-migration/events.ts
+++ b/packages/testing/models/shard-migration/events.ts
@@ -10,7 +10,7 @@
   stepLeader,
   synchronise,
 } from './controller.js';
-import type { MoveMistake } from './mistakes.js';
+import type { MigrationMistake } from './mistakes.js';
 import { carryOut, endLease } from './service.js';
 import {
   type ControllerName,
@@ -19,9 +19,9 @@
   type ModelState,
 } from './state.js';
 
-type MoveEventList = EventList<ModelState, MoveMistake>;
+type MoveEventList = EventList<ModelState, MigrationMistake>;
 
-export function eventsIn(state: ModelState, mistake: MoveMistake): ModelEvent<ModelState>[] {
+export function eventsIn(state: ModelState, mistake: MigrationMistake): ModelEvent<ModelState>[] {
   const list: MoveEventList = new EventList(state, mistake);
   for (const name of CONTROLLERS) {
     addRequest(list, name);
@@ -146,7 +146,7 @@
 }
 
 /** Controllers that act as the owner although the state service holds another one, or none. */
-export function falseLeaders(state: ModelState, mistake: MoveMistake): ControllerName[] {
+export function falseLeaders(state: ModelState, mistake: MigrationMistake): ControllerName[] {
   return CONTROLLERS.filter((name) => {
     const controller = state.controllers[name];
     return actsAsLeader(controller, mistake) && state.shard?.version !== controller.term;
@@ -154,7 +154,7 @@
 }
 
 /** Somebody owns and decides, and no move is under way. */
-export function isAtRest({ controllers, move }: ModelState, mistake: MoveMistake): boolean {
+export function isAtRest({ controllers, move }: ModelState, mistake: MigrationMistake): boolean {
   const leaders = CONTROLLERS.map((name) => controllers[name]);
   const decides = leaders.some(
     (leader) => actsAsLeader(leader, mistake) && leader.source.phase === 'deciding',
--- a/packages/testing/models/shard-migration/explore.ts
+++ b/packages/testing/models/shard-migration/explore.ts
@@ -1,21 +1,24 @@
 import { explore } from '../exploration/explore.js';
 import { canonicalKey } from './canonical.js';
 import { eventsIn, falseLeaders, isAtRest } from './events.js';
-import type { MoveMistake } from './mistakes.js';
-import { firstState, type MoveBudget } from './state.js';
+import type { MigrationMistake } from './mistakes.js';
+import { firstState, type MigrationBudget } from './state.js';
 
-export interface MoveExploration {
+export interface MigrationExploration {
   /** Different states that were reached. */
   states: number;
   /** Those in which the part has moved. */
   moved: number;
   /** The shortest ways to a state with two owners, and to one that nothing but a trouble leads out of; null if none. */
-  twoOwners: string[] | null;
+  twoLeaders: string[] | null;
   stuck: string[] | null;
 }
 
 /** Visits every state that can be reached; the first in which there are two owners ends it. */
-export function exploreMoves(budget: MoveBudget, mistake: MoveMistake): MoveExploration {
+export function exploreMigrations(
+  budget: MigrationBudget,
+  mistake: MigrationMistake,
+): MigrationExploration {
   let moved = 0;
   const { states, breach, stuck } = explore(
     {
@@ -29,5 +32,5 @@
       if (shard?.leader === 'b') moved++;
     },
   );
-  return { states, moved, twoOwners: breach?.way ?? null, stuck };
+  return { states, moved, twoLeaders: breach?.way ?? null, stuck };
 }
--- a/packages/testing/models/shard-migration/mistakes.ts
+++ b/packages/testing/models/shard-migration/mistakes.ts
@@ -1,9 +1,9 @@
-import { moveKey, type SourceState, successorPossibleSince, type Transaction } from '#shards';
+import { migrationKey, type SourceState, successorPossibleSince, type Transaction } from '#shards';
 import { shardKey } from '#store';
 import { SHARD } from './state.js';
 
 /** A deliberate mistake, each of which takes one guard of a move away. */
-export type MoveMistake =
+export type MigrationMistake =
   | 'none'
   /** The owner takes its grant as proof after it has stated that it decides nothing more. */
   | 'trusts-its-grant'
@@ -24,19 +24,20 @@
 export function mistaken(
   kind: 'source' | 'target',
   { conditions, changes }: Transaction,
-  mistake: MoveMistake,
+  mistake: MigrationMistake,
 ): Transaction {
   const without = (key: string): Transaction => ({
     conditions: conditions.filter((condition) => condition.key !== key),
     changes,
   });
-  if (kind === 'target' && mistake === 'takes-without-record') return without(moveKey(SHARD));
+  if (kind === 'target' && mistake === 'takes-without-record') return without(migrationKey(SHARD));
   if (kind === 'target' && mistake === 'takes-without-term') return without(shardKey(SHARD));
-  if (kind === 'source' && mistake === 'quiesces-without-record') return without(moveKey(SHARD));
+  if (kind === 'source' && mistake === 'quiesces-without-record')
+    return without(migrationKey(SHARD));
   return { conditions, changes };
 }
 
 /** Whether the owner, by its state in the move, takes its grant as proof that nobody else owns. */
-export function trustsLease(state: SourceState, mistake: MoveMistake): boolean {
+export function trustsLease(state: SourceState, mistake: MigrationMistake): boolean {
   return mistake === 'trusts-its-grant' || successorPossibleSince(state) === null;
 }
--- a/packages/testing/models/shard-migration/service.ts
+++ b/packages/testing/models/shard-migration/service.ts
@@ -1,6 +1,6 @@
 /** The state service of the model. */
 import type { Draft } from 'immer';
-import { decodeMove, moveKey, type Transaction, type TransactionOutcome } from '#shards';
+import { decodeMigration, migrationKey, type Transaction, type TransactionOutcome } from '#shards';
 import { decodeLeader, shardKey } from '#store';
 import { type ModelState, SHARD } from './state.js';
 
@@ -18,11 +18,11 @@
   if (changes.length > 0) state.revision++;
   for (const change of changes) {
     if ('delete' in change) {
-      if (change.delete === moveKey(SHARD)) state.move = null;
+      if (change.delete === migrationKey(SHARD)) state.move = null;
     } else if (change.put === shardKey(SHARD)) {
       state.shard = { ...decodeLeader(change.value), version: state.revision };
-    } else if (change.put === moveKey(SHARD)) {
-      state.move = { record: decodeMove(change.value), version: state.revision };
+    } else if (change.put === migrationKey(SHARD)) {
+      state.move = { record: decodeMigration(change.value), version: state.revision };
     }
   }
   return { kind: 'applied' };
--- a/packages/testing/models/shard-migration/state.ts
+++ b/packages/testing/models/shard-migration/state.ts
@@ -2,7 +2,7 @@
 import {
   DECIDING,
   IDLE,
-  type SeenMove,
+  type ObservedMigration,
   type SourceState,
   type TargetState,
   type Transaction,
@@ -32,7 +32,7 @@
   proven: boolean;
   /** What its watch has shown last. */
   shard: StoredShard | null;
-  move: SeenMove | null;
+  move: ObservedMigration | null;
   /** The term that it holds as far as it knows; 0 if none. */
   term: number;
   source: SourceState;
@@ -43,7 +43,7 @@
 }
 
 /** How often each trouble may still happen: what keeps the world finite. */
-export interface MoveBudget {
+export interface MigrationBudget {
   requests: number;
   crashes: number;
   lapses: number;
@@ -53,16 +53,16 @@
 export interface ModelState {
   revision: number;
   shard: StoredShard | null;
-  move: SeenMove | null;
+  move: ObservedMigration | null;
   liveLeases: number[];
   nextLeaseId: number;
   controllers: Record<ControllerName, ModelController>;
   pending: PendingTransaction[];
-  budget: MoveBudget;
+  budget: MigrationBudget;
 }
 
 /** The first controller owns the part, and all are up. */
-export function firstState(budget: MoveBudget): ModelState {
+export function firstState(budget: MigrationBudget): ModelState {
   const shard = { leader: 'a', leaseId: 1, version: 1 };
   const controller = (leaseId: number, term: number): ModelController => ({
     incarnation: 1,
--- a/packages/testing/peer-statements.ts
+++ b/packages/testing/peer-statements.ts
@@ -13,8 +13,8 @@
 export function aPeerStatus(at: number, frame: Partial<StatusFrame> = {}): PeerStatus {
   return {
     receivedAt: at,
-    asOf: at - ECHO_S,
-    servedAt: SERVED_AT,
+    statedAfter: at - ECHO_S,
+    lastServedAt: SERVED_AT,
     frame: {
       kind: 'status',
       incarnation: 1,
--- a/packages/testing/simulation/cluster.test.ts
+++ b/packages/testing/simulation/cluster.test.ts
@@ -50,7 +50,7 @@
   assert.equal(leaders.length, 1 + faults.length);
   for (const [index, { leader, fromS, controllers }] of result.faults.records.entries()) {
     assert.equal(leader, leaders[index]);
-    assert.deepEqual(controllers, [leader?.owner]);
+    assert.deepEqual(controllers, [leader?.leader]);
     const successor = leaders[index + 1];
     assert.ok(successor.atS > fromS && successor.atS < fromS + 12);
   }
--- a/packages/testing/simulation/cluster.ts
+++ b/packages/testing/simulation/cluster.ts
@@ -55,7 +55,7 @@
   readonly costs = new CostCounter();
   readonly balancer: LoadBalancer;
   readonly users: Users;
-  readonly ownership: LeadershipHistory;
+  readonly leadership: LeadershipHistory;
   readonly moves: MigrationPhases;
   readonly replicaMoments: ReplicaMoments;
   /** Requests to replicas of several members, and what members answer. */
@@ -92,9 +92,9 @@
     this.controllers = makeControllers(services);
     this.balancer = this.makeBalancer();
     this.users = this.makeUsers();
-    this.ownership = new LeadershipHistory(this.world, (key) => this.state.store.get(key) ?? null);
+    this.leadership = new LeadershipHistory(this.world, (key) => this.state.store.get(key) ?? null);
     this.replicas = new ReplicaService(this);
-    this.moves = new MigrationPhases(() => this.ownership.current()?.owner ?? null);
+    this.moves = new MigrationPhases(() => this.leadership.current()?.leader ?? null);
   }
 
   /** Starts the services and all controllers. */
--- a/packages/testing/simulation/fault-injector.ts
+++ b/packages/testing/simulation/fault-injector.ts
@@ -62,7 +62,7 @@
 
   private beginWhenDue(fault: Fault, begin: () => void): void {
     const { afterTakeoverS, atMovePhase, atReplicaPhase } = fault;
-    const { world, ownership: leadership, moves, replicaMoments } = this.cluster;
+    const { world, leadership: leadership, moves, replicaMoments } = this.cluster;
     if (atReplicaPhase !== undefined) replicaMoments.onNext(atReplicaPhase, begin);
     else if (atMovePhase !== undefined) moves.onNext(atMovePhase, begin);
     else if (afterTakeoverS === undefined) begin();
@@ -70,9 +70,9 @@
   }
 
   private begin(fault: Fault): void {
-    const { world, ownership: leadership } = this.cluster;
+    const { world, leadership: leadership } = this.cluster;
     const leader = leadership.current();
-    const roles = { leaderName: leader?.owner ?? null, moves: this.cluster.moves };
+    const roles = { leaderName: leader?.leader ?? null, moves: this.cluster.moves };
     const effect = this.beginByKind(fault, roles);
     this.journal.begun(fault, effect, leader, world.now);
     const { end } = effect;
--- a/packages/testing/simulation/faults/operator-requests.ts
+++ b/packages/testing/simulation/faults/operator-requests.ts
@@ -1,5 +1,5 @@
 /** Requests of the operators during a run. */
-import { encodeMove, moveKey } from '#shards';
+import { encodeMigration, migrationKey } from '#shards';
 import { decodeLeader, shardKey } from '#store';
 import type { StateService } from '../../stand-ins/index.js';
 import type { SimulatedController } from '../controllers.js';
@@ -42,14 +42,14 @@
 function requestMove({ state, moves }: OperatorContext, to: string): void {
   const { store } = state;
   const shard = store.get(shardKey(SHARD));
-  if (!shard || store.get(moveKey(SHARD)) || decodeLeader(shard.value).leader === to) return;
-  const value = encodeMove({
+  if (!shard || store.get(migrationKey(SHARD)) || decodeLeader(shard.value).leader === to) return;
+  const value = encodeMigration({
     fromTerm: shard.version,
     target: to,
     reason: 'a test',
     phase: 'requested',
   });
-  const changes = [{ put: moveKey(SHARD), value }];
+  const changes = [{ put: migrationKey(SHARD), value }];
   store.apply(changes);
   const sent = { clientHost: 'operator', answered: true, heldS: 0 };
   moves.observe({ kind: 'transaction', changes, applied: true, ...sent });
--- a/packages/testing/simulation/leadership-history.ts
+++ b/packages/testing/simulation/leadership-history.ts
@@ -8,7 +8,7 @@
 export interface LeadershipChange {
   atS: number;
   /** Name of the controller. */
-  owner: string;
+  leader: string;
   /** Version of the shard's key. */
   term: number;
 }
@@ -56,7 +56,7 @@
     }
     if (entry.version === this.leader?.term) return;
     const { leader } = decodeLeader(entry.value);
-    this.leader = { atS: this.world.now, owner: leader, term: entry.version };
+    this.leader = { atS: this.world.now, leader, term: entry.version };
     this.changes.push(this.leader);
     for (const callback of this.waiting.splice(0)) callback();
   }
--- a/packages/testing/simulation/migration-phases.ts
+++ b/packages/testing/simulation/migration-phases.ts
@@ -1,11 +1,11 @@
 /** Follows migrations of the shard, so that faults can begin at a phase. */
-import { moveKey, type MoveRecord, type StoredMigration } from '#shards';
+import { migrationKey, type MigrationRecord, type StoredMigration } from '#shards';
 import { decodeLeader, shardKey } from '#store';
 import type { Change } from '#wire';
 import type { WorldEvent } from '../stand-ins/index.js';
 
 /** The phase of a migration by its record; `switched`: the target leads the shard. */
-export type MigrationPhase = MoveRecord['phase'] | 'switched';
+export type MigrationPhase = MigrationRecord['phase'] | 'switched';
 
 const SHARD = 0;
 
@@ -38,13 +38,15 @@
 
   private apply(change: Change, together: Change[]): void {
     if ('delete' in change) return;
-    if (change.put === moveKey(SHARD)) {
+    if (change.put === migrationKey(SHARD)) {
       const { phase, to } = change.value as StoredMigration;
       this.source = this.leaderNow();
       this.target = to;
       this.reached(phase);
     }
-    const endsMove = together.some((each) => 'delete' in each && each.delete === moveKey(SHARD));
+    const endsMove = together.some(
+      (each) => 'delete' in each && each.delete === migrationKey(SHARD),
+    );
     if (change.put !== shardKey(SHARD) || !endsMove) return;
     this.target = decodeLeader(change.value).leader;
     this.reached('switched');
--- a/packages/testing/simulation/replica-service.ts
+++ b/packages/testing/simulation/replica-service.ts
@@ -1,5 +1,5 @@
 /** Replicas of several members, and the requests to them. */
-import { type ReplicaClasses, shapeOf } from '#replicas';
+import { type ReplicaClasses, replicaShapeOf } from '#replicas';
 import { type Answer, brokenAnswers } from './replica-traffic/answers.js';
 import { Members } from './replica-traffic/members.js';
 import { RequestTraffic } from './replica-traffic/request-traffic.js';
@@ -64,7 +64,7 @@
     const job = this.options.storage.get(id)?.job;
     const classes = this.classes as ReplicaClasses | undefined;
     if (job === undefined || classes === undefined) return 1;
-    return shapeOf(job, classes)?.members ?? 1;
+    return replicaShapeOf(job, classes)?.members ?? 1;
   }
 
   private reaches(from: string | null, to: string): boolean {
--- a/packages/testing/simulation/run-scenario.ts
+++ b/packages/testing/simulation/run-scenario.ts
@@ -49,7 +49,7 @@
   make?: ControllerMaker,
 ): Promise<ScenarioResult> {
   const cluster = new Cluster(scenario.cluster, seed, make);
-  const { world, checker, timeline, controllers, ownership: leadership } = cluster;
+  const { world, checker, timeline, controllers, leadership: leadership } = cluster;
   const injector = new FaultInjector(cluster);
   const stopWatching = collectRejections(world);
   try {
--- a/packages/testing/stand-ins/worker/heartbeat-sender.ts
+++ b/packages/testing/stand-ins/worker/heartbeat-sender.ts
@@ -1,5 +1,5 @@
 /** Sends the heartbeats of a worker and follows redirects to the leader. */
-import { CborClient, NoAnswer, pause, WakeablePause, type Answer, type Runtime } from '#wire';
+import { CborClient, NoAnswer, pause, WakeableWait, type Answer, type Runtime } from '#wire';
 import { parseRedirect } from '#wire/serving';
 import { NodeChoice, type ControllerAddress } from './node-choice.js';
 import { HeartbeatSchedule } from './heartbeat-schedule.js';
@@ -30,7 +30,7 @@
   deaf = false;
   private readonly schedule: HeartbeatSchedule;
   private readonly choice: NodeChoice;
-  private readonly waiting: WakeablePause;
+  private readonly waiting: WakeableWait;
   private readonly stopping = new AbortController();
   private client: CborClient | null = null;
 
@@ -42,7 +42,7 @@
   ) {
     this.schedule = new HeartbeatSchedule(runtime, heartbeatIntervalS);
     this.choice = new NodeChoice(controllers, () => runtime.random());
-    this.waiting = new WakeablePause(runtime.clock);
+    this.waiting = new WakeableWait(runtime.clock);
   }
 
   /** Sends heartbeats until stop(). */
--- a/packages/testing/stand-ins/workload/pipeline.ts
+++ b/packages/testing/stand-ins/workload/pipeline.ts
@@ -7,7 +7,7 @@
   jobClass: JobClass;
   jobs: Span;
   /** Numbers of the stages whose jobs its jobs depend on. */
-  // eslint-disable-next-line local/retired-words -- saved scenarios hold this name
+
   awaits: number[];
 }
 
--- a/packages/wire/job.ts
+++ b/packages/wire/job.ts
@@ -44,7 +44,7 @@
   /** When the job should be done, from its submission on; null if there is no deadline. */
   deadlineS: number | null;
   /** Ids of the dependencies: jobs that must be done before any task of this one starts, each once. */
-  // eslint-disable-next-line local/retired-words -- the public client API keeps its names
+
   awaits: readonly string[];
 }
 
@@ -140,7 +140,7 @@
   snapshotEveryS: number;
   snapshotS: number;
   dueS?: number | null;
-  // eslint-disable-next-line local/retired-words -- the protocol's word
+
   awaits?: string[] | null;
 }
 
--- a/packages/wire/waits.test.ts
+++ b/packages/wire/waits.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { HandClock } from '#testing';
-import { every, WakeablePause } from './waits.js';
+import { every, WakeableWait } from './waits.js';
 
 test('waits end by time, by a wake or by their signal, and leave no timer', async () => {
   const clock = new HandClock();
-  const pause = new WakeablePause(clock);
+  const pause = new WakeableWait(clock);
   const stop = new AbortController();
   pause.wake();
   const byTime = pause.wait(10, stop.signal);
--- a/packages/wire/waits.ts
+++ b/packages/wire/waits.ts
@@ -41,7 +41,7 @@
 }
 
 /** Resolves once the signal has aborted; never rejects. */
-export function aborted(signal: AbortSignal): Promise<void> {
+export function signalAborted(signal: AbortSignal): Promise<void> {
   return new Promise((resolve) => {
     if (signal.aborted) resolve();
     else {
@@ -54,7 +54,7 @@
 }
 
 /** The wait of a loop that others may wake; one wait at a time. */
-export class WakeablePause {
+export class WakeableWait {
   /** Ends the wait that is under way; null if there is none. */
   private endWait: (() => void) | null = null;
 
