--- a/packages/testing/models/exploration/event-list.ts
+++ b/packages/testing/models/exploration/event-list.ts
@@ -14,9 +14,9 @@
     readonly mistake: Mistake,
   ) {}
 
-  /** Adds an event; a trouble need not happen, all else happens some day. */
-  add(name: string, trouble: boolean, recipe: (draft: Draft<State>) => unknown): void {
+  /** Adds an event; a fault need not happen, all else happens eventually. */
+  add(name: string, isFault: boolean, recipe: (draft: Draft<State>) => unknown): void {
     const next = produce(this.state, (draft: Draft<State>) => void recipe(draft));
-    this.events.push({ name, trouble, next });
+    this.events.push({ name, isFault, next });
   }
 }
--- a/packages/testing/models/exploration/explore.ts
+++ b/packages/testing/models/exploration/explore.ts
@@ -3,11 +3,12 @@
 /** One thing that can happen, and what comes of it. */
 export interface ModelEvent<State> {
   name: string;
-  /** A trouble, which need not happen; all else happens some day. */
-  trouble: boolean;
+  /** A fault, which need not happen; all else happens eventually. */
+  isFault: boolean;
   next: State;
 }
 
+/** A model to be explored: its first state and what can happen in each. */
 export interface Model<State> {
   start: State;
   /** Equal for states that differ in nothing that matters. */
@@ -19,12 +20,13 @@
   isAtRest(state: State): boolean;
 }
 
+/** What an exploration has found. */
 export interface Exploration {
   /** Different states that were reached. */
   states: number;
   /** The shortest way to a state with a breach; null if there is none. */
   breach: { what: string; way: string[] } | null;
-  /** The shortest way to a state that only a trouble leads out of to rest; null if there is none. */
+  /** The shortest way to a state that only a fault leads out of to rest; null if there is none. */
   stuck: string[] | null;
 }
 
@@ -37,7 +39,7 @@
 /** Explores the model; the first state with a breach ends it. `onState` is told of each state. */
 export function explore<State>(
   model: Model<State>,
-  onState: (state: State) => void = () => {},
+  onState: (state: State) => void = () => undefined,
 ): Exploration {
   const first = { key: model.keyOf(model.start), state: model.start };
   const origins = new Map<string, Origin>([[first.key, { from: null, event: 'start' }]]);
@@ -53,9 +55,9 @@
       if (what !== null) {
         return { states: origins.size, breach: { what, way: wayTo(origins, key) }, stuck: null };
       }
-      for (const { name, trouble, next } of model.eventsIn(state)) {
+      for (const { name, isFault, next } of model.eventsIn(state)) {
         const reached = model.keyOf(next);
-        if (!trouble) append(predecessors, reached, key);
+        if (!isFault) append(predecessors, reached, key);
         if (origins.has(reached)) continue;
         origins.set(reached, { from: key, event: name });
         nextLevel.push({ key: reached, state: next });
@@ -66,7 +68,7 @@
   return { states: origins.size, breach: null, stuck: findStuck(origins, predecessors, resting) };
 }
 
-/** The first state from which no state at rest is reached without another trouble. */
+/** The first state from which no state at rest is reached without another fault. */
 function findStuck(
   origins: Map<string, Origin>,
   predecessors: Map<string, string[]>,
@@ -89,12 +91,18 @@
 
 function wayTo(origins: Map<string, Origin>, key: string): string[] {
   const events: string[] = [];
-  for (let at: string | null = key; at !== null; at = origins.get(at)!.from) {
-    events.unshift(origins.get(at)!.event);
+  for (let at: string | null = key; at !== null; at = originOf(origins, at).from) {
+    events.unshift(originOf(origins, at).event);
   }
   return events;
 }
 
+function originOf(origins: Map<string, Origin>, key: string): Origin {
+  const origin = origins.get(key);
+  if (!origin) throw new Error(`state ${key} was never reached`);
+  return origin;
+}
+
 function append(lists: Map<string, string[]>, key: string, value: string): void {
   const list = lists.get(key);
   if (list) list.push(value);
--- a/packages/testing/models/leader-election/checks.ts
+++ b/packages/testing/models/leader-election/checks.ts
@@ -1,10 +1,11 @@
+/** What a leader must never do in the model of leader election. */
 import type { LeadershipCluster } from './cluster.js';
 import type { OwnershipFault, LeadershipRun } from './model.js';
 import type { NodeModel } from './node.js';
 import { statementsFor } from './statements.js';
 import { CANCEL_S, FORMER_LEADER_S, GRACE_S, STEP_S } from './timing.js';
 
-/** Whatever an owner does while it believes itself entitled must be harmless. */
+/** Whatever a leader does while it acts by its leader lease must be harmless. */
 export class LeadershipChecks {
   readonly result: LeadershipRun = { violations: new Set(), attestedSteps: 0, standbySteps: 0 };
 
@@ -33,7 +34,7 @@
     const { cluster, result } = this;
     const { now } = cluster;
     for (const campaign of cluster.service.claims) {
-      // One that has ended counts on nothing any more.
+      // A controller that has ended acts on nothing any more.
       const living = cluster.node(campaign.node)?.incarnation === campaign.incarnation;
       const successor = living && campaign.term > term && campaign.incarnation !== node.incarnation;
       if (successor && now > campaign.at + FORMER_LEADER_S) {
--- a/packages/testing/models/leader-election/cluster.ts
+++ b/packages/testing/models/leader-election/cluster.ts
@@ -1,3 +1,4 @@
+/** The controllers, links and state service of the model of leader election. */
 import type { Chance } from '../../random.js';
 import { LinkModel } from './link.js';
 import { NodeModel } from './node.js';
@@ -19,12 +20,12 @@
   readonly confirmed: ConfirmedCancellation[] = [];
   /** The state service is down from the first to the second; seconds. */
   outage = { from: -Infinity, until: -Infinity };
-  /** The present life of each node, null while it is down. */
+  /** The present incarnation of each node, null while it is down. */
   private readonly nodes = new Map<string, NodeModel | null>();
   private readonly restartAt = new Map<string, number>();
   private readonly refusedUntil = new Map<string, number>();
   private readonly links = new Map<string, LinkModel>();
-  private lives = 0;
+  private incarnations = 0;
 
   constructor(private readonly chance: Chance) {
     for (const name of this.names) {
@@ -42,7 +43,9 @@
   }
 
   link(from: string, to: string): LinkModel {
-    return this.links.get(`${from} ${to}`)!;
+    const link = this.links.get(`${from} ${to}`);
+    if (!link) throw new Error(`there is no link from ${from} to ${to}`);
+    return link;
   }
 
   /** Nodes that are neither down nor stand still. */
@@ -70,7 +73,7 @@
     this.restartAt.set(name, this.now + this.chance.next() * 0.6 * LEASE_S);
   }
 
-  /** The node's present life; it is started if its time has come, null if it is down. */
+  /** The node's present incarnation; it is started if its time has come, null if it is down. */
   nodeOrRestarted(name: string): NodeModel | null {
     if (this.node(name) === null && this.now >= (this.restartAt.get(name) ?? 0)) this.start(name);
     return this.node(name);
@@ -89,6 +92,6 @@
   }
 
   private start(name: string): void {
-    this.nodes.set(name, new NodeModel(name, ++this.lives, this.peersOf(name)));
+    this.nodes.set(name, new NodeModel(name, ++this.incarnations, this.peersOf(name)));
   }
 }
--- a/packages/testing/models/leader-election/faults.ts
+++ b/packages/testing/models/leader-election/faults.ts
@@ -1,3 +1,4 @@
+/** The faults and cancellations of the model of leader election. */
 import type { Chance } from '../../random.js';
 import type { LeadershipCluster } from './cluster.js';
 import { CANCEL_S, ELECTION_LEASE_S, LEASE_S, STEP_S } from './timing.js';
@@ -7,14 +8,14 @@
 const REFUSAL = 0.01;
 const CRASH = 0.004;
 const FREEZE = 0.004;
-const LINK_TROUBLE = 0.006;
+const LINK_FAULT = 0.006;
 /** Chances in one step, in every world alike. */
 const REFUSED_THEN_OUTAGE = 0.004;
 const CANCELLATION = 0.15;
 
 /** What goes wrong in a world, and when users cancel. */
 export class LeadershipFaults {
-  /** Worlds differ in how much fails, so that some owners have long quiet spells between two troubles. */
+  /** Worlds differ in how much fails, so that some leaders have long times without faults. */
   private readonly harshness: number;
   /** A cancellation that a peer is to confirm in the last moment before it crashes. */
   private lastCancellation: { peer: string; at: number } | null = null;
@@ -26,7 +27,7 @@
     this.harshness = chance.next() ** 2;
   }
 
-  /** Begins what chance has in store for this step. */
+  /** Begins the faults of this step, drawn at random. */
   inject(): void {
     const { chance, cluster } = this;
     const { now } = cluster;
@@ -38,7 +39,7 @@
     if (this.fails(REFUSAL)) cluster.refuse(name, now + chance.next() * 2 * CANCEL_S);
     if (this.fails(CRASH)) cluster.crash(name);
     else if (node && this.fails(FREEZE)) node.frozenUntil = now + chance.next() * LEASE_S;
-    this.troubleLink(name, cluster.peersOf(name)[chance.int(0, 1)]);
+    this.disturbLink(name, cluster.peersOf(name)[chance.int(0, 1)]);
     if (chance.hit(REFUSED_THEN_OUTAGE)) this.refuseLeaderThenAll();
   }
 
@@ -55,7 +56,7 @@
     if (chance.hit(0.3)) cluster.crash(node.name);
   }
 
-  /** The cancellation that `refuseOwnerThenAll` has planned, and the crash after it. */
+  /** The cancellation that `refuseLeaderThenAll` has planned, and the crash after it. */
   cancelAtLast(): void {
     const { lastCancellation, cluster } = this;
     if (lastCancellation === null || cluster.now < lastCancellation.at) return;
@@ -70,20 +71,20 @@
     return this.chance.hit(rate * this.harshness);
   }
 
-  private troubleLink(from: string, to: string): void {
+  private disturbLink(from: string, to: string): void {
     const { chance, cluster } = this;
     const { now } = cluster;
     const link = cluster.link(from, to);
-    if (this.fails(LINK_TROUBLE)) link.heldUntil = now + chance.next() * CANCEL_S;
-    if (this.fails(LINK_TROUBLE)) link.deadUntil = now + chance.next() * LEASE_S;
-    if (this.fails(LINK_TROUBLE)) {
+    if (this.fails(LINK_FAULT)) link.heldUntil = now + chance.next() * CANCEL_S;
+    if (this.fails(LINK_FAULT)) link.deadUntil = now + chance.next() * LEASE_S;
+    if (this.fails(LINK_FAULT)) {
       link.delayS = chance.hit(0.5) ? STEP_S / 2 : chance.next() * 2 * CANCEL_S;
     }
   }
 
   /**
-   * The state service refuses the owner alone, and shortly afterwards everybody. In the last moment a
-   * peer that can't reach the owner may confirm a cancellation, and crash.
+   * The state service refuses the leader alone, and shortly afterwards everybody. In the last moment a
+   * peer that can't reach the leader may confirm a cancellation, and crash.
    */
   private refuseLeaderThenAll(): void {
     const { cluster, chance } = this;
@@ -100,7 +101,7 @@
     this.lastCancellation = { peer, at: from - STEP_S };
   }
 
-  /** What the peers say reaches the owner long after it was true, and it stays refused after the others. */
+  /** What the peers say reaches the leader long after it was true, and it stays refused after the others. */
   private slowDown(leader: string): void {
     const { cluster, chance } = this;
     const delayS = (1 + chance.next()) * CANCEL_S;
--- a/packages/testing/models/leader-election/link.ts
+++ b/packages/testing/models/leader-election/link.ts
@@ -1,3 +1,4 @@
+/** The links between the controllers of the model. */
 import type { AbortFrame, StatusFrame } from '#peer';
 import { STEP_S } from './timing.js';
 
--- a/packages/testing/models/leader-election/model.ts
+++ b/packages/testing/models/leader-election/model.ts
@@ -1,3 +1,4 @@
+/** The seeded mistakes of the model of leader election, and what a run returns. */
 /** One deliberate mistake, to show that the checks can fail. */
 export type OwnershipFault =
   'none' | 'trusts-arrival' | 'trusts-restarted' | 'ignores-cancelled' | 'renews-for-the-living';
@@ -6,10 +7,11 @@
 export type OwnershipViolation =
   'acts-beside-successor' | 'acts-on-unknown-cancellation' | 'renews-beside-owner';
 
+/** What came of one run of the model. */
 export interface LeadershipRun {
   violations: Set<OwnershipViolation>;
-  /** Steps in which an owner went on by the statements of its peers alone. */
+  /** Steps in which a leader went on by the statements of its peers alone. */
   attestedSteps: number;
-  /** Steps in which a node renewed leases for an owner that had ended. */
+  /** Steps in which a node renewed leases for a leader that had ended. */
   standbySteps: number;
 }
--- a/packages/testing/models/leader-election/node.ts
+++ b/packages/testing/models/leader-election/node.ts
@@ -1,3 +1,4 @@
+/** One controller of the model, which runs the production code's checks of the leader lease. */
 import {
   Cancellations,
   LeaderLeaseCheck,
@@ -11,13 +12,13 @@
 import type { Campaign, ServiceModel } from './service.js';
 import { CANCEL_S, GRACE_S, ELECTION_LEASE_S, SILENCE_S } from './timing.js';
 
-/** What a node goes by: the latest statement of each peer, and of the newest owner that it saw. */
+/** What a node relies on: the latest statement of each peer, and of the newest leader that it saw. */
 export interface Statements {
   peers: (PeerStatus | null)[];
   leader: PeerStatus | null;
 }
 
-/** One life of a controller. */
+/** One incarnation of a controller. */
 export class NodeModel {
   readonly table: PeerStatusTable;
   readonly cancellations = new Cancellations(1000, 2 * CANCEL_S);
@@ -26,7 +27,7 @@
   renewedAt = -Infinity;
   jobsCurrentAt = -Infinity;
   jobsRevision = 0;
-  /** The newest owner that was seen. */
+  /** The newest leader that was seen. */
   leader = { term: 0, name: '' };
   loaded = false;
   refused = false;
@@ -86,7 +87,7 @@
     }
   }
 
-  /** A peer has seen a newer owner, so the own term is over. */
+  /** A peer has seen a newer leader, so the own term is over. */
   yieldTo(term: number): void {
     if (term <= this.term) return;
     this.judge = null;
@@ -134,7 +135,7 @@
     this.standby.record(this.standbyView(now, statements), statements.leader);
   }
 
-  /** Whether this node renews leases for the owner of the term that it saw last. */
+  /** Whether this node renews leases for the leader of the term that it saw last. */
   renews(now: number, statements: Statements): boolean {
     return this.standby.mayRenew(this.standbyView(now, statements), statements.leader);
   }
--- a/packages/testing/models/leader-election/service.ts
+++ b/packages/testing/models/leader-election/service.ts
@@ -1,6 +1,7 @@
+/** The state service of the model of leader election. */
 import { ELECTION_LEASE_S } from './timing.js';
 
-/** One time at which a controller took the part. */
+/** A campaign that a controller has won. */
 export interface Campaign {
   node: string;
   incarnation: number;
@@ -8,17 +9,17 @@
   at: number;
 }
 
-/** The state service: one revision, the part's holder, and the grants that it hangs on. */
+/** The state service: one revision, the present leader, and the election leases that hold its key. */
 export class ServiceModel {
   revision = 10;
   leader: Campaign | null = null;
   down = false;
   readonly claims: Campaign[] = [];
   readonly cancelled: { job: string; revision: number }[] = [];
-  private readonly grants = new Map<number, number>();
+  private readonly leases = new Map<number, number>();
 
   renew(incarnation: number, now: number): void {
-    this.grants.set(incarnation, now + ELECTION_LEASE_S);
+    this.leases.set(incarnation, now + ELECTION_LEASE_S);
   }
 
   campaign(node: string, incarnation: number, now: number): Campaign {
@@ -31,15 +32,15 @@
     this.cancelled.push({ job, revision: ++this.revision });
   }
 
-  /** Grants run out while the service is up, and have their full time again after an outage. */
+  /** Election leases run out while the service is up, and have their full time again after an outage. */
   step(now: number, down: boolean): void {
     if (this.down && !down) {
-      for (const incarnation of this.grants.keys())
-        this.grants.set(incarnation, now + ELECTION_LEASE_S);
+      for (const incarnation of this.leases.keys())
+        this.leases.set(incarnation, now + ELECTION_LEASE_S);
     }
     this.down = down;
     if (down || this.leader === null) return;
-    if (now > (this.grants.get(this.leader.incarnation) ?? 0)) {
+    if (now > (this.leases.get(this.leader.incarnation) ?? 0)) {
       this.leader = null;
       this.revision++;
     }
--- a/packages/testing/models/leader-election/statements.ts
+++ b/packages/testing/models/leader-election/statements.ts
@@ -1,8 +1,9 @@
+/** The statements of peers, falsified by a seeded mistake. */
 import type { PeerStatus } from '#controller';
 import type { OwnershipFault } from './model.js';
 import type { NodeModel, Statements } from './node.js';
 
-/** What a node goes by, as it takes it with the seeded mistake. */
+/** The statements that a node relies on, under the seeded mistake. */
 export function statementsFor(node: NodeModel, fault: OwnershipFault): Statements {
   const { table, leader } = node;
   return {
--- a/packages/testing/models/leader-election/world.ts
+++ b/packages/testing/models/leader-election/world.ts
@@ -1,7 +1,7 @@
 /**
- * A small model of controllers that hold and lose a part: it runs the production code that judges
- * entitlement, keeps peer statements and lists cancellations, and models everything around it (state
- * service, grants, connections, crashes, users who cancel). One step is a quarter of a report period.
+ * A small model of controllers that become leader and step down: it runs the production code that checks
+ * the leader lease, keeps peer statements and lists cancellations, and models everything around it (state
+ * service, election leases, connections, crashes, users who cancel). One step is a quarter of a heartbeat period.
  */
 import { Chance } from '../../random.js';
 import { LeadershipChecks } from './checks.js';
@@ -13,7 +13,7 @@
 import { statementsFor } from './statements.js';
 import { HEARTBEAT_INTERVAL_S, STEP_S } from './timing.js';
 
-/** Plays one world and returns what was broken: nothing, unless a fault is seeded. */
+/** Plays one world and returns what was broken: nothing, unless a mistake is seeded. */
 export function playOwnership(seed: number, fault: OwnershipFault, lengthS = 200): LeadershipRun {
   return new LeadershipWorld(seed, fault).play(lengthS);
 }
@@ -62,11 +62,11 @@
     const { cluster } = this;
     for (const peer of cluster.peersOf(node.name)) {
       const messages = cluster.link(peer, node.name).arrived(cluster.now);
-      for (const message of messages) this.take(node, peer, message);
+      for (const message of messages) this.receiveMessage(node, peer, message);
     }
   }
 
-  private take(node: NodeModel, from: string, message: Message): void {
+  private receiveMessage(node: NodeModel, from: string, message: Message): void {
     const { now } = this.cluster;
     if (message.kind === 'abort') {
       node.cancellations.addFromPeer(message, now);
--- a/packages/testing/models/leader-with-workers/checks.ts
+++ b/packages/testing/models/leader-with-workers/checks.ts
@@ -1,3 +1,4 @@
+/** The rules of the protocol, checked in the model of a leader with its workers. */
 import { taskName } from '#wire';
 import type { DurableRecords } from './durable-records.js';
 import type { OwnerViolation } from './mistakes.js';
@@ -28,10 +29,10 @@
       const isSame = other.job === task.job && other.index === task.index;
       if (isSame && other !== task) violations.add('ran_twice');
     }
-    if (gpus > TEAMS.get(team)!.gpuLimit) violations.add('quota');
+    if (gpus > (TEAMS.get(team)?.gpuLimit ?? 0)) violations.add('quota');
   }
 
-  /** Notes which of a worker's tasks are done. */
+  /** Records which of a worker's tasks are done. */
   recordDone(worker: WorkerModel): void {
     for (const { job, index, state, cause } of worker.tasks.values()) {
       if (state !== 'exited' || cause !== 'done') continue;
@@ -70,7 +71,7 @@
     const zones = this.zonesOf(task.job);
     const mostInZone = Math.ceil(job.tasks / 2);
     const isWrong =
-      (job.spread && zones.get(worker.zone)! > mostInZone) ||
+      (job.spread && (zones.get(worker.zone) ?? 0) > mostInZone) ||
       (job.oneZone && zones.size > 1) ||
       (job.zone !== null && job.zone !== worker.zone) ||
       (worker.spot && !job.spot);
@@ -78,9 +79,9 @@
   }
 
   private checkRecords(worker: WorkerModel, task: HeldTask, now: number): void {
-    const { cancelledAt } = this.records.jobs.get(task.job)!;
+    const { cancelledAt } = this.records.recordOf(task.job);
     if (now > cancelledAt + CANCEL_S) this.violations.add('ran_cancelled');
-    // A start that no durable record names could be forgotten by the next owner.
+    // A start that no durable record names could be forgotten by the next leader.
     const isNew = now - task.startedAt < STEP_S;
     if (isNew && !this.records.names(worker.name, task)) this.violations.add('unrecorded');
   }
--- a/packages/testing/models/leader-with-workers/durable-records.ts
+++ b/packages/testing/models/leader-with-workers/durable-records.ts
@@ -1,9 +1,10 @@
+/** The records in the state service of the model. */
 import type { Job, TaskRef } from '#wire';
 
 interface JobRecord {
   job: Job;
   phase: 'accepted' | 'cancelled' | 'done';
-  /** Steady seconds; Infinity unless aborted. */
+  /** Steady seconds; Infinity unless cancelled. */
   cancelledAt: number;
 }
 
@@ -13,9 +14,9 @@
   tasks: TaskRef[];
 }
 
-/** What is durable: the only thing that outlives an owner. */
+/** What is durable: the only thing that outlives a leader. */
 export class DurableRecords {
-  /** The term of the newest owner. */
+  /** The term of the newest leader. */
   term = 0;
   /** Counts all changes. */
   revision = 10;
@@ -25,7 +26,14 @@
   readonly machines = new Map<string, MachineRecord>();
 
   jobOf(id: string): Job {
-    return this.jobs.get(id)!.job;
+    return this.recordOf(id).job;
+  }
+
+  /** The record of a job that was accepted; throws if there is none. */
+  recordOf(id: string): JobRecord {
+    const record = this.jobs.get(id);
+    if (!record) throw new Error(`job ${id} has no record`);
+    return record;
   }
 
   accept(job: Job): void {
@@ -39,7 +47,7 @@
     record.cancelledAt = now;
   }
 
-  /** Jobs that are neither done nor aborted. */
+  /** Jobs that are neither done nor cancelled. */
   openJobs(): JobRecord[] {
     return [...this.jobs.values()].filter((record) => record.phase === 'accepted');
   }
--- a/packages/testing/models/leader-with-workers/leader.ts
+++ b/packages/testing/models/leader-with-workers/leader.ts
@@ -1,3 +1,4 @@
+/** A leader of the model, which runs the production code's fleet state and scheduler. */
 import { FleetState, Scheduler } from '#core';
 import { STD } from '../../samples.js';
 import type { DurableRecords } from './durable-records.js';
@@ -22,7 +23,7 @@
   decisionsPerRound: 50,
 };
 
-/** One term of an owner: its fleet state, a scheduler, and a recorder that takes a step to be durable. */
+/** One term of a leader: its fleet state, a scheduler, and a recorder that takes a step to be durable. */
 export class LeaderModel {
   readonly fleet: FleetState;
   private readonly scheduler: Scheduler;
@@ -48,11 +49,11 @@
     this.recorder = new RecorderModel(records, term, this.fleet, mistake);
   }
 
-  /** Records what the step before changed, takes changes of jobs in, and schedules. */
+  /** Records what the step before changed, applies changes of jobs, and schedules. */
   step(now: number): void {
     if (this.deposedAt !== null) return;
     this.recorder.record();
-    this.takeJobs(now);
+    this.applyJobChanges(now);
     this.fleet.leases.expire(now);
     this.fleet.machines.updateTotals();
     this.scheduler.reservations.update(now);
@@ -81,13 +82,15 @@
       const facts = { name, addr: '', type: STD.name, zone, spot };
       const machine = fleet.machines.register(facts, 'up', now);
       for (const { job, index, attempt } of tasks) {
-        fleet.assignments.inherit(fleet.jobs.get(job)!, index, machine, attempt, now);
+        const state = fleet.jobs.get(job);
+        if (!state) throw new Error(`machine ${name} has a task of ${job}, which has no record`);
+        fleet.assignments.inherit(state, index, machine, attempt, now);
       }
     }
     fleet.machines.updateTotals();
   }
 
-  private takeJobs(now: number): void {
+  private applyJobChanges(now: number): void {
     for (const { job, phase } of this.records.jobs.values()) {
       if (phase === 'cancelled' && this.mistake === 'deaf-to-aborts') continue;
       const seen = this.mistake === 'any-zone' ? { ...job, zone: null, spread: false } : job;
--- a/packages/testing/models/leader-with-workers/mail.ts
+++ b/packages/testing/models/leader-with-workers/mail.ts
@@ -1,3 +1,5 @@
+/** Messages under way in the model. */
+
 interface Message {
   at: number;
   deliver: (now: number) => void;
@@ -15,6 +17,9 @@
   deliver(now: number): void {
     const { messages } = this;
     messages.sort((first, second) => first.at - second.at);
-    while (messages.length > 0 && messages[0].at <= now) messages.shift()!.deliver(now);
+    for (let next = messages.at(0); next && next.at <= now; next = messages.at(0)) {
+      messages.shift();
+      next.deliver(now);
+    }
   }
 }
--- a/packages/testing/models/leader-with-workers/mistakes.ts
+++ b/packages/testing/models/leader-with-workers/mistakes.ts
@@ -1,3 +1,4 @@
+/** The seeded mistakes of the model of a leader with its workers, and what its checks find. */
 /** One deliberate mistake, to show that the checks can fail. */
 export type OwnerMistake =
   | 'none'
--- a/packages/testing/models/leader-with-workers/random-job.ts
+++ b/packages/testing/models/leader-with-workers/random-job.ts
@@ -1,3 +1,4 @@
+/** Random jobs of the model. */
 import type { Job } from '#wire';
 import type { Chance } from '../../random.js';
 
--- a/packages/testing/models/leader-with-workers/recorder.ts
+++ b/packages/testing/models/leader-with-workers/recorder.ts
@@ -1,8 +1,9 @@
+/** Writes what a leader of the model has changed to the durable records. */
 import type { FleetState, JobState, Machine } from '#core';
 import type { DurableRecords } from './durable-records.js';
 import type { OwnerMistake } from './mistakes.js';
 
-/** Makes an owner's state durable under the condition of its term, all at once. */
+/** Makes a leader's state durable under the condition of its term, all at once. */
 export class RecorderModel {
   constructor(
     private readonly records: DurableRecords,
@@ -16,7 +17,11 @@
     const { records, fleet } = this;
     if (records.term !== this.term) return;
     records.revision++;
-    for (const id of fleet.unrecorded.jobs) this.recordProgress(fleet.jobs.get(id)!);
+    for (const id of fleet.unrecorded.jobs) {
+      const job = fleet.jobs.get(id);
+      if (!job) throw new Error(`unrecorded job ${id} is not in the fleet state`);
+      this.recordProgress(job);
+    }
     fleet.unrecorded.jobs.clear();
     if (this.mistake !== 'order-before-record') {
       for (const name of fleet.unrecorded.machines) this.recordMachine(name);
@@ -27,7 +32,7 @@
   private recordProgress(job: JobState): void {
     const { records, fleet } = this;
     const { id, tasks } = job.spec;
-    const record = records.jobs.get(id)!;
+    const record = records.recordOf(id);
     const done = new Set<number>();
     for (let index = 0; index < tasks; index++) if (job.done.has(index)) done.add(index);
     records.done.set(id, done);
--- a/packages/testing/models/leader-with-workers/traffic.ts
+++ b/packages/testing/models/leader-with-workers/traffic.ts
@@ -1,3 +1,4 @@
+/** Heartbeats, answers and direct commands of the model, with their delays and losses. */
 import type { Order, Heartbeat } from '#wire';
 import type { Machine, HeartbeatOutcome } from '#core';
 import type { Chance } from '../../random.js';
@@ -7,9 +8,9 @@
 import { ANSWER_LIFE_S, COMMAND_LIFE_S, DELAY_S, LEASE_S } from './timing.js';
 import type { WorkerModel } from './worker.js';
 
-/** Share of reports, and of answers, that are lost. */
+/** Share of heartbeats, and of answers, that are lost. */
 const LOST = 0.08;
-/** Share of reports of which a copy comes late, and how late at the most. */
+/** Share of heartbeats of which a copy comes late, and how late at the most. */
 const COPIED = 0.15;
 const COPY_DELAY_S = 3 * LEASE_S;
 /** Share of direct commands that come late, and how late at the most. */
@@ -18,40 +19,44 @@
 /** Share of direct commands whose answer is lost. */
 const LOST_COMMAND_ANSWERS = 0.1;
 
-/** A worker and what it knows of its connection to an owner. */
+/** A worker and what it knows of its connection to a leader. */
 export interface WorkerContact {
   worker: WorkerModel;
   nextHeartbeatAt: number;
-  /** Until when it waits for the answer to its last report; -Infinity once it has come. */
-  awaitsAnswerUntil: number;
-  /** The former owner that a cut-off worker still reaches. */
+  /** Until when it waits for the answer to its last heartbeat; -Infinity once it has come. */
+  answerDueAt: number;
+  /** The former leader that a cut-off worker still reaches. */
   follows: LeaderModel | null;
 }
 
+/** What the traffic needs from the world. */
 export interface TrafficOptions {
   chance: Chance;
   mail: Mail;
   mistake: OwnerMistake;
-  /** The owner of the newest term; null while there is none. */
+  /** The leader of the newest term; null while there is none. */
   leader: () => LeaderModel | null;
 }
 
-/** Messages between workers and owners, which are delayed, lost, repeated and come late. */
+/** Messages between workers and leaders, which are delayed, lost, repeated and come late. */
 export class Traffic {
   constructor(private readonly options: TrafficOptions) {}
 
-  /** A worker that lost its owner stays with the one that answered it last, if that still does. */
+  /** A worker that lost its leader stays with the one that answered it last, if that still does. */
   sendHeartbeat(contact: WorkerContact, now: number): void {
     const { chance, mail, leader } = this.options;
     const heartbeat = contact.worker.heartbeat();
     const target = contact.follows ?? leader();
-    contact.awaitsAnswerUntil = now + ANSWER_LIFE_S;
-    const deliver = (at: number) =>
+    contact.answerDueAt = now + ANSWER_LIFE_S;
+    const deliver = (at: number) => {
       this.deliverHeartbeat({ contact, heartbeat, target, sentAt: now }, at);
+    };
     if (!chance.hit(LOST)) mail.post(now + chance.next() * DELAY_S, deliver);
     // A copy from seconds to well over a lease late; its answer reaches nobody.
     if (chance.hit(COPIED)) {
-      mail.post(now + chance.next() * COPY_DELAY_S, (at) => this.deliverCopy(heartbeat, at));
+      mail.post(now + chance.next() * COPY_DELAY_S, (at) => {
+        this.deliverCopy(heartbeat, at);
+      });
     }
   }
 
@@ -69,7 +74,9 @@
     const { contact, heartbeat, target, sentAt } = sent;
     if (!target) return;
     if (now < target.thawsAt) {
-      mail.post(target.thawsAt, (at) => this.deliverHeartbeat(sent, at));
+      mail.post(target.thawsAt, (at) => {
+        this.deliverHeartbeat(sent, at);
+      });
       return;
     }
     if (target.hasGivenUp(now)) {
@@ -82,8 +89,8 @@
     const arrivesAt = now + chance.next() * DELAY_S;
     if (chance.hit(LOST)) return;
     mail.post(arrivesAt, (at) => {
-      if (at - sentAt > ANSWER_LIFE_S || contact.awaitsAnswerUntil === -Infinity) return;
-      contact.awaitsAnswerUntil = -Infinity;
+      if (at - sentAt > ANSWER_LIFE_S || contact.answerDueAt === -Infinity) return;
+      contact.answerDueAt = -Infinity;
       contact.worker.answer({ agentEpoch: heartbeat.agentEpoch, sentAt }, fencingToken, orders, at);
     });
   }
@@ -95,7 +102,7 @@
     leader.fleet.heartbeats.handle(heartbeat, now);
   }
 
-  /** The mistake of taking a copy of an old report for a new one. */
+  /** The mistake of taking a copy of an old heartbeat for a new one. */
   private rewindNewer({ fleet }: LeaderModel, heartbeat: Heartbeat): void {
     if (this.options.mistake !== 'believes-old-copies') return;
     const machine = fleet.machines.get(heartbeat.machine);
@@ -151,11 +158,13 @@
   orders: Order[];
 }
 
-/** A late copy is answered too, with a token that no worker obeys. */
+/** A late copy is answered too, with a fencing token that no worker obeys. */
 function answerTo(outcome: HeartbeatOutcome, { fleet }: LeaderModel, heartbeat: Heartbeat) {
   if (outcome.kind !== 'answer') return { fencingToken: 0, orders: [] };
+  const machine = fleet.machines.get(heartbeat.machine);
+  if (!machine) throw new Error(`${heartbeat.machine} was answered and is not in the fleet state`);
   return {
-    fencingToken: fleet.machines.get(heartbeat.machine)!.fencingToken,
+    fencingToken: machine.fencingToken,
     orders: outcome.orders,
   };
 }
--- a/packages/testing/models/leader-with-workers/worker.ts
+++ b/packages/testing/models/leader-with-workers/worker.ts
@@ -1,3 +1,4 @@
+/** The workers of the model. */
 import { type Order, type Heartbeat, taskName, type TaskRef, type TaskStatus } from '#wire';
 import { STD } from '../../samples.js';
 
@@ -7,6 +8,7 @@
   runS: number;
 }
 
+/** The machine of a worker, and what its tasks depend on. */
 export interface WorkerModelOptions {
   name: string;
   zone: string;
@@ -18,7 +20,7 @@
   onStart: (worker: WorkerModel, task: HeldTask) => void;
 }
 
-/** A worker as the protocol describes it: tokens, sessions, leases, orders. */
+/** A worker as the protocol describes it: fencing tokens, agent epochs, leases, orders. */
 export class WorkerModel {
   readonly name: string;
   readonly zone: string;
@@ -27,7 +29,7 @@
   private agentEpoch = 1;
   private sequence = 0;
   private fencingToken = 0;
-  /** When the last answered report was sent. */
+  /** When the last answered heartbeat was sent. */
   private renewedAt = 0;
 
   constructor(private readonly options: WorkerModelOptions) {
@@ -76,7 +78,7 @@
     };
   }
 
-  /** The answer to a report of that session, which was sent at `sentAt`. */
+  /** The answer to a heartbeat of that agent epoch, which was sent at `sentAt`. */
   answer(
     to: { agentEpoch: number; sentAt: number },
     fencingToken: number,
@@ -89,7 +91,7 @@
     this.execute(orders, now);
   }
 
-  /** A direct command: runs whenever it arrives, if token and session still match; null if not. */
+  /** A direct command: runs whenever it arrives, if fencing token and agent epoch still match; null if not. */
   command(
     fencingToken: number,
     agentEpoch: number,
--- a/packages/testing/models/leader-with-workers/world.ts
+++ b/packages/testing/models/leader-with-workers/world.ts
@@ -1,3 +1,4 @@
+/** Plays random worlds of leaders and workers. */
 import { Chance } from '../../random.js';
 import { LeaderChecks } from './checks.js';
 import { DurableRecords } from './durable-records.js';
@@ -11,7 +12,7 @@
 
 const WORKERS = 5;
 const MOST_JOBS = 60;
-/** When the first owner claims. */
+/** When the first leader is elected. */
 const FIRST_CAMPAIGN_S = 1;
 /** Chances in one step. */
 const SUBMISSION = 0.1;
@@ -20,7 +21,7 @@
 const WORKER_SILENCE = 0.001;
 
 /**
- * Owners that come and go, workers, and a network that delays, loses and repeats messages, on a
+ * Leaders that come and go, workers, and a network that delays, loses and repeats messages, on a
  * simulated clock. It runs the production code of core and models everything around it. Returns the
  * broken rules found, which must be none unless a mistake was seeded.
  */
@@ -40,7 +41,7 @@
   private readonly contacts: WorkerContact[];
   private readonly checks: LeaderChecks;
   private leader: LeaderModel | null = null;
-  /** The last owner that lost the state service. */
+  /** The last leader that lost the state service. */
   private former: LeaderModel | null = null;
   private campaignAt = FIRST_CAMPAIGN_S;
   private submitted = 0;
@@ -57,7 +58,7 @@
     this.contacts = workers.map((worker) => ({
       worker,
       nextHeartbeatAt: chance.next(),
-      awaitsAnswerUntil: -Infinity,
+      answerDueAt: -Infinity,
       follows: null,
     }));
     this.checks = new LeaderChecks(this.records, workers);
@@ -78,7 +79,7 @@
     mail.deliver(now);
     this.leader?.step(now);
     if (this.leader) traffic.sendCommands(this.leader, contacts, now);
-    // One that wakes sends what was due, if it may still believe itself entitled.
+    // One that wakes sends what was due, if its leader lease may still hold.
     const { former } = this;
     if (former && now >= former.thawsAt && !former.hasGivenUp(now)) {
       traffic.sendCommands(former, contacts, now);
@@ -93,7 +94,9 @@
       spot: index === WORKERS - 1,
       leaseS: LEASE_S,
       runS: (job) => runTimeS(this.records.jobOf(job)),
-      onStart: (worker, task) => this.checks.checkStart(worker, task),
+      onStart: (worker, task) => {
+        this.checks.checkStart(worker, task);
+      },
     });
   }
 
@@ -107,7 +110,7 @@
     if (open.length > 0) records.cancel(open[chance.int(0, open.length - 1)], this.now);
   }
 
-  /** Owners crash, or lose the state service and go on answering those that still reach them. */
+  /** Leaders crash, or lose the state service and go on answering those that still reach them. */
   private changeLeader(): void {
     const { chance, now, leader } = this;
     if (leader && chance.hit(LEADER_LOSS)) {
@@ -133,11 +136,11 @@
 
   private stepWorker(contact: WorkerContact): void {
     const { chance, now } = this;
-    // Silent for a while: the network holds its reports back, or they are lost.
+    // Silent for a while: the network holds its heartbeats back, or they are lost.
     if (chance.hit(WORKER_SILENCE)) contact.nextHeartbeatAt = now + chance.next() * 2 * LEASE_S;
     contact.worker.advance(now);
     this.checks.recordDone(contact.worker);
-    if (now < contact.nextHeartbeatAt || now <= contact.awaitsAnswerUntil) return;
+    if (now < contact.nextHeartbeatAt || now <= contact.answerDueAt) return;
     contact.nextHeartbeatAt = now + HEARTBEAT_INTERVAL_S * (0.75 + chance.next() / 2);
     this.traffic.sendHeartbeat(contact, now);
   }
--- a/packages/testing/models/replica-groups/checks.ts
+++ b/packages/testing/models/replica-groups/checks.ts
@@ -14,7 +14,7 @@
   return null;
 }
 
-/** The replica is whole by the owner's word, and so it is. */
+/** The replica is whole by the leader's state, and so it is. */
 export function isAtRest({ leader, former, machines, request }: ReplicaModelState): boolean {
   const running = machines.filter(({ task }) => task?.generation === leader.group.generation);
   const isWhole = phaseOf(leader.group) === 'whole' && running.length === leader.group.members;
--- a/packages/testing/models/replica-groups/events-of-state.ts
+++ b/packages/testing/models/replica-groups/events-of-state.ts
@@ -3,4 +3,5 @@
 import type { ReplicaMistake } from './mistakes.js';
 import type { ReplicaModelState } from './state.js';
 
+/** The events of one state of the model of replica groups. */
 export type ReplicaEventList = EventList<ReplicaModelState, ReplicaMistake>;
--- a/packages/testing/models/replica-groups/events.ts
+++ b/packages/testing/models/replica-groups/events.ts
@@ -5,10 +5,17 @@
 import type { ReplicaEventList } from './events-of-state.js';
 import { addArrival, addMachineEvents, addHeartbeat } from './machine-events.js';
 import type { ReplicaMistake } from './mistakes.js';
-import { beginGeneration, machinesForNext, leaderFromRecords, sendsStart, tell } from './leader.js';
+import {
+  beginGeneration,
+  machinesForNext,
+  leaderFromRecords,
+  sendsStart,
+  applyEvent,
+} from './leader.js';
 import { addRequestSteps } from './requests.js';
 import {
   areRecordsRead,
+  placeAt,
   type Command,
   type ModelMachine,
   type ModelLeader,
@@ -16,6 +23,7 @@
   type ReplicaModelState,
 } from './state.js';
 
+/** The events that can happen in the state. */
 export function eventsIn(
   state: ReplicaModelState,
   mistake: ReplicaMistake,
@@ -27,7 +35,9 @@
   if (!areRecordsRead(state)) addRecordsAtOnce(list);
   state.machines.forEach((machine, at) => {
     if (areRecordsRead(state)) addRecords(list, at);
-    machine.commands.forEach((_, index) => addArrival(list, at, index));
+    machine.commands.forEach((_, index) => {
+      addArrival(list, at, index);
+    });
     addHeartbeat(list, at);
     addMachineEvents(list, at);
   });
@@ -40,10 +50,12 @@
   const isUsable = (at: number) => state.machines[at].condition !== 'dead';
   const machines = machinesForNext(state.leader, isUsable, mistake);
   if (machines === null) return;
-  list.add('generation placed', false, (draft) => beginGeneration(draft.leader, machines, mistake));
+  list.add('generation placed', false, (draft) => {
+    beginGeneration(draft.leader, machines, mistake);
+  });
 }
 
-/** The owner ends, or goes on without knowing that another has taken its place. */
+/** The leader ends, or goes on without knowing that another has taken its place. */
 function addLeaderChange(list: ReplicaEventList): void {
   const { state, mistake } = list;
   if (state.former !== null) list.add('former owner ends', false, (draft) => (draft.former = null));
@@ -57,7 +69,7 @@
   }
 }
 
-/** An owner sends what it would send now; that may arrive at any later time. */
+/** A leader sends what it would send now; that may arrive at any later time. */
 function addSends(list: ReplicaEventList, role: 'leader' | 'former'): void {
   const { state, mistake } = list;
   const leader = state[role];
@@ -68,8 +80,8 @@
   if (starts.length > 0) {
     list.add(`${role} sends starts`, false, (draft) => {
       for (const at of starts) {
-        draft[role]!.places[at]!.sent = true;
-        send(draft.machines[at], command('start', leader.places[at]!, leader.term));
+        placeAt(draft[role], at).sent = true;
+        send(draft.machines[at], command('start', placeAt(leader, at), leader.term));
       }
     });
   }
@@ -79,7 +91,7 @@
   if (stops.length === 0) return;
   list.add(`${role} sends stops`, false, (draft) => {
     for (const at of stops) {
-      send(draft.machines[at], command('stop', leader.places[at]!, leader.term));
+      send(draft.machines[at], command('stop', placeAt(leader, at), leader.term));
     }
   });
 }
@@ -101,32 +113,33 @@
   return { verb, member: place.member, generation: place.generation, fencingToken };
 }
 
-/** Nobody will read the records: all that matters is when the owner knows that they are durable. */
+/** Nobody will read the records: all that matters is when the leader knows that they are durable. */
 function addRecordsAtOnce(list: ReplicaEventList): void {
   const { state, mistake } = list;
   for (const role of ['leader', 'former'] as const) {
     const open = state[role]?.places.flatMap((place, at) => (place && !place.recorded ? [at] : []));
     const mayWrite = role === 'leader' || mistake === 'records-without-term';
-    const learns = (at: number) => mayWrite || state[role]!.places[at]!.durable;
+    const learns = (at: number) => mayWrite || placeAt(state[role], at).durable;
     const learnt = open?.filter(learns) ?? [];
     if (learnt.length === 0) continue;
     list.add(`${role} records all`, false, (draft) => {
       for (const at of learnt) {
-        draft[role]!.places[at]!.durable = true;
-        learnRecorded(draft[role]!, at, mistake);
+        placeAt(draft[role], at).durable = true;
+        const leader = draft[role];
+        if (leader) learnRecorded(leader, at, mistake);
       }
     });
   }
 }
 
-/** Records become durable one by one, and their owner learns it later. */
+/** Records become durable one by one, and their leader learns it later. */
 function addRecords(list: ReplicaEventList, at: number): void {
   const { state, mistake } = list;
   const place = state.leader.places[at];
   if (place !== null && !place.durable) {
     list.add(`owner records ${at}`, false, (draft) => {
       draft.machines[at].record = { member: place.member, generation: place.generation };
-      draft.leader.places[at]!.durable = true;
+      placeAt(draft.leader, at).durable = true;
     });
   }
   if (place?.durable && !place.recorded) {
@@ -140,8 +153,8 @@
 }
 
 function learnRecorded(leader: Draft<ModelLeader>, at: number, mistake: ReplicaMistake): void {
-  const place = leader.places[at]!;
+  const place = placeAt(leader, at);
   place.recorded = true;
   const { member, generation } = place;
-  tell(leader, { kind: 'recorded', member, generation }, mistake);
+  applyEvent(leader, { kind: 'recorded', member, generation }, mistake);
 }
--- a/packages/testing/models/replica-groups/explore-replicas.ts
+++ b/packages/testing/models/replica-groups/explore-replicas.ts
@@ -1,3 +1,4 @@
+/** Explores the model of replica groups. */
 import { type Exploration, explore } from '../exploration/explore.js';
 import { breachIn, isAtRest } from './checks.js';
 import { eventsIn } from './events.js';
--- a/packages/testing/models/replica-groups/leader.ts
+++ b/packages/testing/models/replica-groups/leader.ts
@@ -1,4 +1,4 @@
-/** What an owner of the model does, by the production code's state machine. */
+/** What a leader of the model does, by the production code's state machine. */
 import type { Draft } from 'immer';
 import { type GroupEvent, type GroupState, mayBePlaced, mayStart, step } from '#replicas';
 import type { ReplicaMistake } from './mistakes.js';
@@ -6,6 +6,7 @@
   MEMBERS,
   type ModelLeader,
   newLeader,
+  placeAt,
   type LeaderPlace,
   type ReplicaModelState,
 } from './state.js';
@@ -13,9 +14,13 @@
 /** Generations of one term are below those of the next. */
 const GENERATIONS_PER_TERM = 100;
 
-/** Takes an event in; what is to be stopped is marked so, or gone at once if its start was never sent. */
-export function tell(leader: Draft<ModelLeader>, event: GroupEvent, mistake: ReplicaMistake): void {
-  const { state, stop } = step(leader.group as GroupState, event);
+/** Applies an event; what is to be stopped is marked so, or gone at once if its start was never sent. */
+export function applyEvent(
+  leader: Draft<ModelLeader>,
+  event: GroupEvent,
+  mistake: ReplicaMistake,
+): void {
+  const { state, stop } = step(leader.group, event);
   if (mistake === 'keeps-the-rest' && event.kind === 'gone') {
     leader.group = { ...state, ending: false, places: state.places.map(unended) };
     return;
@@ -25,11 +30,11 @@
     const at = leader.places.findIndex(
       (place) => place?.member === member && place.generation === generation,
     );
-    const place = leader.places[at]!;
+    const place = placeAt(leader, at);
     place.stopping = true;
     if (place.sent || place.inherited) continue;
     leader.places[at] = null;
-    tell(leader, { kind: 'gone', member, generation }, mistake);
+    applyEvent(leader, { kind: 'gone', member, generation }, mistake);
   }
 }
 
@@ -75,11 +80,11 @@
       seenRunning: false,
       stopping: false,
     };
-    tell(leader, { kind: 'placed', member, generation }, mistake);
+    applyEvent(leader, { kind: 'placed', member, generation }, mistake);
   });
 }
 
-/** Whether the owner would send the start of the place now. */
+/** Whether the leader would send the start of the place now. */
 export function sendsStart(
   { group }: ModelLeader,
   place: LeaderPlace,
@@ -90,7 +95,7 @@
   return mayStart(group, place.generation);
 }
 
-/** The next owner, which knows what the records hold and nothing else. */
+/** The next leader, which knows what the records hold and nothing else. */
 export function leaderFromRecords(
   { leader, machines }: ReplicaModelState,
   mistake: ReplicaMistake,
@@ -107,8 +112,8 @@
       seenRunning: false,
       stopping: false,
     };
-    tell(next, { kind: 'inherited', ...record }, mistake);
+    applyEvent(next, { kind: 'inherited', ...record }, mistake);
   });
-  if (mistake !== 'adopts-incomplete') tell(next, { kind: 'loaded' }, mistake);
+  if (mistake !== 'adopts-incomplete') applyEvent(next, { kind: 'loaded' }, mistake);
   return next;
 }
--- a/packages/testing/models/replica-groups/machine-events.ts
+++ b/packages/testing/models/replica-groups/machine-events.ts
@@ -1,9 +1,15 @@
-/** What happens at a machine and between it and its owner. */
+/** What happens at a machine and between it and its leader. */
 import type { Draft } from 'immer';
 import type { ReplicaEventList } from './events-of-state.js';
 import type { ReplicaMistake } from './mistakes.js';
-import { tell } from './leader.js';
-import type { Command, Member, ModelMachine, ModelLeader } from './state.js';
+import { applyEvent } from './leader.js';
+import {
+  type Command,
+  type Member,
+  type ModelMachine,
+  type ModelLeader,
+  placeAt,
+} from './state.js';
 
 /** A command reaches its machine, or is lost. */
 export function addArrival(list: ReplicaEventList, at: number, index: number): void {
@@ -30,7 +36,7 @@
   else if (isSame(machine.task, arrived)) machine.task = null;
 }
 
-/** A report of an up machine reaches the owner, and its answer the machine. */
+/** A heartbeat of an up machine reaches the leader, and its answer the machine. */
 export function addHeartbeat(list: ReplicaEventList, at: number): void {
   const { state, mistake } = list;
   const machine = state.machines[at];
@@ -50,23 +56,23 @@
       if (!place.seenRunning) {
         place.seenRunning = true;
         const { member, generation } = place;
-        tell(draft.leader, { kind: 'running', member, generation }, mistake);
+        applyEvent(draft.leader, { kind: 'running', member, generation }, mistake);
       }
     } else {
       if (machine.task !== null) machine.task = null;
-      takeAbsence(draft.leader, machine, at, mistake);
+      recordAbsence(draft.leader, machine, at, mistake);
     }
   });
 }
 
-/** A report does not list the place's task. */
-function takeAbsence(
+/** A heartbeat does not list the place's task. */
+function recordAbsence(
   leader: Draft<ModelLeader>,
   machine: ModelMachine,
   at: number,
   mistake: ReplicaMistake,
 ): void {
-  const place = leader.places[at]!;
+  const place = placeAt(leader, at);
   const mayStillStart = machine.commands.some(
     (each) =>
       each.verb === 'start' && isSame(each, place) && each.fencingToken >= machine.fencingToken,
@@ -77,12 +83,12 @@
 }
 
 function endPlace(leader: Draft<ModelLeader>, at: number, mistake: ReplicaMistake): void {
-  const { member, generation } = leader.places[at]!;
+  const { member, generation } = placeAt(leader, at);
   leader.places[at] = null;
-  tell(leader, { kind: 'gone', member, generation }, mistake);
+  applyEvent(leader, { kind: 'gone', member, generation }, mistake);
 }
 
-/** Failures of a machine, and what its owner concludes from silence. */
+/** Failures of a machine, and what its leader concludes from silence. */
 export function addMachineEvents(list: ReplicaEventList, at: number): void {
   const { state, mistake } = list;
   const { condition } = state.machines[at];
@@ -108,7 +114,7 @@
   if (isSilent && state.leader.places[at] !== null) {
     list.add(`owner gives up what ${at} held`, false, (draft) => {
       endPlace(draft.leader, at, mistake);
-      // By then a former owner answers no report any more, and its commands name an older session (points 5 and 7).
+      // By then a former leader answers no heartbeat any more, and its commands name an older agent epoch (points 5 and 7).
       if (draft.former) draft.former.places[at] = null;
     });
   }
@@ -119,7 +125,7 @@
   }
 }
 
-/** Everything on the machine is gone, and commands to its session have no effect any more. */
+/** Everything on the machine is gone, and commands to its agent epoch have no effect any more. */
 function endAgentEpoch(machine: Draft<ModelMachine>): void {
   machine.task = null;
   machine.commands = [];
--- a/packages/testing/models/replica-groups/requests.ts
+++ b/packages/testing/models/replica-groups/requests.ts
@@ -1,9 +1,10 @@
-/** One request at a time, which the first member takes, hands to its mates, and answers. */
+/** One request at a time, which the first member accepts, passes to its mates, and answers. */
 import type { ReplicaEventList } from './events-of-state.js';
-import { MEMBERS, type ReplicaModelState } from './state.js';
+import { MEMBERS, type ModelRequest, type ReplicaModelState } from './state.js';
 
 const ENTRY = 0;
 
+/** Adds the next steps of the request, or the begin of one. */
 export function addRequestSteps(list: ReplicaEventList): void {
   const { state } = list;
   const { request } = state;
@@ -16,11 +17,11 @@
     for (const generation of liveGenerations(state, member)) {
       if (generation !== request.generation) continue;
       list.add(`member ${member} marks`, false, (draft) => {
-        draft.request!.marks[member] = generation;
+        if (draft.request) draft.request.marks[member] = generation;
       });
     }
   }
-  addEnd(list);
+  addEnd(list, request);
 }
 
 function addBegin(list: ReplicaEventList): void {
@@ -35,9 +36,8 @@
 }
 
 /** The request is given up at any time; it is answered only by the member that took it, with all marks. */
-function addEnd(list: ReplicaEventList): void {
+function addEnd(list: ReplicaEventList, { generation, marks }: ModelRequest): void {
   const { state, mistake } = list;
-  const { generation, marks } = state.request!;
   list.add('request given up', false, (draft) => (draft.request = null));
   if (!liveGenerations(state, ENTRY).includes(generation)) return;
   const isMarked = marks.every((mark) => mark !== 0);
--- a/packages/testing/models/replica-groups/state.ts
+++ b/packages/testing/models/replica-groups/state.ts
@@ -1,10 +1,11 @@
 /**
- * A small world with one replica: the machines with their records, two owners one after the other, and commands on
+ * A small world with one replica: the machines with their records, two leaders one after the other, and commands on
  * their way. That a place is proven gone only when its task is not there and none of its starts can act any more is
- * taken from points 5 and 6 of docs/safety.md; how it is proven is not modelled anew.
+ * taken from points 5 and 6 of docs/safety.md; how it is proven is not modelled again.
  */
 import { type GroupState, newGroup } from '#replicas';
 
+/** Members of the replica. */
 export const MEMBERS = 3;
 const MACHINES = 4;
 
@@ -17,15 +18,15 @@
 /** A command that was sent and may arrive at any later time. */
 export interface Command extends Member {
   verb: 'start' | 'stop';
-  /** Token of the owner that sent it. */
+  /** Fencing token of the leader that sent it. */
   fencingToken: number;
 }
 
-/** What an owner believes of one machine. */
+/** What a leader believes of one machine. */
 export interface LeaderPlace extends Member {
   /** The machine's record names it. */
   durable: boolean;
-  /** The owner knows that. */
+  /** The leader knows that. */
   recorded: boolean;
   inherited: boolean;
   sent: boolean;
@@ -33,6 +34,7 @@
   stopping: boolean;
 }
 
+/** One leader with what it believes. */
 export interface ModelLeader {
   term: number;
   starts: number;
@@ -41,11 +43,12 @@
   places: (LeaderPlace | null)[];
 }
 
+/** One machine: its true state, its record and the commands on their way to it. */
 export interface ModelMachine {
-  /** `cut`: works, but hears no owner; `dead`: everything on it is gone. */
+  /** `cut`: works, but reaches no leader; `dead`: everything on it is gone. */
   condition: 'up' | 'cut' | 'dead';
   task: Member | null;
-  /** Highest token it has seen. */
+  /** Highest fencing token it has seen. */
   fencingToken: number;
   record: Member | null;
   commands: Command[];
@@ -57,7 +60,7 @@
   marks: number[];
 }
 
-/** How often each trouble may still happen: what keeps the world finite. */
+/** How often each fault may still happen: what keeps the world finite. */
 export interface ReplicaBudget {
   failures: number;
   ownerChanges: number;
@@ -65,9 +68,10 @@
   requests: number;
 }
 
+/** One state of the model. */
 export interface ReplicaModelState {
   leader: ModelLeader;
-  /** A former owner that does not know that its term is over. */
+  /** A former leader that does not know that its term is over. */
   former: ModelLeader | null;
   machines: ModelMachine[];
   request: ModelRequest | null;
@@ -76,11 +80,20 @@
   budget: ReplicaBudget;
 }
 
+/** The place that the leader has on the machine; throws if there is none. */
+export function placeAt<Place>(leader: { places: (Place | null)[] } | null, at: number): Place {
+  const place = leader?.places[at] ?? null;
+  if (place === null) throw new Error(`the leader has no place on machine ${at}`);
+  return place;
+}
+
+/** A leader that knows of no members yet. */
 export function newLeader(term: number): ModelLeader {
   const places = Array<LeaderPlace | null>(MACHINES).fill(null);
   return { term, starts: 0, group: newGroup(MEMBERS), places };
 }
 
+/** The state in which nothing has happened yet. */
 export function firstState(budget: ReplicaBudget): ReplicaModelState {
   const machines = Array.from({ length: MACHINES }, (): ModelMachine => {
     return { condition: 'up', task: null, fencingToken: 0, record: null, commands: [] };
@@ -104,12 +117,12 @@
   const rank = generationRanks(state);
   const label = memberLabels(state, rank);
   const memberKey = (each: Member | null) =>
-    each && `${label[each.member]}.${rank.get(each.generation)}`;
+    each && `${label[each.member]}.${String(rank.get(each.generation))}`;
   const placeKey = (place: LeaderPlace | null | undefined) => {
     if (!place) return null;
     const { durable, recorded, inherited, sent, seenRunning, stopping } = place;
     const flags = [durable, recorded, inherited, sent, seenRunning, stopping];
-    return `${memberKey(place)}${flags.map(Number).join('')}`;
+    return `${String(memberKey(place))}${flags.map(Number).join('')}`;
   };
   const byMachine = machines.map(({ condition, task, fencingToken, record, commands }, index) =>
     [
@@ -117,7 +130,7 @@
       memberKey(task),
       fencingToken,
       areRecordsRead(state) ? memberKey(record) : '',
-      commands.map((each) => `${each.verb}${memberKey(each)}${each.fencingToken}`).sort(),
+      commands.map((each) => `${each.verb}${String(memberKey(each))}${each.fencingToken}`).sort(),
       placeKey(leader.places[index]),
       placeKey(former?.places[index]),
     ].join(' '),
@@ -146,7 +159,7 @@
       const named = [of(task), of(record), of(place), of(former?.places[at])].join(',');
       return named === ',,,' && sent.length === 0
         ? ''
-        : `${condition}${fencingToken}${named}${flags}${sent}`;
+        : `${condition}${fencingToken}${named}${String(flags)}${String(sent)}`;
     });
     return byMachine.sort().join('|');
   });
@@ -156,7 +169,7 @@
   return all.map((member) => order.indexOf(member));
 }
 
-/** A new owner may still come, and read the records. */
+/** A new leader may still come, and read the records. */
 export function areRecordsRead({ budget }: ReplicaModelState): boolean {
   return budget.ownerChanges > 0;
 }
@@ -166,7 +179,9 @@
   memberKey: (member: Member) => string | null,
 ): unknown {
   const { generation, places, reason, ending } = group;
-  const placeKeys = places.map((each) => `${memberKey(each)}${each.stage}${each.ending}`);
+  const placeKeys = places.map(
+    (each) => `${String(memberKey(each))}${each.stage}${String(each.ending)}`,
+  );
   return [term, memberKey({ member: 0, generation }), reason, ending, placeKeys.sort()];
 }
 
--- a/packages/testing/models/shard-migration/canonical.ts
+++ b/packages/testing/models/shard-migration/canonical.ts
@@ -29,9 +29,9 @@
   const leaseRanks = ranks(leaseIds);
   let text = '';
   const write = (name: string, value: number) => {
-    if (REVISIONS.has(name)) text += revisionRanks.get(value);
-    else if (LEASE_IDS.has(name)) text += leaseRanks.get(value);
-    else text += value;
+    if (REVISIONS.has(name)) text += String(revisionRanks.get(value));
+    else if (LEASE_IDS.has(name)) text += String(leaseRanks.get(value));
+    else text += String(value);
     text += ',';
   };
   walk(state, '', write, (shard) => (text += shard));
--- a/packages/testing/models/shard-migration/controller.ts
+++ b/packages/testing/models/shard-migration/controller.ts
@@ -19,7 +19,7 @@
 /** Later than all limits. */
 const LATE_S = 10;
 
-/** It takes its grant for proof that nobody else owns, and acts on that. */
+/** It takes its election lease for proof that nobody else leads, and acts on that. */
 export function actsAsLeader({ term, proven, source }: ModelController, mistake: MoveMistake) {
   return term !== 0 && proven && trustsLease(source, mistake);
 }
@@ -37,7 +37,7 @@
   if (controller.waiting === 'source') controller.waiting = null;
 }
 
-/** A new life, which has seen nothing and has a new grant. */
+/** A new incarnation, which has seen nothing and has a new election lease. */
 export function restart(state: Draft<ModelState>, name: ControllerName): void {
   const { incarnation } = state.controllers[name];
   const leaseId = state.nextLeaseId++;
@@ -56,7 +56,7 @@
   };
 }
 
-/** One look of the owner; `late`: all its times have run out. */
+/** One step of the leader; `late`: all its time limits have passed. */
 export function stepLeader(
   state: Draft<ModelState>,
   name: ControllerName,
@@ -90,7 +90,7 @@
   if ('transaction' in action) send(state, name, 'source', action.transaction, mistake);
 }
 
-/** One look of the target. */
+/** One step of the target. */
 export function stepCandidate(
   state: Draft<ModelState>,
   name: ControllerName,
@@ -145,11 +145,11 @@
   { source }: ModelController,
   mistake: MoveMistake,
 ): TransactionOutcome {
-  const takesForDone =
+  const believesApplied =
     source.phase === 'retracting' &&
     ((mistake === 'resumes-on-silence' && outcome.kind === 'unknown') ||
       (mistake === 'resumes-on-failure' && outcome.kind === 'failed'));
-  return takesForDone ? { kind: 'applied' } : outcome;
+  return believesApplied ? { kind: 'applied' } : outcome;
 }
 
 /** Times are told apart by `late` alone. */
--- a/packages/testing/models/shard-migration/events.ts
+++ b/packages/testing/models/shard-migration/events.ts
@@ -21,20 +21,23 @@
 
 type MoveEventList = EventList<ModelState, MoveMistake>;
 
+/** The events that can happen in the state. */
 export function eventsIn(state: ModelState, mistake: MoveMistake): ModelEvent<ModelState>[] {
   const list: MoveEventList = new EventList(state, mistake);
   for (const name of CONTROLLERS) {
     addRequest(list, name);
     addSteps(list, name);
     addCampaign(list, name);
-    addTroubles(list, name);
+    addFaults(list, name);
   }
-  state.pending.forEach((_, index) => addArrival(list, index));
+  state.pending.forEach((_, index) => {
+    addArrival(list, index);
+  });
   for (const leaseId of state.liveLeases) addEndOfLease(list, leaseId);
   return list.events;
 }
 
-/** Somebody asks that the part be moved to the controller. */
+/** Somebody asks that the shard be moved to the controller. */
 function addRequest(list: MoveEventList, to: ControllerName): void {
   const { shard, move, budget } = list.state;
   if (budget.requests === 0 || shard === null || move !== null || shard.leader === to) return;
@@ -48,8 +51,10 @@
 function addSteps(list: MoveEventList, name: ControllerName): void {
   const { state, mistake } = list;
   const controller = state.controllers[name];
-  if (!sees(controller, state))
-    list.add(`${name} sees`, false, (draft) => synchronise(draft, name));
+  if (!isCurrent(controller, state))
+    list.add(`${name} sees`, false, (draft) => {
+      synchronise(draft, name);
+    });
   if (controller.source.phase === 'pausing' && !controller.paused) {
     list.add(`${name} is at rest`, false, (draft) => {
       draft.controllers[name].paused = true;
@@ -57,7 +62,9 @@
   }
   if (controller.waiting !== null) return;
   if (controller.term === 0) {
-    list.add(`${name} looks as target`, false, (draft) => stepCandidate(draft, name, mistake));
+    list.add(`${name} looks as target`, false, (draft) => {
+      stepCandidate(draft, name, mistake);
+    });
     return;
   }
   for (const late of [false, true]) {
@@ -69,11 +76,11 @@
 }
 
 /** Its watch has shown all that the state service holds. */
-function sees({ shard, move }: ModelController, state: ModelState): boolean {
+function isCurrent({ shard, move }: ModelController, state: ModelState): boolean {
   return shard?.version === state.shard?.version && move?.version === state.move?.version;
 }
 
-/** The part is free: whoever sees that may claim it. */
+/** The shard is free: whoever sees that may campaign. */
 function addCampaign(list: MoveEventList, name: ControllerName): void {
   const { shard, controllers, liveLeases } = list.state;
   const { leaseId, proven, shard: seen } = controllers[name];
@@ -84,7 +91,7 @@
   });
 }
 
-function addTroubles(list: MoveEventList, name: ControllerName): void {
+function addFaults(list: MoveEventList, name: ControllerName): void {
   const { budget, controllers, liveLeases } = list.state;
   const { proven, leaseId, waiting } = controllers[name];
   if (budget.crashes > 0) {
@@ -113,7 +120,7 @@
   }
 }
 
-/** The state service says that the grant has ended. */
+/** The state service says that the election lease has ended. */
 function loseLease(draft: Draft<ModelState>, name: ControllerName): void {
   const controller = draft.controllers[name];
   controller.leaseId = draft.nextLeaseId++;
@@ -127,24 +134,27 @@
   const sender = list.state.controllers[from];
   // Only the newest request of a sender can be the one that it waits for.
   const isNewest = !list.state.pending.slice(index + 1).some((each) => each.from === from);
-  const isAwaited = sender.incarnation === incarnation && sender.waiting !== null && isNewest;
-  list.add(`transaction of ${from} arrives`, !isAwaited, (draft) => {
+  const isExpected = sender.incarnation === incarnation && sender.waiting !== null && isNewest;
+  list.add(`transaction of ${from} arrives`, !isExpected, (draft) => {
     draft.pending.splice(index, 1);
     const outcome = carryOut(draft, transaction);
-    if (isAwaited) answer(draft, from, outcome, list.mistake);
+    if (isExpected) answer(draft, from, outcome, list.mistake);
   });
 }
 
-/** The grant of an earlier life, or one that its controller does not count on, ends. */
+/** The election lease of an earlier incarnation, or one that its controller does not count on, ends. */
 function addEndOfLease(list: MoveEventList, leaseId: number): void {
   const isTrusted = CONTROLLERS.some((name) => {
     const controller = list.state.controllers[name];
     return controller.leaseId === leaseId && controller.proven;
   });
-  if (!isTrusted) list.add(`grant ${leaseId} ends`, false, (draft) => endLease(draft, leaseId));
+  if (!isTrusted)
+    list.add(`grant ${leaseId} ends`, false, (draft) => {
+      endLease(draft, leaseId);
+    });
 }
 
-/** Controllers that act as the owner although the state service holds another one, or none. */
+/** Controllers that act as the leader although the state service holds another one, or none. */
 export function falseLeaders(state: ModelState, mistake: MoveMistake): ControllerName[] {
   return CONTROLLERS.filter((name) => {
     const controller = state.controllers[name];
@@ -152,7 +162,7 @@
   });
 }
 
-/** Somebody owns and decides, and no move is under way. */
+/** A leader decides, and no migration is under way. */
 export function isAtRest({ controllers, move }: ModelState, mistake: MoveMistake): boolean {
   const leaders = CONTROLLERS.map((name) => controllers[name]);
   const decides = leaders.some(
--- a/packages/testing/models/shard-migration/explore.ts
+++ b/packages/testing/models/shard-migration/explore.ts
@@ -1,20 +1,22 @@
+/** Explores the model of shard migration. */
 import { explore } from '../exploration/explore.js';
 import { canonicalKey } from './canonical.js';
 import { eventsIn, falseLeaders, isAtRest } from './events.js';
 import type { MoveMistake } from './mistakes.js';
 import { firstState, type MoveBudget } from './state.js';
 
+/** What an exploration of shard migrations has found. */
 export interface MoveExploration {
   /** Different states that were reached. */
   states: number;
-  /** Those in which the part has moved. */
+  /** Those in which the shard has moved. */
   moved: number;
-  /** The shortest ways to a state with two owners, and to one that nothing but a trouble leads out of; null if none. */
+  /** The shortest ways to a state with two leaders, and to one that nothing but a fault leads out of; null if none. */
   twoOwners: string[] | null;
   stuck: string[] | null;
 }
 
-/** Visits every state that can be reached; the first in which there are two owners ends it. */
+/** Visits every state that can be reached; the first in which there are two leaders ends it. */
 export function exploreMoves(budget: MoveBudget, mistake: MoveMistake): MoveExploration {
   let moved = 0;
   const { states, breach, stuck } = explore(
--- a/packages/testing/models/shard-migration/mistakes.ts
+++ b/packages/testing/models/shard-migration/mistakes.ts
@@ -1,23 +1,24 @@
+/** The seeded mistakes of the model of shard migration. */
 import { moveKey, type SourceState, successorPossibleSince, type Transaction } from '#shards';
 import { shardKey } from '#store';
 import { SHARD } from './state.js';
 
-/** A deliberate mistake, each of which takes one guard of a move away. */
+/** A deliberate mistake, each of which takes one guard of a migration away. */
 export type MoveMistake =
   | 'none'
-  /** The owner takes its grant as proof after it has stated that it decides nothing more. */
+  /** The leader takes its election lease as proof after it has stated that it decides nothing more. */
   | 'trusts-its-grant'
-  /** The owner decides again without undoing the move when no answer came. */
+  /** The leader decides again without undoing the move when no answer came. */
   | 'resumes-on-silence'
-  /** The owner undoes a move, and takes a failed condition for success. */
+  /** The leader undoes a move, and takes a failed condition for success. */
   | 'resumes-on-failure'
-  /** The target takes the part whatever has become of the move's record. */
+  /** The target takes the shard whatever has become of the move's record. */
   | 'takes-without-record'
-  /** The target takes the part whoever owns it. */
+  /** The target takes the shard whoever leads it. */
   | 'takes-without-term'
-  /** The owner states that it is quiet, whatever has become of the move's record. */
+  /** The leader states that it is quiet, whatever has become of the move's record. */
   | 'quiesces-without-record'
-  /** The owner never gives up waiting for the target. */
+  /** The leader never gives up waiting for the target. */
   | 'waits-for-ever';
 
 /** A transaction as a controller with the mistake sends it. */
@@ -36,7 +37,7 @@
   return { conditions, changes };
 }
 
-/** Whether the owner, by its state in the move, takes its grant as proof that nobody else owns. */
+/** Whether the leader, by its state in the move, takes its election lease as proof that nobody else leads. */
 export function trustsLease(state: SourceState, mistake: MoveMistake): boolean {
   return mistake === 'trusts-its-grant' || successorPossibleSince(state) === null;
 }
--- a/packages/testing/models/shard-migration/service.ts
+++ b/packages/testing/models/shard-migration/service.ts
@@ -28,7 +28,7 @@
   return { kind: 'applied' };
 }
 
-/** A grant ends, and the part's key with it if it hangs on it. */
+/** An election lease ends, and the shard's key with it if it hangs on it. */
 export function endLease(state: Draft<ModelState>, leaseId: number): void {
   state.liveLeases = state.liveLeases.filter((each) => each !== leaseId);
   if (state.shard?.leaseId !== leaseId) return;
--- a/packages/testing/models/shard-migration/state.ts
+++ b/packages/testing/models/shard-migration/state.ts
@@ -1,4 +1,4 @@
-/** A small world in which a part moves: the state service's records, two controllers, and transactions on their way. */
+/** A small world in which a shard moves: the state service's records, two controllers, and transactions on their way. */
 import {
   DECIDING,
   IDLE,
@@ -9,16 +9,20 @@
 } from '#shards';
 import type { LeaderRecord } from '#store';
 
+/** Number of the shard that migrates. */
 export const SHARD = 0;
+/** Names of the controllers. */
 export const CONTROLLERS = ['a', 'b'] as const;
+/** Name of a controller. */
 export type ControllerName = (typeof CONTROLLERS)[number];
 
+/** The record of the shard in the state service; its version is the term. */
 export type StoredShard = LeaderRecord & { version: number };
 
 /** A transaction that was sent and not carried out yet; it may be at any later time. */
 export interface PendingTransaction {
   from: ControllerName;
-  /** The life of the controller that waits for the answer. */
+  /** The incarnation of the controller that waits for the answer. */
   incarnation: number;
   transaction: Transaction;
 }
@@ -26,9 +30,9 @@
 /** One controller. */
 export interface ModelController {
   incarnation: number;
-  /** Its grant; it changes with each life and when one has ended. */
+  /** Its election lease; it changes with each incarnation and when one has ended. */
   leaseId: number;
-  /** By its clock the grant is surely alive. */
+  /** By its clock the election lease is surely alive. */
   proven: boolean;
   /** What its watch has shown last. */
   shard: StoredShard | null;
@@ -42,7 +46,7 @@
   waiting: 'source' | 'target' | null;
 }
 
-/** How often each trouble may still happen: what keeps the world finite. */
+/** How often each fault may still happen: what keeps the world finite. */
 export interface MoveBudget {
   requests: number;
   crashes: number;
@@ -50,6 +54,7 @@
   lostAnswers: number;
 }
 
+/** One state of the model. */
 export interface ModelState {
   revision: number;
   shard: StoredShard | null;
@@ -61,7 +66,7 @@
   budget: MoveBudget;
 }
 
-/** The first controller owns the part, and all are up. */
+/** The first controller leads the shard, and all are up. */
 export function firstState(budget: MoveBudget): ModelState {
   const shard = { leader: 'a', leaseId: 1, version: 1 };
   const controller = (leaseId: number, term: number): ModelController => ({
