--- a/packages/testing/models/leader-with-workers/mail.ts
+++ b/packages/testing/models/leader-with-workers/mail.ts
@@ -1,5 +1,6 @@
 /** Messages under way in the model. */
 
+/** A message and its time of arrival, in seconds. */
 interface Message {
   at: number;
   deliver: (now: number) => void;
--- a/packages/testing/simulation/digest.ts
+++ b/packages/testing/simulation/digest.ts
@@ -1,5 +1,6 @@
 /** A hash that tells runs apart. */
 
+/** The constants of the 32-bit FNV-1a hash, and of a second hash beside it. */
 const FNV_OFFSET = 0x811c9dc5;
 const FNV_PRIME = 0x01000193;
 const SECOND_OFFSET = 0x9747b28c;
