--- a/packages/testing/models/leader-with-workers/mail.ts
+++ b/packages/testing/models/leader-with-workers/mail.ts
@@ -1,3 +1,6 @@
+/** Messages under way in the model. */
+
+/** A message and its time of arrival, in seconds. */
 interface Message {
   at: number;
   deliver: (now: number) => void;
@@ -15,6 +18,9 @@
   deliver(now: number): void {
     const { messages } = this;
     messages.sort((first, second) => first.at - second.at);
-    while (messages.length > 0 && messages[0].at <= now) messages.shift()!.deliver(now);
+    for (let next = messages.at(0); next && next.at <= now; next = messages.at(0)) {
+      messages.shift();
+      next.deliver(now);
+    }
   }
 }
