--- a/packages/testing/loopback/sizing/causes.ts
+++ b/packages/testing/loopback/sizing/causes.ts
@@ -33,6 +33,8 @@
   cause: Cause;
   /** Of the sources: below target/ and without extension; a directory ends with a slash. */
   modules?: string[];
+  /** The same of earlier builds, which can be measured too (`--sources`). */
+  formerModules?: string[];
   /** Names in Node, such as `node:_http_server`, or packages below node_modules. */
   libraries?: string[];
   /** Functions of any module. */
@@ -40,36 +42,65 @@
 }
 
 /** The first that matches counts: what is more special comes first. */
-const RULES: Rule[] = [
+export const RULES: readonly Rule[] = [
   { cause: 'garbage collection', functions: ['(garbage collector)'] },
   { cause: 'outside JavaScript', functions: ['(program)'] },
   {
     cause: 'rounds',
     functions: ['timedRound'],
-    modules: ['core/scheduler', 'core/capacity-planner'],
+    modules: ['core/placement/scheduler', 'core/autoscaling/capacity-planner'],
+    formerModules: ['core/scheduler', 'core/capacity-planner'],
   },
   {
     cause: 'reports',
-    modules: ['controller/report-handler', 'core/report-handler', 'wire/report'],
+    modules: [
+      'controller/heartbeats/heartbeat-endpoint',
+      'core/heartbeats/heartbeat-processor',
+      'wire/heartbeat',
+    ],
+    formerModules: ['controller/report-handler', 'core/report-handler', 'wire/report'],
   },
   {
     cause: 'log and counters',
-    modules: ['controller/vitals', 'controller/lag', 'controller/log'],
+    modules: [
+      'controller/observability/process-statistics',
+      'controller/observability/event-loop-delay',
+      'controller/observability/log',
+    ],
+    formerModules: ['controller/vitals', 'controller/lag', 'controller/log'],
     libraries: ['pino'],
   },
   {
     cause: 'users',
-    modules: ['controller/user-api', 'controller/health-endpoint', 'controller/admission'],
+    modules: [
+      'controller/api/user-api',
+      'controller/api/submission-handler',
+      'controller/api/cancellation-handler',
+      'controller/api/health-endpoint',
+      'controller/api/admission',
+    ],
+    formerModules: ['controller/user-api', 'controller/health-endpoint', 'controller/admission'],
     libraries: ['express', 'router'],
   },
-  { cause: 'direct commands', modules: ['controller/direct', 'core/direct-orders'] },
+  {
+    cause: 'direct commands',
+    modules: ['controller/leadership/direct-commands', 'core/heartbeats/direct-orders'],
+    formerModules: ['controller/direct', 'core/direct-orders'],
+  },
   {
     cause: 'cloud',
-    modules: ['controller/cloud', 'controller/rentals', 'controller/machine-list', 'wire/cloud'],
+    modules: ['controller/cloud/', 'wire/cloud-client'],
+    formerModules: [
+      'controller/cloud',
+      'controller/rentals',
+      'controller/machine-list',
+      'wire/cloud',
+    ],
   },
   {
     cause: 'records',
-    modules: [
+    modules: ['controller/records/', 'store/group-commit'],
+    formerModules: [
       'controller/recorder',
       'controller/record-batch',
       'controller/machine-records',
@@ -80,24 +111,30 @@
   },
   {
     cause: 'peers',
-    modules: [
-      'peer/',
+    modules: ['peer/', 'controller/peers/'],
+    formerModules: [
       'controller/peer-coordinator',
       'controller/peer-link',
       'controller/status-exchange',
       'controller/cancellation-relay',
     ],
   },
-  { cause: 'state service, all else', modules: ['store/', 'controller/jobs', 'wire/state'] },
+  {
+    cause: 'state service, all else',
+    modules: ['store/', 'controller/jobs/', 'wire/state-api'],
+    formerModules: ['controller/jobs', 'wire/state'],
+  },
   {
     cause: 'HTTP server, all else',
     libraries: ['node:_http_server'],
-    modules: ['controller/http-server'],
+    modules: ['controller/api/http-server'],
+    formerModules: ['controller/http-server'],
   },
   {
     cause: 'HTTP clients, all else',
     libraries: ['node:_http_client', 'node:_http_agent'],
-    modules: ['wire/http', 'wire/agent'],
+    modules: ['wire/cbor-client', 'wire/network-agent'],
+    formerModules: ['wire/http', 'wire/agent'],
   },
   { cause: 'sockets, streams and timers', libraries: ['node:'] },
 ];
@@ -111,10 +148,11 @@
 }
 
 function matches(rule: Rule, { functionName, url }: StackFrame): boolean {
-  const { functions = [], modules = [], libraries = [] } = rule;
+  const { functions = [], modules = [], formerModules = [], libraries = [] } = rule;
   if (functions.includes(functionName)) return true;
   const module = /\/target\/(.*)\.js$/.exec(url)?.[1];
-  if (module !== undefined) return modules.some((name) => isWithin(module, name));
+  if (module !== undefined)
+    return [...modules, ...formerModules].some((name) => isWithin(module, name));
   const library = /\/node_modules\/(.*)$/.exec(url)?.[1] ?? url;
   return libraries.some((name) => isWithin(library, name) || library.startsWith(`${name}/`));
 }
--- a/packages/testing/loopback/sizing/profile.test.ts
+++ b/packages/testing/loopback/sizing/profile.test.ts
@@ -1,6 +1,7 @@
 import assert from 'node:assert/strict';
+import { existsSync } from 'node:fs';
 import { test } from 'node:test';
-import { causeOf, type StackFrame } from './causes.js';
+import { causeOf, RULES, type StackFrame } from './causes.js';
 import { type CpuProfile, sharesByCause } from './profile.js';
 
 const frame = (functionName: string, url: string): StackFrame => ({ functionName, url });
@@ -35,6 +36,16 @@
   ['a record', [own('store/client'), own('controller/recorder')], 'records'],
   ['an answer from elsewhere', [node('_http_client'), node('net')], 'HTTP clients, all else'],
   ['a write that is done', [node('internal/stream_base_commons')], 'sockets, streams and timers'],
+  [
+    'a heartbeat',
+    [library('ajv'), own('wire/heartbeat'), own('controller/api/http-server'), ...SERVER],
+    'reports',
+  ],
+  [
+    'a record of the present modules',
+    [own('store/state-client'), own('controller/records/batch-sender')],
+    'records',
+  ],
   ['a module that is like another by name', [own('controller/directory')], 'other'],
 ];
 
@@ -42,6 +53,16 @@
   test(`${name} counts as ${cause ?? 'idle'}`, () => assert.equal(causeOf(stack), cause));
 }
 
+test('the modules that the rules name exist', () => {
+  const packages = new URL('../../../../packages/', import.meta.url);
+  const modules = RULES.flatMap((rule) => rule.modules ?? []);
+  const files = modules.map((name) => (name.endsWith('/') ? name : `${name}.ts`));
+  assert.deepEqual(
+    files.filter((file) => !existsSync(new URL(file, packages))),
+    [],
+  );
+});
+
 test('only what lies within the span counts, and idle time does not', () => {
   const profile: CpuProfile = {
     nodes: [
