--- a/packages/controller/api/job-store.ts
+++ b/packages/controller/api/job-store.ts
@@ -47,7 +47,7 @@
     this.options.jobs.cache.applyLocal(jobKey(id), value, revision);
   }
 
-  /** Reads the record of a job, null if there is none. Rejects as `StateClient.call`. */
+  /** Reads the record of a job, null if there is none. Rejects as `StateClient.callInBackground`. */
   read(id: string): Promise<Entry | null> {
     const key = jobKey(id);
     return this.options.client.callInBackground(undefined, (api) => api.get(key));
--- a/packages/controller/api/user-api-cancel.test.ts
+++ b/packages/controller/api/user-api-cancel.test.ts
@@ -11,7 +11,10 @@
   const seen: string[] = [];
   const record = { job: aJob(), acceptedAtMs: 0, phase: 'accepted', version: 3 };
   const options = {
-    client: { limits: { valueBytes: 8192 }, call: () => Promise.reject(new NoAnswer('cut')) },
+    client: {
+      limits: { valueBytes: 8192 },
+      callInBackground: () => Promise.reject(new NoAnswer('cut')),
+    },
     commits: {
       commit: () => {
         seen.push('commit');
--- a/packages/controller/cloud/cloud-reconciler.test.ts
+++ b/packages/controller/cloud/cloud-reconciler.test.ts
@@ -42,7 +42,7 @@
   planner: Pick<CapacityPlanner, 'plan' | 'scaleOutRefused'>,
 ): ShardLeader {
   const term = { term: 1 };
-  const state = { ready: true, first: true, startedAt: -1000 };
+  const state = { recordsLoaded: true, foundNoMachines: true, startedAt: -1000 };
   return { fleet, planner, term, ...state, requestRound: () => {} } as unknown as ShardLeader;
 }
 
--- a/packages/controller/leadership/leader-lease-check.test.ts
+++ b/packages/controller/leadership/leader-lease-check.test.ts
@@ -63,7 +63,7 @@
 });
 
 test('a leader gives way at once to a peer that is served, or that knows a newer term', () => {
-  const served = { ...aPeerStatus(20, { refused: false }), servedAt: 19 };
+  const served = { ...aPeerStatus(20, { refused: false }), lastServedAt: 19 };
   assert.equal(evaluateOnce(viewAt(20, [aPeerStatus(20), served])), 'none');
   // Guards against a leader whose requests were swallowed by a cut: with every failure noticed only a
   // second later, a peer always seemed to be served after its newest failure, and it went on for good.
@@ -72,7 +72,7 @@
   assert.equal(evaluateOnce(viewAt(20, [aPeerStatus(20), newer])), 'none');
   // Guards against a fleet that dies: two seconds of refusal alone counted for the whole outage that
   // followed, though by then nobody was served.
-  const servedBefore = { ...aPeerStatus(20), servedAt: 12 };
+  const servedBefore = { ...aPeerStatus(20), lastServedAt: 12 };
   assert.equal(evaluateOnce(viewAt(20, [aPeerStatus(20), servedBefore])), 'attested');
 });
 
--- a/packages/controller/leadership/standby-renewal-check.test.ts
+++ b/packages/controller/leadership/standby-renewal-check.test.ts
@@ -51,7 +51,7 @@
 });
 
 test('leases are not renewed where somebody else may lead', () => {
-  const served = { ...aPeerStatus(20, { refused: false }), servedAt: 19 };
+  const served = { ...aPeerStatus(20, { refused: false }), lastServedAt: 19 };
   assert.ok(!renewsAt20(restarted(20), { peers: [restarted(20), served] }));
   const newer = aPeerStatus(20, { newestLeader: { term: TERM + 1, name: 'c-2' } });
   assert.ok(!renewsAt20(restarted(20), { peers: [restarted(20), newer] }));
--- a/packages/controller/observability/metrics-endpoint.test.ts
+++ b/packages/controller/observability/metrics-endpoint.test.ts
@@ -24,7 +24,7 @@
     clock,
     heartbeatIntervalS: 1,
     statistics,
-    client: { left: () => ({ requests: 1 }) },
+    client: { available: () => ({ requests: 1 }) },
     admission: { totals: () => ({ red: 4 }) },
     replicas: { support: null },
     leader: () => null,
