--- a/packages/controller/leadership/leader-reachability.ts
+++ b/packages/controller/leadership/leader-reachability.ts
@@ -1,10 +1,5 @@
 /** Where workers find the leader, and what becomes of them if it falls silent. */
-import type { PeerStatus } from '../peers/peer-status.js';
-
-/** Whether a controller's latest statement is recent; steady seconds. */
-function isReachable(peer: PeerStatus | null, now: number, silenceS: number): boolean {
-  return peer !== null && now - peer.receivedAt <= silenceS;
-}
+import { isReachable, type PeerStatus } from '../peers/peer-status.js';
 
 /** The leader as a follower knows it; steady seconds. */
 export interface LeaderReachView {
