--- a/packages/controller/leadership/core-from-settings.ts
+++ b/packages/controller/leadership/core-from-settings.ts
@@ -6,10 +6,10 @@
 import { Settings, teamQuotas } from '../settings/settings.js';
 
 /** Decisions in one scheduling round; the next round follows at once if more could be made. */
-export const ROUND_DECISIONS = 200;
+export const MAX_DECISIONS_PER_ROUND = 200;
 
 /** Heartbeat intervals that the last answer of a former leader may still be on its way. */
-const FORMER_LEADER_INTERVALS = 2;
+const ANSWER_DELIVERY_INTERVALS = 2;
 
 /** What the fleet state of a term is made from. */
 export interface FleetStateOptions {
@@ -34,7 +34,7 @@
       leaseS,
       heartbeatIntervalS,
       gangPeerS: workers.gang_peer_s,
-      formerLeaderS: formerLeaderS(cancelS, leaseS, heartbeatIntervalS),
+      formerLeaderS: formerLeaderActiveS(cancelS, leaseS, heartbeatIntervalS),
       halfLifeS: settings.operator.shareHalfLifeS,
       machineRecordBytes: valueBytes,
     },
@@ -50,9 +50,9 @@
 }
 
 /** How long a former leader may still answer workers after this one was elected; seconds. */
-function formerLeaderS(cancelS: number, leaseS: number, heartbeatIntervalS: number): number {
+function formerLeaderActiveS(cancelS: number, leaseS: number, heartbeatIntervalS: number): number {
   const graceS = graceAfterLoss(cancelS, leaseS, heartbeatIntervalS);
-  return graceS + FORMER_LEADER_INTERVALS * heartbeatIntervalS;
+  return graceS + ANSWER_DELIVERY_INTERVALS * heartbeatIntervalS;
 }
 
 /** The planner of scale-out and scale-in, with the objectives that name a class. */
@@ -82,6 +82,6 @@
     stopThreshold: operator.stopThreshold,
     gangLeaseS: operator.gangLeaseS,
     preemptAfterS: operator.preemptAfterS,
-    decisionsPerRound: ROUND_DECISIONS,
+    decisionsPerRound: MAX_DECISIONS_PER_ROUND,
   });
 }
--- a/packages/controller/leadership/direct-commands.test.ts
+++ b/packages/controller/leadership/direct-commands.test.ts
@@ -7,7 +7,7 @@
 import { DirectCommands } from './direct-commands.js';
 
 /** A machine with one task that is to be started, and its worker at that address. */
-function addStart(fleet: FleetState, number: number, addr: string): void {
+function addMachineWithPendingStart(fleet: FleetState, number: number, addr: string): void {
   const name = `n-${number}`;
   const machine = aMachine(fleet, name);
   fleet.heartbeats.handle(aHeartbeat({ machine: name, addr }), 0);
@@ -18,43 +18,43 @@
 
 test('direct commands to many machines keep to their share of the sockets', async () => {
   // Guards against one kept connection for each of hundreds of machines, beside all heartbeats.
-  const machines = 12;
-  const most = 3;
+  const machineCount = 12;
+  const connectionLimit = 3;
   const fleet = aFleet();
-  let ordered = 0;
-  let atOnce = 0;
-  let underWay = 0;
+  let receivedOrders = 0;
+  let maxConcurrent = 0;
+  let inFlight = 0;
   const workers = [];
-  for (let number = 0; number < machines; number++) {
+  for (let number = 0; number < machineCount; number++) {
     const worker = await serveCbor(nodeRuntime, FREE_LOOPBACK_PORT, async ({ body }) => {
-      atOnce = Math.max(atOnce, ++underWay);
+      maxConcurrent = Math.max(maxConcurrent, ++inFlight);
       await new Promise((resolve) => setImmediate(resolve));
-      ordered += (body as { orders: unknown[] }).orders.length;
-      underWay--;
+      receivedOrders += (body as { orders: unknown[] }).orders.length;
+      inFlight--;
       return { status: 409, body: {} };
     });
     workers.push(worker);
-    addStart(fleet, number, worker.target);
+    addMachineWithPendingStart(fleet, number, worker.target);
   }
-  const stop = new AbortController();
+  const abortController = new AbortController();
   await new Promise<void>((resolve) => {
     const direct = new DirectCommands({
       runtime: nodeRuntime,
       fleet,
       timeoutMs: 5000,
-      maxConnections: most,
+      maxConnections: connectionLimit,
       onOrders: () => {},
       onDone: () => {
-        assert.ok(direct.connections <= most);
-        if (ordered === machines) {
+        assert.ok(direct.connections <= connectionLimit);
+        if (receivedOrders === machineCount) {
           direct.close();
           resolve();
-        } else direct.push(stop.signal);
+        } else direct.push(abortController.signal);
       },
     });
-    direct.push(stop.signal);
+    direct.push(abortController.signal);
   });
-  assert.equal(ordered, machines);
-  assert.ok(atOnce <= most);
+  assert.equal(receivedOrders, machineCount);
+  assert.ok(maxConcurrent <= connectionLimit);
   for (const worker of workers) worker.close();
 });
--- a/packages/controller/leadership/direct-commands.ts
+++ b/packages/controller/leadership/direct-commands.ts
@@ -3,7 +3,7 @@
 import type { DirectOutcome, FleetState, Machine } from '#core';
 
 /** Status codes with which a worker states that it executed nothing: fenced off, or unreadable to it. */
-const EXECUTED_NOTHING = [409, 400];
+const NOT_EXECUTED_STATUSES = [409, 400];
 
 /** What direct commands are sent with. */
 export interface DirectCommandsOptions {
@@ -68,12 +68,12 @@
     this.clients.set(machine.name, client);
     for (const name of this.clients.keys()) {
       if (this.clients.size <= maxConnections) break;
-      if (!this.busy.has(name)) this.drop(name);
+      if (!this.busy.has(name)) this.closeConnection(name);
     }
     return client.http;
   }
 
-  private drop(name: string): void {
+  private closeConnection(name: string): void {
     this.clients.get(name)?.http.close();
     this.clients.delete(name);
   }
@@ -92,7 +92,7 @@
       fleet.directOrders.applyOutcome(machine, orders, { kind: 'unknown' }, clock.now());
     }
     this.busy.delete(machine.name);
-    if (!fleet.machines.has(machine.name)) this.drop(machine.name);
+    if (!fleet.machines.has(machine.name)) this.closeConnection(machine.name);
     onDone();
   }
 }
@@ -100,5 +100,5 @@
 /** What a worker's answer says of the commands; throws MalformedBody if it can't be read. */
 function outcomeOf(status: number, body: unknown): DirectOutcome {
   if (status === 200) return { kind: 'executed', heartbeat: parseHeartbeat(body) };
-  return { kind: EXECUTED_NOTHING.includes(status) ? 'refused' : 'unknown' };
+  return { kind: NOT_EXECUTED_STATUSES.includes(status) ? 'refused' : 'unknown' };
 }
--- a/packages/controller/leadership/fleet-listener.ts
+++ b/packages/controller/leadership/fleet-listener.ts
@@ -36,7 +36,7 @@
 }
 
 function logMachineUp(log: Log, { name, type, zone, spot, requestedAt }: Machine, now: number) {
-  const bootS = hundredths(now - requestedAt);
+  const bootS = roundToHundredths(now - requestedAt);
   log.debug({ machine: name, type, zone, spot, bootS }, 'machine came up');
 }
 
@@ -47,7 +47,7 @@
     team: spec.team,
     tasks: spec.tasks,
     attempts: failures.attempts,
-    longestRunS: hundredths(failures.longestRunS),
+    longestRunS: roundToHundredths(failures.longestRunS),
     machines: [...failures.machines],
   };
   log.info(fields, 'job is crash-looping');
@@ -61,8 +61,8 @@
     class: job.spec.class,
     machine: machine.name,
     image: job.spec.image,
-    waitedS: hundredths(assignedAt - job.startableAt),
-    startupS: hundredths(now - assignedAt),
+    waitedS: roundToHundredths(assignedAt - job.startableAt),
+    startupS: roundToHundredths(now - assignedAt),
   };
   log.debug(fields, 'task started running');
 }
@@ -74,6 +74,6 @@
   log.debug(fields, 'task ended');
 }
 
-function hundredths(seconds: number): number {
+function roundToHundredths(seconds: number): number {
   return Math.round(seconds * 100) / 100;
 }
--- a/packages/controller/leadership/fleet-summary-log.ts
+++ b/packages/controller/leadership/fleet-summary-log.ts
@@ -4,7 +4,7 @@
 import type { Log } from '../observability/log.js';
 
 /** Heartbeat intervals from one summary to the next. */
-const SUMMARY_INTERVALS = 10;
+const INTERVALS_PER_SUMMARY = 10;
 
 /** What the summary of a fleet is logged from. */
 export interface FleetSummaryLogOptions {
@@ -24,7 +24,7 @@
   /** To be called after each scheduling round; `now` in steady seconds. */
   update(now: number): void {
     const { fleet, heartbeatIntervalS, summarise, log } = this.options;
-    if (now - this.loggedAt < SUMMARY_INTERVALS * heartbeatIntervalS) return;
+    if (now - this.loggedAt < INTERVALS_PER_SUMMARY * heartbeatIntervalS) return;
     this.loggedAt = now;
     fleet.jobs.removeEnded();
     log.info(summarise(), 'fleet summarised');
--- a/packages/controller/leadership/leader-election-model.test.ts
+++ b/packages/controller/leadership/leader-election-model.test.ts
@@ -4,7 +4,7 @@
 
 const SEEDS = 200;
 
-function playAll(fault: LeadershipMistake) {
+function runAllSeeds(fault: LeadershipMistake) {
   const violations = new Set<LeadershipViolation>();
   let attestedSteps = 0;
   let standbySteps = 0;
@@ -18,21 +18,21 @@
 }
 
 test('a leader that goes on harms nobody, whatever the state service, peers and connections do', () => {
-  const { violations, attestedSteps, standbySteps } = playAll('none');
+  const { violations, attestedSteps, standbySteps } = runAllSeeds('none');
   assert.deepEqual([...violations], []);
   assert.ok(attestedSteps > 1000, 'leaders did go on by the statements of their peers');
   assert.ok(standbySteps > 100, 'leases were renewed for leaders that had ended');
 });
 
 // Each check is shown to be able to fail by one deliberate mistake.
-const noticed: [LeadershipMistake, LeadershipViolation][] = [
+const detectedFaults: [LeadershipMistake, LeadershipViolation][] = [
   ['trusts-arrival', 'acts-beside-successor'],
   ['trusts-restarted', 'acts-on-unknown-cancellation'],
   ['ignores-cancelled', 'acts-on-unknown-cancellation'],
   ['renews-for-the-living', 'renews-beside-owner'],
 ];
-for (const [fault, violation] of noticed) {
+for (const [fault, violation] of detectedFaults) {
   test(`the model notices the fault ${fault}`, () => {
-    assert.ok(playAll(fault).violations.has(violation));
+    assert.ok(runAllSeeds(fault).violations.has(violation));
   });
 }
--- a/packages/controller/leadership/leader-lease-check.test.ts
+++ b/packages/controller/leadership/leader-lease-check.test.ts
@@ -90,9 +90,9 @@
       fc.nat(100),
       (now, jobsCurrentAt, leaseRenewedAt) => {
         const view = viewAt(now, [null, null], { jobsCurrentAt, leaseRenewedAt });
-        const out = evaluateOnce(view);
-        if (now >= jobsCurrentAt + LIMITS.graceS) assert.equal(out, 'none');
-        if (now >= Math.max(13, leaseRenewedAt + LIMITS.graceS)) assert.equal(out, 'none');
+        const state = evaluateOnce(view);
+        if (now >= jobsCurrentAt + LIMITS.graceS) assert.equal(state, 'none');
+        if (now >= Math.max(13, leaseRenewedAt + LIMITS.graceS)) assert.equal(state, 'none');
       },
     ),
     SEEDED,
--- a/packages/controller/leadership/leader-lease-check.ts
+++ b/packages/controller/leadership/leader-lease-check.ts
@@ -68,7 +68,7 @@
 /** A leader that a smaller share of its machines reaches is out of their reach. */
 const MIN_REACHABLE_SHARE = 1 / 8;
 /** More than this share of the machines must reach peers before a leader steps down for it. */
-const MIN_SHARE_AT_PEERS = 1 / 16;
+const MIN_SHARE_REACHING_PEERS = 1 / 16;
 
 /** Whether so few of the machines that should send heartbeats lately did that most can't reach the leader. */
 export function reachesFewWorkers(machines: number, reachable: number): boolean {
@@ -86,6 +86,6 @@
 ): boolean {
   return (
     reachesFewWorkers(machines, reachable) &&
-    reachableByPeers > Math.max(reachable, machines * MIN_SHARE_AT_PEERS)
+    reachableByPeers > Math.max(reachable, machines * MIN_SHARE_REACHING_PEERS)
   );
 }
--- a/packages/controller/leadership/leader-reachability.test.ts
+++ b/packages/controller/leadership/leader-reachability.test.ts
@@ -1,6 +1,10 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { leavesWorkersStranded, mayReachLeader, nextForWorkers } from './leader-reachability.js';
+import {
+  mayReachLeader,
+  nextControllerForWorkers,
+  wouldLoseWorkerLeases,
+} from './leader-reachability.js';
 import type { PeerStatus } from '../peers/peer-status.js';
 
 const NOW = 30;
@@ -11,36 +15,36 @@
   return { receivedAt, statedAfter: receivedAt, lastServedAt: receivedAt, frame };
 }
 
-function mayReach(leader: PeerStatus | null, ...others: (PeerStatus | null)[]): boolean {
+function redirects(leader: PeerStatus | null, ...others: (PeerStatus | null)[]): boolean {
   return mayReachLeader({ now: NOW, leader, peers: [leader, ...others], silenceS: SILENCE_S });
 }
 
 test('workers are redirected to a leader that is reachable, or of which nothing is known yet', () => {
-  assert.ok(mayReach(statusAt(29), statusAt(29)));
-  assert.ok(mayReach(null, statusAt(29)));
+  assert.ok(redirects(statusAt(29), statusAt(29)));
+  assert.ok(redirects(null, statusAt(29)));
 });
 
 test('workers are not redirected to a leader that is unreachable or that none of them reaches', () => {
-  assert.ok(!mayReach(statusAt(20), statusAt(29)));
-  assert.ok(!mayReach(statusAt(29, true), statusAt(29)));
+  assert.ok(!redirects(statusAt(20), statusAt(29)));
+  assert.ok(!redirects(statusAt(29, true), statusAt(29)));
 });
 
 test('a controller that reaches no peer redirects workers to the leader all the same', () => {
-  assert.ok(mayReach(statusAt(20), statusAt(20), null));
+  assert.ok(redirects(statusAt(20), statusAt(20), null));
 });
 
 test('workers try the controller with the next number, and after the last the first', () => {
   const peers = ['c-2', 'c-10', 'c-1'];
-  assert.equal(nextForWorkers('c-9', peers), 'c-10');
-  assert.equal(nextForWorkers('c-12', peers), 'c-1');
-  assert.equal(nextForWorkers('c-0', []), null);
+  assert.equal(nextControllerForWorkers('c-9', peers), 'c-10');
+  assert.equal(nextControllerForWorkers('c-12', peers), 'c-1');
+  assert.equal(nextControllerForWorkers('c-0', []), null);
 });
 
 test('others should lead if the next controller for our workers is unreachable', () => {
   const view = { now: NOW, peers: [statusAt(20), statusAt(29)], silenceS: SILENCE_S };
-  assert.ok(leavesWorkersStranded(statusAt(20), view));
-  assert.ok(leavesWorkersStranded(null, view));
-  assert.ok(!leavesWorkersStranded(statusAt(29), view));
+  assert.ok(wouldLoseWorkerLeases(statusAt(20), view));
+  assert.ok(wouldLoseWorkerLeases(null, view));
+  assert.ok(!wouldLoseWorkerLeases(statusAt(29), view));
   const alone = { ...view, peers: [statusAt(20), null] };
-  assert.ok(!leavesWorkersStranded(statusAt(20), alone), 'nobody else is reachable');
+  assert.ok(!wouldLoseWorkerLeases(statusAt(20), alone), 'nobody else is reachable');
 });
--- a/packages/controller/leadership/leadership-terms.ts
+++ b/packages/controller/leadership/leadership-terms.ts
@@ -11,10 +11,10 @@
   type LeadershipAttemptOptions,
 } from './leadership-attempt.js';
 import type { ShardLeader } from './shard-leader.js';
-import { shareWrites } from './write-shares.js';
+import { applyWriteShares } from './write-shares.js';
 
 /** Share of a heartbeat interval from a failed load of the records to the next. */
-const RELOAD_PAUSE = 1 / 5;
+const RELOAD_DELAY_INTERVALS = 1 / 5;
 
 /** What terms are led with. */
 export interface LeadershipTermsOptions
@@ -39,13 +39,13 @@
   }
 
   /** Replaces the way in which new leaders read their records. */
-  readRecordsWith(readRecords: ReadRecords): void {
+  setRecordReader(readRecords: ReadRecords): void {
     this.readRecords = readRecords;
   }
 
   /** Follows the election until the signal aborts; resolves once the last term has ended. */
   async run(signal: AbortSignal): Promise<void> {
-    this.shareWrites(false);
+    this.updateWriteShares(false);
     const terms = this.options.election.term
       .pipe(filter((term) => term?.term !== this.currentTerm?.id))
       .subscribe((term) => {
@@ -70,7 +70,7 @@
     this.currentTerm?.end.abort();
     this.currentTerm = null;
     this.attempt = null;
-    this.shareWrites(term !== null);
+    this.updateWriteShares(term !== null);
     if (!term) return;
     this.options.log.info({ term: term.term }, 'leader elected');
     const end = new AbortController();
@@ -80,9 +80,9 @@
     void done.finally(() => this.running.delete(done));
   }
 
-  private shareWrites(leads: boolean): void {
+  private updateWriteShares(leads: boolean): void {
     const { settings, client } = this.options;
-    shareWrites(client, settings.deployment.nodes, leads);
+    applyWriteShares(client, settings.deployment.nodes, leads);
   }
 
   /** Resolves once the term is over here; a leader that failed to load its records is replaced by a new one. */
@@ -91,23 +91,23 @@
     while (outcome === 'retry' && !signal.aborted) {
       const attempt = new LeadershipAttempt(this.options, term, this.readRecords);
       this.attempt = attempt;
-      outcome = await attempt.run(signal, (err) => this.onFailure(attempt.leader, err, signal));
+      outcome = await attempt.run(signal, (err) => this.handleFailure(attempt.leader, err, signal));
     }
   }
 
-  private async onFailure(
+  private async handleFailure(
     leader: ShardLeader,
     err: unknown,
     signal: AbortSignal,
   ): Promise<AttemptOutcome> {
     const { runtime, settings, log } = this.options;
     if (signal.aborted) return 'over';
-    if (isFinal(leader, err)) {
+    if (endsTerm(leader, err)) {
       this.stepDown(leader, err);
       return 'over';
     }
     log.debug({ err: String(err) }, 'leader failed to load its records: loading again');
-    const delayMs = RELOAD_PAUSE * settings.deployment.workers.report_s * 1000;
+    const delayMs = RELOAD_DELAY_INTERVALS * settings.deployment.workers.report_s * 1000;
     await pause(runtime.clock, delayMs, signal);
     return 'retry';
   }
@@ -124,6 +124,6 @@
  * Whether the error ends the term. A fleet state that has given orders knows what may still arrive, so it can't
  * be built again in its term.
  */
-function isFinal(leader: ShardLeader, err: unknown): boolean {
+function endsTerm(leader: ShardLeader, err: unknown): boolean {
   return err instanceof TermLostError || leader.recordsLoaded;
 }
--- a/packages/controller/leadership/pacer.test.ts
+++ b/packages/controller/leadership/pacer.test.ts
@@ -4,7 +4,7 @@
 import { Pacer } from './pacer.js';
 
 /** Work whose next runs take that long, have more to do that often, or fail. */
-function pacedWork() {
+function makePacedWork() {
   const clock = new HandClock();
   const work = { lengthMs: 0, more: 0, fails: false };
   const runs: number[] = [];
@@ -26,7 +26,7 @@
 }
 
 test('paced work runs at once, rests for a multiple of its length, and outlives its errors', () => {
-  const { clock, work, runs, errors, pacer } = pacedWork();
+  const { clock, work, runs, errors, pacer } = makePacedWork();
   pacer.request();
   assert.deepEqual(runs.splice(0), []);
   pacer.start();
--- a/packages/controller/leadership/pacer.ts
+++ b/packages/controller/leadership/pacer.ts
@@ -48,10 +48,10 @@
   request(): void {
     if (this.ticks === null) return;
     this.requested = true;
-    if (this.rest === null && !this.running) this.runAll();
+    if (this.rest === null && !this.running) this.runWhileMore();
   }
 
-  private runAll(): void {
+  private runWhileMore(): void {
     const { clock, minRestMs, restRatio } = this.options;
     this.running = true;
     this.requested = false;
@@ -81,6 +81,6 @@
 
   private endRest(): void {
     this.rest = null;
-    if (this.requested) this.runAll();
+    if (this.requested) this.runWhileMore();
   }
 }
--- a/packages/controller/leadership/round-pacing.ts
+++ b/packages/controller/leadership/round-pacing.ts
@@ -2,7 +2,7 @@
 import type { Clock } from '#wire';
 import type { Log } from '../observability/log.js';
 import type { PlatformSettings } from '../settings/platform-settings.js';
-import { ROUND_DECISIONS } from './core-from-settings.js';
+import { MAX_DECISIONS_PER_ROUND } from './core-from-settings.js';
 import { Pacer } from './pacer.js';
 
 /** Rounds in a heartbeat interval if nothing asks for more. */
@@ -44,7 +44,7 @@
       const startedAt = clock.now();
       const decisions = round();
       onRound((clock.now() - startedAt) * 1000);
-      return decisions >= ROUND_DECISIONS;
+      return decisions >= MAX_DECISIONS_PER_ROUND;
     },
     onError: (err) => {
       const text = err instanceof Error ? err.stack : String(err);
--- a/packages/controller/leadership/shard-migration.ts
+++ b/packages/controller/leadership/shard-migration.ts
@@ -32,8 +32,8 @@
 ): Promise<ShardMigrator> {
   const { runtime, settings, client, election, jobs, world, shard, terms, log } = options;
   const { ShardMigrator, RecordPrefetch } = await import('#shards');
-  const ahead = new RecordPrefetch(client, [MACHINES, PROGRESS]);
-  terms.readRecordsWith((prefix, signal) => ahead.read(prefix, signal));
+  const recordPrefetch = new RecordPrefetch(client, [MACHINES, PROGRESS]);
+  terms.setRecordReader((prefix, signal) => recordPrefetch.read(prefix, signal));
   return new ShardMigrator({
     runtime,
     client,
@@ -44,9 +44,9 @@
     limits,
     pollIntervalMs: (settings.deployment.workers.report_s * 1000) / POLLS_PER_HEARTBEAT,
     leader: () => transferableLeader(terms),
-    obstacle: (controller) => obstacleTo(controller, options),
+    obstacle: (controller) => obstacleToLeading(controller, options),
     canLead: () => jobs.cache.isLoaded && !client.isFailing,
-    ahead,
+    ahead: recordPrefetch,
     log,
   });
 }
@@ -67,7 +67,7 @@
 }
 
 /** What keeps a controller from becoming the leader now; null if nothing does. */
-function obstacleTo(
+function obstacleToLeading(
   controller: string,
   { runtime, settings, statuses, silenceS }: ShardMigrationOptions,
 ): string | null {
--- a/packages/controller/leadership/standby-renewal-check.test.ts
+++ b/packages/controller/leadership/standby-renewal-check.test.ts
@@ -7,10 +7,10 @@
 const LIMITS = { peerCount: 2, silenceS: 2, graceS: 12 };
 const LEADER_INCARNATION = 5;
 
-const leading = (at: number) =>
+const leadingStatus = (at: number) =>
   aPeerStatus(at, { incarnation: LEADER_INCARNATION, leading: true, mayLead: true });
 /** The leader's next incarnation, which could not read the records. */
-const restarted = (at: number) =>
+const restartedStatus = (at: number) =>
   aPeerStatus(at, { incarnation: LEADER_INCARNATION + 1, loaded: false });
 
 function viewAt(now: number, leader: PeerStatus | null, over: Partial<StandbyView> = {}) {
@@ -29,43 +29,45 @@
 /** What a follower may do at second 20, which had the leader's statements until 18 and this one at 20. */
 function renewsAt20(leader: PeerStatus | null, over: Partial<StandbyView> = {}): boolean {
   const check = new StandbyRenewalCheck(LIMITS);
-  for (let now = 10; now <= 18; now++) check.record(viewAt(now, leading(now)), leading(now));
+  for (let now = 10; now <= 18; now++)
+    check.record(viewAt(now, leadingStatus(now)), leadingStatus(now));
   const view = viewAt(20, leader, over);
   check.record(view, leader);
   return check.mayRenew(view, leader);
 }
 
 test('leases are renewed for a leader whose process has a new incarnation, or that has stepped down', () => {
-  assert.ok(renewsAt20(restarted(20)));
+  assert.ok(renewsAt20(restartedStatus(20)));
   assert.ok(renewsAt20(aPeerStatus(20, { incarnation: LEADER_INCARNATION })));
 });
 
 test('leases are not renewed for a leader that may be running', () => {
-  assert.ok(!renewsAt20(leading(20)));
+  assert.ok(!renewsAt20(leadingStatus(20)));
   assert.ok(!renewsAt20(null));
   // Whether this incarnation is a new one can't be told if the leading one never stated anything.
   const check = new StandbyRenewalCheck(LIMITS);
-  const view = viewAt(20, restarted(20));
-  check.record(view, restarted(20));
-  assert.ok(!check.mayRenew(view, restarted(20)));
+  const view = viewAt(20, restartedStatus(20));
+  check.record(view, restartedStatus(20));
+  assert.ok(!check.mayRenew(view, restartedStatus(20)));
 });
 
 test('leases are not renewed where somebody else may lead', () => {
   const served = { ...aPeerStatus(20, { refused: false }), lastServedAt: 19 };
-  assert.ok(!renewsAt20(restarted(20), { peers: [restarted(20), served] }));
+  assert.ok(!renewsAt20(restartedStatus(20), { peers: [restartedStatus(20), served] }));
   const newer = aPeerStatus(20, { newestLeader: { term: TERM + 1, name: 'c-2' } });
-  assert.ok(!renewsAt20(restarted(20), { peers: [restarted(20), newer] }));
-  assert.ok(!renewsAt20(restarted(20), { peers: [restarted(20), null] }));
-  assert.ok(!renewsAt20(restarted(20), { mayLead: true }));
+  assert.ok(!renewsAt20(restartedStatus(20), { peers: [restartedStatus(20), newer] }));
+  assert.ok(!renewsAt20(restartedStatus(20), { peers: [restartedStatus(20), null] }));
+  assert.ok(!renewsAt20(restartedStatus(20), { mayLead: true }));
 });
 
 test('renewal ends in time for cancellations that the ended leader may have confirmed at last', () => {
   const check = new StandbyRenewalCheck(LIMITS);
-  for (let now = 10; now <= 18; now++) check.record(viewAt(now, leading(now)), leading(now));
+  for (let now = 10; now <= 18; now++)
+    check.record(viewAt(now, leadingStatus(now)), leadingStatus(now));
   const renews = (now: number) => {
-    const view = viewAt(now, restarted(now));
-    check.record(view, restarted(now));
-    return check.mayRenew(view, restarted(now));
+    const view = viewAt(now, restartedStatus(now));
+    check.record(view, restartedStatus(now));
+    return check.mayRenew(view, restartedStatus(now));
   };
   // The leader's last complete statement counts as of second 17.5.
   assert.ok(renews(29));
--- a/packages/controller/leadership/standby-renewal.ts
+++ b/packages/controller/leadership/standby-renewal.ts
@@ -19,7 +19,7 @@
   /** The term that the check was made for; 0 before the first. */
   private term = 0;
   /** The term in whose name leases were renewed last, for the log. */
-  private renewing: number | null = null;
+  private renewingTerm: number | null = null;
 
   constructor(private readonly options: StandbyRenewalOptions) {
     this.check = new StandbyRenewalCheck(options.limits);
@@ -28,17 +28,17 @@
   /** To be called whenever a peer's statement has come. */
   recordStatus(): void {
     this.followElection();
-    this.check.record(this.view(), this.leader());
+    this.check.record(this.view(), this.leaderStatus());
   }
 
   /** The term in whose name heartbeats may be answered now, or null. */
   renewableTerm(): number | null {
     this.followElection();
-    const mayRenew = this.term > 0 && this.check.mayRenew(this.view(), this.leader());
+    const mayRenew = this.term > 0 && this.check.mayRenew(this.view(), this.leaderStatus());
     const term = mayRenew ? this.term : null;
-    if (term !== this.renewing) {
+    if (term !== this.renewingTerm) {
       this.options.log.info({ term: this.term, renewing: mayRenew }, 'standby renewal changed');
-      this.renewing = term;
+      this.renewingTerm = term;
     }
     return term;
   }
@@ -50,7 +50,7 @@
     this.check = new StandbyRenewalCheck(this.options.limits);
   }
 
-  private leader(): PeerStatus | null {
+  private leaderStatus(): PeerStatus | null {
     const { statuses, election } = this.options;
     return statuses.statusOf(election.newestLeader.name);
   }
--- a/packages/controller/leadership/successor.ts
+++ b/packages/controller/leadership/successor.ts
@@ -2,7 +2,7 @@
 import type { PeerStatus } from '../peers/peer-status.js';
 
 /** A peer counts as served if that was later than our first failure by this share of `silenceS`. */
-const SERVED_MARGIN = 1 / 4;
+const SERVED_MARGIN_RATIO = 1 / 4;
 
 /** What shows that somebody else leads or will campaign; times in steady seconds. */
 export interface SuccessorView {
@@ -22,6 +22,6 @@
   const reachable = view.now - peer.receivedAt <= silenceS;
   // Whether we have failed again since doesn't matter: a cut that swallows requests shows their
   // failure only when they time out.
-  const servedSince = peer.lastServedAt > view.failingSince + silenceS * SERVED_MARGIN;
+  const servedSince = peer.lastServedAt > view.failingSince + silenceS * SERVED_MARGIN_RATIO;
   return reachable && servedSince && !peer.frame.refused;
 }
--- a/packages/controller/leadership/write-shares.ts
+++ b/packages/controller/leadership/write-shares.ts
@@ -2,23 +2,23 @@
 import type { StateClient } from '#store';
 
 /** Shares of the rate that the leader has to itself, and that it may use of what others leave. */
-const LEADER_WRITES = { least: 0.6, most: 0.8 };
+const LEADER_WRITE_SHARES = { least: 0.6, most: 0.8 };
 /** Most that a follower may use. */
-const FOLLOWER_MAX_WRITES = 0.3;
+const FOLLOWER_MAX_SHARE = 0.3;
 /** What all followers together have to themselves. */
-const ALL_FOLLOWERS_MIN_WRITES = 0.3;
+const ALL_FOLLOWERS_MIN_SHARE = 0.3;
 
 /**
  * Sets this controller's share for its present role. The leader's records are nearly all changes that there
  * are, so it gets the larger part. A controller without others keeps the whole rate.
  */
-export function shareWrites(
+export function applyWriteShares(
   client: Pick<StateClient, 'setChangeShares'>,
   nodes: number,
   leads: boolean,
 ): void {
   const others = nodes - 1;
   if (others === 0) return;
-  const least = Math.min(FOLLOWER_MAX_WRITES, ALL_FOLLOWERS_MIN_WRITES / others);
-  client.setChangeShares(leads ? LEADER_WRITES : { least, most: FOLLOWER_MAX_WRITES });
+  const least = Math.min(FOLLOWER_MAX_SHARE, ALL_FOLLOWERS_MIN_SHARE / others);
+  client.setChangeShares(leads ? LEADER_WRITE_SHARES : { least, most: FOLLOWER_MAX_SHARE });
 }
