--- a/packages/controller/leadership/campaign-deferral.ts
+++ b/packages/controller/leadership/campaign-deferral.ts
@@ -1,11 +1,11 @@
-/** Whether this controller leaves a free shard to the others first. */
+/** Decides whether this controller lets the others campaign first for a shard without a leader. */
 import type { Clock } from '#wire';
 import type { StatusExchange } from '../peers/status-exchange.js';
 import type { PlatformSettings } from '../settings/platform-settings.js';
 import { leaderLeaseLimits } from './leader-lease.js';
 import { wouldLoseWorkerLeases, nextControllerForWorkers } from './leader-reachability.js';
 
-/** True if the controller that our workers would try after us is unreachable, while others are reachable. */
+/** True if the controller that workers would try after this one is unreachable while another peer is reachable. */
 export function defersCampaign(
   clock: Clock,
   settings: PlatformSettings,
--- a/packages/controller/leadership/core-from-settings.ts
+++ b/packages/controller/leadership/core-from-settings.ts
@@ -1,29 +1,29 @@
-/** Makes the fleet state, the planner and the scheduler of a term from the settings. */
+/** Creates the fleet state, capacity planner and scheduler of a term from the settings. */
 import { CapacityPlanner, FleetListener, FleetState, isBestEffort, Random, Scheduler } from '#core';
 import type { ReplicaGroups } from '#replicas';
 import type { Term } from '#store';
 import { graceAfterLoss } from '../settings/time-bounds.js';
 import { Settings, teamQuotas } from '../settings/settings.js';
 
-/** Decisions in one scheduling round; the next round follows at once if more could be made. */
+/** Maximum decisions in one scheduling round. A round that reaches it is followed by the next one immediately. */
 export const MAX_DECISIONS_PER_ROUND = 200;
 
-/** Heartbeat intervals that the last answer of a former leader may still be on its way. */
+/** How long the last answer of a former leader may be in flight, in heartbeat intervals. */
 const ANSWER_DELIVERY_INTERVALS = 2;
 
-/** What the fleet state of a term is made from. */
+/** Settings and dependencies of the fleet state of a term. */
 export interface FleetStateOptions {
   settings: Settings;
   term: Term;
-  /** The state service's limit for one record, in bytes. */
+  /** Maximum size of one record in the state service, in bytes. */
   valueBytes: number;
   listener: FleetListener;
   random: Random;
-  /** Null: each task of a service is a replica by itself. */
+  /** Null if replica groups are switched off: each task of a service is then a replica by itself. */
   replicaGroups: ReplicaGroups | null;
 }
 
-/** The fleet state of a new term; nothing of earlier terms is loaded yet. */
+/** Creates the fleet state of a new term, without any records of earlier terms. */
 export function makeFleetState(options: FleetStateOptions): FleetState {
   const { settings, term, valueBytes, listener, random, replicaGroups } = options;
   const teams = teamQuotas(settings.deployment.teams);
@@ -49,13 +49,13 @@
   return fleet;
 }
 
-/** How long a former leader may still answer workers after this one was elected; seconds. */
+/** How long workers may still receive answers of a former leader after the new leader was elected, in seconds. */
 function formerLeaderActiveS(cancelS: number, leaseS: number, heartbeatIntervalS: number): number {
   const graceS = graceAfterLoss(cancelS, leaseS, heartbeatIntervalS);
   return graceS + ANSWER_DELIVERY_INTERVALS * heartbeatIntervalS;
 }
 
-/** The planner of scale-out and scale-in, with the objectives that name a class. */
+/** Creates the planner of scale-out and scale-in, with those service objectives that name a job class. */
 export function makePlanner(settings: Settings, fleet: FleetState): CapacityPlanner {
   const { deployment, operator } = settings;
   const objectives = deployment.objectives.flatMap(
@@ -74,7 +74,7 @@
   });
 }
 
-/** The scheduler of a term, with the teams' quotas. */
+/** Creates the scheduler of a term, with the quotas of the teams. */
 export function makeScheduler(settings: Settings, fleet: FleetState): Scheduler {
   const { deployment, operator } = settings;
   return new Scheduler(fleet, teamQuotas(deployment.teams), {
--- a/packages/controller/leadership/direct-commands.ts
+++ b/packages/controller/leadership/direct-commands.ts
@@ -1,42 +1,45 @@
-/** Commands that go to workers at once instead of waiting for their next heartbeat. */
+/** Sends commands to workers immediately instead of in the answer to their next heartbeat. */
 import { CborClient, commandToWire, Order, parseHeartbeat, Runtime } from '#wire';
 import type { DirectOutcome, FleetState, Machine } from '#core';
 
-/** Status codes with which a worker states that it executed nothing: fenced off, or unreadable to it. */
+/**
+ * Status codes with which a worker answers that it executed nothing: 409 if it fenced the command off, 400 if it
+ * could not read the command.
+ */
 const NOT_EXECUTED_STATUSES = [409, 400];
 
-/** What direct commands are sent with. */
+/** Dependencies and limits of direct commands. */
 export interface DirectCommandsOptions {
   runtime: Runtime;
   fleet: FleetState;
-  /** How long an answer may take. */
+  /** How long to wait for the answer of a worker. */
   timeoutMs: number;
-  /** Connections that may be open at once: one for each machine would not fit a large fleet. */
+  /** Maximum open connections: a large fleet exceeds the socket limit with one connection per machine. */
   maxConnections: number;
-  /** Told of commands that go out. */
+  /** Called before commands are sent to a machine. */
   onOrders: (machine: Machine, orders: Order[]) => void;
-  /** Told when a call has ended and its outcome is taken in. */
+  /** Called after a call has ended and its outcome was applied to the fleet state. */
   onDone: () => void;
 }
 
 /**
- * Sends a machine's pending commands on a connection of its own. A command without an answer counts as possibly
- * carried out; the fleet state then fences it off (docs/safety.md, point 6).
+ * Sends the pending commands of a machine on a connection separate from its heartbeats. A command without an answer
+ * counts as possibly executed, and the fleet state then fences it off (docs/safety.md, point 6).
  */
 export class DirectCommands {
-  /** Least recently used first. */
+  /** HTTP clients by machine name, least recently used first. */
   private readonly clients = new Map<string, { addr: string; http: CborClient }>();
-  /** Machines with a call under way. */
+  /** Names of machines with a call in flight. */
   private readonly busy = new Set<string>();
 
   constructor(private readonly options: DirectCommandsOptions) {}
 
-  /** Sends what is due; at most one call to a machine is under way. */
+  /** Sends all pending commands that the connection limit allows. At most one call per machine is in flight. */
   push(signal: AbortSignal): void {
     const { runtime, fleet, maxConnections, onOrders } = this.options;
     const now = runtime.clock.now();
     for (const machine of [...fleet.machinesWithCommands]) {
-      // The rest goes out with the next push, or in answers to heartbeats.
+      // Remaining commands are sent by the next push or in answers to heartbeats.
       if (this.busy.size >= maxConnections) return;
       const orders = fleet.directOrders.nextOrders(machine, now);
       if (orders.length === 0) continue;
@@ -45,12 +48,12 @@
     }
   }
 
-  /** Connections that are open or kept. */
+  /** Number of connections that are in use or kept open for reuse. */
   get connections(): number {
     return this.clients.size;
   }
 
-  /** Closes all connections; calls that are under way end by their signal. */
+  /** Closes all connections. Calls in flight end when their signal aborts. */
   close(): void {
     for (const { http } of this.clients.values()) http.close();
     this.clients.clear();
@@ -88,7 +91,7 @@
       const { status, body: answer } = await this.client(machine).call('POST', '/orders', options);
       fleet.directOrders.applyOutcome(machine, orders, outcomeOf(status, answer), clock.now());
     } catch {
-      // No answer, or one that can't be read: the commands may have been carried out.
+      // Without an answer that can be parsed, the commands may or may not have been executed.
       fleet.directOrders.applyOutcome(machine, orders, { kind: 'unknown' }, clock.now());
     }
     this.busy.delete(machine.name);
@@ -97,7 +100,7 @@
   }
 }
 
-/** What a worker's answer says of the commands; throws MalformedBody if it can't be read. */
+/** Derives the outcome of the commands from a worker's answer. Throws MalformedBody if it can't be parsed. */
 function outcomeOf(status: number, body: unknown): DirectOutcome {
   if (status === 200) return { kind: 'executed', heartbeat: parseHeartbeat(body) };
   return { kind: NOT_EXECUTED_STATUSES.includes(status) ? 'refused' : 'unknown' };
--- a/packages/controller/leadership/fleet-listener.ts
+++ b/packages/controller/leadership/fleet-listener.ts
@@ -1,10 +1,10 @@
-/** Tells the capacity planner and the log what happens to machines, jobs and tasks. */
+/** Reports events of machines, jobs and tasks to the capacity planner and the log. */
 import type { Assignment, CapacityPlanner, FleetListener, JobState, Machine, TaskEnd } from '#core';
 import type { Log } from '../observability/log.js';
 
 /**
- * The listener of a leader's fleet state. The planner is made from that state, so it is asked for when
- * something happens.
+ * Creates the listener of a leader's fleet state. The planner is passed as a function because it is constructed after
+ * the fleet state.
  */
 export function fleetListener(planner: () => CapacityPlanner, log: Log): FleetListener {
   return {
--- a/packages/controller/leadership/leader-components.ts
+++ b/packages/controller/leadership/leader-components.ts
@@ -1,4 +1,4 @@
-/** Builds what one leader consists of, and names for each component what it takes. */
+/** Builds the components of a leader and wires them together. */
 import type { CapacityPlanner, FleetState, Scheduler } from '#core';
 import type { ReplicaGroups } from '#replicas';
 import type { GroupCommit, JobRecord, StateClient, Term } from '#store';
@@ -18,45 +18,45 @@
 import { SchedulingRound } from './scheduling-round.js';
 import { roundIntervalMs } from './round-pacing.js';
 
-/** Heartbeat intervals that a direct command may take. */
+/** Timeout of a direct command, in heartbeat intervals. */
 const COMMAND_TIMEOUT_INTERVALS = 2;
 
-/** What a leader of one term is made from. */
+/** Dependencies and settings of the leader of one term. */
 export interface ShardLeaderOptions {
   runtime: Runtime;
   settings: Settings;
   client: StateClient;
   readRecords: ReadRecords;
-  /** Users' changes of jobs. */
+  /** Commits changes that users make to jobs. */
   commits: GroupCommit;
   jobs: JobTable;
   term: Term;
-  /** The machine types that are known now. */
+  /** Returns the machine types that are known now. */
   types: () => MachineType[];
   replicas: OptionalReplicaSupport;
-  /** The leader may act on workers now. */
+  /** Whether the leader may answer and command workers now. */
   holdsLeaderLease: () => boolean;
-  /** Told how long each scheduling round took, in milliseconds. */
+  /** Called after each scheduling round with its duration in milliseconds. */
   onRound: (ms: number) => void;
-  /** Connections that may be open for direct commands. */
+  /** Maximum number of open connections for direct commands. */
   directSockets: number;
   log: Log;
 }
 
-/** What the components ask of the leader that they belong to. */
+/** Callbacks through which the components reach their leader. */
 export interface LeaderCallbacks {
-  /** Something changed that a scheduling round should look at soon. */
+  /** Requests a scheduling round soon, after a change that the round should process. */
   requestRound: () => void;
-  /** Commands may go to workers now. */
+  /** Sends pending commands to workers. */
   pushCommands: (signal: AbortSignal) => void;
 }
 
-/** The components of a leader; they share its fleet state. */
+/** The components of a leader. All share one fleet state. */
 export interface LeaderComponents {
   readonly fleet: FleetState;
   readonly planner: CapacityPlanner;
   readonly scheduler: Scheduler;
-  /** Null: each task of a service is a replica by itself. */
+  /** Null if replica groups are switched off: each task of a service is then a replica by itself. */
   readonly replicaGroups: ReplicaGroups | null;
   readonly recorder: Recorder;
   readonly intake: JobIntake;
@@ -68,7 +68,7 @@
 
 type CoreComponents = Pick<LeaderComponents, 'fleet' | 'planner' | 'scheduler' | 'replicaGroups'>;
 
-/** Builds the components of a leader; none of them does anything by itself yet. */
+/** Builds the components of a leader. None of them runs until the leader starts it. */
 export function composeLeader(
   options: ShardLeaderOptions,
   callbacks: LeaderCallbacks,
@@ -106,7 +106,7 @@
   };
 }
 
-/** Reads what earlier leaders recorded into the components' fleet state. */
+/** Makes the loader that reads the records of earlier leaders into the components' fleet state. */
 export function composeRecordLoader(
   options: ShardLeaderOptions,
   { fleet, recorder, intake, planner }: LeaderComponents,
@@ -129,7 +129,7 @@
   });
 }
 
-/** Logs commands that were sent to a worker, in answers to heartbeats or directly. */
+/** Logs orders sent to a worker, whether in the answer to a heartbeat or in a direct command. */
 export function logOrders(log: Log, machine: string, orders: Order[]): void {
   for (const order of orders) log.debug({ machine, ...order }, 'order sent to worker');
 }
--- a/packages/controller/leadership/leader-lease-check.ts
+++ b/packages/controller/leadership/leader-lease-check.ts
@@ -1,47 +1,49 @@
-/** The checks by which a leader knows whether it may still act, and when it should step down. */
+/** Checks whether a leader may still act, and whether it should step down. */
 import { PeerProof, type ProofView } from '../peers/peer-proof.js';
 import { isSuccessor } from './successor.js';
 
 /**
- * What a leader knows about its right to act (docs/safety.md, point 7). Two things must hold: nobody else can
- * act as the leader, and every cancellation that a user was told of is known. Each is certain as of some
- * moment; after it the leader goes on for a bounded time. All times are steady seconds of this process.
+ * Evidence for a leader's right to act (docs/safety.md, point 7). Two conditions must hold: no other controller can
+ * act as the leader, and this leader knows every cancellation that was confirmed to a user. Each condition was last
+ * proven as of some moment, and the leader may act for a bounded time after that moment. All times are seconds of
+ * this process's monotonic clock.
  */
 export interface LeaderLeaseView extends ProofView {
-  /** The election lease surely lives until then, so nobody else can lead. */
+  /** Until this moment the election lease is certain to be alive, so no other controller can lead. */
   leaseProvenUntil: number;
-  /** When the last successful renewal of the election lease was sent: nobody else could lead then. */
+  /** When the last successful renewal of the election lease was sent. No other controller could lead then. */
   leaseRenewedAt: number;
-  /** When the newest request was sent that brought all cancellations in. */
+  /** When the newest request was sent whose answer brought the job cache up to date with all cancellations. */
   jobsCurrentAt: number;
-  /** When the first of our requests that failed since the last success was sent. */
+  /** When the first request to the state service that has failed since the last success was sent. */
   failingSince: number;
 }
 
 /** The bounds of a leader lease. */
 export interface LeaderLeaseLimits {
-  /** Controllers besides this one. */
+  /** Number of controllers besides this one. */
   peerCount: number;
-  /** A peer without a statement for this long is unreachable. */
+  /** A peer that has sent no status for this long is unreachable. */
   silenceS: number;
-  /** How long the leader may go on after the last moment at which all was certain; see graceAfterLoss. */
+  /** How long the leader may act after the last moment at which both conditions were proven; see graceAfterLoss. */
   graceS: number;
 }
 
 /**
- * The states of a leader lease. In all but the last, the leader answers workers and commands them.
- * - `granted`: the election lease proves that nobody else leads. The leader may scale out, and also in while the
- *   state service serves it.
- * - `attested`: the election lease is past its proven life, but all peers lately attested that they neither lead
- *   nor can campaign, and that no cancellation is unknown here. The leader may scale out.
- * - `grace`: neither is proven now, but both conditions were certain less than `graceS` ago. The leader may not
- *   scale.
- * - `none`: the leader may not act, and turns workers away. It follows also from `granted` once cancellations may
- *   have been unknown for `graceS`.
+ * The states of a leader lease. In all states but `none`, the leader answers and commands workers.
+ * - `granted`: the election lease proves that no other controller leads. The leader may scale out. It may also scale
+ *   in while the state service serves it.
+ * - `attested`: the election lease may have expired, but every peer attested within the last `silenceS` that it
+ *   neither leads nor can campaign, and that it knows of no cancellation unknown to the leader. The leader may scale
+ *   out.
+ * - `grace`: neither the election lease nor the peers prove the right to act, but both conditions were proven less
+ *   than `graceS` ago. The leader may not scale.
+ * - `none`: the leader may not act, and turns workers away. Even a live election lease ends in this state once
+ *   cancellations may have been unknown for `graceS`.
  */
 export type LeaderLeaseState = 'granted' | 'attested' | 'grace' | 'none';
 
-/** Evaluates the lease of the leader of one term; make a new one for each. */
+/** Evaluates the leader lease of one term. Each term needs a new instance. */
 export class LeaderLeaseCheck {
   private readonly proof: PeerProof;
 
@@ -49,7 +51,7 @@
     this.proof = new PeerProof(limits.peerCount);
   }
 
-  /** The state at `view.now`. What peers attested is remembered from one call to the next. */
+  /** Returns the state at `view.now`. The instance remembers what peers attested in earlier calls. */
   evaluate(view: LeaderLeaseView): LeaderLeaseState {
     const { now } = view;
     const { graceS, silenceS } = this.limits;
@@ -65,19 +67,22 @@
   }
 }
 
-/** A leader that a smaller share of its machines reaches is out of their reach. */
+/** The leader is unreachable for its workers if less than this share of its machines reaches it. */
 const MIN_REACHABLE_SHARE = 1 / 8;
-/** More than this share of the machines must reach peers before a leader steps down for it. */
+/** An unreachable leader steps down only if more than this share of its machines reaches its peers. */
 const MIN_SHARE_REACHING_PEERS = 1 / 16;
 
-/** Whether so few of the machines that should send heartbeats lately did that most can't reach the leader. */
+/**
+ * Whether so few of the machines that should send heartbeats did so recently that most workers can't reach the leader.
+ */
 export function reachesFewWorkers(machines: number, reachable: number): boolean {
   return reachable < machines * MIN_REACHABLE_SHARE;
 }
 
 /**
- * Whether the leader should step down since its workers can't reach it: it would hold its term while all their
- * leases expire. Next to no machine that should send heartbeats reaches it, and some of them reach its peers.
+ * Whether the leader should step down because its workers can't reach it. Otherwise it would keep its term while all
+ * worker leases expire. True if almost no machine that should send heartbeats reaches the leader while more machines,
+ * and more than a small share, reach its peers.
  */
 export function isIsolatedFromWorkers(
   machines: number,
--- a/packages/controller/leadership/leader-lease.ts
+++ b/packages/controller/leadership/leader-lease.ts
@@ -1,4 +1,4 @@
-/** Whether the leader here may still act, by all that this controller knows. */
+/** Decides whether the leader in this controller may still act, from the election, the job cache and the peers. */
 import {
   LeaderLeaseCheck,
   type LeaderLeaseLimits,
@@ -10,20 +10,20 @@
 import type { StatusExchange } from '../peers/status-exchange.js';
 import { graceAfterLoss } from '../settings/time-bounds.js';
 
-/** Heartbeat intervals without a statement after which a peer counts as unreachable. */
+/** Heartbeat intervals without a status after which a peer counts as unreachable. */
 const SILENCE_INTERVALS = 2;
 
 type Services = Pick<ControllerServices, 'runtime' | 'client' | 'jobs' | 'election'>;
 
-/** What the state of a leader lease is drawn from. */
+/** Sources from which the state of the leader lease is computed. */
 export interface LeaderLeaseOptions extends Services {
   limits: LeaderLeaseLimits;
   statuses: StatusExchange;
 }
 
-/** The lease of the leader here; a new term begins with a new check. */
+/** The leader lease of this controller. Each term starts with a new check. */
 export class LeaderLease {
-  /** The term that the check was made for; 0 before the first. */
+  /** The term of the current check; 0 before the first term. */
   private term = 0;
   private check: LeaderLeaseCheck;
 
@@ -31,7 +31,7 @@
     this.check = new LeaderLeaseCheck(options.limits);
   }
 
-  /** Whether the leader may act now; `none` if this controller does not lead. */
+  /** Returns the current state of the leader lease; `none` if this controller does not lead. */
   evaluate(leader: Pick<ShardLeader, 'term'> | null): LeaderLeaseState {
     if (leader === null) return 'none';
     const { term } = leader.term;
@@ -53,7 +53,10 @@
   }
 }
 
-/** How many peers must attest, how old their statements may be, and how long a leader goes on without them. */
+/**
+ * Derives the bounds of the leader lease: how many peers must attest, how old the status of a peer may be, and how
+ * long a leader may act without proof.
+ */
 export function leaderLeaseLimits({ deployment }: PlatformSettings): LeaderLeaseLimits {
   const { nodes, workers } = deployment;
   return {
--- a/packages/controller/leadership/leader-reachability.ts
+++ b/packages/controller/leadership/leader-reachability.ts
@@ -1,32 +1,32 @@
-/** Where workers find the leader, and what becomes of them if it falls silent. */
+/** Tells workers where to find the leader, and whether they could fail over if the leader fell silent. */
 import { isReachable, type PeerStatus } from '../peers/peer-status.js';
 
-/** The leader as a follower knows it; steady seconds. */
+/** What a follower knows about the leader's reachability. Times are seconds of the monotonic clock. */
 export interface LeaderReachabilityView {
   now: number;
-  /** The leader's latest statement; null if there never was one. */
+  /** The latest status of the leader; null if none has arrived. */
   leader: PeerStatus | null;
-  /** The latest statement of each other controller; null if there never was one. */
+  /** The latest status of each other controller; null if none has arrived. */
   peers: (PeerStatus | null)[];
-  /** A controller without a statement for this long is unreachable. */
+  /** A controller that has sent no status for this long is unreachable. */
   silenceS: number;
 }
 
 /**
- * Whether a worker that asks for the leader should be redirected to it. A worker waits for several seconds for
- * the answer of a leader that is silent or partitioned, which may be the rest of its lease; elsewhere it soon
- * finds the next leader.
+ * Whether a worker that asks for the leader should be redirected to it. A redirect to a silent or partitioned leader
+ * makes the worker wait several seconds for an answer, which may use up the rest of the worker's lease. A worker that
+ * tries the other controllers instead soon finds the next leader.
  */
 export function mayReachLeader({ now, leader, peers, silenceS }: LeaderReachabilityView): boolean {
   if (leader === null) return true;
   if (isReachable(leader, now, silenceS)) return !leader.frame.unreachable;
-  // Partitioned from all peers, this controller can't tell whether the leader is silent for others too.
+  // If this controller reaches no peer at all, it can't tell whether other controllers still reach the leader.
   return !peers.some((peer) => isReachable(peer, now, silenceS));
 }
 
 /**
- * The controller that workers try after this one, when it does not answer them; null if it has no peers. Workers
- * are taken to know the controllers in the order of their names' numbers, which the protocol does not promise.
+ * The controller that workers try next when this one does not answer; null if this controller has no peers. Assumes
+ * that workers try controllers in the numeric order of their names, which the protocol does not guarantee.
  */
 export function nextControllerForWorkers(self: string, peers: readonly string[]): string | null {
   if (peers.length === 0) return null;
@@ -34,14 +34,15 @@
   return names[(names.indexOf(self) + 1) % names.length];
 }
 
-/** Shorter names first, so that `c-10` comes after `c-9`. */
+/** Compares shorter names as smaller, so that `c-10` sorts after `c-9`. */
 function compareByNumber(one: string, other: string): number {
   return one.length - other.length || (one < other ? -1 : 1);
 }
 
 /**
- * Whether the workers of a leader here would lose their leases if it fell silent: they wait for an answer there, and
- * then once more at the next controller, which is silent already. Others should lead rather than this controller.
+ * Whether workers would lose their leases if this controller led and then fell silent. They would first wait for an
+ * answer from this controller and then wait again at the next one, which is unreachable already. True only if some
+ * other peer is reachable: that peer should lead rather than this controller.
  */
 export function wouldLoseWorkerLeases(
   next: PeerStatus | null,
--- a/packages/controller/leadership/leadership-attempt.ts
+++ b/packages/controller/leadership/leadership-attempt.ts
@@ -1,4 +1,4 @@
-/** One attempt to lead a term: a leader, and beside it the reconciler of the cloud's machines. */
+/** One attempt to lead a term: runs a leader and the cloud reconciler of that leader. */
 import { setMaxListeners } from 'node:events';
 import type { Term } from '#store';
 import type { CloudClient } from '#wire';
@@ -13,18 +13,21 @@
   'runtime' | 'settings' | 'client' | 'commits' | 'jobs' | 'types' | 'replicas' | 'log'
 >;
 
-/** What every attempt is made from. */
+/** Dependencies of every attempt. */
 export interface LeadershipAttemptOptions extends Services {
   cloud: CloudClient;
-  /** Whether the current leader may still act. */
+  /** Returns the state of the current leader's lease: whether the leader may still act. */
   leaderLeaseState: () => LeaderLeaseState;
-  /** Told how long each scheduling round took, in milliseconds. */
+  /** Called after each scheduling round with its duration in milliseconds. */
   onRound: (roundMs: number) => void;
-  /** Connections that may be open for direct commands. */
+  /** Maximum number of open connections for direct commands. */
   directSockets: number;
 }
 
-/** What follows an attempt: another one, if the term is not over by then, or none in this term. */
+/**
+ * What follows an attempt. `retry`: another attempt, unless the term has ended by then. `over`: no further attempt in
+ * this term.
+ */
 export type AttemptOutcome = 'retry' | 'over';
 
 /** Leads one term until it ends or the leader fails. */
@@ -38,8 +41,9 @@
   }
 
   /**
-   * Runs until the signal aborts or the leader fails, and resolves once leader and reconciler have ended. An
-   * error of the leader goes to `onFailure`, which never rejects; until that has resolved, the reconciler goes on.
+   * Runs until the signal aborts or the leader fails, and resolves once both leader and reconciler have ended. An
+   * error of the leader is passed to `onFailure`, which must not reject. The reconciler runs until `onFailure` has
+   * resolved.
    */
   async run(
     signal: AbortSignal,
@@ -47,7 +51,7 @@
   ): Promise<AttemptOutcome> {
     const end = new AbortController();
     const attempt = AbortSignal.any([signal, end.signal]);
-    // Every call to a worker listens to it.
+    // Every call to a worker adds a listener to this signal: without this, Node.js warns of a leak.
     setMaxListeners(0, attempt);
     const cloud = this.cloud.run(attempt);
     try {
@@ -61,12 +65,12 @@
     }
   }
 
-  /** Stops all decisions; resolves once none is on its way to the state service or the cloud. */
+  /** Stops all decisions. Resolves once none is in flight to the state service or the cloud. */
   async pause(): Promise<void> {
     await Promise.all([this.leader.pause(), this.cloud.pause()]);
   }
 
-  /** Decides again after a pause. */
+  /** Resumes decisions after a pause. */
   resume(): void {
     this.leader.resume();
     this.cloud.resume();
--- a/packages/controller/leadership/leadership-terms.ts
+++ b/packages/controller/leadership/leadership-terms.ts
@@ -1,4 +1,4 @@
-/** Follows the terms that the election gives to this controller, and leads each of them. */
+/** Follows the election and leads each term that this controller wins. */
 import { filter } from 'rxjs';
 import { listAll, type Term } from '#store';
 import { signalAborted, pause } from '#wire';
@@ -13,22 +13,22 @@
 import type { ShardLeader } from './shard-leader.js';
 import { applyWriteShares } from './write-shares.js';
 
-/** Share of a heartbeat interval from a failed load of the records to the next. */
+/** Delay between a failed load of the records and the next attempt, in heartbeat intervals. */
 const RELOAD_DELAY_INTERVALS = 1 / 5;
 
-/** What terms are led with. */
+/** Dependencies of the terms. */
 export interface LeadershipTermsOptions
   extends LeadershipAttemptOptions, Pick<ControllerServices, 'election'> {}
 
-/** Leads the shard, and reconciles its machines at the cloud, while this controller holds the leader key. */
+/** Leads the shard and reconciles its machines with the cloud while this controller holds the leader key. */
 export class LeadershipTerms {
-  /** The attempt that is under way; null while this controller does not lead. */
+  /** The current attempt; null while this controller does not lead. */
   private attempt: LeadershipAttempt | null = null;
-  /** The term that is led, and what ends it here. */
+  /** The term that this controller leads, and the AbortController that ends it. */
   private currentTerm: { id: number; end: AbortController } | null = null;
   private readRecords: ReadRecords = (prefix, signal) =>
     listAll(this.options.client, prefix, signal);
-  /** All terms that have not ended yet; earlier ones may still be ending. */
+  /** All terms that have not ended yet. Earlier terms may still be shutting down beside the current one. */
   private readonly running = new Set<Promise<void>>();
 
   constructor(private readonly options: LeadershipTermsOptions) {}
@@ -38,12 +38,12 @@
     return this.attempt?.leader ?? null;
   }
 
-  /** Replaces the way in which new leaders read their records. */
+  /** Replaces the function with which new leaders read their records. */
   setRecordReader(readRecords: ReadRecords): void {
     this.readRecords = readRecords;
   }
 
-  /** Follows the election until the signal aborts; resolves once the last term has ended. */
+  /** Follows the election until the signal aborts. Resolves once all terms have ended. */
   async run(signal: AbortSignal): Promise<void> {
     this.updateWriteShares(false);
     const terms = this.options.election.term
@@ -56,12 +56,12 @@
     await Promise.all(this.running);
   }
 
-  /** Stops all decisions; resolves once none is on its way to the state service or the cloud. */
+  /** Stops all decisions. Resolves once none is in flight to the state service or the cloud. */
   async pause(): Promise<void> {
     await this.attempt?.pause();
   }
 
-  /** Decides again after a pause. */
+  /** Resumes decisions after a pause. */
   resume(): void {
     this.attempt?.resume();
   }
@@ -85,7 +85,7 @@
     applyWriteShares(client, settings.deployment.nodes, leads);
   }
 
-  /** Resolves once the term is over here; a leader that failed to load its records is replaced by a new one. */
+  /** Leads one term until it ends. Replaces a leader that failed to load its records by a new one. */
   private async lead(term: Term, signal: AbortSignal): Promise<void> {
     let outcome: AttemptOutcome = 'retry';
     while (outcome === 'retry' && !signal.aborted) {
@@ -121,8 +121,8 @@
 }
 
 /**
- * Whether the error ends the term. A fleet state that has given orders knows what may still arrive, so it can't
- * be built again in its term.
+ * Whether the error ends the term. Once orders may have been sent, only the existing fleet state knows which of them
+ * may still reach workers, so a new leader can't rebuild that state within the same term.
  */
 function endsTerm(leader: ShardLeader, err: unknown): boolean {
   return err instanceof TermLostError || leader.recordsLoaded;
--- a/packages/controller/leadership/pacer.ts
+++ b/packages/controller/leadership/pacer.ts
@@ -1,35 +1,35 @@
-/** Runs a piece of work now and then, with rests between the runs. */
+/** Runs a function periodically and on request, with a minimum pause between runs. */
 import { Clock, every, Timer } from '#wire';
 
-/** What is run, and how often. */
+/** The function to run and the limits on how often it runs. */
 export interface PacerOptions {
   clock: Clock;
-  /** Runs come at least this often. */
+  /** Period of the runs that occur without a request. */
   periodMs: number;
-  /** Least rest after a run. */
+  /** Minimum rest after a run. */
   minRestMs: number;
-  /** Rest after a run as a multiple of its own length, if that is more. */
+  /** Rest after a run as a multiple of the duration of that run, if that is more than `minRestMs`. */
   restRatio: number;
-  /** The work; true if there is more to do at once, without a rest. */
+  /** The function to run. Returns true if it must run again immediately, without a rest. */
   run: () => boolean;
-  /** Told of an error of the work, after which the next run comes as usual. */
+  /** Called with an error that `run` threw. Later runs are not affected. */
   onError: (err: unknown) => void;
 }
 
 /**
- * Runs a piece of work once in each period and soon after each request. It rests after each run, however
- * long runs become, so that other work gets the larger part of the processor.
+ * Runs a function once in each period and soon after each request. The rest after a run grows with the duration of
+ * the run, so that other work gets the larger part of the processor however long the runs become.
  */
 export class Pacer {
   private ticks: Timer | null = null;
-  /** The rest that is under way. */
+  /** Timer that ends the current rest; null outside of a rest. */
   private rest: Timer | null = null;
   private running = false;
   private requested = false;
 
   constructor(private readonly options: PacerOptions) {}
 
-  /** Runs from the next period on; `stop` ends it. */
+  /** Starts periodic runs; the first one comes after one period. */
   start(): void {
     const { clock, periodMs } = this.options;
     this.ticks = every(clock, periodMs, () => {
@@ -37,14 +37,14 @@
     });
   }
 
-  /** Cancels all timers; nothing runs until the next start. */
+  /** Cancels all timers. Nothing runs until the next call of `start`. */
   stop(): void {
     this.ticks?.cancel();
     this.rest?.cancel();
     this.ticks = this.rest = null;
   }
 
-  /** Asks for a run: now, or at the end of the rest that is under way. */
+  /** Requests a run: immediately, or at the end of the current rest. */
   request(): void {
     if (this.ticks === null) return;
     this.requested = true;
--- a/packages/controller/leadership/reclaim-notices.ts
+++ b/packages/controller/leadership/reclaim-notices.ts
@@ -1,10 +1,10 @@
-/** Graceful eviction from spot machines that the cloud is about to reclaim. */
+/** Evicts tasks gracefully from spot machines that the cloud is about to reclaim. */
 import type { Assignment, FleetState } from '#core';
 
 /**
- * Evicts the tasks of machines with a reclaim notice: batch work with checkpoints writes one before the machine
- * is gone, services move at once, and replicas of several members move as a whole. Work without checkpoints runs
- * on, since stopping it early would save nothing. `now` in steady seconds.
+ * Evicts the tasks of machines with a reclaim notice. Batch tasks with checkpoints write one before the machine is
+ * reclaimed, services move immediately, and replicas of several members move as a whole. Batch tasks without
+ * checkpoints keep running, since stopping them early would save nothing. `now` is in seconds of the monotonic clock.
  */
 export function evictOnReclaimNotices(fleet: FleetState, now: number): void {
   for (const machine of fleet.machines.groups.withReclaimNotice) {
--- a/packages/controller/leadership/round-pacing.ts
+++ b/packages/controller/leadership/round-pacing.ts
@@ -1,37 +1,37 @@
-/** Paces the scheduling rounds of a leader. */
+/** Determines when the scheduling rounds of a leader run. */
 import type { Clock } from '#wire';
 import type { Log } from '../observability/log.js';
 import type { PlatformSettings } from '../settings/platform-settings.js';
 import { MAX_DECISIONS_PER_ROUND } from './core-from-settings.js';
 import { Pacer } from './pacer.js';
 
-/** Rounds in a heartbeat interval if nothing asks for more. */
+/** Scheduling rounds per heartbeat interval if none is requested. */
 const ROUNDS_PER_HEARTBEAT = 4;
-/** Most rounds in the interval between two rounds that nothing asked for. */
+/** Maximum scheduling rounds in the interval between two periodic rounds, requested ones included. */
 const MAX_ROUNDS_PER_INTERVAL = 5;
-/** Rest after a round, as a multiple of the round's own length. */
+/** Rest after a round, as a multiple of the duration of that round. */
 const REST_RATIO = 3;
 
-/** What the rounds of a leader are paced by, and what they run. */
+/** The scheduling round to run, its interval and its callbacks. */
 export interface SchedulingRoundsOptions {
   clock: Clock;
-  /** From one round to the next if nothing asks for more, in milliseconds. */
+  /** Time between two periodic rounds, in milliseconds. */
   intervalMs: number;
-  /** One scheduling round; returns the number of decisions. */
+  /** Runs one scheduling round and returns the number of decisions. */
   round: () => number;
-  /** Told how long each round took, in milliseconds. */
+  /** Called after each round with its duration in milliseconds. */
   onRound: (ms: number) => void;
   log: Log;
 }
 
-/** From one round to the next if nothing asks for more, in milliseconds. */
+/** Time between two periodic rounds, in milliseconds. */
 export function roundIntervalMs({ deployment }: PlatformSettings): number {
   return (deployment.workers.report_s * 1000) / ROUNDS_PER_HEARTBEAT;
 }
 
 /**
- * The scheduling rounds of a leader; the next follows at once if one made as many decisions as it may. An
- * error of a round is logged, and the next one comes as usual.
+ * Creates the pacer of a leader's scheduling rounds. A round that made the maximum number of decisions is followed by
+ * the next one immediately. An error in a round is logged and does not affect later rounds.
  */
 export function makeSchedulingRounds(options: SchedulingRoundsOptions): Pacer {
   const { clock, intervalMs, round, onRound, log } = options;
--- a/packages/controller/leadership/scheduling-round.ts
+++ b/packages/controller/leadership/scheduling-round.ts
@@ -1,26 +1,26 @@
-/** What one scheduling round does to the fleet state, before anything of it is recorded or sent. */
+/** Runs one scheduling round on the fleet state. Recording and sending its results happen elsewhere. */
 import type { FleetState, Scheduler } from '#core';
 import type { ReplicaGroups } from '#replicas';
 import type { Log } from '../observability/log.js';
 import { evictOnReclaimNotices } from './reclaim-notices.js';
 
-/** What a round works on. */
+/** Components that a scheduling round works on. */
 export interface SchedulingRoundOptions {
   fleet: FleetState;
   scheduler: Scheduler;
-  /** Null: each task of a service is a replica by itself. */
+  /** Null if replica groups are switched off: each task of a service is then a replica by itself. */
   replicaGroups: ReplicaGroups | null;
   log: Log;
 }
 
 /**
- * Brings the fleet state up to date and decides what runs where. The order matters: expired leases and
+ * Updates the fleet state and then decides which task runs on which machine. The order matters: expired leases and
  * evictions free capacity that the decisions of the same round may use.
  */
 export class SchedulingRound {
   constructor(private readonly options: SchedulingRoundOptions) {}
 
-  /** Runs one round at `now` (steady seconds); returns the number of decisions. */
+  /** Runs one round at `now`, in seconds of the monotonic clock. Returns the number of decisions. */
   run(now: number): number {
     const { fleet, scheduler, replicaGroups } = this.options;
     this.expireWorkerLeases(now);
--- a/packages/controller/leadership/shard-leader.ts
+++ b/packages/controller/leadership/shard-leader.ts
@@ -17,27 +17,27 @@
 import type { Pacer } from './pacer.js';
 import { makeSchedulingRounds, roundIntervalMs } from './round-pacing.js';
 
-/** What a leader answers to a heartbeat. */
+/** A leader's answer to a heartbeat. */
 export interface HeartbeatAnswer {
   fencingToken: number;
   orders: Order[];
 }
 
 /**
- * Loads the records of earlier leaders, then decides, records and commands workers until its term ends. It is
- * run once: a term that must be led again after a failed load gets a new leader.
+ * Loads the records of earlier leaders, then schedules, records decisions and commands workers until its term ends.
+ * A leader runs once: after a failed load, the term gets a new leader.
  */
 export class ShardLeader {
   readonly fleet: FleetState;
   readonly planner: CapacityPlanner;
-  /** Null: each task of a service is a replica by itself. */
+  /** Null if replica groups are switched off: each task of a service is then a replica by itself. */
   readonly replicaGroups: ReplicaGroups | null;
   readonly term: Term;
-  /** When this leader was made; steady seconds. */
+  /** When this leader was constructed, in seconds of the monotonic clock. */
   readonly startedAt: number;
-  /** The records are loaded and orders may have been given. */
+  /** Whether the records are loaded. If they are, orders may have been sent. */
   recordsLoaded = false;
-  /** No earlier leader has recorded any machine. */
+  /** Whether the records of earlier leaders contain no machine; false until they are loaded. */
   foundNoMachines = false;
   private readonly components: LeaderComponents;
   private readonly summaryLog: FleetSummaryLog;
@@ -68,8 +68,8 @@
   }
 
   /**
-   * Leads until the signal aborts, and resolves once all that was started has ended. Rejects with TermBroken
-   * if the term must be given up, or with the error that kept the records from being loaded.
+   * Leads until the signal aborts, and resolves once everything that it started has ended. Rejects with
+   * TermLostError if the term must be given up, or with the error that made loading the records fail.
    */
   async run(signal: AbortSignal): Promise<void> {
     await this.loadRecords(signal);
@@ -88,37 +88,37 @@
     }
   }
 
-  /** Stops deciding; resolves once nothing that was decided is on its way to the state service. */
+  /** Stops all decisions. Resolves once none is in flight to the state service. */
   pause(): Promise<void> {
     this.rounds?.stop();
     return this.components.flushLoop.pause();
   }
 
-  /** Decides again after a pause. */
+  /** Resumes decisions after a pause. */
   resume(): void {
     this.components.flushLoop.resume();
     this.rounds?.start();
     this.requestRound();
   }
 
-  /** Asks for a scheduling round soon. */
+  /** Requests a scheduling round soon. */
   requestRound(): void {
     this.rounds?.request();
   }
 
-  /** A user has cancelled the job; the record that says so may be still to come. */
+  /** Cancels a job on a user's request. The record of the cancellation may not be written yet. */
   cancelJob(id: string): void {
     if (this.components.intake.cancel(id)) this.requestRound();
   }
 
-  /** The fleet, its use and what waits. */
+  /** Summarises the fleet, its utilisation and the waiting work. */
   fleetSummary(): FleetSummary {
     const { runtime, settings } = this.options;
     const teams = settings.deployment.teams.map((team) => team.name);
     return summariseFleet(this.fleet, this.components.scheduler, teams, runtime.clock.now());
   }
 
-  /** Applies a heartbeat and says what to answer; null for a late copy. */
+  /** Applies a heartbeat and returns the answer; null if it is a duplicate that arrived late. */
   acceptHeartbeat(heartbeat: Heartbeat): HeartbeatAnswer | null {
     const { recorder, flushLoop } = this.components;
     const wasPending = recorder.pending;
@@ -142,7 +142,7 @@
     this.replicaGroups?.loaded(runtime.clock.now());
   }
 
-  /** Changes of jobs reach the fleet state as long as the subscription lasts. */
+  /** Applies changes of jobs to the fleet state until the subscription ends. */
   private followJobs(): Subscription {
     return this.options.jobs.events.subscribe((event) => {
       this.applyJobEvent(event);
@@ -172,7 +172,7 @@
     return this.rounds;
   }
 
-  /** One scheduling round and what follows from it; returns the number of decisions. */
+  /** Runs one scheduling round, then starts recording and sending its results. Returns the number of decisions. */
   private round(signal: AbortSignal): number {
     const { schedulingRound, recorder, flushLoop, cancellationRecorder } = this.components;
     const now = this.options.runtime.clock.now();
--- a/packages/controller/leadership/shard-migration.ts
+++ b/packages/controller/leadership/shard-migration.ts
@@ -1,4 +1,4 @@
-/** Joins the package `shards`, which carries out planned moves of the shard, to this controller. */
+/** Connects this controller to the package `shards`, which carries out planned moves of the shard. */
 import type { ShardMigrator, TransferableLeader } from '#shards';
 import { MACHINES, type PrefixCache, PROGRESS } from '#store';
 import type { MoveSettings } from '../settings/operator-settings.js';
@@ -6,7 +6,7 @@
 import type { ControllerServices } from '../services.js';
 import type { StatusExchange } from '../peers/status-exchange.js';
 
-/** How often a migration is looked at in a heartbeat interval if nothing happens. */
+/** Polls of a migration's state per heartbeat interval while no event triggers one. */
 const POLLS_PER_HEARTBEAT = 4;
 
 type Services = Pick<
@@ -14,18 +14,18 @@
   'runtime' | 'settings' | 'client' | 'election' | 'jobs' | 'log'
 >;
 
-/** What planned moves of the shard need of this controller. */
+/** Dependencies of planned moves of the shard. */
 export interface ShardMigrationOptions extends Services {
-  /** Holds the records of the shard and of its moves. */
+  /** Cache of the records of the shard and of its moves. */
   world: PrefixCache;
   statuses: StatusExchange;
   terms: LeadershipTerms;
   shard: number;
-  /** A controller without a statement for this long is unreachable; seconds. */
+  /** A controller that has sent no status for this long is unreachable, in seconds. */
   silenceS: number;
 }
 
-/** Loads the migrator; to be called only if the operators have switched moves on. */
+/** Loads the package and creates the migrator. Must be called only if the operators have switched moves on. */
 export async function loadShardMigrator(
   options: ShardMigrationOptions,
   limits: MoveSettings,
@@ -51,7 +51,7 @@
   });
 }
 
-/** The leader here as far as a move concerns it; null while this controller does not lead. */
+/** The interface of this controller's leader that a move uses; null while this controller does not lead. */
 function transferableLeader(terms: LeadershipTerms): TransferableLeader | null {
   const leader = terms.leader;
   if (leader === null) return null;
@@ -66,17 +66,17 @@
   };
 }
 
-/** What keeps a controller from becoming the leader now; null if nothing does. */
+/** The reason why a controller can't become the leader now; null if it can. */
 function obstacleToLeading(
   controller: string,
   { runtime, settings, statuses, silenceS }: ShardMigrationOptions,
 ): string | null {
   const isKnown = settings.peers.some((peer) => peer.host_name === controller);
-  if (!isKnown) return `${controller} is no controller of this cluster`;
+  if (!isKnown) return `${controller} is not a controller of this cluster`;
   const status = statuses.statusOf(controller);
   if (status === null || runtime.clock.now() - status.receivedAt > silenceS) {
-    return `${controller} was not heard lately`;
+    return `${controller} has sent no status recently`;
   }
   if (status.frame.refused) return `${controller} is refused by the state service`;
-  return status.frame.loaded ? null : `${controller} has not read the jobs yet`;
+  return status.frame.loaded ? null : `${controller} has not loaded the jobs yet`;
 }
--- a/packages/controller/leadership/standby-renewal-check.ts
+++ b/packages/controller/leadership/standby-renewal-check.ts
@@ -1,34 +1,34 @@
-/** The check by which a follower knows whether it may renew worker leases in an outage. */
+/** Checks whether a follower may renew worker leases while the state service is unavailable. */
 import type { LeaderLeaseLimits } from './leader-lease-check.js';
 import { isSuccessor, type SuccessorView } from './successor.js';
 import { PeerProof, type ProofView } from '../peers/peer-proof.js';
 import type { PeerStatus } from '../peers/peer-status.js';
 
-/** What a follower knows; steady seconds of this process. */
+/** What a follower knows. Times are seconds of this process's monotonic clock. */
 export interface StandbyView extends ProofView, SuccessorView {
-  /** This controller leads, or a campaign of its may still succeed. */
+  /** Whether this controller leads or may still win a campaign that it has started. */
   mayLead: boolean;
-  /** When the newest request was sent that brought all cancellations in. */
+  /** When the newest request was sent whose answer brought the job cache up to date with all cancellations. */
   jobsCurrentAt: number;
 }
 
 /**
- * Whether a follower may renew the leases of workers for a leader that has ended, while the state service
- * serves nobody and no other controller can fail over. It starts nothing; it answers with the ended leader's
- * fencing token, and halts what users have cancelled. Checks one term; make a new one for each. The argument is
- * that of a leader in an outage (docs/safety.md, point 7), and besides that the leader of the term has ended:
- * otherwise it would count the leases that we renew as expired.
+ * Checks whether a follower may renew worker leases for a leader that has ended, while the state service serves no
+ * controller and so none can take over. Such a follower starts no tasks: it answers with the fencing token of the
+ * ended leader and stops tasks that users have cancelled. The safety argument is that of a leader in an outage
+ * (docs/safety.md, point 7), with one further condition: the leader of the term must have ended, since a running
+ * leader would count the leases that the follower renews as expired. Each term needs a new instance.
  */
 export class StandbyRenewalCheck {
   private readonly proof: PeerProof;
-  /** The incarnation of the leader's process that led the term, once it has stated so. */
+  /** The incarnation of the process that led the term; null until a status from that process has said so. */
   private leaderIncarnation: number | null = null;
 
   constructor(private readonly limits: LeaderLeaseLimits) {
     this.proof = new PeerProof(limits.peerCount);
   }
 
-  /** Records what the peers state; to be called whenever a statement has come. */
+  /** Records the status of all peers. Must be called whenever a new status has arrived. */
   record(view: StandbyView, leader: PeerStatus | null): void {
     const leadsTerm = leader?.frame.leading && leader.frame.newestLeader.term === view.term;
     if (leadsTerm) this.leaderIncarnation = leader.frame.incarnation;
@@ -45,7 +45,7 @@
     return view.now < Math.min(informedAt, this.proof.soleLeaderAt) + graceS;
   }
 
-  /** The process that led the term has a new incarnation, or states that it leads no longer. */
+  /** Whether the process that led the term has a new incarnation, or reports that it can no longer lead. */
   private leaderHasEnded(leader: PeerStatus | null): boolean {
     if (leader === null || this.leaderIncarnation === null) return false;
     return leader.frame.incarnation !== this.leaderIncarnation || !leader.frame.mayLead;
--- a/packages/controller/leadership/standby-renewal.ts
+++ b/packages/controller/leadership/standby-renewal.ts
@@ -1,4 +1,4 @@
-/** Standby renewal: a follower renews worker leases in an outage, by all that this controller knows. */
+/** Standby renewal: lets a follower renew worker leases while the state service is unavailable. */
 import type { LeaderLeaseLimits } from './leader-lease-check.js';
 import type { PeerStatus } from '../peers/peer-status.js';
 import type { ControllerServices } from '../services.js';
@@ -7,31 +7,31 @@
 
 type Services = Pick<ControllerServices, 'runtime' | 'client' | 'jobs' | 'election' | 'log'>;
 
-/** What standby renewal is decided from. */
+/** Dependencies of standby renewal. */
 export interface StandbyRenewalOptions extends Services {
   limits: LeaderLeaseLimits;
   statuses: StatusExchange;
 }
 
-/** Decides whether worker leases are renewed here for a leader that has ended; a new term begins with a new check. */
+/** Decides whether this controller renews worker leases for a leader that has ended. Each term starts a new check. */
 export class StandbyRenewal {
   private check: StandbyRenewalCheck;
-  /** The term that the check was made for; 0 before the first. */
+  /** The term of the current check; 0 before the first term. */
   private term = 0;
-  /** The term in whose name leases were renewed last, for the log. */
+  /** The latest result of `renewableTerm`, kept to log changes; null if renewal was not allowed. */
   private renewingTerm: number | null = null;
 
   constructor(private readonly options: StandbyRenewalOptions) {
     this.check = new StandbyRenewalCheck(options.limits);
   }
 
-  /** To be called whenever a peer's statement has come. */
+  /** Must be called whenever the status of a peer has arrived. */
   recordStatus(): void {
     this.followElection();
     this.check.record(this.view(), this.leaderStatus());
   }
 
-  /** The term in whose name heartbeats may be answered now, or null. */
+  /** The term on behalf of whose leader heartbeats may be answered now; null if they may not be answered. */
   renewableTerm(): number | null {
     this.followElection();
     const mayRenew = this.term > 0 && this.check.mayRenew(this.view(), this.leaderStatus());
--- a/packages/controller/leadership/write-shares.ts
+++ b/packages/controller/leadership/write-shares.ts
@@ -1,16 +1,19 @@
-/** How the controllers divide the state service's rate of changes. */
+/** Divides the state service's limit on the rate of changes among the controllers. */
 import type { StateClient } from '#store';
 
-/** Shares of the rate that the leader has to itself, and that it may use of what others leave. */
+/**
+ * Shares of the rate for the leader: `least` is reserved for it, and it may use up to `most` while the other
+ * controllers leave capacity unused.
+ */
 const LEADER_WRITE_SHARES = { least: 0.6, most: 0.8 };
-/** Most that a follower may use. */
+/** Maximum share of the rate for one follower. */
 const FOLLOWER_MAX_SHARE = 0.3;
-/** What all followers together have to themselves. */
+/** Share of the rate that is reserved for all followers together. */
 const ALL_FOLLOWERS_MIN_SHARE = 0.3;
 
 /**
- * Sets this controller's share for its present role. The leader's records are nearly all changes that there
- * are, so it gets the larger part. A controller without others keeps the whole rate.
+ * Sets this controller's share of the rate for its current role. The leader gets the larger share because it writes
+ * nearly all changes. A controller without peers keeps the whole rate.
  */
 export function applyWriteShares(
   client: Pick<StateClient, 'setChangeShares'>,
