--- a/packages/controller/leadership/direct-commands.test.ts
+++ b/packages/controller/leadership/direct-commands.test.ts
@@ -6,7 +6,7 @@
 import { FREE_LOOPBACK_PORT, serveCbor } from '../../testing/stand-ins/index.js';
 import { DirectCommands } from './direct-commands.js';
 
-/** A machine with one task that is to be started, and its worker at that address. */
+/** Adds a machine with one task to start, whose worker listens on the address. */
 function addMachineWithPendingStart(fleet: FleetState, number: number, addr: string): void {
   const name = `n-${number}`;
   const machine = aMachine(fleet, name);
@@ -16,8 +16,8 @@
   fleet.assignments.assign(job, 0, machine, fleet.assignments.newAttempt(), 0).recorded = true;
 }
 
-test('direct commands to many machines keep to their share of the sockets', async () => {
-  // Guards against one kept connection for each of hundreds of machines, beside all heartbeats.
+test('direct commands to many machines stay within the connection limit', async () => {
+  // Guards against keeping one connection open per machine, hundreds of them in addition to those of the heartbeats.
   const machineCount = 12;
   const connectionLimit = 3;
   const fleet = aFleet();
--- a/packages/controller/leadership/leader-election-model.test.ts
+++ b/packages/controller/leadership/leader-election-model.test.ts
@@ -17,14 +17,14 @@
   return { violations, attestedSteps, standbySteps };
 }
 
-test('a leader that goes on harms nobody, whatever the state service, peers and connections do', () => {
+test('the leader lease prevents violations under faults of the state service, peers and connections', () => {
   const { violations, attestedSteps, standbySteps } = runAllSeeds('none');
   assert.deepEqual([...violations], []);
-  assert.ok(attestedSteps > 1000, 'leaders did go on by the statements of their peers');
-  assert.ok(standbySteps > 100, 'leases were renewed for leaders that had ended');
+  assert.ok(attestedSteps > 1000, 'leaders must have acted on the attestations of their peers');
+  assert.ok(standbySteps > 100, 'followers must have renewed leases for leaders that had ended');
 });
 
-// Each check is shown to be able to fail by one deliberate mistake.
+// Each check must fail for at least one fault that is deliberately built into the model.
 const detectedFaults: [LeadershipMistake, LeadershipViolation][] = [
   ['trusts-arrival', 'acts-beside-successor'],
   ['trusts-restarted', 'acts-on-unknown-cancellation'],
@@ -32,7 +32,7 @@
   ['renews-for-the-living', 'renews-beside-owner'],
 ];
 for (const [fault, violation] of detectedFaults) {
-  test(`the model notices the fault ${fault}`, () => {
+  test(`the checks of the model detect the fault ${fault}`, () => {
     assert.ok(runAllSeeds(fault).violations.has(violation));
   });
 }
--- a/packages/controller/leadership/leader-lease-check.test.ts
+++ b/packages/controller/leadership/leader-lease-check.test.ts
@@ -8,7 +8,7 @@
 
 const LIMITS = { peerCount: 2, silenceS: 2, graceS: 12 };
 
-/** What a leader knows that the state service has refused since second 10. */
+/** The view of a leader that the state service has refused since second 10. */
 function viewAt(now: number, peers: (PeerStatus | null)[], over: Partial<LeaderLeaseView> = {}) {
   return {
     now,
@@ -27,26 +27,26 @@
   return new LeaderLeaseCheck(LIMITS).evaluate(view);
 }
 
-test('a leader goes on through an outage for as long as all peers attest that nobody is served', () => {
+test('a leader keeps its lease in an outage while all peers attest that the state service refuses them', () => {
   const check = new LeaderLeaseCheck(LIMITS);
   for (let now = 10; now < 200; now++) {
     const expected = now < 13 ? 'granted' : 'attested';
     assert.equal(check.evaluate(viewAt(now, [aPeerStatus(now), aPeerStatus(now)])), expected);
   }
-  // Once one falls silent, the time since the last proof is bounded.
+  // Once one peer falls silent, the leader may act only for `graceS` after that peer's last proof.
   const silent = (now: number) => viewAt(now, [aPeerStatus(now), aPeerStatus(199)]);
   assert.equal(check.evaluate(silent(205)), 'grace');
   assert.equal(check.evaluate(silent(209)), 'grace');
   assert.equal(check.evaluate(silent(211)), 'none');
 });
 
-test('what one peer does not state falls back to the bound after the loss', () => {
+test('without a complete attestation of every peer, the lease ends after the grace period', () => {
   const incomplete: [string, PeerStatus | null][] = [
     ['never stated anything', null],
-    ['nothing read of ours', { ...aPeerStatus(20), statedAfter: -Infinity }],
-    ['restarted without the records', aPeerStatus(20, { loaded: false })],
+    ['has read no status frame of this controller', { ...aPeerStatus(20), statedAfter: -Infinity }],
+    ['restarted and has not loaded the records', aPeerStatus(20, { loaded: false })],
     ['may lead', aPeerStatus(20, { mayLead: true })],
-    ['too many cancellations to tell', aPeerStatus(20, { cancelledSince: Infinity })],
+    ['has too many cancellations to list', aPeerStatus(20, { cancelledSince: Infinity })],
     ['its last request was served', aPeerStatus(20, { refused: false })],
   ];
   for (const [why, peer] of incomplete) {
@@ -55,34 +55,36 @@
   }
 });
 
-test('what a peer stated before it fell silent counts as of then, and no longer', () => {
+test('the attestation of a silent peer counts as of the time when it was made', () => {
   const silent = aPeerStatus(17);
   assert.equal(evaluateOnce(viewAt(20, [aPeerStatus(20), silent])), 'grace');
   assert.equal(evaluateOnce(viewAt(28, [aPeerStatus(28), silent])), 'grace');
   assert.equal(evaluateOnce(viewAt(29, [aPeerStatus(29), silent])), 'none');
 });
 
-test('a leader gives way at once to a peer that is served, or that knows a newer term', () => {
+test('the lease ends immediately if the state service serves a peer, or if a peer knows a newer term', () => {
   const served = { ...aPeerStatus(20, { refused: false }), lastServedAt: 19 };
   assert.equal(evaluateOnce(viewAt(20, [aPeerStatus(20), served])), 'none');
-  // Guards against a leader whose requests were swallowed by a cut: with every failure noticed only a
-  // second later, a peer always seemed to be served after its newest failure, and it went on for good.
+  // Guards against a rule that also required a failed request of the leader after the peer was served. A partition
+  // dropped requests silently, so each failure showed only a second later. The peer always seemed to be served after
+  // the newest failure, and the leader kept acting indefinitely.
   assert.equal(evaluateOnce(viewAt(20, [null, { ...served, lastServedAt: 19.9 }])), 'none');
   const newer = aPeerStatus(12, { newestLeader: { term: TERM + 1, name: 'c-1' } });
   assert.equal(evaluateOnce(viewAt(20, [aPeerStatus(20), newer])), 'none');
-  // Guards against a fleet that dies: two seconds of refusal alone counted for the whole outage that
-  // followed, though by then nobody was served.
+  // Guards against the loss of the whole fleet: the state service refused only the leader for two seconds, and then
+  // an outage for all controllers began. The leader stopped acting for the whole outage, though the state service
+  // served no peer by then.
   const servedBefore = { ...aPeerStatus(20), lastServedAt: 12 };
   assert.equal(evaluateOnce(viewAt(20, [aPeerStatus(20), servedBefore])), 'attested');
 });
 
-test('an election lease alone is not enough once cancellations may be unknown for too long', () => {
+test('a live election lease does not help once cancellations may have been unknown for the grace period', () => {
   const over = { leaseProvenUntil: 100, leaseRenewedAt: 99 };
   assert.equal(evaluateOnce(viewAt(21, [null, null], over)), 'granted');
   assert.equal(evaluateOnce(viewAt(23, [null, null], over)), 'none');
 });
 
-test('with nobody to ask, no answer is given past the bound, whatever else is true', () => {
+test('without any peer status, the lease is never held past the grace period', () => {
   fc.assert(
     fc.property(
       fc.double({ min: 0, max: 100, noNaN: true }),
@@ -99,13 +101,13 @@
   );
 });
 
-test('a single controller has nobody to ask and goes on', () => {
+test('a single controller needs no attestation and keeps its lease', () => {
   const check = new LeaderLeaseCheck({ ...LIMITS, peerCount: 0 });
   assert.equal(check.evaluate(viewAt(500, [])), 'attested');
-  assert.equal(evaluateOnce(viewAt(500, [])), 'none', 'peers are missing in the settings');
+  assert.equal(evaluateOnce(viewAt(500, [])), 'none', 'two expected peers are missing');
 });
 
-test('the grace leaves the workers time to end before a cancellation must be over', () => {
+test('the grace period leaves workers time to end tasks before the cancellation deadline', () => {
   const heartbeats = { cancelS: 40, leaseS: 15, heartbeatIntervalS: 2.5 };
   const grace = graceAfterLoss(
     heartbeats.cancelS,
@@ -117,7 +119,7 @@
   );
 });
 
-test('settings that leave a leader no time to learn of a cancellation are refused', () => {
+test('settings that leave a leader no time to learn of a cancellation are rejected', () => {
   const workers = { report_s: 1, lease_s: 10, gang_wait_s: 45, gang_peer_s: 8, cancel_s: 35 };
   assert.equal(checkTimes(workers), null);
   const problem = checkTimes({ ...workers, cancel_s: 13 });
@@ -126,12 +128,12 @@
   assert.equal(checkTimes({ ...workers, cancel_s: 14.03 }), null);
 });
 
-test('a leader steps down when its workers ask its peers for it, and only then', () => {
-  // Guards against a fleet whose leases all run out while their leader keeps the shard but is cut from
-  // the workers, and against resigning over a few lost machines or a fleet that is gone.
+test('a leader steps down if and only if almost no worker reaches it while some reach its peers', () => {
+  // Guards against the expiry of all worker leases while a leader that is partitioned from the workers keeps the
+  // shard, and against stepping down because of a few lost machines or the loss of the whole fleet.
   assert.equal(isIsolatedFromWorkers(40, 0, 10), true);
-  assert.equal(isIsolatedFromWorkers(40, 0, 0), false, 'nobody asks');
-  assert.equal(isIsolatedFromWorkers(40, 30, 10), false, 'a zone is out of reach');
-  assert.equal(isIsolatedFromWorkers(40, 4, 4), false, 'as many reach us');
+  assert.equal(isIsolatedFromWorkers(40, 0, 0), false, 'no worker reaches the peers');
+  assert.equal(isIsolatedFromWorkers(40, 30, 10), false, 'one zone is unreachable');
+  assert.equal(isIsolatedFromWorkers(40, 4, 4), false, 'as many reach the leader as its peers');
   assert.equal(isIsolatedFromWorkers(0, 0, 0), false);
 });
--- a/packages/controller/leadership/leader-reachability.test.ts
+++ b/packages/controller/leadership/leader-reachability.test.ts
@@ -19,32 +19,32 @@
   return mayReachLeader({ now: NOW, leader, peers: [leader, ...others], silenceS: SILENCE_S });
 }
 
-test('workers are redirected to a leader that is reachable, or of which nothing is known yet', () => {
+test('workers are redirected to a leader that is reachable or has sent no status yet', () => {
   assert.ok(redirects(statusAt(29), statusAt(29)));
   assert.ok(redirects(null, statusAt(29)));
 });
 
-test('workers are not redirected to a leader that is unreachable or that none of them reaches', () => {
+test('workers are not redirected to a leader that is silent or that reports itself unreachable for workers', () => {
   assert.ok(!redirects(statusAt(20), statusAt(29)));
   assert.ok(!redirects(statusAt(29, true), statusAt(29)));
 });
 
-test('a controller that reaches no peer redirects workers to the leader all the same', () => {
+test('a controller that reaches no peer still redirects workers to the leader', () => {
   assert.ok(redirects(statusAt(20), statusAt(20), null));
 });
 
-test('workers try the controller with the next number, and after the last the first', () => {
+test('workers try the controller with the next higher number, and the first one after the last', () => {
   const peers = ['c-2', 'c-10', 'c-1'];
   assert.equal(nextControllerForWorkers('c-9', peers), 'c-10');
   assert.equal(nextControllerForWorkers('c-12', peers), 'c-1');
   assert.equal(nextControllerForWorkers('c-0', []), null);
 });
 
-test('others should lead if the next controller for our workers is unreachable', () => {
+test('other controllers should lead if the one that workers would try next is unreachable', () => {
   const view = { now: NOW, peers: [statusAt(20), statusAt(29)], silenceS: SILENCE_S };
   assert.ok(wouldLoseWorkerLeases(statusAt(20), view));
   assert.ok(wouldLoseWorkerLeases(null, view));
   assert.ok(!wouldLoseWorkerLeases(statusAt(29), view));
   const alone = { ...view, peers: [statusAt(20), null] };
-  assert.ok(!wouldLoseWorkerLeases(statusAt(20), alone), 'nobody else is reachable');
+  assert.ok(!wouldLoseWorkerLeases(statusAt(20), alone), 'no other controller is reachable');
 });
--- a/packages/controller/leadership/pacer.test.ts
+++ b/packages/controller/leadership/pacer.test.ts
@@ -3,7 +3,7 @@
 import { HandClock } from '#testing';
 import { Pacer } from './pacer.js';
 
-/** Work whose next runs take that long, have more to do that often, or fail. */
+/** A pacer whose runs take `work.lengthMs`, ask for `work.more` immediate repeats, and throw if `work.fails`. */
 function makePacedWork() {
   const clock = new HandClock();
   const work = { lengthMs: 0, more: 0, fails: false };
@@ -25,7 +25,7 @@
   return { clock, work, runs, errors, pacer };
 }
 
-test('paced work runs at once, rests for a multiple of its length, and outlives its errors', () => {
+test('a requested run starts immediately, rests for a multiple of its duration, and survives errors', () => {
   const { clock, work, runs, errors, pacer } = makePacedWork();
   pacer.request();
   assert.deepEqual(runs.splice(0), []);
@@ -34,12 +34,12 @@
   pacer.request();
   pacer.request();
   assert.deepEqual(runs.splice(0), [0]);
-  // Requests within the rest share one run at its end; without any the period brings the next.
+  // Requests during a rest cause a single run at its end. Without a request, the next run comes with the period.
   clock.advance(99);
   assert.deepEqual(runs.splice(0), [20]);
   clock.advance(1);
   assert.deepEqual(runs.splice(0), [100]);
-  // A long run rests for three times its length, periods or not; one with more to do does not rest.
+  // After a long run the rest is three times its duration, even across periods. A run with more to do skips the rest.
   work.lengthMs = 50;
   work.more = 1;
   clock.advance(100);
--- a/packages/controller/leadership/standby-renewal-check.test.ts
+++ b/packages/controller/leadership/standby-renewal-check.test.ts
@@ -9,7 +9,7 @@
 
 const leadingStatus = (at: number) =>
   aPeerStatus(at, { incarnation: LEADER_INCARNATION, leading: true, mayLead: true });
-/** The leader's next incarnation, which could not read the records. */
+/** The status of the leader's next incarnation, which could not load the records. */
 const restartedStatus = (at: number) =>
   aPeerStatus(at, { incarnation: LEADER_INCARNATION + 1, loaded: false });
 
@@ -26,7 +26,7 @@
   };
 }
 
-/** What a follower may do at second 20, which had the leader's statements until 18 and this one at 20. */
+/** Whether a follower may renew at second 20, after statuses of the running leader until 18 and `leader` at 20. */
 function renewsAt20(leader: PeerStatus | null, over: Partial<StandbyView> = {}): boolean {
   const check = new StandbyRenewalCheck(LIMITS);
   for (let now = 10; now <= 18; now++)
@@ -44,14 +44,14 @@
 test('leases are not renewed for a leader that may be running', () => {
   assert.ok(!renewsAt20(leadingStatus(20)));
   assert.ok(!renewsAt20(null));
-  // Whether this incarnation is a new one can't be told if the leading one never stated anything.
+  // Without any status of the incarnation that led, a restart can't be detected.
   const check = new StandbyRenewalCheck(LIMITS);
   const view = viewAt(20, restartedStatus(20));
   check.record(view, restartedStatus(20));
   assert.ok(!check.mayRenew(view, restartedStatus(20)));
 });
 
-test('leases are not renewed where somebody else may lead', () => {
+test('leases are not renewed if any controller may lead', () => {
   const served = { ...aPeerStatus(20, { refused: false }), lastServedAt: 19 };
   assert.ok(!renewsAt20(restartedStatus(20), { peers: [restartedStatus(20), served] }));
   const newer = aPeerStatus(20, { newestLeader: { term: TERM + 1, name: 'c-2' } });
@@ -60,7 +60,7 @@
   assert.ok(!renewsAt20(restartedStatus(20), { mayLead: true }));
 });
 
-test('renewal ends in time for cancellations that the ended leader may have confirmed at last', () => {
+test('renewal ends in time for cancellations that the ended leader may have confirmed last', () => {
   const check = new StandbyRenewalCheck(LIMITS);
   for (let now = 10; now <= 18; now++)
     check.record(viewAt(now, leadingStatus(now)), leadingStatus(now));
@@ -69,7 +69,7 @@
     check.record(view, restartedStatus(now));
     return check.mayRenew(view, restartedStatus(now));
   };
-  // The leader's last complete statement counts as of second 17.5.
+  // The last complete status of the leader counts as of second 17.5.
   assert.ok(renews(29));
   assert.ok(!renews(30));
 });
