--- a/packages/controller/leadership/shard-migration.ts
+++ b/packages/controller/leadership/shard-migration.ts
@@ -72,11 +72,11 @@
   { runtime, settings, statuses, silenceS }: ShardMigrationOptions,
 ): string | null {
   const isKnown = settings.peers.some((peer) => peer.host_name === controller);
-  if (!isKnown) return `${controller} is not a controller of this cluster`;
+  if (!isKnown) return `${controller} is no controller of this cluster`;
   const status = statuses.statusOf(controller);
   if (status === null || runtime.clock.now() - status.receivedAt > silenceS) {
-    return `${controller} has sent no status recently`;
+    return `${controller} was not heard lately`;
   }
   if (status.frame.refused) return `${controller} is refused by the state service`;
-  return status.frame.loaded ? null : `${controller} has not loaded the jobs yet`;
+  return status.frame.loaded ? null : `${controller} has not read the jobs yet`;
 }
