--- a/packages/core/assignments/assignment-accounting.ts
+++ b/packages/core/assignments/assignment-accounting.ts
@@ -21,9 +21,9 @@
   }
 
   /** The assignment is to stop; called before its stop request is set. */
-  stopping(assignment: Assignment): void {
+  countStopRequest(assignment: Assignment): void {
     const { machines } = this.fleet;
-    if (isStayingReplica(assignment)) machines.countReplica(assignment.machine, -1);
+    if (isPersistentReplica(assignment)) machines.countReplica(assignment.machine, -1);
     machines.countStop(assignment.machine, 1);
   }
 
@@ -46,12 +46,12 @@
     const { machine, job } = assignment;
     if (job.isBestEffort) addAmounts(machine.usedBestEffort, job.spec, sign);
     else machine.firmTasks += sign;
-    if (isStayingReplica(assignment)) this.fleet.machines.countReplica(machine, sign);
+    if (isPersistentReplica(assignment)) this.fleet.machines.countReplica(machine, sign);
     this.fleet.usage.countRank(assignment, sign);
   }
 }
 
 /** Whether it is a replica that keeps its machine from becoming empty by itself. */
-function isStayingReplica({ job, stop }: Assignment): boolean {
+function isPersistentReplica({ job, stop }: Assignment): boolean {
   return stop === null && job.spec.kind === 'service' && !job.isBestEffort;
 }
--- a/packages/core/assignments/assignments.test.ts
+++ b/packages/core/assignments/assignments.test.ts
@@ -8,14 +8,14 @@
   // Guards against a task that was placed and taken back twice between two reads of the queue and
   // then stood in it twice: it was started on two machines.
   fc.assert(
-    fc.property(fc.array(fc.nat(9), { maxLength: 60 }), (moves) => {
+    fc.property(fc.array(fc.nat(9), { maxLength: 60 }), (indexes) => {
       const fleet = aFleet();
       const job = fleet.addJob(aJob({ tasks: 10 }), 0, 'accepted', 0);
       const machine = aMachine(fleet, 'n-1');
       fleet.jobs.waitingTasks(job, 10);
-      for (const i of moves) {
-        const places = job.assignments.get(i);
-        if (places) fleet.assignments.stop(places[0], 0, 0);
+      for (const i of indexes) {
+        const current = job.assignments.get(i);
+        if (current) fleet.assignments.stop(current[0], 0, 0);
         else fleet.assignments.assign(job, i, machine, fleet.assignments.newAttempt(), 0);
       }
       const waiting = fleet.jobs.waitingTasks(job, 100);
--- a/packages/core/assignments/assignments.ts
+++ b/packages/core/assignments/assignments.ts
@@ -8,7 +8,7 @@
 import { AssignmentAccounting } from './assignment-accounting.js';
 import { AttemptNumbers } from './attempt-numbers.js';
 import { recordImageUse } from './image-cache.js';
-import { type NewAssignment, newAssignment } from './new-assignment.js';
+import { type AssignmentOptions, newAssignment } from './new-assignment.js';
 
 /**
  * Gives tasks to machines, stops them, and gives their places up once they are proven gone. At most one
@@ -65,7 +65,7 @@
     return assignment;
   }
 
-  private add(options: NewAssignment, origin: PlaceOrigin, now: number): Assignment {
+  private add(options: AssignmentOptions, origin: PlaceOrigin, now: number): Assignment {
     const { job, index, machine } = options;
     const { jobs, machines, holds, machinesWithCommands } = this.fleet;
     const assignment = newAssignment(options, dominantShare(job.spec, machines.totals), now);
@@ -105,7 +105,7 @@
   }
 
   private beginStop(assignment: Assignment, graceS: number, now: number): void {
-    this.accounting.stopping(assignment);
+    this.accounting.countStopRequest(assignment);
     assignment.stop = { graceS, sentDirectly: false };
     assignment.job.replicas?.memberStopping(assignment, now);
   }
@@ -114,8 +114,8 @@
   stopGracefully(assignment: Assignment, now: number): void {
     const { spec } = assignment.job;
     const graceS = spec.checkpointS > 0 ? spec.saveS + this.fleet.settings.heartbeatIntervalS : 0;
-    const stopped = spec.kind === 'gang' ? [...assignmentsOf(assignment.job)] : [assignment];
-    for (const each of stopped) this.stop(each, graceS, now);
+    const toStop = spec.kind === 'gang' ? [...assignmentsOf(assignment.job)] : [assignment];
+    for (const each of toStop) this.stop(each, graceS, now);
   }
 
   /** Ends an assignment whose start was never sent to the worker, and so never will be. */
@@ -140,7 +140,7 @@
     this.accounting.count(assignment, -1, now);
     if (!job.isBestEffort && machine.firmTasks === 0) machine.idleSince = now;
     unrecorded.machines.add(machine.name);
-    this.returnTask(assignment, cause, now);
+    this.requeueTask(assignment, cause, now);
     job.replicas?.placeEnded(assignment, cause, now);
     // After all that the end is charged for: the queues are kept in the order of service.
     jobs.joinQueueIfAnyWaits(job, now);
@@ -158,7 +158,7 @@
   }
 
   /** A task that is not done waits again, unless its job is over. */
-  private returnTask(assignment: Assignment, cause: EndCause, now: number): void {
+  private requeueTask(assignment: Assignment, cause: EndCause, now: number): void {
     const { job, index } = assignment;
     if (job.phase !== 'accepted' || job.done.has(index)) return;
     if (index < job.scanFrom) job.returnedTasks.add(index);
--- a/packages/core/assignments/attempt-numbers.ts
+++ b/packages/core/assignments/attempt-numbers.ts
@@ -8,12 +8,12 @@
 
 /** The attempt numbers of one term. */
 export class AttemptNumbers {
-  private used = 0;
+  private usedCount = 0;
 
   constructor(private readonly term: number) {}
 
   /** A number that no other start of any term has. */
   next(): number {
-    return this.term * ATTEMPTS_PER_TERM + this.used++;
+    return this.term * ATTEMPTS_PER_TERM + this.usedCount++;
   }
 }
--- a/packages/core/assignments/new-assignment.ts
+++ b/packages/core/assignments/new-assignment.ts
@@ -2,7 +2,7 @@
 import type { Assignment, JobState, Machine } from '../model/entities.js';
 
 /** What decides an assignment. */
-export interface NewAssignment {
+export interface AssignmentOptions {
   job: JobState;
   /** Index of the task in its job. */
   index: number;
@@ -12,7 +12,7 @@
 
 /** An assignment that is not recorded, whose start was not sent, and that no heartbeat lists; `share` of the fleet is booked for it. */
 export function newAssignment(
-  { job, index, machine, attempt }: NewAssignment,
+  { job, index, machine, attempt }: AssignmentOptions,
   share: number,
   now: number,
 ): Assignment {
--- a/packages/core/chained-jobs.test.ts
+++ b/packages/core/chained-jobs.test.ts
@@ -11,7 +11,7 @@
 const NO_GUARANTEE: TeamQuota = { guaranteedCpus: 0, guaranteedGpus: 0, cpuLimit: 0, gpuLimit: 0 };
 const TEAMS = new Map([['red', NO_GUARANTEE]]);
 
-function aScheduledFleet() {
+function createScheduledFleet() {
   const fleet = aFleet({ isBestEffort: (job) => isBestEffort(job, TEAMS.get(job.team)) });
   const scheduler = new Scheduler(fleet, TEAMS, {
     floorWeight: 0.1,
@@ -23,29 +23,29 @@
   return { fleet, scheduler };
 }
 
-function add(
+function addJob(
   fleet: FleetState,
-  own: Partial<Job>,
+  overrides: Partial<Job>,
   hasOpenDependencies = false,
   rank?: number,
 ): JobState {
-  const job = aJob(own);
+  const job = aJob(overrides);
   const dependencies = { hasOpenDependencies, rank: rank ?? job.rank };
   return fleet.addJob(job, 0, 'accepted', 0, { dependencies });
 }
 
 test('a job with open dependencies has no place, no queue and no demand until they are done, and its turn begins then', () => {
-  const { fleet, scheduler } = aScheduledFleet();
+  const { fleet, scheduler } = createScheduledFleet();
   aMachine(fleet, 'n-1');
-  const first = add(fleet, { id: 'j-1' }, true);
-  const gang = add(fleet, { id: 'j-2', kind: 'gang', tasks: 2 }, true);
+  const first = addJob(fleet, { id: 'j-1' }, true);
+  const gang = addJob(fleet, { id: 'j-2', kind: 'gang', tasks: 2 }, true);
   scheduler.reservations.update(1);
   assert.equal(scheduler.round(1), 0);
   assert.deepEqual([fleet.jobs.waiting.size, fleet.jobs.waiting.gangs.size], [0, 0]);
   assert.deepEqual([fleet.jobs.waitingCount(first), fleet.jobs.jobsWithOpenDependencies], [0, 2]);
   assert.equal(fleet.machines.get('n-1')!.reservedForGang, null);
   assert.throws(() => fleet.assignments.assign(first, 0, fleet.machines.get('n-1')!, 1, 1));
-  const other = add(fleet, { id: 'j-3', gpus: 4 });
+  const other = addJob(fleet, { id: 'j-3', gpus: 4 });
   other.startableAt = 50;
   fleet.jobs.dependenciesDone(first, 40);
   assert.deepEqual([first.startableAt, first.waitingSince], [40, 40]);
@@ -56,8 +56,8 @@
 });
 
 test('a job that is cancelled while it has open dependencies is never queued', () => {
-  const { fleet } = aScheduledFleet();
-  const job = add(fleet, { id: 'j-1' }, true);
+  const { fleet } = createScheduledFleet();
+  const job = addJob(fleet, { id: 'j-1' }, true);
   fleet.closeJob(job, 'cancelled', 1);
   fleet.jobs.dependenciesDone(job, 2);
   assert.equal(fleet.jobs.waiting.size, 0);
@@ -66,9 +66,9 @@
 });
 
 test('a task of a job with open dependencies, begun by a version that knows nothing of these, is stopped', () => {
-  const { fleet } = aScheduledFleet();
+  const { fleet } = createScheduledFleet();
   const machine = aMachine(fleet, 'n-1');
-  const job = add(fleet, { id: 'j-1' }, true);
+  const job = addJob(fleet, { id: 'j-1' }, true);
   fleet.assignments.inherit(job, 0, machine, 7, 0);
   const task = {
     job: 'j-1',
@@ -83,17 +83,17 @@
 });
 
 test('the rank of a dependent counts for a job that waits, and it is no longer best-effort', () => {
-  const { fleet, scheduler } = aScheduledFleet();
+  const { fleet, scheduler } = createScheduledFleet();
   const machine = aMachine(fleet, 'n-1');
-  const usual = add(fleet, { id: 'j-1', rank: 2, gpus: 4 });
-  const low = add(fleet, { id: 'j-2', rank: 3, gpus: 4 });
+  const normal = addJob(fleet, { id: 'j-1', rank: 2, gpus: 4 });
+  const low = addJob(fleet, { id: 'j-2', rank: 3, gpus: 4 });
   assert.ok(low.isBestEffort);
   const order = low.waitingOrder;
   fleet.changeRank(low, 1, 1);
   assert.ok(!low.isBestEffort);
   assert.deepEqual([low.waitingOrder, fleet.jobs.waiting.has(low)], [order, true]);
   assert.equal(scheduler.round(2), 1);
-  assert.deepEqual([low.assignments.size, usual.assignments.size], [1, 0]);
+  assert.deepEqual([low.assignments.size, normal.assignments.size], [1, 0]);
   assert.equal(machine.firmTasks, 1);
   fleet.changeRank(low, 3, 3);
   assert.ok(low.isBestEffort);
@@ -101,9 +101,9 @@
 });
 
 test('what a job has running counts by the rank of a dependent that is submitted later', () => {
-  const { fleet, scheduler } = aScheduledFleet();
+  const { fleet, scheduler } = createScheduledFleet();
   const machine = aMachine(fleet, 'n-1');
-  const low = add(fleet, { id: 'j-1', rank: 3, gpus: 1, tasks: 4 });
+  const low = addJob(fleet, { id: 'j-1', rank: 3, gpus: 1, tasks: 4 });
   scheduler.round(1);
   assert.equal(low.assignments.size, 4);
   assert.deepEqual([machine.firmTasks, machine.usedBestEffort.gpus], [0, 4]);
@@ -111,10 +111,10 @@
   assert.deepEqual([machine.firmTasks, machine.usedBestEffort.gpus], [4, 0]);
   const groups = fleet.usage
     .groups()
-    .map(({ rank, tasks, isBestEffort: spare }) => [rank, tasks, spare]);
+    .map(({ rank, tasks, isBestEffort: bestEffort }) => [rank, tasks, bestEffort]);
   assert.deepEqual(groups, [[1, 4, false]]);
   // Work of a rank between the two preempts none of it now.
-  add(fleet, { id: 'j-2', rank: 2, gpus: 1 });
+  addJob(fleet, { id: 'j-2', rank: 2, gpus: 1 });
   scheduler.round(60);
   assert.deepEqual(
     [...machine.tasks.values()].filter(({ stop }) => stop !== null),
--- a/packages/core/failures/failure-tracker.test.ts
+++ b/packages/core/failures/failure-tracker.test.ts
@@ -14,27 +14,29 @@
   const job = world.submit({ tasks: 5000 });
   world.play(6, () => true);
   assert.ok(world.fleet.failures.crashLoopingJobs.has(job));
-  const before = world.starts.get(job.spec.id)!;
-  let most = 0;
+  const earlierStarts = world.starts.get(job.spec.id)!;
+  let maxAssigned = 0;
   for (let i = 0; i < 300; i++) {
     world.play(1, () => true);
-    most = Math.max(most, job.assignments.size);
+    maxAssigned = Math.max(maxAssigned, job.assignments.size);
   }
-  const after = world.starts.get(job.spec.id)! - before;
-  assert.ok(after > 4 && after <= 24, `${after} starts`);
-  assert.ok(most <= 2, `${most} at once`);
+  const laterStarts = world.starts.get(job.spec.id)! - earlierStarts;
+  assert.ok(laterStarts > 4 && laterStarts <= 24, `${laterStarts} starts`);
+  assert.ok(maxAssigned <= 2, `${maxAssigned} at once`);
 });
 
 test('a gang that fails everywhere keeps no machine free, and its attempts are bounded', () => {
   const world = new FailingWorld(5);
   const job = world.submit({ kind: 'gang', tasks: 3, gpus: 4 });
   world.play(8, () => true);
-  const kept: number[] = [];
+  const reservedCounts: number[] = [];
   for (let i = 0; i < 200; i++) {
     world.play(1, () => true);
-    kept.push(world.machines.filter(({ reservedForGang }) => reservedForGang !== null).length);
+    reservedCounts.push(
+      world.machines.filter(({ reservedForGang }) => reservedForGang !== null).length,
+    );
   }
-  assert.equal(Math.max(...kept), 0);
+  assert.equal(Math.max(...reservedCounts), 0);
   const starts = world.starts.get(job.spec.id)!;
   assert.ok(starts >= 6 && starts <= 30, `${starts} starts`);
 });
@@ -53,23 +55,23 @@
 });
 
 test('being seen to run clears no job, running longer than its failures and completion do', () => {
-  const clears = (end: (world: FailingWorld, job: JobState) => void) => {
+  const isClearedBy = (action: (world: FailingWorld, job: JobState) => void) => {
     const world = new FailingWorld(3);
     const job = world.submit({ tasks: 4 });
     world.fail(job, world.machines[0]);
     world.fail(job, world.machines[1]);
     assert.ok(world.fleet.failures.crashLoopingJobs.has(job));
-    end(world, job);
+    action(world, job);
     return !world.fleet.failures.crashLoopingJobs.has(job);
   };
   const runFor = (seconds: number) => (world: FailingWorld) => world.play(seconds, () => false);
-  assert.ok(!clears(runFor(6)));
-  assert.ok(clears(runFor(30)));
-  const complete = (world: FailingWorld, job: JobState) => {
+  assert.ok(!isClearedBy(runFor(6)));
+  assert.ok(isClearedBy(runFor(30)));
+  const completeTask = (world: FailingWorld, job: JobState) => {
     const task = world.fleet.assignments.assign(job, 0, world.machines[2], 9, world.now);
     world.fleet.failures.taskCompleted(task, world.now);
   };
-  assert.ok(clears(complete));
+  assert.ok(isClearedBy(completeTask));
 });
 
 test('a failed attempt costs its team at least the smallest service', () => {
@@ -157,8 +159,8 @@
       }
       const draining = world.machines.filter((machine) => machine.draining).length;
       assert.ok(draining <= 1);
-      const hit = new Set(order);
-      if (hit.size < 2) return;
+      const failedMachines = new Set(order);
+      if (failedMachines.size < 2) return;
       const usable = world.machines.filter((machine) =>
         isUsable(machine, world.fleet.settings.machineRecordBytes, world.now - 50),
       );
@@ -170,16 +172,16 @@
 
 test('a machine on which jobs fail that succeed elsewhere is quarantined, then drained', () => {
   const world = new FailingWorld(2);
-  const [faulty, sound] = world.machines;
+  const [faulty, healthy] = world.machines;
   const isQuarantined = () => !isUsable(faulty, world.fleet.settings.machineRecordBytes, world.now);
   for (const id of ['j-000001', 'j-000002', 'j-000003']) {
     assert.ok(!faulty.draining);
     const job = world.submit({ id });
     world.fail(job, faulty);
     assert.ok(isQuarantined());
-    const task = world.fleet.assignments.assign(job, 0, sound, 1, world.now);
+    const task = world.fleet.assignments.assign(job, 0, healthy, 1, world.now);
     world.fleet.failures.taskCompleted(task, world.now + 10);
     world.now += 100;
   }
-  assert.deepEqual([faulty.draining, sound.draining], [true, false]);
+  assert.deepEqual([faulty.draining, healthy.draining], [true, false]);
 });
--- a/packages/core/failures/failure-tracker.ts
+++ b/packages/core/failures/failure-tracker.ts
@@ -4,9 +4,9 @@
   forgetJobFailures,
   isCrashLooping,
   type Random,
-  retryWaitS,
-  unknownJobWaitS,
-  provesJob,
+  retryBackoffS,
+  unknownJobBackoffS,
+  clearsJobFailures,
 } from './job-failures.js';
 import type { EndCause } from '../model/end-cause.js';
 import type { FleetListener } from '../model/listener.js';
@@ -33,7 +33,7 @@
 /** In worker leases: the least time that a failed attempt is charged for. */
 const MIN_CHARGED_LEASES = 3;
 /** In worker leases: a crash-looping job that finds no place for so long may request capacity after all. */
-const OVERDUE_LEASES = 24;
+const CAPACITY_REQUEST_DELAY_LEASES = 24;
 /** In worker leases: no two machines are drained for failures within this time. */
 const MIN_LEASES_BETWEEN_DRAINS = 3;
 
@@ -56,7 +56,7 @@
 export class FailureTracker {
   /** Jobs whose tasks failed on several machines while none succeeded. */
   readonly crashLoopingJobs = new Set<JobState>();
-  private nextDrainAt = -Infinity;
+  private earliestDrainAt = -Infinity;
 
   constructor(private readonly options: FailureTrackerOptions) {}
 
@@ -64,10 +64,10 @@
   taskEnded(assignment: Assignment, cause: EndCause, now: number): void {
     const { job, machine } = assignment;
     const { heartbeatIntervalS } = this.options.settings;
-    if (cause === 'error') this.taskFailed(assignment, now);
+    if (cause === 'error') this.recordTaskFailure(assignment, now);
     else if (cause === 'unknown') {
       job.failures.unknownStarts++;
-      job.backoffUntil = now + unknownJobWaitS(job.failures, heartbeatIntervalS);
+      job.backoffUntil = now + unknownJobBackoffS(job.failures, heartbeatIntervalS);
     } else if (cause === 'no_room' || cause === 'busy') {
       machine.cordonedUntil = Math.max(
         machine.cordonedUntil,
@@ -82,7 +82,8 @@
     failures.unknownStarts = 0;
     if (failures.attempts === 0 || runningSince === null) return;
     const { leaseS } = this.options.settings;
-    if (provesJob(failures, now - runningSince, leaseS)) this.jobSucceeded(job, machine, now);
+    if (clearsJobFailures(failures, now - runningSince, leaseS))
+      this.jobSucceeded(job, machine, now);
   }
 
   /** A task of the job has completed on the machine. */
@@ -93,13 +94,13 @@
   /** The job is over. */
   jobClosed(job: JobState): void {
     this.crashLoopingJobs.delete(job);
-    this.forgetOnMachines(job);
+    this.forgetMachineFailuresOf(job);
   }
 
   /** How many tasks of the job may be started now; a gang or replica is started as a whole if any may. */
   maxStartableTasks(job: JobState): number {
     if (!this.crashLoopingJobs.has(job)) return Infinity;
-    if (job.assignments.size === 0 && this.hasEnoughProbes()) return 0;
+    if (job.assignments.size === 0 && this.isProbeLimitReached()) return 0;
     const startsAsWhole = job.spec.kind === 'gang' || job.replicas !== null;
     if (startsAsWhole) return job.assignments.size === 0 ? Infinity : 0;
     return Math.max(0, MAX_PROBE_TASKS - job.assignments.size);
@@ -115,32 +116,32 @@
   /** Whether work may be preempted, machines kept free or capacity scaled out for the job's waiting tasks. */
   mayRequestCapacity(job: JobState, now: number): boolean {
     if (!this.crashLoopingJobs.has(job)) return true;
-    return now - job.backoffUntil > OVERDUE_LEASES * this.options.settings.leaseS;
+    return now - job.backoffUntil > CAPACITY_REQUEST_DELAY_LEASES * this.options.settings.leaseS;
   }
 
-  private hasEnoughProbes(): boolean {
-    let probed = 0;
+  private isProbeLimitReached(): boolean {
+    let probedJobs = 0;
     for (const { assignments } of this.crashLoopingJobs) {
-      if (assignments.size > 0 && ++probed >= MAX_PROBED_JOBS) return true;
+      if (assignments.size > 0 && ++probedJobs >= MAX_PROBED_JOBS) return true;
     }
     return false;
   }
 
-  private taskFailed(assignment: Assignment, now: number): void {
+  private recordTaskFailure(assignment: Assignment, now: number): void {
     const { job, machine, assignedAt, runningSince } = assignment;
     const { settings, random } = this.options;
     const ranS = now - (runningSince ?? now);
-    const failed = { machine: machine.name, assignedAt, ranS };
-    const { isNewAttempt, isNewMachine } = countJobFailure(job.failures, failed, now);
-    this.charge(assignment, isNewAttempt, now);
+    const failedTask = { machine: machine.name, assignedAt, ranS };
+    const { isNewAttempt, isNewMachine } = countJobFailure(job.failures, failedTask, now);
+    this.chargeMinimumService(assignment, isNewAttempt, now);
     if (!isNewAttempt && !isNewMachine) return;
-    job.backoffUntil = now + retryWaitS(job.failures, settings.heartbeatIntervalS, random);
+    job.backoffUntil = now + retryBackoffS(job.failures, settings.heartbeatIntervalS, random);
     if (isCrashLooping(job.failures)) this.markCrashLooping(job, now);
-    else this.machineFailed(machine, job, now);
+    else this.recordMachineFailure(machine, job, now);
   }
 
   /** Quick failures earn hardly any service, so their team would keep winning. */
-  private charge(assignment: Assignment, isNewAttempt: boolean, now: number): void {
+  private chargeMinimumService(assignment: Assignment, isNewAttempt: boolean, now: number): void {
     const { job, share, assignedAt } = assignment;
     const { settings, usage } = this.options;
     const isGang = job.spec.kind === 'gang';
@@ -151,21 +152,21 @@
   }
 
   private markCrashLooping(job: JobState, now: number): void {
-    this.forgetOnMachines(job);
+    this.forgetMachineFailuresOf(job);
     if (this.crashLoopingJobs.has(job)) return;
     this.crashLoopingJobs.add(job);
     this.options.holds.releaseFor(job);
     this.options.listener.jobCrashLooping(job, now);
   }
 
-  private forgetOnMachines(job: JobState): void {
+  private forgetMachineFailuresOf(job: JobState): void {
     for (const name of job.failures.machines) {
       const machine = this.options.machines.get(name);
       if (machine) forgetMachineFailures(machine.failures, job.spec.id);
     }
   }
 
-  private machineFailed(machine: Machine, job: JobState, now: number): void {
+  private recordMachineFailure(machine: Machine, job: JobState, now: number): void {
     countMachineFailure(
       machine.failures,
       job.spec.id,
@@ -175,13 +176,13 @@
     this.drainIfFaulty(machine, now);
   }
 
-  private jobSucceeded(job: JobState, on: Machine, now: number): void {
+  private jobSucceeded(job: JobState, succeededOn: Machine, now: number): void {
     const wasCrashLooping = this.crashLoopingJobs.delete(job);
     // Those of a crash-looping job are forgotten already.
     for (const name of job.failures.machines) {
       const machine = this.options.machines.get(name);
       if (!machine) continue;
-      if (machine === on) forgetMachineFailures(machine.failures, job.spec.id);
+      if (machine === succeededOn) forgetMachineFailures(machine.failures, job.spec.id);
       else confirmMachineFailures(machine.failures, job.spec.id);
       this.drainIfFaulty(machine, now);
     }
@@ -191,8 +192,8 @@
   }
 
   private drainIfFaulty(machine: Machine, now: number): void {
-    if (machine.draining || now < this.nextDrainAt || !isFaulty(machine.failures)) return;
-    this.nextDrainAt = now + MIN_LEASES_BETWEEN_DRAINS * this.options.settings.leaseS;
+    if (machine.draining || now < this.earliestDrainAt || !isFaulty(machine.failures)) return;
+    this.earliestDrainAt = now + MIN_LEASES_BETWEEN_DRAINS * this.options.settings.leaseS;
     this.options.machines.drain(machine);
     this.options.listener.machineFaulty(machine, now);
   }
--- a/packages/core/failures/job-failures.ts
+++ b/packages/core/failures/job-failures.ts
@@ -3,17 +3,17 @@
 /** Machines of one job's failures that are remembered. */
 const MAX_REMEMBERED_MACHINES = 8;
 /** Machines on which a job has to fail before it is crash-looping. */
-const CRASH_LOOP_MACHINES = 2;
+const MIN_CRASH_LOOP_MACHINES = 2;
 /** In heartbeat intervals: the first wait of a job after more than one failure. */
-const FIRST_WAIT_INTERVALS = 2;
+const INITIAL_BACKOFF_INTERVALS = 2;
 /** In heartbeat intervals: the longest wait of a job after failures. */
-const MAX_WAIT_INTERVALS = 64;
+const MAX_BACKOFF_INTERVALS = 64;
 /** In heartbeat intervals: the longest wait of a job that the workers do not know. */
-const MAX_UNKNOWN_WAIT_INTERVALS = 8;
+const MAX_UNKNOWN_JOB_BACKOFF_INTERVALS = 8;
 /** Waits are shortened by up to this share at random, so that jobs do not retry together. */
 const MAX_JITTER = 0.5;
 /** A task clears its job once it has run for this many times as long as those that failed. */
-const PROVEN_RATIO = 2;
+const MIN_CLEARING_RUN_RATIO = 2;
 
 /** A number in [0, 1). */
 export type Random = () => number;
@@ -72,33 +72,40 @@
 
 /** Whether the failures speak against the job: its tasks failed on several machines, and none succeeded. */
 export function isCrashLooping({ machines }: JobFailures): boolean {
-  return machines.size >= CRASH_LOOP_MACHINES;
+  return machines.size >= MIN_CRASH_LOOP_MACHINES;
 }
 
 /** Whether a task that runs for so long shows that the job does not always fail. */
-export function provesJob({ longestRunS }: JobFailures, ranS: number, leaseS: number): boolean {
-  return ranS > PROVEN_RATIO * longestRunS + leaseS;
+export function clearsJobFailures(
+  { longestRunS }: JobFailures,
+  ranS: number,
+  leaseS: number,
+): boolean {
+  return ranS > MIN_CLEARING_RUN_RATIO * longestRunS + leaseS;
 }
 
 /**
  * Seconds of backoff after a job's last failure. The first one may be its machine's fault, so the job is
  * tried elsewhere at once; then waits double.
  */
-export function retryWaitS(
+export function retryBackoffS(
   failures: JobFailures,
   heartbeatIntervalS: number,
   random: Random,
 ): number {
   const { attempts } = failures;
   if (attempts <= 1 && !isCrashLooping(failures)) return 0;
-  const intervals = Math.min(MAX_WAIT_INTERVALS, FIRST_WAIT_INTERVALS * 2 ** (attempts - 1));
+  const intervals = Math.min(
+    MAX_BACKOFF_INTERVALS,
+    INITIAL_BACKOFF_INTERVALS * 2 ** (attempts - 1),
+  );
   return heartbeatIntervalS * intervals * (1 - MAX_JITTER * random());
 }
 
 /** Seconds of backoff after a worker did not know the job. */
-export function unknownJobWaitS(
+export function unknownJobBackoffS(
   { unknownStarts }: JobFailures,
   heartbeatIntervalS: number,
 ): number {
-  return heartbeatIntervalS * Math.min(MAX_UNKNOWN_WAIT_INTERVALS, 2 ** (unknownStarts - 1));
+  return heartbeatIntervalS * Math.min(MAX_UNKNOWN_JOB_BACKOFF_INTERVALS, 2 ** (unknownStarts - 1));
 }
--- a/packages/core/failures/machine-failures.ts
+++ b/packages/core/failures/machine-failures.ts
@@ -5,12 +5,12 @@
 /** In heartbeat intervals: the longest quarantine. */
 const MAX_QUARANTINE_INTERVALS = 32;
 /** Different jobs that failed on the machine and succeeded elsewhere, from which on it is faulty. */
-const FAULTY_JOBS = 3;
+const FAULTY_AFTER_CONFIRMED_JOBS = 3;
 /** Attempts of one job, one after the other and on this machine alone, from which on it is faulty. */
-const FAULTY_ATTEMPTS = 3;
+const FAULTY_AFTER_ATTEMPTS = 3;
 
 /** How one job failed on a machine. */
-interface FailuresOfJob {
+interface JobFailuresOnMachine {
   /** Attempts that failed one after the other. */
   attempts: number;
   /** The job has succeeded elsewhere since. */
@@ -20,7 +20,7 @@
 /** Failures that may be the machine's fault. Times are seconds of the steady clock. */
 export interface MachineFailures {
   /** By job id. */
-  jobs: Map<string, FailuresOfJob>;
+  jobs: Map<string, JobFailuresOnMachine>;
   /** Quarantined: takes no new work before. */
   quarantinedUntil: number;
 }
@@ -41,13 +41,13 @@
   now: number,
 ): void {
   const { jobs } = failures;
-  const ofJob = jobs.get(job) ?? { attempts: 0, isConfirmed: false };
+  const jobFailures = jobs.get(job) ?? { attempts: 0, isConfirmed: false };
   // Of a job that also succeeds, some tasks may always fail: it counts once.
-  if (!ofJob.isConfirmed) ofJob.attempts++;
-  jobs.set(job, ofJob);
+  if (!jobFailures.isConfirmed) jobFailures.attempts++;
+  jobs.set(job, jobFailures);
   const intervals = Math.min(
     MAX_QUARANTINE_INTERVALS,
-    FIRST_QUARANTINE_INTERVALS * 2 ** confirmedJobs(failures),
+    FIRST_QUARANTINE_INTERVALS * 2 ** countConfirmedJobs(failures),
   );
   failures.quarantinedUntil = Math.max(
     failures.quarantinedUntil,
@@ -57,8 +57,8 @@
 
 /** The job has succeeded on another machine, so its failures were this machine's fault. */
 export function confirmMachineFailures({ jobs }: MachineFailures, job: string): void {
-  const ofJob = jobs.get(job);
-  if (ofJob) ofJob.isConfirmed = true;
+  const jobFailures = jobs.get(job);
+  if (jobFailures) jobFailures.isConfirmed = true;
 }
 
 /** The job's failures there are no longer held against the machine, unless they are confirmed. */
@@ -72,13 +72,13 @@
 /** Whether the failures speak against the machine. */
 export function isFaulty(failures: MachineFailures): boolean {
   for (const { attempts, isConfirmed } of failures.jobs.values()) {
-    if (!isConfirmed && attempts >= FAULTY_ATTEMPTS) return true;
+    if (!isConfirmed && attempts >= FAULTY_AFTER_ATTEMPTS) return true;
   }
-  return confirmedJobs(failures) >= FAULTY_JOBS;
+  return countConfirmedJobs(failures) >= FAULTY_AFTER_CONFIRMED_JOBS;
 }
 
-function confirmedJobs({ jobs }: MachineFailures): number {
-  let confirmed = 0;
-  for (const { isConfirmed } of jobs.values()) if (isConfirmed) confirmed++;
-  return confirmed;
+function countConfirmedJobs({ jobs }: MachineFailures): number {
+  let count = 0;
+  for (const { isConfirmed } of jobs.values()) if (isConfirmed) count++;
+  return count;
 }
--- a/packages/core/fleet-state.ts
+++ b/packages/core/fleet-state.ts
@@ -61,14 +61,14 @@
   ): JobState {
     const known = this.jobs.get(job.id);
     if (!known) {
-      const replicasOf = this.replicasOf(shape, phase);
+      const replicasOf = this.replicaFactory(shape, phase);
       return this.jobs.add(job, acceptedAt, phase, now, { replicasOf, dependencies });
     }
     if (phase !== 'accepted') this.closeJob(known, phase, now);
     return known;
   }
 
-  private replicasOf(
+  private replicaFactory(
     shape: ReplicaShape | undefined,
     phase: JobState['phase'],
   ): (job: JobState) => JobReplicas | null {
--- a/packages/core/gang-attempts.test.ts
+++ b/packages/core/gang-attempts.test.ts
@@ -4,7 +4,7 @@
 
 const GANG = aJob({ kind: 'gang', tasks: 2 });
 
-function listed(index: number, attempt: number) {
+function runningTask(index: number, attempt: number) {
   const state = 'running' as const;
   return { job: GANG.id, index, attempt, state, cause: null, checkpointed: false };
 }
@@ -20,13 +20,16 @@
   );
   current[0].recorded = true;
   // The old attempt as the held heartbeat lists it, and then the next agent epoch, which has lost it.
-  fleet.heartbeats.handle(aHeartbeat({ sequence: 1, tasks: [listed(0, 1)] }), 1);
+  fleet.heartbeats.handle(aHeartbeat({ sequence: 1, tasks: [runningTask(0, 1)] }), 1);
   assert.equal(job.assignments.get(0)?.length, 2);
   current[1].recorded = true;
   const outcome = fleet.heartbeats.handle(aHeartbeat({ machine: 'n-2' }), 1.5);
   const start = { op: 'start', job: GANG.id, index: 0, attempt: 2 };
   assert.deepEqual(outcome, { kind: 'answer', orders: [start] }, 'the old one holds nothing up');
-  fleet.heartbeats.handle(aHeartbeat({ machine: 'n-2', sequence: 2, tasks: [listed(0, 2)] }), 2);
+  fleet.heartbeats.handle(
+    aHeartbeat({ machine: 'n-2', sequence: 2, tasks: [runningTask(0, 2)] }),
+    2,
+  );
   fleet.heartbeats.handle(aHeartbeat({ sequence: 2, agentEpoch: 2 }), 3);
   assert.deepEqual([...job.assignments.values()].flat(), current);
   assert.ok(current.every(({ stop }) => stop === null));
--- a/packages/core/safety.test.ts
+++ b/packages/core/safety.test.ts
@@ -4,20 +4,20 @@
 
 const SEEDS = 60;
 
-function brokenBy(mistake: LeaderMistake, seeds: number): Set<LeaderViolation> {
-  const all = new Set<LeaderViolation>();
+function findViolations(mistake: LeaderMistake, seeds: number): Set<LeaderViolation> {
+  const violations = new Set<LeaderViolation>();
   for (let seed = 1; seed <= seeds; seed++) {
-    for (const rule of playLeaders(seed, mistake)) all.add(rule);
+    for (const rule of playLeaders(seed, mistake)) violations.add(rule);
   }
-  return all;
+  return violations;
 }
 
 test('no rule is broken while leaders, workers and messages fail', () => {
-  assert.deepEqual([...brokenBy('none', SEEDS)], []);
+  assert.deepEqual([...findViolations('none', SEEDS)], []);
 });
 
 // Each check is shown to be able to fail by one deliberate mistake.
-const trips: [LeaderMistake, LeaderViolation][] = [
+const expectedViolations: [LeaderMistake, LeaderViolation][] = [
   ['short-lease', 'ran_twice'],
   ['trusts-former-owner', 'ran_twice'],
   ['believes-old-copies', 'ran_twice'],
@@ -29,8 +29,8 @@
   ['deaf-to-aborts', 'ran_cancelled'],
   ['done-early', 'not_done'],
 ];
-for (const [mistake, rule] of trips) {
+for (const [mistake, rule] of expectedViolations) {
   test(`the check of ${rule} notices ${mistake}`, () => {
-    assert.ok(brokenBy(mistake, SEEDS).has(rule));
+    assert.ok(findViolations(mistake, SEEDS).has(rule));
   });
 }
