--- a/packages/core/failures/failure-tracker.test.ts
+++ b/packages/core/failures/failure-tracker.test.ts
@@ -7,9 +7,9 @@
 import { isUsable } from '../placement/availability.js';
 import { assignmentsOf, JobState, Machine } from '../model/entities.js';
 
-test('a job that fails everywhere is retried less and less, a few of its tasks at a time', () => {
-  // Guards against an array of thousands of tasks that takes every machine over and over: being seen
-  // to run for an instant reset its backoff.
+test('a job that fails on every machine is retried ever less often, with a few tasks at a time', () => {
+  // Guards against an array of thousands of failing tasks that occupies every machine again and again, because a task
+  // that was seen to run for an instant reset the job's backoff.
   const world = new FailingWorld(6);
   const job = world.submit({ tasks: 5000 });
   world.play(6, () => true);
@@ -25,7 +25,7 @@
   assert.ok(maxAssigned <= 2, `${maxAssigned} at once`);
 });
 
-test('a gang that fails everywhere keeps no machine free, and its attempts are bounded', () => {
+test('a gang that fails on every machine reserves no machine, and its starts are bounded', () => {
   const world = new FailingWorld(5);
   const job = world.submit({ kind: 'gang', tasks: 3, gpus: 4 });
   world.play(8, () => true);
@@ -41,8 +41,8 @@
   assert.ok(starts >= 6 && starts <= 30, `${starts} starts`);
 });
 
-test('a job that failed once is tried on another machine at once', () => {
-  // Guards against sound work that waits because a machine is faulty.
+test('a job that failed once is retried on another machine at once', () => {
+  // Guards against a job without faults that is delayed by a faulty machine.
   const world = new FailingWorld(2);
   const job = world.submit({ tasks: 1 });
   let faulty: Machine | null = null;
@@ -54,7 +54,7 @@
   assert.equal(world.fleet.failures.crashLoopingJobs.size, 0);
 });
 
-test('being seen to run clears no job, running longer than its failures and completion do', () => {
+test('a short run does not clear a job of failures; a run longer than the failed ones or a completed task does', () => {
   const isClearedBy = (action: (world: FailingWorld, job: JobState) => void) => {
     const world = new FailingWorld(3);
     const job = world.submit({ tasks: 4 });
@@ -74,8 +74,8 @@
   assert.ok(isClearedBy(completeTask));
 });
 
-test('a failed attempt costs its team at least the smallest service', () => {
-  // Guards against a team that is served first again and again since its tasks fail too quickly to count.
+test('a team is charged at least the minimum service for a failed attempt', () => {
+  // Guards against a team that is served first again and again, because its tasks fail too quickly to add service.
   const world = new FailingWorld(2);
   const job = world.submit({ team: 'blue' });
   const share = 1 / 8;
@@ -86,7 +86,7 @@
   assert.ok(Math.abs(world.scheduler.index('blue', world.now) * 0.05 - 60 * share) < 0.2);
 });
 
-test('the waiting tasks of a crash-looping job scale nothing out, preempt nothing and hold no capacity', () => {
+test('waiting tasks of a crash-looping job cause no scale-out and no preemption, and hold no capacity', () => {
   const world = new FailingWorld(2);
   const { fleet, machines } = world;
   const running = world.submit({ id: 'j-000009', rank: 3, tasks: 2, gpus: 4 });
@@ -118,14 +118,14 @@
     [...assignmentsOf(running)].filter(({ stop }) => stop !== null),
     [],
   );
-  // In the end it may request capacity after all: whatever was accepted must run some day.
+  // After a longer time the job may request capacity again, because every accepted job must run eventually.
   world.now += 300;
   world.scheduler.round(world.now);
   assert.ok([...assignmentsOf(running)].some(({ stop }) => stop !== null));
 });
 
-test('capacity for a job that failed on one machine is freed on another', () => {
-  // Guards against work that is preempted for a job which then does not use the capacity.
+test('preemption for a job that failed on one machine frees capacity on another machine', () => {
+  // Guards against preemption on a machine from which the waiting job is excluded: it would not use the capacity.
   const world = new FailingWorld(2);
   const { fleet, machines } = world;
   const job = world.submit({ id: 'j-000002', rank: 0, gpus: 4 });
@@ -135,7 +135,7 @@
     const task = fleet.assignments.assign(running, index, machine, index + 1, 0);
     task.startSent = true;
     task.reportedState = 'running';
-    // Preempting what began last costs least.
+    // Preempting the task that started last costs least.
     task.runningSince = index === 0 ? 0 : -100;
   });
   world.now += 6;
@@ -147,8 +147,8 @@
   );
 });
 
-test('one faulty job makes one machine faulty at the most, and leaves the others usable', () => {
-  // Guards against a fleet that is drained machine by machine because of one job's mistake.
+test('one failing job makes at most one machine faulty and leaves the others usable', () => {
+  // Guards against a job that always fails and gets the fleet drained machine by machine.
   fc.assert(
     fc.property(fc.array(fc.nat(5), { minLength: 1, maxLength: 60 }), (order) => {
       const world = new FailingWorld(6);
--- a/packages/core/failures/failure-tracker.ts
+++ b/packages/core/failures/failure-tracker.ts
@@ -1,4 +1,4 @@
-/** What follows from failed tasks, for their jobs and for the machines they failed on. */
+/** The consequences of failed tasks for their jobs and for the machines on which they failed. */
 import {
   countJobFailure,
   forgetJobFailures,
@@ -24,20 +24,20 @@
 
 /** In heartbeat intervals: how long a machine is cordoned after it refused a task. */
 const REFUSAL_CORDON_INTERVALS = 2;
-/** In heartbeat intervals: how long a job that failed on one machine waits for a place on another. */
+/** In heartbeat intervals: how long a job that failed on one machine is placed on other machines only. */
 const EXCLUSION_INTERVALS = 16;
-/** Tasks of a crash-looping job that may have a place at once; a gang is tried as a whole. */
+/** Tasks of a crash-looping job that may be assigned at once. A gang or replica is started as a whole instead. */
 const MAX_PROBE_TASKS = 2;
-/** Crash-looping jobs that may have tasks placed at once. */
+/** Crash-looping jobs that may have assigned tasks at the same time. */
 const MAX_PROBED_JOBS = 8;
-/** In worker leases: the least time that a failed attempt is charged for. */
+/** In worker leases: the minimum time that a failed attempt is charged for. */
 const MIN_CHARGED_LEASES = 3;
-/** In worker leases: a crash-looping job that finds no place for so long may request capacity after all. */
+/** In worker leases: how long after its backoff a crash-looping job without a machine may request capacity again. */
 const CAPACITY_REQUEST_DELAY_LEASES = 24;
-/** In worker leases: no two machines are drained for failures within this time. */
+/** In worker leases: the minimum time between the drains of two faulty machines. */
 const MIN_LEASES_BETWEEN_DRAINS = 3;
 
-/** What a tracker works on. */
+/** The parts of the fleet that a `FailureTracker` reads and updates. */
 export interface FailureTrackerOptions {
   settings: FleetSettings;
   machines: MachineRegistry;
@@ -49,9 +49,9 @@
 }
 
 /**
- * Judges whether failures are the job's fault or the machine's, limits what a crash-looping job may use, and drains
- * faulty machines (docs/design.md, "Failing jobs"). Nothing of it is recorded: a new leader learns it again. Times are
- * seconds of the steady clock.
+ * Decides whether failures are the job's fault or the machine's, limits what a crash-looping job may use, and drains
+ * faulty machines (docs/design.md, "Failing jobs"). Failures are not recorded: a new leader counts them from zero.
+ * Times are seconds of the steady clock.
  */
 export class FailureTracker {
   /** Jobs whose tasks failed on several machines while none succeeded. */
@@ -60,7 +60,7 @@
 
   constructor(private readonly options: FailureTrackerOptions) {}
 
-  /** A task has left its machine without being done. */
+  /** Handles the end of a task that is not done. */
   taskEnded(assignment: Assignment, cause: EndCause, now: number): void {
     const { job, machine } = assignment;
     const { heartbeatIntervalS } = this.options.settings;
@@ -76,7 +76,7 @@
     }
   }
 
-  /** A task is seen to run. Only one that runs longer than those that failed clears its job. */
+  /** Handles a running task. Only a task that runs for longer than the failed ones clears its job of failures. */
   taskRunning({ job, machine, runningSince }: Assignment, now: number): void {
     const { failures } = job;
     failures.unknownStarts = 0;
@@ -86,12 +86,12 @@
       this.jobSucceeded(job, machine, now);
   }
 
-  /** A task of the job has completed on the machine. */
+  /** Clears the job of failures after one of its tasks has completed. */
   taskCompleted({ job, machine }: Assignment, now: number): void {
     if (job.failures.attempts > 0) this.jobSucceeded(job, machine, now);
   }
 
-  /** The job is over. */
+  /** Forgets the failures of a job that is over. */
   jobClosed(job: JobState): void {
     this.crashLoopingJobs.delete(job);
     this.forgetMachineFailuresOf(job);
@@ -106,7 +106,7 @@
     return Math.max(0, MAX_PROBE_TASKS - job.assignments.size);
   }
 
-  /** Whether the job is not to be tried there: it failed there, and has not been tried elsewhere since. */
+  /** Whether the job must not be placed on the machine: it failed there, and must be tried on another one first. */
   isExcluded({ failures }: JobState, machine: Machine, now: number): boolean {
     if (failures.attempts === 0 || isCrashLooping(failures)) return false;
     const excludedS = EXCLUSION_INTERVALS * this.options.settings.heartbeatIntervalS;
@@ -140,12 +140,15 @@
     else this.recordMachineFailure(machine, job, now);
   }
 
-  /** Quick failures earn hardly any service, so their team would keep winning. */
+  /**
+   * Charges a failed attempt for a minimum time. Otherwise tasks that fail quickly would add hardly any service, and
+   * their team would be served first again and again.
+   */
   private chargeMinimumService(assignment: Assignment, isNewAttempt: boolean, now: number): void {
     const { job, share, assignedAt } = assignment;
     const { settings, usage } = this.options;
     const isGang = job.spec.kind === 'gang';
-    // All tasks of a gang's attempt are charged for with the first that fails.
+    // The first task of a gang's attempt that fails is charged for all tasks of the attempt.
     if (isGang && !isNewAttempt) return;
     const missingS = Math.max(0, MIN_CHARGED_LEASES * settings.leaseS - (now - assignedAt));
     usage.charge(job, share * missingS * (isGang ? job.spec.tasks : 1), now);
@@ -178,7 +181,7 @@
 
   private jobSucceeded(job: JobState, succeededOn: Machine, now: number): void {
     const wasCrashLooping = this.crashLoopingJobs.delete(job);
-    // Those of a crash-looping job are forgotten already.
+    // The failures of a crash-looping job on its machines were forgotten when it was marked as crash-looping.
     for (const name of job.failures.machines) {
       const machine = this.options.machines.get(name);
       if (!machine) continue;
--- a/packages/core/failures/job-failures.test.ts
+++ b/packages/core/failures/job-failures.test.ts
@@ -12,8 +12,8 @@
 
 const MAX_BACKOFF_S = 64;
 
-test('the backoff grows with each attempt that fails, is bounded, and differs by chance', () => {
-  // Guards against a faulty job that is retried every second for as long as its user leaves it.
+test('the backoff grows with each failed attempt, is bounded, and has random jitter', () => {
+  // Guards against a job that always fails and is retried every second until its user cancels it.
   const failureSequences = fc.array(fc.record({ delay: fc.nat(100), machine: fc.nat(9) }), {
     minLength: 1,
   });
@@ -46,7 +46,7 @@
   );
 });
 
-test('attempts that overlap count as one, and one machine alone makes no job crash-looping', () => {
+test('overlapping attempts count as one, and failures on a single machine do not make a job crash-looping', () => {
   fc.assert(
     fc.property(fc.array(fc.nat(20), { minLength: 1 }), fc.nat(3), (delays, maxMachine) => {
       const failures = noJobFailures();
@@ -62,7 +62,7 @@
   );
 });
 
-test('only a task that runs longer than those that failed clears its job', () => {
+test('only a task that runs for longer than the failed ones clears its job of failures', () => {
   const failures = noJobFailures();
   countJobFailure(failures, { machine: 'n-1', assignedAt: 0, ranS: 20 }, 20);
   assert.deepEqual(
--- a/packages/core/failures/job-failures.ts
+++ b/packages/core/failures/job-failures.ts
@@ -1,34 +1,34 @@
-/** The evidence against a job: how its tasks failed, and how long it backs off (docs/design.md, "Failing jobs"). */
+/** Failures of a job's tasks, and the backoff that follows from them (docs/design.md, "Failing jobs"). */
 
-/** Machines of one job's failures that are remembered. */
+/** Maximum number of machines that are remembered per job because its tasks failed on them. */
 const MAX_REMEMBERED_MACHINES = 8;
-/** Machines on which a job has to fail before it is crash-looping. */
+/** Number of machines on which a job must fail before it is crash-looping. */
 const MIN_CRASH_LOOP_MACHINES = 2;
-/** In heartbeat intervals: the first wait of a job after more than one failure. */
+/** In heartbeat intervals: the first backoff of a job after more than one failure. */
 const INITIAL_BACKOFF_INTERVALS = 2;
-/** In heartbeat intervals: the longest wait of a job after failures. */
+/** In heartbeat intervals: the longest backoff of a job after failures. */
 const MAX_BACKOFF_INTERVALS = 64;
-/** In heartbeat intervals: the longest wait of a job that the workers do not know. */
+/** In heartbeat intervals: the longest backoff of a job that workers do not know. */
 const MAX_UNKNOWN_JOB_BACKOFF_INTERVALS = 8;
-/** Waits are shortened by up to this share at random, so that jobs do not retry together. */
+/** Each backoff is shortened at random by up to this fraction, so that jobs do not retry at the same time. */
 const MAX_JITTER = 0.5;
-/** A task clears its job once it has run for this many times as long as those that failed. */
+/** A task clears its job of failures once it has run for this many times the longest failed run, plus a lease. */
 const MIN_CLEARING_RUN_RATIO = 2;
 
-/** A number in [0, 1). */
+/** Returns a random number in [0, 1). */
 export type Random = () => number;
 
-/** A job's failures since one of its tasks succeeded. Times are seconds of the steady clock. */
+/** A job's failures since one of its tasks last succeeded. Times are seconds of the steady clock. */
 export interface JobFailures {
-  /** Attempts that failed one after the other; those that overlap count as one. */
+  /** Consecutive failed attempts; attempts that overlap in time count as one. */
   attempts: number;
-  /** When the last of these was counted. */
+  /** When the last failed attempt was counted. */
   countedAt: number;
-  /** Names of the machines on which its tasks failed, up to a few. */
+  /** Names of the machines on which tasks of the job failed, up to `MAX_REMEMBERED_MACHINES`. */
   machines: Set<string>;
   /** Longest time, in seconds, that a task of the job ever ran before it failed. */
   longestRunS: number;
-  /** Starts that workers refused since they did not know the job. */
+  /** Consecutive starts that workers refused because they did not know the job. */
   unknownStarts: number;
 }
 
@@ -37,7 +37,7 @@
   /** Name of the machine on which it failed. */
   machine: string;
   assignedAt: number;
-  /** Seconds for which it was seen to run. */
+  /** Seconds from when the task was first seen to run until it failed. */
   ranS: number;
 }
 
@@ -46,7 +46,7 @@
   return { attempts: 0, countedAt: 0, machines: new Set(), longestRunS: 0, unknownStarts: 0 };
 }
 
-/** Counts a failure; returns whether it is of a new attempt, and on a machine where the job had not failed. */
+/** Counts a failed task. Returns whether its attempt is new, and whether the job had not failed on its machine yet. */
 export function countJobFailure(
   failures: JobFailures,
   { machine, assignedAt, ranS }: FailedTask,
@@ -64,18 +64,18 @@
   return { isNewAttempt, isNewMachine };
 }
 
-/** A task of the job succeeded. How long tasks ran before they failed stays known. */
+/** Forgets the failures of a job of which a task has succeeded, except `longestRunS`. */
 export function forgetJobFailures(failures: JobFailures): void {
   failures.attempts = 0;
   failures.machines.clear();
 }
 
-/** Whether the failures speak against the job: its tasks failed on several machines, and none succeeded. */
+/** Whether the job is crash-looping: its tasks failed on several machines, and none has succeeded since. */
 export function isCrashLooping({ machines }: JobFailures): boolean {
   return machines.size >= MIN_CRASH_LOOP_MACHINES;
 }
 
-/** Whether a task that runs for so long shows that the job does not always fail. */
+/** Whether a task that has run for `ranS` seconds shows that the job does not always fail. */
 export function clearsJobFailures(
   { longestRunS }: JobFailures,
   ranS: number,
@@ -85,8 +85,8 @@
 }
 
 /**
- * Seconds of backoff after a job's last failure. The first one may be its machine's fault, so the job is
- * tried elsewhere at once; then waits double.
+ * Returns the seconds of backoff after a job's last failure. The first failure may be the machine's fault, so the job
+ * is retried on another machine at once; after that, the backoff doubles with each failed attempt.
  */
 export function retryBackoffS(
   failures: JobFailures,
@@ -102,7 +102,7 @@
   return heartbeatIntervalS * intervals * (1 - MAX_JITTER * random());
 }
 
-/** Seconds of backoff after a worker did not know the job. */
+/** Returns the seconds of backoff after a worker refused a start because it did not know the job. */
 export function unknownJobBackoffS(
   { unknownStarts }: JobFailures,
   heartbeatIntervalS: number,
--- a/packages/core/failures/machine-failures.ts
+++ b/packages/core/failures/machine-failures.ts
@@ -1,19 +1,19 @@
-/** The evidence against a machine: which jobs' tasks failed on it (docs/design.md, "Failing jobs"). */
+/** Failures on a machine by job, and the quarantine that follows from them (docs/design.md, "Failing jobs"). */
 
-/** In heartbeat intervals: how long a machine is quarantined after a task failed on it for the first time. */
+/** In heartbeat intervals: the first quarantine of a machine; doubles with each job whose failures are confirmed. */
 const FIRST_QUARANTINE_INTERVALS = 5;
 /** In heartbeat intervals: the longest quarantine. */
 const MAX_QUARANTINE_INTERVALS = 32;
-/** Different jobs that failed on the machine and succeeded elsewhere, from which on it is faulty. */
+/** Number of jobs that must fail on a machine and succeed elsewhere before the machine is faulty. */
 const FAULTY_AFTER_CONFIRMED_JOBS = 3;
-/** Attempts of one job, one after the other and on this machine alone, from which on it is faulty. */
+/** Number of consecutive attempts of one job that must fail on a machine, and only there, before it is faulty. */
 const FAULTY_AFTER_ATTEMPTS = 3;
 
-/** How one job failed on a machine. */
+/** Failures of one job on a machine. */
 interface JobFailuresOnMachine {
-  /** Attempts that failed one after the other. */
+  /** Consecutive failed attempts. */
   attempts: number;
-  /** The job has succeeded elsewhere since. */
+  /** Whether the job has since succeeded on another machine. */
   isConfirmed: boolean;
 }
 
@@ -21,7 +21,7 @@
 export interface MachineFailures {
   /** By job id. */
   jobs: Map<string, JobFailuresOnMachine>;
-  /** Quarantined: takes no new work before. */
+  /** End of the quarantine; the machine takes no new work before. */
   quarantinedUntil: number;
 }
 
@@ -31,8 +31,8 @@
 }
 
 /**
- * Counts a failure and quarantines the machine: an attempt of the job of that id failed on it, and nowhere else since a
- * task of the job succeeded.
+ * Counts a failed attempt of the job with that id, and quarantines the machine. The job must have failed on no other
+ * machine since one of its tasks last succeeded.
  */
 export function countMachineFailure(
   failures: MachineFailures,
@@ -42,7 +42,7 @@
 ): void {
   const { jobs } = failures;
   const jobFailures = jobs.get(job) ?? { attempts: 0, isConfirmed: false };
-  // Of a job that also succeeds, some tasks may always fail: it counts once.
+  // A job that succeeded elsewhere counts once, however often it fails: some of its tasks may always fail.
   if (!jobFailures.isConfirmed) jobFailures.attempts++;
   jobs.set(job, jobFailures);
   const intervals = Math.min(
@@ -55,13 +55,13 @@
   );
 }
 
-/** The job has succeeded on another machine, so its failures were this machine's fault. */
+/** Marks the job's failures as the machine's fault, because the job has succeeded on another machine. */
 export function confirmMachineFailures({ jobs }: MachineFailures, job: string): void {
   const jobFailures = jobs.get(job);
   if (jobFailures) jobFailures.isConfirmed = true;
 }
 
-/** The job's failures there are no longer held against the machine, unless they are confirmed. */
+/** Forgets the job's failures on the machine unless they are confirmed. Ends the quarantine if no failures are left. */
 export function forgetMachineFailures(failures: MachineFailures, job: string): void {
   const { jobs } = failures;
   if (jobs.get(job)?.isConfirmed !== false) return;
@@ -69,7 +69,7 @@
   if (jobs.size === 0) failures.quarantinedUntil = 0;
 }
 
-/** Whether the failures speak against the machine. */
+/** Whether the failures show that the machine is faulty and must be drained. */
 export function isFaulty(failures: MachineFailures): boolean {
   for (const { attempts, isConfirmed } of failures.jobs.values()) {
     if (!isConfirmed && attempts >= FAULTY_AFTER_ATTEMPTS) return true;
