--- a/packages/core/assignments/assignment-accounting.ts
+++ b/packages/core/assignments/assignment-accounting.ts
@@ -1,14 +1,14 @@
-/** What is counted by assignments: per machine, per team and rank, and per job. */
+/** Sums over assignments: per machine, per team and rank, and per job. */
 import type { FleetData } from '../fleet-data.js';
 import { addAmounts } from '../model/amounts.js';
 import { entryBytes } from '../model/machine-record-size.js';
 import { type Assignment, assignmentsOf, type JobState } from '../model/entities.js';
 
-/** Keeps the sums over assignments current as these come, go, stop or change their rank. */
+/** Updates the sums when an assignment is added, removed or stopped, and when the rank of its job changes. */
 export class AssignmentAccounting {
   constructor(private readonly fleet: FleetData) {}
 
-  /** The assignment has come (1) or gone (-1). */
+  /** Counts an assignment that was added (1) or removed (-1). */
   count(assignment: Assignment, sign: 1 | -1, now: number): void {
     const { machine, job } = assignment;
     machine.assignmentVersion++;
@@ -20,14 +20,14 @@
     this.fleet.jobs.countsChanged(job);
   }
 
-  /** The assignment is to stop; called before its stop request is set. */
+  /** Counts an assignment that is to stop. Must be called before the assignment's stop request is set. */
   countStopRequest(assignment: Assignment): void {
     const { machines } = this.fleet;
     if (isPersistentReplica(assignment)) machines.countReplica(assignment.machine, -1);
     machines.countStop(assignment.machine, 1);
   }
 
-  /** Another rank counts for the job from now on, also for what it has running. */
+  /** Changes the effective rank of the job, and counts its assignments under the new rank. */
   changeRank(job: JobState, rank: number, now: number): void {
     const { jobs, machines } = this.fleet;
     for (const each of assignmentsOf(job)) this.countRank(each, -1);
@@ -41,7 +41,7 @@
     }
   }
 
-  /** What depends on the rank that counts for the assignment's job. */
+  /** Updates the sums that depend on the effective rank of the assignment's job. */
   private countRank(assignment: Assignment, sign: 1 | -1): void {
     const { machine, job } = assignment;
     if (job.isBestEffort) addAmounts(machine.usedBestEffort, job.spec, sign);
@@ -51,7 +51,7 @@
   }
 }
 
-/** Whether it is a replica that keeps its machine from becoming empty by itself. */
+/** Whether the assignment is a replica that keeps its machine from becoming empty until something stops it. */
 function isPersistentReplica({ job, stop }: Assignment): boolean {
   return stop === null && job.spec.kind === 'service' && !job.isBestEffort;
 }
--- a/packages/core/assignments/assignments.test.ts
+++ b/packages/core/assignments/assignments.test.ts
@@ -4,9 +4,9 @@
 import { SEEDED } from '../../testing/generators.js';
 import { aFleet, aJob, aMachine } from '../../testing/samples.js';
 
-test('a task that lost its place several times waits only once', () => {
-  // Guards against a task that was placed and taken back twice between two reads of the queue and
-  // then stood in it twice: it was started on two machines.
+test('a task that was assigned and stopped several times is queued only once', () => {
+  // Guards against a task that is assigned and stopped twice between two reads of the queue: it was queued twice and
+  // started on two machines.
   fc.assert(
     fc.property(fc.array(fc.nat(9), { maxLength: 60 }), (indexes) => {
       const fleet = aFleet();
@@ -27,7 +27,7 @@
   );
 });
 
-test('a task that may be elsewhere is never given a second place', () => {
+test('a task that may still be on a machine is never assigned to a second one', () => {
   const fleet = aFleet();
   const job = fleet.addJob(aJob({ tasks: 1 }), 0, 'accepted', 0);
   fleet.assignments.assign(job, 0, aMachine(fleet, 'n-1'), 1, 0);
--- a/packages/core/assignments/assignments.ts
+++ b/packages/core/assignments/assignments.ts
@@ -1,4 +1,4 @@
-/** The life of assignments: how a task comes to a machine, is stopped there, and gives its place up. */
+/** The life cycle of assignments: a task is assigned to a machine, is stopped there, and ends. */
 import { taskName } from '#wire';
 import type { FleetData } from '../fleet-data.js';
 import { dominantShare } from '../model/amounts.js';
@@ -11,7 +11,7 @@
 import { type AssignmentOptions, newAssignment } from './new-assignment.js';
 
 /**
- * Gives tasks to machines, stops them, and gives their places up once they are proven gone. At most one
+ * Assigns tasks to machines, stops them, and removes their assignments once they are proven gone. At most one
  * assignment of a task is made at a time (docs/safety.md, point 5). Times are seconds of the steady clock.
  */
 export class Assignments {
@@ -23,12 +23,12 @@
     this.accounting = new AssignmentAccounting(fleet);
   }
 
-  /** An attempt number that no other start of any term has. */
+  /** Returns an attempt number that no other call in any term returns. */
   newAttempt(): number {
     return this.attempts.next();
   }
 
-  /** Gives a waiting task to a machine; throws if it may still be elsewhere. */
+  /** Assigns a waiting task to a machine. Throws if the task does not wait, or may still be on another machine. */
   assign(job: JobState, index: number, machine: Machine, attempt: number, now: number): Assignment {
     if (
       job.assignments.has(index) ||
@@ -36,7 +36,7 @@
       job.phase !== 'accepted' ||
       job.hasOpenDependencies
     ) {
-      throw new Error(`${job.spec.id}/${index} does not wait for a place`);
+      throw new Error(`task ${job.spec.id}/${index} does not wait for a machine`);
     }
     const assignment = this.add({ job, index, machine, attempt }, 'placed', now);
     this.fleet.unrecorded.markMachineUrgent(machine.name, job.rank);
@@ -44,15 +44,18 @@
     return assignment;
   }
 
-  /** An assignment found in the record that an earlier term left. */
+  /** Adds an assignment that was read from a record of an earlier term. */
   inherit(job: JobState, index: number, machine: Machine, attempt: number, now: number): void {
     const assignment = this.add({ job, index, machine, attempt }, 'inherited', now);
-    // One whose job has open dependencies was begun by a version that knows nothing of these.
+    // A task whose job has open dependencies was started by a version that does not support dependencies.
     if (job.phase !== 'accepted' || job.hasOpenDependencies) this.stop(assignment, 0, now);
     this.fleet.jobs.leaveQueueIfNoneWaits(job);
   }
 
-  /** A task that a heartbeat lists though nothing is recorded; it holds its place until it is gone. */
+  /**
+   * Adds an assignment for a task that a heartbeat lists though no record names it, and stops the task. The assignment
+   * is kept until the task is proven gone.
+   */
   adoptUnrecorded(
     job: JobState,
     index: number,
@@ -84,18 +87,18 @@
     return assignment;
   }
 
-  /** Another rank counts for the job from now on, also for what it has running. */
+  /** Changes the effective rank of the job and of its assignments. */
   changeRank(job: JobState, rank: number, now: number): void {
     this.accounting.changeRank(job, rank, now);
   }
 
-  /** The place is durable in its machine's record. */
+  /** Marks the assignment as durable in its machine's record. */
   markRecorded(assignment: Assignment, now: number): void {
     assignment.recorded = true;
     assignment.job.replicas?.placeRecorded(assignment, now);
   }
 
-  /** Asks the task to stop within `graceS` seconds; it keeps its place until it is proven gone. */
+  /** Asks the task to stop within `graceS` seconds. Its assignment is kept until the task is proven gone. */
   stop(assignment: Assignment, graceS: number, now: number): void {
     if (this.endIfUnsent(assignment, now)) return;
     const { stop } = assignment;
@@ -110,7 +113,7 @@
     assignment.job.replicas?.memberStopping(assignment, now);
   }
 
-  /** Stops a task so that it can write a checkpoint; a gang stops as a whole. */
+  /** Stops a task with time to write a checkpoint. A gang is stopped as a whole. */
   stopGracefully(assignment: Assignment, now: number): void {
     const { spec } = assignment.job;
     const graceS = spec.checkpointS > 0 ? spec.saveS + this.fleet.settings.heartbeatIntervalS : 0;
@@ -118,7 +121,7 @@
     for (const each of toStop) this.stop(each, graceS, now);
   }
 
-  /** Ends an assignment whose start was never sent to the worker, and so never will be. */
+  /** Ends the assignment if its start was never sent to the worker, and so never will be. Returns whether it did. */
   endIfUnsent(assignment: Assignment, now: number): boolean {
     const { startSent, inherited, reportedState } = assignment;
     if (startSent || inherited || reportedState !== null) return false;
@@ -126,12 +129,12 @@
     return true;
   }
 
-  /** Everything that was on the machine is gone. */
+  /** Ends all assignments on a machine whose tasks are all proven gone. */
   endAllOn(machine: Machine, now: number): void {
     for (const assignment of [...machine.tasks.values()]) this.end(assignment, 'lost', false, now);
   }
 
-  /** The task is proven gone from its machine (docs/safety.md, point 5). */
+  /** Ends an assignment whose task is proven gone from its machine (docs/safety.md, point 5). */
   end(assignment: Assignment, cause: EndCause, checkpointed: boolean, now: number): void {
     const { job, machine } = assignment;
     const { jobs, unrecorded, listener } = this.fleet;
@@ -142,12 +145,12 @@
     unrecorded.machines.add(machine.name);
     this.requeueTask(assignment, cause, now);
     job.replicas?.placeEnded(assignment, cause, now);
-    // After all that the end is charged for: the queues are kept in the order of service.
+    // The job joins the queue after all charges for the end, because the queues are ordered by received service.
     jobs.joinQueueIfAnyWaits(job, now);
     listener.taskEnded({ assignment, cause, checkpointed }, now);
   }
 
-  /** False if the assignment has ended before. */
+  /** Removes the assignment from its machine. Returns false if it had already ended. */
   private removeFromMachine(assignment: Assignment): boolean {
     const { job, index, machine, stop } = assignment;
     const name = taskName(job.spec.id, index);
@@ -157,7 +160,7 @@
     return true;
   }
 
-  /** A task that is not done waits again, unless its job is over. */
+  /** Lets the task of an ended assignment wait again, unless the task is done or its job is over. */
   private requeueTask(assignment: Assignment, cause: EndCause, now: number): void {
     const { job, index } = assignment;
     if (job.phase !== 'accepted' || job.done.has(index)) return;
@@ -167,8 +170,8 @@
   }
 
   /**
-   * A gang that lost a task ends as a whole; the next attempt goes on from its checkpoint. The tasks of a
-   * gang find each other by attempt, so the end of an older attempt's task does not touch a newer one.
+   * Stops the rest of a gang's attempt after one of its tasks ended; the next attempt resumes from the checkpoint. The
+   * tasks of a gang find each other by attempt, so the end of a task of an older attempt does not affect a newer one.
    */
   private stopRestOfAttempt({ job, attempt }: Assignment, now: number): void {
     for (const peer of assignmentsOf(job)) {
--- a/packages/core/assignments/attempt-numbers.ts
+++ b/packages/core/assignments/attempt-numbers.ts
@@ -1,18 +1,18 @@
-/** Attempt numbers, by which a task's starts are told apart (docs/safety.md, point 10). */
+/** Attempt numbers, which distinguish the starts of a task (docs/safety.md, point 10). */
 
 /**
- * Attempt numbers that one term may use. A transaction raises the revision, and with it every later term, by one,
- * and can record far fewer assignments: so numbers never repeat, also across terms.
+ * Attempt numbers that one term may use. Each transaction raises the revision, and with it every later term, by one,
+ * and can record far fewer assignments than this. So attempt numbers never repeat, not even across terms.
  */
 const ATTEMPTS_PER_TERM = 65_536;
 
-/** The attempt numbers of one term. */
+/** Generates the attempt numbers of one term. */
 export class AttemptNumbers {
   private usedCount = 0;
 
   constructor(private readonly term: number) {}
 
-  /** A number that no other start of any term has. */
+  /** Returns a number that no other call in any term returns. */
   next(): number {
     return this.term * ATTEMPTS_PER_TERM + this.usedCount++;
   }
--- a/packages/core/assignments/image-cache.ts
+++ b/packages/core/assignments/image-cache.ts
@@ -1,10 +1,10 @@
-/** An estimate of the images that a machine's worker has fetched; the worker's own cache decides. */
+/** An estimate of the images that a machine's worker has fetched; the worker's own cache is authoritative. */
 import type { Job } from '#wire';
 import type { Machine } from '../model/entities.js';
 
 /**
- * Records that the machine fetches or uses the job's image, and which images its worker drops for that:
- * the least recently used beyond `cacheGb`, in GB.
+ * Records that the machine fetches or uses the job's image, and removes the images that its worker evicts for it: the
+ * least recently used ones beyond `cacheGb`, in GB.
  */
 export function recordImageUse(machine: Machine, job: Job, cacheGb: number): void {
   const { images } = machine;
--- a/packages/core/assignments/new-assignment.ts
+++ b/packages/core/assignments/new-assignment.ts
@@ -1,7 +1,7 @@
-/** How an assignment begins. */
+/** The initial state of an assignment. */
 import type { Assignment, JobState, Machine } from '../model/entities.js';
 
-/** What decides an assignment. */
+/** The task, machine and attempt of a new assignment. */
 export interface AssignmentOptions {
   job: JobState;
   /** Index of the task in its job. */
@@ -10,7 +10,10 @@
   attempt: number;
 }
 
-/** An assignment that is not recorded, whose start was not sent, and that no heartbeat lists; `share` of the fleet is booked for it. */
+/**
+ * Creates an assignment that is not recorded, whose start was not sent, and that no heartbeat has listed. `share` is
+ * the share of the fleet that is booked for it.
+ */
 export function newAssignment(
   { job, index, machine, attempt }: AssignmentOptions,
   share: number,
--- a/packages/core/chained-jobs.test.ts
+++ b/packages/core/chained-jobs.test.ts
@@ -34,7 +34,7 @@
   return fleet.addJob(job, 0, 'accepted', 0, { dependencies });
 }
 
-test('a job with open dependencies has no place, no queue and no demand until they are done, and its turn begins then', () => {
+test('a job with open dependencies is not queued, assigned or reserved for, and is startable once they are done', () => {
   const { fleet, scheduler } = createScheduledFleet();
   aMachine(fleet, 'n-1');
   const first = addJob(fleet, { id: 'j-1' }, true);
@@ -65,7 +65,7 @@
   assert.equal(fleet.jobs.get('j-1'), undefined);
 });
 
-test('a task of a job with open dependencies, begun by a version that knows nothing of these, is stopped', () => {
+test('a task of a job with open dependencies, started by a version that does not support dependencies, is stopped', () => {
   const { fleet } = createScheduledFleet();
   const machine = aMachine(fleet, 'n-1');
   const job = addJob(fleet, { id: 'j-1' }, true);
@@ -82,7 +82,7 @@
   assert.ok(outcome.kind === 'answer' && outcome.orders.some(({ op }) => op === 'stop'));
 });
 
-test('the rank of a dependent counts for a job that waits, and it is no longer best-effort', () => {
+test('a waiting best-effort job that gets the rank of a dependent is no longer best-effort and is placed first', () => {
   const { fleet, scheduler } = createScheduledFleet();
   const machine = aMachine(fleet, 'n-1');
   const normal = addJob(fleet, { id: 'j-1', rank: 2, gpus: 4 });
@@ -100,7 +100,7 @@
   assert.deepEqual([machine.firmTasks, machine.usedBestEffort.gpus, machine.idleSince], [0, 4, 3]);
 });
 
-test('what a job has running counts by the rank of a dependent that is submitted later', () => {
+test('running tasks of a job count under the rank of a dependent that is submitted later', () => {
   const { fleet, scheduler } = createScheduledFleet();
   const machine = aMachine(fleet, 'n-1');
   const low = addJob(fleet, { id: 'j-1', rank: 3, gpus: 1, tasks: 4 });
@@ -113,7 +113,7 @@
     .groups()
     .map(({ rank, tasks, isBestEffort: bestEffort }) => [rank, tasks, bestEffort]);
   assert.deepEqual(groups, [[1, 4, false]]);
-  // Work of a rank between the two preempts none of it now.
+  // A job of rank 2 would preempt tasks of rank 3, but none of rank 1.
   addJob(fleet, { id: 'j-2', rank: 2, gpus: 1 });
   scheduler.round(60);
   assert.deepEqual(
--- a/packages/core/fleet-data.ts
+++ b/packages/core/fleet-data.ts
@@ -1,4 +1,4 @@
-/** The data that all operations on a shard's fleet share. */
+/** The data of a shard's fleet that all operations on it share. */
 import { FailureTracker } from './failures/failure-tracker.js';
 import type { Random } from './failures/job-failures.js';
 import { type BestEffortTest, JobRegistry } from './model/job-registry.js';
@@ -12,7 +12,7 @@
 import { UnrecordedChanges } from './model/unrecorded-changes.js';
 import { UsageLedger } from './fair-share/usage-ledger.js';
 
-/** What the state of a shard's fleet is made from. */
+/** Options for creating the state of a shard's fleet. */
 export interface FleetOptions {
   settings: FleetSettings;
   /** The leader's term, which is also its fencing token (docs/safety.md, points 1 and 3). */
@@ -20,34 +20,34 @@
   /** When the leader was elected, in seconds of the steady clock. */
   electedAt: number;
   listener?: FleetListener;
-  /** Source of jitter for retries; without it waits have their full length. */
+  /** Source of jitter for retries; without it, each backoff has its full length. */
   random?: Random;
-  /** Tells which jobs run on capacity that is there anyway; none unless given. */
+  /** Decides which jobs are best-effort and run on spare capacity only; without it, no job is. */
   isBestEffort?: BestEffortTest;
-  /** Makes replicas of several members; without it each task of a service is by itself. */
+  /** Groups the tasks of services into replicas of several members; without it, tasks are not grouped. */
   makeReplicas?: MakeReplicas;
 }
 
 /**
- * The data of a shard's fleet. Operations on it take this class; `FleetState` extends it by the operations, so that
- * callers find both in one place.
+ * The data of a shard's fleet. Operations on the fleet take this class as an argument. `FleetState` extends it and
+ * creates the operations, so that callers reach both through one object.
  */
 export class FleetData {
   readonly settings: FleetSettings;
   readonly term: number;
   readonly electedAt: number;
   readonly listener: FleetListener;
-  /** Changes that are not durable yet. */
+  /** Changes that are not yet durable in the state service. */
   readonly unrecorded = new UnrecordedChanges();
   readonly jobs: JobRegistry;
   readonly machines: MachineRegistry;
-  /** Names of machines that are gone. */
+  /** Names of machines that the cloud has deprovisioned. */
   readonly released: ReleasedMachines;
   readonly usage: UsageLedger;
-  /** Capacity that preemption has freed, and for whom. */
+  /** Free capacity that is held for one job, for example after preemption. */
   readonly holds = new CapacityHolds();
   readonly failures: FailureTracker;
-  /** Machines for which a direct command may be due. */
+  /** Machines to which a direct command may have to be sent. */
   readonly machinesWithCommands = new Set<Machine>();
 
   constructor(options: FleetOptions) {
--- a/packages/core/fleet-state.ts
+++ b/packages/core/fleet-state.ts
@@ -13,29 +13,29 @@
 import { StartFencing } from './heartbeats/start-fencing.js';
 import { TaskReconciler } from './heartbeats/task-reconciler.js';
 
-/** What is known of a job beside its submission. */
+/** Properties of a job that are not part of its submission. */
 export interface JobOptions {
-  /** How its tasks form replicas; without it each is by itself. */
+  /** How the job's tasks form replicas; without it, tasks are not grouped. */
   shape?: ReplicaShape;
-  /** What other jobs mean for it; without it the job has neither dependencies nor dependents. */
+  /** How other jobs affect this one; without it, the job has neither dependencies nor dependents. */
   dependencies?: Dependencies;
 }
 
 /**
- * What the leader of a shard knows of its machines, jobs and tasks. A pure state machine: time and
- * messages come in as arguments, and what must be made durable comes out in `unrecorded`. A place is
- * given up only when the task is proven gone (docs/safety.md, point 5). Times are seconds of the steady clock.
+ * What the leader of a shard knows of its machines, jobs and tasks. It is a pure state machine: time and messages are
+ * passed in as arguments, and changes that must be made durable are listed in `unrecorded`. An assignment is removed
+ * only when its task is proven gone (docs/safety.md, point 5). Times are seconds of the steady clock.
  */
 export class FleetState extends FleetData {
-  /** Starts, stops and ends of tasks. */
+  /** Assigns, stops and ends tasks. */
   readonly assignments: Assignments;
-  /** The expiry of workers' leases. */
+  /** Expires workers' leases. */
   readonly leases: MachineLeases;
-  /** Fencing of starts that were not acknowledged. */
+  /** Fences off starts that were not acknowledged. */
   readonly fencing: StartFencing;
   /** Applies workers' heartbeats. */
   readonly heartbeats: HeartbeatProcessor;
-  /** Orders that don't wait for a heartbeat. */
+  /** Orders that are sent to workers without waiting for a heartbeat. */
   readonly directOrders: DirectOrders;
 
   private readonly makeReplicas: MakeReplicas | undefined;
@@ -51,7 +51,7 @@
     this.directOrders = new DirectOrders(this, this.fencing, tasks);
   }
 
-  /** Adds the job of a record; of a known job only a final phase is news. */
+  /** Adds the job of a record. If the job is already known, only a final phase is applied to it. */
   addJob(
     job: Job,
     acceptedAt: number,
@@ -77,12 +77,12 @@
     return (job) => makeReplicas(job, shape);
   }
 
-  /** Dependents have come or gone: another rank counts for the job and for what it has running. */
+  /** Changes the effective rank of a job and of its assigned tasks, after dependents were added or removed. */
   changeRank(job: JobState, rank: number, now: number): void {
     if (job.phase === 'accepted' && job.rank !== rank) this.assignments.changeRank(job, rank, now);
   }
 
-  /** A final phase that the state service holds. All tasks of the job are stopped. */
+  /** Applies a final phase that the state service holds, and stops all tasks of the job. */
   closeJob(job: JobState, phase: 'cancelled' | 'done', now: number): void {
     if (job.phase !== 'accepted') return;
     this.jobs.setFinalPhase(job, phase);
@@ -95,7 +95,7 @@
     this.listener.jobClosed(job, now);
   }
 
-  /** The cloud has confirmed that it deprovisioned the machine: it and all that was on it are gone. */
+  /** Removes a machine that the cloud has confirmed as deprovisioned, and ends all tasks that were on it. */
   removeMachine(name: string, now: number): void {
     const machine = this.machines.get(name);
     if (!machine) return;
--- a/packages/core/gang-attempts.test.ts
+++ b/packages/core/gang-attempts.test.ts
@@ -9,9 +9,9 @@
   return { job: GANG.id, index, attempt, state, cause: null, checkpointed: false };
 }
 
-test("the end of an old attempt's task does not stop the attempt that a gang runs now", () => {
-  // Guards against a cut zone whose held heartbeats, once the cut is over, end the gang that was placed
-  // elsewhere since; and against the same by a late copy that a new leader reads first.
+test("the end of a task of an old attempt does not stop the gang's current attempt", () => {
+  // Guards against a zone that was partitioned off: its delayed heartbeats, delivered after the partition, ended the
+  // gang that had since been placed elsewhere. A late copy of a heartbeat that a new leader reads first did the same.
   const fleet = aFleet();
   const job = fleet.addJob(GANG, 0, 'accepted', 0);
   aMachine(fleet, 'n-1');
@@ -19,13 +19,17 @@
     fleet.assignments.assign(job, i, aMachine(fleet, name), 2, 0),
   );
   current[0].recorded = true;
-  // The old attempt as the held heartbeat lists it, and then the next agent epoch, which has lost it.
+  // The delayed heartbeat lists the old attempt; the heartbeat of the next agent epoch below no longer lists it.
   fleet.heartbeats.handle(aHeartbeat({ sequence: 1, tasks: [runningTask(0, 1)] }), 1);
   assert.equal(job.assignments.get(0)?.length, 2);
   current[1].recorded = true;
   const outcome = fleet.heartbeats.handle(aHeartbeat({ machine: 'n-2' }), 1.5);
   const start = { op: 'start', job: GANG.id, index: 0, attempt: 2 };
-  assert.deepEqual(outcome, { kind: 'answer', orders: [start] }, 'the old one holds nothing up');
+  assert.deepEqual(
+    outcome,
+    { kind: 'answer', orders: [start] },
+    'the old attempt does not delay the start',
+  );
   fleet.heartbeats.handle(
     aHeartbeat({ machine: 'n-2', sequence: 2, tasks: [runningTask(0, 2)] }),
     2,
@@ -33,7 +37,7 @@
   fleet.heartbeats.handle(aHeartbeat({ sequence: 2, agentEpoch: 2 }), 3);
   assert.deepEqual([...job.assignments.values()].flat(), current);
   assert.ok(current.every(({ stop }) => stop === null));
-  // An end of the attempt's own task still ends all of it.
+  // The end of a task of the current attempt still ends the whole attempt.
   fleet.heartbeats.handle(aHeartbeat({ machine: 'n-2', sequence: 3, tasks: [] }), 4);
   assert.equal(job.assignments.size, 0);
 });
--- a/packages/core/index.ts
+++ b/packages/core/index.ts
@@ -1,6 +1,6 @@
 /**
- * The scheduler as pure state machines: no I/O, no clock, no randomness of their own. `FleetState` holds what the
- * leader knows of its shard; the scheduler and the capacity planner decide on it.
+ * The scheduler as pure state machines, which have no I/O, clock or randomness of their own. `FleetState` holds what
+ * the leader knows of its shard; the scheduler and the capacity planner make their decisions from it.
  */
 export * from './fleet-state.js';
 export type { FleetOptions } from './fleet-data.js';
--- a/packages/core/safety.test.ts
+++ b/packages/core/safety.test.ts
@@ -12,11 +12,11 @@
   return violations;
 }
 
-test('no rule is broken while leaders, workers and messages fail', () => {
+test('no safety rule is violated while leaders, workers and messages fail', () => {
   assert.deepEqual([...findViolations('none', SEEDS)], []);
 });
 
-// Each check is shown to be able to fail by one deliberate mistake.
+// Shows for each deliberate mistake that a check can fail: the check of the violated rule must detect the mistake.
 const expectedViolations: [LeaderMistake, LeaderViolation][] = [
   ['short-lease', 'ran_twice'],
   ['trusts-former-owner', 'ran_twice'],
@@ -30,7 +30,7 @@
   ['done-early', 'not_done'],
 ];
 for (const [mistake, rule] of expectedViolations) {
-  test(`the check of ${rule} notices ${mistake}`, () => {
+  test(`the check of ${rule} detects the mistake ${mistake}`, () => {
     assert.ok(findViolations(mistake, SEEDS).has(rule));
   });
 }
