--- a/packages/controller/jobs/job-intake.test.ts
+++ b/packages/controller/jobs/job-intake.test.ts
@@ -7,7 +7,7 @@
 const LIMITS = { rps: 100, writeRps: 100, valueBytes: 8192, txnOps: 24 };
 
 /** An intake whose users have asked to cancel these jobs. */
-async function anIntake(requested: string[]) {
+async function createIntake(idsToCancel: string[]) {
   const world = await StateWorld.start(LIMITS);
   const fleet = aFleet();
   const arrivals: string[] = [];
@@ -16,7 +16,7 @@
     fleet,
     planner: { jobArrived: (job) => void arrivals.push(job.id) },
     jobs: {
-      isCancelled: (id) => requested.includes(id),
+      isCancelled: (id) => idsToCancel.includes(id),
       hasOpenDependencies: () => false,
       openDependenciesOf: () => [],
       urgencyOf: () => ({ rank: 2, dueAtMs: Infinity }),
@@ -26,16 +26,16 @@
   return { fleet, intake, arrivals };
 }
 
-function accepted(id: string): JobRecord {
+function createAcceptedRecord(id: string): JobRecord {
   return { job: aJob({ id }), acceptedAtMs: 0, phase: 'accepted', version: 1 };
 }
 
 test('a job whose cancellation was requested before its leader read it is never begun', async () => {
   // Guards against starts in the half heartbeat interval until a new leader, or the leader of a job that came
   // after the request, looked at what users had asked for.
-  const { fleet, intake, arrivals } = await anIntake(['j-1']);
-  intake.accept(accepted('j-1'));
-  intake.accept(accepted('j-2'));
+  const { fleet, intake, arrivals } = await createIntake(['j-1']);
+  intake.accept(createAcceptedRecord('j-1'));
+  intake.accept(createAcceptedRecord('j-2'));
   assert.deepEqual(arrivals, ['j-1', 'j-2']);
   assert.deepEqual(
     [...fleet.jobs.waiting].map((job) => job.spec.id),
@@ -46,13 +46,13 @@
   const job = fleet.jobs.get('j-1')!;
   fleet.assignments.inherit(job, 0, aMachine(fleet, 'n-1'), 1, 0);
   assert.equal(job.assignments.get(0)?.[0].stop?.graceS, 0);
-  intake.accept({ ...accepted('j-1'), phase: 'cancelled', version: 2 });
+  intake.accept({ ...createAcceptedRecord('j-1'), phase: 'cancelled', version: 2 });
   assert.equal(intake.unrecorded.size, 0);
 });
 
 test('a request ends a job that was begun, and only once', async () => {
-  const { fleet, intake } = await anIntake([]);
-  intake.accept(accepted('j-1'));
+  const { fleet, intake } = await createIntake([]);
+  intake.accept(createAcceptedRecord('j-1'));
   assert.ok(intake.cancel('j-1'));
   assert.ok(!intake.cancel('j-1'));
   assert.ok(!intake.cancel('j-2'));
--- a/packages/controller/jobs/job-table.test.ts
+++ b/packages/controller/jobs/job-table.test.ts
@@ -15,7 +15,7 @@
 setFlagsFromString('--expose-gc');
 const collectGarbage = runInNewContext('gc') as () => void;
 
-async function aTable() {
+async function createTable() {
   const state = await StateWorld.start(LIMITS);
   const runtime = state.controller();
   const client = state.client(runtime);
@@ -25,14 +25,14 @@
 }
 
 /** As it comes from the state service: each job with texts of its own. */
-function aRecord(number: number, phase: 'accepted' | 'done'): [string, unknown] {
+function createRecordEntry(number: number, phase: 'accepted' | 'done'): [string, unknown] {
   const id = `j-${String(number).padStart(6, '0')}`;
   const job = aJob({ id, cpus: 0.25 + number / 1e6, memory: 0.9 + number / 1e6 });
   const value = encodeJob({ job, acceptedAtMs: 1_800_000_000_000 + number, phase });
   return [jobKey(id), JSON.parse(JSON.stringify(value)) as unknown];
 }
 
-function heapBytes(): number {
+function measureHeapBytes(): number {
   collectGarbage();
   return process.memoryUsage().heapUsed;
 }
@@ -42,23 +42,23 @@
   ['accepted', OPEN_JOB_BYTES],
 ] as const) {
   test(`a job that is ${phase} takes no more than ${limit} bytes, however many there are`, async () => {
-    const { cache, jobs } = await aTable();
-    const before = heapBytes();
+    const { cache, jobs } = await createTable();
+    const before = measureHeapBytes();
     const count = 20_000;
     for (let number = 0; number < count; number++) {
-      const [key, value] = aRecord(number, phase);
+      const [key, value] = createRecordEntry(number, phase);
       cache.applyLocal(key, value, number + 1);
     }
-    const perJob = (heapBytes() - before) / count;
+    const perJob = (measureHeapBytes() - before) / count;
     assert.equal([...jobs.ids()].length, count);
     assert.ok(perJob < limit, `${perJob} bytes`);
   });
 }
 
 test('a job that is over is still called by its last state, and recent ones are known in full', async () => {
-  const { cache, jobs } = await aTable();
+  const { cache, jobs } = await createTable();
   for (let number = 0; number < 2000; number++)
-    cache.applyLocal(...aRecord(number, 'done'), number + 1);
+    cache.applyLocal(...createRecordEntry(number, 'done'), number + 1);
   const view = { phase: 'done', done: 1, running: 0 };
   for (const id of ['j-000000', 'j-001999']) {
     assert.deepEqual(jobs.view(id, jobs.get(id)!), { id, ...view });
@@ -68,7 +68,7 @@
 });
 
 test('what becomes known of jobs is told by one event each, in order, also of those that depend on them', async () => {
-  const { cache, jobs } = await aTable();
+  const { cache, jobs } = await createTable();
   const events: string[] = [];
   jobs.events.subscribe((event) => {
     if (event.kind !== 'record') events.push(`${event.kind} ${event.job}`);
--- a/packages/controller/records/batch-collector.ts
+++ b/packages/controller/records/batch-collector.ts
@@ -7,9 +7,9 @@
 import type { RemovalMarker } from './removal-marker.js';
 
 /** Share of a transaction that is kept for jobs, so that no number of machines holds up their ends. */
-const JOB_SHARE = 1 / 3;
+const MIN_JOB_SHARE = 1 / 3;
 /** Share of a transaction that removes what is left of jobs that are over. */
-const REMOVAL_SHARE = 1 / 4;
+const MAX_REMOVAL_SHARE = 1 / 4;
 
 /** What a `BatchCollector` works on. */
 export interface BatchCollectorOptions {
@@ -29,23 +29,23 @@
   constructor(private readonly options: BatchCollectorOptions) {}
 
   /** Whether something is to be recorded that does not wait for spare changes. */
-  get hasUrgent(): boolean {
+  get hasUrgentChanges(): boolean {
     return this.options.fleet.unrecorded.anyUrgent;
   }
 
   /** Whether something is to be recorded once there are changes to spare. */
-  get hasDeferred(): boolean {
+  get hasDeferredChanges(): boolean {
     const { fleet, jobRecords } = this.options;
-    return fleet.unrecorded.machines.size > 0 || jobRecords.obsoleteCount > 0;
+    return fleet.unrecorded.machines.size > 0 || jobRecords.obsoleteChunkCount > 0;
   }
 
   /** How many changes the next transaction is to have, if it may have as many. */
-  wantedChanges(withDeferred: boolean): number {
+  countWantedChanges(includeDeferred: boolean): number {
     const { fleet, jobRecords } = this.options;
     const { urgentMachines, machines, jobs } = fleet.unrecorded;
-    if (!withDeferred) return urgentMachines.size + jobs.size;
+    if (!includeDeferred) return urgentMachines.size + jobs.size;
     // One is for the removal marker.
-    return machines.size + jobs.size + jobRecords.obsoleteCount + 1;
+    return machines.size + jobs.size + jobRecords.obsoleteChunkCount + 1;
   }
 
   /**
@@ -53,13 +53,13 @@
    * is recorded with the next start there, or while changes are to spare: until then a successor finds the
    * task absent as soon as it gets a heartbeat of the machine.
    */
-  collect(maxChanges: number, withDeferred: boolean): RecordBatch {
+  collect(maxChanges: number, includeDeferred: boolean): RecordBatch {
     const { fleet, limits, term, removalMarker } = this.options;
     const batch = new RecordBatch(term, removalMarker, limits, maxChanges);
-    this.addJobs(batch, Math.ceil(maxChanges * JOB_SHARE));
+    this.addJobs(batch, Math.ceil(maxChanges * MIN_JOB_SHARE));
     this.addMachines(batch, this.urgentMachines());
     this.addJobs(batch, maxChanges);
-    if (withDeferred) {
+    if (includeDeferred) {
       this.addMachines(batch, [...fleet.unrecorded.machines]);
       this.addRemovals(batch);
     }
@@ -68,8 +68,8 @@
 
   /** Those whose records starts wait for, the most urgent first. */
   private urgentMachines(): string[] {
-    const byRank = [...this.options.fleet.unrecorded.urgentMachines];
-    return byRank.sort(([, one], [, other]) => one - other).map(([name]) => name);
+    const namesWithRank = [...this.options.fleet.unrecorded.urgentMachines];
+    return namesWithRank.sort(([, one], [, other]) => one - other).map(([name]) => name);
   }
 
   private addMachines(batch: RecordBatch, names: string[]): void {
@@ -82,9 +82,9 @@
   }
 
   private addRemovals(batch: RecordBatch): void {
-    const withRemovals = batch.changes.length + Math.ceil(batch.maxChanges * REMOVAL_SHARE);
-    const maxChanges = Math.min(withRemovals, batch.maxChanges);
-    for (const removal of this.options.jobRecords.removals()) {
+    const removalLimit = batch.changes.length + Math.ceil(batch.maxChanges * MAX_REMOVAL_SHARE);
+    const maxChanges = Math.min(removalLimit, batch.maxChanges);
+    for (const removal of this.options.jobRecords.obsoleteChunkDeletions()) {
       if (!batch.add(removal, maxChanges)) return;
     }
   }
--- a/packages/controller/records/batch-settlement.ts
+++ b/packages/controller/records/batch-settlement.ts
@@ -6,8 +6,8 @@
 import type { RecordBatch } from './record-batch.js';
 import { TermLostError } from './term-lost-error.js';
 
-/** What a `BatchSettlement` works on. */
-export interface BatchSettlementOptions {
+/** What a `FailedBatchResolver` works on. */
+export interface FailedBatchResolverOptions {
   client: StateClient;
   jobs: JobTable;
   term: Term;
@@ -15,29 +15,33 @@
 }
 
 /** Finds out whether an earlier copy of a failed transaction was applied, or somebody else changed a record. */
-export class BatchSettlement {
-  constructor(private readonly options: BatchSettlementOptions) {}
+export class FailedBatchResolver {
+  constructor(private readonly options: FailedBatchResolverOptions) {}
 
   /**
    * Settles a batch of which the records with these keys differ: an earlier copy of it was applied, or a user's
    * cancellation came between. Rejects with TermBroken if neither explains it, and with an error of the state
    * service if that can't tell; the batch may then be sent again.
    */
-  async settle(batch: RecordBatch, failedKeys: string[], signal: AbortSignal): Promise<void> {
+  async resolve(batch: RecordBatch, failedKeys: string[], signal: AbortSignal): Promise<void> {
     const { jobs, term, log } = this.options;
     // First of all, so that nothing of a cancelled job is begun, whatever else was applied.
     if (failedKeys.some(isJobKey)) {
       log.debug({ failed: failedKeys }, 'a job changed before its tasks or its end were recorded');
       await jobs.cache.sync();
     }
-    const revision = await this.appliedAt(batch, failedKeys, signal);
+    const revision = await this.findAppliedRevision(batch, failedKeys, signal);
     if (revision !== null) {
       for (const change of batch.changes) change.onDurable(revision);
       return;
     }
-    const changed = failedKeys.find((key) => !isJobKey(key));
-    if (changed !== undefined) {
-      throw new TermLostError(term.term, 'record-changed', `somebody else has changed ${changed}`);
+    const changedKey = failedKeys.find((key) => !isJobKey(key));
+    if (changedKey !== undefined) {
+      throw new TermLostError(
+        term.term,
+        'record-changed',
+        `somebody else has changed ${changedKey}`,
+      );
     }
     for (const change of batch.changes) change.onNotApplied?.();
   }
@@ -46,7 +50,7 @@
    * The revision at which an earlier copy of the batch was applied, or null. It is read from a record that
    * the batch put: one that it deleted has none.
    */
-  private async appliedAt(
+  private async findAppliedRevision(
     batch: RecordBatch,
     failedKeys: readonly string[],
     signal: AbortSignal,
@@ -56,11 +60,11 @@
     if (!batch.changes.every(({ key }) => failedKeys.includes(key))) return null;
 
     // eslint-disable-next-line @typescript-eslint/no-non-null-assertion -- beside deletions the marker is put
-    const put = batch.changes.map(({ change }) => change).find(isPut)!;
-    const entry = await client.callUrgent(signal, (api) => api.get(put.put, signal));
-    if (entry === null || !isSameValue(entry.value, put.value)) return null;
+    const firstPut = batch.changes.map(({ change }) => change).find(isPut)!;
+    const entry = await client.callUrgent(signal, (api) => api.get(firstPut.put, signal));
+    if (entry === null || !isEqualJson(entry.value, firstPut.value)) return null;
     if (entry.version > term.term) return entry.version;
-    const detail = `${put.put} has had its value since before the term`;
+    const detail = `${firstPut.put} has had its value since before the term`;
     throw new TermLostError(term.term, 'record-older-than-term', detail);
   }
 }
@@ -74,7 +78,7 @@
 }
 
 /** Key order does not matter. */
-function isSameValue(one: unknown, other: unknown): boolean {
+function isEqualJson(one: unknown, other: unknown): boolean {
   return canonicalJson(one) === canonicalJson(other);
 }
 
--- a/packages/controller/records/cancellation-recorder.test.ts
+++ b/packages/controller/records/cancellation-recorder.test.ts
@@ -13,15 +13,15 @@
 } from '#testing';
 
 const HEARTBEAT_INTERVAL_S = SMALL_CLUSTER.deployment.workers.report_s;
-const ID = 'j-1';
+const JOB_ID = 'j-1';
 
 /** A cluster whose job runs, and the controllers that don't lead. */
-async function aClusterWithJob() {
+async function startClusterWithRunningJob() {
   const cluster = new Cluster(SMALL_CLUSTER, 3);
   const runtime = cluster.serviceRuntime('users', 'users', USERS_HOST);
   const userAt = ({ index }: SimulatedController) =>
     new UserClient(formatAddress(serviceAddress(index)), 5000, runtime);
-  const job = aJob({ id: ID });
+  const job = aJob({ id: JOB_ID });
   cluster.storage.upload({ job, runS: [1000], failsAfterS: null });
   await cluster.start();
   await cluster.world.runUntil(10);
@@ -32,46 +32,46 @@
   return { cluster, followers, userAt };
 }
 
-function recordOf(cluster: Cluster) {
-  const entry = cluster.state.store.get(jobKey(ID))!;
+function readJobRecord(cluster: Cluster) {
+  const entry = cluster.state.store.get(jobKey(JOB_ID))!;
   return decodeJob(entry.value, entry.version);
 }
 
 test('a cancellation whose controller ends before it is recorded is recorded by the leader', async () => {
   // Guards against jobs that were ended in memory, but called pending until another leader began them again.
-  const { cluster, followers, userAt } = await aClusterWithJob();
+  const { cluster, followers, userAt } = await startClusterWithRunningJob();
   assert.equal(cluster.timeline.of('task-started').length, 1);
   cluster.state.beginLateWrites(1, [30, 30]);
   userAt(followers[0])
-    .abort(ID)
+    .abort(JOB_ID)
     .catch((err: unknown) => assert.ok(err instanceof NoAnswer));
   await cluster.world.runUntil(60.2);
   cluster.state.endLateWrites();
   followers[0].process.crash();
   await cluster.world.runUntil(60.2 + 3 * HEARTBEAT_INTERVAL_S);
-  assert.equal(recordOf(cluster).phase, 'accepted');
+  assert.equal(readJobRecord(cluster).phase, 'accepted');
   await cluster.world.runUntil(60.2 + 8 * HEARTBEAT_INTERVAL_S);
-  const recorded = recordOf(cluster);
+  const recorded = readJobRecord(cluster);
   assert.equal(recorded.phase, 'cancelled');
   // The late write of the controller that ended changes nothing.
   await cluster.world.runUntil(100);
-  assert.equal(recordOf(cluster).version, recorded.version);
+  assert.equal(readJobRecord(cluster).version, recorded.version);
   assert.deepEqual(cluster.world.uncaught, []);
 });
 
 test('a job that is recorded as done while its cancellation waits for its record stays done', async () => {
-  const { cluster, followers, userAt } = await aClusterWithJob();
+  const { cluster, followers, userAt } = await startClusterWithRunningJob();
   cluster.state.beginLateWrites(1, [30, 30]);
   userAt(followers[0])
-    .abort(ID)
+    .abort(JOB_ID)
     .catch((err: unknown) => assert.ok(err instanceof NoAnswer));
   await cluster.world.runUntil(60.2);
   cluster.state.endLateWrites();
-  const { value } = cluster.state.store.get(jobKey(ID))!;
+  const { value } = cluster.state.store.get(jobKey(JOB_ID))!;
   const done = { ...(value as object), phase: 'done' };
-  const version = cluster.state.store.apply([{ put: jobKey(ID), value: done }]);
+  const version = cluster.state.store.apply([{ put: jobKey(JOB_ID), value: done }]);
   await cluster.world.runUntil(60.2 + 12 * HEARTBEAT_INTERVAL_S);
-  assert.equal(recordOf(cluster).phase, 'done');
-  assert.equal(recordOf(cluster).version, version);
+  assert.equal(readJobRecord(cluster).phase, 'done');
+  assert.equal(readJobRecord(cluster).version, version);
   assert.deepEqual(cluster.world.uncaught, []);
 });
--- a/packages/controller/records/cancellation-recorder.ts
+++ b/packages/controller/records/cancellation-recorder.ts
@@ -6,7 +6,7 @@
 import { jobEnding } from './job-ending.js';
 
 /** Heartbeat intervals that the controller with the request has to record it, and between attempts. */
-const PATIENCE_INTERVALS = 4;
+const RECORD_DELAY_INTERVALS = 4;
 
 /** What a `CancellationRecorder` works on. */
 export interface CancellationRecorderOptions {
@@ -34,7 +34,7 @@
     if (unrecorded.size === 0 || client.isFailing) return;
     const now = clock.now();
     for (const [id, waitingSince] of unrecorded) {
-      if (now < waitingSince + PATIENCE_INTERVALS * heartbeatIntervalS) continue;
+      if (now < waitingSince + RECORD_DELAY_INTERVALS * heartbeatIntervalS) continue;
       unrecorded.set(id, now);
       this.record(id).catch((err: unknown) => {
         log.debug({ job: id, err: String(err) }, 'cancellation not recorded, will be retried');
--- a/packages/controller/records/flush-loop.ts
+++ b/packages/controller/records/flush-loop.ts
@@ -14,13 +14,13 @@
 
 /** Records what a leader has decided, one transaction after another, for as long as its term lasts. */
 export class FlushLoop {
-  private readonly idle: WakeableWait;
+  private readonly idleWait: WakeableWait;
   private paused = false;
   /** Called while no transaction is under way. */
-  private onIdle: (() => void) | null = null;
+  private resolvePause: (() => void) | null = null;
 
   constructor(private readonly options: FlushLoopOptions) {
-    this.idle = new WakeableWait(options.clock);
+    this.idleWait = new WakeableWait(options.clock);
   }
 
   /** Runs until the signal aborts; rejects with TermBroken if the term must end. */
@@ -31,30 +31,30 @@
         await recorder.flush(signal);
         onFlushed(signal);
       } else {
-        this.onIdle?.();
-        await this.idle.wait(idleMs, signal);
+        this.resolvePause?.();
+        await this.idleWait.wait(idleMs, signal);
       }
     }
   }
 
   /** There may be something to record. */
   wake(): void {
-    this.idle.wake();
+    this.idleWait.wake();
   }
 
   /** Records nothing more; resolves once no transaction is under way. */
   pause(): Promise<void> {
     this.paused = true;
     return new Promise((resolve) => {
-      this.onIdle = resolve;
-      this.idle.wake();
+      this.resolvePause = resolve;
+      this.idleWait.wake();
     });
   }
 
   /** Records again after a pause. */
   resume(): void {
     this.paused = false;
-    this.onIdle = null;
-    this.idle.wake();
+    this.resolvePause = null;
+    this.idleWait.wake();
   }
 }
--- a/packages/controller/records/job-records.test.ts
+++ b/packages/controller/records/job-records.test.ts
@@ -5,7 +5,7 @@
 import { aJob, aMachine, aRecorder, RECORDER_LIMITS } from '#testing';
 
 /** A job of many tasks of which some are done. */
-function aJobWithDone(fleet: FleetState, done: number[], tasks = 100_000) {
+function ensureJobWithDoneTasks(fleet: FleetState, done: number[], tasks = 100_000) {
   const job = fleet.jobs.get('j-1') ?? fleet.addJob(aJob({ id: 'j-1', tasks }), 0, 'accepted', 0);
   for (const index of done) fleet.jobs.markDone(job, index);
   return job;
@@ -25,7 +25,7 @@
     const { state, fleet, record, sync, flush, tasksOn } = await aRecorder({ valueBytes, txnOps });
     record(aJob({ id: 'j-1', tasks: 100_000 }), 'accepted');
     await sync();
-    const job = aJobWithDone(fleet, done);
+    const job = ensureJobWithDoneTasks(fleet, done);
     const machine = aMachine(fleet, 'n-1');
     let tasks = 0;
     while (tasks < 700 && machine.recordBytes + LARGEST_ENTRY <= valueBytes)
@@ -35,7 +35,7 @@
     assert.equal(tasksOn('n-1')?.length, tasks);
     assert.equal(fleet.unrecorded.doneTasksOf(job.spec.id).size, 0);
     const revision = state.service.store.revision;
-    aJobWithDone(fleet, [60_001]);
+    ensureJobWithDoneTasks(fleet, [60_001]);
     await flush();
     // Only the chunk that differs is written.
     assert.equal(state.service.store.revision, revision + 1);
@@ -52,7 +52,7 @@
     const job = fleet.addJob(aJob({ id: `j-1${i}` }), 0, 'accepted', 0);
     fleet.assignments.assign(job, 0, aMachine(fleet, `n-${i}`), 1, 0).recorded = true;
   }
-  aJobWithDone(fleet, [0], 1);
+  ensureJobWithDoneTasks(fleet, [0], 1);
   void recorder.flush(new AbortController().signal);
   await state.run(0.1);
   const value = state.service.store.get('jobs/j-1')?.value as { phase: string };
--- a/packages/controller/records/job-records.ts
+++ b/packages/controller/records/job-records.ts
@@ -42,9 +42,9 @@
 export class JobRecords {
   private readonly layout: ProgressLayout;
   /** Versions, by key, of the chunks of each open job. */
-  private readonly chunks = new Map<string, Map<string, number>>();
+  private readonly chunkVersions = new Map<string, Map<string, number>>();
   /** Versions, by key, of chunks whose jobs are over. */
-  private readonly obsolete = new Map<string, number>();
+  private readonly obsoleteChunks = new Map<string, number>();
 
   constructor(private readonly options: JobRecordsOptions) {
     this.layout = new ProgressLayout(options.limits);
@@ -57,16 +57,16 @@
     if (job?.phase === 'accepted') {
       const first = this.layout.firstTask(label, value);
       job.done.addText(first, value.done);
-      this.recordChunk(id, key, version);
-      this.markBeyondUnrecorded(job, first, value);
-    } else if (this.hasEnded(id)) this.obsolete.set(key, version);
+      this.setChunkVersion(id, key, version);
+      this.markTasksBeyondChunk(job, first, value);
+    } else if (this.hasJobEnded(id)) this.obsoleteChunks.set(key, version);
   }
 
   /**
    * An older version may have written a longer chunk than is written now. Before its record is replaced by a shorter
    * one, the done tasks beyond have records of their own: chunks that have none come first (`unrecordedChunks`).
    */
-  private markBeyondUnrecorded(
+  private markTasksBeyondChunk(
     { spec, done }: JobState,
     first: number,
     { done: text }: ProgressValue,
@@ -81,28 +81,29 @@
     }
   }
 
-  private recordChunk(id: string, key: string, version: number): void {
-    const ofJob = this.chunks.get(id);
-    if (ofJob) ofJob.set(key, version);
-    else this.chunks.set(id, new Map([[key, version]]));
+  private setChunkVersion(id: string, key: string, version: number): void {
+    const jobChunks = this.chunkVersions.get(id);
+    if (jobChunks) jobChunks.set(key, version);
+    else this.chunkVersions.set(id, new Map([[key, version]]));
   }
 
   /** How many chunks jobs that are over have left. */
-  get obsoleteCount(): number {
-    return this.obsolete.size;
+  get obsoleteChunkCount(): number {
+    return this.obsoleteChunks.size;
   }
 
   /** The job's record says that it is over, so nobody needs the chunks any more. */
   jobEnded({ id }: Job): void {
-    for (const [key, version] of this.chunks.get(id) ?? []) this.obsolete.set(key, version);
-    this.chunks.delete(id);
+    for (const [key, version] of this.chunkVersions.get(id) ?? [])
+      this.obsoleteChunks.set(key, version);
+    this.chunkVersions.delete(id);
   }
 
   /** The changes that delete what jobs that are over have left. */
-  removals(): RecordChange[] {
-    return [...this.obsolete].map(([key, version]) => {
+  obsoleteChunkDeletions(): RecordChange[] {
+    return [...this.obsoleteChunks].map(([key, version]) => {
       const onDurable = () => {
-        this.obsolete.delete(key);
+        this.obsoleteChunks.delete(key);
       };
       return { key, version, change: { delete: key }, onDurable };
     });
@@ -111,15 +112,15 @@
   /** What is to be recorded of a job now: that it is done, or its chunks with done tasks that no record has. */
   changesOf(job: JobState): RecordChange[] {
     if (job.phase !== 'accepted') return [];
-    return job.done.size === job.spec.tasks ? this.doneChange(job) : this.progressChanges(job);
+    return job.done.size === job.spec.tasks ? this.jobEndChanges(job) : this.progressChanges(job);
   }
 
-  private hasEnded(id: string): boolean {
+  private hasJobEnded(id: string): boolean {
     const record = this.options.jobs.get(id);
     return record !== undefined && record.phase !== 'accepted';
   }
 
-  private doneChange(job: JobState): RecordChange[] {
+  private jobEndChanges(job: JobState): RecordChange[] {
     const { fleet, jobs, limits } = this.options;
     const { id } = job.spec;
     const record = jobs.get(id);
@@ -140,8 +141,8 @@
       const onNotApplied = () => void fleet.unrecorded.jobs.add(id);
       const onDurable = (revision: number) => {
         // A user may have cancelled it while the transaction was on its way.
-        if (this.hasEnded(id)) this.obsolete.set(key, revision);
-        else this.recordChunk(id, key, revision);
+        if (this.hasJobEnded(id)) this.obsoleteChunks.set(key, revision);
+        else this.setChunkVersion(id, key, revision);
         fleet.unrecorded.tasksRecorded(id, unrecordedTasks);
       };
       const done = job.done.textOf(chunk.first, chunk.tasks);
@@ -152,7 +153,7 @@
 
   /** The chunks with done tasks that are not recorded, the one that was recorded longest ago first. */
   private unrecordedChunks({ spec }: JobState): UnrecordedChunk[] {
-    const versions = this.chunks.get(spec.id);
+    const versions = this.chunkVersions.get(spec.id);
     const byKey = new Map<string, UnrecordedChunk>();
     for (const task of this.options.fleet.unrecorded.doneTasksOf(spec.id)) {
       const chunk = this.layout.chunkOf(spec.id, spec.tasks, task);
--- a/packages/controller/records/machine-records.ts
+++ b/packages/controller/records/machine-records.ts
@@ -38,28 +38,34 @@
   /** What is to be recorded of a machine now; null if nothing is. */
   changeOf(name: string): RecordChange | null {
     const machine = this.options.fleet.machines.get(name);
-    return machine ? this.putOf(machine) : this.deletionOf(name);
+    return machine ? this.createPut(machine) : this.createDeletion(name);
   }
 
-  private deletionOf(name: string): RecordChange | null {
+  private createDeletion(name: string): RecordChange | null {
     const version = this.versionOf(name);
     if (version === 0) return null;
     const key = MACHINES + name;
     const onDurable = () => {
       this.versions.delete(name);
     };
-    return { key, version, change: { delete: key }, onDurable, onNotApplied: this.retryOf(name) };
+    return {
+      key,
+      version,
+      change: { delete: key },
+      onDurable,
+      onNotApplied: this.createRetry(name),
+    };
   }
 
-  private putOf(machine: Machine): RecordChange | null {
+  private createPut(machine: Machine): RecordChange | null {
     const { fleet, clock, limits } = this.options;
     const { name } = machine;
     const version = this.versionOf(name);
     if (machine.tasks.size === 0 && version === 0) return null;
     // An older version may have recorded more than fits now. The record says too much until tasks have gone.
     if (machine.recordBytes > limits.valueBytes) return null;
-    const { assignments, guards, isComplete } = this.recordable(machine);
-    const onNotApplied = this.retryOf(name);
+    const { assignments, guards, isComplete } = this.selectRecordable(machine);
+    const onNotApplied = this.createRetry(name);
     const onDurable = (revision: number) => {
       this.versions.set(name, revision);
       const now = clock.now();
@@ -78,7 +84,7 @@
   }
 
   /** Marks the machine unrecorded again, as urgent as it is when this is called. */
-  private retryOf(name: string): () => void {
+  private createRetry(name: string): () => void {
     const { unrecorded } = this.options.fleet;
     const rank = unrecorded.urgentMachines.get(name);
     return () => {
@@ -92,7 +98,7 @@
    * durable, so it must not be if the task's job was cancelled before: that is a condition, and there
    * may be only so many in a transaction.
    */
-  private recordable(machine: Machine): RecordableAssignments {
+  private selectRecordable(machine: Machine): RecordableAssignments {
     const { jobs, limits } = this.options;
     const maxGuards = RecordBatch.maxGuards(limits);
     const guards = new Map<string, Condition>();
--- a/packages/controller/records/record-batch.ts
+++ b/packages/controller/records/record-batch.ts
@@ -12,7 +12,7 @@
 import type { RemovalMarker } from './removal-marker.js';
 
 /** Conditions of a transaction that are no guards: the term, the removal marker and the changed record. */
-const CONDITIONS_BESIDE_GUARDS = 3;
+const NON_GUARD_CONDITIONS = 3;
 
 /** Changes that share a transaction, within the limits of the state service. */
 export class RecordBatch {
@@ -35,7 +35,7 @@
 
   /** Guards that a single change may have. */
   static maxGuards({ txnOps }: StateLimits): number {
-    return txnOps * CONDITIONS_PER_CHANGE - CONDITIONS_BESIDE_GUARDS;
+    return txnOps * CONDITIONS_PER_CHANGE - NON_GUARD_CONDITIONS;
   }
 
   /**
@@ -44,17 +44,17 @@
    */
   add(change: RecordChange, maxChanges = this.maxChanges): boolean {
     if (this.changedKeys.has(change.key)) return true;
-    const together = this.withRemovalMarker(change);
-    const conditions = [...together.flatMap(conditionsOf), ...this.creationConditions(change)];
-    const added = conditions.filter(({ key }) => !this.conditions.has(key));
-    const bytes = sizeInJson(together.map((each) => each.change)) + sizeInJson(added);
+    const addedChanges = this.withRemovalMarker(change);
+    const conditions = [...addedChanges.flatMap(conditionsOf), ...this.creationConditions(change)];
+    const newConditions = conditions.filter(({ key }) => !this.conditions.has(key));
+    const bytes = sizeInJson(addedChanges.map((each) => each.change)) + sizeInJson(newConditions);
     const isFirst = this.changes.length === 0;
-    const isWithinLimit = this.changes.length + together.length <= maxChanges;
-    if (!isFirst && !(isWithinLimit && this.hasCapacity(added.length, bytes))) return false;
-    this.changes.push(...together);
+    const isWithinLimit = this.changes.length + addedChanges.length <= maxChanges;
+    if (!isFirst && !(isWithinLimit && this.hasCapacity(newConditions.length, bytes))) return false;
+    this.changes.push(...addedChanges);
     this.changedKeys.add(change.key);
     this.hasDeletion ||= 'delete' in change.change;
-    for (const { key, version } of added) this.conditions.set(key, version);
+    for (const { key, version } of newConditions) this.conditions.set(key, version);
     this.bytes += bytes;
     return true;
   }
@@ -74,9 +74,9 @@
     return [...this.conditions].map(([key, version]) => ({ key, version }));
   }
 
-  private hasCapacity(conditions: number, bytes: number): boolean {
+  private hasCapacity(conditionCount: number, bytes: number): boolean {
     const maxConditions = this.limits.txnOps * CONDITIONS_PER_CHANGE;
-    const isWithinConditions = this.conditions.size + conditions <= maxConditions;
+    const isWithinConditions = this.conditions.size + conditionCount <= maxConditions;
     return isWithinConditions && this.bytes + bytes <= TXN_BYTES;
   }
 }
--- a/packages/controller/records/record-loader.ts
+++ b/packages/controller/records/record-loader.ts
@@ -52,7 +52,7 @@
       fleet,
       recorder,
       term,
-      onJobsAccepted: onJobs,
+      onJobsAccepted: notifyJobsAccepted,
       now,
     } = this.options;
     // All that was durable before this term's election, jobs first: records name them.
@@ -62,13 +62,13 @@
       readRecords(PROGRESS, signal),
       client.callUrgent(signal, (api) => api.get(removalsKey(term.shard), signal)),
     ]);
-    const assignedJobs = new Set(machines.flatMap(jobsOn));
-    const ended = await this.readEnded(assignedJobs, signal);
+    const assignedJobIds = new Set(machines.flatMap(jobIdsOnMachine));
+    const ended = await this.readEndedJobs(assignedJobIds, signal);
     recorder.removalMarker.restore(removals?.version ?? 0);
     // No `await` from here on, so that no change of a job is missed.
     const loadedAt = now();
-    this.acceptJobs(assignedJobs, ended);
-    onJobs(loadedAt);
+    this.acceptJobs(assignedJobIds, ended);
+    notifyJobsAccepted(loadedAt);
     for (const entry of progress) this.acceptProgress(entry);
     for (const entry of machines) this.acceptMachine(entry, loadedAt);
     fleet.machines.updateTotals();
@@ -76,22 +76,22 @@
   }
 
   /** Jobs that are over matter only as long as a machine may hold their tasks. */
-  private acceptJobs(assignedJobs: Set<string>, ended: Map<string, JobRecord>): void {
+  private acceptJobs(assignedJobIds: Set<string>, ended: Map<string, JobRecord>): void {
     const { jobs, acceptJob } = this.options;
     for (const id of jobs.ids()) {
-      if (jobs.get(id)?.phase !== 'accepted' && !assignedJobs.has(id)) continue;
+      if (jobs.get(id)?.phase !== 'accepted' && !assignedJobIds.has(id)) continue;
       const record = jobs.fullRecord(id) ?? ended.get(id);
       if (record) acceptJob(record);
     }
   }
 
   /** Records of jobs that are over and of which the table keeps no more than that. */
-  private async readEnded(
-    assignedJobs: Set<string>,
+  private async readEndedJobs(
+    assignedJobIds: Set<string>,
     signal: AbortSignal,
   ): Promise<Map<string, JobRecord>> {
     const { client, jobs } = this.options;
-    const missing = [...assignedJobs].filter((id) => jobs.get(id) && !jobs.fullRecord(id));
+    const missing = [...assignedJobIds].filter((id) => jobs.get(id) && !jobs.fullRecord(id));
     const read = (id: string) => client.callUrgent(signal, (api) => api.get(jobKey(id), signal));
     const entries = await Promise.all(missing.map(read));
     const records = entries
@@ -126,6 +126,6 @@
   }
 }
 
-function jobsOn({ value }: Entry): string[] {
+function jobIdsOnMachine({ value }: Entry): string[] {
   return (value as MachineRecord).tasks.map(([job]) => job);
 }
--- a/packages/controller/records/recorder.test.ts
+++ b/packages/controller/records/recorder.test.ts
@@ -10,15 +10,15 @@
   const [kept, cancelled] = ['j-1', 'j-2'].map((id) => aJob({ id }));
   for (const job of [kept, cancelled]) record(job, 'accepted');
   await sync();
-  const [one, two] = ['n-1', 'n-2'].map((name) => aMachine(fleet, name));
-  fleet.assignments.assign(fleet.jobs.get('j-1')!, 0, one, 1, 0);
-  fleet.assignments.assign(fleet.jobs.get('j-2')!, 0, two, 2, 0);
+  const [firstMachine, secondMachine] = ['n-1', 'n-2'].map((name) => aMachine(fleet, name));
+  fleet.assignments.assign(fleet.jobs.get('j-1')!, 0, firstMachine, 1, 0);
+  fleet.assignments.assign(fleet.jobs.get('j-2')!, 0, secondMachine, 2, 0);
   record(cancelled, 'cancelled');
   await flush();
   assert.deepEqual(tasksOn('n-1'), ['j-1']);
   assert.equal(tasksOn('n-2'), undefined);
   assert.equal(fleet.jobs.get('j-2')!.phase, 'cancelled');
-  assert.equal(two.tasks.size, 0);
+  assert.equal(secondMachine.tasks.size, 0);
 });
 
 test('a cancellation between a transaction whose answer was lost and its repetition holds back the start', async () => {
@@ -92,7 +92,7 @@
 });
 
 /** Whether an error says that this term must end, and for this reason. */
-function isTermLost(term: number, reason: TermLossReason): (err: unknown) => boolean {
+function isTermLostError(term: number, reason: TermLossReason): (err: unknown) => boolean {
   return (err) => err instanceof TermLostError && err.term === term && err.reason === reason;
 }
 
@@ -103,7 +103,7 @@
   const job = fleet.jobs.get('j-1')!;
   for (let i = 0; i < 5; i++) fleet.assignments.assign(job, i, aMachine(fleet, `n-${i}`), 1, 0);
   const revision = state.service.store.revision;
-  await assert.rejects(flush(0.1), isTermLost(term, 'transaction-malformed'));
+  await assert.rejects(flush(0.1), isTermLostError(term, 'transaction-malformed'));
   assert.equal(state.service.store.revision, revision);
 });
 
@@ -137,11 +137,11 @@
   await sync();
   fleet.assignments.assign(fleet.jobs.get('j-1')!, 0, aMachine(fleet, 'n-1'), 1, 0);
   store.apply([{ put: `${MACHINES}n-1`, value: { tasks: [] } }]);
-  await assert.rejects(flush(), isTermLost(term, 'record-changed'));
+  await assert.rejects(flush(), isTermLostError(term, 'record-changed'));
 });
 
 /** A fleet state with as many open jobs, each to be given a machine of its own. */
-async function aRecorderWithJobs(count: number) {
+async function createRecorderWithJobs(count: number) {
   const world = await aRecorder();
   const ids = Array.from({ length: count }, (_, i) => `j-${i + 1}`);
   for (const [i, id] of ids.entries()) world.record(aJob({ id, rank: i % 4 }), 'accepted');
@@ -153,8 +153,8 @@
 
 test('while changes are scarce, urgent starts are recorded first, and ended tasks with the next start', async () => {
   const { state, client, fleet, recorder, flush, tasksOn, jobs, machines } =
-    await aRecorderWithJobs(60);
-  const ending = jobs.slice(0, 20).map((job, i) => {
+    await createRecorderWithJobs(60);
+  const endingAssignments = jobs.slice(0, 20).map((job, i) => {
     return fleet.assignments.assign(job, 0, machines[i], 1, 0);
   });
   await flush();
@@ -163,18 +163,19 @@
   for (let i = 0; i < 2; i++) void client.txnInBackground([], others.slice(20 * i, 20 * i + 20));
   await state.run(0.01);
   assert.ok(!client.hasSpareChanges);
-  for (const assignment of ending) fleet.assignments.end(assignment, 'lost', false, state.now);
+  for (const assignment of endingAssignments)
+    fleet.assignments.end(assignment, 'lost', false, state.now);
   assert.ok(!recorder.pending);
   jobs.slice(20).forEach((job, i) => fleet.assignments.assign(job, 0, machines[20 + i], 1, 0));
   assert.ok(recorder.pending);
   void recorder.flush(new AbortController().signal);
   await state.run(0.9);
-  const named = (rank: number) =>
+  const countRecordedStarts = (rank: number) =>
     jobs.slice(20).filter((job, i) => {
       return job.spec.rank === rank && tasksOn(`n-${21 + i}`) !== undefined;
     }).length;
-  assert.equal(named(0), 10);
-  assert.equal(named(3), 0);
+  assert.equal(countRecordedStarts(0), 10);
+  assert.equal(countRecordedStarts(3), 0);
   assert.deepEqual(tasksOn('n-1'), ['j-1']);
   // A start on a machine brings what has ended there, the rest follows once there is enough.
   fleet.assignments.assign(jobs[5], 0, machines[0], 2, state.now);
--- a/packages/controller/records/recorder.ts
+++ b/packages/controller/records/recorder.ts
@@ -6,7 +6,7 @@
 import type { Log } from '../observability/log.js';
 import { BatchCollector } from './batch-collector.js';
 import { BatchSender } from './batch-sender.js';
-import { BatchSettlement } from './batch-settlement.js';
+import { FailedBatchResolver } from './batch-settlement.js';
 import { JobRecords } from './job-records.js';
 import { MachineRecords } from './machine-records.js';
 import type { RecordBatch } from './record-batch.js';
@@ -54,14 +54,14 @@
     this.removalMarker = removalMarker;
     const records = { machineRecords, jobRecords, removalMarker };
     this.collector = new BatchCollector({ fleet, limits, term, ...records });
-    const settlement = new BatchSettlement({ client, jobs, term, log });
-    this.sender = new BatchSender({ clock, client, term, settlement, heartbeatIntervalS });
+    const failedBatchResolver = new FailedBatchResolver({ client, jobs, term, log });
+    this.sender = new BatchSender({ clock, client, term, failedBatchResolver, heartbeatIntervalS });
   }
 
   /** Whether `flush` has something to write now. */
   get pending(): boolean {
-    const { hasUrgent, hasDeferred } = this.collector;
-    return hasUrgent || (hasDeferred && this.options.client.hasSpareChanges);
+    const { hasUrgentChanges, hasDeferredChanges } = this.collector;
+    return hasUrgentChanges || (hasDeferredChanges && this.options.client.hasSpareChanges);
   }
 
   /**
@@ -71,29 +71,29 @@
   async flush(signal: AbortSignal): Promise<void> {
     const { client, runtime, log } = this.options;
     // The turn first, then what is written: what changes meanwhile needs no further transaction.
-    const withDeferred = client.hasSpareChanges;
-    const wanted = this.collector.wantedChanges(withDeferred);
-    const reserved = await client.reserve(wanted, signal);
-    const batch = this.collector.collect(Math.max(MIN_TXN_CHANGES, reserved), withDeferred);
-    client.refund(reserved - batch.changes.length);
+    const includeDeferred = client.hasSpareChanges;
+    const wantedCount = this.collector.countWantedChanges(includeDeferred);
+    const reservedCount = await client.reserve(wantedCount, signal);
+    const batch = this.collector.collect(Math.max(MIN_TXN_CHANGES, reservedCount), includeDeferred);
+    client.refund(reservedCount - batch.changes.length);
     if (batch.changes.length === 0) return;
-    let isReserved = true;
+    let hasReservation = true;
     for (;;) {
       try {
-        await this.sender.send(batch, isReserved, signal);
+        await this.sender.send(batch, hasReservation, signal);
         return;
       } catch (err) {
         if (err instanceof TermLostError || signal.aborted) throw err;
-        if (err instanceof TxnMalformed) throw this.malformed(batch, err);
+        if (err instanceof TxnMalformed) throw this.createMalformedError(batch, err);
         log.debug({ err: String(err) }, 'state transaction unanswered, will be sent again');
-        isReserved = false;
+        hasReservation = false;
         await sleep(runtime.clock, RETRY_MS + runtime.random() * RETRY_JITTER_MS, signal);
       }
     }
   }
 
   /** A repetition would fare the same, so the term can't go on. */
-  private malformed(batch: RecordBatch, cause: TxnMalformed): TermLostError {
+  private createMalformedError(batch: RecordBatch, cause: TxnMalformed): TermLostError {
     const { term, log } = this.options;
     const keys = batch.changes.map(({ key }) => key);
     log.error(
--- a/packages/controller/records/removal-marker.ts
+++ b/packages/controller/records/removal-marker.ts
@@ -11,7 +11,7 @@
  */
 export class RemovalMarker {
   private version = 0;
-  private removals = 0;
+  private removalCount = 0;
 
   constructor(private readonly term: Term) {}
 
@@ -27,7 +27,7 @@
 
   /** What a transaction that deletes records changes. */
   change(): RecordChange {
-    const value = { term: this.term.term, removals: ++this.removals };
+    const value = { term: this.term.term, removals: ++this.removalCount };
     const { key, version } = this.condition();
     const onDurable = (revision: number) => {
       this.version = revision;
