--- a/packages/controller/jobs/job-intake.test.ts
+++ b/packages/controller/jobs/job-intake.test.ts
@@ -6,7 +6,7 @@
 
 const LIMITS = { rps: 100, writeRps: 100, valueBytes: 8192, txnOps: 24 };
 
-/** An intake whose users have asked to cancel these jobs. */
+/** Creates a job intake; users have requested to cancel the jobs with the ids `idsToCancel`. */
 async function createIntake(idsToCancel: string[]) {
   const world = await StateWorld.start(LIMITS);
   const fleet = aFleet();
@@ -30,9 +30,9 @@
   return { job: aJob({ id }), acceptedAtMs: 0, phase: 'accepted', version: 1 };
 }
 
-test('a job whose cancellation was requested before its leader read it is never begun', async () => {
-  // Guards against starts in the half heartbeat interval until a new leader, or the leader of a job that came
-  // after the request, looked at what users had asked for.
+test('a job never starts if its cancellation was requested before the leader read its record', async () => {
+  // Guards against starts in the half heartbeat interval before a leader checked the cancellation requests: a new
+  // leader, or the leader of a job whose record arrived after the request.
   const { fleet, intake, arrivals } = await createIntake(['j-1']);
   intake.accept(createAcceptedRecord('j-1'));
   intake.accept(createAcceptedRecord('j-2'));
@@ -42,7 +42,7 @@
     ['j-2'],
   );
   assert.deepEqual([...intake.unrecorded.keys()], ['j-1']);
-  // What an earlier term has started of it ends.
+  // Tasks that an earlier term has started are stopped.
   const job = fleet.jobs.get('j-1')!;
   fleet.assignments.inherit(job, 0, aMachine(fleet, 'n-1'), 1, 0);
   assert.equal(job.assignments.get(0)?.[0].stop?.graceS, 0);
@@ -50,7 +50,7 @@
   assert.equal(intake.unrecorded.size, 0);
 });
 
-test('a request ends a job that was begun, and only once', async () => {
+test('a cancellation request ends an open job, and only once', async () => {
   const { fleet, intake } = await createIntake([]);
   intake.accept(createAcceptedRecord('j-1'));
   assert.ok(intake.cancel('j-1'));
--- a/packages/controller/jobs/job-intake.ts
+++ b/packages/controller/jobs/job-intake.ts
@@ -1,4 +1,4 @@
-/** How jobs come into a leader's fleet state, and how users end them there. */
+/** Adds jobs to a leader's fleet state, and cancels them there on request. */
 import type { CapacityPlanner, Dependencies, FleetState } from '#core';
 import type { DependencyChange } from '#dependencies';
 import type { JobRecord } from '#store';
@@ -6,7 +6,7 @@
 import type { Log } from '../observability/log.js';
 import type { JobTable } from './job-table.js';
 
-/** What a `JobIntake` works on. */
+/** Dependencies of a `JobIntake`. */
 export interface JobIntakeOptions {
   clock: Clock;
   fleet: FleetState;
@@ -17,18 +17,18 @@
   onNewJob?: (record: JobRecord) => void;
 }
 
-/** Brings jobs into a leader's fleet state, and ends those whose users have asked for it. */
+/** Adds jobs to a leader's fleet state, and ends those whose cancellation was requested or recorded. */
 export class JobIntake {
   /**
-   * Jobs that were cancelled here on request while their record was open, and when that was or when an attempt
-   * to record it was last made; steady seconds. Within the term they stay cancelled, whatever becomes of the
-   * request.
+   * Jobs that were cancelled here on request although their records still say that they are open. The value is the
+   * time of the cancellation or of the last attempt to record it, in steady seconds. Within the term these jobs stay
+   * cancelled, whatever happens to the request.
    */
   readonly unrecorded = new Map<string, number>();
 
   constructor(private readonly options: JobIntakeOptions) {}
 
-  /** Accepts a record as the state service holds it; a job that a user has asked to cancel is never begun. */
+  /** Applies a job record of the state service; a job whose cancellation was requested is never started. */
   accept(record: JobRecord): void {
     const { clock, fleet } = this.options;
     const { job, phase } = record;
@@ -51,7 +51,7 @@
     if (jobs.isCancelled(job.id)) this.cancel(job.id);
   }
 
-  /** Jobs on which a job depends, or that depend on it, have changed. */
+  /** Applies a change of the dependencies or dependents of a job. */
   applyDependencyChange(change: DependencyChange): void {
     const { clock, fleet, planner, log } = this.options;
     const job = fleet.jobs.get(change.job);
@@ -77,7 +77,7 @@
     return { hasOpenDependencies, rank: jobs.urgencyOf(id).rank };
   }
 
-  /** Cancels an open job on a user's request, before its record may say so. False if no such job is open. */
+  /** Cancels an open job on a user's request, possibly before its record says so. Returns false if it is not open. */
   cancel(id: string): boolean {
     const { clock, fleet } = this.options;
     const job = fleet.jobs.get(id);
--- a/packages/controller/jobs/job-table.test.ts
+++ b/packages/controller/jobs/job-table.test.ts
@@ -8,7 +8,7 @@
 import { JobTable } from './job-table.js';
 
 const LIMITS = { rps: 150, writeRps: 50, valueBytes: 8192, txnOps: 24 };
-/** Most of the heap of the smallest controller that one job may take. */
+/** Heap that one ended or open job may take, for the smallest supported controller; bytes. */
 const ENDED_JOB_BYTES = 300;
 const OPEN_JOB_BYTES = 600;
 
@@ -24,7 +24,7 @@
   return { state, cache, jobs: new JobTable(cache, new Cancellations(100, 70)) };
 }
 
-/** As it comes from the state service: each job with texts of its own. */
+/** Creates a record as it is read from the state service: its strings are not shared with other records. */
 function createRecordEntry(number: number, phase: 'accepted' | 'done'): [string, unknown] {
   const id = `j-${String(number).padStart(6, '0')}`;
   const job = aJob({ id, cpus: 0.25 + number / 1e6, memory: 0.9 + number / 1e6 });
@@ -41,7 +41,7 @@
   ['done', ENDED_JOB_BYTES],
   ['accepted', OPEN_JOB_BYTES],
 ] as const) {
-  test(`a job that is ${phase} takes no more than ${limit} bytes, however many there are`, async () => {
+  test(`a job that is ${phase} takes less than ${limit} bytes of heap among 20,000 jobs`, async () => {
     const { cache, jobs } = await createTable();
     const before = measureHeapBytes();
     const count = 20_000;
@@ -55,7 +55,7 @@
   });
 }
 
-test('a job that is over is still called by its last state, and recent ones are known in full', async () => {
+test('all ended jobs keep their final phase, and recently ended ones their full records', async () => {
   const { cache, jobs } = await createTable();
   for (let number = 0; number < 2000; number++)
     cache.applyLocal(...createRecordEntry(number, 'done'), number + 1);
@@ -67,7 +67,7 @@
   assert.equal(jobs.fullRecord('j-001999')?.job.id, 'j-001999');
 });
 
-test('what becomes known of jobs is told by one event each, in order, also of those that depend on them', async () => {
+test('each change of a job emits one event, in order, also for the jobs that depend on it', async () => {
   const { cache, jobs } = await createTable();
   const events: string[] = [];
   jobs.events.subscribe((event) => {
--- a/packages/controller/jobs/job-table.ts
+++ b/packages/controller/jobs/job-table.ts
@@ -1,42 +1,41 @@
-/** What a controller knows of all jobs by their records in the state service. */
+/** A table of all jobs, built from their records in the state service. */
 import { Subject } from 'rxjs';
 import { type DependencyChange, DependencyGraph, type Urgency } from '#dependencies';
 import { decodeJob, type JobRecord, type PrefixCache } from '#store';
 import type { JobView, Phase } from '#wire';
 import type { Cancellations } from '../peers/cancellations.js';
 
-/** Ended jobs whose full records are kept for the next leader: machines' records may still name them. */
+/** Number of ended jobs whose full records are kept for the next leader: machine records may still refer to them. */
 const MAX_RECENTLY_ENDED = 500;
 
-/** The record of a job that is not over. */
+/** The record of a job that has not ended. */
 export interface OpenJob extends JobRecord {
   phase: 'accepted';
 }
 
-/** What is kept of a job that is over. */
+/** The data that is kept of an ended job. */
 export interface EndedJob {
   phase: 'cancelled' | 'done';
   isService: boolean;
   tasks: number;
-  /** Version of its record. */
+  /** Version of the job's record. */
   version: number;
 }
 
-/** What jobs that depend on each other mean for one of them that stays open. */
+/** A change of an open job that follows from its dependencies or dependents. */
 export type DependencyEvent = Exclude<DependencyChange, { kind: 'cancelled' }>;
 
-/** What has become known of a job. */
+/** A change of a job that the table reports. */
 export type JobEvent =
-  /** Its record is new or differs, or it is cancelled with a job on which it depends. */
+  /** The job's record is new or has changed, or the job is cancelled along with a dependency. */
   { kind: 'record'; record: JobRecord } | DependencyEvent;
 
 /**
- * All jobs as the state service holds them, and what follows for those that depend on others: one is cancelled
- * as soon as a job on which it depends is, though its own record goes on saying that it was accepted. Every
- * controller keeps this table.
+ * All jobs as the state service holds them, with the effects of their dependencies: a job is cancelled as soon as one
+ * of its dependencies is, although its own record still has the phase `accepted`. Every controller keeps this table.
  */
 export class JobTable {
-  /** All that becomes known, in this order. */
+  /** Emits all changes of jobs, in the order in which they are applied. */
   readonly events = new Subject<JobEvent>();
   private readonly records = new Map<string, OpenJob | EndedJob>();
   private readonly recentlyEnded = new Map<string, JobRecord>();
@@ -47,7 +46,7 @@
   });
 
   constructor(
-    /** The jobs' records. */
+    /** Cache of the job records. */
     readonly cache: PrefixCache,
     private readonly cancellations: Cancellations,
   ) {
@@ -66,7 +65,7 @@
   private applyOpen(record: OpenJob): void {
     const { id, awaits: dependencies } = record.job;
     const known = this.records.get(id);
-    // Cancelled with a job on which it depends: that is final, whatever its own record says.
+    // The job was cancelled along with a dependency. That is final, whatever its own record says.
     if (known !== undefined && known.phase !== 'accepted') return;
     this.records.set(id, record);
     const changes = known === undefined ? this.dependencies.recordAccepted(id, dependencies) : [];
@@ -90,7 +89,7 @@
     }
   }
 
-  /** A job on which it depends is cancelled, and so is it. */
+  /** Cancels a job because one of its dependencies is cancelled. */
   private cancelWithDependency(id: string): void {
     const record = this.records.get(id);
     if (record?.phase !== 'accepted') return;
@@ -110,33 +109,33 @@
     this.recentlyEnded.delete(oldest);
   }
 
-  /** What is known of the job; undefined if no record of it is. */
+  /** Returns the open or ended job; undefined if the table has no record of it. */
   get(id: string): OpenJob | EndedJob | undefined {
     return this.records.get(id);
   }
 
-  /** Ids of all jobs, those that are over included. */
+  /** Ids of all jobs, including ended ones. */
   ids(): IterableIterator<string> {
     return this.records.keys();
   }
 
-  /** The full record of a job, also for some time after its end; else it is to be read from the state service. */
+  /** The full record of an open or recently ended job; others have to be read from the state service. */
   fullRecord(id: string): JobRecord | undefined {
     const known = this.records.get(id);
     return known?.phase === 'accepted' ? known : this.recentlyEnded.get(id);
   }
 
-  /** Whether the job depends on others that are not recorded as done. */
+  /** Whether the job has dependencies that are not recorded as done. */
   hasOpenDependencies(id: string): boolean {
     return this.dependencies.hasOpenDependencies(id);
   }
 
-  /** The jobs on which it depends and that are not recorded as done. */
+  /** The dependencies of the job that are not recorded as done. */
   openDependenciesOf(id: string): string[] {
     return this.dependencies.openDependencies(id);
   }
 
-  /** How urgent the job is by itself and by those that depend on it. */
+  /** Urgency of the job: the most urgent of its own and those of its dependents. */
   urgencyOf(id: string): Urgency {
     return this.dependencies.urgencyOf(id);
   }
@@ -154,17 +153,17 @@
     return { rank, dueAtMs };
   }
 
-  /** A user has cancelled it, or has asked for that; its tasks are of no use to anybody. */
+  /** Whether the job is cancelled or its cancellation was requested, so that its tasks are no longer needed. */
   isCancelled(id: string): boolean {
     return this.records.get(id)?.phase === 'cancelled' || this.cancellations.wasRequested(id);
   }
 
-  /** Keeps how many tasks of an open job the leader counts as done and running, for `view`. */
+  /** Sets the leader's counts of done and running tasks of an open job, for `view`. */
   recordTaskCounts(id: string, done: number, running: number): void {
     if (this.records.get(id)?.phase === 'accepted') this.taskCounts.set(id, { done, running });
   }
 
-  /** What a user is told of a job of the table, in the words of the wire. */
+  /** Returns the view of a job that users get, with the phase names of the user API. */
   view(id: string, record: OpenJob | EndedJob): JobView {
     if (record.phase === 'done') return { id, phase: 'done', done: record.tasks, running: 0 };
     const { done, running } = this.taskCounts.get(id) ?? { done: 0, running: 0 };
--- a/packages/controller/records/batch-collector.ts
+++ b/packages/controller/records/batch-collector.ts
@@ -1,4 +1,4 @@
-/** Which changes of the fleet state go into the next transaction. */
+/** Selects the record changes of the next transaction. */
 import type { FleetState } from '#core';
 import type { StateLimits, Term } from '#store';
 import type { JobRecords } from './job-records.js';
@@ -6,12 +6,12 @@
 import { RecordBatch } from './record-batch.js';
 import type { RemovalMarker } from './removal-marker.js';
 
-/** Share of a transaction that is kept for jobs, so that no number of machines holds up their ends. */
+/** Share of a transaction that is reserved for jobs, so that machine records cannot delay the recording of job ends. */
 const MIN_JOB_SHARE = 1 / 3;
-/** Share of a transaction that removes what is left of jobs that are over. */
+/** Largest share of a transaction that may delete progress records of ended jobs. */
 const MAX_REMOVAL_SHARE = 1 / 4;
 
-/** What a `BatchCollector` works on. */
+/** Dependencies of a `BatchCollector`. */
 export interface BatchCollectorOptions {
   fleet: FleetState;
   limits: StateLimits;
@@ -22,36 +22,36 @@
 }
 
 /**
- * Collects what is to be recorded. What may be deferred, that tasks have gone from machines and what is left of
- * ended jobs, is collected while the budget has changes to spare.
+ * Collects unrecorded changes of the fleet state into batches. Two kinds of changes can be deferred until the change
+ * budget has spare capacity: removing ended tasks from machine records, and deleting progress records of ended jobs.
  */
 export class BatchCollector {
   constructor(private readonly options: BatchCollectorOptions) {}
 
-  /** Whether something is to be recorded that does not wait for spare changes. */
+  /** Whether there are changes to record that must not wait for spare budget. */
   get hasUrgentChanges(): boolean {
     return this.options.fleet.unrecorded.anyUrgent;
   }
 
-  /** Whether something is to be recorded once there are changes to spare. */
+  /** Whether there are changes to record once the budget has spare capacity. */
   get hasDeferredChanges(): boolean {
     const { fleet, jobRecords } = this.options;
     return fleet.unrecorded.machines.size > 0 || jobRecords.obsoleteChunkCount > 0;
   }
 
-  /** How many changes the next transaction is to have, if it may have as many. */
+  /** Counts the changes that are waiting for the next transaction, regardless of its limits. */
   countWantedChanges(includeDeferred: boolean): number {
     const { fleet, jobRecords } = this.options;
     const { urgentMachines, machines, jobs } = fleet.unrecorded;
     if (!includeDeferred) return urgentMachines.size + jobs.size;
-    // One is for the removal marker.
+    // The last one is the change of the removal marker.
     return machines.size + jobs.size + jobRecords.obsoleteChunkCount + 1;
   }
 
   /**
-   * First what tasks and users wait for: starts by rank, and ends of jobs. That a task has gone from a machine
-   * is recorded with the next start there, or while changes are to spare: until then a successor finds the
-   * task absent as soon as it gets a heartbeat of the machine.
+   * Collects urgent changes first: task starts by rank, and ends of jobs. The end of a task on a machine is recorded
+   * with the next start on that machine, or when the budget has spare capacity. Until then the machine's record still
+   * names the task, and a new leader notices that the task is gone with the machine's first heartbeat.
    */
   collect(maxChanges: number, includeDeferred: boolean): RecordBatch {
     const { fleet, limits, term, removalMarker } = this.options;
@@ -66,7 +66,7 @@
     return batch;
   }
 
-  /** Those whose records starts wait for, the most urgent first. */
+  /** Names of the machines whose records must be written before waiting tasks can start, the most urgent first. */
   private urgentMachines(): string[] {
     const namesWithRank = [...this.options.fleet.unrecorded.urgentMachines];
     return namesWithRank.sort(([, one], [, other]) => one - other).map(([name]) => name);
@@ -98,7 +98,7 @@
       const isWithinLimit = changes.every((change) => batch.add(change, maxChanges));
       jobs.delete(id);
       if (isWithinLimit) continue;
-      // Its turn comes after that of the others.
+      // Moves the job to the end of the queue.
       jobs.add(id);
       return;
     }
--- a/packages/controller/records/batch-sender.ts
+++ b/packages/controller/records/batch-sender.ts
@@ -1,16 +1,16 @@
-/** Sends the transaction of a batch. */
+/** Sends a batch of record changes as one transaction. */
 import { HedgedRequests, shardKey, type StateClient, type Term } from '#store';
 import type { Clock } from '#wire';
 import type { FailedBatchResolver } from './batch-settlement.js';
 import type { RecordBatch } from './record-batch.js';
 import { TermLostError } from './term-lost-error.js';
 
-/** Share of a heartbeat interval after which a transaction is sent again beside the first if no answer came. */
+/** Shortest delay before an unanswered transaction is sent again while earlier attempts are open; heartbeat intervals. */
 const RESEND_DELAY_INTERVALS = 1 / 4;
-/** How often one transaction is sent before all copies are given up. */
+/** Attempts per transaction before all of them are abandoned. */
 const MAX_ATTEMPTS = 3;
 
-/** What a `BatchSender` works on. */
+/** Dependencies of a `BatchSender`. */
 export interface BatchSenderOptions {
   clock: Clock;
   client: StateClient;
@@ -19,7 +19,7 @@
   heartbeatIntervalS: number;
 }
 
-/** Sends batches, each in copies until one is answered, and tells their changes the outcome. */
+/** Sends each batch in hedged attempts until one is answered, and calls the callbacks of its changes. */
 export class BatchSender {
   private readonly hedgedRequests: HedgedRequests;
 
@@ -32,9 +32,10 @@
   }
 
   /**
-   * Resolves once the outcome is known and told. The first copy uses changes of the budget that are reserved for
-   * it if `hasReservation`. Rejects with TermBroken if the term must end, with TxnMalformed if the state service
-   * finds the batch malformed, and with another of its errors if the outcome is unknown.
+   * Resolves once the outcome is known and the callbacks of the changes were called. If `hasReservation` is true, the
+   * first attempt uses changes that were reserved in the budget. Rejects with TermLostError if the term must end, with
+   * TxnMalformed if the state service refuses the batch as malformed, and with another error of the state service if
+   * the outcome is unknown.
    */
   async send(batch: RecordBatch, hasReservation: boolean, signal: AbortSignal): Promise<void> {
     const { client, failedBatchResolver, term } = this.options;
--- a/packages/controller/records/batch-settlement.ts
+++ b/packages/controller/records/batch-settlement.ts
@@ -1,4 +1,4 @@
-/** What became of a batch whose transaction failed on its conditions. */
+/** Determines the outcome of a batch whose transaction failed on its conditions. */
 import { JOBS, type StateClient, type Term } from '#store';
 import type { Change } from '#wire';
 import type { JobTable } from '../jobs/job-table.js';
@@ -6,7 +6,7 @@
 import type { RecordBatch } from './record-batch.js';
 import { TermLostError } from './term-lost-error.js';
 
-/** What a `FailedBatchResolver` works on. */
+/** Dependencies of a `FailedBatchResolver`. */
 export interface FailedBatchResolverOptions {
   client: StateClient;
   jobs: JobTable;
@@ -14,18 +14,19 @@
   log: Log;
 }
 
-/** Finds out whether an earlier copy of a failed transaction was applied, or somebody else changed a record. */
+/** Finds out whether an earlier attempt of a failed transaction was applied, or another writer changed a record. */
 export class FailedBatchResolver {
   constructor(private readonly options: FailedBatchResolverOptions) {}
 
   /**
-   * Settles a batch of which the records with these keys differ: an earlier copy of it was applied, or a user's
-   * cancellation came between. Rejects with TermBroken if neither explains it, and with an error of the state
-   * service if that can't tell; the batch may then be sent again.
+   * Determines why the records under `failedKeys` differ from the versions that the batch expects, and calls the
+   * callbacks of its changes: either an earlier attempt of the batch was applied, or a user cancelled a job in the
+   * meantime. Rejects with TermLostError if neither explains the difference. Rejects with an error of the state
+   * service if the records cannot be read; the batch may then be sent again.
    */
   async resolve(batch: RecordBatch, failedKeys: string[], signal: AbortSignal): Promise<void> {
     const { jobs, term, log } = this.options;
-    // First of all, so that nothing of a cancelled job is begun, whatever else was applied.
+    // Reads the jobs before any callback runs, so that no task of a cancelled job starts even if the batch was applied.
     if (failedKeys.some(isJobKey)) {
       log.debug({ failed: failedKeys }, 'a job changed before its tasks or its end were recorded');
       await jobs.cache.sync();
@@ -40,15 +41,15 @@
       throw new TermLostError(
         term.term,
         'record-changed',
-        `somebody else has changed ${changedKey}`,
+        `another writer has changed ${changedKey}`,
       );
     }
     for (const change of batch.changes) change.onNotApplied?.();
   }
 
   /**
-   * The revision at which an earlier copy of the batch was applied, or null. It is read from a record that
-   * the batch put: one that it deleted has none.
+   * Returns the revision at which an earlier attempt of the batch was applied, or null if none was. The revision is
+   * the version of a record that the batch wrote; records that it deleted have no version.
    */
   private async findAppliedRevision(
     batch: RecordBatch,
@@ -56,15 +57,15 @@
     signal: AbortSignal,
   ): Promise<number | null> {
     const { client, term } = this.options;
-    // All or nothing: what was applied has changed every record.
+    // Transactions are atomic: if the batch was applied, all of its records have changed.
     if (!batch.changes.every(({ key }) => failedKeys.includes(key))) return null;
 
-    // eslint-disable-next-line @typescript-eslint/no-non-null-assertion -- beside deletions the marker is put
+    // eslint-disable-next-line @typescript-eslint/no-non-null-assertion -- each batch has a put: deletions come with the removal marker
     const firstPut = batch.changes.map(({ change }) => change).find(isPut)!;
     const entry = await client.callUrgent(signal, (api) => api.get(firstPut.put, signal));
     if (entry === null || !isEqualJson(entry.value, firstPut.value)) return null;
     if (entry.version > term.term) return entry.version;
-    const detail = `${firstPut.put} has had its value since before the term`;
+    const detail = `${firstPut.put} already had this value before the term`;
     throw new TermLostError(term.term, 'record-older-than-term', detail);
   }
 }
@@ -77,7 +78,7 @@
   return 'put' in change;
 }
 
-/** Key order does not matter. */
+/** Compares JSON values, ignoring the order of object keys. */
 function isEqualJson(one: unknown, other: unknown): boolean {
   return canonicalJson(one) === canonicalJson(other);
 }
--- a/packages/controller/records/cancellation-recorder.test.ts
+++ b/packages/controller/records/cancellation-recorder.test.ts
@@ -15,7 +15,7 @@
 const HEARTBEAT_INTERVAL_S = SMALL_CLUSTER.deployment.workers.report_s;
 const JOB_ID = 'j-1';
 
-/** A cluster whose job runs, and the controllers that don't lead. */
+/** Starts a cluster with a running job; returns it with the controllers that do not lead. */
 async function startClusterWithRunningJob() {
   const cluster = new Cluster(SMALL_CLUSTER, 3);
   const runtime = cluster.serviceRuntime('users', 'users', USERS_HOST);
@@ -37,8 +37,9 @@
   return decodeJob(entry.value, entry.version);
 }
 
-test('a cancellation whose controller ends before it is recorded is recorded by the leader', async () => {
-  // Guards against jobs that were ended in memory, but called pending until another leader began them again.
+test('a cancellation is recorded by the leader if the controller that accepted it crashes before recording it', async () => {
+  // Guards against a cancellation that exists only in the leader's memory: users saw the job as pending, and the next
+  // leader started it again.
   const { cluster, followers, userAt } = await startClusterWithRunningJob();
   assert.equal(cluster.timeline.of('task-started').length, 1);
   cluster.state.beginLateWrites(1, [30, 30]);
@@ -53,13 +54,13 @@
   await cluster.world.runUntil(60.2 + 8 * HEARTBEAT_INTERVAL_S);
   const recorded = readJobRecord(cluster);
   assert.equal(recorded.phase, 'cancelled');
-  // The late write of the controller that ended changes nothing.
+  // The delayed write of the crashed controller has no effect.
   await cluster.world.runUntil(100);
   assert.equal(readJobRecord(cluster).version, recorded.version);
   assert.deepEqual(cluster.world.uncaught, []);
 });
 
-test('a job that is recorded as done while its cancellation waits for its record stays done', async () => {
+test('a job stays done if it is recorded as done before its cancellation is recorded', async () => {
   const { cluster, followers, userAt } = await startClusterWithRunningJob();
   cluster.state.beginLateWrites(1, [30, 30]);
   userAt(followers[0])
--- a/packages/controller/records/cancellation-recorder.ts
+++ b/packages/controller/records/cancellation-recorder.ts
@@ -1,34 +1,37 @@
-/** Records cancellations whose own controller did not. */
+/** Records cancellations that the controller which accepted the request did not record. */
 import type { GroupCommit, StateClient } from '#store';
 import type { Clock } from '#wire';
 import type { JobTable } from '../jobs/job-table.js';
 import type { Log } from '../observability/log.js';
 import { jobEnding } from './job-ending.js';
 
-/** Heartbeat intervals that the controller with the request has to record it, and between attempts. */
+/**
+ * Time that the controller which accepted a request gets to record the cancellation, and time between
+ * attempts of the leader; heartbeat intervals.
+ */
 const RECORD_DELAY_INTERVALS = 4;
 
-/** What a `CancellationRecorder` works on. */
+/** Dependencies of a `CancellationRecorder`. */
 export interface CancellationRecorderOptions {
   clock: Clock;
   client: StateClient;
   commits: GroupCommit;
   jobs: JobTable;
-  /** Jobs that were cancelled on request before a record said so, and since when each waits; see JobIntake. */
+  /** Jobs whose cancellation is not recorded yet, and the steady seconds since when; see `JobIntake.unrecorded`. */
   unrecorded: Map<string, number>;
   heartbeatIntervalS: number;
   log: Log;
 }
 
 /**
- * Records cancellations that a leader has acted upon and that nobody else has recorded: the controller that
- * accepted the request may have ended, or the user may have given up repeating it. Until then such a job would
- * be called pending while nothing of it runs. A job that was recorded as done before stays done.
+ * Records cancellations that the leader has carried out but that no other controller has recorded: the controller that
+ * accepted the request may have stopped, or the user may have stopped retrying. Without a record, users would see the
+ * job as pending although none of its tasks runs. A job that is already recorded as done stays done.
  */
 export class CancellationRecorder {
   constructor(private readonly options: CancellationRecorderOptions) {}
 
-  /** Begins to record what is due. What fails is logged at debug and tried again later. */
+  /** Starts to record all cancellations that are due. Failures are logged at debug level and retried later. */
   recordDue(): void {
     const { clock, client, unrecorded, heartbeatIntervalS, log } = this.options;
     if (unrecorded.size === 0 || client.isFailing) return;
--- a/packages/controller/records/flush-loop.ts
+++ b/packages/controller/records/flush-loop.ts
@@ -1,29 +1,29 @@
-/** The loop that records what a leader decides. */
+/** The loop that makes a leader's decisions durable. */
 import { type Clock, WakeableWait } from '#wire';
 import type { Recorder } from './recorder.js';
 
-/** What a `FlushLoop` works on. */
+/** Dependencies and settings of a `FlushLoop`. */
 export interface FlushLoopOptions {
   clock: Clock;
   recorder: Recorder;
-  /** From one check of what is to be recorded to the next if nothing wakes the loop; milliseconds. */
+  /** Time between two checks for unrecorded changes if nothing wakes the loop; milliseconds. */
   idleMs: number;
   /** Called after each transaction. */
   onFlushed: (signal: AbortSignal) => void;
 }
 
-/** Records what a leader has decided, one transaction after another, for as long as its term lasts. */
+/** Records a leader's decisions, one transaction after another, for the duration of its term. */
 export class FlushLoop {
   private readonly idleWait: WakeableWait;
   private paused = false;
-  /** Called while no transaction is under way. */
+  /** Resolves the promise of `pause`; called while no transaction is in progress. */
   private resolvePause: (() => void) | null = null;
 
   constructor(private readonly options: FlushLoopOptions) {
     this.idleWait = new WakeableWait(options.clock);
   }
 
-  /** Runs until the signal aborts; rejects with TermBroken if the term must end. */
+  /** Runs until the signal aborts; rejects with TermLostError if the term must end. */
   async run(signal: AbortSignal): Promise<void> {
     const { recorder, idleMs, onFlushed } = this.options;
     while (!signal.aborted) {
@@ -37,12 +37,12 @@
     }
   }
 
-  /** There may be something to record. */
+  /** Makes the loop check for unrecorded changes now. */
   wake(): void {
     this.idleWait.wake();
   }
 
-  /** Records nothing more; resolves once no transaction is under way. */
+  /** Stops recording; resolves once no transaction is in progress. */
   pause(): Promise<void> {
     this.paused = true;
     return new Promise((resolve) => {
@@ -51,7 +51,7 @@
     });
   }
 
-  /** Records again after a pause. */
+  /** Resumes recording after a pause. */
   resume(): void {
     this.paused = false;
     this.resolvePause = null;
--- a/packages/controller/records/job-ending.ts
+++ b/packages/controller/records/job-ending.ts
@@ -1,15 +1,15 @@
-/** How the record of an open job comes to say that the job is over. */
+/** Builds the change that records the end of an open job. */
 import { encodeEndedJob, jobKey } from '#store';
 import type { Condition } from '#wire';
 import type { EndedJob, OpenJob } from '../jobs/job-table.js';
 
-/** The change that ends a job's record, and the condition that makes it final: nobody ended it before. */
+/** The change that records the end of a job. The condition makes the end final: it fails if the job ended before. */
 export interface JobEnding {
   condition: Condition;
   change: { put: string; value: unknown };
 }
 
-/** The record of an open job as it ends in a phase, in at most so many bytes of JSON. */
+/** Builds the change that puts an open job into its final phase; the value takes at most `valueBytes` of JSON. */
 export function jobEnding(
   record: OpenJob,
   phase: EndedJob['phase'],
--- a/packages/controller/records/job-records.test.ts
+++ b/packages/controller/records/job-records.test.ts
@@ -4,16 +4,16 @@
 import { jobKey, MAX_VALUE_BYTES, progressKey } from '#store';
 import { aJob, aMachine, aRecorder, RECORDER_LIMITS } from '#testing';
 
-/** A job of many tasks of which some are done. */
+/** Marks tasks of job j-1 as done, and adds the job first if the fleet state has none. */
 function ensureJobWithDoneTasks(fleet: FleetState, done: number[], tasks = 100_000) {
   const job = fleet.jobs.get('j-1') ?? fleet.addJob(aJob({ id: 'j-1', tasks }), 0, 'accepted', 0);
   for (const index of done) fleet.jobs.markDone(job, index);
   return job;
 }
 
-test('whatever the size of values and transactions, machines and progress are recorded in time', async () => {
-  // Guards against a loop without a pause where no value could be sure to fit, and against transactions
-  // that the state service refuses for ever because all chunks of a job were to share one.
+test('machines and progress are recorded in time with any limits of values and transactions', async () => {
+  // Guards against a busy loop where no value was certain to fit the limit, and against transactions that the state
+  // service refuses forever because they hold all chunks of a job.
   const done = [0, 30_000, 60_000, 99_999];
   for (const [valueBytes, txnOps] of [
     [512, 2],
@@ -37,14 +37,14 @@
     const revision = state.service.store.revision;
     ensureJobWithDoneTasks(fleet, [60_001]);
     await flush();
-    // Only the chunk that differs is written.
+    // Only the changed chunk is written.
     assert.equal(state.service.store.revision, revision + 1);
     assert.equal(fleet.unrecorded.doneTasksOf(job.spec.id).size, 0);
     assert.equal(state.service.store.get('jobs/j-1')?.version, 2);
   }
 });
 
-test('any number of machines to be recorded does not hold up the end of a job', async () => {
+test('unrecorded machines do not delay the recording of a job end, however many there are', async () => {
   const { state, fleet, record, sync, recorder } = await aRecorder();
   record(aJob({ id: 'j-1' }), 'accepted');
   await sync();
@@ -59,17 +59,21 @@
   assert.equal(value.phase, 'done');
 });
 
-test('what a job has left of its progress is removed once it is over, also if that was in an earlier term', async () => {
+test('progress records are deleted once their job has ended, also in an earlier term', async () => {
   const { state, store, fleet, record, recorder, sync, flush } = await aRecorder();
   const keys = ['j-1', 'j-2', 'j-3'].map((id) => progressKey(id, 0));
   const jobs = ['j-1', 'j-2'].map((id) => aJob({ id, tasks: 2 }));
   for (const job of jobs) record(job, 'accepted');
   record(aJob({ id: 'j-3', tasks: 2 }), 'cancelled');
-  const left = store.apply([{ put: keys[2], value: { done: 'AQ==' } }]);
+  const leftoverVersion = store.apply([{ put: keys[2], value: { done: 'AQ==' } }]);
   await sync();
-  recorder.jobRecords.restore('j-3', { label: 0, value: { done: 'AQ==' }, version: left });
+  recorder.jobRecords.restore('j-3', {
+    label: 0,
+    value: { done: 'AQ==' },
+    version: leftoverVersion,
+  });
   for (const { id } of jobs) fleet.jobs.markDone(fleet.jobs.get(id)!, 0);
-  // One is cancelled while its progress is on its way to be recorded.
+  // Job j-1 is cancelled while the transaction with its progress is in flight.
   state.service.beginLostAnswers(1);
   const flushed = flush();
   await state.run(0.2);
@@ -88,14 +92,18 @@
   );
 });
 
-test('what is over is removed only while the budget has plenty', async () => {
+test('progress records of ended jobs are deleted only while the budget has spare changes', async () => {
   const { state, client, store, record, recorder, sync } = await aRecorder();
   record(aJob({ id: 'j-1', tasks: 2 }), 'cancelled');
-  const left = store.apply([{ put: progressKey('j-1', 0), value: { done: 'AQ==' } }]);
+  const leftoverVersion = store.apply([{ put: progressKey('j-1', 0), value: { done: 'AQ==' } }]);
   await sync();
-  recorder.jobRecords.restore('j-1', { label: 0, value: { done: 'AQ==' }, version: left });
+  recorder.jobRecords.restore('j-1', {
+    label: 0,
+    value: { done: 'AQ==' },
+    version: leftoverVersion,
+  });
   assert.ok(recorder.pending);
-  // Somebody else takes most of it.
+  // Another caller uses most of the budget.
   const others = Array.from({ length: RECORDER_LIMITS.txnOps + 10 }, () => ({ delete: 'x' }));
   client.txnInBackground([], others).catch(() => {});
   assert.ok(!recorder.pending);
--- a/packages/controller/records/job-records.ts
+++ b/packages/controller/records/job-records.ts
@@ -1,4 +1,4 @@
-/** The records of what is done of jobs. */
+/** Progress records of open jobs, and the records of job ends. */
 import type { FleetState, JobState } from '#core';
 import {
   type ProgressChunk,
@@ -12,45 +12,45 @@
 import { jobEnding } from './job-ending.js';
 import type { RecordChange } from './record-change.js';
 
-/** Done bits in a byte of a chunk. */
+/** Tasks per byte of a chunk: each task has one bit. */
 const TASKS_PER_BYTE = 8;
 
-/** A chunk of a job's done tasks as an earlier term recorded it. */
+/** A progress chunk of a job as an earlier term recorded it. */
 export interface RecordedChunk {
-  /** What the record's key ends with: the place of the chunk. */
+  /** Last segment of the record's key: the position of the chunk, see `ProgressLayout`. */
   label: number;
   value: ProgressValue;
   version: number;
 }
 
-/** A chunk of a job whose record lacks some done tasks. */
+/** A progress chunk whose record lacks some done tasks. */
 interface UnrecordedChunk extends ProgressChunk {
   /** The done tasks that the record lacks. */
   unrecordedTasks: number[];
-  /** Of its record, 0 if there is none. */
+  /** Version of the chunk's record, 0 if there is none. */
   version: number;
 }
 
-/** What `JobRecords` works on. */
+/** Dependencies of `JobRecords`. */
 export interface JobRecordsOptions {
   fleet: FleetState;
   jobs: JobTable;
   limits: StateLimits;
 }
 
-/** The records of which tasks are done: in chunks while a job is open, then that all of it is. */
+/** Records which tasks of an open job are done, in chunks, and finally that the whole job is done. */
 export class JobRecords {
   private readonly layout: ProgressLayout;
-  /** Versions, by key, of the chunks of each open job. */
+  /** For each open job the versions of its chunk records, by key. */
   private readonly chunkVersions = new Map<string, Map<string, number>>();
-  /** Versions, by key, of chunks whose jobs are over. */
+  /** Versions of the chunk records of ended jobs, by key. */
   private readonly obsoleteChunks = new Map<string, number>();
 
   constructor(private readonly options: JobRecordsOptions) {
     this.layout = new ProgressLayout(options.limits);
   }
 
-  /** Accepts a chunk of a job's done tasks from the record that an earlier term left. */
+  /** Loads the done tasks of a chunk from an earlier term's record. */
   restore(id: string, { label, value, version }: RecordedChunk): void {
     const key = progressKey(id, label);
     const job = this.options.fleet.jobs.get(id);
@@ -63,8 +63,9 @@
   }
 
   /**
-   * An older version may have written a longer chunk than is written now. Before its record is replaced by a shorter
-   * one, the done tasks beyond have records of their own: chunks that have none come first (`unrecordedChunks`).
+   * Marks done tasks as unrecorded that a restored record holds beyond the end of the present chunk. An older version
+   * of the software may have written longer chunks. The chunks for the tasks beyond the end have no record yet and are
+   * therefore written first (`unrecordedChunks`), before a shorter value replaces the restored record.
    */
   private markTasksBeyondChunk(
     { spec, done }: JobState,
@@ -87,19 +88,19 @@
     else this.chunkVersions.set(id, new Map([[key, version]]));
   }
 
-  /** How many chunks jobs that are over have left. */
+  /** Number of chunk records of ended jobs that are to be deleted. */
   get obsoleteChunkCount(): number {
     return this.obsoleteChunks.size;
   }
 
-  /** The job's record says that it is over, so nobody needs the chunks any more. */
+  /** Marks the chunk records of a job as obsolete; called once the job's record says that it has ended. */
   jobEnded({ id }: Job): void {
     for (const [key, version] of this.chunkVersions.get(id) ?? [])
       this.obsoleteChunks.set(key, version);
     this.chunkVersions.delete(id);
   }
 
-  /** The changes that delete what jobs that are over have left. */
+  /** The changes that delete the chunk records of ended jobs. */
   obsoleteChunkDeletions(): RecordChange[] {
     return [...this.obsoleteChunks].map(([key, version]) => {
       const onDurable = () => {
@@ -109,7 +110,7 @@
     });
   }
 
-  /** What is to be recorded of a job now: that it is done, or its chunks with done tasks that no record has. */
+  /** The unrecorded changes of a job: its end if all tasks are done, else the chunks with unrecorded done tasks. */
   changesOf(job: JobState): RecordChange[] {
     if (job.phase !== 'accepted') return [];
     return job.done.size === job.spec.tasks ? this.jobEndChanges(job) : this.progressChanges(job);
@@ -140,7 +141,7 @@
       const { key, unrecordedTasks, version } = chunk;
       const onNotApplied = () => void fleet.unrecorded.jobs.add(id);
       const onDurable = (revision: number) => {
-        // A user may have cancelled it while the transaction was on its way.
+        // A user may have cancelled the job while the transaction was in progress.
         if (this.hasJobEnded(id)) this.obsoleteChunks.set(key, revision);
         else this.setChunkVersion(id, key, revision);
         fleet.unrecorded.tasksRecorded(id, unrecordedTasks);
@@ -151,7 +152,7 @@
     });
   }
 
-  /** The chunks with done tasks that are not recorded, the one that was recorded longest ago first. */
+  /** The chunks with unrecorded done tasks: those without a record first, then by ascending version of the record. */
   private unrecordedChunks({ spec }: JobState): UnrecordedChunk[] {
     const versions = this.chunkVersions.get(spec.id);
     const byKey = new Map<string, UnrecordedChunk>();
--- a/packages/controller/records/machine-records.ts
+++ b/packages/controller/records/machine-records.ts
@@ -1,4 +1,4 @@
-/** The records of machines. */
+/** Builds the changes of machine records. */
 import type { Assignment, FleetState, Machine } from '#core';
 import { jobKey, MACHINES, type MachineRecord, type StateLimits } from '#store';
 import type { Clock, Condition } from '#wire';
@@ -6,7 +6,7 @@
 import { RecordBatch } from './record-batch.js';
 import type { RecordChange } from './record-change.js';
 
-/** What `MachineRecords` works on. */
+/** Dependencies of `MachineRecords`. */
 export interface MachineRecordsOptions {
   clock: Pick<Clock, 'now'>;
   fleet: FleetState;
@@ -14,28 +14,28 @@
   limits: StateLimits;
 }
 
-/** What a machine's record may name now. */
+/** Assignments that a machine's record may list now. */
 interface RecordableAssignments {
   assignments: Assignment[];
-  /** Conditions on the jobs of tasks that the record names for the first time. */
+  /** Conditions on the jobs whose tasks the record lists for the first time. */
   guards: Condition[];
-  /** Whether these are all assignments of the machine. */
+  /** Whether `assignments` holds all assignments of the machine. */
   isComplete: boolean;
 }
 
-/** The records of machines and what is assigned to them. */
+/** Records machines and the tasks that are assigned to them. */
 export class MachineRecords {
-  /** By name of the machine, as far as recorded. */
+  /** Versions of the existing records, by machine name. */
   private readonly versions = new Map<string, number>();
 
   constructor(private readonly options: MachineRecordsOptions) {}
 
-  /** Starts from the version of a machine's record that an earlier term left. */
+  /** Sets the version of a machine's record that an earlier term wrote. */
   restore(name: string, version: number): void {
     this.versions.set(name, version);
   }
 
-  /** What is to be recorded of a machine now; null if nothing is. */
+  /** The unrecorded change of a machine; null if there is none. */
   changeOf(name: string): RecordChange | null {
     const machine = this.options.fleet.machines.get(name);
     return machine ? this.createPut(machine) : this.createDeletion(name);
@@ -62,7 +62,8 @@
     const { name } = machine;
     const version = this.versionOf(name);
     if (machine.tasks.size === 0 && version === 0) return null;
-    // An older version may have recorded more than fits now. The record says too much until tasks have gone.
+    // An older version of the software may have recorded more than the present limit allows. The record keeps
+    // listing ended tasks until enough tasks have left the machine.
     if (machine.recordBytes > limits.valueBytes) return null;
     const { assignments, guards, isComplete } = this.selectRecordable(machine);
     const onNotApplied = this.createRetry(name);
@@ -78,12 +79,12 @@
     return { key, version, change, guards, onDurable, onNotApplied };
   }
 
-  /** 0 if the machine has no record. */
+  /** Version of the machine's record, 0 if there is none. */
   private versionOf(name: string): number {
     return this.versions.get(name) ?? 0;
   }
 
-  /** Marks the machine unrecorded again, as urgent as it is when this is called. */
+  /** Returns a callback that marks the machine as unrecorded again, with the urgency that it has now. */
   private createRetry(name: string): () => void {
     const { unrecorded } = this.options.fleet;
     const rank = unrecorded.urgentMachines.get(name);
@@ -94,9 +95,9 @@
   }
 
   /**
-   * What a machine's record may name. A task that it names for the first time may start once it is
-   * durable, so it must not be if the task's job was cancelled before: that is a condition, and there
-   * may be only so many in a transaction.
+   * Selects the assignments that the machine's record may list. A task may start once a record that lists it is
+   * durable. The record must therefore not become durable if the task's job was cancelled: each new task needs a
+   * condition on its job, and the number of conditions in a transaction is limited.
    */
   private selectRecordable(machine: Machine): RecordableAssignments {
     const { jobs, limits } = this.options;
--- a/packages/controller/records/record-batch.ts
+++ b/packages/controller/records/record-batch.ts
@@ -1,4 +1,4 @@
-/** Changes of records that go into one transaction. */
+/** Record changes that share one transaction. */
 import {
   CONDITIONS_PER_CHANGE,
   shardKey,
@@ -11,19 +11,19 @@
 import type { RecordChange } from './record-change.js';
 import type { RemovalMarker } from './removal-marker.js';
 
-/** Conditions of a transaction that are no guards: the term, the removal marker and the changed record. */
+/** Conditions of a transaction besides the guards: the term, the removal marker and the changed record. */
 const NON_GUARD_CONDITIONS = 3;
 
-/** Changes that share a transaction, within the limits of the state service. */
+/** Record changes that share a transaction, within the limits of the state service. */
 export class RecordBatch {
   readonly changes: RecordChange[] = [];
   private readonly changedKeys = new Set<string>();
-  /** Versions by key; each key counts once, however many changes depend on it. */
+  /** Expected versions by key; a key counts once however many changes depend on it. */
   private readonly conditions = new Map<string, number>();
   private bytes = 0;
   private hasDeletion = false;
 
-  /** All changes are conditional on the term. */
+  /** Makes all changes conditional on the term. */
   constructor(
     term: Term,
     private readonly removalMarker: RemovalMarker,
@@ -33,14 +33,14 @@
     this.conditions.set(shardKey(term.shard), term.term);
   }
 
-  /** Guards that a single change may have. */
+  /** Largest number of guards of a single change. */
   static maxGuards({ txnOps }: StateLimits): number {
     return txnOps * CONDITIONS_PER_CHANGE - NON_GUARD_CONDITIONS;
   }
 
   /**
-   * Adds the change unless one of the same record is in already. Returns false, and adds nothing, if there are
-   * `maxChanges` already or it doesn't fit beside the others; the first change is always added.
+   * Adds the change unless the batch already has a change of the same record. Returns false without adding it if the
+   * batch would exceed `maxChanges` or the limits of a transaction; the first change is always added.
    */
   add(change: RecordChange, maxChanges = this.maxChanges): boolean {
     if (this.changedKeys.has(change.key)) return true;
@@ -59,7 +59,7 @@
     return true;
   }
 
-  /** With the first deletion the removal marker changes, too. */
+  /** Adds a change of the removal marker to the first deletion of the batch. */
   private withRemovalMarker(change: RecordChange): RecordChange[] {
     const isFirstDeletion = 'delete' in change.change && !this.hasDeletion;
     return isFirstDeletion ? [change, this.removalMarker.change()] : [change];
@@ -69,7 +69,7 @@
     return 'put' in change && version === 0 ? [this.removalMarker.condition()] : [];
   }
 
-  /** The conditions of the transaction: the term, and every record that it changes or depends on. */
+  /** The conditions of the transaction: on the term, and on every record that it changes or depends on. */
   allConditions(): Condition[] {
     return [...this.conditions].map(([key, version]) => ({ key, version }));
   }
--- a/packages/controller/records/record-change.ts
+++ b/packages/controller/records/record-change.ts
@@ -1,16 +1,16 @@
-/** One change of a record that the leader of a shard keeps in the state service. */
+/** A change of a record that a shard's leader keeps in the state service. */
 import type { Change, Condition } from '#wire';
 
-/** A change of one of the leader's records, and what follows from its outcome. */
+/** A change of one of the leader's records, with callbacks for its outcome. */
 export interface RecordChange {
   key: string;
-  /** The change is conditional on this version; 0: the record does not exist. */
+  /** Version that the record must have for the change to apply; 0: the record must not exist. */
   version: number;
   change: Change;
-  /** Conditions on records that the change leaves as they are. */
+  /** Conditions on records that the change does not modify. */
   guards?: Condition[];
-  /** Called with its revision once the change is durable; that of a deletion has no meaning. */
+  /** Called with the revision of the change once it is durable; the revision of a deletion has no meaning. */
   onDurable: (revision: number) => void;
-  /** Called if nothing was changed, so that it is recorded later; absent: it is found again by itself. */
+  /** Called if the change was not applied, to schedule it again; absent if the change is collected again anyway. */
   onNotApplied?: () => void;
 }
--- a/packages/controller/records/record-loader.ts
+++ b/packages/controller/records/record-loader.ts
@@ -1,4 +1,4 @@
-/** How a new leader reads what earlier leaders have recorded. */
+/** Loads the records of earlier leaders at the start of a term. */
 import type { FleetState } from '#core';
 import {
   decodeJob,
@@ -17,10 +17,10 @@
 import type { Recorder } from './recorder.js';
 import { TermLostError } from './term-lost-error.js';
 
-/** Resolves with all records under a prefix as of a moment after the call. */
+/** Resolves with all records under a prefix, as they are at some moment after the call. */
 export type ReadRecords = (prefix: string, signal: AbortSignal) => Promise<Entry[]>;
 
-/** What a `RecordLoader` works on. */
+/** Dependencies of a `RecordLoader`. */
 export interface RecordLoaderOptions {
   client: StateClient;
   readRecords: ReadRecords;
@@ -28,21 +28,21 @@
   fleet: FleetState;
   recorder: Recorder;
   term: Term;
-  /** Accepts a job into the fleet state. */
+  /** Adds a job to the fleet state. */
   acceptJob: (record: JobRecord) => void;
-  /** Called when all jobs are accepted, before machines and progress are; steady seconds. */
+  /** Called with the time in steady seconds once all jobs are loaded, before progress and machines are. */
   onJobsAccepted: (now: number) => void;
-  /** The time in steady seconds. */
+  /** Returns the time in steady seconds. */
   now: () => number;
 }
 
-/** Reads what earlier leaders have recorded into the fleet state of a new term. */
+/** Loads the records of earlier leaders into the fleet state of a new term. */
 export class RecordLoader {
   constructor(private readonly options: RecordLoaderOptions) {}
 
   /**
-   * Returns how many machines were recorded. Rejects with TermBroken if the records contradict each other, and
-   * with an error of the state service if they can't be read; the fleet state must then not be used.
+   * Resolves with the number of recorded machines. Rejects with TermLostError if the records contradict each other,
+   * and with an error of the state service if they cannot be read; the fleet state must then not be used.
    */
   async load(signal: AbortSignal): Promise<number> {
     const {
@@ -55,7 +55,8 @@
       onJobsAccepted: notifyJobsAccepted,
       now,
     } = this.options;
-    // All that was durable before this term's election, jobs first: records name them.
+    // Everything that was durable before this term's election is read. Jobs come first, because other records refer to
+    // them.
     await jobs.cache.sync();
     const [machines, progress, removals] = await Promise.all([
       readRecords(MACHINES, signal),
@@ -65,7 +66,7 @@
     const assignedJobIds = new Set(machines.flatMap(jobIdsOnMachine));
     const ended = await this.readEndedJobs(assignedJobIds, signal);
     recorder.removalMarker.restore(removals?.version ?? 0);
-    // No `await` from here on, so that no change of a job is missed.
+    // No `await` from here on, so that no change of a job is missed in between.
     const loadedAt = now();
     this.acceptJobs(assignedJobIds, ended);
     notifyJobsAccepted(loadedAt);
@@ -75,7 +76,7 @@
     return machines.length;
   }
 
-  /** Jobs that are over matter only as long as a machine may hold their tasks. */
+  /** Accepts all open jobs, and those ended jobs of which a machine may still run tasks. */
   private acceptJobs(assignedJobIds: Set<string>, ended: Map<string, JobRecord>): void {
     const { jobs, acceptJob } = this.options;
     for (const id of jobs.ids()) {
@@ -85,7 +86,7 @@
     }
   }
 
-  /** Records of jobs that are over and of which the table keeps no more than that. */
+  /** Reads the records of assigned jobs that have ended and whose full records the job table no longer keeps. */
   private async readEndedJobs(
     assignedJobIds: Set<string>,
     signal: AbortSignal,
@@ -112,7 +113,8 @@
     const name = key.slice(MACHINES.length);
     recorder.machineRecords.restore(name, version);
     const machine = fleet.machines.register({ name, addr, type, zone, spot }, 'up', now);
-    // Until now this term has renewed worker leases without the fleet's state (HeartbeatEndpoint.renewLease).
+    // While the records were read, this term's leader has renewed worker leases without the fleet state
+    // (HeartbeatEndpoint.renewLease), so each machine counts as answered at this moment.
     machine.answeredAt = now;
     machine.answeredSince = now;
     for (const [id, index, attempt] of tasks) {
--- a/packages/controller/records/recorder.test.ts
+++ b/packages/controller/records/recorder.test.ts
@@ -4,8 +4,8 @@
 import { aJob, aMachine, aRecorder } from '#testing';
 import { TermLostError, type TermLossReason } from './term-lost-error.js';
 
-test('a task is not recorded, and so never starts, once its job was cancelled', async () => {
-  // Guards against starts after a confirmed cancellation that the watch had not brought yet.
+test('a task is not recorded, and so never starts, after its job was cancelled', async () => {
+  // Guards against starts after a confirmed cancellation that the watch has not delivered to the leader yet.
   const { fleet, record, sync, flush, tasksOn } = await aRecorder();
   const [kept, cancelled] = ['j-1', 'j-2'].map((id) => aJob({ id }));
   for (const job of [kept, cancelled]) record(job, 'accepted');
@@ -21,7 +21,7 @@
   assert.equal(secondMachine.tasks.size, 0);
 });
 
-test('a cancellation between a transaction whose answer was lost and its repetition holds back the start', async () => {
+test('a cancellation between a transaction whose answer is lost and its retry prevents the start', async () => {
   const { state, fleet, record, sync, flush, tasksOn } = await aRecorder();
   const job = aJob({ id: 'j-1' });
   record(job, 'accepted');
@@ -36,12 +36,12 @@
   assert.ok(!assignment.recorded);
   record(job, 'cancelled');
   await flushed;
-  // It was never told to the worker, so its place is free at once.
+  // The worker was never told of the task, so its place on the machine is free at once.
   assert.equal(machine.tasks.size, 0);
   assert.deepEqual(tasksOn('n-1'), []);
 });
 
-test('more new jobs on a machine than a transaction has conditions are named one after another', async () => {
+test('a machine with more new jobs than a transaction may have conditions is recorded in several transactions', async () => {
   const { fleet, record, sync, flush, tasksOn } = await aRecorder({ txnOps: 2 });
   const ids = Array.from({ length: 9 }, (_, i) => `j-${i + 1}`);
   for (const id of ids) record(aJob({ id, cpus: 1 }), 'accepted');
@@ -53,9 +53,9 @@
   assert.ok([...machine.tasks.values()].every((assignment) => assignment.recorded));
 });
 
-test('a transaction that was applied without an answer is known by a record that it put', async () => {
-  // Guards against version 0 of a deleted record as the revision of all: the fencing token of a
-  // machine became 0, and the next change of its record ended the term.
+test('a transaction that was applied without an answer is recognised by a record that it wrote', async () => {
+  // Guards against taking version 0 of a deleted record for the revision of the whole transaction: the fencing token
+  // of a machine became 0, and the next change of its record ended the term.
   const { state, fleet, record, sync, flush, tasksOn, term } = await aRecorder();
   record(aJob({ id: 'j-1', tasks: 3 }), 'accepted');
   await sync();
@@ -71,7 +71,7 @@
   const flushed = flush();
   await state.run(0.2);
   state.service.endLateWrites();
-  // Known with the repetition, which does not wait for the first to time out.
+  // The second attempt tells the outcome; it is sent before the first attempt times out.
   await state.run(0.2);
   assert.equal(fenced.fence, 'recorded');
   await flushed;
@@ -81,7 +81,7 @@
   fleet.assignments.stop(job.assignments.get(2)![0], 0, 0);
   await flush();
   assert.deepEqual(tasksOn('n-2'), ['j-1']);
-  // A transaction that only deletes needs no revision.
+  // A transaction of deletions only is recognised, too: deletions need no revision.
   fleet.removeMachine('n-2', 0);
   state.service.beginLostAnswers(1);
   const deleted = flush();
@@ -91,12 +91,12 @@
   assert.equal(tasksOn('n-2'), undefined);
 });
 
-/** Whether an error says that this term must end, and for this reason. */
+/** Returns a predicate for a TermLostError with this term and reason. */
 function isTermLostError(term: number, reason: TermLossReason): (err: unknown) => boolean {
   return (err) => err instanceof TermLostError && err.term === term && err.reason === reason;
 }
 
-test('a transaction that is called malformed ends the term and is not repeated', async () => {
+test('a transaction that is refused as malformed ends the term and is not repeated', async () => {
   const { state, fleet, record, sync, flush, term } = await aRecorder({}, { txnOps: 4 });
   record(aJob({ id: 'j-1', tasks: 5 }), 'accepted');
   await sync();
@@ -107,7 +107,7 @@
   assert.equal(state.service.store.revision, revision);
 });
 
-test('a late copy of a transaction does not bring back a record that was deleted meanwhile', async () => {
+test('a delayed duplicate of a transaction does not recreate a record that was deleted in the meantime', async () => {
   const { state, fleet, record, sync, flush, tasksOn } = await aRecorder();
   record(aJob({ id: 'j-1', tasks: 3 }), 'accepted');
   await sync();
@@ -125,13 +125,13 @@
   assert.equal(tasksOn('n-1'), undefined);
   await state.run(mostS);
   assert.equal(tasksOn('n-1'), undefined);
-  // Records that were created after a deletion are fine.
+  // Records can still be created after a deletion.
   fleet.assignments.assign(job, 1, aMachine(fleet, 'n-2'), 2, 0);
   await flush();
   assert.deepEqual(tasksOn('n-2'), ['j-1']);
 });
 
-test('a record that somebody else has changed ends the term', async () => {
+test('a record that another writer has changed ends the term', async () => {
   const { store, fleet, record, sync, flush, term } = await aRecorder();
   record(aJob({ id: 'j-1' }), 'accepted');
   await sync();
@@ -140,7 +140,7 @@
   await assert.rejects(flush(), isTermLostError(term, 'record-changed'));
 });
 
-/** A fleet state with as many open jobs, each to be given a machine of its own. */
+/** Creates a recorder whose fleet state has `count` open jobs and as many empty machines. */
 async function createRecorderWithJobs(count: number) {
   const world = await aRecorder();
   const ids = Array.from({ length: count }, (_, i) => `j-${i + 1}`);
@@ -151,14 +151,14 @@
   return { ...world, jobs, machines };
 }
 
-test('while changes are scarce, urgent starts are recorded first, and ended tasks with the next start', async () => {
+test('while the budget is short, urgent starts are recorded first, and ended tasks with the next start', async () => {
   const { state, client, fleet, recorder, flush, tasksOn, jobs, machines } =
     await createRecorderWithJobs(60);
   const endingAssignments = jobs.slice(0, 20).map((job, i) => {
     return fleet.assignments.assign(job, 0, machines[i], 1, 0);
   });
   await flush();
-  // Others take what there is.
+  // Other callers use up the budget.
   const others = Array.from({ length: 40 }, (_, i) => ({ put: `x/${i}`, value: 0 }));
   for (let i = 0; i < 2; i++) void client.txnInBackground([], others.slice(20 * i, 20 * i + 20));
   await state.run(0.01);
@@ -177,7 +177,7 @@
   assert.equal(countRecordedStarts(0), 10);
   assert.equal(countRecordedStarts(3), 0);
   assert.deepEqual(tasksOn('n-1'), ['j-1']);
-  // A start on a machine brings what has ended there, the rest follows once there is enough.
+  // A start on a machine records the ended tasks of that machine; the others are recorded once budget is spare.
   fleet.assignments.assign(jobs[5], 0, machines[0], 2, state.now);
   await flush();
   assert.deepEqual(tasksOn('n-1'), ['j-6']);
--- a/packages/controller/records/recorder.ts
+++ b/packages/controller/records/recorder.ts
@@ -13,13 +13,14 @@
 import { RemovalMarker } from './removal-marker.js';
 import { TermLostError } from './term-lost-error.js';
 
-/** Changes that a transaction may have in any case: a deletion and the removal marker. */
+/** Smallest limit of changes per transaction: a deletion needs a change of the removal marker beside it. */
 const MIN_TXN_CHANGES = 2;
-/** After all copies of a transaction have failed, before the next: at least so long, and up to so much longer. */
+/** Shortest delay before a transaction is sent again after all attempts have failed. */
 const RETRY_MS = 100;
+/** Largest random addition to `RETRY_MS`. */
 const RETRY_JITTER_MS = 200;
 
-/** What a `Recorder` works on. */
+/** Dependencies and settings of a `Recorder`. */
 export interface RecorderOptions {
   runtime: Runtime;
   client: StateClient;
@@ -31,9 +32,9 @@
 }
 
 /**
- * Records the fleet state's changes, one transaction at a time, each on the condition of the shard's
- * term and of every record's version. A transaction whose outcome is unknown is sent again as it
- * was until the answer is definite: since it changes its own conditions, it is applied once at the most.
+ * Records the changes of the fleet state, one transaction at a time. Each transaction is conditional on the shard's term
+ * and on the version of every record that it changes. A transaction with an unknown outcome is sent again unchanged
+ * until the answer is definite. It is applied at most once, because applying it invalidates its own conditions.
  */
 export class Recorder {
   readonly machineRecords: MachineRecords;
@@ -58,19 +59,19 @@
     this.sender = new BatchSender({ clock, client, term, failedBatchResolver, heartbeatIntervalS });
   }
 
-  /** Whether `flush` has something to write now. */
+  /** Whether there are changes that `flush` would write now. */
   get pending(): boolean {
     const { hasUrgentChanges, hasDeferredChanges } = this.collector;
     return hasUrgentChanges || (hasDeferredChanges && this.options.client.hasSpareChanges);
   }
 
   /**
-   * Writes as much as one transaction takes, and resolves once it is durable or is to be collected again.
-   * Rejects with TermBroken if the term must end, and with any error if the signal aborts.
+   * Writes the changes that fit into one transaction, and resolves once they are durable or are marked as unrecorded
+   * again. Rejects with TermLostError if the term must end, and with any error if the signal aborts.
    */
   async flush(signal: AbortSignal): Promise<void> {
     const { client, runtime, log } = this.options;
-    // The turn first, then what is written: what changes meanwhile needs no further transaction.
+    // Reserves the budget before the changes are collected, so that changes made during the wait are included.
     const includeDeferred = client.hasSpareChanges;
     const wantedCount = this.collector.countWantedChanges(includeDeferred);
     const reservedCount = await client.reserve(wantedCount, signal);
@@ -92,7 +93,7 @@
     }
   }
 
-  /** A repetition would fare the same, so the term can't go on. */
+  /** The error that ends the term: a malformed transaction would be refused again if it was repeated. */
   private createMalformedError(batch: RecordBatch, cause: TxnMalformed): TermLostError {
     const { term, log } = this.options;
     const keys = batch.changes.map(({ key }) => key);
--- a/packages/controller/records/removal-marker.ts
+++ b/packages/controller/records/removal-marker.ts
@@ -1,13 +1,13 @@
-/** The record by which late copies of a transaction are kept from creating deleted records again. */
+/** The record that prevents delayed duplicates of a transaction from recreating deleted records. */
 import { removalsKey, type Term } from '#store';
 import type { Condition } from '#wire';
 import type { RecordChange } from './record-change.js';
 
 /**
- * A record that changes with each transaction that deletes other records, and on whose version each
- * transaction depends that creates one. Else a transaction that was sent twice could be applied for a
- * second time after its record was deleted, when the record has the same version 0 as before, and create
- * it again.
+ * The removal marker is a record that changes with each transaction that deletes other records. Each transaction that
+ * creates a record is conditional on the version of the marker. Without this condition, a transaction that was sent
+ * twice could be applied a second time and recreate its record after a deletion: a deleted record has version 0, as
+ * it had before its creation.
  */
 export class RemovalMarker {
   private version = 0;
@@ -15,17 +15,17 @@
 
   constructor(private readonly term: Term) {}
 
-  /** Starts from the version that earlier terms left, 0 if there is no such record. */
+  /** Sets the version of the marker that earlier terms wrote, 0 if there is none. */
   restore(version: number): void {
     this.version = version;
   }
 
-  /** What a transaction that creates a record depends on. */
+  /** The condition for transactions that create records. */
   condition(): Condition {
     return { key: removalsKey(this.term.shard), version: this.version };
   }
 
-  /** What a transaction that deletes records changes. */
+  /** The change that goes with the deletion of records. */
   change(): RecordChange {
     const value = { term: this.term.term, removals: ++this.removalCount };
     const { key, version } = this.condition();
--- a/packages/controller/records/term-lost-error.test.ts
+++ b/packages/controller/records/term-lost-error.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { TermLostError } from './term-lost-error.js';
 
-test('the error that ends a term says its class, the term and what went wrong, and keeps its cause', () => {
+test('a TermLostError prints its class, the term and the detail, and keeps its cause', () => {
   const cause = new Error('too large');
   const err = new TermLostError(7, 'transaction-malformed', 'too large', { cause });
   assert.equal(String(err), `${TermLostError.name}: term 7 must end: too large`);
--- a/packages/controller/records/term-lost-error.ts
+++ b/packages/controller/records/term-lost-error.ts
@@ -1,21 +1,21 @@
-/** The error by which a leader learns that it must step down. */
+/** The error that tells a leader to step down. */
 
 /** Why a term must end. */
 export type TermLossReason =
   /** The lease on which the leader's key depends has ended. */
   | 'election-lease-gone'
-  /** The shard's key is not as this term's election left it: the term is over. */
+  /** The shard's leader key has changed since this term's election, so the term is over. */
   | 'leader-key-changed'
-  /** Somebody else has changed a record that only the leader of the shard changes. */
+  /** Another writer has changed a record that only the shard's leader may change. */
   | 'record-changed'
-  /** A record holds what this term wrote, at a revision before the term. */
+  /** A record holds the value that this term wrote, but at a revision before the term. */
   | 'record-older-than-term'
-  /** A machine's record names a job of which there is no record. */
+  /** A machine's record refers to a job that has no record. */
   | 'unknown-job'
-  /** The state service calls a transaction malformed; a repetition would fare the same. */
+  /** The state service refuses a transaction as malformed, and would refuse it again. */
   | 'transaction-malformed';
 
-/** The records are not as this term left them, or can't be changed any more: the leader must step down. */
+/** The records differ from what this term wrote or can no longer be changed, so the leader must step down. */
 export class TermLostError extends Error {
   constructor(
     /** The term that must end. */
