--- a/packages/controller/records/batch-collector.ts
+++ b/packages/controller/records/batch-collector.ts
@@ -44,7 +44,7 @@
     const { fleet, jobRecords } = this.options;
     const { urgentMachines, machines, jobs } = fleet.unrecorded;
     if (!includeDeferred) return urgentMachines.size + jobs.size;
-    // The last one is the change of the removal marker.
+    // One more for the change of the removal marker.
     return machines.size + jobs.size + jobRecords.obsoleteChunkCount + 1;
   }
 
--- a/packages/controller/records/batch-settlement.ts
+++ b/packages/controller/records/batch-settlement.ts
@@ -60,7 +60,7 @@
     // Transactions are atomic: if the batch was applied, all of its records have changed.
     if (!batch.changes.every(({ key }) => failedKeys.includes(key))) return null;
 
-    // eslint-disable-next-line @typescript-eslint/no-non-null-assertion -- each batch has a put: deletions come with the removal marker
+    // eslint-disable-next-line @typescript-eslint/no-non-null-assertion -- deletions come with a put of the marker
     const firstPut = batch.changes.map(({ change }) => change).find(isPut)!;
     const entry = await client.callUrgent(signal, (api) => api.get(firstPut.put, signal));
     if (entry === null || !isEqualJson(entry.value, firstPut.value)) return null;
