--- a/packages/controller/jobs/job-table.test.ts
+++ b/packages/controller/jobs/job-table.test.ts
@@ -8,14 +8,14 @@
 import { JobTable } from './job-table.js';
 
 const LIMITS = { rps: 150, writeRps: 50, valueBytes: 8192, txnOps: 24 };
-/** Most of the heap of the smallest controller that one job may take. */
+/** Heap that one ended or open job may take, for the smallest supported controller; bytes. */
 const ENDED_JOB_BYTES = 300;
 const OPEN_JOB_BYTES = 600;
 
 setFlagsFromString('--expose-gc');
 const collectGarbage = runInNewContext('gc') as () => void;
 
-async function aTable() {
+async function createTable() {
   const state = await StateWorld.start(LIMITS);
   const runtime = state.controller();
   const client = state.client(runtime);
@@ -24,15 +24,15 @@
   return { state, cache, jobs: new JobTable(cache, new Cancellations(100, 70)) };
 }
 
-/** As it comes from the state service: each job with texts of its own. */
-function aRecord(number: number, phase: 'accepted' | 'done'): [string, unknown] {
+/** Creates a record as it is read from the state service: its strings are not shared with other records. */
+function createRecordEntry(number: number, phase: 'accepted' | 'done'): [string, unknown] {
   const id = `j-${String(number).padStart(6, '0')}`;
   const job = aJob({ id, cpus: 0.25 + number / 1e6, memory: 0.9 + number / 1e6 });
   const value = encodeJob({ job, acceptedAtMs: 1_800_000_000_000 + number, phase });
   return [jobKey(id), JSON.parse(JSON.stringify(value)) as unknown];
 }
 
-function heapBytes(): number {
+function measureHeapBytes(): number {
   collectGarbage();
   return process.memoryUsage().heapUsed;
 }
@@ -41,24 +41,24 @@
   ['done', ENDED_JOB_BYTES],
   ['accepted', OPEN_JOB_BYTES],
 ] as const) {
-  test(`a job that is ${phase} takes no more than ${limit} bytes, however many there are`, async () => {
-    const { cache, jobs } = await aTable();
-    const before = heapBytes();
+  test(`a job that is ${phase} takes less than ${limit} bytes of heap among 20,000 jobs`, async () => {
+    const { cache, jobs } = await createTable();
+    const before = measureHeapBytes();
     const count = 20_000;
     for (let number = 0; number < count; number++) {
-      const [key, value] = aRecord(number, phase);
+      const [key, value] = createRecordEntry(number, phase);
       cache.applyLocal(key, value, number + 1);
     }
-    const perJob = (heapBytes() - before) / count;
+    const perJob = (measureHeapBytes() - before) / count;
     assert.equal([...jobs.ids()].length, count);
     assert.ok(perJob < limit, `${perJob} bytes`);
   });
 }
 
-test('a job that is over is still called by its last state, and recent ones are known in full', async () => {
-  const { cache, jobs } = await aTable();
+test('all ended jobs keep their final phase, and recently ended ones their full records', async () => {
+  const { cache, jobs } = await createTable();
   for (let number = 0; number < 2000; number++)
-    cache.applyLocal(...aRecord(number, 'done'), number + 1);
+    cache.applyLocal(...createRecordEntry(number, 'done'), number + 1);
   const view = { phase: 'done', done: 1, running: 0 };
   for (const id of ['j-000000', 'j-001999']) {
     assert.deepEqual(jobs.view(id, jobs.get(id)!), { id, ...view });
@@ -67,8 +67,8 @@
   assert.equal(jobs.fullRecord('j-001999')?.job.id, 'j-001999');
 });
 
-test('what becomes known of jobs is told by one event each, in order, also of those that depend on them', async () => {
-  const { cache, jobs } = await aTable();
+test('each change of a job emits one event, in order, also for the jobs that depend on it', async () => {
+  const { cache, jobs } = await createTable();
   const events: string[] = [];
   jobs.events.subscribe((event) => {
     if (event.kind !== 'record') events.push(`${event.kind} ${event.job}`);
