--- a/packages/core/heartbeats/answer-delivery.ts
+++ b/packages/core/heartbeats/answer-delivery.ts
@@ -3,9 +3,9 @@
 import type { Machine } from '../model/entities.js';
 
 /** In heartbeat intervals: a gap after which nothing is concluded from the heartbeats before it. */
-const GAP_INTERVALS = 4;
+const MAX_ANSWER_GAP_INTERVALS = 4;
 /** In heartbeat intervals: how long heartbeats may show an old fencing token before the machine is cordoned. */
-const UNDELIVERED_INTERVALS = 2;
+const MAX_OLD_FENCING_TOKEN_INTERVALS = 2;
 
 /** What the check of delivery works by. */
 export interface DeliverySettings {
@@ -29,14 +29,15 @@
 ): void {
   const { leaseS, heartbeatIntervalS, term } = settings;
   // After a cut, held heartbeats arrive at once, and then a new epoch: that proves nothing of answers.
-  if (now - machine.answeredAt > GAP_INTERVALS * heartbeatIntervalS) machine.answeredSince = now;
+  if (now - machine.answeredAt > MAX_ANSWER_GAP_INTERVALS * heartbeatIntervalS)
+    machine.answeredSince = now;
   const showsOldFencingToken = heartbeat.fencingToken < term && machine.answeredSince < now;
   machine.oldFencingTokenSince = showsOldFencingToken
     ? (machine.oldFencingTokenSince ?? now)
     : null;
   const isUndelivered =
     machine.oldFencingTokenSince !== null &&
-    now - machine.oldFencingTokenSince >= UNDELIVERED_INTERVALS * heartbeatIntervalS;
+    now - machine.oldFencingTokenSince >= MAX_OLD_FENCING_TOKEN_INTERVALS * heartbeatIntervalS;
   const hasLeaseExpired =
     heartbeat.agentEpoch > machine.agentEpoch && now - machine.answeredSince >= leaseS;
   if (hasLeaseExpired || isUndelivered)
--- a/packages/core/heartbeats/direct-orders.ts
+++ b/packages/core/heartbeats/direct-orders.ts
@@ -36,18 +36,18 @@
   nextOrders(machine: Machine, now: number): Order[] {
     if (!this.isReachable(machine, now)) return [];
     const orders: Order[] = [];
-    let hasLaterStarts = false;
+    let hasBlockedStarts = false;
     for (const assignment of machine.tasks.values()) {
       const { stop } = assignment;
       if (stop !== null) {
         if (!stop.sentDirectly) orders.push(this.sendStop(assignment, stop));
       } else if (waitsForDirectStart(assignment)) {
         if (isStartable(assignment)) orders.push(this.sendStart(assignment, now));
-        else hasLaterStarts = true;
+        else hasBlockedStarts = true;
       }
     }
     if (orders.length > 0) machine.directCommandInFlight = true;
-    if (!hasLaterStarts) this.fleet.machinesWithCommands.delete(machine);
+    if (!hasBlockedStarts) this.fleet.machinesWithCommands.delete(machine);
     return orders;
   }
 
@@ -86,14 +86,14 @@
     }
     if (outcome.kind === 'refused')
       machine.noDirectCommandBefore = now + REFUSAL_PAUSE_INTERVALS * heartbeatIntervalS;
-    else this.acceptHeartbeat(machine, outcome.heartbeat, now);
+    else this.applyAnswer(machine, outcome.heartbeat, now);
   }
 
   /**
    * It tells nothing of starts in an answer that may still be in flight, so absence proves nothing. If the
    * machine was released or its lease has expired since, all that it held is gone, whatever it lists.
    */
-  private acceptHeartbeat(machine: Machine, heartbeat: Heartbeat, now: number): void {
+  private applyAnswer(machine: Machine, heartbeat: Heartbeat, now: number): void {
     if (machine.state !== 'up' || this.fleet.machines.get(machine.name) !== machine) return;
     if (
       heartbeat.agentEpoch !== machine.agentEpoch ||
--- a/packages/core/heartbeats/heartbeat-processor.ts
+++ b/packages/core/heartbeats/heartbeat-processor.ts
@@ -24,7 +24,7 @@
 
 /** Applies heartbeats, in the order of their agent epochs and sequences. Times are seconds of the steady clock. */
 export class HeartbeatProcessor {
-  private readonly delivery: DeliverySettings;
+  private readonly deliverySettings: DeliverySettings;
 
   constructor(
     private readonly fleet: FleetData,
@@ -33,20 +33,20 @@
     private readonly tasks: TaskReconciler,
   ) {
     const { leaseS, heartbeatIntervalS } = fleet.settings;
-    this.delivery = { leaseS, heartbeatIntervalS, term: fleet.term };
+    this.deliverySettings = { leaseS, heartbeatIntervalS, term: fleet.term };
   }
 
   /** Applies a heartbeat and returns what to answer it. */
   handle(heartbeat: Heartbeat, now: number): HeartbeatOutcome {
     if (this.fleet.released.has(heartbeat.machine)) return LATE_COPY;
-    const machine = this.machineOf(heartbeat, now);
+    const machine = this.getOrRegisterMachine(heartbeat, now);
     if (heartbeat.agentEpoch < machine.agentEpoch) return LATE_COPY;
     if (heartbeat.agentEpoch === machine.agentEpoch) {
       if (heartbeat.sequence <= machine.lastHeartbeatSequence) return LATE_COPY;
       if (heartbeat.sequence <= machine.lastMessageSequence)
-        return this.acceptOvertaken(machine, heartbeat, now);
+        return this.acceptOvertakenHeartbeat(machine, heartbeat, now);
     }
-    checkAnswerDelivery(machine, heartbeat, this.delivery, now);
+    checkAnswerDelivery(machine, heartbeat, this.deliverySettings, now);
     if (heartbeat.agentEpoch > machine.agentEpoch) this.agentEpochChanged(machine, now);
     this.markUp(machine, now);
     this.updateMachine(machine, heartbeat, now);
@@ -58,7 +58,7 @@
     };
   }
 
-  private machineOf(heartbeat: Heartbeat, now: number): Machine {
+  private getOrRegisterMachine(heartbeat: Heartbeat, now: number): Machine {
     const known = this.fleet.machines.get(heartbeat.machine);
     if (known) return known;
     const { machine: name, addr, type, zone, spot } = heartbeat;
@@ -69,7 +69,11 @@
    * The answer to a direct command came before this heartbeat. Its tasks are old, but the worker waits for
    * this answer, which renews the lease.
    */
-  private acceptOvertaken(machine: Machine, heartbeat: Heartbeat, now: number): HeartbeatOutcome {
+  private acceptOvertakenHeartbeat(
+    machine: Machine,
+    heartbeat: Heartbeat,
+    now: number,
+  ): HeartbeatOutcome {
     machine.lastHeartbeatSequence = heartbeat.sequence;
     machine.answeredAt = now;
     return { kind: 'answer', orders: ordersForAnswer(machine, heartbeat.sequence) };
@@ -112,7 +116,7 @@
 
   private reconcileTasks(machine: Machine, heartbeat: Heartbeat, now: number): Order[] {
     const listed = new Set(heartbeat.tasks.map((task) => taskName(task.job, task.index)));
-    const orders = mostUrgent(this.tasks.reconcileListed(machine, heartbeat.tasks, now));
+    const orders = limitListedOrders(this.tasks.reconcileListed(machine, heartbeat.tasks, now));
     for (const [name, assignment] of [...machine.tasks]) {
       if (!listed.has(name)) this.tasks.reconcileMissing(assignment, heartbeat, now);
     }
@@ -121,7 +125,7 @@
 }
 
 /** As many as one answer holds: what is to be stopped before what is to be forgotten. */
-function mostUrgent(orders: Order[]): Order[] {
+function limitListedOrders(orders: Order[]): Order[] {
   if (orders.length <= MAX_LISTED_ORDERS) return orders;
   const stops = orders.filter(({ op }) => op === 'stop');
   const others = orders.filter(({ op }) => op !== 'stop');
--- a/packages/core/heartbeats/machine-leases.test.ts
+++ b/packages/core/heartbeats/machine-leases.test.ts
@@ -33,7 +33,7 @@
       countedValues.mock.restore();
       calls++;
       for (const machine of machines.values()) {
-        if (machine.state === 'up') assert.ok(random.now <= leases.latestEnd(machine));
+        if (machine.state === 'up') assert.ok(random.now <= leases.latestLeaseEnd(machine));
       }
     }
   }
--- a/packages/core/heartbeats/machine-leases.ts
+++ b/packages/core/heartbeats/machine-leases.ts
@@ -4,21 +4,21 @@
 import type { Machine } from '../model/entities.js';
 
 /** Steady clocks differ by up to 0.05% each. */
-const CLOCK_DRIFT = 0.001;
+const MAX_CLOCK_DRIFT = 0.001;
 
 /** Tells when workers' leases have certainly expired, and ends what was on their machines (docs/safety.md, point 5). */
 export class MachineLeases {
   /** No lease can have expired before; seconds of the steady clock. */
-  private noneExpiresBefore = -Infinity;
+  private noExpiryBefore = -Infinity;
   /** Seconds from the answer to a heartbeat until its worker's lease has certainly expired. */
-  private readonly durationS: number;
+  private readonly expiryDelayS: number;
 
   constructor(
     private readonly fleet: FleetData,
     private readonly assignments: Assignments,
   ) {
     const { leaseS, heartbeatIntervalS } = fleet.settings;
-    this.durationS = leaseS * (1 + CLOCK_DRIFT) + heartbeatIntervalS / 2;
+    this.expiryDelayS = leaseS * (1 + MAX_CLOCK_DRIFT) + heartbeatIntervalS / 2;
   }
 
   /**
@@ -27,16 +27,16 @@
    * heartbeat came since then, lasts for its whole time from there.
    */
   expire(now: number): Machine[] {
-    if (now <= this.noneExpiresBefore) return [];
-    this.noneExpiresBefore = now + this.durationS;
+    if (now <= this.noExpiryBefore) return [];
+    this.noExpiryBefore = now + this.expiryDelayS;
     const expired: Machine[] = [];
     for (const machine of this.fleet.machines.values()) {
-      if (!holdsLease(machine)) continue;
-      const endsAt = this.latestEnd(machine);
+      if (!mayHoldLease(machine)) continue;
+      const endsAt = this.latestLeaseEnd(machine);
       if (now > endsAt) {
         this.expireMachine(machine, now);
         expired.push(machine);
-      } else this.noneExpiresBefore = Math.min(this.noneExpiresBefore, endsAt);
+      } else this.noExpiryBefore = Math.min(this.noExpiryBefore, endsAt);
     }
     return expired;
   }
@@ -51,14 +51,14 @@
   }
 
   /** Latest moment at which the worker's lease can still be held, in seconds of the steady clock. */
-  latestEnd({ termConfirmed, answeredAt }: Machine): number {
+  latestLeaseEnd({ termConfirmed, answeredAt }: Machine): number {
     const { settings, electedAt } = this.fleet;
     const renewedByFormerLeader = termConfirmed ? -Infinity : electedAt + settings.formerLeaderS;
-    return Math.max(answeredAt, renewedByFormerLeader) + this.durationS;
+    return Math.max(answeredAt, renewedByFormerLeader) + this.expiryDelayS;
   }
 }
 
 /** Whether its worker may hold a lease under which tasks run that are still to be ended here. */
-function holdsLease({ state, tasks }: Machine): boolean {
+function mayHoldLease({ state, tasks }: Machine): boolean {
   return state === 'up' || (state === 'booting' && tasks.size > 0);
 }
--- a/packages/core/heartbeats/start-fencing.ts
+++ b/packages/core/heartbeats/start-fencing.ts
@@ -57,17 +57,17 @@
     if (machine.directCommandInFlight) return;
     const overdueAfterS = FENCE_AFTER_INTERVALS * this.fleet.settings.heartbeatIntervalS;
     for (const sentAt of machine.unacknowledgedStarts.values()) {
-      if (now - sentAt >= overdueAfterS) this.fence(machine);
+      if (now - sentAt >= overdueAfterS) this.requestFence(machine);
     }
   }
 
   /** Nobody wants the task any more: asks for a new record at once if its start may still arrive. */
   revoke(machine: Machine, start: TaskRef): void {
-    if (this.mayArrive(machine, start)) this.fence(machine);
+    if (this.mayArrive(machine, start)) this.requestFence(machine);
   }
 
   /** A call that is in flight carries the older fencing token. */
-  private fence(machine: Machine): void {
+  private requestFence(machine: Machine): void {
     if (machine.fence !== 'none') return;
     machine.fence = 'requested';
     this.fleet.unrecorded.markMachineUrgent(machine.name, MOST_URGENT);
--- a/packages/core/heartbeats/task-reconciler.test.ts
+++ b/packages/core/heartbeats/task-reconciler.test.ts
@@ -15,7 +15,7 @@
 const STOPPED: TaskStatus = { ...RUNNING, state: 'exited', cause: 'stopped' };
 
 /** A machine that has one attempt of the job's task after the other, and the orders in the answers to it. */
-function aMachineWithAttempts() {
+function createMachineWithAttempts() {
   const fleet = aFleet();
   const job = fleet.addJob(JOB, 0, 'accepted', 0);
   const machine = aMachine(fleet, 'n-1');
@@ -34,7 +34,7 @@
 
 test('an attempt whose start may still arrive is not forgotten beside a newer one', () => {
   // Guards against a delayed start that begins the old attempt again while the new one is elsewhere.
-  const { fleet, machine, heartbeat, assign } = aMachineWithAttempts();
+  const { fleet, machine, heartbeat, assign } = createMachineWithAttempts();
   const first = assign(1);
   const orders = fleet.directOrders.nextOrders(machine, 0.3);
   assert.equal(orders.length, 1);
@@ -48,7 +48,7 @@
 });
 
 test('what completed beside a newer attempt is done, and the newer attempt is stopped', () => {
-  const { job, heartbeat, assign } = aMachineWithAttempts();
+  const { job, heartbeat, assign } = createMachineWithAttempts();
   assign(2);
   const done: TaskStatus = { ...STOPPED, cause: 'done' };
   assert.deepEqual(heartbeat(2, done), [], 'kept until the end is durable');
@@ -63,7 +63,7 @@
     ['refused', true],
     ['unsent', false],
   ] as const) {
-    const { fleet, job, heartbeat, assign } = aMachineWithAttempts();
+    const { fleet, job, heartbeat, assign } = createMachineWithAttempts();
     const second = assign(2);
     if (isSent) heartbeat(2);
     const refused: TaskStatus = { ...STOPPED, attempt: 2, cause: 'busy' };
@@ -78,7 +78,7 @@
 });
 
 test('a worker forgets a done task once that is durable, whatever else of its job is not', () => {
-  const { fleet, machine, heartbeat } = aMachineWithAttempts();
+  const { fleet, machine, heartbeat } = createMachineWithAttempts();
   const job = fleet.addJob(aJob({ id: 'j-000002', tasks: 3 }), 0, 'accepted', 0);
   const done = (index: number): TaskStatus => {
     return { ...RUNNING, job: 'j-000002', index, state: 'exited', cause: 'done' };
--- a/packages/core/heartbeats/task-reconciler.ts
+++ b/packages/core/heartbeats/task-reconciler.ts
@@ -39,14 +39,14 @@
       assignment = undefined;
     }
     if (!assignment) {
-      if (task.state === 'exited') return this.unassignedExited(machine, task, job, ref);
+      if (task.state === 'exited') return this.unassignedTaskExited(machine, task, job, ref);
       if (!job || task.index >= job.spec.tasks) return killOrder(ref);
       // Nothing should run unrecorded; if it does, it holds its place until it is gone.
       assignment = this.assignments.adoptUnrecorded(job, task.index, machine, task.attempt, now);
     }
     this.applyState(assignment, task, now);
     if (task.state !== 'exited') return null;
-    return this.exited(assignment, task, ref, now);
+    return this.taskExited(assignment, task, ref, now);
   }
 
   /** An attempt has exited beside the one that the machine is given now. */
@@ -64,7 +64,7 @@
     return this.forgetIfSafe(machine, ref, job);
   }
 
-  private unassignedExited(
+  private unassignedTaskExited(
     machine: Machine,
     task: TaskStatus,
     job: JobState | undefined,
@@ -89,7 +89,7 @@
     this.fleet.failures.taskRunning(assignment, now);
   }
 
-  private exited(
+  private taskExited(
     assignment: Assignment,
     task: TaskStatus,
     ref: TaskRef,
@@ -110,12 +110,12 @@
    * arrive: a worker that has forgotten an attempt would start it again.
    */
   private forgetIfSafe(machine: Machine, ref: TaskRef, job: JobState | undefined): Order | null {
-    if (job && this.isUnrecordedEnd(job, ref.index)) return null;
+    if (job && this.isCompletionUnrecorded(job, ref.index)) return null;
     return this.fencing.mayArrive(machine, ref) ? null : forgetOrder(ref);
   }
 
   /** The task is done, and a later leader would not know: neither it nor the end of its job is recorded. */
-  private isUnrecordedEnd({ phase, done, spec }: JobState, index: number): boolean {
+  private isCompletionUnrecorded({ phase, done, spec }: JobState, index: number): boolean {
     if (phase !== 'accepted' || !done.has(index)) return false;
     const isAllDone = done.size === spec.tasks;
     return isAllDone || this.fleet.unrecorded.doneTasksOf(spec.id).has(index);
--- a/packages/core/model/free-machines.test.ts
+++ b/packages/core/model/free-machines.test.ts
@@ -12,7 +12,11 @@
   { gpus: 0, cpus: 0 },
 ].map((need) => aJob({ ...need, memory: 1 }));
 
-function withCapacity(fleet: FleetState, machines: Iterable<Machine>, task: (typeof TASKS)[0]) {
+function findMachinesWithCapacity(
+  fleet: FleetState,
+  machines: Iterable<Machine>,
+  task: (typeof TASKS)[0],
+) {
   return [...machines].filter((machine) => {
     const type = fleet.machines.typeOf(machine);
     return machine.state === 'up' && type && hasCapacity(task, machine.used, type);
@@ -28,8 +32,8 @@
     for (let step = 0; step < 150; step++) {
       random.step();
       for (const task of TASKS) {
-        const listed = withCapacity(fleet, fleet.machines.free.mayHold(task), task);
-        const expected = withCapacity(fleet, fleet.machines.values(), task);
+        const listed = findMachinesWithCapacity(fleet, fleet.machines.free.mayHold(task), task);
+        const expected = findMachinesWithCapacity(fleet, fleet.machines.values(), task);
         assert.deepEqual(listed, expected);
         found += expected.length;
       }
--- a/packages/core/model/free-machines.ts
+++ b/packages/core/model/free-machines.ts
@@ -5,7 +5,7 @@
 import { OrderedMachines } from './ordered-machines.js';
 
 /** A need above this is surely more than the rounding of what is free. */
-const CERTAIN_NEED = 3 * ROUNDING;
+const SIGNIFICANT_NEED = 3 * ROUNDING;
 
 /**
  * The machines that are up, and those of them that are not full, kept current as tasks come and go. In a
@@ -31,8 +31,8 @@
 
   /** All machines that may have capacity for such a task, in the order in which they became known. */
   mayHold({ cpus, gpus }: Pick<Amounts, 'cpus' | 'gpus'>): readonly Machine[] {
-    if (gpus > CERTAIN_NEED) return this.withGpus.machines;
-    if (cpus > CERTAIN_NEED) return this.withCpus.machines;
+    if (gpus > SIGNIFICANT_NEED) return this.withGpus.machines;
+    if (cpus > SIGNIFICANT_NEED) return this.withCpus.machines;
     return this.up.machines;
   }
 }
--- a/packages/core/model/job-registry.ts
+++ b/packages/core/model/job-registry.ts
@@ -25,7 +25,7 @@
   /** Jobs that are over and may still have a task somewhere. */
   private readonly ended = new Set<JobState>();
   private readonly byId = new Map<string, JobState>();
-  private readonly jobsWithNewCounts = new Set<JobState>();
+  private readonly jobsWithChangedCounts = new Set<JobState>();
 
   constructor(
     private readonly halfLifeS: number,
@@ -103,13 +103,13 @@
 
   /** How many of the job's tasks are done or run may have changed. */
   countsChanged(job: JobState): void {
-    this.jobsWithNewCounts.add(job);
+    this.jobsWithChangedCounts.add(job);
   }
 
   /** The open jobs whose counts may have changed since the last call. */
   drainChangedCounts(): JobState[] {
-    const jobs = [...this.jobsWithNewCounts].filter(({ phase }) => phase === 'accepted');
-    this.jobsWithNewCounts.clear();
+    const jobs = [...this.jobsWithChangedCounts].filter(({ phase }) => phase === 'accepted');
+    this.jobsWithChangedCounts.clear();
     return jobs;
   }
 
--- a/packages/core/model/listener.ts
+++ b/packages/core/model/listener.ts
@@ -31,17 +31,17 @@
   jobClosed(job: JobState, now: number): void;
 }
 
-function ignore(): void {
+function noop(): void {
   // Nobody listens.
 }
 
 /** For tests and simulations that need no events. */
 export const NO_LISTENER: FleetListener = {
-  taskEnded: ignore,
-  taskRunning: ignore,
-  machineUp: ignore,
-  jobCrashLooping: ignore,
-  jobRecovered: ignore,
-  machineFaulty: ignore,
-  jobClosed: ignore,
+  taskEnded: noop,
+  taskRunning: noop,
+  machineUp: noop,
+  jobCrashLooping: noop,
+  jobRecovered: noop,
+  machineFaulty: noop,
+  jobClosed: noop,
 };
--- a/packages/core/model/machine-groups.test.ts
+++ b/packages/core/model/machine-groups.test.ts
@@ -52,23 +52,23 @@
       const { machines } = random.fleet;
       for (const [index, { group, belongs }] of RULES.entries()) {
         const expected = [...machines.values()].filter(belongs);
-        const found = namesOf(group(machines.groups));
-        assert.deepEqual(found, namesOf(expected), `${group.toString()}, seed ${seed}`);
+        const found = collectSortedNames(group(machines.groups));
+        assert.deepEqual(found, collectSortedNames(expected), `${group.toString()}, seed ${seed}`);
         seen[index] += expected.length;
       }
       machines.updateTotals();
-      assert.deepEqual(machines.totals, totalsOf(random.fleet));
+      assert.deepEqual(machines.totals, computeTotals(random.fleet));
     }
   }
   for (const count of seen) assert.ok(count > SEEDS, `members seen: ${seen.join(', ')}`);
 });
 
-function totalsOf({ machines }: FleetState): Amounts {
+function computeTotals({ machines }: FleetState): Amounts {
   const totals = { ...ZERO_AMOUNTS };
   for (const machine of machines.values()) addAmounts(totals, machines.typeOf(machine)!, 1);
   return totals;
 }
 
-function namesOf(machines: Iterable<Machine>): string[] {
+function collectSortedNames(machines: Iterable<Machine>): string[] {
   return [...machines].map(({ name }) => name).sort();
 }
--- a/packages/core/model/machine-record-size.ts
+++ b/packages/core/model/machine-record-size.ts
@@ -3,14 +3,15 @@
 import type { Assignment } from './entities.js';
 
 /** Digits of the largest attempt number, and of the largest index of a task. */
-const ATTEMPT_DIGITS = 16;
-const INDEX_DIGITS = 5;
+const MAX_ATTEMPT_DIGITS = 16;
+const MAX_INDEX_DIGITS = 5;
 /** Characters of the longest id of a job. */
-const ID_LENGTH = 20;
+const MAX_JOB_ID_LENGTH = 20;
 /** Brackets, quotes and commas of the entry of one task. */
-const ENTRY_MARKS = '["",,],'.length;
+const ENTRY_PUNCTUATION_BYTES = '["",,],'.length;
 /** Bytes of the largest entry of a task. */
-export const LARGEST_ENTRY = ENTRY_MARKS + ID_LENGTH + INDEX_DIGITS + ATTEMPT_DIGITS;
+export const LARGEST_ENTRY =
+  ENTRY_PUNCTUATION_BYTES + MAX_JOB_ID_LENGTH + MAX_INDEX_DIGITS + MAX_ATTEMPT_DIGITS;
 
 /** The longest address of a machine. */
 const LONGEST_ADDRESS = '255.255.255.255:65535';
@@ -24,10 +25,12 @@
 
 /** Bytes that the assignment takes in its machine's record. */
 export function entryBytes({ job, index, attempt }: Assignment): number {
-  return ENTRY_MARKS + job.spec.id.length + String(index).length + String(attempt).length;
+  return (
+    ENTRY_PUNCTUATION_BYTES + job.spec.id.length + String(index).length + String(attempt).length
+  );
 }
 
 /** Bytes that the entry of a task of the job takes at the most. */
 export function mostEntryBytes({ id, tasks }: Job): number {
-  return ENTRY_MARKS + id.length + String(tasks - 1).length + ATTEMPT_DIGITS;
+  return ENTRY_PUNCTUATION_BYTES + id.length + String(tasks - 1).length + MAX_ATTEMPT_DIGITS;
 }
--- a/packages/core/model/machine-registry.ts
+++ b/packages/core/model/machine-registry.ts
@@ -29,7 +29,7 @@
   private readonly byName = new Map<string, Machine>();
   private registeredCount = 0;
   /** Null after machines have come or gone. */
-  private zonesInOrder: readonly string[] | null = null;
+  private cachedZones: readonly string[] | null = null;
 
   /** `fencingToken` is what answers to a new machine carry: the leader's term. */
   constructor(private readonly fencingToken: number) {}
@@ -87,7 +87,7 @@
       fencingToken: this.fencingToken,
     });
     this.byName.set(facts.name, machine);
-    this.membersChanged();
+    this.invalidateTotalsAndZones();
     this.groups.add(machine);
     this.free.update(machine, this.typeOf(machine));
     return machine;
@@ -96,20 +96,20 @@
   /** The machine is gone from the cloud. */
   remove(machine: Machine): void {
     this.byName.delete(machine.name);
-    this.membersChanged();
+    this.invalidateTotalsAndZones();
     this.groups.remove(machine);
     this.free.remove(machine);
   }
 
-  private membersChanged(): void {
+  private invalidateTotalsAndZones(): void {
     this.totalsAreStale = true;
-    this.zonesInOrder = null;
+    this.cachedZones = null;
   }
 
   /** Zones of all machines, in the order in which they became known. */
   get zones(): readonly string[] {
-    this.zonesInOrder ??= [...new Set([...this.byName.values()].map(({ zone }) => zone))];
-    return this.zonesInOrder;
+    this.cachedZones ??= [...new Set([...this.byName.values()].map(({ zone }) => zone))];
+    return this.cachedZones;
   }
 
   /** The first heartbeat of its worker came, or the first after its lease expired; or its lease has expired. */
--- a/packages/core/model/waiting-tasks.ts
+++ b/packages/core/model/waiting-tasks.ts
@@ -12,16 +12,16 @@
  * job's `scanFrom` past tasks that wait no more, and forgets those among `returnedTasks`.
  */
 export function findWaitingTasks(job: JobState, limit: number): number[] {
-  const waits = (index: number) => !job.done.has(index) && !job.assignments.has(index);
+  const isWaiting = (index: number) => !job.done.has(index) && !job.assignments.has(index);
   const found: number[] = [];
   for (const index of job.returnedTasks) {
     if (found.length === limit) return found;
-    if (waits(index)) found.push(index);
+    if (isWaiting(index)) found.push(index);
     else job.returnedTasks.delete(index);
   }
-  while (job.scanFrom < job.spec.tasks && !waits(job.scanFrom)) job.scanFrom++;
+  while (job.scanFrom < job.spec.tasks && !isWaiting(job.scanFrom)) job.scanFrom++;
   for (let index = job.scanFrom; index < job.spec.tasks && found.length < limit; index++) {
-    if (waits(index) && !job.returnedTasks.has(index)) found.push(index);
+    if (isWaiting(index) && !job.returnedTasks.has(index)) found.push(index);
   }
   return found;
 }
