--- a/packages/core/heartbeats/answer-delivery.ts
+++ b/packages/core/heartbeats/answer-delivery.ts
@@ -1,13 +1,13 @@
-/** Finds machines whose heartbeats come while the answers to these don't reach them. */
+/** Detects machines whose heartbeats arrive while the answers to them are lost. */
 import type { Heartbeat } from '#wire';
 import type { Machine } from '../model/entities.js';
 
-/** In heartbeat intervals: a gap after which nothing is concluded from the heartbeats before it. */
+/** In heartbeat intervals: after a longer gap between two heartbeats, the check ignores those before the gap. */
 const MAX_ANSWER_GAP_INTERVALS = 4;
-/** In heartbeat intervals: how long heartbeats may show an old fencing token before the machine is cordoned. */
+/** In heartbeat intervals: how long heartbeats may carry an old fencing token before the machine is cordoned. */
 const MAX_OLD_FENCING_TOKEN_INTERVALS = 2;
 
-/** What the check of delivery works by. */
+/** Settings of the check that answers reach a worker. */
 export interface DeliverySettings {
   /** Seconds. */
   leaseS: number;
@@ -18,8 +18,9 @@
 }
 
 /**
- * Cordons a machine whose heartbeats come while our answers don't reach it: it shows an old fencing token again and
- * again, or its lease expired though we answered. What would be placed there would not start.
+ * Cordons a machine whose heartbeats arrive while the answers to them are lost, since tasks placed on it would not
+ * start. Answers count as lost if heartbeats keep carrying an old fencing token, or if the worker's lease expired
+ * although its heartbeats were answered.
  */
 export function checkAnswerDelivery(
   machine: Machine,
@@ -28,7 +29,8 @@
   now: number,
 ): void {
   const { leaseS, heartbeatIntervalS, term } = settings;
-  // After a cut, held heartbeats arrive at once, and then a new epoch: that proves nothing of answers.
+  // After a network partition, delayed heartbeats arrive together, then one of a new agent epoch.
+  // That does not show that answers are lost.
   if (now - machine.answeredAt > MAX_ANSWER_GAP_INTERVALS * heartbeatIntervalS)
     machine.answeredSince = now;
   const showsOldFencingToken = heartbeat.fencingToken < term && machine.answeredSince < now;
--- a/packages/core/heartbeats/answer-orders.test.ts
+++ b/packages/core/heartbeats/answer-orders.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { aFleet, aJob, aMachine, aHeartbeat } from '../../testing/samples.js';
 
-test('gang tasks are told to start only when all are recorded', () => {
+test('the starts of a gang are sent only when all its tasks are recorded', () => {
   const fleet = aFleet();
   const job = fleet.addJob(aJob({ kind: 'gang', tasks: 2 }), 0, 'accepted', 0);
   const [m1, m2] = [aMachine(fleet, 'n-1'), aMachine(fleet, 'n-2')];
@@ -19,6 +19,6 @@
   assert.deepEqual(
     fleet.heartbeats.handle(heartbeat(2), 3),
     { kind: 'late-copy' },
-    'a copy is answered without orders',
+    'a duplicate heartbeat is answered without orders',
   );
 });
--- a/packages/core/heartbeats/answer-orders.ts
+++ b/packages/core/heartbeats/answer-orders.ts
@@ -2,7 +2,7 @@
 import type { Order, TaskRef } from '#wire';
 import { type Assignment, assignmentsOf, type JobState, type Machine } from '../model/entities.js';
 
-/** The orders that the answer to a heartbeat carries: stops first, then starts that are recorded. */
+/** The orders in the answer to a heartbeat: stops first, then the starts that may be sent. */
 export function ordersForAnswer(machine: Machine, heartbeatSequence: number): Order[] {
   const stops: Order[] = [];
   const starts: Order[] = [];
@@ -18,8 +18,8 @@
 }
 
 /**
- * Whether the start may be sent. Nothing is started before it is recorded, a gang or replica only when all of it is
- * (docs/safety.md, points 4 and 12).
+ * Whether the start order of the assignment may be sent. A task is started only after its assignment is recorded, a
+ * gang or replica only after the assignments of all its tasks are recorded (docs/safety.md, points 4 and 12).
  */
 export function isStartable(assignment: Assignment): boolean {
   const { reportedState, inherited, recorded, job, attempt } = assignment;
@@ -29,8 +29,8 @@
 }
 
 /**
- * All tasks of the gang's attempt have a recorded place. Unlike a replica, whose members wait until older generations
- * are gone, a gang does not wait for older attempts, which may be on their way out.
+ * Whether the assignments of all tasks of the gang's attempt are recorded. The members of a replica wait until older
+ * generations are gone; a gang does not wait for older attempts, which may still be stopping.
  */
 function isAttemptRecorded(job: JobState, attempt: number): boolean {
   let recorded = 0;
@@ -40,27 +40,27 @@
   return recorded === job.spec.tasks;
 }
 
-/** How messages name the assignment's attempt. */
+/** Identifies the assignment's attempt in messages. */
 export function taskRef({ job, index, attempt }: Assignment): TaskRef {
   return { job: job.spec.id, index, attempt };
 }
 
-/** The order to start it; has no effect at a worker that has the attempt already. */
+/** The order to start the assignment's task. It has no effect on a worker that already has the attempt. */
 export function startOrder(assignment: Assignment): Order {
   return { op: 'start', ...taskRef(assignment) };
 }
 
-/** The order to stop it; `graceS` are seconds for a checkpoint, 0 kills. */
+/** The order to stop the assignment's task. `graceS` is the time in seconds for a checkpoint; 0 kills at once. */
 export function stopOrder(assignment: Assignment, graceS: number): Order {
   return { op: 'stop', graceS, ...taskRef(assignment) };
 }
 
-/** The order to kill an attempt that has no place here. */
+/** The order to kill an attempt that should not run on the machine. */
 export function killOrder(ref: TaskRef): Order {
   return { op: 'stop', graceS: 0, ...ref };
 }
 
-/** The order to forget an attempt that has exited; a worker that has forgotten it would start it again. */
+/** The order to forget an attempt that has exited. A worker that has forgotten an attempt would start it again. */
 export function forgetOrder(ref: TaskRef): Order {
   return { op: 'forget', ...ref };
 }
--- a/packages/core/heartbeats/direct-orders.test.ts
+++ b/packages/core/heartbeats/direct-orders.test.ts
@@ -2,9 +2,9 @@
 import { test } from 'node:test';
 import { aFleet, aJob, aMachine, aHeartbeat } from '../../testing/samples.js';
 
-test('an answer that comes after its machine was given up brings nothing back', () => {
-  // Guards against a place, and a share of the team's limit, that is held for the rest of the term on
-  // a machine that is gone.
+test('an answer to a direct command restores no assignment if the machine was released or its lease expired', () => {
+  // Guards against an assignment that exists, and counts against the team's limit, for the rest of the term although
+  // its machine is gone.
   for (const lost of ['released', 'silent'] as const) {
     const fleet = aFleet();
     const job = fleet.addJob(aJob(), 0, 'accepted', 0);
@@ -22,9 +22,8 @@
   }
 });
 
-test('the unanswered start of a job that is over is fenced off at once', () => {
-  // Guards against a start that was held up on its way and is carried out seconds after its user was
-  // told that the job is cancelled.
+test('an unanswered start is fenced off at once when its job is cancelled', () => {
+  // Guards against a delayed start that is executed seconds after the user was told that the job is cancelled.
   const fleet = aFleet();
   const job = fleet.addJob(aJob(), 0, 'accepted', 0);
   const machine = aMachine(fleet, 'n-1');
@@ -36,7 +35,7 @@
   assert.deepEqual([...fleet.unrecorded.machines], ['n-1']);
   fleet.fencing.fenceRecorded(machine, 150);
   fleet.heartbeats.handle(aHeartbeat({ sequence: 2 }), 2);
-  assert.equal(machine.fencingToken, 150, 'the answer carries it');
+  assert.equal(machine.fencingToken, 150, 'the answer carries the new fencing token');
   assert.equal(job.assignments.size, 1);
   fleet.heartbeats.handle(aHeartbeat({ sequence: 3, fencingToken: 150 }), 3);
   assert.equal(job.assignments.size, 0);
--- a/packages/core/heartbeats/direct-orders.ts
+++ b/packages/core/heartbeats/direct-orders.ts
@@ -6,9 +6,9 @@
 import type { StartFencing } from './start-fencing.js';
 import type { TaskReconciler } from './task-reconciler.js';
 
-/** In heartbeat intervals: how recent the last heartbeat must be. */
+/** In heartbeat intervals: a direct command is sent only if the last heartbeat is younger. */
 const RECENT_HEARTBEAT_INTERVALS = 2;
-/** In heartbeat intervals: the pause after a refusal. */
+/** In heartbeat intervals: how long no direct command is sent to a worker that refused one. */
 const REFUSAL_PAUSE_INTERVALS = 2;
 
 /** The outcome of a direct command. */
@@ -17,13 +17,14 @@
   | { kind: 'executed'; heartbeat: Heartbeat }
   /** The worker answered that it executed nothing. */
   | { kind: 'refused' }
-  /** No answer, or one that tells nothing: it may have been executed, or may be yet. */
+  /** No answer or an inconclusive one: the command may have been executed, or may still be. */
   | { kind: 'unknown' };
 
 /**
- * Orders that need not wait for the machine's next heartbeat: starts that are recorded, and stops. At most one command
- * is in flight to a machine, and none while its fencing token is being raised (docs/safety.md, point 6). Starts of
- * best-effort tasks do wait: calls for thousands of short tasks took most of a round.
+ * Orders that need not wait for the machine's next heartbeat: stops, and starts of recorded assignments. At most one
+ * command is in flight to a machine, and none while its fencing token is being raised (docs/safety.md, point 6). Starts
+ * of best-effort tasks wait for the heartbeat: direct commands for thousands of short tasks took most of a scheduling
+ * round.
  */
 export class DirectOrders {
   constructor(
@@ -32,7 +33,7 @@
     private readonly tasks: TaskReconciler,
   ) {}
 
-  /** The orders to send to the machine now; unless empty, `finish` must follow. */
+  /** Returns the orders to send to the machine now. If there are any, `applyOutcome` must be called with them later. */
   nextOrders(machine: Machine, now: number): Order[] {
     if (!this.isReachable(machine, now)) return [];
     const orders: Order[] = [];
@@ -73,7 +74,7 @@
     );
   }
 
-  /** Applies the outcome of the orders that `nextOrders` gave. */
+  /** Applies the outcome of the orders that `nextOrders` returned. */
   applyOutcome(machine: Machine, orders: Order[], outcome: DirectOutcome, now: number): void {
     const { leaseS, heartbeatIntervalS } = this.fleet.settings;
     machine.directCommandInFlight = false;
@@ -90,8 +91,9 @@
   }
 
   /**
-   * It tells nothing of starts in an answer that may still be in flight, so absence proves nothing. If the
-   * machine was released or its lease has expired since, all that it held is gone, whatever it lists.
+   * Applies the task list in the answer to a direct command. A task that is missing from the list is not taken as gone:
+   * its start may be in a heartbeat answer that is still in flight. The list is ignored if the machine was released or
+   * its lease has expired in the meantime, since all its assignments have ended.
    */
   private applyAnswer(machine: Machine, heartbeat: Heartbeat, now: number): void {
     if (machine.state !== 'up' || this.fleet.machines.get(machine.name) !== machine) return;
@@ -105,7 +107,7 @@
   }
 }
 
-/** Whether its start was not sent yet and is to be sent directly once it is recorded. */
+/** Whether the assignment's start was not sent yet and is sent directly once the assignment is recorded. */
 function waitsForDirectStart(assignment: Assignment): boolean {
   const { job, startSent, reportedState, inherited } = assignment;
   return !startSent && reportedState === null && !inherited && !job.isBestEffort;
--- a/packages/core/heartbeats/heartbeat-processor.test.ts
+++ b/packages/core/heartbeats/heartbeat-processor.test.ts
@@ -2,9 +2,9 @@
 import { test } from 'node:test';
 import { aFleet, aJob, aMachine, aHeartbeat } from '../../testing/samples.js';
 
-test('a late copy of an older agent epoch does not make inherited tasks look gone', () => {
-  // Guards against: a new leader first sees an old copy, then a heartbeat of the current epoch from
-  // before the start that the former leader sent; the change of epoch proved nothing.
+test('inherited tasks are kept if the first heartbeat received is a delayed one of an older agent epoch', () => {
+  // Guards against ending an inherited task when the agent epoch changes. A new leader may first receive a delayed
+  // heartbeat of an older epoch, then one of the current epoch that was sent before the former leader's start arrived.
   const fleet = aFleet();
   const job = fleet.addJob(aJob({ tasks: 1 }), 0, 'accepted', 0);
   fleet.assignments.inherit(job, 0, aMachine(fleet, 'n-1'), 1, 0);
@@ -17,9 +17,9 @@
   assert.equal(fleet.jobs.waitingCount(job), 1);
 });
 
-test('a heartbeat overtaken by a direct answer still counts as answered', () => {
-  // Guards against a machine being given up while its lease runs: the heartbeat was taken for a late
-  // copy, but its worker waited for the answer and was renewed by it.
+test('a heartbeat that was overtaken by the answer to a direct command still renews the lease', () => {
+  // Guards against expiring a machine whose lease is still valid: the heartbeat was taken for a duplicate, but the
+  // worker was waiting for the answer, which renewed the lease.
   const fleet = aFleet();
   const machine = aMachine(fleet, 'n-1');
   const heartbeat = (sequence: number) => aHeartbeat({ sequence });
--- a/packages/core/heartbeats/heartbeat-processor.ts
+++ b/packages/core/heartbeats/heartbeat-processor.ts
@@ -9,16 +9,18 @@
 import type { TaskReconciler } from './task-reconciler.js';
 
 /**
- * What to answer a heartbeat. A late copy renews nothing and tells nothing new, and its answer must not be
- * one that a worker could accept as valid (docs/safety.md, point 6).
+ * The answer to a heartbeat. A `late-copy` is a heartbeat that arrived after a newer message from its machine or after
+ * the machine's release. It renews no lease and changes no state, and its answer must not be one that a worker could
+ * accept as valid (docs/safety.md, point 6).
  */
 export type HeartbeatOutcome = { kind: 'answer'; orders: Order[] } | { kind: 'late-copy' };
 
 const LATE_COPY: HeartbeatOutcome = { kind: 'late-copy' };
 
 /**
- * Orders of one answer about tasks that a heartbeat lists: with the starts of a full machine they stay
- * within what an answer may hold. The rest is sent after the next heartbeat, which lists what is left.
+ * Maximum number of orders in one answer about tasks that the heartbeat lists. With the starts of a full machine added,
+ * the answer stays within its size limit. Further orders follow after the next heartbeat, which lists the remaining
+ * tasks.
  */
 const MAX_LISTED_ORDERS = 400;
 
@@ -36,7 +38,7 @@
     this.deliverySettings = { leaseS, heartbeatIntervalS, term: fleet.term };
   }
 
-  /** Applies a heartbeat and returns what to answer it. */
+  /** Applies a heartbeat and returns the answer to it. */
   handle(heartbeat: Heartbeat, now: number): HeartbeatOutcome {
     if (this.fleet.released.has(heartbeat.machine)) return LATE_COPY;
     const machine = this.getOrRegisterMachine(heartbeat, now);
@@ -66,8 +68,8 @@
   }
 
   /**
-   * The answer to a direct command came before this heartbeat. Its tasks are old, but the worker waits for
-   * this answer, which renews the lease.
+   * Answers a heartbeat that was overtaken by the newer answer to a direct command. The heartbeat's task list is
+   * outdated, but the worker waits for the answer, which renews its lease.
    */
   private acceptOvertakenHeartbeat(
     machine: Machine,
@@ -80,9 +82,9 @@
   }
 
   /**
-   * The worker killed and forgot everything when its lease expired. What an earlier term may have
-   * started is not judged by this: the older epoch may be known from a late copy only, and the start
-   * may belong to the newer one.
+   * Ends tasks of the older agent epoch: the worker killed and forgot all its tasks when its lease expired. A task that
+   * only an earlier term may have started is kept: the older epoch may be known from a delayed heartbeat only, and the
+   * task may have been started in the newer epoch.
    */
   private agentEpochChanged(machine: Machine, now: number): void {
     if (machine.agentEpoch > 0) {
@@ -124,7 +126,7 @@
   }
 }
 
-/** As many as one answer holds: what is to be stopped before what is to be forgotten. */
+/** Cuts the orders to the maximum for one answer. Stop orders take precedence over forget orders. */
 function limitListedOrders(orders: Order[]): Order[] {
   if (orders.length <= MAX_LISTED_ORDERS) return orders;
   const stops = orders.filter(({ op }) => op === 'stop');
--- a/packages/core/heartbeats/machine-leases.test.ts
+++ b/packages/core/heartbeats/machine-leases.test.ts
@@ -5,7 +5,7 @@
 import { aFleet, aJob, aMachine, STD } from '../../testing/samples.js';
 import { FleetState } from '../fleet-state.js';
 
-test('a silent machine of an earlier term keeps its tasks until no leader can have answered it', () => {
+test('a silent machine of an earlier term keeps its tasks until any lease from a former leader has expired', () => {
   const fleet = new FleetState({ settings: aFleet().settings, term: 200, electedAt: 50 });
   fleet.machines.setType(STD);
   const job = fleet.addJob(aJob({ tasks: 1 }), 0, 'accepted', 50);
@@ -17,8 +17,8 @@
   assert.equal(fleet.jobs.waitingCount(job), 1);
 });
 
-test('no lease that has expired is overlooked, though most walks are left out', () => {
-  // Guards the moment until which no walk is needed: it must hold whatever happens to the machines meanwhile.
+test('every expired lease is found although most walks over the machines are skipped', () => {
+  // Guards the time until which walks are skipped: no lease may expire before it, whatever happens to the machines.
   let walks = 0;
   let calls = 0;
   let expired = 0;
--- a/packages/core/heartbeats/machine-leases.ts
+++ b/packages/core/heartbeats/machine-leases.ts
@@ -1,14 +1,14 @@
-/** The leases of workers, as far as they can be known here. */
+/** Determines when the leases of workers have certainly expired. */
 import type { Assignments } from '../assignments/assignments.js';
 import type { FleetData } from '../fleet-data.js';
 import type { Machine } from '../model/entities.js';
 
-/** Steady clocks differ by up to 0.05% each. */
+/** Relative drift between two steady clocks; each deviates by up to 0.05%. */
 const MAX_CLOCK_DRIFT = 0.001;
 
-/** Tells when workers' leases have certainly expired, and ends what was on their machines (docs/safety.md, point 5). */
+/** Ends the assignments on machines whose workers' leases have certainly expired (docs/safety.md, point 5). */
 export class MachineLeases {
-  /** No lease can have expired before; seconds of the steady clock. */
+  /** No lease can expire before this time, in seconds of the steady clock. */
   private noExpiryBefore = -Infinity;
   /** Seconds from the answer to a heartbeat until its worker's lease has certainly expired. */
   private readonly expiryDelayS: number;
@@ -22,9 +22,9 @@
   }
 
   /**
-   * Ends what was on machines whose lease has certainly expired, and returns these machines. Walks the machines only
-   * when a lease may have expired since the last walk: one that was renewed since then, or of a machine whose first
-   * heartbeat came since then, lasts for its whole time from there.
+   * Ends the assignments on machines whose lease has certainly expired, and returns these machines. Walks the machines
+   * only when a lease may have expired since the last walk. A lease that was granted or renewed since the last walk
+   * lasts for its full duration from that moment.
    */
   expire(now: number): Machine[] {
     if (now <= this.noExpiryBefore) return [];
@@ -50,7 +50,7 @@
     machines.reserve(machine, null);
   }
 
-  /** Latest moment at which the worker's lease can still be held, in seconds of the steady clock. */
+  /** Latest time at which the worker can still hold its lease, in seconds of the steady clock. */
   latestLeaseEnd({ termConfirmed, answeredAt }: Machine): number {
     const { settings, electedAt } = this.fleet;
     const renewedByFormerLeader = termConfirmed ? -Infinity : electedAt + settings.formerLeaderS;
@@ -58,7 +58,7 @@
   }
 }
 
-/** Whether its worker may hold a lease under which tasks run that are still to be ended here. */
+/** Whether the machine's worker may hold a lease and run tasks whose assignments have not ended. */
 function mayHoldLease({ state, tasks }: Machine): boolean {
   return state === 'up' || (state === 'booting' && tasks.size > 0);
 }
--- a/packages/core/heartbeats/task-reconciler.test.ts
+++ b/packages/core/heartbeats/task-reconciler.test.ts
@@ -14,7 +14,7 @@
 };
 const STOPPED: TaskStatus = { ...RUNNING, state: 'exited', cause: 'stopped' };
 
-/** A machine that has one attempt of the job's task after the other, and the orders in the answers to it. */
+/** Creates a machine and a job, and functions that assign an attempt and that list the orders in a heartbeat's answer. */
 function createMachineWithAttempts() {
   const fleet = aFleet();
   const job = fleet.addJob(JOB, 0, 'accepted', 0);
@@ -32,8 +32,8 @@
   return { fleet, job, machine, heartbeat, assign };
 }
 
-test('an attempt whose start may still arrive is not forgotten beside a newer one', () => {
-  // Guards against a delayed start that begins the old attempt again while the new one is elsewhere.
+test('an exited attempt is not forgotten while its start may still arrive, even if a newer attempt exists', () => {
+  // Guards against a delayed start that runs the old attempt again while the new one runs elsewhere.
   const { fleet, machine, heartbeat, assign } = createMachineWithAttempts();
   const first = assign(1);
   const orders = fleet.directOrders.nextOrders(machine, 0.3);
@@ -47,18 +47,17 @@
   assert.deepEqual(heartbeat(5, STOPPED), ['forget', 'start']);
 });
 
-test('what completed beside a newer attempt is done, and the newer attempt is stopped', () => {
+test('a task is done once an older attempt completes, and the newer attempt is stopped', () => {
   const { job, heartbeat, assign } = createMachineWithAttempts();
   assign(2);
   const done: TaskStatus = { ...STOPPED, cause: 'done' };
-  assert.deepEqual(heartbeat(2, done), [], 'kept until the end is durable');
+  assert.deepEqual(heartbeat(2, done), [], 'not forgotten until the end is durable');
   assert.ok(job.done.has(0));
   assert.equal(job.assignments.size, 0);
 });
 
-test('an attempt that is live beside a newer one holds the place', () => {
-  // Guards against a task that is placed elsewhere since its new start was refused or not yet sent,
-  // while the old attempt runs.
+test('a task stays assigned while an older attempt is live, even if the newer attempt was refused or not sent', () => {
+  // Guards against placing a task elsewhere while its old attempt runs, because its new start was refused or not sent.
   for (const [newer, isSent] of [
     ['refused', true],
     ['unsent', false],
@@ -77,7 +76,7 @@
   }
 });
 
-test('a worker forgets a done task once that is durable, whatever else of its job is not', () => {
+test('a worker forgets a done task once its completion is recorded, even if that of other tasks is not', () => {
   const { fleet, machine, heartbeat } = createMachineWithAttempts();
   const job = fleet.addJob(aJob({ id: 'j-000002', tasks: 3 }), 0, 'accepted', 0);
   const done = (index: number): TaskStatus => {
@@ -92,7 +91,7 @@
     heartbeat(3, done(0), done(1))?.filter((op) => op === 'forget'),
     ['forget'],
   );
-  // The end of the whole job is recorded in another place.
+  // The end of the whole job is recorded separately from the completion of single tasks.
   fleet.assignments.assign(job, 2, machine, 1, 0).recorded = true;
   fleet.unrecorded.tasksRecorded(job.spec.id, [1]);
   assert.ok(!heartbeat(4, done(2))?.includes('forget'));
--- a/packages/core/heartbeats/task-reconciler.ts
+++ b/packages/core/heartbeats/task-reconciler.ts
@@ -1,4 +1,4 @@
-/** Compares the task list of a heartbeat with the state (docs/safety.md, point 5). */
+/** Compares the task list of a heartbeat with the assignments (docs/safety.md, point 5). */
 import { type Heartbeat, type Order, taskName, type TaskRef, type TaskStatus } from '#wire';
 import type { Assignments } from '../assignments/assignments.js';
 import type { FleetData } from '../fleet-data.js';
@@ -6,10 +6,10 @@
 import { forgetOrder, killOrder, taskRef } from './answer-orders.js';
 import type { StartFencing } from './start-fencing.js';
 
-/** Answers that may carry a start without effect before the machine is cordoned. */
+/** How many heartbeat answers may carry a start without effect before the machine is cordoned. */
 const MAX_MISSED_STARTS = 3;
 
-/** Applies what heartbeats tell of single tasks, listed or missing. Times are seconds of the steady clock. */
+/** Applies what heartbeats report of single tasks, listed or missing. Times are seconds of the steady clock. */
 export class TaskReconciler {
   constructor(
     private readonly fleet: FleetData,
@@ -18,8 +18,8 @@
   ) {}
 
   /**
-   * The tasks that the worker lists; returns what to tell it of them. Those that have exited come first:
-   * a live attempt beside them then holds the place of the task.
+   * Applies the tasks that the worker lists, and returns the orders about them. Exited attempts are applied first, so
+   * that a live attempt of the same task then keeps the task assigned.
    */
   reconcileListed(machine: Machine, tasks: TaskStatus[], now: number): Order[] {
     const exited = tasks.filter((task) => task.state === 'exited');
@@ -34,14 +34,14 @@
     let assignment = machine.tasks.get(taskName(task.job, task.index));
     if (assignment && assignment.attempt !== task.attempt) {
       if (task.state === 'exited') return this.otherAttemptExited(assignment, task, ref, now);
-      // One that was or may be started holds the place by itself, until the listed one has gone.
+      // If the assigned attempt may have been started, it stays assigned, and the listed attempt is killed.
       if (!this.assignments.endIfUnsent(assignment, now)) return killOrder(ref);
       assignment = undefined;
     }
     if (!assignment) {
       if (task.state === 'exited') return this.unassignedTaskExited(machine, task, job, ref);
       if (!job || task.index >= job.spec.tasks) return killOrder(ref);
-      // Nothing should run unrecorded; if it does, it holds its place until it is gone.
+      // No task should run without a recorded assignment; one that does is assigned until it is gone.
       assignment = this.assignments.adoptUnrecorded(job, task.index, machine, task.attempt, now);
     }
     this.applyState(assignment, task, now);
@@ -49,7 +49,7 @@
     return this.taskExited(assignment, task, ref, now);
   }
 
-  /** An attempt has exited beside the one that the machine is given now. */
+  /** Handles the exit of an attempt other than the one that is assigned to the machine. */
   private otherAttemptExited(
     assignment: Assignment,
     task: TaskStatus,
@@ -106,27 +106,27 @@
   }
 
   /**
-   * The order to forget an attempt that has exited, once its result is durable and no start of the attempt can still
-   * arrive: a worker that has forgotten an attempt would start it again.
+   * Returns the order to forget an exited attempt once its result is durable and no start of the attempt can still
+   * arrive, otherwise null. A worker that has forgotten an attempt would start it again.
    */
   private forgetIfSafe(machine: Machine, ref: TaskRef, job: JobState | undefined): Order | null {
     if (job && this.isCompletionUnrecorded(job, ref.index)) return null;
     return this.fencing.mayArrive(machine, ref) ? null : forgetOrder(ref);
   }
 
-  /** The task is done, and a later leader would not know: neither it nor the end of its job is recorded. */
+  /** Whether the task is done but a later leader would not know, as neither that nor the end of its job is recorded. */
   private isCompletionUnrecorded({ phase, done, spec }: JobState, index: number): boolean {
     if (phase !== 'accepted' || !done.has(index)) return false;
     const isAllDone = done.size === spec.tasks;
     return isAllDone || this.fleet.unrecorded.doneTasksOf(spec.id).has(index);
   }
 
-  /** A task of the machine that the heartbeat does not list. */
+  /** Handles a task that is assigned to the machine and that the heartbeat does not list. */
   reconcileMissing(assignment: Assignment, heartbeat: Heartbeat, now: number): void {
     const { machine, reportedState, inherited, startSent, startAnswerSequence } = assignment;
     if (reportedState !== null) this.assignments.end(assignment, 'lost', false, now);
     else if (inherited) {
-      // An old start may still arrive until the worker has seen this term's fencing token.
+      // A start from an earlier term may still arrive until the worker has seen this term's fencing token.
       if (heartbeat.fencingToken >= this.fleet.term)
         this.assignments.end(assignment, 'lost', false, now);
     } else if (this.fencing.mayArrive(machine, taskRef(assignment))) return;
@@ -135,7 +135,7 @@
       this.missedStart(assignment, now);
   }
 
-  /** The direct start was refused or is fenced off. */
+  /** Handles a direct start that was refused or is fenced off. */
   private directStartFailed(assignment: Assignment, now: number): void {
     if (assignment.stop !== null) {
       this.assignments.end(assignment, 'stopped', false, now);
@@ -146,8 +146,8 @@
   }
 
   /**
-   * The worker sends its next heartbeat only when the answer has come or was given up, so the start that
-   * the answer carried did not arrive and no longer can.
+   * Handles a start that a heartbeat answer carried without effect. The worker sends its next heartbeat only after it
+   * has received the answer or stopped waiting for it, so the start did not arrive and no longer can.
    */
   private missedStart(assignment: Assignment, now: number): void {
     assignment.missedStarts++;
