--- a/packages/core/model/amounts.ts
+++ b/packages/core/model/amounts.ts
@@ -1,6 +1,6 @@
 /** Amounts of resources, and sums and shares of them. */
 
-/** What tasks take and machines have. */
+/** Resources that a task needs or a machine has. */
 export interface Amounts {
   cpus: number;
   gpus: number;
@@ -8,20 +8,20 @@
   memory: number;
 }
 
-/** Amounts are sums of decimal numbers; differences below this are rounding. */
+/** Amounts are floating-point sums; differences below this are rounding errors. */
 export const ROUNDING = 1e-9;
 
 /** No resources. Shared, so copy it before adding to it. */
 export const ZERO_AMOUNTS: Readonly<Amounts> = { cpus: 0, gpus: 0, memory: 0 };
 
-/** Adds (or, with -1, takes away) amounts in place. */
+/** Adds amounts in place, or subtracts them if `sign` is -1. */
 export function addAmounts(sum: Amounts, more: Amounts, sign: 1 | -1): void {
   sum.cpus += sign * more.cpus;
   sum.gpus += sign * more.gpus;
   sum.memory += sign * more.memory;
 }
 
-/** What so many tasks take together. */
+/** The amounts of `count` tasks together. */
 export function multipliedAmounts({ cpus, gpus, memory }: Amounts, count: number): Amounts {
   return { cpus: cpus * count, gpus: gpus * count, memory: memory * count };
 }
--- a/packages/core/model/entities.ts
+++ b/packages/core/model/entities.ts
@@ -1,6 +1,6 @@
 /**
  * The entities of the fleet's state: jobs, machines, the assignments that join them, and the replicas that join
- * assignments. They name each other, so they are declared together; what names none of them has a module of its own.
+ * assignments. These types refer to each other, so they are declared together; other types have modules of their own.
  */
 import type { Job, TaskState } from '#wire';
 import type { ServiceCounter } from '../fair-share/service-counter.js';
@@ -13,43 +13,43 @@
 import type { TaskSet } from './task-set.js';
 import type { WorkerState } from './worker-state.js';
 
-/** A task that is to stop. */
+/** A request to stop a task. */
 export interface StopRequest {
-  /** Seconds for a checkpoint; 0 kills. */
+  /** Time in seconds for a checkpoint; 0 kills at once. */
   graceS: number;
-  /** Sent in a direct command. It is in the answers to heartbeats in any case. */
+  /** Whether the request was sent in a direct command. Answers to heartbeats contain it in any case. */
   sentDirectly: boolean;
 }
 
 /**
- * One attempt of a task on one machine, from the decision until it is proven gone. Times are seconds of
- * the steady clock.
+ * One attempt of a task on one machine, from the placement decision until the attempt is proven gone. Times are seconds
+ * of the steady clock.
  */
 export interface Assignment {
   job: JobState;
   /** Index of the task in its job. */
   index: number;
-  /** Attempt number, which no other start of any term has; the tasks of a gang share it. */
+  /** Attempt number, unique to this start across all terms; the tasks of a gang share it. */
   attempt: number;
   machine: Machine;
-  /** Durable in the machine's record; only then may the start be sent (docs/safety.md, point 4). */
+  /** Whether it is durable in the machine's record; only then may the start be sent (docs/safety.md, point 4). */
   recorded: boolean;
-  /** Read from the record of an earlier term and not yet listed in a heartbeat. */
+  /** Whether it was read from the record of an earlier term and is not yet listed in a heartbeat. */
   inherited: boolean;
-  /** The start was sent, in an answer or directly. */
+  /** Whether the start was sent, in a heartbeat answer or in a direct command. */
   startSent: boolean;
   /** Sequence of the first heartbeat whose answer carried the start. */
   startAnswerSequence: number | null;
-  /** Heartbeats that did not list the task though the answer before them carried its start. */
+  /** Number of heartbeats that did not list the task although the answer before them carried its start. */
   missedStarts: number;
-  /** What the worker says of it, or null before it does. */
+  /** State that the worker reported last, or null before the first report. */
   reportedState: TaskState | null;
   /** Set once the task is to stop. */
   stop: StopRequest | null;
-  /** Share of the fleet booked for it. */
+  /** Share of the fleet that is charged for it. */
   share: number;
   assignedAt: number;
-  /** When it was first seen to run. */
+  /** When a worker first reported the attempt as running. */
   runningSince: number | null;
 }
 
@@ -57,40 +57,40 @@
 export interface JobState {
   /** The job as its user submitted it. */
   spec: Job;
-  /** Rank that counts for it: its own, or that of a dependent if that is more urgent; 0 is the most urgent. */
+  /** Effective rank: its own, or that of a dependent if that is more urgent; 0 is the most urgent. */
   rank: number;
-  /** Jobs that it depends on are not done; until they are, none of its tasks is placed. */
+  /** Whether a job that it depends on is not done. Until all are done, none of its tasks is placed. */
   hasOpenDependencies: boolean;
-  /** Runs on capacity that is there anyway; see `isBestEffort`. */
+  /** Whether it runs on spare capacity only; see `isBestEffort`. */
   isBestEffort: boolean;
-  /** Its replicas, if each has several members; null: each task is by itself. */
+  /** Its replicas, if each has several members; null if its tasks run independently of each other. */
   replicas: JobReplicas | null;
-  /** Equal for jobs whose tasks fit the same machines, zones of their other tasks apart. */
+  /** Equal for jobs whose tasks fit the same machines, apart from constraints by the zones of their other tasks. */
   requirementsKey: string;
   acceptedAt: number;
-  /** When its turn begins: when it was accepted, or when its last open dependency was done. */
+  /** Since when its tasks may start: when it was accepted, or when its last open dependency was done. */
   startableAt: number;
   /** `cancelled` and `done` are final. */
   phase: 'accepted' | 'cancelled' | 'done';
   /** Tasks that have completed. */
   done: TaskSet;
-  /** Every place where a task may still be, by task; several if one runs that nobody recorded. */
+  /** Assignments by task index, until the task is proven gone; several for a task if an unrecorded attempt of it runs. */
   assignments: Map<number, Assignment[]>;
-  /** All waiting tasks below are in `returnedTasks`. */
+  /** Index where the scan for waiting tasks starts. Waiting tasks with a lower index are in `returnedTasks`. */
   scanFrom: number;
-  /** Tasks that lost their place; some may have one again or be done. */
+  /** Indexes of tasks that lost their assignment. Some of these tasks may be assigned again or done. */
   returnedTasks: Set<number>;
-  /** Failures of its tasks since one succeeded. */
+  /** Failures of its tasks since the last success of one. */
   failures: JobFailures;
-  /** Backoff after failures: no task of it is placed before. */
+  /** Backoff after failures: none of its tasks is placed before this time. */
   backoffUntil: number;
-  /** Best-effort tasks that were stopped to empty their machines. */
+  /** Number of best-effort tasks that were stopped to empty their machines. */
   tasksMoved: number;
   /** Service that the job has received. */
   service: ServiceCounter;
-  /** Since when some task waits. */
+  /** Since when at least one of its tasks waits. */
   waitingSince: number;
-  /** Rises with each job that begins to wait. */
+  /** Ascending number in the order in which jobs began to wait. */
   waitingOrder: number;
 }
 
@@ -102,68 +102,68 @@
 }
 
 /**
- * A provisioned machine and its worker. Times are seconds of this process's steady clock. What is read-only here is
- * changed by the MachineRegistry alone, which keeps groups of machines by it.
+ * A provisioned machine and its worker. Times are seconds of this process's steady clock. Only the MachineRegistry
+ * changes the read-only fields, since they decide which groups of machines the machine belongs to.
  */
 export interface Machine extends MachineFacts, WorkerState, MachineUsage {
-  /** Rises with each machine that becomes known. */
+  /** Ascending number in the order in which machines became known. */
   readonly number: number;
-  /** `expired`: its worker's lease has certainly expired, and nothing is on it (docs/safety.md, point 5). */
+  /** `expired`: its worker's lease has certainly expired, and no task is on it (docs/safety.md, point 5). */
   readonly state: 'booting' | 'up' | 'expired';
   requestedAt: number;
   /** When its worker's lease was found to have expired. */
   expiredAt: number;
-  /** When the cloud reclaims it, if it gave notice. */
+  /** When the cloud reclaims the machine; null without a reclaim notice. */
   readonly reclaimAt: number | null;
-  /** The cloud lists it as failed. */
+  /** Whether the cloud lists it as failed. */
   readonly failedInList: boolean;
 
-  /** Takes no new work and is deprovisioned once it is empty. */
+  /** Whether it takes no new work and is deprovisioned once it is empty. */
   readonly draining: boolean;
-  /** Takes no new work before. */
+  /** It takes no new work before this time. */
   cordonedUntil: number;
-  /** Failures that may be its fault. */
+  /** Task failures that the machine may have caused. */
   failures: MachineFailures;
   /** Id of the gang that it is kept free for. */
   readonly reservedForGang: string | null;
   capacityHold: CapacityHold | null;
 
-  /** By task name: what is or may be on it. */
+  /** Assignments by task name, of all tasks that are or may be on the machine. */
   tasks: Map<string, Assignment>;
-  /** Size in GB by name of the images that its worker should have, most recently used last. */
+  /** Images that its worker should have in its cache: size in GB by name, most recently used last. */
   images: Map<string, number>;
 }
 
 /**
- * The replicas of one job, each of several members. All members of a replica carry the same attempt, which is its
- * generation. The package `replicas` implements it (docs/replica-groups.md).
+ * The replicas of one job, each of several members. All members of a replica have the same attempt number, which is the
+ * replica's generation. The package `replicas` implements this interface (docs/replica-groups.md).
  */
 export interface JobReplicas extends Readonly<ReplicaShape> {
-  /** A member has got a place. */
+  /** A member was assigned to a machine. */
   placeAdded(assignment: Assignment, origin: PlaceOrigin, now: number): void;
-  /** The place is durable in its machine's record. */
+  /** The member's assignment is durable in its machine's record. */
   placeRecorded(assignment: Assignment, now: number): void;
-  /** The member is seen to run. */
+  /** The member was first reported as running. */
   memberRunning(assignment: Assignment, now: number): void;
-  /** The member is to stop. */
+  /** The member was asked to stop. */
   memberStopping(assignment: Assignment, now: number): void;
-  /** The member is proven gone. */
+  /** The member is proven gone, and its assignment has ended. */
   placeEnded(assignment: Assignment, cause: EndCause, now: number): void;
   /** Whether the member's start may be sent. */
   mayStart(assignment: Assignment): boolean;
-  /** Stops the whole replica that the assignment belongs to, for other work. */
+  /** Stops the whole replica that the assignment belongs to, to free its capacity for other work. */
   preempt(assignment: Assignment, now: number): void;
-  /** The cloud will reclaim the member's machine: moves the whole replica, if it can be placed elsewhere or must go. */
+  /** Moves the whole replica off a machine that the cloud reclaims, once it fits elsewhere or little time is left. */
   moveOff(assignment: Assignment, now: number): void;
-  /** All places of the generation that the assignment belongs to. */
+  /** All assignments of the replica's generation that the given assignment belongs to. */
   placesWith(assignment: Assignment): Assignment[];
-  /** Up to `limit` replicas without any place that may be given one now, by number. */
+  /** Numbers of up to `limit` replicas that have no assignments and may be placed now. */
   waiting(limit: number, now: number): number[];
-  /** The job is over for its user. */
+  /** The job was done or cancelled. */
   jobClosed(): void;
 }
 
-/** Every place where a task of the job may still be. Tolerates changes of the assignments meanwhile. */
+/** All assignments of the job's tasks. The assignments may change during the iteration. */
 export function* assignmentsOf(job: JobState): Generator<Assignment> {
   for (const list of [...job.assignments.values()]) yield* list;
 }
--- a/packages/core/model/fleet-settings.ts
+++ b/packages/core/model/fleet-settings.ts
@@ -1,17 +1,17 @@
-/** The settings that the fleet's state works by. */
+/** Settings of the fleet's state. */
 
-/** What the fleet's state takes from the settings. Durations are in seconds. */
+/** Settings that the fleet's state uses. Durations are in seconds. */
 export interface FleetSettings {
-  /** The workers' lease. */
+  /** Duration of a worker's lease. */
   leaseS: number;
   /** Time from one heartbeat of a worker to the next. */
   heartbeatIntervalS: number;
-  /** For how long tasks of a gang that is being stopped wait for each other. */
+  /** How long the tasks of a gang that is being stopped wait for each other. */
   gangPeerS: number;
-  /** How long a former leader may have gone on answering after losing its term. */
+  /** How long a former leader may continue to answer heartbeats after losing its term. */
   formerLeaderS: number;
-  /** Half-life of service received. */
+  /** Half-life of the service that a job has received. */
   halfLifeS: number;
-  /** Bytes in JSON that the record of a machine may have. */
+  /** Maximum size of a machine's record in bytes of JSON. */
   machineRecordBytes: number;
 }
--- a/packages/core/model/free-machines.test.ts
+++ b/packages/core/model/free-machines.test.ts
@@ -23,8 +23,8 @@
   });
 }
 
-// Guards placement, which looks at these machines alone: it must find the same places in the same order.
-test('the machines that may hold a task are those with capacity that a walk over every machine finds', () => {
+// Guards placement, which considers only these machines: those with capacity must all be there, in the same order.
+test('the candidates for a task include each machine with capacity that a walk over every machine finds', () => {
   let found = 0;
   for (let seed = 1; seed <= 40; seed++) {
     const random = new RandomFleet(new Chance(seed));
--- a/packages/core/model/free-machines.ts
+++ b/packages/core/model/free-machines.ts
@@ -1,22 +1,22 @@
-/** Finds machines with capacity without a walk over all. */
+/** Finds machines with free capacity without a walk over all machines. */
 import type { MachineType } from '#wire';
 import { type Amounts, ROUNDING } from './amounts.js';
 import type { Machine } from './entities.js';
 import { OrderedMachines } from './ordered-machines.js';
 
-/** A need above this is surely more than the rounding of what is free. */
+/** A need above this certainly exceeds the rounding error of the free capacity. */
 const SIGNIFICANT_NEED = 3 * ROUNDING;
 
 /**
- * The machines that are up, and those of them that are not full, kept current as tasks come and go. In a
- * fleet that is well used nearly all machines are full, so that next to none has to be looked at for a task.
+ * Lists of the machines that are up, and of those with free CPUs or GPUs, updated when tasks are added or removed. In a
+ * well-used fleet nearly all machines are full, so few have to be checked for a task.
  */
 export class FreeMachines {
   private readonly up = new OrderedMachines();
   private readonly withCpus = new OrderedMachines();
   private readonly withGpus = new OrderedMachines();
 
-  /** To be called when the machine's state, its tasks or the size of its type has changed. */
+  /** Updates the lists. To be called when the machine's state, its tasks or the size of its type has changed. */
   update(machine: Machine, type: MachineType | undefined): void {
     const isUp = machine.state === 'up' && type !== undefined;
     this.up.setMember(machine, isUp);
@@ -24,7 +24,7 @@
     this.withGpus.setMember(machine, isUp && type.gpus - machine.used.gpus > ROUNDING);
   }
 
-  /** The machine is gone. */
+  /** Removes a machine that is gone. */
   remove(machine: Machine): void {
     for (const list of [this.up, this.withCpus, this.withGpus]) list.setMember(machine, false);
   }
--- a/packages/core/model/job-dependencies.ts
+++ b/packages/core/model/job-dependencies.ts
@@ -1,15 +1,15 @@
-/** What the core is told of the dependencies between jobs; the package `dependencies` keeps the graph. */
+/** How dependencies between jobs affect a single job; the package `dependencies` keeps the graph. */
 import type { Job } from '#wire';
 
-/** What other jobs mean for a job. */
+/** How a job's dependencies and dependents affect it. */
 export interface Dependencies {
-  /** Jobs that it depends on are not done. */
+  /** Whether a job that it depends on is not done. */
   hasOpenDependencies: boolean;
   /** The most urgent rank of the job and of its dependents. */
   rank: number;
 }
 
-/** Of a job without dependencies and dependents. */
+/** The effect on a job that has neither dependencies nor dependents. */
 export function independent({ rank }: Job): Dependencies {
   return { hasOpenDependencies: false, rank };
 }
--- a/packages/core/model/job-registry.ts
+++ b/packages/core/model/job-registry.ts
@@ -7,22 +7,22 @@
 import type { UnrecordedChanges } from './unrecorded-changes.js';
 import { countWaitingTasks, findWaitingTasks } from './waiting-tasks.js';
 
-/** Tells whether jobs of a team and rank run on capacity that is there anyway. */
+/** Tells whether jobs of a team and rank run on spare capacity only. */
 export type BestEffortTest = (job: Pick<Job, 'team' | 'rank'>) => boolean;
 
-/** What is known of a new job beside its submission. */
+/** Optional properties of a new job that its submission does not contain. */
 export interface NewJobOptions {
-  /** Makes its replicas; null, or none given, if each task is by itself. */
+  /** Creates the job's replicas; omitted or returning null if its tasks run independently of each other. */
   replicasOf?: (job: JobState) => JobReplicas | null;
-  /** What other jobs mean for it; without it the job has neither dependencies nor dependents. */
+  /** The job's dependencies; if omitted, the job has neither dependencies nor dependents. */
   dependencies?: Dependencies;
 }
 
 /** The accepted jobs, their phases, and which of their tasks wait for a machine. Times are seconds of the steady clock. */
 export class JobRegistry {
-  /** The jobs with a task that waits. */
+  /** Jobs with at least one waiting task. */
   readonly waiting = new WaitingJobs();
-  /** Jobs that are over and may still have a task somewhere. */
+  /** Done and cancelled jobs that may still have assignments. */
   private readonly ended = new Set<JobState>();
   private readonly byId = new Map<string, JobState>();
   private readonly jobsWithChangedCounts = new Set<JobState>();
@@ -43,7 +43,7 @@
     return this.byId.has(id);
   }
 
-  /** All known jobs, those that are over but may have tasks somewhere included. */
+  /** All known jobs, including done and cancelled ones that may still have assignments. */
   values(): IterableIterator<JobState> {
     return this.byId.values();
   }
@@ -67,7 +67,7 @@
     return state;
   }
 
-  /** All jobs that the job depends on are done: its turn and its waiting time begin. */
+  /** Makes the job startable once all jobs that it depends on are done. Its waiting time begins now. */
   dependenciesDone(job: JobState, now: number): void {
     if (!job.hasOpenDependencies) return;
     job.hasOpenDependencies = false;
@@ -75,7 +75,7 @@
     this.joinQueueIfAnyWaits(job, now);
   }
 
-  /** Another rank counts for the job; the caller updates what is counted by rank. */
+  /** Changes the job's effective rank. The caller updates the counts by rank. */
   changeRank(job: JobState, rank: number): void {
     const { team } = job.spec;
     this.waiting.change(job, () => {
@@ -92,7 +92,7 @@
     this.ended.add(job);
   }
 
-  /** Removes jobs that are over and have no task left anywhere. */
+  /** Removes done and cancelled jobs that have no assignments left. */
   removeEnded(): void {
     for (const job of this.ended) {
       if (job.assignments.size > 0) continue;
@@ -101,19 +101,19 @@
     }
   }
 
-  /** How many of the job's tasks are done or run may have changed. */
+  /** Notes that the number of the job's done or running tasks may have changed. */
   countsChanged(job: JobState): void {
     this.jobsWithChangedCounts.add(job);
   }
 
-  /** The open jobs whose counts may have changed since the last call. */
+  /** Returns the accepted jobs whose counts may have changed since the last call. */
   drainChangedCounts(): JobState[] {
     const jobs = [...this.jobsWithChangedCounts].filter(({ phase }) => phase === 'accepted');
     this.jobsWithChangedCounts.clear();
     return jobs;
   }
 
-  /** How many open jobs have open dependencies. */
+  /** How many accepted jobs have open dependencies. */
   get jobsWithOpenDependencies(): number {
     let count = 0;
     for (const { phase, hasOpenDependencies } of this.byId.values()) {
@@ -127,12 +127,12 @@
     return countWaitingTasks(job);
   }
 
-  /** Up to `limit` tasks that wait for a machine; they wait on until assigned. */
+  /** Up to `limit` tasks that wait for a machine. They remain waiting until they are assigned. */
   waitingTasks(job: JobState, limit: number): number[] {
     return findWaitingTasks(job, limit);
   }
 
-  /** A task completed. The protocol completes a gang as one: one task done means all are. */
+  /** Marks a task as done. The protocol completes a gang as a whole: if one task is done, all are. */
   markDone(job: JobState, index: number): void {
     if (job.phase !== 'accepted') return;
     if (job.spec.kind === 'gang') job.done.addAll();
@@ -143,12 +143,12 @@
     this.leaveQueueIfNoneWaits(job);
   }
 
-  /** After tasks got a machine or completed. */
+  /** Removes the job from the queue if none of its tasks waits. Called after tasks were assigned or completed. */
   leaveQueueIfNoneWaits(job: JobState): void {
     if (countWaitingTasks(job) === 0) this.waiting.delete(job);
   }
 
-  /** After a task lost its machine. */
+  /** Adds the job to the queue if any of its tasks waits. Called after a task lost its machine or became startable. */
   joinQueueIfAnyWaits(job: JobState, now: number): void {
     this.waiting.placesChanged(job);
     if (countWaitingTasks(job) === 0 || this.waiting.has(job)) return;
--- a/packages/core/model/listener.ts
+++ b/packages/core/model/listener.ts
@@ -6,7 +6,7 @@
 export interface TaskEnd {
   assignment: Assignment;
   cause: EndCause;
-  /** The task wrote a checkpoint when it was stopped. */
+  /** Whether the task wrote a checkpoint when it was stopped. */
   checkpointed: boolean;
 }
 
@@ -15,24 +15,24 @@
  * steady clock.
  */
 export interface FleetListener {
-  /** A task left its machine for good. */
+  /** An assignment of a task ended. */
   taskEnded(end: TaskEnd, now: number): void;
-  /** A task was first seen to run. */
+  /** A task was first reported as running. */
   taskRunning(assignment: Assignment, now: number): void;
-  /** The first heartbeat of a provisioned machine came. */
+  /** The first heartbeat of a provisioned machine arrived. */
   machineUp(machine: Machine, now: number): void;
   /** Tasks of the job failed on several machines and none succeeded; its retries are limited until one does. */
   jobCrashLooping(job: JobState, now: number): void;
   /** A task of a crash-looping job succeeded. */
   jobRecovered(job: JobState, now: number): void;
-  /** A machine is drained since tasks fail on it. */
+  /** A machine is drained because tasks fail on it. */
   machineFaulty(machine: Machine, now: number): void;
-  /** A job is over for its user: done or cancelled. */
+  /** A job was done or cancelled. */
   jobClosed(job: JobState, now: number): void;
 }
 
 function noop(): void {
-  // Nobody listens.
+  // Events are ignored.
 }
 
 /** For tests and simulations that need no events. */
--- a/packages/core/model/machine-facts.ts
+++ b/packages/core/model/machine-facts.ts
@@ -1,6 +1,6 @@
-/** What is fixed about a machine. */
+/** Identity and type of a machine. */
 
-/** What identifies a machine and decides which tasks it may hold. */
+/** Properties that identify a machine and decide which tasks fit it. */
 export interface MachineFacts {
   name: string;
   /** `host:port` of the worker; empty until its first heartbeat. */
@@ -8,6 +8,6 @@
   /** Name of its machine type. */
   type: string;
   zone: string;
-  /** A spot instance, which the cloud may reclaim. */
+  /** Whether it is a spot instance, which the cloud may reclaim. */
   spot: boolean;
 }
--- a/packages/core/model/machine-groups.test.ts
+++ b/packages/core/model/machine-groups.test.ts
@@ -10,7 +10,7 @@
 
 interface GroupRule {
   group: (groups: MachineGroups) => Iterable<Machine>;
-  /** Whether a machine belongs to the group, by the machine alone. */
+  /** Whether a machine belongs to the group, judged from the machine alone. */
   belongs: (machine: Machine) => boolean;
 }
 
@@ -42,8 +42,8 @@
   assert.equal(members.filter((member) => member.get !== undefined).length, RULES.length);
 });
 
-// Guards operations that walk a few machines in place of all: they must not miss any.
-test('groups and totals of machines are what a walk over every machine finds, whatever happens', () => {
+// Guards operations that walk a group in place of all machines: the group must not lack a machine.
+test('groups and totals of machines equal what a walk over every machine finds, after any steps', () => {
   const seen = RULES.map(() => 0);
   for (let seed = 1; seed <= SEEDS; seed++) {
     const random = new RandomFleet(new Chance(seed));
--- a/packages/core/model/machine-groups.ts
+++ b/packages/core/model/machine-groups.ts
@@ -3,8 +3,8 @@
 import { OrderedMachines } from './ordered-machines.js';
 
 /**
- * Machines with a property that few have, kept current where it changes, so that operations which come several times a
- * second need not walk all machines. A machine that is removed leaves all groups.
+ * Groups of machines with a property that few machines have. They are updated wherever the property changes, so that
+ * operations that run several times a second need not walk all machines. A removed machine leaves all groups.
  */
 export class MachineGroups {
   private readonly machinesNotInService = new Set<Machine>();
@@ -18,7 +18,7 @@
     return this.machinesNotInService;
   }
 
-  /** Machines that the cloud has given a reclaim notice of. */
+  /** Machines for which the cloud has given a reclaim notice. */
   get withReclaimNotice(): ReadonlySet<Machine> {
     return this.machinesWithNotice;
   }
@@ -28,53 +28,53 @@
     return this.reservedMachines;
   }
 
-  /** Machines with a task that is to stop. */
+  /** Machines with a task that was asked to stop. */
   get stopping(): ReadonlySet<Machine> {
     return this.stoppingMachines;
   }
 
-  /** Machines that boot or are up, are to stay, and become empty by themselves; in the order in which they became known. */
+  /** Booting and running machines to be kept that no replica keeps from becoming empty, in the order they became known. */
   get emptying(): readonly Machine[] {
     return this.emptyingMachines.machines;
   }
 
-  /** A machine became known. */
+  /** Adds a machine that became known to the groups that it belongs to. */
   add(machine: Machine): void {
     this.stateChanged(machine);
     this.reclaimChanged(machine);
   }
 
-  /** A machine is gone. */
+  /** Removes a machine that is gone from all groups. */
   remove(machine: Machine): void {
     for (const group of [this.machinesNotInService, this.machinesWithNotice]) group.delete(machine);
     for (const group of [this.reservedMachines, this.stoppingMachines]) group.delete(machine);
     this.emptyingMachines.setMember(machine, false);
   }
 
-  /** The machine is up or expired, drains, or is listed as failed. */
+  /** Updates the groups after the machine came up or expired, began to drain, or was listed as failed. */
   stateChanged(machine: Machine): void {
     const { state, draining, failedInList } = machine;
     setMember(this.machinesNotInService, machine, state !== 'up' || draining || failedInList);
     this.replicasChanged(machine);
   }
 
-  /** A reclaim notice of the machine came or was withdrawn. */
+  /** Updates the groups after a reclaim notice for the machine was given or withdrawn. */
   reclaimChanged(machine: Machine): void {
     setMember(this.machinesWithNotice, machine, machine.reclaimAt !== null);
     this.replicasChanged(machine);
   }
 
-  /** The machine is kept free for a gang, or no longer. */
+  /** Updates the groups after the machine was reserved for a gang or its reservation ended. */
   reservationChanged(machine: Machine): void {
     setMember(this.reservedMachines, machine, machine.reservedForGang !== null);
   }
 
-  /** The number of its tasks that are to stop has changed. */
+  /** Updates the groups after the number of the machine's stopping tasks changed. */
   stopsChanged(machine: Machine): void {
     setMember(this.stoppingMachines, machine, machine.stoppingTasks > 0);
   }
 
-  /** The number of replicas that stay on it has changed, or whether it stays itself. */
+  /** Updates the groups after the number of replicas that stay on the machine, or whether it is kept itself, changed. */
   replicasChanged(machine: Machine): void {
     const { state, draining, reclaimAt, stayingReplicas } = machine;
     const stays = state !== 'expired' && !draining && reclaimAt === null;
--- a/packages/core/model/machine-record-size.ts
+++ b/packages/core/model/machine-record-size.ts
@@ -1,13 +1,13 @@
-/** How large the record of a machine is in JSON, by which the state service counts. */
+/** Size of a machine's record in JSON, by which the state service measures records. */
 import type { Job } from '#wire';
 import type { Assignment } from './entities.js';
 
-/** Digits of the largest attempt number, and of the largest index of a task. */
+/** Digits of the largest attempt number and of the largest task index. */
 const MAX_ATTEMPT_DIGITS = 16;
 const MAX_INDEX_DIGITS = 5;
-/** Characters of the longest id of a job. */
+/** Characters of the longest job id. */
 const MAX_JOB_ID_LENGTH = 20;
-/** Brackets, quotes and commas of the entry of one task. */
+/** Bytes of the brackets, quotes and commas in the entry of one task. */
 const ENTRY_PUNCTUATION_BYTES = '["",,],'.length;
 /** Bytes of the largest entry of a task. */
 export const LARGEST_ENTRY =
@@ -30,7 +30,7 @@
   );
 }
 
-/** Bytes that the entry of a task of the job takes at the most. */
+/** Maximum bytes of the entry of one of the job's tasks. */
 export function mostEntryBytes({ id, tasks }: Job): number {
   return ENTRY_PUNCTUATION_BYTES + id.length + String(tasks - 1).length + MAX_ATTEMPT_DIGITS;
 }
--- a/packages/core/model/machine-registry.ts
+++ b/packages/core/model/machine-registry.ts
@@ -8,30 +8,30 @@
 import { newMachine } from './new-machine.js';
 
 /**
- * A machine whose read-only fields may be set. The registry's methods take it where they do so, since each of these
- * fields decides on groups that the registry keeps; callers pass any `Machine`.
+ * A machine whose read-only fields may be set. Registry methods that set such a field take this type; callers pass any
+ * `Machine`. Only the registry sets these fields, since they decide which groups the machine belongs to.
  */
 type MutableMachine = { -readonly [Field in keyof Machine]: Machine[Field] };
 
 /** The known machines and machine types. Times are seconds of the steady clock. */
 export class MachineRegistry {
-  /** Machines with a property that few have. */
+  /** Groups of machines with a property that few machines have. */
   readonly groups = new MachineGroups();
   /** Machines with free capacity. */
   readonly free = new FreeMachines();
-  /** Totals of all machines, as of the last `updateTotals`. */
+  /** Total resources of all machines, as of the last `updateTotals`. */
   totals: Readonly<Amounts> = ZERO_AMOUNTS;
-  /** Machines or sizes have changed since then. */
+  /** Whether machines or the sizes of machine types have changed since the last `updateTotals`. */
   private totalsAreStale = false;
-  /** Seconds that the type which is up soonest takes to boot; 0 while no type is known. */
+  /** Boot time in seconds of the machine type that boots fastest; 0 while no type is known. */
   shortestBootS = 0;
   private readonly typesByName = new Map<string, MachineType>();
   private readonly byName = new Map<string, Machine>();
   private registeredCount = 0;
-  /** Null after machines have come or gone. */
+  /** Zones of all machines; null after a machine was added or removed, until they are next read. */
   private cachedZones: readonly string[] | null = null;
 
-  /** `fencingToken` is what answers to a new machine carry: the leader's term. */
+  /** `fencingToken` is the fencing token that answers to a new machine carry: the leader's term. */
   constructor(private readonly fencingToken: number) {}
 
   /** How many machines are known. */
@@ -39,7 +39,7 @@
     return this.byName.size;
   }
 
-  /** The machine, or undefined if it is not known or gone. */
+  /** The machine, or undefined if it is unknown or gone. */
   get(name: string): Machine | undefined {
     return this.byName.get(name);
   }
@@ -59,7 +59,7 @@
     return this.typesByName;
   }
 
-  /** The cloud lists a type. */
+  /** Adds or replaces a machine type that the cloud lists. */
   setType(type: MachineType): void {
     this.typesByName.set(type.name, type);
     this.totalsAreStale = true;
@@ -74,7 +74,7 @@
     return this.typesByName.get(machine.type);
   }
 
-  /** A machine that the cloud, a record or its own heartbeat made known; unchanged if known already. */
+  /** Adds a machine that the cloud, a record or its own heartbeat made known. Returns a known machine unchanged. */
   register(facts: MachineFacts, state: Machine['state'], requestedAt: number): Machine {
     const known = this.byName.get(facts.name);
     if (known) return known;
@@ -93,7 +93,7 @@
     return machine;
   }
 
-  /** The machine is gone from the cloud. */
+  /** Removes a machine that is gone from the cloud. */
   remove(machine: Machine): void {
     this.byName.delete(machine.name);
     this.invalidateTotalsAndZones();
@@ -112,7 +112,7 @@
     return this.cachedZones;
   }
 
-  /** The first heartbeat of its worker came, or the first after its lease expired; or its lease has expired. */
+  /** Sets `up` at the first heartbeat, also at the first after the lease expired, and `expired` when it has expired. */
   setState(machine: MutableMachine, state: 'up' | 'expired'): void {
     machine.state = state;
     if (!this.isKnown(machine)) return;
@@ -120,55 +120,55 @@
     this.free.update(machine, this.typeOf(machine));
   }
 
-  /** The machine takes no new work and is deprovisioned once it is empty. */
+  /** Drains the machine: it takes no new work and is deprovisioned once it is empty. */
   drain(machine: MutableMachine): void {
     machine.draining = true;
     if (this.isKnown(machine)) this.groups.stateChanged(machine);
   }
 
-  /** The cloud lists the machine as failed. */
+  /** Notes that the cloud lists the machine as failed. */
   markFailed(machine: MutableMachine): void {
     machine.failedInList = true;
     if (this.isKnown(machine)) this.groups.stateChanged(machine);
   }
 
-  /** When the cloud reclaims the machine, or null if it gives no notice. */
+  /** Sets when the cloud reclaims the machine; null if there is no reclaim notice. */
   setReclaimAt(machine: MutableMachine, reclaimAt: number | null): void {
     if (reclaimAt === machine.reclaimAt) return;
     machine.reclaimAt = reclaimAt;
     if (this.isKnown(machine)) this.groups.reclaimChanged(machine);
   }
 
-  /** Keeps the machine free for the gang of that id, or for none. */
+  /** Reserves the machine for the gang with that id; null ends the reservation. */
   reserve(machine: MutableMachine, gang: string | null): void {
     if (gang === machine.reservedForGang) return;
     machine.reservedForGang = gang;
     if (this.isKnown(machine)) this.groups.reservationChanged(machine);
   }
 
-  /** A task on the machine is to stop (1), or such a task has gone (-1). */
+  /** Counts a task on the machine that was asked to stop (1), or the end of such a task (-1). */
   countStop(machine: MutableMachine, sign: 1 | -1): void {
     machine.stoppingTasks += sign;
     if (this.isKnown(machine)) this.groups.stopsChanged(machine);
   }
 
-  /** A replica is to stay on the machine (1), or no longer is (-1). */
+  /** Counts a replica that is to stay on the machine (1), or no longer is (-1). */
   countReplica(machine: MutableMachine, sign: 1 | -1): void {
     machine.stayingReplicas += sign;
     if (this.isKnown(machine)) this.groups.replicasChanged(machine);
   }
 
-  /** What the machine's tasks take of it has changed. */
+  /** Updates the lists of free machines after the resources that the machine's tasks use changed. */
   useChanged(machine: Machine): void {
     if (this.isKnown(machine)) this.free.update(machine, this.typeOf(machine));
   }
 
-  /** Whether the machine is still known: callers may hold one that is gone, and that belongs to no group. */
+  /** Whether the machine is still known. Callers may pass a machine that is gone, which belongs to no group. */
   private isKnown(machine: Machine): boolean {
     return this.byName.get(machine.name) === machine;
   }
 
-  /** Sums up what all machines have if that may have changed; called before a round, and after the cloud's list. */
+  /** Recomputes `totals` if they may have changed. Called before a scheduling round and after the cloud's list is read. */
   updateTotals(): void {
     if (!this.totalsAreStale) return;
     this.totalsAreStale = false;
--- a/packages/core/model/machine-usage.ts
+++ b/packages/core/model/machine-usage.ts
@@ -1,25 +1,25 @@
-/** Sums over the tasks of a machine, kept as tasks come and go so that nobody has to add them up. */
+/** Sums over the tasks of a machine, updated with each change so that they need not be recomputed. */
 import type { Amounts } from './amounts.js';
 
 /**
- * What a machine's tasks take of it. What is read-only here is changed by the MachineRegistry alone, which keeps
- * groups of machines by it.
+ * Resources that a machine's tasks use, and counts of the tasks. Only the MachineRegistry changes the read-only fields,
+ * since they decide which groups of machines the machine belongs to.
  */
 export interface MachineUsage {
-  /** Bytes in JSON of the machine's record. */
+  /** Size of the machine's record in bytes of JSON. */
   recordBytes: number;
-  /** What all its tasks take of it. */
+  /** Resources that all its tasks use. */
   used: Amounts;
-  /** The part of it that best-effort tasks take. */
+  /** The part of `used` that best-effort tasks use. */
   usedBestEffort: Amounts;
-  /** Tasks on it that are not best-effort. */
+  /** Number of tasks on it that are not best-effort. */
   firmTasks: number;
-  /** Tasks on it that were asked to stop. */
+  /** Number of tasks on it that were asked to stop. */
   readonly stoppingTasks: number;
-  /** Replicas on it that are not best-effort and were not asked to stop. */
+  /** Number of service replicas on it that are not best-effort and were not asked to stop. */
   readonly stayingReplicas: number;
-  /** Rises whenever a task comes or goes. */
+  /** Rises whenever an assignment on the machine is added or removed. */
   assignmentVersion: number;
-  /** Since when it has no firm task, in seconds of the steady clock; of use only while it has none. */
+  /** Since when `firmTasks` is 0, in seconds of the steady clock; meaningless while it is not 0. */
   idleSince: number;
 }
--- a/packages/core/model/new-job.ts
+++ b/packages/core/model/new-job.ts
@@ -1,4 +1,4 @@
-/** How a job enters the state. */
+/** Creates the state of a new job. */
 import type { Job } from '#wire';
 import { ServiceCounter } from '../fair-share/service-counter.js';
 import { noJobFailures } from '../failures/job-failures.js';
@@ -7,7 +7,7 @@
 import type { JobState } from './entities.js';
 import { TaskSet } from './task-set.js';
 
-/** What decides the state of a new job. Times are seconds of the steady clock. */
+/** Inputs for the state of a new job. Times are seconds of the steady clock. */
 interface NewJob {
   job: Job;
   dependencies: Dependencies;
@@ -18,7 +18,7 @@
   halfLifeS: number;
 }
 
-/** A job of which no task has a place, and whose tasks are by themselves. */
+/** Creates the state of a job without assignments and whose tasks run independently of each other. */
 export function newJobState(options: NewJob, now: number): JobState {
   const { job, dependencies, isBestEffort, acceptedAt, phase, halfLifeS } = options;
   return {
--- a/packages/core/model/new-machine.test.ts
+++ b/packages/core/model/new-machine.test.ts
@@ -6,9 +6,9 @@
 
 const MACHINES = 100;
 
-test('machines keep their fields in fast form when these are written', () => {
-  // Guards against machines that are put together in a way after which V8 keeps their fields in dictionaries: rounds
-  // and plans, which read machines most, then take several times as long.
+test('a new machine keeps fast properties in V8 when its fields are written', () => {
+  // Guards against building machines in a way that makes V8 keep their fields in dictionaries: scheduling rounds and
+  // capacity plans, which read machines most, then take several times as long.
   v8.setFlagsFromString('--allow-natives-syntax');
   const hasFastFields = vm.runInThisContext('(object) => %HasFastProperties(object)') as (
     object: unknown,
@@ -34,5 +34,5 @@
   const changed: Partial<(typeof machines)[0]> = { ...machines[0] };
   delete changed.tasks;
   delete changed.name;
-  assert.ok(!hasFastFields(changed), 'the check can fail');
+  assert.ok(!hasFastFields(changed), 'the check detects an object with dictionary properties');
 });
--- a/packages/core/model/new-machine.ts
+++ b/packages/core/model/new-machine.ts
@@ -1,11 +1,11 @@
-/** How a machine enters the state. */
+/** Creates the state of a new machine. */
 import { noMachineFailures } from '../failures/machine-failures.js';
 import { ZERO_AMOUNTS } from './amounts.js';
 import type { MachineFacts } from './machine-facts.js';
 import { emptyRecordBytes } from './machine-record-size.js';
 import type { Machine } from './entities.js';
 
-/** Where a new machine comes in the registry, and what answers to it carry. */
+/** Inputs for the state of a new machine. */
 interface NewMachine {
   facts: MachineFacts;
   number: number;
@@ -16,9 +16,9 @@
 }
 
 /**
- * A machine without tasks from which no heartbeat has come. One literal makes all of it: V8 moves the fields of an object
- * of this size that is put together by spreading others into a dictionary once they are written, and rounds and plans
- * take several times as long.
+ * Creates a machine without tasks that has sent no heartbeat. The object is one literal on purpose: if an object of this
+ * size is built by spreading others, V8 keeps its fields in a dictionary once they are written, and scheduling rounds
+ * and capacity plans take several times as long.
  */
 // eslint-disable-next-line max-lines-per-function -- one literal, see above
 export function newMachine(options: NewMachine): Machine {
--- a/packages/core/model/ordered-machines.ts
+++ b/packages/core/model/ordered-machines.ts
@@ -1,4 +1,4 @@
-/** Sorted lists of machines that are cheap to keep. */
+/** Sorted lists of machines that are cheap to update. */
 import type { Machine } from './entities.js';
 
 /** Machines in the order in which they became known. */
@@ -10,7 +10,7 @@
     return this.list;
   }
 
-  /** Adds or removes the machine; nothing happens if it is as asked already. */
+  /** Adds or removes the machine; does nothing if it is a member, or not one, already as requested. */
   setMember(machine: Machine, isMember: boolean): void {
     const index = this.indexOf(machine);
     const isListed = this.list[index] === machine;
@@ -18,7 +18,7 @@
     else if (!isMember && isListed) this.list.splice(index, 1);
   }
 
-  /** Index at which the machine is or belongs. */
+  /** Index of the machine, or the index at which it would be inserted. */
   private indexOf({ number }: Machine): number {
     let low = 0;
     let high = this.list.length;
--- a/packages/core/model/released-machines.test.ts
+++ b/packages/core/model/released-machines.test.ts
@@ -3,9 +3,9 @@
 import { aFleet, aMachine, aHeartbeat } from '../../testing/samples.js';
 import { ReleasedMachines } from './released-machines.js';
 
-test('a late copy of a released machine neither brings it back nor shows a newer leader', () => {
-  // Guards against work that is given to a machine that is gone, and against a leader that steps
-  // down over a fencing token that it had handed out itself.
+test('a delayed heartbeat of a released machine neither registers it again nor indicates a newer leader', () => {
+  // Guards against placing work on a machine that is gone, and against a leader that steps down because of a fencing
+  // token that it issued itself.
   const fleet = aFleet();
   const machine = aMachine(fleet, 'n-1');
   machine.fence = 'requested';
@@ -18,7 +18,7 @@
   assert.ok(heartbeat.fencingToken <= fleet.fencing.newestFencingToken);
 });
 
-test('released machines are forgotten in the end', () => {
+test('released machines are forgotten after 60 lease times', () => {
   const released = new ReleasedMachines(10);
   released.add('n-1', 0);
   released.add('n-2', 500);
--- a/packages/core/model/released-machines.ts
+++ b/packages/core/model/released-machines.ts
@@ -1,14 +1,14 @@
-/** Tells messages of machines that are gone from those of machines that are not known yet. */
+/** Distinguishes messages of machines that are gone from those of machines that are not known yet. */
 
-/** In worker leases: how long messages of a machine that is gone are expected. */
+/** In worker leases: how long after its release a machine is remembered, as its delayed messages may still arrive. */
 const RETENTION_LEASES = 60;
 
 /**
- * Names of machines that the cloud has confirmed to be gone. Names never come again, so whatever still
- * arrives in the name of one is a late copy.
+ * Names of machines that the cloud has confirmed to be gone. Machine names are never reused, so any message that still
+ * arrives from such a machine is a delayed one.
  */
 export class ReleasedMachines {
-  /** Seconds of the steady clock by name, oldest first. */
+  /** Time of release by machine name, oldest first, in seconds of the steady clock. */
   private readonly releasedAt = new Map<string, number>();
   private readonly retentionS: number;
 
--- a/packages/core/model/replica-shape.ts
+++ b/packages/core/model/replica-shape.ts
@@ -7,11 +7,11 @@
   sameZone: boolean;
 }
 
-/** Where a member's place comes from. */
+/** How a member of a replica came to its assignment. */
 export type PlaceOrigin =
-  /** Decided in this term. */
+  /** Placed in this term. */
   | 'placed'
   /** Read from the records of an earlier term. */
   | 'inherited'
-  /** Listed in a heartbeat though no record names it; it is stopped. */
+  /** Listed in a heartbeat although no record contains it; the member is stopped. */
   | 'unrecorded';
--- a/packages/core/model/task-set.test.ts
+++ b/packages/core/model/task-set.test.ts
@@ -4,7 +4,7 @@
 import { SEEDED } from '../../testing/generators.js';
 import { TaskSet } from './task-set.js';
 
-test('done bits survive being stored in chunks', () => {
+test('a task set that is encoded in chunks is decoded to the same set', () => {
   fc.assert(
     fc.property(fc.integer({ min: 1, max: 500 }), fc.array(fc.nat(499)), (tasks, done) => {
       const set = new TaskSet(tasks);
--- a/packages/core/model/task-set.ts
+++ b/packages/core/model/task-set.ts
@@ -1,6 +1,6 @@
-/** Sets of tasks of one job, which are also recorded. */
+/** Sets of tasks of one job, and their encoding for records. */
 
-/** A set of task indexes of one job, kept as bits so that the largest legal job stays small. */
+/** A set of task indexes of one job, kept as a bitmap so that the set of the largest permitted job stays small. */
 export class TaskSet {
   private readonly bits: Uint8Array;
   /** How many indexes are in the set. */
@@ -15,7 +15,7 @@
     return (this.bits[index >> 3] & (1 << (index & 7))) !== 0;
   }
 
-  /** True if the index was not in the set before. */
+  /** Adds the index. Returns whether it is within the capacity and was not in the set before. */
   add(index: number): boolean {
     if (index >= this.capacity || this.has(index)) return false;
     this.bits[index >> 3] |= 1 << (index & 7);
@@ -28,14 +28,14 @@
     for (let i = 0; i < this.capacity; i++) this.add(i);
   }
 
-  /** `count` indexes of the set from `first` on, both multiples of 8, as their bits in base64. */
+  /** Encodes the bits of `count` indexes from `first` on in base64; `count` and `first` must be multiples of 8. */
   textOf(first: number, count: number): string {
     const from = first >> 3;
     const to = Math.min(this.bits.length, from + (count >> 3));
     return Buffer.from(this.bits.subarray(from, to)).toString('base64');
   }
 
-  /** Adds what `textOf` gave for indexes from `first` on. */
+  /** Adds the indexes that `textOf` encoded from `first` on. */
   addText(first: number, text: string): void {
     const bytes = Buffer.from(text, 'base64');
     for (let i = 0; i < bytes.length * 8; i++) {
--- a/packages/core/model/unrecorded-changes.ts
+++ b/packages/core/model/unrecorded-changes.ts
@@ -1,35 +1,35 @@
-/** What the recorder still has to write. */
+/** Changes that the recorder still has to write. */
 
-/** The done tasks of a job that has none to record. */
+/** The unrecorded done tasks of a job that has none. */
 const NO_TASKS: ReadonlySet<number> = new Set();
 
 /**
- * Names of what changed in memory and must still be made durable. Nothing is sent that depends on a
- * change before the recorder has written it (docs/safety.md, point 4).
+ * Names of machines and jobs that changed in memory and must still be made durable. No message that depends on a change
+ * is sent before the recorder has written the change (docs/safety.md, point 4).
  */
 export class UnrecordedChanges {
-  /** Names of machines whose assignments or fence changed, machines that are gone included. */
+  /** Names of machines whose assignments or fence changed, including machines that are gone. */
   readonly machines = new Set<string>();
-  /** Those of them whose record something waits for, and the most urgent rank of that; 0 comes first. */
+  /** Names from `machines` whose record some work waits for, with the most urgent rank of that work; 0 comes first. */
   readonly urgentMachines = new Map<string, number>();
   /** Ids of jobs with new done tasks. */
   readonly jobs = new Set<string>();
-  /** These tasks, by job; those that end a job are recorded with its end. */
+  /** Unrecorded done tasks by job id. Those that end a job are recorded with the job's end. */
   private readonly doneTasks = new Map<string, Set<number>>();
 
-  /** Something of that rank waits for the machine's record to be written. */
+  /** Notes that work of that rank waits for the machine's record to be written. */
   markMachineUrgent(name: string, rank: number): void {
     this.machines.add(name);
     this.urgentMachines.set(name, Math.min(rank, this.urgentMachines.get(name) ?? Infinity));
   }
 
-  /** The machine's present record is in a transaction. */
+  /** Clears the machine, whose current record is now part of a transaction. */
   machineCollected(name: string): void {
     this.machines.delete(name);
     this.urgentMachines.delete(name);
   }
 
-  /** A task is done, and other tasks of its job are not. */
+  /** Adds a done task of a job that has other tasks that are not done. */
   taskDone(job: string, index: number): void {
     const tasks = this.doneTasks.get(job);
     if (tasks) tasks.add(index);
@@ -41,7 +41,7 @@
     return this.doneTasks.get(job) ?? NO_TASKS;
   }
 
-  /** The state service holds that the tasks are done. */
+  /** Removes done tasks that the state service now holds as done. */
   tasksRecorded(job: string, indexes: Iterable<number>): void {
     const tasks = this.doneTasks.get(job);
     if (!tasks) return;
@@ -49,12 +49,12 @@
     if (tasks.size === 0) this.doneTasks.delete(job);
   }
 
-  /** The job is over, so its single tasks need not be recorded. */
+  /** Forgets the done tasks of a job that was done or cancelled: they need not be recorded one by one. */
   forgetJob(job: string): void {
     this.doneTasks.delete(job);
   }
 
-  /** Whether there is something to record that may not wait for spare changes. */
+  /** Whether some change is urgent, so that it may not wait until the recorder's budget has changes to spare. */
   get anyUrgent(): boolean {
     return this.urgentMachines.size > 0 || this.jobs.size > 0;
   }
--- a/packages/core/model/waiting-tasks.ts
+++ b/packages/core/model/waiting-tasks.ts
@@ -1,15 +1,15 @@
-/** Which tasks of a job wait for a machine, found without a list of them: a job may have many thousands. */
+/** Finds the waiting tasks of a job without a list of them, since a job may have many thousands. */
 import type { JobState } from './entities.js';
 
-/** How many tasks of the job wait for a machine; none while it has open dependencies or once it is over. */
+/** How many tasks of the job wait for a machine; none while it has open dependencies or once it is done or cancelled. */
 export function countWaitingTasks(job: JobState): number {
   if (job.phase !== 'accepted' || job.hasOpenDependencies) return 0;
   return Math.max(0, job.spec.tasks - job.done.size - job.assignments.size);
 }
 
 /**
- * Up to `limit` tasks that wait for a machine: those that lost one first, then the others, lowest first. Moves the
- * job's `scanFrom` past tasks that wait no more, and forgets those among `returnedTasks`.
+ * Up to `limit` tasks that wait for a machine: first those that lost one, then the others by index. Advances the job's
+ * `scanFrom` past tasks that no longer wait, and removes such tasks from `returnedTasks`.
  */
 export function findWaitingTasks(job: JobState, limit: number): number[] {
   const isWaiting = (index: number) => !job.done.has(index) && !job.assignments.has(index);
--- a/packages/core/model/worker-state.ts
+++ b/packages/core/model/worker-state.ts
@@ -1,12 +1,12 @@
-/** What is known of the worker on a machine, by its heartbeats and by the commands sent to it. */
+/** What the leader knows of the worker on a machine, from its heartbeats and the commands sent to it. */
 
-/** How far the machine's fencing token has been raised above that of unacknowledged starts. */
+/** Progress of raising the machine's fencing token above that of unacknowledged starts. */
 export type Fence =
-  /** Nothing is to be fenced off. */
+  /** There are no starts to fence off. */
   | 'none'
   /** The next record of the machine is to raise its fencing token. */
   | 'requested'
-  /** The record is written; earlier starts are harmless once a heartbeat shows the new fencing token. */
+  /** The record is written; earlier starts have no effect once a heartbeat carries the new fencing token. */
   | 'recorded';
 
 /** The worker on a machine. Times are seconds of this process's steady clock. */
@@ -17,23 +17,23 @@
   lastMessageSequence: number;
   /** Sequence of the newest heartbeat that was answered. */
   lastHeartbeatSequence: number;
-  /** What answers carry: the term, or the revision of the record that fenced it last if later. */
+  /** Fencing token that answers carry: the term, or the revision of the last record that raised it, if that is later. */
   fencingToken: number;
-  /** A heartbeat has shown this term's fencing token, so older commands and answers can have no effect. */
+  /** Whether a heartbeat has carried this term's fencing token, so that older commands and answers have no effect. */
   termConfirmed: boolean;
   /** When the last heartbeat that was answered arrived. */
   answeredAt: number;
   /** Since when its heartbeats have been answered without a gap. */
   answeredSince: number;
-  /** Since when its heartbeats have not shown the fencing token of the answers before them. */
+  /** Since when its heartbeats have carried a fencing token older than the term of the answers; null if they don't. */
   oldFencingTokenSince: number | null;
 
   /** State of the fencing of unacknowledged starts. */
   fence: Fence;
-  /** Direct starts that were not answered and may still arrive, by attempt, and when they were sent. */
+  /** Direct starts that were not answered and may still arrive: time of sending by attempt. */
   unacknowledgedStarts: Map<string, number>;
-  /** A direct command was sent, and its outcome is not known yet. */
+  /** Whether a direct command was sent whose outcome is not known yet. */
   directCommandInFlight: boolean;
-  /** No direct command is sent before. */
+  /** No direct command is sent before this time. */
   noDirectCommandBefore: number;
 }
