--- a/packages/core/heartbeats/answer-delivery.ts
+++ b/packages/core/heartbeats/answer-delivery.ts
@@ -2,7 +2,7 @@
 import type { Heartbeat } from '#wire';
 import type { Machine } from '../model/entities.js';
 
-/** In heartbeat intervals: after a longer gap between two heartbeats, the check ignores those before the gap. */
+/** In heartbeat intervals: after a longer gap between heartbeats, the check ignores those before the gap. */
 const MAX_ANSWER_GAP_INTERVALS = 4;
 /** In heartbeat intervals: how long heartbeats may carry an old fencing token before the machine is cordoned. */
 const MAX_OLD_FENCING_TOKEN_INTERVALS = 2;
--- a/packages/core/heartbeats/heartbeat-processor.ts
+++ b/packages/core/heartbeats/heartbeat-processor.ts
@@ -9,9 +9,9 @@
 import type { TaskReconciler } from './task-reconciler.js';
 
 /**
- * The answer to a heartbeat. A `late-copy` is a heartbeat that arrived after a newer message from its machine or after
- * the machine's release. It renews no lease and changes no state, and its answer must not be one that a worker could
- * accept as valid (docs/safety.md, point 6).
+ * The answer to a heartbeat. A `late-copy` is a duplicate, or a heartbeat that arrived after a newer one of its machine
+ * or after the machine's release. It renews no lease and changes no state, and its answer must not be one that a worker
+ * could accept as valid (docs/safety.md, point 6).
  */
 export type HeartbeatOutcome = { kind: 'answer'; orders: Order[] } | { kind: 'late-copy' };
 
--- a/packages/core/heartbeats/start-fencing.ts
+++ b/packages/core/heartbeats/start-fencing.ts
@@ -67,7 +67,7 @@
     if (this.mayArrive(machine, start)) this.requestFence(machine);
   }
 
-  /** Requests a new record of the machine. A command that is in flight carries the older fencing token. */
+  /** Requests a new record of the machine, since commands in flight carry the present fencing token. */
   private requestFence(machine: Machine): void {
     if (machine.fence !== 'none') return;
     machine.fence = 'requested';
--- a/packages/core/model/entities.ts
+++ b/packages/core/model/entities.ts
@@ -46,7 +46,7 @@
   reportedState: TaskState | null;
   /** Set once the task is to stop. */
   stop: StopRequest | null;
-  /** Share of the fleet that is charged for it. */
+  /** Share of the fleet's resources that is charged for it. */
   share: number;
   assignedAt: number;
   /** When a worker first reported the attempt as running. */
--- a/packages/core/model/machine-groups.ts
+++ b/packages/core/model/machine-groups.ts
@@ -33,7 +33,10 @@
     return this.stoppingMachines;
   }
 
-  /** Booting and running machines to be kept that no replica keeps from becoming empty, in the order they became known. */
+  /**
+   * Machines that boot or are up, are to be kept, and become empty by themselves, since no replica is to stay on them;
+   * in the order in which they became known.
+   */
   get emptying(): readonly Machine[] {
     return this.emptyingMachines.machines;
   }
--- a/packages/core/model/machine-record-size.ts
+++ b/packages/core/model/machine-record-size.ts
@@ -8,10 +8,10 @@
 /** Characters of the longest job id. */
 const MAX_JOB_ID_LENGTH = 20;
 /** Bytes of the brackets, quotes and commas in the entry of one task. */
-const ENTRY_PUNCTUATION_BYTES = '["",,],'.length;
+const ENTRY_SYNTAX_BYTES = '["",,],'.length;
 /** Bytes of the largest entry of a task. */
 export const LARGEST_ENTRY =
-  ENTRY_PUNCTUATION_BYTES + MAX_JOB_ID_LENGTH + MAX_INDEX_DIGITS + MAX_ATTEMPT_DIGITS;
+  ENTRY_SYNTAX_BYTES + MAX_JOB_ID_LENGTH + MAX_INDEX_DIGITS + MAX_ATTEMPT_DIGITS;
 
 /** The longest address of a machine. */
 const LONGEST_ADDRESS = '255.255.255.255:65535';
@@ -25,12 +25,10 @@
 
 /** Bytes that the assignment takes in its machine's record. */
 export function entryBytes({ job, index, attempt }: Assignment): number {
-  return (
-    ENTRY_PUNCTUATION_BYTES + job.spec.id.length + String(index).length + String(attempt).length
-  );
+  return ENTRY_SYNTAX_BYTES + job.spec.id.length + String(index).length + String(attempt).length;
 }
 
 /** Maximum bytes of the entry of one of the job's tasks. */
 export function mostEntryBytes({ id, tasks }: Job): number {
-  return ENTRY_PUNCTUATION_BYTES + id.length + String(tasks - 1).length + MAX_ATTEMPT_DIGITS;
+  return ENTRY_SYNTAX_BYTES + id.length + String(tasks - 1).length + MAX_ATTEMPT_DIGITS;
 }
--- a/packages/core/model/machine-registry.ts
+++ b/packages/core/model/machine-registry.ts
@@ -112,7 +112,10 @@
     return this.cachedZones;
   }
 
-  /** Sets `up` at the first heartbeat, also at the first after the lease expired, and `expired` when it has expired. */
+  /**
+   * Sets the machine's state: `up` at its first heartbeat and at the first after its lease expired, `expired` when its
+   * lease has expired.
+   */
   setState(machine: MutableMachine, state: 'up' | 'expired'): void {
     machine.state = state;
     if (!this.isKnown(machine)) return;
--- a/packages/core/model/ordered-machines.ts
+++ b/packages/core/model/ordered-machines.ts
@@ -10,7 +10,7 @@
     return this.list;
   }
 
-  /** Adds or removes the machine; does nothing if it is a member, or not one, already as requested. */
+  /** Adds or removes the machine; does nothing if its membership is already as requested. */
   setMember(machine: Machine, isMember: boolean): void {
     const index = this.indexOf(machine);
     const isListed = this.list[index] === machine;
