--- a/packages/core/heartbeats/heartbeat-processor.ts
+++ b/packages/core/heartbeats/heartbeat-processor.ts
@@ -9,22 +9,24 @@
 import type { TaskReconciler } from './task-reconciler.js';
 
 /**
- * What to answer a heartbeat. A late copy renews nothing and tells nothing new, and its answer must not be
- * one that a worker could accept as valid (docs/safety.md, point 6).
+ * The answer to a heartbeat. A `late-copy` is a duplicate, or a heartbeat that arrived after a newer one of its machine
+ * or after the machine's release. It renews no lease and changes no state, and its answer must not be one that a worker
+ * could accept as valid (docs/safety.md, point 6).
  */
 export type HeartbeatOutcome = { kind: 'answer'; orders: Order[] } | { kind: 'late-copy' };
 
 const LATE_COPY: HeartbeatOutcome = { kind: 'late-copy' };
 
 /**
- * Orders of one answer about tasks that a heartbeat lists: with the starts of a full machine they stay
- * within what an answer may hold. The rest is sent after the next heartbeat, which lists what is left.
+ * Maximum number of orders in one answer about tasks that the heartbeat lists. With the starts of a full machine added,
+ * the answer stays within its size limit. Further orders follow after the next heartbeat, which lists the remaining
+ * tasks.
  */
 const MAX_LISTED_ORDERS = 400;
 
 /** Applies heartbeats, in the order of their agent epochs and sequences. Times are seconds of the steady clock. */
 export class HeartbeatProcessor {
-  private readonly delivery: DeliverySettings;
+  private readonly deliverySettings: DeliverySettings;
 
   constructor(
     private readonly fleet: FleetData,
@@ -33,20 +35,20 @@
     private readonly tasks: TaskReconciler,
   ) {
     const { leaseS, heartbeatIntervalS } = fleet.settings;
-    this.delivery = { leaseS, heartbeatIntervalS, term: fleet.term };
+    this.deliverySettings = { leaseS, heartbeatIntervalS, term: fleet.term };
   }
 
-  /** Applies a heartbeat and returns what to answer it. */
+  /** Applies a heartbeat and returns the answer to it. */
   handle(heartbeat: Heartbeat, now: number): HeartbeatOutcome {
     if (this.fleet.released.has(heartbeat.machine)) return LATE_COPY;
-    const machine = this.machineOf(heartbeat, now);
+    const machine = this.getOrRegisterMachine(heartbeat, now);
     if (heartbeat.agentEpoch < machine.agentEpoch) return LATE_COPY;
     if (heartbeat.agentEpoch === machine.agentEpoch) {
       if (heartbeat.sequence <= machine.lastHeartbeatSequence) return LATE_COPY;
       if (heartbeat.sequence <= machine.lastMessageSequence)
-        return this.acceptOvertaken(machine, heartbeat, now);
+        return this.acceptOvertakenHeartbeat(machine, heartbeat, now);
     }
-    checkAnswerDelivery(machine, heartbeat, this.delivery, now);
+    checkAnswerDelivery(machine, heartbeat, this.deliverySettings, now);
     if (heartbeat.agentEpoch > machine.agentEpoch) this.agentEpochChanged(machine, now);
     this.markUp(machine, now);
     this.updateMachine(machine, heartbeat, now);
@@ -58,7 +60,7 @@
     };
   }
 
-  private machineOf(heartbeat: Heartbeat, now: number): Machine {
+  private getOrRegisterMachine(heartbeat: Heartbeat, now: number): Machine {
     const known = this.fleet.machines.get(heartbeat.machine);
     if (known) return known;
     const { machine: name, addr, type, zone, spot } = heartbeat;
@@ -66,19 +68,23 @@
   }
 
   /**
-   * The answer to a direct command came before this heartbeat. Its tasks are old, but the worker waits for
-   * this answer, which renews the lease.
+   * Answers a heartbeat that was overtaken by the newer answer to a direct command. The heartbeat's task list is
+   * outdated, but the worker waits for the answer, which renews its lease.
    */
-  private acceptOvertaken(machine: Machine, heartbeat: Heartbeat, now: number): HeartbeatOutcome {
+  private acceptOvertakenHeartbeat(
+    machine: Machine,
+    heartbeat: Heartbeat,
+    now: number,
+  ): HeartbeatOutcome {
     machine.lastHeartbeatSequence = heartbeat.sequence;
     machine.answeredAt = now;
     return { kind: 'answer', orders: ordersForAnswer(machine, heartbeat.sequence) };
   }
 
   /**
-   * The worker killed and forgot everything when its lease expired. What an earlier term may have
-   * started is not judged by this: the older epoch may be known from a late copy only, and the start
-   * may belong to the newer one.
+   * Ends tasks of the older agent epoch: the worker killed and forgot all its tasks when its lease expired. A task that
+   * only an earlier term may have started is kept: the older epoch may be known from a delayed heartbeat only, and the
+   * task may have been started in the newer epoch.
    */
   private agentEpochChanged(machine: Machine, now: number): void {
     if (machine.agentEpoch > 0) {
@@ -112,7 +118,7 @@
 
   private reconcileTasks(machine: Machine, heartbeat: Heartbeat, now: number): Order[] {
     const listed = new Set(heartbeat.tasks.map((task) => taskName(task.job, task.index)));
-    const orders = mostUrgent(this.tasks.reconcileListed(machine, heartbeat.tasks, now));
+    const orders = limitListedOrders(this.tasks.reconcileListed(machine, heartbeat.tasks, now));
     for (const [name, assignment] of [...machine.tasks]) {
       if (!listed.has(name)) this.tasks.reconcileMissing(assignment, heartbeat, now);
     }
@@ -120,8 +126,8 @@
   }
 }
 
-/** As many as one answer holds: what is to be stopped before what is to be forgotten. */
-function mostUrgent(orders: Order[]): Order[] {
+/** Cuts the orders to the maximum for one answer. Stop orders take precedence over forget orders. */
+function limitListedOrders(orders: Order[]): Order[] {
   if (orders.length <= MAX_LISTED_ORDERS) return orders;
   const stops = orders.filter(({ op }) => op === 'stop');
   const others = orders.filter(({ op }) => op !== 'stop');
--- a/packages/core/model/machine-groups.test.ts
+++ b/packages/core/model/machine-groups.test.ts
@@ -10,7 +10,7 @@
 
 interface GroupRule {
   group: (groups: MachineGroups) => Iterable<Machine>;
-  /** Whether a machine belongs to the group, by the machine alone. */
+  /** Whether a machine belongs to the group, judged from the machine alone. */
   belongs: (machine: Machine) => boolean;
 }
 
@@ -42,8 +42,8 @@
   assert.equal(members.filter((member) => member.get !== undefined).length, RULES.length);
 });
 
-// Guards operations that walk a few machines in place of all: they must not miss any.
-test('groups and totals of machines are what a walk over every machine finds, whatever happens', () => {
+// Guards operations that walk a group in place of all machines: the group must not lack a machine.
+test('groups and totals of machines equal what a walk over every machine finds, after any steps', () => {
   const seen = RULES.map(() => 0);
   for (let seed = 1; seed <= SEEDS; seed++) {
     const random = new RandomFleet(new Chance(seed));
@@ -52,23 +52,23 @@
       const { machines } = random.fleet;
       for (const [index, { group, belongs }] of RULES.entries()) {
         const expected = [...machines.values()].filter(belongs);
-        const found = namesOf(group(machines.groups));
-        assert.deepEqual(found, namesOf(expected), `${group.toString()}, seed ${seed}`);
+        const found = collectSortedNames(group(machines.groups));
+        assert.deepEqual(found, collectSortedNames(expected), `${group.toString()}, seed ${seed}`);
         seen[index] += expected.length;
       }
       machines.updateTotals();
-      assert.deepEqual(machines.totals, totalsOf(random.fleet));
+      assert.deepEqual(machines.totals, computeTotals(random.fleet));
     }
   }
   for (const count of seen) assert.ok(count > SEEDS, `members seen: ${seen.join(', ')}`);
 });
 
-function totalsOf({ machines }: FleetState): Amounts {
+function computeTotals({ machines }: FleetState): Amounts {
   const totals = { ...ZERO_AMOUNTS };
   for (const machine of machines.values()) addAmounts(totals, machines.typeOf(machine)!, 1);
   return totals;
 }
 
-function namesOf(machines: Iterable<Machine>): string[] {
+function collectSortedNames(machines: Iterable<Machine>): string[] {
   return [...machines].map(({ name }) => name).sort();
 }
--- a/packages/core/model/machine-record-size.ts
+++ b/packages/core/model/machine-record-size.ts
@@ -1,16 +1,17 @@
-/** How large the record of a machine is in JSON, by which the state service counts. */
+/** Size of a machine's record in JSON, by which the state service measures records. */
 import type { Job } from '#wire';
 import type { Assignment } from './entities.js';
 
-/** Digits of the largest attempt number, and of the largest index of a task. */
-const ATTEMPT_DIGITS = 16;
-const INDEX_DIGITS = 5;
-/** Characters of the longest id of a job. */
-const ID_LENGTH = 20;
-/** Brackets, quotes and commas of the entry of one task. */
-const ENTRY_MARKS = '["",,],'.length;
+/** Digits of the largest attempt number and of the largest task index. */
+const MAX_ATTEMPT_DIGITS = 16;
+const MAX_INDEX_DIGITS = 5;
+/** Characters of the longest job id. */
+const MAX_JOB_ID_LENGTH = 20;
+/** Bytes of the brackets, quotes and commas in the entry of one task. */
+const ENTRY_SYNTAX_BYTES = '["",,],'.length;
 /** Bytes of the largest entry of a task. */
-export const LARGEST_ENTRY = ENTRY_MARKS + ID_LENGTH + INDEX_DIGITS + ATTEMPT_DIGITS;
+export const LARGEST_ENTRY =
+  ENTRY_SYNTAX_BYTES + MAX_JOB_ID_LENGTH + MAX_INDEX_DIGITS + MAX_ATTEMPT_DIGITS;
 
 /** The longest address of a machine. */
 const LONGEST_ADDRESS = '255.255.255.255:65535';
@@ -24,10 +25,10 @@
 
 /** Bytes that the assignment takes in its machine's record. */
 export function entryBytes({ job, index, attempt }: Assignment): number {
-  return ENTRY_MARKS + job.spec.id.length + String(index).length + String(attempt).length;
+  return ENTRY_SYNTAX_BYTES + job.spec.id.length + String(index).length + String(attempt).length;
 }
 
-/** Bytes that the entry of a task of the job takes at the most. */
+/** Maximum bytes of the entry of one of the job's tasks. */
 export function mostEntryBytes({ id, tasks }: Job): number {
-  return ENTRY_MARKS + id.length + String(tasks - 1).length + ATTEMPT_DIGITS;
+  return ENTRY_SYNTAX_BYTES + id.length + String(tasks - 1).length + MAX_ATTEMPT_DIGITS;
 }
