--- a/packages/store/budget.test.ts
+++ b/packages/store/budget.test.ts
@@ -6,7 +6,7 @@
 
 const LIMITS = { rps: 100, writeRps: 100, valueBytes: 1024, txnOps: 24 };
 
-async function aBudget(perSecond: number) {
+async function createBudget(perSecond: number) {
   const world = await StateWorld.start(LIMITS);
   return { world, budget: new Budget(world.controller().clock, perSecond) };
 }
@@ -23,7 +23,7 @@
   );
   await fc.assert(
     fc.asyncProperty(rates, requests, async (rate, wanted) => {
-      const { world, budget } = await aBudget(rate);
+      const { world, budget } = await createBudget(rate);
       let granted = 0;
       for (const { units, urgent } of wanted)
         void budget.acquireFor(urgent ? 'urgent' : 'background', units).then(() => granted++);
@@ -36,7 +36,7 @@
 });
 
 test('a consumer without an end starves nobody, and urgent ones go first', async () => {
-  const { world, budget } = await aBudget(10);
+  const { world, budget } = await createBudget(10);
   const order: string[] = [];
   const takeFor = async (name: string, units: number) => {
     for (;;) {
@@ -56,23 +56,23 @@
 });
 
 test('a consumer whose signal aborts no longer waits', async () => {
-  const { world, budget } = await aBudget(10);
+  const { world, budget } = await createBudget(10);
   const stop = new AbortController();
   let granted = 0;
   await budget.acquireFor('background', 10);
-  const given = assert.rejects(budget.acquireFor('background', 10, stop.signal));
+  const rejected = assert.rejects(budget.acquireFor('background', 10, stop.signal));
   void budget.acquireFor('background', 1).then(() => granted++);
   await world.run(0.5);
   assert.equal(granted, 0);
   stop.abort();
-  await given;
+  await rejected;
   await world.run(0.001);
   assert.equal(granted, 1);
   await assert.rejects(budget.acquireFor('background', 1, stop.signal));
 });
 
 test('what users ask for waits for background work, and gets its share all the same', async () => {
-  const { world, budget } = await aBudget(20);
+  const { world, budget } = await createBudget(20);
   const granted = { background: 0, users: 0 };
   const takeFor = async (consumer: 'background' | 'users', units: number) => {
     for (;;) {
@@ -84,11 +84,11 @@
   await world.run(10);
   // Alone they have all of it.
   assert.ok(granted.users >= 200, `${granted.users}`);
-  assert.equal(budget.usersPerSecond(), 20);
+  assert.equal(budget.userUnitsPerS(), 20);
   granted.users = 0;
   for (let n = 0; n < 5; n++) void takeFor('background', 10);
   await world.run(20);
   assert.ok(granted.users >= 90 && granted.users <= 120, `${granted.users}`);
   assert.ok(granted.background >= 280, `${granted.background}`);
-  assert.ok(budget.usersPerSecond() < 7);
+  assert.ok(budget.userUnitsPerS() < 7);
 });
--- a/packages/store/budget.ts
+++ b/packages/store/budget.ts
@@ -55,7 +55,7 @@
   setRate(perSecond: number): void {
     this.refill();
     this.perSecond = perSecond;
-    this.serve();
+    this.grantWaiting();
   }
 
   /** Units that can be granted at once; below 0 while earlier consumers are not made up for. */
@@ -65,7 +65,7 @@
   }
 
   /** Half a second's worth or more is available, so that others hardly notice a few units. */
-  get isAmple(): boolean {
+  get hasSpareUnits(): boolean {
     return this.available() >= this.perSecond * SHORT_WAIT_S;
   }
 
@@ -75,8 +75,8 @@
   }
 
   /** Units a second that users can count on beside what others have consumed of late. */
-  usersPerSecond(): number {
-    this.expireInternalUnits();
+  userUnitsPerS(): number {
+    this.decayInternalUnits();
     const unused = this.perSecond - this.internalUnits / AVERAGING_S;
     return Math.max(unused, this.perSecond / (BACKGROUND_WEIGHT + 1));
   }
@@ -85,7 +85,7 @@
   refund(units: number): void {
     this.refill();
     this.level = Math.min(this.perSecond, this.level + units);
-    this.serve();
+    this.grantWaiting();
   }
 
   /** Resolves once the units are granted; rejects with the signal's reason if it aborts before. */
@@ -98,10 +98,10 @@
       const onAbort = () => {
         this.removeWaiter(consumer, waiter);
         reject(signal?.reason as Error);
-        this.serve();
+        this.grantWaiting();
       };
       const grant = () => {
-        if (consumer !== 'users') this.countInternal(units);
+        if (consumer !== 'users') this.addInternalUnits(units);
         signal?.removeEventListener('abort', onAbort);
         resolve();
       };
@@ -109,7 +109,7 @@
       signal?.addEventListener('abort', onAbort, { once: true });
       if (consumer === 'urgent') this.urgentWaiters.push(waiter);
       else this.waiters.push(consumer, waiter);
-      this.serve();
+      this.grantWaiting();
     });
   }
 
@@ -118,12 +118,12 @@
     else this.waiters.remove(consumer, waiter);
   }
 
-  private countInternal(units: number): void {
-    this.expireInternalUnits();
+  private addInternalUnits(units: number): void {
+    this.decayInternalUnits();
     this.internalUnits += units;
   }
 
-  private expireInternalUnits(): void {
+  private decayInternalUnits(): void {
     const now = this.clock.now();
     this.internalUnits *= Math.exp((this.internalUnitsAt - now) / AVERAGING_S);
     this.internalUnitsAt = now;
@@ -137,7 +137,7 @@
   }
 
   /** Grants what it can, in order, and calls itself again when the next can be granted. */
-  private serve(): void {
+  private grantWaiting(): void {
     this.timer?.cancel();
     this.timer = null;
     for (;;) {
@@ -147,7 +147,7 @@
       const waitMs = this.waitMs(units);
       if (waitMs > 0) {
         this.timer = this.clock.setTimer(() => {
-          this.serve();
+          this.grantWaiting();
         }, waitMs);
         return;
       }
--- a/packages/store/change-budget.ts
+++ b/packages/store/change-budget.ts
@@ -5,7 +5,7 @@
 import type { StateLimits } from './state-limits.js';
 
 /** Seconds' worth of the users' rate for which one transaction of theirs waits at the most. */
-const MAX_USERS_TURN_S = 1 / 2;
+const MAX_USER_TXN_WAIT_S = 1 / 2;
 
 /** Grants changes (puts and deletes) to transactions, and adapts to what the service refuses. */
 export class ChangeBudget {
@@ -35,23 +35,23 @@
   }
 
   /** So many are available that others hardly notice a few changes. */
-  get isAmple(): boolean {
-    return this.budget.isAmple;
+  get hasSpareChanges(): boolean {
+    return this.budget.hasSpareUnits;
   }
 
   /** Changes a second that users can count on. */
-  get usersPerSecond(): number {
-    return this.budget.usersPerSecond();
+  get userChangesPerS(): number {
+    return this.budget.userUnitsPerS();
   }
 
   /** Seconds until so many changes of users are sent, now and if the other controllers use all they may. */
-  usersWaitS(changes: number): { expected: number; longest: number } {
-    const expected = Math.max(0, changes - this.available) / this.usersPerSecond;
-    return { expected, longest: expected / this.sharedRate.leastShare };
+  userWaitS(changes: number): { expected: number; longest: number } {
+    const expected = Math.max(0, changes - this.available) / this.userChangesPerS;
+    return { expected, longest: expected / this.sharedRate.minShareRatio };
   }
 
   /** Changes that one transaction may hold without a long wait; at least one. */
-  get txnChanges(): number {
+  get maxTxnChanges(): number {
     const availableSoon = Math.floor(this.budget.availableSoon());
     return Math.max(1, Math.min(this.limits.txnOps, availableSoon));
   }
@@ -63,15 +63,17 @@
 
   /** Resolves with how many of the wanted changes are granted to users; rejects with the signal's reason. */
   async reserveForUsers(wanted: number, signal: AbortSignal): Promise<number> {
-    const soon = Math.floor(Math.max(this.available, this.usersPerSecond * MAX_USERS_TURN_S));
-    const changes = Math.max(1, Math.min(wanted, this.limits.txnOps, soon));
+    const availableSoon = Math.floor(
+      Math.max(this.available, this.userChangesPerS * MAX_USER_TXN_WAIT_S),
+    );
+    const changes = Math.max(1, Math.min(wanted, this.limits.txnOps, availableSoon));
     await this.acquire('users', changes, signal);
     return changes;
   }
 
   /** The same for the controller itself. */
   async reserve(wanted: number, signal: AbortSignal): Promise<number> {
-    const changes = Math.max(1, Math.min(wanted, this.txnChanges));
+    const changes = Math.max(1, Math.min(wanted, this.maxTxnChanges));
     await this.acquire('background', changes, signal);
     return changes;
   }
--- a/packages/store/commit-batch.ts
+++ b/packages/store/commit-batch.ts
@@ -9,7 +9,7 @@
   /** Size of conditions and changes in JSON. */
   bytes: number;
   /** It was in a transaction that the service called malformed, and shares none any more. */
-  mustGoAlone: boolean;
+  needsOwnTxn: boolean;
 }
 
 /** Fills one transaction, within its size, with requests that don't depend on the same keys. */
@@ -25,7 +25,7 @@
   accepts(request: Request): boolean {
     const first = this.requests.at(0);
     if (first === undefined) return true;
-    if (first.mustGoAlone || request.mustGoAlone) return false;
+    if (first.needsOwnTxn || request.needsOwnTxn) return false;
     if (this.changeCount + request.changes.length > this.maxChanges) return false;
     if (this.bytes + request.bytes > TXN_BYTES) return false;
     return !request.conditions.some(({ key }) => this.keys.has(key));
--- a/packages/store/election-lease.ts
+++ b/packages/store/election-lease.ts
@@ -6,7 +6,7 @@
 /** Renewals that a leader sends within the lease's time to live while no answer comes. */
 const RENEWALS_PER_TTL = 8;
 /** Share of its time to live for which a lease is surely alive after a renewal was sent, whatever the clocks do. */
-const PROVEN_SHARE = 0.95;
+const GUARANTEED_SHARE = 0.95;
 
 /** Whether the lease is alive, by the answer to a renewal, and when that renewal was sent. */
 interface Renewal {
@@ -46,8 +46,8 @@
   }
 
   /** Surely alive until then; steady seconds. */
-  get provenUntil(): number {
-    return this.renewedAt + this.options.ttlS * PROVEN_SHARE;
+  get validUntil(): number {
+    return this.renewedAt + this.options.ttlS * GUARANTEED_SHARE;
   }
 
   /** Has a new one granted; rejects as `StateClient.callUrgent` does. */
--- a/packages/store/fair-queue.ts
+++ b/packages/store/fair-queue.ts
@@ -25,13 +25,13 @@
 
   /** Adds an item at the end of its lane. */
   push(name: string, item: T): void {
-    this.laneForUse(name).items.push(item);
+    this.activateLane(name).items.push(item);
     this.length++;
   }
 
   /** Puts an item that was served back in front of its lane. */
-  pushBack(name: string, item: T): void {
-    this.laneForUse(name).items.unshift(item);
+  pushFront(name: string, item: T): void {
+    this.activateLane(name).items.unshift(item);
     this.length++;
   }
 
@@ -60,7 +60,7 @@
   }
 
   /** Number of items in one lane. */
-  lengthOf(name: string): number {
+  laneLength(name: string): number {
     return this.lanes.get(name)?.items.length ?? 0;
   }
 
@@ -74,7 +74,7 @@
     return own / total;
   }
 
-  private laneForUse(name: string): Lane<T> {
+  private activateLane(name: string): Lane<T> {
     let lane = this.lanes.get(name);
     if (!lane) {
       lane = { items: [], weight: this.weightOf(name), turnAt: 0 };
--- a/packages/store/group-commit.ts
+++ b/packages/store/group-commit.ts
@@ -20,8 +20,8 @@
 /** How often a change is sent at the most while the service refuses it for the rate. */
 const MAX_ATTEMPTS = 4;
 /** Before a change that was refused for the rate is sent again: at least so long, and up to so much longer. */
-const RETRY_MS = 50;
-const RETRY_SPREAD_MS = 100;
+const MIN_RETRY_DELAY_MS = 50;
+const RETRY_JITTER_MS = 100;
 
 /** A request whose outcome is still to come. */
 interface PendingCommit extends CommitRequest {
@@ -61,8 +61,8 @@
 
   /** Changes that are sent before one that the team would add now, if no other is added. */
   changesAhead(team: string): number {
-    const ofTeam = this.queue.lengthOf(team) / this.queue.shareOf(team);
-    return Math.min(this.queue.length, ofTeam);
+    const untilTeamServed = this.queue.laneLength(team) / this.queue.shareOf(team);
+    return Math.min(this.queue.length, untilTeamServed);
   }
 
   /** The share of all changes that the team has beside the teams whose changes wait now. */
@@ -81,7 +81,7 @@
         return;
       }
       const bytes = sizeInJson(conditions) + sizeInJson(changes);
-      const request = { conditions, changes, bytes, mustGoAlone: false };
+      const request = { conditions, changes, bytes, needsOwnTxn: false };
       this.queue.push(team, { ...request, team, attempts: 0, resolve, reject });
       if (this.sending) return;
       this.sending = true;
@@ -147,7 +147,7 @@
 
   private async handleError(batch: PendingCommit[], error: unknown): Promise<void> {
     if (error instanceof TxnMalformed && batch.length > 1) {
-      for (const commit of batch) commit.mustGoAlone = true;
+      for (const commit of batch) commit.needsOwnTxn = true;
       this.requeue(batch);
       return;
     }
@@ -165,13 +165,13 @@
     for (const commit of batch) if (commit.attempts >= MAX_ATTEMPTS) commit.reject(error);
     this.requeue(batch.filter(({ attempts }) => attempts < MAX_ATTEMPTS));
     const { client, runtime } = this.options;
-    const delayMs = RETRY_MS + runtime.random() * RETRY_SPREAD_MS;
+    const delayMs = MIN_RETRY_DELAY_MS + runtime.random() * RETRY_JITTER_MS;
     // A client that is closed fails what is left.
     await pause(runtime.clock, delayMs, client.closed);
   }
 
   /** Puts changes back in front of those that their teams have queued, in the same order. */
   private requeue(batch: PendingCommit[]): void {
-    for (const commit of [...batch].reverse()) this.queue.pushBack(commit.team, commit);
+    for (const commit of [...batch].reverse()) this.queue.pushFront(commit.team, commit);
   }
 }
--- a/packages/store/hedged-request.test.ts
+++ b/packages/store/hedged-request.test.ts
@@ -7,7 +7,7 @@
 const LIMITS = { rps: 100, writeRps: 100, valueBytes: 8192, txnOps: 24 };
 
 /** A hedge and a service that answers after the given times, Infinity for never. */
-async function aHedge(answerTimesS: number[]) {
+async function createHedge(answerTimesS: number[]) {
   const world = await StateWorld.start(LIMITS);
   const { clock } = world.controller();
   const hedge = new HedgedRequests({ clock, minDelayS: 0.25, maxAttempts: 4 });
@@ -22,7 +22,7 @@
 }
 
 test('a request whose answer is lost is sent again soon, and the first answer counts', async () => {
-  const { world, hedge, sent, request } = await aHedge([Infinity, 0.3, 0.01]);
+  const { world, hedge, sent, request } = await createHedge([Infinity, 0.3, 0.01]);
   const answers: number[] = [];
   void hedge.run(request, new AbortController().signal).then((answer) => answers.push(answer));
   await world.run(0.49);
@@ -34,7 +34,7 @@
 });
 
 test('slow answers are waited for: they do not multiply the requests', async () => {
-  const { world, hedge, sent, request } = await aHedge([0.6]);
+  const { world, hedge, sent, request } = await createHedge([0.6]);
   for (let i = 0; i < 20; i++) {
     let answered = false;
     void hedge.run(request, new AbortController().signal).then(() => (answered = true));
@@ -46,16 +46,16 @@
 });
 
 test('a refusal is told at once, a failure once all attempts have failed', async () => {
-  const { world, clock, hedge } = await aHedge([]);
+  const { world, clock, hedge } = await createHedge([]);
   const { signal } = new AbortController();
   await assert.rejects(
     hedge.run(() => Promise.reject(new StateRefused(503)), signal),
     StateRefused,
   );
   let attempts = 0;
-  const timedOut = async (own: AbortSignal) => {
+  const timedOut = async (attemptSignal: AbortSignal) => {
     attempts++;
-    await sleep(clock, 1000, own);
+    await sleep(clock, 1000, attemptSignal);
     throw new NoAnswer('timed out');
   };
   const failed = assert.rejects(hedge.run(timedOut, signal), NoAnswer);
@@ -65,7 +65,7 @@
 });
 
 test('its signal ends all attempts', async () => {
-  const { world, hedge, request, sent } = await aHedge([Infinity]);
+  const { world, hedge, request, sent } = await createHedge([Infinity]);
   const stop = new AbortController();
   const failed = assert.rejects(hedge.run(request, stop.signal));
   await world.run(0.3);
--- a/packages/store/hedged-request.ts
+++ b/packages/store/hedged-request.ts
@@ -25,7 +25,7 @@
  */
 export class HedgedRequests {
   /** The longest time that an answer is expected to take; seconds. */
-  private longestAnswerS = 0;
+  private maxExpectedAnswerS = 0;
 
   constructor(private readonly options: HedgedRequestOptions) {}
 
@@ -34,17 +34,17 @@
    * that were made have failed: a refusal is not repeated.
    */
   async run<T>(request: Request<T>, signal: AbortSignal): Promise<T> {
-    const { clock, minDelayS: leastDelayS, maxAttempts } = this.options;
-    const delayMs = Math.max(leastDelayS, DELAY_FACTOR * this.longestAnswerS) * 1000;
+    const { clock, minDelayS: baseDelayS, maxAttempts } = this.options;
+    const delayMs = Math.max(baseDelayS, DELAY_FACTOR * this.maxExpectedAnswerS) * 1000;
     const attempts = new AbortController();
     const cancel = () => {
       attempts.abort(signal.reason);
     };
     if (signal.aborted) cancel();
     signal.addEventListener('abort', cancel, { once: true });
-    const attempt = () => this.measure(request, attempts.signal);
+    const attempt = () => this.timeAttempt(request, attempts.signal);
     try {
-      return await firstAnswer({ clock, delayMs, maxAttempts, request: attempt });
+      return await waitForFirstAnswer({ clock, delayMs, maxAttempts, request: attempt });
     } finally {
       signal.removeEventListener('abort', cancel);
       attempts.abort();
@@ -52,11 +52,14 @@
   }
 
   /** Makes one attempt, and learns from the time to its answer. */
-  private async measure<T>(request: Request<T>, signal: AbortSignal): Promise<T> {
+  private async timeAttempt<T>(request: Request<T>, signal: AbortSignal): Promise<T> {
     const { clock } = this.options;
     const sentAt = clock.now();
     const answer = await request(signal);
-    this.longestAnswerS = Math.max(clock.now() - sentAt, ANSWER_TIME_DECAY * this.longestAnswerS);
+    this.maxExpectedAnswerS = Math.max(
+      clock.now() - sentAt,
+      ANSWER_TIME_DECAY * this.maxExpectedAnswerS,
+    );
     return answer;
   }
 }
@@ -70,7 +73,7 @@
 }
 
 /** Resolves with the first answer; rejects with the last error once no attempt is left. */
-function firstAnswer<T>({ clock, delayMs, maxAttempts, request }: Attempts<T>): Promise<T> {
+function waitForFirstAnswer<T>({ clock, delayMs, maxAttempts, request }: Attempts<T>): Promise<T> {
   return new Promise((resolve, reject) => {
     let attemptsMade = 0;
     let pendingAttempts = 0;
--- a/packages/store/leader-election.test.ts
+++ b/packages/store/leader-election.test.ts
@@ -15,8 +15,8 @@
   const state = await StateWorld.start(LIMITS, seed);
   const runtime = state.controller();
   const client = state.client(runtime, { timeoutMs: TIMEOUT_MS });
-  const caching = { client, runtime, watchMs: 10_000, syncSpacingMs: 500 };
-  const cache = new PrefixCache({ ...caching, prefix: WORLD });
+  const cacheOptions = { client, runtime, watchMs: 10_000, syncSpacingMs: 500 };
+  const cache = new PrefixCache({ ...cacheOptions, prefix: WORLD });
   const election = new LeaderElection({ client, runtime, cache, name: 'c', shard: 0, ttlS: TTL_S });
   const { signal } = new AbortController();
   void cache.run(signal);
@@ -27,22 +27,22 @@
 }
 
 /** The share of leaders whose term outlives a time in which nothing reaches the state service. */
-async function shareThatOutlives(stallS: number, seeds: number): Promise<number> {
-  let kept = 0;
+async function measureTermSurvival(stallS: number, seeds: number): Promise<number> {
+  let survived = 0;
   for (let seed = 1; seed <= seeds; seed++) {
     const { state, election, term } = await electLeader(seed);
     await state.run(seed / 20);
-    const end = state.network.apply({
+    const restoreNetwork = state.network.apply({
       opener: ({ role }) => role === 'controller',
       acceptor: ({ role }) => role === 'state',
       effect: 'drop',
     });
     await state.run(stallS);
-    end();
+    restoreNetwork();
     await state.run(2 * TTL_S);
-    if (election.term.value?.term === term) kept++;
+    if (election.term.value?.term === term) survived++;
   }
-  return kept / seeds;
+  return survived / seeds;
 }
 
 test('a controller that resigns just before its campaign sends none, and is elected later', async () => {
@@ -57,7 +57,7 @@
     watchMs: 10_000,
     syncSpacingMs: 500,
   });
-  let resignations = 0;
+  let deferralChecks = 0;
   const election = new LeaderElection({
     client,
     runtime,
@@ -67,7 +67,7 @@
     ttlS: TTL_S,
     // Asked for just before a campaign.
     defersCampaign: () => {
-      if (resignations++ === 0) election.resign();
+      if (deferralChecks++ === 0) election.resign();
       return false;
     },
   });
@@ -75,14 +75,14 @@
   void cache.run(signal);
   void election.run(signal);
   await state.run(5);
-  assert.ok(resignations >= 2, `${resignations}`);
+  assert.ok(deferralChecks >= 2, `${deferralChecks}`);
   assert.equal(election.term.value?.leaseId, election.currentLeader?.leaseId);
   assert.ok(election.term.value);
 });
 
 test('a lost answer to a renewal does not cost the term', async () => {
   // Guards against a leader that waited for one answer for nearly the life of its lease.
-  for (const stallS of [0.5, 2.5]) assert.equal(await shareThatOutlives(stallS, 20), 1);
+  for (const stallS of [0.5, 2.5]) assert.equal(await measureTermSurvival(stallS, 20), 1);
 });
 
 test('a leader sends hardly more renewals while answers are slow, and few while none come', async () => {
--- a/packages/store/leader-election.ts
+++ b/packages/store/leader-election.ts
@@ -15,7 +15,7 @@
 const LEADERLESS_STEPS_PER_TTL = 20;
 /** Each pause is drawn between these multiples of itself, so that controllers do not act in step. */
 const MIN_JITTER = 0.8;
-const JITTER_SPREAD = 0.4;
+const JITTER_RANGE = 0.4;
 
 /** The time in which one controller leads a shard. */
 export interface Term {
@@ -87,17 +87,17 @@
 
   /** Nobody else leads until then, by the lease alone; steady seconds. */
   get provenUntil(): number {
-    return this.unlessTransferred(this.lease.provenUntil);
+    return this.capByTransfer(this.lease.validUntil);
   }
 
   /** When it was last certain that nobody else leads, by the lease alone; steady seconds. */
   get soleLeaderAt(): number {
-    return this.unlessTransferred(this.lease.renewedAt);
+    return this.capByTransfer(this.lease.renewedAt);
   }
 
   /** Number of a lease that is surely alive, and that the leader key can be made to hang on; null while there is none. */
   get provenLeaseId(): number | null {
-    const isAlive = this.options.runtime.clock.now() < this.lease.provenUntil;
+    const isAlive = this.options.runtime.clock.now() < this.lease.validUntil;
     return isAlive ? this.lease.id : null;
   }
 
@@ -113,9 +113,9 @@
         await this.step(signal);
       } catch {
         // Refused or unanswered: the term stands until the service says that it is over.
-        this.prolongCampaignPause();
+        this.extendCampaignPause();
       }
-      const jitter = MIN_JITTER + this.options.runtime.random() * JITTER_SPREAD;
+      const jitter = MIN_JITTER + this.options.runtime.random() * JITTER_RANGE;
       await this.stepPause.wait(this.stepPauseS() * 1000 * jitter, signal);
     }
   }
@@ -132,12 +132,12 @@
   }
 
   /** The lease outlives a transfer, and proves nothing from the moment on at which a successor may lead. */
-  private unlessTransferred(provenAt: number): number {
+  private capByTransfer(provenAt: number): number {
     return Math.min(provenAt, this.transfer.successorPossibleSince ?? Infinity);
   }
 
   /** In an outage the others can't campaign either, so that the pause must outlast it. */
-  private prolongCampaignPause(): void {
+  private extendCampaignPause(): void {
     const now = this.options.runtime.clock.now();
     if (now < this.campaignAfter) this.campaignAfter = now + this.campaignPauseS;
   }
@@ -151,16 +151,16 @@
 
   private async step(signal: AbortSignal): Promise<void> {
     const { cache, runtime } = this.options;
-    if (!(await this.keepLease(signal))) return;
+    if (!(await this.ensureLease(signal))) return;
     const isLeaderless = this.term.value === null && this.currentLeader === null && cache.isLoaded;
-    if (!isLeaderless || runtime.clock.now() < this.campaignsFrom()) return;
+    if (!isLeaderless || runtime.clock.now() < this.earliestCampaignAt()) return;
     // Whoever resigned since the answer came has no lease for the key to hang on.
     const leaseId = this.lease.id;
     if (leaseId !== null) await this.campaign(leaseId, signal);
   }
 
   /** Renews the lease, or has one granted. False if it has ended, and the term with it. */
-  private async keepLease(signal: AbortSignal): Promise<boolean> {
+  private async ensureLease(signal: AbortSignal): Promise<boolean> {
     const { lease } = this;
     if (lease.id === null) {
       await lease.obtain(signal);
@@ -172,7 +172,7 @@
   }
 
   /** When this controller may campaign; steady seconds. */
-  private campaignsFrom(): number {
+  private earliestCampaignAt(): number {
     const { defersCampaign, ttlS } = this.options;
     const deferralS = defersCampaign?.() ? CAMPAIGN_DEFERRAL * ttlS : 0;
     return Math.max(this.campaignAfter, this.leaderlessSince + deferralS);
--- a/packages/store/prefix-cache.ts
+++ b/packages/store/prefix-cache.ts
@@ -5,8 +5,8 @@
 import type { StateClient } from './state-client.js';
 
 /** Before a failed watch is tried again: at least so long, and up to so much longer. */
-const RETRY_MS = 200;
-const RETRY_SPREAD_MS = 300;
+const MIN_RETRY_DELAY_MS = 200;
+const RETRY_JITTER_MS = 300;
 
 /** The cache cannot be brought up to date now, since its keys must be read from the start first. */
 export class CacheNotLoaded extends Error {
@@ -80,7 +80,7 @@
     }
   }
 
-  /** Resolves once the cache holds all that was durable when this was called; rejects with NotReady. */
+  /** Resolves once the cache holds all that was durable when this was called; rejects with CacheNotLoaded. */
   sync(): Promise<void> {
     if (this.loadedRevision === null)
       return Promise.reject(new CacheNotLoaded(this.options.prefix));
@@ -125,7 +125,7 @@
   private async pauseBeforeRetry(signal: AbortSignal): Promise<void> {
     if (signal.aborted) return;
     const { runtime } = this.options;
-    const delayMs = RETRY_MS + runtime.random() * RETRY_SPREAD_MS;
+    const delayMs = MIN_RETRY_DELAY_MS + runtime.random() * RETRY_JITTER_MS;
     await pause(runtime.clock, delayMs, signal);
   }
 
@@ -170,13 +170,13 @@
         this.applyEvent(entry);
       }
     }
-    this.forgetMissing(loadedKeys, firstRevision ?? 0);
+    this.removeMissing(loadedKeys, firstRevision ?? 0);
     this.loadedRevision = firstRevision;
     this.syncedAt = sentAt;
   }
 
   /** Keys that are not among all keys of a revision were removed before it. */
-  private forgetMissing(loadedKeys: Set<string>, revision: number): void {
+  private removeMissing(loadedKeys: Set<string>, revision: number): void {
     for (const [key, version] of this.versions) {
       if (!loadedKeys.has(key) && version <= revision) this.applyEvent({ key, version: revision });
     }
--- a/packages/store/progress-layout.ts
+++ b/packages/store/progress-layout.ts
@@ -21,7 +21,7 @@
 }
 
 /** Share of a value that done bits in base64 may fill. */
-const FILLED_SHARE = 1 / 2;
+const DONE_BITS_SHARE = 1 / 2;
 /** Bytes that a character of base64 holds. */
 const BYTES_PER_CHARACTER = 3 / 4;
 const BITS_PER_BYTE = 8;
@@ -35,22 +35,22 @@
   /** Tasks in the chunks of older versions. */
   readonly unit: number;
   /** Tasks of the largest chunk that a value holds. */
-  private readonly maxTasks: number;
+  private readonly maxChunkTasks: number;
   /** Tasks in the chunks of jobs that have more. */
-  private readonly dividedTasks: number;
+  private readonly dividedChunkTasks: number;
 
   /** `valueBytes` is the value limit in force, `layoutBytes` that of older versions; bytes. */
   constructor({ valueBytes, layoutBytes }: { valueBytes: number; layoutBytes?: number }) {
     this.unit = chunkTasks(layoutBytes ?? valueBytes);
-    this.maxTasks = chunkTasks(valueBytes);
-    this.dividedTasks = divide(this.unit, this.maxTasks);
+    this.maxChunkTasks = chunkTasks(valueBytes);
+    this.dividedChunkTasks = largestExactSize(this.unit, this.maxChunkTasks);
   }
 
   /** The chunk that holds one task of a job with so many tasks. */
   chunkOf(id: string, tasks: number, task: number): ProgressChunk {
-    const size = tasks <= this.maxTasks ? this.unit : this.dividedTasks;
+    const size = tasks <= this.maxChunkTasks ? this.unit : this.dividedChunkTasks;
     const first = Math.floor(task / size) * size;
-    return { key: progressKey(id, placeInUnits(first, this.unit)), first, tasks: size };
+    return { key: progressKey(id, labelOfTask(first, this.unit)), first, tasks: size };
   }
 
   /** The first task of a record; `label` is the last segment of its key. */
@@ -71,28 +71,28 @@
 
 /** Tasks whose done bits share one value of so many bytes. */
 function chunkTasks(valueBytes: number): number {
-  const bytes = Math.floor(valueBytes * FILLED_SHARE * BYTES_PER_CHARACTER);
+  const bytes = Math.floor(valueBytes * DONE_BITS_SHARE * BYTES_PER_CHARACTER);
   return Math.max(BITS_PER_BYTE, bytes * BITS_PER_BYTE);
 }
 
 /** The largest fraction of a unit, in whole bytes and at most so many tasks, whose places older versions find exactly. */
-function divide(unit: number, maxTasks: number): number {
+function largestExactSize(unit: number, maxTasks: number): number {
   let size = Math.min(unit, maxTasks);
-  while (size > BITS_PER_BYTE && !arePlacesExact(unit, size)) size -= BITS_PER_BYTE;
+  while (size > BITS_PER_BYTE && !areLabelsExact(unit, size)) size -= BITS_PER_BYTE;
   return size;
 }
 
 /** Whether older versions find every chunk of so many tasks at the place that its key names. */
-function arePlacesExact(unit: number, size: number): boolean {
+function areLabelsExact(unit: number, size: number): boolean {
   for (let first = 0; first < MAX_TASKS; first += size) {
-    if (placeInUnits(first, unit) * unit !== first) return false;
+    if (labelOfTask(first, unit) * unit !== first) return false;
   }
   return true;
 }
 
 /** The place of a task in units, such that older versions find it by multiplying what the key says with the unit. */
-function placeInUnits(task: number, unit: number): number {
-  const place = task / unit;
-  const neighbours = [place, place * (1 + Number.EPSILON), place * (1 - Number.EPSILON)];
-  return neighbours.find((each) => each * unit === task) ?? place;
+function labelOfTask(task: number, unit: number): number {
+  const label = task / unit;
+  const candidates = [label, label * (1 + Number.EPSILON), label * (1 - Number.EPSILON)];
+  return candidates.find((candidate) => candidate * unit === task) ?? label;
 }
--- a/packages/store/shared-rate.test.ts
+++ b/packages/store/shared-rate.test.ts
@@ -5,15 +5,15 @@
 import { StateRefused } from '#wire';
 
 const LIMITS = { rps: 500, writeRps: 50, valueBytes: 8192, txnOps: 24 };
-const LEADER = { least: 0.6, most: 0.8 };
-const OTHERS = { least: 0.05, most: 0.3 };
+const LEADER_SHARES = { least: 0.6, most: 0.8 };
+const FOLLOWER_SHARES = { least: 0.05, most: 0.3 };
 const FOLLOWERS = 6;
 const SECONDS = 30;
 
 test('a leader has its least share beside any number of others who all want more than theirs', async () => {
   const state = await StateWorld.start(LIMITS);
   const leader = state.client(state.controller('10.0.0.1'));
-  leader.setChangeShares(LEADER);
+  leader.setChangeShares(LEADER_SHARES);
   let recorded = 0;
   const record = async () => {
     for (let i = 0; ; i++) {
@@ -29,7 +29,7 @@
   for (let n = 0; n < FOLLOWERS; n++) {
     const runtime = state.controller(`10.0.1.${n}`);
     const client = state.client(runtime);
-    client.setChangeShares(OTHERS);
+    client.setChangeShares(FOLLOWER_SHARES);
     const commits = new GroupCommit({ client, runtime, maxQueue: 50 });
     const submit = async () => {
       for (let i = 0; ; i++) {
@@ -44,9 +44,12 @@
     for (let submitter = 0; submitter < 10; submitter++) void submit();
   }
   await state.run(SECONDS);
-  assert.ok(recorded >= 0.9 * LEADER.least * LIMITS.writeRps * SECONDS, `${recorded} recorded`);
   assert.ok(
-    accepted >= 0.5 * (1 - LEADER.most) * LIMITS.writeRps * SECONDS,
+    recorded >= 0.9 * LEADER_SHARES.least * LIMITS.writeRps * SECONDS,
+    `${recorded} recorded`,
+  );
+  assert.ok(
+    accepted >= 0.5 * (1 - LEADER_SHARES.most) * LIMITS.writeRps * SECONDS,
     `${accepted} accepted`,
   );
 });
@@ -54,8 +57,8 @@
 test('one controller alone uses what the others leave of the rate, and again after a refusal', async () => {
   const state = await StateWorld.start(LIMITS);
   const client = state.client(state.controller());
-  client.setChangeShares(OTHERS);
-  const most = OTHERS.most * LIMITS.writeRps;
+  client.setChangeShares(FOLLOWER_SHARES);
+  const most = FOLLOWER_SHARES.most * LIMITS.writeRps;
   assert.equal(client.available().changes, most);
   // Somebody else uses all that there is.
   const other = state.client(state.controller('10.0.0.2'));
--- a/packages/store/shared-rate.ts
+++ b/packages/store/shared-rate.ts
@@ -24,9 +24,9 @@
  */
 export class SharedRate {
   private bounds: RateBounds;
-  private current: number;
+  private currentRate: number;
   private decreasedAt = -Infinity;
-  private setAt: number;
+  private rateSetAt: number;
 
   /** Begins with a rate in units a second, which is fixed until bounds are set. */
   constructor(
@@ -35,19 +35,19 @@
     rate: number,
   ) {
     this.bounds = { least: rate, most: rate };
-    this.current = rate;
-    this.setAt = clock.now();
+    this.currentRate = rate;
+    this.rateSetAt = clock.now();
   }
 
   /** What the share falls to if the service goes on refusing, as a fraction of what it is now. */
-  get leastShare(): number {
-    return this.bounds.least / this.current;
+  get minShareRatio(): number {
+    return this.bounds.least / this.currentRate;
   }
 
   /** Sets other bounds; begins with the most. */
   setBounds(bounds: RateBounds): void {
     this.bounds = bounds;
-    this.set(bounds.most);
+    this.applyRate(bounds.most);
   }
 
   /** Records that a request was refused because all controllers together asked for too much. */
@@ -55,20 +55,20 @@
     const now = this.clock.now();
     if (now < this.decreasedAt + MIN_DECREASE_INTERVAL_S) return;
     this.decreasedAt = now;
-    this.set(Math.max(this.bounds.least, this.current * DECREASE_FACTOR));
+    this.applyRate(Math.max(this.bounds.least, this.currentRate * DECREASE_FACTOR));
   }
 
   /** Records that a request was served. */
   recordServed(): void {
     const { least, most } = this.bounds;
-    if (this.current >= most) return;
-    const grown = ((this.clock.now() - this.setAt) / RECOVERY_S) * (most - least);
-    this.set(Math.min(most, this.current + grown));
+    if (this.currentRate >= most) return;
+    const grown = ((this.clock.now() - this.rateSetAt) / RECOVERY_S) * (most - least);
+    this.applyRate(Math.min(most, this.currentRate + grown));
   }
 
-  private set(perSecond: number): void {
-    this.setAt = this.clock.now();
-    this.current = perSecond;
+  private applyRate(perSecond: number): void {
+    this.rateSetAt = this.clock.now();
+    this.currentRate = perSecond;
     this.budget.setRate(perSecond);
   }
 }
--- a/packages/store/state-client.ts
+++ b/packages/store/state-client.ts
@@ -62,12 +62,12 @@
 
   /** When the last request that succeeded was sent; steady seconds. */
   get lastOkAt(): number {
-    return this.health.lastOkAt;
+    return this.health.lastSuccessAt;
   }
 
   /** When the last request that was refused or unanswered was sent; steady seconds. */
   get lastFailAt(): number {
-    return this.health.lastFailAt;
+    return this.health.lastFailureAt;
   }
 
   /** When the first request that failed since the last success was sent; steady seconds. */
@@ -77,7 +77,7 @@
 
   /** The newest request whose outcome is known was not served. */
   get isFailing(): boolean {
-    return this.health.failing;
+    return this.health.isFailing;
   }
 
   /** Sets the least and the largest share of all changes that this controller may make. */
@@ -87,12 +87,12 @@
 
   /** Seconds until so many changes that users ask for are sent, now and if the other controllers use all they may. */
   usersWaitS(changes: number): { expected: number; longest: number } {
-    return this.changeBudget.usersWaitS(changes);
+    return this.changeBudget.userWaitS(changes);
   }
 
   /** Changes a second that users can count on. */
   get usersChangesPerS(): number {
-    return this.changeBudget.usersPerSecond;
+    return this.changeBudget.userChangesPerS;
   }
 
   /** What may be used at once of this controller's shares of the rates. */
@@ -101,13 +101,13 @@
   }
 
   /** Changes that a transaction may hold so that it needs not wait long for the budget; at least one. */
-  get txnChanges(): number {
-    return this.changeBudget.txnChanges;
+  get maxTxnChanges(): number {
+    return this.changeBudget.maxTxnChanges;
   }
 
   /** Changes that may as well be made later can be made now. */
   get hasSpareChanges(): boolean {
-    return this.changeBudget.isAmple;
+    return this.changeBudget.hasSpareChanges;
   }
 
   /** Makes one of the few small requests that hold up everybody else; it goes ahead of all others. */
