--- a/packages/store/budget.test.ts
+++ b/packages/store/budget.test.ts
@@ -11,8 +11,8 @@
   return { world, budget: new Budget(world.controller().clock, perSecond) };
 }
 
-test('whatever the rate and the number of units, the wait is what the rate asks for', async () => {
-  // Guards against a reserve for urgent consumers that could never be left over.
+test('for any rate and number of units, all requests are granted in the time that the rate needs', async () => {
+  // Guards against a reserve for urgent consumers so large that others were never granted their units.
   const rates = fc.double({ min: 0.2, max: 500, noNaN: true });
   const requests = fc.array(
     fc.record({ units: fc.integer({ min: 1, max: 100 }), urgent: fc.boolean() }),
@@ -35,7 +35,7 @@
   );
 });
 
-test('a consumer without an end starves nobody, and urgent ones go first', async () => {
+test('consumers that ask without end take turns, and an urgent consumer goes first', async () => {
   const { world, budget } = await createBudget(10);
   const order: string[] = [];
   const takeFor = async (name: string, units: number) => {
@@ -47,7 +47,7 @@
   void takeFor('a', 8);
   void takeFor('b', 3);
   await world.run(11);
-  // Turn by turn: eleven units a round, at ten a second.
+  // The consumers take turns: 11 units a round, at 10 units per second.
   assert.equal(order.join(''), 'ab'.repeat(10) + 'a');
   void budget.acquireFor('urgent', 1).then(() => order.push('urgent'));
   const served = order.length;
@@ -55,7 +55,7 @@
   assert.equal(order[served], 'urgent');
 });
 
-test('a consumer whose signal aborts no longer waits', async () => {
+test('a consumer whose signal aborts is removed from the queue', async () => {
   const { world, budget } = await createBudget(10);
   const stop = new AbortController();
   let granted = 0;
@@ -71,7 +71,7 @@
   await assert.rejects(budget.acquireFor('background', 1, stop.signal));
 });
 
-test('what users ask for waits for background work, and gets its share all the same', async () => {
+test('users get all units without background work, and their weighted share beside it', async () => {
   const { world, budget } = await createBudget(20);
   const granted = { background: 0, users: 0 };
   const takeFor = async (consumer: 'background' | 'users', units: number) => {
@@ -82,7 +82,7 @@
   };
   void takeFor('users', 1);
   await world.run(10);
-  // Alone they have all of it.
+  // Without background work users get the whole rate.
   assert.ok(granted.users >= 200, `${granted.users}`);
   assert.equal(budget.userUnitsPerS(), 20);
   granted.users = 0;
--- a/packages/store/budget.ts
+++ b/packages/store/budget.ts
@@ -1,47 +1,47 @@
-/** A rate of requests or changes that this controller may use, and who gets it first. */
+/** A rate limiter for requests or changes, with priorities. */
 import type { Clock, Timer } from '#wire';
 import { FairQueue } from './fair-queue.js';
 
 /**
- * Who consumes a budget: `urgent` are few small requests that hold up everybody else; `background` is
- * what the controller does by itself; `users` is what users ask for.
+ * Consumers of a budget: `urgent` for a few small requests on which other work waits, `background` for
+ * the controller's own work, and `users` for requests of users.
  */
 export type BudgetConsumer = 'urgent' | 'background' | 'users';
 
-/** While background work and users wait, the former gets so many times as much as the latter. */
+/** Weight of background work relative to users, whose weight is 1, while both wait. */
 const BACKGROUND_WEIGHT = 3;
-/** Time constant of the average of what others than users consume. */
+/** Time constant of the moving average of urgent and background consumption. */
 const AVERAGING_S = 2;
-/** A wait that hardly matters. */
+/** A wait that counts as short. The bucket has spare units while it holds this many seconds' worth or more. */
 const SHORT_WAIT_S = 1 / 2;
 
-/** A consumer that waits for its units. */
+/** A pending request for units. */
 interface Waiter {
   units: number;
   grant: () => void;
 }
 
 /**
- * A token bucket that holds one second's worth of its rate. Consumers of a kind are served in the order
- * in which they came; urgent ones go before all others, and while background work and users wait they
- * share by weight. One consumer may want more than a second's worth at once: it is granted when the
- * bucket is full, and what is missing delays those that follow.
+ * A token bucket that holds at most one second's worth of its rate. Consumers of one kind are served in
+ * first-in, first-out order. Urgent consumers go first; background work and users share the rest by weight
+ * while both wait. A request for more than one second's worth is granted when the bucket is full, and the
+ * bucket level goes negative, which delays later requests.
  */
 export class Budget {
-  /** Units in the bucket; negative while more was granted than it held. */
+  /** Units in the bucket; negative after a grant of more units than it held. */
   private level: number;
   private refilledAt: number;
   private readonly urgentWaiters: Waiter[] = [];
   private readonly waiters = new FairQueue<Waiter>((consumer) =>
     consumer === 'users' ? 1 : BACKGROUND_WEIGHT,
   );
-  /** Units that others than users have consumed, forgotten over AVERAGING_S. */
+  /** Units consumed by urgent and background requests, decaying with time constant AVERAGING_S. */
   private internalUnits = 0;
   private internalUnitsAt: number;
-  /** Runs until the first that waits can be served. */
+  /** Fires when the next waiter can be granted. */
   private timer: Timer | null = null;
 
-  /** `perSecond` is the rate in units a second, above 0. */
+  /** `perSecond` is the rate in units per second, above 0. */
   constructor(
     private readonly clock: Clock,
     private perSecond: number,
@@ -51,37 +51,37 @@
     this.internalUnitsAt = this.refilledAt;
   }
 
-  /** Sets another rate, in units a second. */
+  /** Changes the rate, in units per second. */
   setRate(perSecond: number): void {
     this.refill();
     this.perSecond = perSecond;
     this.grantWaiting();
   }
 
-  /** Units that can be granted at once; below 0 while earlier consumers are not made up for. */
+  /** Units that can be granted without waiting; negative while a grant above the bucket's level is not refilled. */
   available(): number {
     this.refill();
     return this.level;
   }
 
-  /** Half a second's worth or more is available, so that others hardly notice a few units. */
+  /** Whether at least half a second's worth is available, so that a few units hardly delay other consumers. */
   get hasSpareUnits(): boolean {
     return this.available() >= this.perSecond * SHORT_WAIT_S;
   }
 
-  /** Units that can be granted with little waiting: those available, or half a second's worth if that is more. */
+  /** Units that can be granted after a short wait: those available, or half a second's worth if that is more. */
   availableSoon(): number {
     return Math.max(this.available(), this.perSecond * SHORT_WAIT_S);
   }
 
-  /** Units a second that users can count on beside what others have consumed of late. */
+  /** Rate that is left to users beside recent urgent and background consumption, in units per second. */
   userUnitsPerS(): number {
     this.decayInternalUnits();
     const unused = this.perSecond - this.internalUnits / AVERAGING_S;
     return Math.max(unused, this.perSecond / (BACKGROUND_WEIGHT + 1));
   }
 
-  /** Gives back units that were granted and are not needed; a negative number takes more. */
+  /** Returns granted units that are not needed; a negative number takes more. */
   refund(units: number): void {
     this.refill();
     this.level = Math.min(this.perSecond, this.level + units);
@@ -136,7 +136,7 @@
     this.refilledAt = now;
   }
 
-  /** Grants what it can, in order, and calls itself again when the next can be granted. */
+  /** Grants units to waiters in order, and sets a timer for the first one that must still wait. */
   private grantWaiting(): void {
     this.timer?.cancel();
     this.timer = null;
@@ -158,7 +158,7 @@
     }
   }
 
-  /** Milliseconds until so many units can be granted, 0 if now. */
+  /** Milliseconds until the units can be granted; 0 if they can be granted now. */
   private waitMs(units: number): number {
     this.refill();
     const missing = Math.min(units, this.perSecond) - this.level;
--- a/packages/store/change-budget.ts
+++ b/packages/store/change-budget.ts
@@ -1,18 +1,18 @@
-/** This controller's share of the rate at which the state service takes changes. */
+/** Budget for changes: this controller's share of the change rate limit of the state service. */
 import type { Clock } from '#wire';
 import { Budget, type BudgetConsumer } from './budget.js';
 import { type RateBounds, SharedRate } from './shared-rate.js';
 import type { StateLimits } from './state-limits.js';
 
-/** Seconds' worth of the users' rate for which one transaction of theirs waits at the most. */
+/** Maximum wait of a transaction of user changes, at the rate that is available to them. */
 const MAX_USER_TXN_WAIT_S = 1 / 2;
 
-/** Grants changes (puts and deletes) to transactions, and adapts to what the service refuses. */
+/** Grants changes (puts and deletes) to transactions, and lowers its rate when the service refuses some. */
 export class ChangeBudget {
   private readonly budget: Budget;
   private readonly sharedRate: SharedRate;
 
-  /** `share` is the share of the service's rate with which it begins. */
+  /** `share` is the initial fraction of the service's rate limit. */
   constructor(
     clock: Clock,
     private readonly limits: StateLimits,
@@ -23,45 +23,45 @@
     this.sharedRate = new SharedRate(clock, this.budget, perSecond);
   }
 
-  /** Sets the bounds of this controller's share of the service's rate. */
+  /** Sets the bounds of this controller's share, as fractions of the service's rate limit. */
   setShares({ least, most }: RateBounds): void {
     const { writeRps } = this.limits;
     this.sharedRate.setBounds({ least: least * writeRps, most: most * writeRps });
   }
 
-  /** Changes that may be made at once. */
+  /** Changes that can be granted without waiting. */
   get available(): number {
     return this.budget.available();
   }
 
-  /** So many are available that others hardly notice a few changes. */
+  /** Whether the budget has room for deferrable changes. */
   get hasSpareChanges(): boolean {
     return this.budget.hasSpareUnits;
   }
 
-  /** Changes a second that users can count on. */
+  /** Rate that is available to user changes, in changes per second. */
   get userChangesPerS(): number {
     return this.budget.userUnitsPerS();
   }
 
-  /** Seconds until so many changes of users are sent, now and if the other controllers use all they may. */
+  /** Seconds until this many user changes are sent: at the present rate, and at the minimum share of this controller. */
   userWaitS(changes: number): { expected: number; longest: number } {
     const expected = Math.max(0, changes - this.available) / this.userChangesPerS;
     return { expected, longest: expected / this.sharedRate.minShareRatio };
   }
 
-  /** Changes that one transaction may hold without a long wait; at least one. */
+  /** Maximum number of changes in a transaction that should not wait long; at least 1. */
   get maxTxnChanges(): number {
     const availableSoon = Math.floor(this.budget.availableSoon());
     return Math.max(1, Math.min(this.limits.txnOps, availableSoon));
   }
 
-  /** Resolves once the changes are granted; rejects with the signal's reason. */
+  /** Resolves once the changes are granted; rejects with the signal's reason if it aborts before. */
   acquire(consumer: BudgetConsumer, changes: number, signal: AbortSignal): Promise<void> {
     return this.budget.acquireFor(consumer, changes, signal);
   }
 
-  /** Resolves with how many of the wanted changes are granted to users; rejects with the signal's reason. */
+  /** Resolves with the number of wanted user changes that are granted; rejects if the signal aborts before. */
   async reserveForUsers(wanted: number, signal: AbortSignal): Promise<number> {
     const availableSoon = Math.floor(
       Math.max(this.available, this.userChangesPerS * MAX_USER_TXN_WAIT_S),
@@ -71,24 +71,24 @@
     return changes;
   }
 
-  /** The same for the controller itself. */
+  /** Like `reserveForUsers`, for changes of the controller's own background work. */
   async reserve(wanted: number, signal: AbortSignal): Promise<number> {
     const changes = Math.max(1, Math.min(wanted, this.maxTxnChanges));
     await this.acquire('background', changes, signal);
     return changes;
   }
 
-  /** Gives back changes that were granted and not sent; a negative number takes more. */
+  /** Returns granted changes that were not sent; a negative number takes more. */
   refund(changes: number): void {
     this.budget.refund(changes);
   }
 
-  /** Records that the service carried out a transaction. */
+  /** Records that the service executed a transaction. */
   recordServed(): void {
     this.sharedRate.recordServed();
   }
 
-  /** Records that the service refused a transaction for the rate. */
+  /** Records that the service rate-limited a transaction. */
   recordRefused(): void {
     this.sharedRate.recordRefused();
   }
--- a/packages/store/codecs/job-codec.ts
+++ b/packages/store/codecs/job-codec.ts
@@ -1,31 +1,31 @@
-/** The record of a job, and its form in the state service. */
+/** The record of a job, and its encoding in the state service. */
 import type { ReplicaShape } from '#core';
 import { type Job, jobToWire, parseJob } from '#wire';
 import { sizeInJson } from '../state-limits.js';
 
-/** Characters that are kept of a name in the record of a job that is over and too long. */
+/** Characters to which names are cut in a finished job's record that exceeds the value limit. */
 const SHORTENED_NAME_CHARACTERS = 32;
 
-/** How far a job has come, as far as the state service holds it; `cancelled` and `done` are final. */
+/** Phase of a job in its record; `cancelled` and `done` are final. */
 export type JobRecordPhase = 'accepted' | 'cancelled' | 'done';
 
-/** A job as the state service holds it. */
+/** The decoded record of a job. */
 export interface JobRecord {
   job: Job;
   /** Time of day in milliseconds since 1970. */
   acceptedAtMs: number;
   phase: JobRecordPhase;
-  /** How its tasks form replicas, decided when it was accepted; absent: each task is by itself. */
+  /** How the tasks are grouped into replicas, decided at acceptance; absent if each task stands alone. */
   replicas?: ReplicaShape;
-  /** Revision of the record's last change. */
+  /** Revision of the latest change of the record. */
   version: number;
 }
 
-/** The words for the phases in stored records, which older versions read and write, too. */
+/** Names of the phases in stored records, which older versions read and write, too. */
 const STORED_PHASES = { accepted: 'accepted', cancelled: 'aborted', done: 'done' } as const;
 type StoredPhase = (typeof STORED_PHASES)[JobRecordPhase];
 
-/** A job's record as it is stored. */
+/** The stored form of a job's record. */
 interface StoredJob {
   job: unknown;
   at: number;
@@ -33,7 +33,7 @@
   replicas?: ReplicaShape;
 }
 
-/** The value to store for a job. */
+/** Encodes the record of a job for storage. */
 export function encodeJob(record: Omit<JobRecord, 'version'>): unknown {
   const { job, acceptedAtMs, phase, replicas } = record;
   const stored: StoredJob = {
@@ -44,7 +44,7 @@
   return replicas ? { ...stored, replicas } : stored;
 }
 
-/** Reads a stored value; throws `MalformedBody` if the job in it is not valid. */
+/** Decodes a stored value; throws `MalformedBody` if the job in it is not valid. */
 export function decodeJob(value: unknown, version: number): JobRecord {
   const stored = value as StoredJob;
   const { replicas } = stored;
@@ -54,9 +54,9 @@
 }
 
 /**
- * The value to store for a job that is over, in at most so many bytes of JSON. If what its user
- * submitted is too long, fields that only decided where its tasks may start are left out or
- * shortened: older versions may have written a job under a larger limit.
+ * Encodes the record of a finished job for storage, in at most `valueBytes` of JSON. If the submitted
+ * job is too large, fields that only affect where and when its tasks may start are removed or shortened:
+ * older versions may have stored the job under a larger limit.
  */
 export function encodeEndedJob(record: Omit<JobRecord, 'version'>, valueBytes: number): unknown {
   const whole = encodeJob(record);
--- a/packages/store/codecs/leader-codec.ts
+++ b/packages/store/codecs/leader-codec.ts
@@ -1,25 +1,25 @@
-/** The record of a shard's leader, and its form in the state service. */
+/** The record of a shard's leader, and its encoding in the state service. */
 
-/** Who leads a shard, and the lease in the state service on which that depends. */
+/** The leader of a shard, and its lease in the state service. */
 export interface LeaderRecord {
-  /** Name of the controller. */
+  /** Name of the controller that leads. */
   leader: string;
-  /** Number of its election lease. */
+  /** ID of its election lease. */
   leaseId: number;
 }
 
-/** A shard's record as it is stored. */
+/** The stored form of the record. */
 interface StoredLeader {
   owner: string;
   grant: number;
 }
 
-/** The value to store for a shard's leader. */
+/** Encodes the record for storage. */
 export function encodeLeader({ leader, leaseId }: LeaderRecord): unknown {
   return { owner: leader, grant: leaseId } satisfies StoredLeader;
 }
 
-/** Reads a stored value. */
+/** Decodes a stored value. */
 export function decodeLeader(value: unknown): LeaderRecord {
   const stored = value as StoredLeader;
   return { leader: stored.owner, leaseId: stored.grant };
--- a/packages/store/codecs/machine-record.ts
+++ b/packages/store/codecs/machine-record.ts
@@ -1,13 +1,13 @@
-/** The record of a machine. Its stored form is the one that the code uses. */
+/** The record of a machine, which is stored without a separate encoding. */
 
-/** A machine and its assignments, as the state service holds them. */
+/** A machine and its assignments in the state service. */
 export interface MachineRecord {
-  /** Address at which its worker takes commands. */
+  /** Address at which its worker receives commands. */
   addr: string;
   /** Name of its machine type. */
   type: string;
   zone: string;
-  /** It is a spot instance. */
+  /** Whether it is a spot instance. */
   spot: boolean;
   /** Job, task index and attempt of each assignment that may exist on it. */
   tasks: [job: string, task: number, attempt: number][];
--- a/packages/store/commit-batch.ts
+++ b/packages/store/commit-batch.ts
@@ -1,18 +1,18 @@
-/** Changes of several requests that share one transaction. */
+/** Batches the changes of several commit requests into one transaction. */
 import type { Change, Condition } from '#wire';
 import { TXN_BYTES } from './state-limits.js';
 
-/** Changes that are made together or not at all, and what they depend on. */
+/** Changes that are applied atomically, and the conditions on which they depend. */
 export interface CommitRequest {
   conditions: Condition[];
   changes: Change[];
-  /** Size of conditions and changes in JSON. */
+  /** Size of conditions and changes in bytes of JSON. */
   bytes: number;
-  /** It was in a transaction that the service called malformed, and shares none any more. */
+  /** The service rejected a shared transaction with this request as malformed, so the request is retried alone. */
   needsOwnTxn: boolean;
 }
 
-/** Fills one transaction, within its size, with requests that don't depend on the same keys. */
+/** Collects requests for one transaction within its limits; no two of them have a condition on the same key. */
 export class CommitBatch<Request extends CommitRequest> {
   readonly requests: Request[] = [];
   private readonly keys = new Set<string>();
@@ -21,7 +21,7 @@
 
   constructor(private readonly maxChanges: number) {}
 
-  /** Whether the request may join. The first one always may: what is too large is the service's to refuse. */
+  /** Whether the request fits into the batch. An empty batch accepts any: the service rejects what is too large. */
   accepts(request: Request): boolean {
     const first = this.requests.at(0);
     if (first === undefined) return true;
@@ -31,7 +31,7 @@
     return !request.conditions.some(({ key }) => this.keys.has(key));
   }
 
-  /** Adds a request that `accepts` allows. */
+  /** Adds a request for which `accepts` returned true. */
   add(request: Request): void {
     this.requests.push(request);
     for (const { key } of request.conditions) this.keys.add(key);
--- a/packages/store/election-lease.ts
+++ b/packages/store/election-lease.ts
@@ -1,39 +1,38 @@
-/** The lease in the state service that holds the leader key of a shard. */
+/** The lease in the state service to which the leader key of a shard is attached. */
 import type { Runtime } from '#wire';
 import { HedgedRequests } from './hedged-request.js';
 import type { StateClient } from './state-client.js';
 
-/** Renewals that a leader sends within the lease's time to live while no answer comes. */
+/** Number of renewals that a leader sends within the TTL of its lease while none is answered. */
 const RENEWALS_PER_TTL = 8;
-/** Share of its time to live for which a lease is surely alive after a renewal was sent, whatever the clocks do. */
+/** Fraction of the TTL for which a lease certainly lives after a renewal was sent, despite clock drift. */
 const GUARANTEED_SHARE = 0.95;
 
-/** Whether the lease is alive, by the answer to a renewal, and when that renewal was sent. */
+/** The answer to a renewal of the lease. */
 interface Renewal {
   alive: boolean;
-  /** Steady seconds. */
+  /** When the renewal was sent, in seconds of the monotonic clock. */
   sentAt: number;
 }
 
-/** What became of a lease that was to be renewed. */
+/** Outcome of a renewal: the lease lives on, has ended, or was given up or replaced by this process meanwhile. */
 export type RenewalOutcome = 'alive' | 'ended' | 'replaced';
 
-/** What the lease needs, and for how long it is granted. */
+/** Dependencies and TTL of an `ElectionLease`. */
 export interface ElectionLeaseOptions {
   client: StateClient;
   runtime: Runtime;
-  /** Time to live. */
   ttlS: number;
 }
 
 /**
- * The election lease: the leader key hangs on it while this controller leads, and is removed with it.
- * Its number tells one incarnation of a controller from the next.
+ * The election lease of a controller. While the controller leads, the leader key is attached to the lease
+ * and is removed when the lease ends. The lease's ID distinguishes incarnations of a controller.
  */
 export class ElectionLease {
-  /** Its number; null while there is none. */
+  /** ID of the lease; null while there is none. */
   id: number | null = null;
-  /** When the last renewal that succeeded was sent; steady seconds. */
+  /** Send time of the latest successful grant or renewal, in seconds of the monotonic clock. */
   renewedAt = -Infinity;
   private readonly renewals: HedgedRequests;
 
@@ -45,12 +44,12 @@
     });
   }
 
-  /** Surely alive until then; steady seconds. */
+  /** Time until which the lease certainly lives, in seconds of the monotonic clock. */
   get validUntil(): number {
     return this.renewedAt + this.options.ttlS * GUARANTEED_SHARE;
   }
 
-  /** Has a new one granted; rejects as `StateClient.callUrgent` does. */
+  /** Requests a new lease; rejects with the errors of `StateClient.callUrgent`. */
   async obtain(signal: AbortSignal): Promise<void> {
     const { client, runtime, ttlS } = this.options;
     const ttlMs = Math.round(ttlS * 1000);
@@ -60,9 +59,9 @@
   }
 
   /**
-   * Renews it; `ended` if the state service says so, `replaced` if it was given up meanwhile. Rejects as
-   * `StateClient.callUrgent` does. With `resend` the renewal is sent again beside the first while no answer comes:
-   * a leader must not wait long for an answer that is lost, since its term may end meanwhile.
+   * Renews the lease. Rejects with the errors of `StateClient.callUrgent`. With `resend` the renewal is hedged:
+   * further attempts are sent while none is answered, since the term of a leader that waits for a lost answer
+   * could end meanwhile.
    */
   async renew(signal: AbortSignal, { resend }: { resend: boolean }): Promise<RenewalOutcome> {
     const { id } = this;
@@ -75,14 +74,14 @@
     return alive ? 'alive' : 'ended';
   }
 
-  /** Ends it at once, with the leader key that hangs on it. */
+  /** Revokes the lease, which removes the leader key attached to it. */
   revoke(): void {
     const { id } = this;
     this.id = null;
     if (id === null) return;
     const request = this.options.client.callUrgent(undefined, (api) => api.revokeLease(id));
     request.catch(() => {
-      // Nobody renews the lease any more, so without an answer it expires by itself.
+      // The lease is not renewed any more, so it expires even if the revocation fails.
     });
   }
 
--- a/packages/store/fair-queue.test.ts
+++ b/packages/store/fair-queue.test.ts
@@ -4,7 +4,7 @@
 import { SEEDED } from '#testing';
 import { FairQueue } from './fair-queue.js';
 
-test('lanes that hold items are served by weight, and each in its order', () => {
+test('non-empty lanes are served in proportion to their weights, and each lane in FIFO order', () => {
   const sizes = fc.array(fc.integer({ min: 1, max: 60 }), { minLength: 1, maxLength: 5 });
   const weights = fc.array(fc.integer({ min: 1, max: 20 }), { minLength: 5, maxLength: 5 });
   fc.assert(
@@ -17,7 +17,7 @@
       while (queue.length > 0) {
         const [lane, i] = queue.shift()!;
         assert.equal(i, served[lane]++);
-        // No lane that still holds items is more than a turn behind another.
+        // A non-empty lane is at most one item, divided by its weight, behind any other.
         for (const [other, length] of lengths.entries()) {
           if (served[other] === length || served[lane] === lengths[lane]) continue;
           const ahead = (served[lane] - 1) / weight[lane];
@@ -30,7 +30,7 @@
   );
 });
 
-test('a lane that was empty waits for a turn and not for what others have queued', () => {
+test('an item in an empty lane is served within two turns, whatever other lanes have queued', () => {
   const queue = new FairQueue<string>();
   for (let i = 0; i < 100; i++) queue.push('flood', 'flood');
   for (let i = 0; i < 50; i++) queue.shift();
--- a/packages/store/fair-queue.ts
+++ b/packages/store/fair-queue.ts
@@ -1,26 +1,26 @@
-/** A queue whose lanes share its turns by weight. */
+/** A weighted fair queue. */
 
-/** The items of one user of the queue. */
+/** The items of one flow, in first-in, first-out order. */
 interface Lane<T> {
   readonly items: T[];
   readonly weight: number;
-  /** Virtual time at which its first item's turn comes. */
+  /** Virtual start time of the lane's first item. */
   turnAt: number;
 }
 
 /**
- * Items in lanes that are served in proportion to the lanes' weights while several hold some, and in the
- * order in which they came within each lane (start-time fair queueing). A lane that was empty is
- * not owed what it did not use, nor does it wait for what others have queued.
+ * Start-time fair queueing: non-empty lanes are served in proportion to their weights, and the items of
+ * one lane in first-in, first-out order. A lane that was empty gets no credit for that time, and does not
+ * wait for the items that other lanes queued before.
  */
 export class FairQueue<T> {
   private readonly lanes = new Map<string, Lane<T>>();
-  /** Turn of the item that was served last. */
+  /** Virtual start time of the item that was served last. */
   private virtualTime = 0;
   /** Number of items in all lanes. */
   length = 0;
 
-  /** `weightOf` gives the weight of each lane, above 0; all weigh the same by default. */
+  /** `weightOf` returns the weight of a lane, above 0; by default all weights are equal. */
   constructor(private readonly weightOf: (lane: string) => number = () => 1) {}
 
   /** Adds an item at the end of its lane. */
@@ -29,18 +29,18 @@
     this.length++;
   }
 
-  /** Puts an item that was served back in front of its lane. */
+  /** Puts an item that was served back at the front of its lane. */
   pushFront(name: string, item: T): void {
     this.activateLane(name).items.unshift(item);
     this.length++;
   }
 
-  /** The item whose turn is next. */
+  /** Returns the next item without removing it. */
   peek(): T | undefined {
     return this.nextLane()?.items[0];
   }
 
-  /** Takes the item whose turn is next; what it costs its lane is in units of the caller's choice. */
+  /** Removes and returns the next item; `cost`, in units of the caller's choice, is charged to its lane. */
   shift(cost = 1): T | undefined {
     const lane = this.nextLane();
     if (!lane) return undefined;
@@ -50,7 +50,7 @@
     return lane.items.shift();
   }
 
-  /** Takes an item out of turn, at no cost. */
+  /** Removes an item from its lane at no cost. */
   remove(name: string, item: T): void {
     const items = this.lanes.get(name)?.items ?? [];
     const index = items.indexOf(item);
@@ -64,7 +64,7 @@
     return this.lanes.get(name)?.items.length ?? 0;
   }
 
-  /** The share of all turns that a lane has beside those that hold items now. */
+  /** The fraction of service that a lane gets while the lanes that hold items now compete with it. */
   shareOf(name: string): number {
     const own = this.lanes.get(name)?.weight ?? this.weightOf(name);
     let total = own;
--- a/packages/store/former-records.test.ts
+++ b/packages/store/former-records.test.ts
@@ -1,4 +1,7 @@
-/** Records as the version before chained jobs wrote them (docs/upgrading.md), kept in a file. */
+/**
+ * Compatibility with stored records of an older version, the last one without job dependencies (docs/upgrading.md).
+ * former-records.json holds its records.
+ */
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
@@ -13,26 +16,26 @@
   value: Value;
 }
 
-/** The properties are the names in the kept file. */
+/** Content of former-records.json. */
 interface FormerRecords {
   jobs: FormerRecord<unknown>[];
   progress: FormerRecord<ProgressValue>[];
   machines: FormerRecord<unknown>[];
 
-  // eslint-disable-next-line local/retired-words -- the name in the kept file
+  // eslint-disable-next-line local/retired-words -- the name in former-records.json
   part: FormerRecord<unknown>;
   types: FormerRecord<unknown>;
-  /** The tasks that the progress records tell of. */
+  /** Tasks that are marked as completed in the progress records. */
   done: number[];
 }
 
 const FILE = new URL('../../packages/store/former-records.json', import.meta.url);
 const FORMER = JSON.parse(readFileSync(FILE, 'utf8')) as FormerRecords;
-/** The value limit under which they were written, and the most tasks that a job has. */
+/** Value limit under which the records were written, and maximum number of tasks of a job. */
 const VALUE_BYTES = 8192;
 const TASKS = 100_000;
 
-test('former job records are read, and written in the same form', () => {
+test('job records of the older version are decoded, and encoded in the same form', () => {
   assert.ok(FORMER.jobs.length >= 3);
   for (const { key, value } of FORMER.jobs) {
     const record = decodeJob(value, 5);
@@ -42,7 +45,7 @@
   }
 });
 
-test('former progress records are read under either limit, and written in the same form under theirs', () => {
+test('older progress records are decoded under two value limits, and encoded alike under their own limit', () => {
   for (const valueBytes of [VALUE_BYTES, 2048]) {
     const layout = new ProgressLayout({ valueBytes, layoutBytes: VALUE_BYTES });
     const done = new TaskSet(TASKS);
@@ -61,12 +64,12 @@
   }
 });
 
-test('all other former records have the keys under which they are read', () => {
+test('all other records of the older version have the keys under which they are read', () => {
   assert.ok(FORMER.machines.every(({ key }) => key.startsWith(MACHINES)));
   assert.deepEqual([FORMER.part.key, FORMER.types.key], [shardKey(0), TYPES_KEY]);
 });
 
-test('the former record of who leads is read, and written in the same form', () => {
+test('the leader record of the older version is decoded, and encoded in the same form', () => {
   const record = decodeLeader(FORMER.part.value);
   assert.deepEqual(record, { leader: 'berth-0', leaseId: 7 });
   assert.deepEqual(encodeLeader(record), FORMER.part.value);
--- a/packages/store/group-commit.test.ts
+++ b/packages/store/group-commit.test.ts
@@ -5,10 +5,10 @@
 import { GroupCommit } from './group-commit.js';
 
 const LIMITS = { rps: 150, writeRps: 50, valueBytes: 8192, txnOps: 24 };
-/** The share of all changes that a follower may make. */
+/** Fraction of the change rate limit that a follower may use. */
 const SHARE = 0.3;
 
-test('a burst of changes at a follower is recorded as fast as its share allows', async () => {
+test('a burst of changes at a follower is committed as fast as its share of the rate allows', async () => {
   const state = await StateWorld.start(LIMITS);
   const runtime = state.controller();
   const client = state.client(runtime, { share: SHARE });
@@ -21,7 +21,7 @@
       .commit('red', [{ key, version: 0 }], [{ put: key, value: i }])
       .then((outcome) => outcome.ok && recorded.push(state.now));
   }
-  // The first goes alone; those that come meanwhile share transactions.
+  // The first change is sent alone; changes queued during its transaction share the next ones.
   await state.run(0.85);
   assert.ok(recorded.length >= 13, `${recorded.length} recorded`);
   await state.run(40 / (SHARE * LIMITS.writeRps) + 1.25 - 0.85);
@@ -29,7 +29,7 @@
   assert.equal(client.requestsRefused, 0);
 });
 
-test('a change that the state service calls malformed does not fail those that share its transaction', async () => {
+test('a change that the state service rejects as malformed does not fail others in its transaction', async () => {
   const state = await StateWorld.start({ ...LIMITS, valueBytes: 1024 });
   const runtime = state.controller();
   const client = state.client(runtime, { limits: LIMITS });
--- a/packages/store/group-commit.ts
+++ b/packages/store/group-commit.ts
@@ -1,4 +1,4 @@
-/** Group commit: small independent changes share transactions. */
+/** Group commit: batches small independent changes into shared transactions. */
 import {
   type Change,
   type Condition,
@@ -14,37 +14,37 @@
 import type { StateClient } from './state-client.js';
 import { sizeInJson } from './state-limits.js';
 
-/** The changes were made at a revision of the store, or were not since one of their own conditions failed. */
+/** The changes were applied at a revision of the store, or not applied since one of their conditions failed. */
 export type CommitOutcome = { ok: true; revision: number } | { ok: false };
 
-/** How often a change is sent at the most while the service refuses it for the rate. */
+/** Maximum number of times that a change is sent while the service rate-limits it. */
 const MAX_ATTEMPTS = 4;
-/** Before a change that was refused for the rate is sent again: at least so long, and up to so much longer. */
+/** Delay before a rate-limited change is sent again: a minimum, plus a random part up to the jitter. */
 const MIN_RETRY_DELAY_MS = 50;
 const RETRY_JITTER_MS = 100;
 
-/** A request whose outcome is still to come. */
+/** A commit request whose outcome is not known yet. */
 interface PendingCommit extends CommitRequest {
   team: string;
-  /** How often it was sent. */
+  /** Number of times that it was sent. */
   attempts: number;
   resolve: (outcome: CommitOutcome) => void;
   reject: (error: unknown) => void;
 }
 
-/** What group commit needs, and how it shares. */
+/** Dependencies and limits of a `GroupCommit`. */
 export interface GroupCommitOptions {
   client: StateClient;
   runtime: Runtime;
-  /** Changes that may wait. */
+  /** Maximum number of queued requests. */
   maxQueue: number;
-  /** Weight of a team beside the others whose changes wait, positive; equal by default. */
+  /** Returns the weight of a team in the queue, above 0; by default all weights are equal. */
   weightOf?: (team: string) => number;
 }
 
 /**
- * Puts small independent changes into shared transactions; one that fails leaves the others. While
- * changes of several teams wait, they take turns by the teams' weights.
+ * Batches small independent changes into shared transactions; a failed condition fails only the request that
+ * has it. While requests of several teams are queued, the teams are served in proportion to their weights.
  */
 export class GroupCommit {
   private readonly queue: FairQueue<PendingCommit>;
@@ -54,25 +54,25 @@
     this.queue = new FairQueue(options.weightOf);
   }
 
-  /** No change may be added now. */
+  /** Whether the queue is full, so that `commit` rejects. */
   get isFull(): boolean {
     return this.queue.length >= this.options.maxQueue;
   }
 
-  /** Changes that are sent before one that the team would add now, if no other is added. */
+  /** Requests that are sent before one that the team would add now, if no other is added meanwhile. */
   changesAhead(team: string): number {
     const untilTeamServed = this.queue.laneLength(team) / this.queue.shareOf(team);
     return Math.min(this.queue.length, untilTeamServed);
   }
 
-  /** The share of all changes that the team has beside the teams whose changes wait now. */
+  /** The fraction of all requests that are the team's while the teams with queued requests compete with it. */
   shareOf(team: string): number {
     return this.queue.shareOf(team);
   }
 
   /**
-   * Makes changes together if all conditions hold. Rejects with NoAnswer if the outcome is unknown, with
-   * StateRefused if nothing was done, and with TxnMalformed if the changes can't be made.
+   * Applies the changes atomically if all conditions hold. Rejects with NoAnswer if the outcome is unknown,
+   * with StateRefused if nothing was applied, and with TxnMalformed if a retry cannot succeed.
    */
   commit(team: string, conditions: Condition[], changes: Change[]): Promise<CommitOutcome> {
     return new Promise((resolve, reject) => {
@@ -91,7 +91,7 @@
 
   private async sendAll(): Promise<void> {
     while (this.queue.length > 0) {
-      // The turn first, then what takes part: whoever comes meanwhile needs not wait for the next.
+      // The batch is picked after the reservation, so that requests which arrive during the wait can join it.
       const reserved = await this.reserveChanges();
       await this.send(this.nextBatch(Math.max(1, reserved)), reserved);
     }
@@ -100,7 +100,7 @@
 
   private reserveChanges(): Promise<number> {
     return this.options.client.reserveForUsers(this.queue.length).catch(() => {
-      // The client is closed, so that the transaction fails as well and tells those that wait.
+      // The client is closed, so the transaction fails as well and rejects the queued requests.
       return 0;
     });
   }
@@ -133,13 +133,13 @@
     }
   }
 
-  /** Tells those whose own conditions failed; the others go again. */
+  /** Resolves the requests whose own conditions failed, and queues the others again. */
   private resolveFailed(batch: PendingCommit[], failedKeys: string[]): void {
     const keys = new Set(failedKeys);
     const dependsOnFailed = ({ conditions }: PendingCommit) =>
       conditions.some(({ key }) => keys.has(key));
     const dependent = batch.filter(dependsOnFailed);
-    // A failure that none of them explains is every one's.
+    // If no request has a condition on a failed key, all requests of the batch count as failed.
     const failed = dependent.length > 0 ? dependent : batch;
     for (const { resolve } of failed) resolve({ ok: false });
     this.requeue(batch.filter((commit) => !failed.includes(commit)));
@@ -160,17 +160,17 @@
     for (const { reject } of batch) reject(isKnown ? error : new NoAnswer(String(error)));
   }
 
-  /** The service did nothing, and will soon serve again: all controllers together asked for too much. */
+  /** Queues rate-limited requests again, which had no effect, and rejects those without attempts left. */
   private async retryAfterRefusal(batch: PendingCommit[], error: StateRefused): Promise<void> {
     for (const commit of batch) if (commit.attempts >= MAX_ATTEMPTS) commit.reject(error);
     this.requeue(batch.filter(({ attempts }) => attempts < MAX_ATTEMPTS));
     const { client, runtime } = this.options;
     const delayMs = MIN_RETRY_DELAY_MS + runtime.random() * RETRY_JITTER_MS;
-    // A client that is closed fails what is left.
+    // If the client closes meanwhile, the next transaction fails and rejects the remaining requests.
     await pause(runtime.clock, delayMs, client.closed);
   }
 
-  /** Puts changes back in front of those that their teams have queued, in the same order. */
+  /** Puts requests back at the front of their teams' lanes, in the same order. */
   private requeue(batch: PendingCommit[]): void {
     for (const commit of [...batch].reverse()) this.queue.pushFront(commit.team, commit);
   }
--- a/packages/store/hedged-request.test.ts
+++ b/packages/store/hedged-request.test.ts
@@ -6,7 +6,7 @@
 
 const LIMITS = { rps: 100, writeRps: 100, valueBytes: 8192, txnOps: 24 };
 
-/** A hedge and a service that answers after the given times, Infinity for never. */
+/** Creates a `HedgedRequests` and a request whose attempts are answered after the given times; Infinity: never. */
 async function createHedge(answerTimesS: number[]) {
   const world = await StateWorld.start(LIMITS);
   const { clock } = world.controller();
@@ -21,7 +21,7 @@
   return { world, clock, hedge, sent, request };
 }
 
-test('a request whose answer is lost is sent again soon, and the first answer counts', async () => {
+test('a request without an answer is sent again, and resolves with the first answer', async () => {
   const { world, hedge, sent, request } = await createHedge([Infinity, 0.3, 0.01]);
   const answers: number[] = [];
   void hedge.run(request, new AbortController().signal).then((answer) => answers.push(answer));
@@ -33,7 +33,7 @@
   assert.equal(sent.length, 3);
 });
 
-test('slow answers are waited for: they do not multiply the requests', async () => {
+test('steadily slow answers cause no further attempts after the first request', async () => {
   const { world, hedge, sent, request } = await createHedge([0.6]);
   for (let i = 0; i < 20; i++) {
     let answered = false;
@@ -41,11 +41,11 @@
     await world.run(0.65);
     assert.ok(answered);
   }
-  // Only the first was sent again.
+  // 20 requests, of which only the first was sent again.
   assert.equal(sent.length, 22);
 });
 
-test('a refusal is told at once, a failure once all attempts have failed', async () => {
+test('a refusal rejects immediately, and timeouts reject once all attempts have failed', async () => {
   const { world, clock, hedge } = await createHedge([]);
   const { signal } = new AbortController();
   await assert.rejects(
@@ -64,7 +64,7 @@
   assert.equal(attempts, 4);
 });
 
-test('its signal ends all attempts', async () => {
+test('an abort of the signal cancels all attempts', async () => {
   const { world, hedge, request, sent } = await createHedge([Infinity]);
   const stop = new AbortController();
   const failed = assert.rejects(hedge.run(request, stop.signal));
--- a/packages/store/hedged-request.ts
+++ b/packages/store/hedged-request.ts
@@ -1,37 +1,37 @@
-/** Requests that are sent again beside the first while its answer is missing. */
+/** Hedged requests: another attempt is sent in parallel while the first has no answer. */
 import type { Clock, Timer } from '#wire';
 
-/** Sends one attempt; the signal ends it. */
+/** Sends one attempt; the signal cancels it. */
 type Request<T> = (signal: AbortSignal) => Promise<T>;
 
-/** Multiple of the longest expected time to an answer after which a request is sent again. */
+/** Multiple of the longest expected response time after which a request is sent again. */
 const DELAY_FACTOR = 2;
-/** Multiple of the longest time to an answer that is still expected after the next answer. */
+/** Factor by which each answer reduces the longest expected response time, unless that answer took longer. */
 const ANSWER_TIME_DECAY = 0.9;
 
-/** When, and how often, a request is sent again. */
+/** Timing and number of the attempts of a request. */
 export interface HedgedRequestOptions {
   clock: Clock;
-  /** A request is sent again after so many seconds without an answer, or later if answers are slow. */
+  /** Minimum time without an answer after which a request is sent again; slow answers make it longer. */
   minDelayS: number;
-  /** How often one request is sent at the most. */
+  /** Maximum number of attempts of one request. */
   maxAttempts: number;
 }
 
 /**
- * Sends requests of one kind that are harmless to repeat, and sends one again beside the first while its
- * answer is missing: it may be lost, or slow on one connection only. If all answers are slow, more requests
- * would make them slower, so the delay grows with the time that answers take.
+ * Sends idempotent requests of one kind. While a request has no answer, further attempts are sent in
+ * parallel: the answer may be lost, or slow on one connection only. If all answers are slow, more requests
+ * would slow them further, so the delay between attempts grows with the response time.
  */
 export class HedgedRequests {
-  /** The longest time that an answer is expected to take; seconds. */
+  /** Longest expected response time. */
   private maxExpectedAnswerS = 0;
 
   constructor(private readonly options: HedgedRequestOptions) {}
 
   /**
-   * Resolves with the first answer, which ends all other attempts. Rejects with the last error once all
-   * that were made have failed: a refusal is not repeated.
+   * Resolves with the first answer, and cancels all other attempts. Rejects with the last error once all
+   * attempts in flight have failed: a failure itself triggers no further attempt.
    */
   async run<T>(request: Request<T>, signal: AbortSignal): Promise<T> {
     const { clock, minDelayS: baseDelayS, maxAttempts } = this.options;
@@ -51,7 +51,7 @@
     }
   }
 
-  /** Makes one attempt, and learns from the time to its answer. */
+  /** Makes one attempt, and updates the expected response time from it. */
   private async timeAttempt<T>(request: Request<T>, signal: AbortSignal): Promise<T> {
     const { clock } = this.options;
     const sentAt = clock.now();
@@ -64,7 +64,7 @@
   }
 }
 
-/** How the attempts of one request are made. */
+/** Parameters for the attempts of one request. */
 interface Attempts<T> {
   clock: Clock;
   delayMs: number;
@@ -72,7 +72,7 @@
   request: () => Promise<T>;
 }
 
-/** Resolves with the first answer; rejects with the last error once no attempt is left. */
+/** Makes the attempts; resolves with the first answer, or rejects with the last error once all in flight have failed. */
 function waitForFirstAnswer<T>({ clock, delayMs, maxAttempts, request }: Attempts<T>): Promise<T> {
   return new Promise((resolve, reject) => {
     let attemptsMade = 0;
@@ -91,7 +91,7 @@
           if (--pendingAttempts > 0) return;
           timer?.cancel();
 
-          // eslint-disable-next-line @typescript-eslint/prefer-promise-reject-errors -- as it came
+          // eslint-disable-next-line @typescript-eslint/prefer-promise-reject-errors -- passed on unchanged
           reject(error);
         },
       );
--- a/packages/store/index.ts
+++ b/packages/store/index.ts
@@ -1,7 +1,7 @@
 /**
- * The state service (a consensus-backed key-value store) as a controller uses it: a client within
- * the rate limits, caches that a watch keeps current, group commit, leader election, and the keys
- * and codecs of the stored records.
+ * Access to the state service, a consensus-backed key-value store: a rate-limited client, caches that
+ * a watch keeps up to date, group commit, leader election, and the keys and codecs of the stored
+ * records.
  */
 export * from './budget.js';
 export * from './codecs/job-codec.js';
--- a/packages/store/leader-election.test.ts
+++ b/packages/store/leader-election.test.ts
@@ -6,11 +6,11 @@
 import { WORLD } from './record-keys.js';
 
 const LIMITS = { rps: 150, writeRps: 50, valueBytes: 8192, txnOps: 24 };
-/** As on the largest fleets: a request may take nearly as long as the lease lives. */
+/** As in the largest deployments: the request timeout is nearly as long as the TTL of the lease. */
 const TTL_S = 3.8;
 const TIMEOUT_MS = 2500;
 
-/** A controller that leads the shard. */
+/** Starts a controller and waits until it leads the shard. */
 async function electLeader(seed: number) {
   const state = await StateWorld.start(LIMITS, seed);
   const runtime = state.controller();
@@ -26,7 +26,7 @@
   return { state, client, election, term: election.term.value.term };
 }
 
-/** The share of leaders whose term outlives a time in which nothing reaches the state service. */
+/** Returns the fraction of leaders that keep their term through a network outage of `stallS` seconds. */
 async function measureTermSurvival(stallS: number, seeds: number): Promise<number> {
   let survived = 0;
   for (let seed = 1; seed <= seeds; seed++) {
@@ -45,8 +45,8 @@
   return survived / seeds;
 }
 
-test('a controller that resigns just before its campaign sends none, and is elected later', async () => {
-  // Guards against a leader key that hangs on no lease, and so would never be removed.
+test('a controller that resigns just before its campaign does not campaign, and is elected later', async () => {
+  // Guards against a leader key that is attached to no lease, and so would never be removed.
   const state = await StateWorld.start(LIMITS);
   const runtime = state.controller();
   const client = state.client(runtime, { timeoutMs: TIMEOUT_MS });
@@ -65,7 +65,7 @@
     name: 'c',
     shard: 0,
     ttlS: TTL_S,
-    // Asked for just before a campaign.
+    // The election calls this just before a campaign.
     defersCampaign: () => {
       if (deferralChecks++ === 0) election.resign();
       return false;
@@ -80,12 +80,12 @@
   assert.ok(election.term.value);
 });
 
-test('a lost answer to a renewal does not cost the term', async () => {
-  // Guards against a leader that waited for one answer for nearly the life of its lease.
+test('a leader whose renewals get no answer for a time keeps its term', async () => {
+  // Guards against a leader that waits for one lost answer for nearly the TTL of its lease.
   for (const stallS of [0.5, 2.5]) assert.equal(await measureTermSurvival(stallS, 20), 1);
 });
 
-test('a leader sends hardly more renewals while answers are slow, and few while none come', async () => {
+test('a leader sends few extra renewals while answers are slow, and at most 8 per TTL without answers', async () => {
   const { state, client } = await electLeader(1);
   const requestsIn = async (seconds: number) => {
     const before = client.requestsSent;
--- a/packages/store/leader-election.ts
+++ b/packages/store/leader-election.ts
@@ -1,4 +1,4 @@
-/** Leader election of one shard: campaigns for its leader key, and the terms that come of it. */
+/** Leader election of one shard: campaigns for its leader key, and tracks the terms of this controller. */
 import { BehaviorSubject } from 'rxjs';
 import { NoAnswer, type Runtime, WakeableWait, type WatchEvent } from '#wire';
 import { decodeLeader, encodeLeader, type LeaderRecord } from './codecs/leader-codec.js';
@@ -7,72 +7,72 @@
 import { shardKey } from './record-keys.js';
 import type { StateClient } from './state-client.js';
 
-/** Share of the lease's time to live for which a controller defers its campaign if others would lead better. */
+/** Fraction of the lease's TTL for which a controller defers its campaign in favour of better candidates. */
 const CAMPAIGN_DEFERRAL = 1 / 8;
-/** Steps in the lease's time to live: of a leader, of a follower, and while the shard has no leader. */
+/** Election steps per TTL of the lease: as leader, as follower, and while the shard has no leader. */
 const LEADER_STEPS_PER_TTL = 5;
 const FOLLOWER_STEPS_PER_TTL = 3;
 const LEADERLESS_STEPS_PER_TTL = 20;
-/** Each pause is drawn between these multiples of itself, so that controllers do not act in step. */
+/** Each pause is multiplied by a random factor of this minimum and range, so that controllers do not synchronise. */
 const MIN_JITTER = 0.8;
 const JITTER_RANGE = 0.4;
 
-/** The time in which one controller leads a shard. */
+/** A period in which one controller leads a shard. */
 export interface Term {
   shard: number;
-  /** Version of the leader key: rises with every election. */
+  /** Version of the leader key, which increases with every election. */
   term: number;
-  /** Number of the election lease on which the leader key hangs. */
+  /** ID of the election lease to which the leader key is attached. */
   leaseId: number;
-  /** When this controller saw that it was elected; steady seconds. */
+  /** When this controller learned that it was elected, in seconds of the monotonic clock. */
   electedAt: number;
 }
 
-/** What a planned shard migration changes for the leadership; set by whoever carries it out. */
+/** State of a planned shard migration that affects the leadership; set by the code that executes the migration. */
 export interface LeadershipTransfer {
-  /** Since when a successor may lead without our knowing, steady seconds; null while none may. */
+  /** Time from which a successor may lead unnoticed, in seconds of the monotonic clock; null if there is none. */
   successorPossibleSince: number | null;
-  /** A transaction was sent that makes us the leader, and may still be carried out. */
+  /** Whether a transaction that makes this controller the leader was sent and may still be executed. */
   mayTakeShard: boolean;
 }
 
-/** What an election needs. */
+/** Dependencies and settings of a `LeaderElection`. */
 export interface LeaderElectionOptions {
   client: StateClient;
   runtime: Runtime;
-  /** Holds the leader key. */
+  /** Cache that contains the leader key. */
   cache: PrefixCache;
-  /** This controller's name. */
+  /** Name of this controller. */
   name: string;
   shard: number;
-  /** Time to live of the election lease. */
+  /** TTL of the election lease. */
   ttlS: number;
-  /** Others would make better leaders now, and are elected first if they campaign. */
+  /** Whether other controllers would be better leaders now, so that this one campaigns later. */
   defersCampaign?: () => boolean;
 }
 
 /**
- * Keeps an election lease and campaigns for the leader key of a shard whenever it has no leader. The
- * lease's number tells one incarnation of a controller from the next, so a controller that restarts at
- * once is a new leader.
+ * Maintains an election lease, and campaigns for the leader key of a shard whenever the shard has no
+ * leader. The lease's ID distinguishes incarnations of a controller, so a controller that restarts
+ * immediately does not continue the term of its predecessor.
  */
 export class LeaderElection {
-  /** The term in which this controller leads; null while it follows. */
+  /** The current term of this controller; null while it is a follower. */
   readonly term = new BehaviorSubject<Term | null>(null);
-  /** The leader key as last seen; null while the shard has no leader. */
+  /** The latest known value of the leader key; null while the shard has no leader. */
   currentLeader: (LeaderRecord & { version: number }) | null = null;
-  /** The newest leader that was seen; term 0 if none. */
+  /** The latest known leader, which may have stopped leading; term 0 if there was none. */
   newestLeader = { term: 0, name: '' };
-  /** A campaign was sent that may still be carried out, with no leader seen since. */
+  /** Whether a campaign transaction may still be executed: it was sent, and no leader was observed since. */
   private campaignPending = false;
-  /** State of a planned transfer of the leadership. */
+  /** State of a planned leadership transfer. */
   readonly transfer: LeadershipTransfer = { successorPossibleSince: null, mayTakeShard: false };
   private readonly lease: ElectionLease;
-  /** No campaign before then, so that another controller is elected; steady seconds. */
+  /** No campaign before this time, so that another controller is elected; seconds of the monotonic clock. */
   private campaignAfter = -Infinity;
-  /** How long that pause was to be when this controller resigned; seconds. */
+  /** Length of the campaign pause that was set when this controller resigned. */
   private campaignPauseS = 0;
-  /** When the shard was last seen to lose its leader; steady seconds. */
+  /** When the shard was last observed to lose its leader, in seconds of the monotonic clock. */
   private leaderlessSince = -Infinity;
   private readonly stepPause: WakeableWait;
 
@@ -85,34 +85,34 @@
     });
   }
 
-  /** Nobody else leads until then, by the lease alone; steady seconds. */
+  /** Time until which the lease guarantees that no other controller leads, in seconds of the monotonic clock. */
   get provenUntil(): number {
     return this.capByTransfer(this.lease.validUntil);
   }
 
-  /** When it was last certain that nobody else leads, by the lease alone; steady seconds. */
+  /** Latest time at which the lease proved that no other controller led, in seconds of the monotonic clock. */
   get soleLeaderAt(): number {
     return this.capByTransfer(this.lease.renewedAt);
   }
 
-  /** Number of a lease that is surely alive, and that the leader key can be made to hang on; null while there is none. */
+  /** ID of a lease that certainly lives, to which the leader key can be attached; null if there is none. */
   get provenLeaseId(): number | null {
     const isAlive = this.options.runtime.clock.now() < this.lease.validUntil;
     return isAlive ? this.lease.id : null;
   }
 
-  /** This controller leads, or may have been elected without knowing yet. */
+  /** Whether this controller leads, or may have been elected without knowing it yet. */
   get mayLead(): boolean {
     return this.term.value !== null || this.campaignPending || this.transfer.mayTakeShard;
   }
 
-  /** Takes part in the election until the signal aborts; never rejects. */
+  /** Runs the election until the signal aborts; never rejects. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       try {
         await this.step(signal);
       } catch {
-        // Refused or unanswered: the term stands until the service says that it is over.
+        // The request was refused or got no answer. The term lasts until the service reports its end.
         this.extendCampaignPause();
       }
       const jitter = MIN_JITTER + this.options.runtime.random() * JITTER_RANGE;
@@ -121,8 +121,8 @@
   }
 
   /**
-   * Ends the term at once, as when our own records were not as expected, and does not campaign for so
-   * many seconds.
+   * Ends the term immediately, for example when this controller's own records were not as expected, and
+   * suspends campaigns for `pauseS` seconds.
    */
   resign(pauseS = 0): void {
     this.campaignAfter = this.options.runtime.clock.now() + pauseS;
@@ -131,18 +131,18 @@
     this.term.next(null);
   }
 
-  /** The lease outlives a transfer, and proves nothing from the moment on at which a successor may lead. */
+  /** Caps a time that the lease guarantees: the lease outlives a transfer, but guarantees nothing after it. */
   private capByTransfer(provenAt: number): number {
     return Math.min(provenAt, this.transfer.successorPossibleSince ?? Infinity);
   }
 
-  /** In an outage the others can't campaign either, so that the pause must outlast it. */
+  /** Restarts the campaign pause: other controllers cannot campaign in an outage either, so it must outlast that. */
   private extendCampaignPause(): void {
     const now = this.options.runtime.clock.now();
     if (now < this.campaignAfter) this.campaignAfter = now + this.campaignPauseS;
   }
 
-  /** A leader renews in good time; others only keep a lease ready, and hurry once the shard has no leader. */
+  /** Pause between steps: short for a leader, to renew in time, and shortest while the shard has no leader. */
   private stepPauseS(): number {
     const { ttlS } = this.options;
     if (this.term.value !== null) return ttlS / LEADER_STEPS_PER_TTL;
@@ -154,12 +154,12 @@
     if (!(await this.ensureLease(signal))) return;
     const isLeaderless = this.term.value === null && this.currentLeader === null && cache.isLoaded;
     if (!isLeaderless || runtime.clock.now() < this.earliestCampaignAt()) return;
-    // Whoever resigned since the answer came has no lease for the key to hang on.
+    // If this controller resigned after the renewal, there is no lease to which the key could be attached.
     const leaseId = this.lease.id;
     if (leaseId !== null) await this.campaign(leaseId, signal);
   }
 
-  /** Renews the lease, or has one granted. False if it has ended, and the term with it. */
+  /** Renews or obtains the lease. Returns false if it was replaced, or has ended, which ends the term, too. */
   private async ensureLease(signal: AbortSignal): Promise<boolean> {
     const { lease } = this;
     if (lease.id === null) {
@@ -171,7 +171,7 @@
     return outcome === 'alive';
   }
 
-  /** When this controller may campaign; steady seconds. */
+  /** Earliest time at which this controller may campaign, in seconds of the monotonic clock. */
   private earliestCampaignAt(): number {
     const { defersCampaign, ttlS } = this.options;
     const deferralS = defersCampaign?.() ? CAMPAIGN_DEFERRAL * ttlS : 0;
@@ -188,14 +188,14 @@
     try {
       const outcome = await client.txnUrgent([ifAbsent], [putKey], signal);
       if (outcome.ok) {
-        // Through the cache, so that an older event which is still to come is known as older.
+        // Applied through the cache, which then ignores older events that the watch still delivers.
         cache.applyLocal(key, value, outcome.revision);
       } else if ('leaseGone' in outcome) {
         this.lease.id = null;
       }
       this.campaignPending = false;
     } catch (error) {
-      // A campaign that is carried out late shows in the watch; it is then ours, or ends with its lease.
+      // A late campaign shows up in the watch. Its key belongs to our lease, or is removed with its lease.
       if (error instanceof NoAnswer) return;
       this.campaignPending = false;
       throw error;
@@ -206,7 +206,7 @@
     this.currentLeader = value ? { ...decodeLeader(value), version } : null;
     if (this.currentLeader) {
       this.newestLeader = { term: version, name: this.currentLeader.leader };
-      // A campaign that is still to be carried out fails while the key is there.
+      // A campaign that is not executed yet fails while the key exists.
       this.campaignPending = false;
     } else {
       this.leaderlessSince = this.options.runtime.clock.now();
@@ -215,7 +215,7 @@
     this.stepPause.wake();
   }
 
-  /** Begins a term if the leader key hangs on our lease, and ends one that is over. */
+  /** Begins a term if the leader key is attached to our lease, and ends a term that is over. */
   private updateTerm(): void {
     const { term, lease, currentLeader } = this;
     if (currentLeader && lease.id !== null && currentLeader.leaseId === lease.id) {
--- a/packages/store/pages.ts
+++ b/packages/store/pages.ts
@@ -1,8 +1,8 @@
-/** Reads of all entries under a prefix, which the state service answers page by page. */
+/** Lists all entries under a key prefix; the state service answers in pages. */
 import type { Entry } from '#wire';
 import type { StateClient } from './state-client.js';
 
-/** Some entries of one read, and the revision of the store at that time. */
+/** One page of a listing, and the store's revision when the page was read. */
 interface Page {
   entries: Entry[];
   more: boolean;
@@ -10,8 +10,8 @@
 }
 
 /**
- * All entries under a prefix, page by page; there is at least one page. Throws as
- * `StateClient.callUrgent` does.
+ * Yields all entries under a prefix, page by page; at least one page. Throws the errors of
+ * `StateClient.callUrgent`.
  */
 export async function* listPages(
   client: StateClient,
@@ -28,7 +28,7 @@
   }
 }
 
-/** All entries under a prefix; rejects as `StateClient.callUrgent` does. */
+/** Returns all entries under a prefix; rejects with the errors of `StateClient.callUrgent`. */
 export async function listAll(
   client: StateClient,
   prefix: string,
--- a/packages/store/prefix-cache.ts
+++ b/packages/store/prefix-cache.ts
@@ -1,14 +1,14 @@
-/** A copy of all keys under a prefix that a watch keeps current. */
+/** A cache of all keys under a prefix that a watch keeps up to date. */
 import { Subject } from 'rxjs';
 import { pause, type Runtime, sleep, type WatchEvent } from '#wire';
 import { listPages } from './pages.js';
 import type { StateClient } from './state-client.js';
 
-/** Before a failed watch is tried again: at least so long, and up to so much longer. */
+/** Delay before a failed watch is retried: a minimum, plus a random part up to the jitter. */
 const MIN_RETRY_DELAY_MS = 200;
 const RETRY_JITTER_MS = 300;
 
-/** The cache cannot be brought up to date now, since its keys must be read from the start first. */
+/** The cache cannot be synchronised, since a full load of its keys must complete first. */
 export class CacheNotLoaded extends Error {
   override readonly name = 'NotReady';
 
@@ -20,75 +20,79 @@
   }
 }
 
-/** What a cache needs, and how often it may ask. */
+/** Dependencies and timing of a `PrefixCache`. */
 export interface PrefixCacheOptions {
   client: StateClient;
   runtime: Runtime;
-  /** Prefix of the cached keys, which ends with a slash. */
+  /** Prefix of the cached keys; ends with a slash. */
   prefix: string;
-  /** How long the service may hold a request of the watch. */
+  /** Long-poll timeout of a watch request. */
   watchMs: number;
-  /** Least time between two read indexes. */
+  /** Minimum interval between two requests of `sync`. */
   syncSpacingMs: number;
   /**
-   * Pause between two answers of the watch, 0 by default. Without it each change of any job wakes every
-   * controller at once, and these wakes were most of what the followers did.
+   * Pause after each answer of the watch, 0 by default. Without a pause each change of any job wakes every
+   * controller at once, and these wake-ups were most of the work of the followers.
    */
   gatherMs?: () => number;
 }
 
 /**
- * All keys under a prefix, kept current by a watch. `sync` is the read index: one cheap request,
- * sent after the call, brings the cache to the service's revision for all who wait.
+ * A cache of all keys under a prefix, kept up to date by a watch. `sync` makes reads linearizable (the
+ * ReadIndex of Raft): one small request, sent after the call, brings the cache to the service's current
+ * revision on behalf of all callers that wait.
  */
 export class PrefixCache {
   private readonly versions = new Map<string, number>();
-  /** All changes up to this revision are in the cache; null while the keys must be loaded. */
+  /** Revision up to which the cache holds all changes; null while a full load is needed. */
   private loadedRevision: number | null = null;
-  /** The read index that is under way. */
+  /** The synchronisation in flight. */
   private currentSync: Promise<void> | null = null;
-  /** The read index that follows it, for all who ask meanwhile. */
+  /** The synchronisation after `currentSync`, shared by all callers that arrive while that one is in flight. */
   private nextSync: Promise<void> | null = null;
-  /** When the last read index was sent; steady seconds. */
+  /** Send time of the latest synchronisation request, in seconds of the monotonic clock. */
   private lastSyncAt = -Infinity;
-  /** When the newest request that brought the cache up to date was sent; steady seconds. */
+  /** Send time of the latest request that brought the cache up to date, in seconds of the monotonic clock. */
   syncedAt = -Infinity;
-  /** Each change, once it is in the cache. */
+  /** Emits each change as it is applied to the cache. */
   readonly changes = new Subject<WatchEvent>();
 
   constructor(private readonly options: PrefixCacheOptions) {}
 
-  /** The keys are loaded. */
+  /** Whether the keys are loaded. */
   get isLoaded(): boolean {
     return this.loadedRevision !== null;
   }
 
-  /** All changes up to this revision are in the cache; 0 before it is loaded. */
+  /** Revision up to which the cache holds all changes; 0 before it is loaded. */
   get revision(): number {
     return this.loadedRevision ?? 0;
   }
 
-  /** Keeps the cache current until the signal aborts; never rejects. */
+  /** Keeps the cache up to date until the signal aborts; never rejects. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       try {
         await this.watchOnce(signal);
       } catch {
-        // Whatever failed, no change is lost: the next request asks for all since loadedRevision.
+        // An error loses no change: the next request asks for all changes since loadedRevision.
         await this.pauseBeforeRetry(signal);
       }
     }
   }
 
-  /** Resolves once the cache holds all that was durable when this was called; rejects with CacheNotLoaded. */
+  /**
+   * Resolves once the cache holds all changes that were durable at the time of the call. Rejects with
+   * `CacheNotLoaded` if the keys are not loaded, and with the error of the request if it fails.
+   */
   sync(): Promise<void> {
     if (this.loadedRevision === null)
       return Promise.reject(new CacheNotLoaded(this.options.prefix));
-    // The request in flight may have been sent too early; all later callers share the next one.
+    // The request in flight may have been sent before the latest changes; later callers share the next one.
     if (this.currentSync === null) return this.startSync();
     this.nextSync ??= this.currentSync
       .catch(() => {
-        // Those who asked for that read index are told; this one is sent all the same.
+        // The callers of the failed synchronisation get its error; the next one is sent regardless.
       })
       .then(() => {
         this.nextSync = null;
@@ -97,17 +101,17 @@
     return this.nextSync;
   }
 
-  /** Adds an entry that this process has written or read itself. */
+  /** Applies an entry that this process has written, or read outside the watch. */
   applyLocal(key: string, value: unknown, version: number): void {
     this.applyEvent({ key, value, version });
   }
 
-  /** Loads the keys if needed, then waits for their next changes. */
+  /** Loads the keys if needed, then waits for the next changes. */
   private async watchOnce(signal: AbortSignal): Promise<void> {
     const { client, runtime, prefix, watchMs, gatherMs } = this.options;
     if (this.loadedRevision === null) await this.load(signal);
     const after = this.loadedRevision;
-    // A read index that was answered meanwhile may have found the revision too old.
+    // A concurrent `sync` may have found that the revision is too old (compacted).
     if (after === null) return;
     const sentAt = runtime.clock.now();
     const outcome = await client.callInBackground(signal, (api) =>
@@ -162,7 +166,7 @@
     const sentAt = runtime.clock.now();
     const loadedKeys = new Set<string>();
     let firstRevision: number | null = null;
-    // Page by page: all entries at once would be several times what is kept of them.
+    // Applied page by page: all entries at once would take several times the memory of what is kept of them.
     for await (const page of listPages(client, prefix, signal)) {
       firstRevision ??= page.revision;
       for (const entry of page.entries) {
@@ -175,7 +179,7 @@
     this.syncedAt = sentAt;
   }
 
-  /** Keys that are not among all keys of a revision were removed before it. */
+  /** Removes the keys that a full listing at `revision` did not contain. */
   private removeMissing(loadedKeys: Set<string>, revision: number): void {
     for (const [key, version] of this.versions) {
       if (!loadedKeys.has(key) && version <= revision) this.applyEvent({ key, version: revision });
@@ -189,7 +193,7 @@
     }
   }
 
-  /** Events that are older than what is known of their key change nothing. */
+  /** Applies an event unless a newer version of its key is known. */
   private applyEvent(event: WatchEvent): void {
     const knownVersion = this.versions.get(event.key) ?? 0;
     if (event.version <= knownVersion) return;
--- a/packages/store/progress-layout.ts
+++ b/packages/store/progress-layout.ts
@@ -1,88 +1,89 @@
-/** How the done tasks of a job are divided into progress records. */
+/** Divides the completed tasks of a job into progress records. */
 import { MAX_TASKS } from '#wire';
 import { PROGRESS } from './record-keys.js';
 
 /** The value of one progress record. */
 export interface ProgressValue {
-  /** Done bits of the tasks from `first` on, in base64. */
+  /** Bitmap of the completed tasks from `first` on, in base64. */
   done: string;
-  /** The first task; absent: what the key says, counted in the chunks of `ProgressLayout.unit`. */
+  /** Index of the first task; if absent, the last segment of the key times `ProgressLayout.unit`. */
   first?: number;
 }
 
 /** Tasks of a job that share one progress record. */
 export interface ProgressChunk {
-  /** Key of the record. */
+  /** Key of the progress record. */
   key: string;
-  /** The first task. */
+  /** Index of the first task. */
   first: number;
   /** Number of tasks. */
   tasks: number;
 }
 
-/** Share of a value that done bits in base64 may fill. */
+/** Maximum fraction of a value that the base64 bitmap may fill. */
 const DONE_BITS_SHARE = 1 / 2;
-/** Bytes that a character of base64 holds. */
+/** Bytes encoded by one base64 character. */
 const BYTES_PER_CHARACTER = 3 / 4;
 const BITS_PER_BYTE = 8;
 
 /**
- * How the done tasks of a job are divided into records. Older versions count the chunk that a key names in units
- * that follow from the value limit of their settings. Where a smaller limit is to come a unit is divided further;
- * the key then names the place of a chunk as a fraction of units, which older versions read as the same tasks.
+ * Divides the completed tasks of a job into chunks, one per progress record. The last segment of a record's key is
+ * a label: the index of the chunk's first task divided by `unit`, the chunk size of older versions, which follows
+ * from the value limit of their settings. If a smaller limit applies, a unit is divided into smaller chunks. Their
+ * labels are fractions, from which older versions compute the same first task.
  */
 export class ProgressLayout {
-  /** Tasks in the chunks of older versions. */
+  /** Tasks per chunk in older versions. */
   readonly unit: number;
-  /** Tasks of the largest chunk that a value holds. */
+  /** Tasks in the largest chunk that fits in a value. */
   private readonly maxChunkTasks: number;
-  /** Tasks in the chunks of jobs that have more. */
+  /** Tasks per chunk for jobs with more than `maxChunkTasks` tasks. */
   private readonly dividedChunkTasks: number;
 
-  /** `valueBytes` is the value limit in force, `layoutBytes` that of older versions; bytes. */
+  /** `valueBytes` is the value limit in force, `layoutBytes` that of older versions; both in bytes. */
   constructor({ valueBytes, layoutBytes }: { valueBytes: number; layoutBytes?: number }) {
     this.unit = chunkTasks(layoutBytes ?? valueBytes);
     this.maxChunkTasks = chunkTasks(valueBytes);
     this.dividedChunkTasks = largestExactSize(this.unit, this.maxChunkTasks);
   }
 
-  /** The chunk that holds one task of a job with so many tasks. */
+  /** Returns the chunk that contains `task` of a job with `tasks` tasks. */
   chunkOf(id: string, tasks: number, task: number): ProgressChunk {
     const size = tasks <= this.maxChunkTasks ? this.unit : this.dividedChunkTasks;
     const first = Math.floor(task / size) * size;
     return { key: progressKey(id, labelOfTask(first, this.unit)), first, tasks: size };
   }
 
-  /** The first task of a record; `label` is the last segment of its key. */
+  /** Index of the first task of a record; `label` is the last segment of its key. */
   firstTask(label: number, { first }: ProgressValue): number {
     return first ?? Math.round(label * this.unit);
   }
 
-  /** The value for the chunk. Those that older versions write as well keep their form. */
+  /** Encodes the value of a chunk, without `first` for the chunks that older versions write, too. */
   valueOf({ first }: ProgressChunk, done: string): ProgressValue {
     return first % this.unit === 0 ? { done } : { done, first };
   }
 }
 
-/** Key of the progress record of a job, where `label` counts units. */
+/** Key of a progress record of a job; `label` is the chunk's position in multiples of `ProgressLayout.unit`. */
 export function progressKey(id: string, label: number): string {
   return `${PROGRESS}${id}/${label}`;
 }
 
-/** Tasks whose done bits share one value of so many bytes. */
+/** Number of tasks whose bitmap fits in a value of `valueBytes`. */
 function chunkTasks(valueBytes: number): number {
   const bytes = Math.floor(valueBytes * DONE_BITS_SHARE * BYTES_PER_CHARACTER);
   return Math.max(BITS_PER_BYTE, bytes * BITS_PER_BYTE);
 }
 
-/** The largest fraction of a unit, in whole bytes and at most so many tasks, whose places older versions find exactly. */
+/** The largest chunk size of whole bytes, at most a unit and `maxTasks`, whose labels older versions read exactly. */
 function largestExactSize(unit: number, maxTasks: number): number {
   let size = Math.min(unit, maxTasks);
   while (size > BITS_PER_BYTE && !areLabelsExact(unit, size)) size -= BITS_PER_BYTE;
   return size;
 }
 
-/** Whether older versions find every chunk of so many tasks at the place that its key names. */
+/** Whether older versions compute the first task of every chunk of `size` tasks exactly from its label. */
 function areLabelsExact(unit: number, size: number): boolean {
   for (let first = 0; first < MAX_TASKS; first += size) {
     if (labelOfTask(first, unit) * unit !== first) return false;
@@ -90,7 +91,10 @@
   return true;
 }
 
-/** The place of a task in units, such that older versions find it by multiplying what the key says with the unit. */
+/**
+ * Label of a chunk that begins with `task`. Older versions multiply the label by the unit; the result must be `task`
+ * despite floating-point rounding, so the neighbouring numbers are tried, too.
+ */
 function labelOfTask(task: number, unit: number): number {
   const label = task / unit;
   const candidates = [label, label * (1 + Number.EPSILON), label * (1 - Number.EPSILON)];
--- a/packages/store/rate-refusal.ts
+++ b/packages/store/rate-refusal.ts
@@ -1,15 +1,15 @@
-/** Refusals of the state service because all controllers together asked for too much. */
+/** Rate limiting by the state service: all controllers together exceeded its rate limit. */
 import { StateRefused } from '#wire';
 
-/** HTTP status of such a refusal: Too Many Requests. */
+/** HTTP status of a rate-limited request. */
 const TOO_MANY_REQUESTS = 429;
 
-/** The error of a request that was refused for the rate; nothing was done. */
+/** The error of a request that was rate-limited and had no effect. */
 export function rateRefusal(): StateRefused {
   return new StateRefused(TOO_MANY_REQUESTS);
 }
 
-/** Whether an error says that the service refused a request for the rate. */
+/** Whether an error means that the service rate-limited the request. */
 export function isRefusedForRate(error: unknown): error is StateRefused {
   return error instanceof StateRefused && error.status === TOO_MANY_REQUESTS;
 }
--- a/packages/store/record-keys.ts
+++ b/packages/store/record-keys.ts
@@ -1,11 +1,11 @@
 /**
- * Keys of the records that the controllers keep in the state service. They are shared with older
- * versions, so their words stay as they are: a shard is called a part there.
+ * Keys of the records that the controllers keep in the state service. Older versions use the same keys,
+ * so these must not change; a shard is called a part in them.
  */
 
 /** Prefix of all job records. */
 export const JOBS = 'jobs/';
-/** Prefix of what concerns the whole cluster: leaders of shards, machine types, shard migrations. */
+/** Prefix of the cluster-wide records: shard leaders, machine types, shard migrations. */
 export const WORLD = 'world/';
 /** Prefix of all machine records. */
 export const MACHINES = 'machines/';
@@ -19,12 +19,12 @@
   return JOBS + id;
 }
 
-/** Key of the leader record of a shard; the key's version is the leader's term. */
+/** Key of the leader record of a shard; the version of this key is the leader's term. */
 export function shardKey(shard: number): string {
   return `world/parts/${shard}`;
 }
 
-/** Key that changes with every deletion of a shard's records (`RemovalMarker`). */
+/** Key of a marker that changes with every deletion of records of a shard (`RemovalMarker`). */
 export function removalsKey(shard: number): string {
   return `removals/${shard}`;
 }
--- a/packages/store/service-health.ts
+++ b/packages/store/service-health.ts
@@ -1,26 +1,26 @@
-/** Whether the state service has served this controller of late. */
+/** Tracks whether the state service answers the requests of this controller. */
 
-/** Outcomes of the requests to the state service. All times are steady seconds. */
+/** Outcomes of the latest requests to the state service. All times are in seconds of the monotonic clock. */
 export class ServiceHealth {
-  /** When the last request that succeeded was sent. */
+  /** Send time of the latest request that succeeded. */
   lastSuccessAt = -Infinity;
-  /** When the last request that was refused or unanswered was sent. */
+  /** Send time of the latest request that was refused or got no answer. */
   lastFailureAt = -Infinity;
-  /** When the first request that failed since the last success was sent. */
+  /** Send time of the first request that failed since the last success. */
   failingSince = Infinity;
 
-  /** The newest request whose outcome is known was not served. */
+  /** Whether the latest request with a known outcome failed. */
   get isFailing(): boolean {
     return this.lastFailureAt > this.lastSuccessAt;
   }
 
-  /** Records that a request which was sent then was served. */
+  /** Records the success of a request that was sent at `sentAt`. */
   recordSuccess(sentAt: number): void {
     this.lastSuccessAt = Math.max(this.lastSuccessAt, sentAt);
     if (this.lastSuccessAt > this.lastFailureAt) this.failingSince = Infinity;
   }
 
-  /** Records that a request which was sent then was refused or not answered. */
+  /** Records that a request sent at `sentAt` was refused or got no answer. */
   recordFailure(sentAt: number): void {
     this.lastFailureAt = Math.max(this.lastFailureAt, sentAt);
     if (this.isFailing && this.failingSince === Infinity) this.failingSince = sentAt;
--- a/packages/store/shared-rate.test.ts
+++ b/packages/store/shared-rate.test.ts
@@ -10,7 +10,7 @@
 const FOLLOWERS = 6;
 const SECONDS = 30;
 
-test('a leader has its least share beside any number of others who all want more than theirs', async () => {
+test('a leader gets its minimum share while six followers ask for more than theirs', async () => {
   const state = await StateWorld.start(LIMITS);
   const leader = state.client(state.controller('10.0.0.1'));
   leader.setChangeShares(LEADER_SHARES);
@@ -54,13 +54,13 @@
   );
 });
 
-test('one controller alone uses what the others leave of the rate, and again after a refusal', async () => {
+test('a controller halves its rate after a refusal, and regains its maximum once others are idle', async () => {
   const state = await StateWorld.start(LIMITS);
   const client = state.client(state.controller());
   client.setChangeShares(FOLLOWER_SHARES);
   const most = FOLLOWER_SHARES.most * LIMITS.writeRps;
   assert.equal(client.available().changes, most);
-  // Somebody else uses all that there is.
+  // Another controller uses the whole rate limit.
   const other = state.client(state.controller('10.0.0.2'));
   const puts = (prefix: string, count: number) =>
     Array.from({ length: count }, (_, i) => ({ put: `${prefix}/${i}`, value: 0 }));
--- a/packages/store/shared-rate.ts
+++ b/packages/store/shared-rate.ts
@@ -1,26 +1,26 @@
-/** Adapts this controller's share of a rate to what other controllers use of it. */
+/** Adapts this controller's share of a rate limit to the use of the other controllers. */
 import type { Clock } from '#wire';
 import type { Budget } from './budget.js';
 
-/** Bounds of one controller's share of a rate that several controllers use; units a second, or shares of the rate. */
+/** Bounds of one controller's share of a common rate limit, in units per second or as fractions of the limit. */
 export interface RateBounds {
-  /** It may always use so much: the least of all together are within the rate. */
+  /** Always allowed: the minimums of all controllers together are within the limit. */
   least: number;
-  /** It may use so much while nobody is refused: the most of all together may be over the rate. */
+  /** Allowed while the service refuses nothing: the maximums of all controllers together may exceed the limit. */
   most: number;
 }
 
-/** Multiple of the share that is used after a refusal. */
+/** Factor by which a refusal reduces the rate. */
 const DECREASE_FACTOR = 1 / 2;
-/** Least time between two decreases: refusals that come together show one excess. */
+/** Minimum time between two decreases: refusals within this time count as one overload. */
 const MIN_DECREASE_INTERVAL_S = 1;
-/** Seconds in which the share grows from its least to its most. */
+/** Time in which the rate grows from its minimum to its maximum. */
 const RECOVERY_S = 20;
 
 /**
- * A controller's share of a rate, adapted to what the others leave without knowing what they use: it
- * shrinks by half when the service refuses a request for the rate, and grows steadily while it is served
- * (additive increase, multiplicative decrease).
+ * A controller's share of a common rate limit. The controller does not know the use of the others, so the
+ * share adapts by additive increase and multiplicative decrease: it halves when the service rate-limits a
+ * request, and grows linearly while requests succeed.
  */
 export class SharedRate {
   private bounds: RateBounds;
@@ -28,7 +28,7 @@
   private decreasedAt = -Infinity;
   private rateSetAt: number;
 
-  /** Begins with a rate in units a second, which is fixed until bounds are set. */
+  /** Starts with `rate` in units per second, which stays fixed until `setBounds` is called. */
   constructor(
     private readonly clock: Clock,
     private readonly budget: Budget,
@@ -39,18 +39,18 @@
     this.rateSetAt = clock.now();
   }
 
-  /** What the share falls to if the service goes on refusing, as a fraction of what it is now. */
+  /** Minimum rate as a fraction of the current rate. */
   get minShareRatio(): number {
     return this.bounds.least / this.currentRate;
   }
 
-  /** Sets other bounds; begins with the most. */
+  /** Sets new bounds, and the rate to their maximum. */
   setBounds(bounds: RateBounds): void {
     this.bounds = bounds;
     this.applyRate(bounds.most);
   }
 
-  /** Records that a request was refused because all controllers together asked for too much. */
+  /** Records that a request was rate-limited, and decreases the rate. */
   recordRefused(): void {
     const now = this.clock.now();
     if (now < this.decreasedAt + MIN_DECREASE_INTERVAL_S) return;
@@ -58,7 +58,7 @@
     this.applyRate(Math.max(this.bounds.least, this.currentRate * DECREASE_FACTOR));
   }
 
-  /** Records that a request was served. */
+  /** Records that a request succeeded, and increases the rate. */
   recordServed(): void {
     const { least, most } = this.bounds;
     if (this.currentRate >= most) return;
--- a/packages/store/state-client.ts
+++ b/packages/store/state-client.ts
@@ -1,4 +1,4 @@
-/** Requests and transactions to the state service within this controller's share of the rates. */
+/** Sends requests and transactions to the state service within this controller's share of the rate limits. */
 import { setMaxListeners } from 'node:events';
 import {
   type Change,
@@ -15,28 +15,29 @@
 import type { RateBounds } from './shared-rate.js';
 import type { StateLimits } from './state-limits.js';
 
-/** One request, made with the service's interface. */
+/** Sends one request through the API of the state service. */
 type Request<T> = (api: StateApi) => Promise<T>;
 
 /**
- * The state service within this controller's share of the rate limits, and whether it serves. Each
- * request waits for the budget first. It rejects with NoAnswer if its outcome is unknown, with
- * StateRefused if the service did not carry it out, with TxnMalformed if no repetition can help, and
- * with the signal's reason if that aborts while it waits for the budget.
+ * A client of the state service that keeps to this controller's share of the rate limits and tracks
+ * whether the service is available. Each request first waits for its budget. A request rejects with
+ * NoAnswer if its outcome is unknown, with StateRefused if the service did not execute it, with
+ * TxnMalformed if a retry cannot succeed, and with the reason of its signal if the signal aborts while
+ * the request waits for the budget.
  */
 export class StateClient {
   private readonly requestBudget: Budget;
   private readonly changeBudget: ChangeBudget;
   private readonly health = new ServiceHealth();
   private readonly closing = new AbortController();
-  /** Requests sent since the start. */
+  /** Requests sent since this client was created. */
   requestsSent = 0;
-  /** Requests refused for the rate since the start. */
+  /** Requests that the service rate-limited since this client was created. */
   requestsRefused = 0;
-  /** Puts and deletes sent since the start. */
+  /** Puts and deletes sent since this client was created. */
   changesSent = 0;
 
-  /** `share` is the share of the rates that this controller may use, above 0 and at most 1. */
+  /** `share` is the fraction of the rate limits that this controller may use, above 0 and at most 1. */
   constructor(
     private readonly clock: Clock,
     private readonly api: StateApi,
@@ -45,82 +46,82 @@
   ) {
     this.requestBudget = new Budget(clock, limits.rps * share);
     this.changeBudget = new ChangeBudget(clock, limits, share);
-    // Everyone who waits for a budget may listen to it.
+    // Each request that waits for a budget adds a listener; without 0 (no limit) Node.js warns of a leak.
     setMaxListeners(0, this.closing.signal);
   }
 
-  /** Aborts once this client is closed. */
+  /** A signal that aborts once this client is closed. */
   get closed(): AbortSignal {
     return this.closing.signal;
   }
 
-  /** Ends all requests, also later ones, with an error. */
+  /** Closes the client: pending and later requests fail. */
   close(): void {
     this.closing.abort();
     this.api.close();
   }
 
-  /** When the last request that succeeded was sent; steady seconds. */
+  /** Send time of the latest request that succeeded, in seconds of the monotonic clock. */
   get lastOkAt(): number {
     return this.health.lastSuccessAt;
   }
 
-  /** When the last request that was refused or unanswered was sent; steady seconds. */
+  /** Send time of the latest request that was refused or got no answer, in seconds of the monotonic clock. */
   get lastFailAt(): number {
     return this.health.lastFailureAt;
   }
 
-  /** When the first request that failed since the last success was sent; steady seconds. */
+  /** Send time of the first request that failed since the last success, in seconds of the monotonic clock. */
   get failingSince(): number {
     return this.health.failingSince;
   }
 
-  /** The newest request whose outcome is known was not served. */
+  /** Whether the latest request with a known outcome failed. */
   get isFailing(): boolean {
     return this.health.isFailing;
   }
 
-  /** Sets the least and the largest share of all changes that this controller may make. */
+  /** Sets the minimum and maximum share of the change rate that this controller may use. */
   setChangeShares(shares: RateBounds): void {
     this.changeBudget.setShares(shares);
   }
 
-  /** Seconds until so many changes that users ask for are sent, now and if the other controllers use all they may. */
+  /** Seconds until this many user changes are sent: at the present rate, and at the minimum share of this controller. */
   usersWaitS(changes: number): { expected: number; longest: number } {
     return this.changeBudget.userWaitS(changes);
   }
 
-  /** Changes a second that users can count on. */
+  /** Rate that is available to user changes, in changes per second. */
   get usersChangesPerS(): number {
     return this.changeBudget.userChangesPerS;
   }
 
-  /** What may be used at once of this controller's shares of the rates. */
+  /** Requests and changes that this controller can send without waiting. */
   available(): { requests: number; changes: number } {
     return { requests: this.requestBudget.available(), changes: this.changeBudget.available };
   }
 
-  /** Changes that a transaction may hold so that it needs not wait long for the budget; at least one. */
+  /** Maximum number of changes in a transaction that should not wait long for the budget; at least 1. */
   get maxTxnChanges(): number {
     return this.changeBudget.maxTxnChanges;
   }
 
-  /** Changes that may as well be made later can be made now. */
+  /** Whether the budget has room for deferrable changes. */
   get hasSpareChanges(): boolean {
     return this.changeBudget.hasSpareChanges;
   }
 
-  /** Makes one of the few small requests that hold up everybody else; it goes ahead of all others. */
+  /** Sends a small request on which other work waits; it goes ahead of all non-urgent requests. */
   async callUrgent<T>(signal: AbortSignal | undefined, run: Request<T>): Promise<T> {
     return this.callFor('urgent', signal, run);
   }
 
-  /** Makes one request of the controller itself, in the order in which they come. */
+  /** Sends a request of the controller's own background work, in first-in, first-out order. */
   async callInBackground<T>(signal: AbortSignal | undefined, run: Request<T>): Promise<T> {
     return this.callFor('background', signal, run);
   }
 
-  /** Sends a transaction that goes ahead of all others. */
+  /** Sends a transaction ahead of all non-urgent ones. */
   async txnUrgent(
     conditions: Condition[],
     changes: Change[],
@@ -129,7 +130,7 @@
     return this.txnFor('urgent', conditions, changes, signal);
   }
 
-  /** Sends a transaction of the controller itself, in the order in which they come. */
+  /** Sends a transaction of the controller's own background work, in first-in, first-out order. */
   async txnInBackground(
     conditions: Condition[],
     changes: Change[],
@@ -139,30 +140,30 @@
   }
 
   /**
-   * Waits for the turn of what users ask for, and resolves with how many changes may be sent now, up to so
-   * many as are wanted: what comes while it waits can still be among them.
+   * Reserves budget for user changes. Resolves with the number granted, at most `wanted`. The caller picks the
+   * changes after this resolves, so changes that arrive during the wait can be included.
    */
   reserveForUsers(wanted: number): Promise<number> {
     return this.changeBudget.reserveForUsers(wanted, this.closed);
   }
 
-  /** Sends a transaction with what users ask for, of which so many changes are reserved. */
+  /** Sends a transaction of user changes; `reserved` is the number of changes reserved for it. */
   userTxn(conditions: Condition[], changes: Change[], reserved: number): Promise<TxnOutcome> {
     this.refund(reserved - changes.length);
     return this.send('users', conditions, changes);
   }
 
-  /** Like `reserveForUsers`, for the controller's own changes. */
+  /** Like `reserveForUsers`, for changes of the controller's own background work. */
   reserve(wanted: number, signal: AbortSignal): Promise<number> {
     return this.changeBudget.reserve(wanted, signal);
   }
 
-  /** Gives back changes that were reserved and are not needed; a negative number takes more. */
+  /** Returns unused reserved changes to the budget; a negative number takes more from it. */
   refund(changes: number): void {
     this.changeBudget.refund(changes);
   }
 
-  /** Sends a transaction whose changes are reserved. */
+  /** Sends a background transaction whose changes are already reserved. */
   reservedTxn(
     conditions: Condition[],
     changes: Change[],
@@ -213,7 +214,7 @@
       this.health.recordSuccess(sentAt);
       return result;
     } catch (error) {
-      // A refusal for the rate shows that the service is there, and so does what it finds malformed.
+      // A rate-limited or malformed request was answered, so the service is available.
       if (isRefusedForRate(error)) this.requestsRefused++;
       else if (!(error instanceof TxnMalformed) && !signal?.aborted) {
         this.health.recordFailure(sentAt);
--- a/packages/store/state-limits.ts
+++ b/packages/store/state-limits.ts
@@ -1,30 +1,30 @@
-/** Limits of the state service: those that settings give, and those of its protocol. */
+/** Limits of the state service: configurable ones, and fixed ones of its protocol. */
 
-/** Limits that settings give. */
+/** Limits that come from the settings. */
 export interface StateLimits {
-  /** Requests a second of all controllers together. */
+  /** Requests per second, for all controllers together. */
   rps: number;
-  /** Puts and deletes a second of all controllers together. */
+  /** Puts and deletes per second, for all controllers together. */
   writeRps: number;
-  /** Largest value, in bytes of JSON. */
+  /** Maximum size of a value, in bytes of JSON. */
   valueBytes: number;
-  /** Puts and deletes of one transaction. */
+  /** Maximum number of puts and deletes in one transaction. */
   txnOps: number;
   /**
-   * Value size by which older versions divide what a job's tasks have done (ProgressLayout); `valueBytes` unless
-   * given.
+   * Value limit from which older versions derive the tasks per progress record (`ProgressLayout`). Defaults to
+   * `valueBytes`.
    */
   layoutBytes?: number;
 }
 
-/** Bytes of a transaction that conditions and changes may fill: of its 64 KiB, the rest is for what encloses them. */
+/** Bytes of conditions and changes in one transaction: its limit of 64 KiB less 4 KiB for the enclosing message. */
 export const TXN_BYTES = 60 * 1024;
-/** Largest value that is written, whatever the settings allow: a transaction holds its key, too. */
+/** Maximum size of a written value, whatever the settings allow: its key must fit in the transaction, too. */
 export const MAX_VALUE_BYTES = 56 * 1024;
-/** Conditions that a transaction may have for each change that it may have. */
+/** A transaction may have this many conditions for each change that it may have. */
 export const CONDITIONS_PER_CHANGE = 4;
 
-/** Bytes in JSON, by which the state service counts sizes. */
+/** Size of a value encoded as JSON, in bytes; the state service applies its limits to this size. */
 export function sizeInJson(value: unknown): number {
   return Buffer.byteLength(JSON.stringify(value));
 }
