--- a/packages/store/change-budget.ts
+++ b/packages/store/change-budget.ts
@@ -34,7 +34,7 @@
     return this.budget.available();
   }
 
-  /** Whether the budget has room for deferrable changes. */
+  /** Whether the budget has room for deferrable changes, so that they hardly delay others. */
   get hasSpareChanges(): boolean {
     return this.budget.hasSpareUnits;
   }
@@ -44,7 +44,7 @@
     return this.budget.userUnitsPerS();
   }
 
-  /** Seconds until this many user changes are sent: at the present rate, and at the minimum share of this controller. */
+  /** Seconds until so many user changes are sent: at the present rate, and at this controller's minimum rate. */
   userWaitS(changes: number): { expected: number; longest: number } {
     const expected = Math.max(0, changes - this.available) / this.userChangesPerS;
     return { expected, longest: expected / this.sharedRate.minShareRatio };
--- a/packages/store/leader-election.ts
+++ b/packages/store/leader-election.ts
@@ -30,7 +30,7 @@
 
 /** State of a planned shard migration that affects the leadership; set by the code that executes the migration. */
 export interface LeadershipTransfer {
-  /** Time from which a successor may lead unnoticed, in seconds of the monotonic clock; null if there is none. */
+  /** Time from which a successor may lead without our knowledge, in seconds of the monotonic clock; null if none may. */
   successorPossibleSince: number | null;
   /** Whether a transaction that makes this controller the leader was sent and may still be executed. */
   mayTakeShard: boolean;
@@ -131,7 +131,7 @@
     this.term.next(null);
   }
 
-  /** Caps a time that the lease guarantees: the lease outlives a transfer, but guarantees nothing after it. */
+  /** Caps a time that the lease guarantees: after a transfer the lease lives on, but a successor may lead. */
   private capByTransfer(provenAt: number): number {
     return Math.min(provenAt, this.transfer.successorPossibleSince ?? Infinity);
   }
--- a/packages/store/state-client.ts
+++ b/packages/store/state-client.ts
@@ -86,7 +86,7 @@
     this.changeBudget.setShares(shares);
   }
 
-  /** Seconds until this many user changes are sent: at the present rate, and at the minimum share of this controller. */
+  /** Seconds until so many user changes are sent: at the present rate, and at this controller's minimum rate. */
   usersWaitS(changes: number): { expected: number; longest: number } {
     return this.changeBudget.userWaitS(changes);
   }
@@ -106,7 +106,7 @@
     return this.changeBudget.maxTxnChanges;
   }
 
-  /** Whether the budget has room for deferrable changes. */
+  /** Whether the budget has room for deferrable changes, so that they hardly delay others. */
   get hasSpareChanges(): boolean {
     return this.changeBudget.hasSpareChanges;
   }
