--- a/packages/store/progress-layout.ts
+++ b/packages/store/progress-layout.ts
@@ -6,7 +6,7 @@
 export interface ProgressValue {
   /** Bitmap of the completed tasks from `first` on, in base64. */
   done: string;
-  /** Index of the first task; if absent, the last segment of the key times `ProgressLayout.unit`. */
+  /** Index of the first task; if absent, the last segment of the key times the chunk size of older versions. */
   first?: number;
 }
 
@@ -28,9 +28,9 @@
 
 /**
  * Divides the completed tasks of a job into chunks, one per progress record. The last segment of a record's key is
- * a label: the index of the chunk's first task divided by `unit`, the chunk size of older versions, which follows
- * from the value limit of their settings. If a smaller limit applies, a unit is divided into smaller chunks. Their
- * labels are fractions, from which older versions compute the same first task.
+ * a label: the index of the chunk's first task divided by the chunk size (the unit) of older versions, which follows
+ * from the value limit of their settings. If a smaller limit is announced, a unit is divided into smaller chunks.
+ * Their labels are fractions, from which older versions compute the same first task.
  */
 export class ProgressLayout {
   /** Tasks per chunk in older versions. */
@@ -65,7 +65,7 @@
   }
 }
 
-/** Key of a progress record of a job; `label` is the chunk's position in multiples of `ProgressLayout.unit`. */
+/** Key of a progress record of a job; `label` is the chunk's position in multiples of the unit. */
 export function progressKey(id: string, label: number): string {
   return `${PROGRESS}${id}/${label}`;
 }
