--- a/packages/store/fair-queue.ts
+++ b/packages/store/fair-queue.ts
@@ -1,6 +1,6 @@
 /** A weighted fair queue. */
 
-/** The items of one flow, in first-in, first-out order. */
+/** One flow of the queue: its items in first-in, first-out order, and its weight. */
 interface Lane<T> {
   readonly items: T[];
   readonly weight: number;
--- a/packages/store/group-commit.ts
+++ b/packages/store/group-commit.ts
@@ -160,7 +160,10 @@
     for (const { reject } of batch) reject(isKnown ? error : new NoAnswer(String(error)));
   }
 
-  /** Queues rate-limited requests again, which had no effect, and rejects those without attempts left. */
+  /**
+   * Queues rate-limited requests again, and rejects those without attempts left. The service executed nothing, and
+   * has capacity again soon: all controllers together exceeded the rate limit.
+   */
   private async retryAfterRefusal(batch: PendingCommit[], error: StateRefused): Promise<void> {
     for (const commit of batch) if (commit.attempts >= MAX_ATTEMPTS) commit.reject(error);
     this.requeue(batch.filter(({ attempts }) => attempts < MAX_ATTEMPTS));
