--- a/packages/shards/migration-exploration.test.ts
+++ b/packages/shards/migration-exploration.test.ts
@@ -9,7 +9,7 @@
 const TWO_REQUESTS: MoveBudget = { requests: 2, crashes: 0, lapses: 0, lostAnswers: 0 };
 
 /** How many states there are, as docs/shards.md lists them; a model that tells like states apart has more. */
-const EXPLORED = [
+const EXPECTED_COUNTS = [
   { budget: LOST_ANSWER, states: 5481, moved: 869 },
   { budget: CRASH, states: 9943, moved: 1799 },
   { budget: LAPSE, states: 8625, moved: 2261 },
@@ -17,26 +17,27 @@
 ];
 
 /** `MOVE_BUDGET=1,1,1,1` in the environment explores that many requests, crashes, lapses and lost answers instead. */
-function budgets(): MoveBudget[] {
-  const given = process.env.MOVE_BUDGET?.split(',').map(Number);
-  if (!given) return [LOST_ANSWER, CRASH, LAPSE, TWO_REQUESTS];
-  const [requests, crashes, lapses, lostAnswers] = given;
+function selectBudgets(): MoveBudget[] {
+  const override = process.env.MOVE_BUDGET?.split(',').map(Number);
+  if (!override) return [LOST_ANSWER, CRASH, LAPSE, TWO_REQUESTS];
+  const [requests, crashes, lapses, lostAnswers] = override;
   return [{ requests, crashes, lapses, lostAnswers }];
 }
 
 test('in no order of events of a migration are there two leaders, and every order leads back to one', () => {
-  for (const budget of budgets()) {
-    const { states, moved, twoLeaders: twoLeaders, stuck } = exploreMigrations(budget, 'none');
+  for (const budget of selectBudgets()) {
+    const { states, moved, twoLeaders, stuck } = exploreMigrations(budget, 'none');
     console.log(`${JSON.stringify(budget)}: ${states} states, ${moved} after a move`);
     assert.deepEqual({ twoLeaders, stuck }, { twoLeaders: null, stuck: null });
     assert.ok(moved > 100, 'the shard moved');
-    const known = EXPLORED.find((each) => isDeepStrictEqual(each.budget, budget));
-    if (known) assert.deepEqual({ states, moved }, { states: known.states, moved: known.moved });
+    const expected = EXPECTED_COUNTS.find((each) => isDeepStrictEqual(each.budget, budget));
+    if (expected)
+      assert.deepEqual({ states, moved }, { states: expected.states, moved: expected.moved });
   }
 });
 
 // Each guard is shown to be needed by a world without it.
-const harmful: [MoveMistake, MoveBudget][] = [
+const unsafeMistakes: [MoveMistake, MoveBudget][] = [
   ['trusts-its-grant', LOST_ANSWER],
   ['resumes-on-silence', LOST_ANSWER],
   ['resumes-on-failure', LOST_ANSWER],
@@ -44,9 +45,9 @@
   ['takes-without-term', CRASH],
   ['quiesces-without-record', LOST_ANSWER],
 ];
-for (const [mistake, budget] of harmful) {
+for (const [mistake, budget] of unsafeMistakes) {
   test(`the exploration finds two leaders if one ${mistake}`, () => {
-    const { twoLeaders: twoLeaders } = exploreMigrations(budget, mistake);
+    const { twoLeaders } = exploreMigrations(budget, mistake);
     assert.ok(twoLeaders !== null);
   });
 }
--- a/packages/shards/migration-record-codec.ts
+++ b/packages/shards/migration-record-codec.ts
@@ -27,18 +27,18 @@
 const RESULT_FIELDS = { to: 'target', why: 'failureReason' };
 
 const MAX_TEXT_LENGTH = 200;
-const text = { type: 'string', maxLength: MAX_TEXT_LENGTH };
-const revision = { type: 'integer', minimum: 0 };
+const boundedText = { type: 'string', maxLength: MAX_TEXT_LENGTH };
+const nonNegativeInteger = { type: 'integer', minimum: 0 };
 
 const storedSchema = {
   type: 'object',
   required: ['fromTerm', 'to', 'reason', 'phase'],
   properties: {
-    fromTerm: revision,
-    to: { ...text, minLength: 1 },
-    reason: text,
+    fromTerm: nonNegativeInteger,
+    to: { ...boundedText, minLength: 1 },
+    reason: boundedText,
     phase: { enum: ['requested', 'prepared', 'quiesced'] },
-    grant: revision,
+    grant: nonNegativeInteger,
   },
   if: { properties: { phase: { enum: ['prepared', 'quiesced'] } } },
   then: { required: ['grant'] },
@@ -53,7 +53,7 @@
 
 /** The stored form of a migration's record. */
 export function encodeMigration(record: MigrationRecord): StoredMigration {
-  return renameFields(record, inverse(RECORD_FIELDS)) as StoredMigration;
+  return renameFields(record, invert(RECORD_FIELDS)) as StoredMigration;
 }
 
 /** Reads the result of a migration, which only this service writes. */
@@ -63,7 +63,7 @@
 
 /** The stored form of a migration's result. */
 export function encodeMigrationResult(result: MigrationResult): StoredMigrationResult {
-  return renameFields(result, inverse(RESULT_FIELDS)) as StoredMigrationResult;
+  return renameFields(result, invert(RESULT_FIELDS)) as StoredMigrationResult;
 }
 
 /** Renames some fields and keeps the others, which a later version may have added. */
@@ -72,6 +72,6 @@
   return Object.fromEntries(fields.map(([name, value]) => [names[name] ?? name, value]));
 }
 
-function inverse(names: Readonly<Record<string, string>>): Record<string, string> {
+function invert(names: Readonly<Record<string, string>>): Record<string, string> {
   return Object.fromEntries(Object.entries(names).map(([from, to]) => [to, from]));
 }
--- a/packages/shards/source-state-machine.test.ts
+++ b/packages/shards/source-state-machine.test.ts
@@ -12,7 +12,7 @@
 };
 const PREPARED: MigrationRecord = { ...REQUEST, phase: 'prepared', leaseId: 4 };
 
-function view(own: Partial<SourceView>): SourceView {
+function createView(overrides: Partial<SourceView>): SourceView {
   return {
     now: 0,
     shard: 0,
@@ -22,49 +22,52 @@
     paused: false,
     obstacle: () => null,
     limits: { prepareS: 8, switchS: 2 },
-    ...own,
+    ...overrides,
   };
 }
 
-function seen(record: MigrationRecord | null) {
+function toObserved(record: MigrationRecord | null) {
   return { record, version: 9 };
 }
 
-function refusalOf(own: Partial<SourceView>): string | null {
-  const { action } = stepSource(DECIDING, view(own));
+function findRefusalReason(overrides: Partial<SourceView>): string | null {
+  const { action } = stepSource(DECIDING, createView(overrides));
   return action.kind === 'refuse' ? action.failureReason : null;
 }
 
 test('requests that can not be carried out are refused with the reason', () => {
-  const asleep = () => 'c-1 was not heard lately';
+  const unreachable = () => 'c-1 was not heard lately';
   assert.equal(
-    refusalOf({ migration: seen({ ...REQUEST, target: 'c-0' }) }),
+    findRefusalReason({ migration: toObserved({ ...REQUEST, target: 'c-0' }) }),
     'c-0 owns the part already',
   );
-  assert.match(refusalOf({ migration: seen({ ...REQUEST, fromTerm: 5 }) })!, /changed its owner/);
+  assert.match(
+    findRefusalReason({ migration: toObserved({ ...REQUEST, fromTerm: 5 }) })!,
+    /changed its owner/,
+  );
   assert.equal(
-    refusalOf({ migration: seen(PREPARED), obstacle: asleep }),
+    findRefusalReason({ migration: toObserved(PREPARED), obstacle: unreachable }),
     'c-1 was not heard lately',
   );
   assert.equal(
-    refusalOf({ migration: seen(REQUEST), obstacle: asleep }),
+    findRefusalReason({ migration: toObserved(REQUEST), obstacle: unreachable }),
     null,
     'it may wake in time',
   );
 });
 
 test('the leader waits for the target to be ready, but not for ever', () => {
-  const move = seen(REQUEST);
-  const { state, action } = stepSource(DECIDING, view({ migration: move, now: 100 }));
+  const migration = toObserved(REQUEST);
+  const { state, action } = stepSource(DECIDING, createView({ migration, now: 100 }));
   assert.equal(action.kind, 'wait');
-  assert.equal(stepSource(state, view({ migration: move, now: 107 })).action.kind, 'wait');
-  const late = stepSource(state, view({ migration: move, now: 109 })).action;
+  assert.equal(stepSource(state, createView({ migration, now: 107 })).action.kind, 'wait');
+  const late = stepSource(state, createView({ migration, now: 109 })).action;
   assert.equal(late.kind === 'refuse' && late.failureReason, 'c-1 was not prepared in time');
 });
 
 test('an unreadable record and one of a later term change nothing', () => {
-  for (const move of [seen(null), seen({ ...PREPARED, fromTerm: TERM + 1 })]) {
-    assert.deepEqual(stepSource(DECIDING, view({ migration: move })), {
+  for (const migration of [toObserved(null), toObserved({ ...PREPARED, fromTerm: TERM + 1 })]) {
+    assert.deepEqual(stepSource(DECIDING, createView({ migration })), {
       state: DECIDING,
       action: { kind: 'wait' },
     });
--- a/packages/shards/source-state-machine.ts
+++ b/packages/shards/source-state-machine.ts
@@ -53,18 +53,18 @@
   /** The record that says so is on its way, and may be applied at any time from now on. */
   | { phase: 'quiescing'; preparedVersion: number; since: number }
   | { phase: 'quiesced'; preparedVersion: number; since: number }
-  | Retracting
+  | RetractingState
   /** Another controller leads the shard: the watch will show it. */
   | { phase: 'over' };
 
 /** The migration is to be undone. */
-interface Retracting {
+interface RetractingState {
   phase: 'retracting';
   preparedVersion: number;
   since: number;
   failureReason: string;
   /** What a read has shown since then; undefined before one has. */
-  seen?: ObservedMigration | null;
+  lastRead?: ObservedMigration | null;
 }
 
 /** What the leader is to do. */
@@ -118,9 +118,9 @@
       return stepPausing(state, view);
     case 'quiesced':
       if (view.now - state.since <= view.limits.switchS) return { state, action: WAIT };
-      return retracting(state, `${targetOf(view)} did not take the part in time`);
+      return beginRetraction(state, `${targetName(view)} did not take the part in time`);
     case 'retracting':
-      return { state, action: retraction(state, view) };
+      return { state, action: retractOrRead(state, view) };
     case 'quiescing':
     case 'over':
       return { state, action: WAIT };
@@ -135,9 +135,9 @@
   }
   const seenAt = state.request?.seenAt ?? view.now;
   const next: SourceState = { phase: 'deciding', request: { version: migration.version, seenAt } };
-  const failureReason = reasonToRefuse(record, view.now - seenAt, view);
+  const failureReason = refusalReason(record, view.now - seenAt, view);
   if (failureReason !== null) {
-    return { state: next, action: refuse(record, migration.version, failureReason, view) };
+    return { state: next, action: createRefusal(record, migration.version, failureReason, view) };
   }
   if (record.phase === 'requested') return { state: next, action: WAIT };
   const pausing: SourceState = {
@@ -149,7 +149,7 @@
 }
 
 /** Why the migration is not to be carried out; null if nothing speaks against it. */
-function reasonToRefuse(record: MigrationRecord, waitedS: number, view: SourceView): string | null {
+function refusalReason(record: MigrationRecord, waitedS: number, view: SourceView): string | null {
   if (record.fromTerm < view.term) return 'the part has changed its owner since';
   if (record.phase === 'quiesced') return 'it was undone';
   if (record.target === view.name) return `${record.target} owns the part already`;
@@ -159,7 +159,7 @@
   return obstacle ?? `${record.target} was not prepared in time`;
 }
 
-function refuse(
+function createRefusal(
   { target, reason }: MigrationRecord,
   version: number,
   failureReason: string,
@@ -181,7 +181,7 @@
     return { state: DECIDING, action: { kind: 'resume' } };
   }
   if (now - since > view.limits.prepareS) {
-    return retracting(state, 'decisions did not stop in time');
+    return beginRetraction(state, 'decisions did not stop in time');
   }
   if (!view.paused) return { state, action: WAIT };
   const value = encodeMigration({ ...migration.record, phase: 'quiesced' });
@@ -193,7 +193,7 @@
   return { state: quiescing, action: { kind: 'quiesce', transaction } };
 }
 
-function retracting(
+function beginRetraction(
   { preparedVersion, since }: { preparedVersion: number; since: number },
   failureReason: string,
 ): SourceStep {
@@ -205,22 +205,26 @@
  * Undoes the migration on the condition of the term and of what was read. If the record is neither quiesced nor the
  * one that may still become so, nothing is to be changed: then the same conditions alone are tested.
  */
-function retraction(
-  { preparedVersion, failureReason, seen }: Retracting,
+function retractOrRead(
+  { preparedVersion, failureReason, lastRead }: RetractingState,
   { shard, term }: SourceView,
 ): SourceAction {
-  if (seen === undefined) return { kind: 'read' };
-  const conditions = migrationConditions(shard, term, seen?.version ?? 0);
-  const maySwitch = seen?.record?.phase === 'quiesced' || seen?.version === preparedVersion;
-  const { target = '', reason = '' } = seen?.record ?? {};
+  if (lastRead === undefined) return { kind: 'read' };
+  const conditions = migrationConditions(shard, term, lastRead?.version ?? 0);
+  const targetMayStillLead =
+    lastRead?.record?.phase === 'quiesced' || lastRead?.version === preparedVersion;
+  const { target = '', reason = '' } = lastRead?.record ?? {};
   const result: MigrationResult = { outcome: 'taken-back', target, reason, failureReason };
-  const changes = maySwitch ? endMigration(shard, result) : [];
+  const changes = targetMayStillLead ? endMigration(shard, result) : [];
   return { kind: 'retract', transaction: { conditions, changes } };
 }
 
 /** Records what a read of the migration's record has shown; null if there is none. */
-export function recordSourceRead(state: SourceState, seen: ObservedMigration | null): SourceState {
-  return state.phase === 'retracting' ? { ...state, seen } : state;
+export function recordSourceRead(
+  state: SourceState,
+  lastRead: ObservedMigration | null,
+): SourceState {
+  return state.phase === 'retracting' ? { ...state, lastRead } : state;
 }
 
 /** Handles the outcome of the transaction that the last step asked for. */
@@ -231,15 +235,15 @@
 ): SourceStep {
   if (state.phase === 'quiescing') {
     if (outcome.kind === 'applied') return { state: { ...state, phase: 'quiesced' }, action: WAIT };
-    return retracting(state, 'that decisions stopped could not be recorded');
+    return beginRetraction(state, 'that decisions stopped could not be recorded');
   }
   if (state.phase !== 'retracting') return { state, action: WAIT };
   if (outcome.kind === 'applied') return { state: DECIDING, action: { kind: 'resume' } };
-  const isOver = outcome.kind === 'failed' && outcome.keys.includes(shardKey(shard));
-  if (isOver) return { state: { phase: 'over' }, action: WAIT };
-  return retracting(state, state.failureReason);
+  const hasOtherLeader = outcome.kind === 'failed' && outcome.keys.includes(shardKey(shard));
+  if (hasOtherLeader) return { state: { phase: 'over' }, action: WAIT };
+  return beginRetraction(state, state.failureReason);
 }
 
-function targetOf(view: SourceView): string {
+function targetName(view: SourceView): string {
   return view.migration?.record?.target ?? 'the target';
 }
--- a/packages/shards/transfer-source.ts
+++ b/packages/shards/transfer-source.ts
@@ -108,7 +108,7 @@
         this.resume(leader);
         return true;
       case 'read':
-        return this.read(leader, signal);
+        return this.readMigration(leader, signal);
       case 'refuse': {
         const { target, failureReason } = action;
         this.log('shard migration refused', { target, reason: failureReason });
@@ -154,13 +154,13 @@
   }
 
   /** Reads the migration's record as the state service holds it now; false if there is nothing more to do at once. */
-  private async read(leader: TransferableLeader, signal: AbortSignal): Promise<boolean> {
+  private async readMigration(leader: TransferableLeader, signal: AbortSignal): Promise<boolean> {
     const { client, shard } = this.options;
     try {
       const entry = await client.callUrgent(signal, (api) => api.get(migrationKey(shard), signal));
       if (!this.isCurrent(leader)) return false;
-      const seen = entry && { record: decodeMigration(entry.value), version: entry.version };
-      this.setState(recordSourceRead(this.state, seen));
+      const lastRead = entry && { record: decodeMigration(entry.value), version: entry.version };
+      this.setState(recordSourceRead(this.state, lastRead));
       return true;
     } catch {
       // Whatever failed, the state still asks for the read, and the next step tries again.
