--- a/packages/shards/migration-exploration.test.ts
+++ b/packages/shards/migration-exploration.test.ts
@@ -8,7 +8,7 @@
 const LAPSE: MoveBudget = { requests: 1, crashes: 0, lapses: 1, lostAnswers: 0 };
 const TWO_REQUESTS: MoveBudget = { requests: 2, crashes: 0, lapses: 0, lostAnswers: 0 };
 
-/** How many states there are, as docs/shards.md lists them; a model that tells like states apart has more. */
+/** Counts of states, as listed in docs/shards.md. A model that distinguishes equivalent states has more. */
 const EXPECTED_COUNTS = [
   { budget: LOST_ANSWER, states: 5481, moved: 869 },
   { budget: CRASH, states: 9943, moved: 1799 },
@@ -16,7 +16,7 @@
   { budget: TWO_REQUESTS, states: 7959, moved: 4653 },
 ];
 
-/** `MOVE_BUDGET=1,1,1,1` in the environment explores that many requests, crashes, lapses and lost answers instead. */
+/** MOVE_BUDGET=1,1,1,1 in the environment sets the numbers of requests, crashes, lapses and lost answers instead. */
 function selectBudgets(): MoveBudget[] {
   const override = process.env.MOVE_BUDGET?.split(',').map(Number);
   if (!override) return [LOST_ANSWER, CRASH, LAPSE, TWO_REQUESTS];
@@ -24,7 +24,7 @@
   return [{ requests, crashes, lapses, lostAnswers }];
 }
 
-test('in no order of events of a migration are there two leaders, and every order leads back to one', () => {
+test('no order of events in a migration leads to two leaders or leaves the shard without one', () => {
   for (const budget of selectBudgets()) {
     const { states, moved, twoLeaders, stuck } = exploreMigrations(budget, 'none');
     console.log(`${JSON.stringify(budget)}: ${states} states, ${moved} after a move`);
@@ -36,7 +36,7 @@
   }
 });
 
-// Each guard is shown to be needed by a world without it.
+// Shows that each guard is needed: without it, the exploration finds two leaders.
 const unsafeMistakes: [MoveMistake, MoveBudget][] = [
   ['trusts-its-grant', LOST_ANSWER],
   ['resumes-on-silence', LOST_ANSWER],
@@ -46,13 +46,13 @@
   ['quiesces-without-record', LOST_ANSWER],
 ];
 for (const [mistake, budget] of unsafeMistakes) {
-  test(`the exploration finds two leaders if one ${mistake}`, () => {
+  test(`the exploration finds two leaders with the mistake ${mistake}`, () => {
     const { twoLeaders } = exploreMigrations(budget, mistake);
     assert.ok(twoLeaders !== null);
   });
 }
 
-test('the exploration finds a shard that nobody decides about if a leader waits-for-ever', () => {
+test('the exploration finds a shard without decisions with the mistake waits-for-ever', () => {
   const { stuck } = exploreMigrations(CRASH, 'waits-for-ever');
   assert.ok(stuck !== null);
 });
--- a/packages/shards/migration-record-codec.test.ts
+++ b/packages/shards/migration-record-codec.test.ts
@@ -13,7 +13,7 @@
 const REQUEST = { ...REQUEST_FIELDS, phase: 'requested' };
 const PREPARED = { ...REQUEST, phase: 'prepared', grant: 4 };
 
-test('a stored record is read in the terms of the code and written as it was', () => {
+test('a stored record is decoded to the names in the code and encoded to the same stored form', () => {
   const prepared: MigrationRecord = {
     fromTerm: TERM,
     target: 'c-1',
@@ -29,26 +29,26 @@
   assert.deepEqual(encodeMigration(request), REQUEST);
 });
 
-test('fields that a later version adds are kept, in their order', () => {
+test('decoding and encoding keep fields that a later version adds, and the order of all fields', () => {
   const later = { phase: 'prepared', grant: 4, added: true, ...REQUEST_FIELDS };
   const record = decodeMigration(later);
   assert.ok(record);
   assert.equal(JSON.stringify(encodeMigration(record)), JSON.stringify(later));
 });
 
-test('the result of a migration is read in the terms of the code and written as it was', () => {
-  const stored = { outcome: 'refused', to: 'c-1', reason: 'a restart', why: 'c-1 is asleep' };
+test('a stored result is decoded to the names in the code and encoded to the same stored form', () => {
+  const stored = { outcome: 'refused', to: 'c-1', reason: 'a restart', why: 'c-1 is unreachable' };
   const result: MigrationResult = {
     outcome: 'refused',
     target: 'c-1',
     reason: 'a restart',
-    failureReason: 'c-1 is asleep',
+    failureReason: 'c-1 is unreachable',
   };
   assert.deepEqual(decodeMigrationResult(stored), result);
   assert.equal(JSON.stringify(encodeMigrationResult(result)), JSON.stringify(stored));
 });
 
-test('records that are damaged or of an unknown form are not read', () => {
+test('a record that is damaged or of an unknown form is decoded to null', () => {
   assert.notEqual(decodeMigration(PREPARED), null);
   const damaged = [
     null,
--- a/packages/shards/migration-record-codec.ts
+++ b/packages/shards/migration-record-codec.ts
@@ -1,6 +1,6 @@
 /**
- * Maps the records of migrations between their stored form and the code's names. Versions that run side by side, and
- * operators' programs, read the stored form: its fields keep their names and their order.
+ * Converts migration records between their stored form and the names in the code. Other versions that run at the same
+ * time and operators' programs read the stored form, so its fields keep their names and order.
  */
 import { compileSchema } from '#wire';
 import type { MigrationRecord, MigrationResult } from './migration-record.js';
@@ -46,7 +46,7 @@
 
 const isStoredMigration = compileSchema<StoredMigration>('moveRecord', storedSchema);
 
-/** Reads a record of any origin; null if it is damaged or of a form that this version does not know. */
+/** Decodes a record from any writer; null if it is damaged or of a form that this version does not know. */
 export function decodeMigration(value: unknown): MigrationRecord | null {
   return isStoredMigration(value) ? (renameFields(value, RECORD_FIELDS) as MigrationRecord) : null;
 }
@@ -56,7 +56,7 @@
   return renameFields(record, invert(RECORD_FIELDS)) as StoredMigration;
 }
 
-/** Reads the result of a migration, which only this service writes. */
+/** Decodes the result of a migration without validation, since only this service writes it. */
 export function decodeMigrationResult(value: unknown): MigrationResult {
   return renameFields(value as StoredMigrationResult, RESULT_FIELDS) as MigrationResult;
 }
@@ -66,7 +66,7 @@
   return renameFields(result, invert(RESULT_FIELDS)) as StoredMigrationResult;
 }
 
-/** Renames some fields and keeps the others, which a later version may have added. */
+/** Renames the fields in `names` and keeps all others, which a later version may have added. */
 function renameFields(record: object, names: Readonly<Record<string, string>>): unknown {
   const fields: [string, unknown][] = Object.entries(record);
   return Object.fromEntries(fields.map(([name, value]) => [names[name] ?? name, value]));
--- a/packages/shards/migration-record.ts
+++ b/packages/shards/migration-record.ts
@@ -1,29 +1,29 @@
-/** The records that the migration of a shard leaves in the state service. */
+/** Records of shard migrations in the state service. */
 import { WORLD } from '#store';
 
-/** What every phase of a migration records. */
+/** Fields that a migration record has in every phase. */
 interface MigrationBase {
-  /** Term of the leader that is to transfer the shard: the source of the transfer. */
+  /** Term of the leader that transfers the shard: the source. */
   fromTerm: number;
-  /** Name of the controller that is to lead the shard: the target of the transfer. */
+  /** Name of the controller that is to become the leader: the target. */
   target: string;
-  /** Why the migration was requested, in the words of whoever requested it. */
+  /** Why the migration was requested: free text from the requester. */
   reason: string;
 }
 
 /**
- * A migration under way. Each phase is durable before anybody acts on it:
+ * A migration under way. Each phase is stored durably before either controller acts on it:
  * - `requested`: an operator asks for it;
  * - `prepared`: the target is ready, and renews the lease that will hold the shard's key;
- * - `quiesced`: the source makes no more decisions, and its election lease proves nothing any more.
+ * - `quiesced`: the source makes no more decisions, and its election lease no longer proves that it leads.
  */
 export type MigrationRecord =
   | (MigrationBase & { phase: 'requested' })
   | (MigrationBase & { phase: 'prepared' | 'quiesced'; leaseId: number });
 
-/** A migration's record as last observed. */
+/** A migration record as last observed. */
 export interface ObservedMigration {
-  /** Null: it cannot be read, and all that can be done about it is to withdraw it. */
+  /** Null if the record cannot be decoded; the migration can then only be withdrawn. */
   record: MigrationRecord | null;
   version: number;
 }
--- a/packages/shards/migration-requests.ts
+++ b/packages/shards/migration-requests.ts
@@ -1,4 +1,4 @@
-/** Requests for migrations of a shard, and their state: what the command line and other programs call. */
+/** Client that requests, withdraws and inspects shard migrations, for the command line and other programs. */
 import { type Clock, pause, type StateApi } from '#wire';
 import { decodeLeader, shardKey } from '#store';
 import {
@@ -14,10 +14,10 @@
 } from './migration-record-codec.js';
 import { endMigration, migrationConditions } from './migration-transaction.js';
 
-/** Time from one read of a migration's record to the next while its end is waited for. */
+/** Interval between reads of a migration record while waiting for the migration to end. */
 const POLL_INTERVAL_MS = 100;
 
-/** A shard as the state service holds it. */
+/** Leader and migrations of a shard, as stored in the state service. */
 export interface ShardStatus {
   shard: number;
   /** Null while the shard has no leader. */
@@ -28,15 +28,15 @@
   lastMigration: MigrationResult | null;
 }
 
-/** What became of a request. Texts for people are printed by the command line as they stand. */
+/** Outcome of a migration request. The command line prints `reason` unchanged. */
 export type RequestOutcome =
   | { kind: 'moved'; term: number }
-  /** Nothing was changed, or the leader has kept the shard. */
+  /** The target does not lead the shard; `reason` says why. */
   | { kind: 'not-moved'; reason: string }
-  /** The leader did not start on the request in time, and it was withdrawn. */
+  /** The leader did not act on the request in time, and the request was withdrawn. */
   | { kind: 'ignored' };
 
-/** Requests migrations of one shard and shows their state. Calls reject with NoAnswer or StateRefused. */
+/** Requests, withdraws and inspects migrations of one shard. Calls reject with NoAnswer or StateRefused. */
 export class MigrationRequests {
   constructor(
     private readonly api: StateApi,
@@ -44,7 +44,7 @@
     private readonly shard: number,
   ) {}
 
-  /** Reads who leads the shard and how its migrations stand. */
+  /** Reads the leader of the shard, the migration under way and the result of the last one. */
   async status(): Promise<ShardStatus> {
     const { shard, api } = this;
     const [leader, migration, lastMigration] = await Promise.all([
@@ -60,7 +60,7 @@
     };
   }
 
-  /** Requests a migration to the controller of that name and waits for its end, at most `withinS` seconds. */
+  /** Requests a migration to the controller `target` and waits at most `withinS` seconds for it to end. */
   async move(target: string, reason: string, withinS: number): Promise<RequestOutcome> {
     const { leader } = await this.status();
     if (leader === null) return { kind: 'not-moved', reason: 'nobody owns the part now' };
@@ -73,7 +73,7 @@
     return hasEnded ? this.readOutcome(target) : this.withdrawLateRequest();
   }
 
-  /** False if the leader has changed, or another migration is under way. */
+  /** Stores the request; false if the leader has changed or another migration is under way. */
   private async recordRequest(fromTerm: number, target: string, reason: string): Promise<boolean> {
     const { shard, api } = this;
     const value = encodeMigration({ fromTerm, target, reason, phase: 'requested' });
@@ -97,7 +97,7 @@
     const { migration } = await this.status();
     if (migration === null) return 'the part has changed its owner just now';
     return migration === 'unreadable'
-      ? 'an unreadable move is there'
+      ? 'there is a move whose record cannot be read'
       : `a move to ${migration.target} is under way`;
   }
 
@@ -115,7 +115,7 @@
     return { kind: 'not-moved', reason: why };
   }
 
-  /** Withdraws a request unless the source has quiesced; false if there is none that can be withdrawn. */
+  /** Withdraws the migration unless its source has quiesced; false if there was nothing to withdraw. */
   async withdraw(failureReason: string): Promise<boolean> {
     const { api, shard } = this;
     const entry = await api.get(migrationKey(shard));
--- a/packages/shards/migration-transaction.ts
+++ b/packages/shards/migration-transaction.ts
@@ -1,10 +1,10 @@
-/** The compare-and-swap transactions of a migration, and what becomes of them. */
+/** Conditions, changes and outcomes of the compare-and-swap transactions of a migration. */
 import type { Change, Condition } from '#wire';
 import { shardKey } from '#store';
 import { migrationKey, type MigrationResult, migrationResultKey } from './migration-record.js';
 import { encodeMigrationResult } from './migration-record-codec.js';
 
-/** Changes that are made together, or not at all unless every condition holds. */
+/** Changes that are applied atomically if every condition holds, and not at all otherwise. */
 export interface Transaction {
   conditions: Condition[];
   changes: Change[];
@@ -13,12 +13,12 @@
 /** The result of sending a transaction once. */
 export type TransactionOutcome =
   | { kind: 'applied' }
-  /** These conditions did not hold, and nothing was changed. */
+  /** Conditions on `keys` did not hold, or the lease of a change had ended: nothing was changed. */
   | { kind: 'failed'; keys: readonly string[] }
   /** No answer came: the transaction may still be applied at any later time. */
   | { kind: 'unknown' };
 
-/** Holds while the shard is in this term and its migration's record has this version; 0: there is no record. */
+/** Conditions on the leader's term and on the version of the migration record; version 0: there is no record. */
 export function migrationConditions(shard: number, term: number, version: number): Condition[] {
   return [
     { key: shardKey(shard), version: term },
@@ -26,7 +26,7 @@
   ];
 }
 
-/** Ends a migration: removes its record and stores the result. */
+/** Changes that end a migration: its record is deleted and the result stored. */
 export function endMigration(shard: number, result: MigrationResult): Change[] {
   return [
     { delete: migrationKey(shard) },
--- a/packages/shards/record-copy.ts
+++ b/packages/shards/record-copy.ts
@@ -1,8 +1,8 @@
-/** A copy of the records under one prefix, which is read early and brought up to date later. */
+/** A local copy of all records under one prefix. */
 import { listAll, pages, type StateClient } from '#store';
 import type { Entry, WatchEvent } from '#wire';
 
-/** All records under a prefix, loaded ahead of time and brought up to date by the changes since. */
+/** Loads all records under a prefix ahead of time and later fetches only the changes since then. */
 export class RecordCopy {
   private readonly entries = new Map<string, Entry>();
   /** The copy holds all changes up to this revision; null until it is loaded. */
@@ -17,14 +17,14 @@
   async load(signal: AbortSignal): Promise<void> {
     let firstRevision: number | null = null;
     for await (const page of pages(this.client, this.prefix, signal)) {
-      // What changes while later pages are read is read again with the changes.
+      // The copy counts as current up to the first page only: readCurrent fetches all changes made since.
       firstRevision ??= page.revision;
       for (const entry of page.entries) this.entries.set(entry.key, entry);
     }
     this.revision = firstRevision;
   }
 
-  /** The records as of a moment after this was called; rejects as the client does. */
+  /** Returns the records as of a moment after the call; rejects as the client does. */
   async readCurrent(signal: AbortSignal): Promise<Entry[]> {
     const { client, prefix, revision } = this;
     if (revision === null) return listAll(client, prefix, signal);
@@ -37,7 +37,7 @@
     return [...this.entries.values()];
   }
 
-  /** A later page may have brought something newer already. */
+  /** Applies a change unless the copy holds a newer version, which a later page may have brought. */
   private apply({ key, value, version }: WatchEvent): void {
     const knownVersion = this.entries.get(key)?.version ?? 0;
     if (version < knownVersion) return;
--- a/packages/shards/record-prefetch.test.ts
+++ b/packages/shards/record-prefetch.test.ts
@@ -6,7 +6,7 @@
 
 const LIMITS = { rps: 5000, writeRps: 5000, valueBytes: 8192, txnOps: 24 };
 const PREFIX = 'machines/';
-/** More than one page. */
+/** More records than one page holds. */
 const RECORDS = 2500;
 
 async function startStateWithRecords() {
@@ -15,7 +15,7 @@
   const { store } = state.service;
   for (let i = 0; i < RECORDS; i++) store.apply([{ put: `${PREFIX}n-${i}`, value: { i } }]);
   const { signal } = new AbortController();
-  /** Lets time pass until the promise is fulfilled or rejected. */
+  /** Advances the simulated time until the promise is fulfilled or rejected. */
   const runUntilDone = async <T>(promise: Promise<T>): Promise<T> => {
     let done = false;
     void promise.finally(() => (done = true)).catch(() => {});
@@ -25,7 +25,7 @@
   return { store, client, signal, runUntilDone, prefetch: new RecordPrefetch(client, [PREFIX]) };
 }
 
-test('prefetched records are those of the moment of the read, with one request', async () => {
+test('a read after prefetching returns the current records and sends one request', async () => {
   const { store, client, signal, runUntilDone, prefetch } = await startStateWithRecords();
   await runUntilDone(prefetch.prepare(signal));
   store.apply([{ put: `${PREFIX}n-7`, value: 'changed' }, { delete: `${PREFIX}n-8` }]);
@@ -44,7 +44,7 @@
   assert.equal(expected.length, RECORDS);
 });
 
-test('changes while the pages are read, and more than the service remembers, lose nothing', async () => {
+test('no record is lost to changes during prefetching, or to more changes than the service keeps', async () => {
   const { store, client, signal, runUntilDone, prefetch } = await startStateWithRecords();
   const preparing = prefetch.prepare(signal);
   for (let i = 0; i < RECORDS; i += 5) store.apply([{ delete: `${PREFIX}n-${i}` }]);
@@ -55,7 +55,7 @@
   for (let i = 0; i < 11_000; i++) store.apply([{ put: `${PREFIX}n-1`, value: i }]);
   const before = client.requestsSent;
   assert.equal(await count(), RECORDS - RECORDS / 5);
-  assert.ok(client.requestsSent - before > 1, 'all was read again');
+  assert.ok(client.requestsSent - before > 1, 'all records are read again');
   prefetch.clear();
   assert.equal(await count(), RECORDS - RECORDS / 5);
 });
--- a/packages/shards/record-prefetch.ts
+++ b/packages/shards/record-prefetch.ts
@@ -1,4 +1,4 @@
-/** Prefetches what a new leader loads, so that a planned transfer leaves little to read while nobody decides. */
+/** Prefetches the records that a new leader loads, which shortens the time without decisions in a planned transfer. */
 import { listAll, type StateClient } from '#store';
 import type { Entry } from '#wire';
 import { RecordCopy } from './record-copy.js';
@@ -12,7 +12,7 @@
     private readonly prefixes: readonly string[],
   ) {}
 
-  /** Reads all prefixes of which there is no copy yet; rejects as the client does. */
+  /** Loads all records under the prefixes that have no copy yet; rejects as the client does. */
   async prepare(signal: AbortSignal): Promise<void> {
     const missing = this.prefixes.filter((prefix) => !this.copies.has(prefix));
     const loading = missing.map(async (prefix) => {
@@ -23,7 +23,7 @@
     for (const { prefix, copy } of await Promise.all(loading)) this.copies.set(prefix, copy);
   }
 
-  /** All records under a prefix as of a moment after this was called. A copy serves one read. */
+  /** Returns all records under a prefix as of a moment after the call. Each copy is used for one read only. */
   async read(prefix: string, signal: AbortSignal): Promise<Entry[]> {
     const copy = this.copies.get(prefix);
     this.copies.delete(prefix);
--- a/packages/shards/send-transaction.ts
+++ b/packages/shards/send-transaction.ts
@@ -1,9 +1,9 @@
-/** Sends transactions of a migration and keeps the local cache up to date with them. */
+/** Sends the transactions of a migration and applies their changes to the local cache. */
 import { NoAnswer, StateRefused, type TxnOutcome } from '#wire';
 import type { PrefixCache, StateClient } from '#store';
 import type { Transaction, TransactionOutcome } from './migration-transaction.js';
 
-/** Sends a transaction once; the cache holds its changes as soon as it is known to be applied. */
+/** Sends a transaction once, and updates the cache if the state service answers that it was applied. */
 export async function sendTransaction(
   client: StateClient,
   world: PrefixCache,
--- a/packages/shards/shard-migrator.ts
+++ b/packages/shards/shard-migrator.ts
@@ -6,7 +6,7 @@
 import { TransferSource, type TransferSourceOptions } from './transfer-source.js';
 import { TransferTarget, type TransferTargetOptions } from './transfer-target.js';
 
-/** What carries out the migrations of a shard needs, on both sides of a transfer. */
+/** Options for carrying out the migrations of a shard, on both sides of a transfer. */
 export interface ShardMigratorOptions extends TransferSourceOptions, TransferTargetOptions {
   runtime: Runtime;
   /** Longest time from one step to the next. */
@@ -15,15 +15,15 @@
 
 /** Carries out planned migrations of a shard, as the source and as the target of a transfer. */
 export class ShardMigrator {
-  /** The migration's record as the watch has shown it last. */
+  /** The migration record as last delivered by the watch; null if there is none. */
   private migration: ObservedMigration | null = null;
   private readonly source: TransferSource;
   private readonly target: TransferTarget;
   private readonly idle: WakeableWait;
-  /** Something has happened since the last step began. */
+  /** Whether wake() was called since the last step began. */
   private woken = false;
 
-  /** Make it before the cache runs: the cache announces each record once. */
+  /** Create the migrator before the cache runs: the cache announces each record only once. */
   constructor(private readonly options: ShardMigratorOptions) {
     const { runtime, world, shard } = options;
     this.idle = new WakeableWait(runtime.clock);
@@ -57,7 +57,7 @@
     }
   }
 
-  /** True if there may be more to do at once. */
+  /** Returns true if another step may be possible at once. */
   private async step(signal: AbortSignal): Promise<boolean> {
     this.woken = false;
     const sourceHasMore = await this.source.step(this.migration, signal);
--- a/packages/shards/source-state-machine.test.ts
+++ b/packages/shards/source-state-machine.test.ts
@@ -35,7 +35,7 @@
   return action.kind === 'refuse' ? action.failureReason : null;
 }
 
-test('requests that can not be carried out are refused with the reason', () => {
+test('a request that cannot be carried out is refused with the reason', () => {
   const unreachable = () => 'c-1 was not heard lately';
   assert.equal(
     findRefusalReason({ migration: toObserved({ ...REQUEST, target: 'c-0' }) }),
@@ -52,11 +52,11 @@
   assert.equal(
     findRefusalReason({ migration: toObserved(REQUEST), obstacle: unreachable }),
     null,
-    'it may wake in time',
+    'the target may become reachable in time',
   );
 });
 
-test('the leader waits for the target to be ready, but not for ever', () => {
+test('the leader refuses a request if its target is not prepared within prepareS', () => {
   const migration = toObserved(REQUEST);
   const { state, action } = stepSource(DECIDING, createView({ migration, now: 100 }));
   assert.equal(action.kind, 'wait');
@@ -65,7 +65,7 @@
   assert.equal(late.kind === 'refuse' && late.failureReason, 'c-1 was not prepared in time');
 });
 
-test('an unreadable record and one of a later term change nothing', () => {
+test('an unreadable record and one of a later term leave the state unchanged', () => {
   for (const migration of [toObserved(null), toObserved({ ...PREPARED, fromTerm: TERM + 1 })]) {
     assert.deepEqual(stepSource(DECIDING, createView({ migration })), {
       state: DECIDING,
--- a/packages/shards/source-state-machine.ts
+++ b/packages/shards/source-state-machine.ts
@@ -1,10 +1,10 @@
 /**
- * The source of a planned transfer: a state machine without clock and I/O. The leader stops all decisions, records so
- * in the migration's record, and from the moment at which it sends that no longer takes its election lease as proof
- * that nobody else leads. It decides again only once it knows for certain that the target cannot become the leader any
- * more (docs/safety.md, point 11).
+ * State machine of the source of a planned transfer, without clock and I/O. The leader stops all decisions and writes
+ * the phase `quiesced` to the migration record. From the moment at which it sends this write, it no longer takes its
+ * election lease as proof that nobody else leads. It decides again only once it is certain that the target cannot
+ * become the leader any more (docs/safety.md, point 11).
  *
- * Texts of refusals are stored with the result and printed by the command line; they keep their words.
+ * Reasons of refusals are stored with the result and printed by the command line: their texts must not change.
  */
 import { shardKey } from '#store';
 import {
@@ -21,7 +21,7 @@
   type TransactionOutcome,
 } from './migration-transaction.js';
 
-/** What the leader goes by; times are steady seconds. */
+/** Input of one step; times are seconds of the monotonic clock. */
 export interface SourceView {
   now: number;
   shard: number;
@@ -29,45 +29,45 @@
   term: number;
   /** The leader's name. */
   name: string;
-  /** The migration's record as the watch has shown it last; null if there is none. */
+  /** The migration record as last delivered by the watch; null if there is none. */
   migration: ObservedMigration | null;
-  /** All decisions have stopped, and none is on its way to the state service. */
+  /** All decisions have stopped, and none is in flight to the state service. */
   paused: boolean;
-  /** What keeps the controller of that name from becoming the leader now; null if nothing does. */
+  /** Returns what keeps the controller from becoming the leader now; null if nothing does. */
   obstacle: (controller: string) => string | null;
   limits: MigrationLimits;
 }
 
-/** How long the leader waits for the others; seconds. */
+/** How long the leader waits in each phase; seconds. */
 export interface MigrationLimits {
-  /** From the first sight of a request until its target is prepared, and for decisions to stop. */
+  /** From when the leader first sees a request until its target is prepared; also for decisions to stop. */
   prepareS: number;
   /** For the target to become the leader once decisions have stopped. */
   switchS: number;
 }
 
-/** How far the source has come. */
+/** Progress of the source in a transfer. */
 export type SourceState =
   | { phase: 'deciding'; request: { version: number; seenAt: number } | null }
   | { phase: 'pausing'; preparedVersion: number; since: number }
-  /** The record that says so is on its way, and may be applied at any time from now on. */
+  /** The write of `quiesced` was sent, and may be applied at any time from now on. */
   | { phase: 'quiescing'; preparedVersion: number; since: number }
   | { phase: 'quiesced'; preparedVersion: number; since: number }
   | RetractingState
-  /** Another controller leads the shard: the watch will show it. */
+  /** Another controller leads the shard, which the watch will show. */
   | { phase: 'over' };
 
-/** The migration is to be undone. */
+/** The source undoes the migration. */
 interface RetractingState {
   phase: 'retracting';
   preparedVersion: number;
   since: number;
   failureReason: string;
-  /** What a read has shown since then; undefined before one has. */
+  /** The record as read since the retraction began, null if there was none; undefined until it is read. */
   lastRead?: ObservedMigration | null;
 }
 
-/** What the leader is to do. */
+/** What the leader does next. */
 export type SourceAction =
   | { kind: 'wait' }
   /** Stop all decisions. */
@@ -80,7 +80,7 @@
   | { kind: 'quiesce'; transaction: Transaction }
   | { kind: 'retract'; transaction: Transaction };
 
-/** The state to keep, and what to do. */
+/** The state to keep, and the action to carry out. */
 export interface SourceStep {
   state: SourceState;
   action: SourceAction;
@@ -92,8 +92,8 @@
 const WAIT: SourceAction = { kind: 'wait' };
 
 /**
- * Since when a successor may lead without the source knowing, so that the election lease of the source proves nothing;
- * null if none may. Steady seconds.
+ * Time from which on a successor may lead without the source knowing, so that the source's election lease proves
+ * nothing; null if no successor may lead. Seconds of the monotonic clock.
  */
 export function successorPossibleSince(state: SourceState): number | null {
   switch (state.phase) {
@@ -109,7 +109,7 @@
   }
 }
 
-/** What to do next; `state` is to be kept whether or not there is anything to do. */
+/** Takes one step. The caller keeps the returned state, even if the action is `wait`. */
 export function stepSource(state: SourceState, view: SourceView): SourceStep {
   switch (state.phase) {
     case 'deciding':
@@ -148,7 +148,7 @@
   return { state: pausing, action: { kind: 'pause', target: record.target } };
 }
 
-/** Why the migration is not to be carried out; null if nothing speaks against it. */
+/** Returns why the migration is refused; null if it is not. */
 function refusalReason(record: MigrationRecord, waitedS: number, view: SourceView): string | null {
   if (record.fromTerm < view.term) return 'the part has changed its owner since';
   if (record.phase === 'quiesced') return 'it was undone';
@@ -202,8 +202,9 @@
 }
 
 /**
- * Undoes the migration on the condition of the term and of what was read. If the record is neither quiesced nor the
- * one that may still become so, nothing is to be changed: then the same conditions alone are tested.
+ * Undoes the migration if the term and the record are still as they were when the record was read. If the record is
+ * neither quiesced nor in the version that the write of `quiesced` expects, the target cannot become the leader: the
+ * transaction then tests its conditions and changes nothing.
  */
 function retractOrRead(
   { preparedVersion, failureReason, lastRead }: RetractingState,
@@ -219,7 +220,7 @@
   return { kind: 'retract', transaction: { conditions, changes } };
 }
 
-/** Records what a read of the migration's record has shown; null if there is none. */
+/** Handles a read of the migration record; `lastRead` is null if there is none. */
 export function recordSourceRead(
   state: SourceState,
   lastRead: ObservedMigration | null,
@@ -227,7 +228,7 @@
   return state.phase === 'retracting' ? { ...state, lastRead } : state;
 }
 
-/** Handles the outcome of the transaction that the last step asked for. */
+/** Handles the outcome of the transaction that the last step requested. */
 export function handleSourceOutcome(
   state: SourceState,
   outcome: TransactionOutcome,
--- a/packages/shards/target-state-machine.ts
+++ b/packages/shards/target-state-machine.ts
@@ -1,7 +1,8 @@
 /**
- * The target of a planned transfer: a state machine without clock and I/O. The target records that it is ready, with
- * the lease that will hold the shard's key, and becomes the leader once the source has recorded that it makes no more
- * decisions; both on the condition of the source's term and of the migration's record (docs/safety.md, point 11).
+ * State machine of the target of a planned transfer, without clock and I/O. The target records that it is prepared,
+ * with the lease that will hold the shard's key. It makes itself the leader once the source has recorded that it makes
+ * no more decisions. Both writes are conditional on the source's term and on the version of the migration record
+ * (docs/safety.md, point 11).
  */
 import { encodeLeader, shardKey } from '#store';
 import {
@@ -18,28 +19,28 @@
   type TransactionOutcome,
 } from './migration-transaction.js';
 
-/** What a controller that may become the leader goes by. */
+/** Input of one step. */
 export interface TargetView {
   shard: number;
   /** This controller's name. */
   name: string;
-  /** A lease that is certainly alive; null while there is none. */
+  /** An election lease that is certainly alive; null while there is none. */
   leaseId: number | null;
   /** Version of the shard's key as last observed; 0 while the shard has no leader. */
   shardVersion: number;
-  /** The migration's record as the watch has shown it last; null if there is none. */
+  /** The migration record as last delivered by the watch; null if there is none. */
   migration: ObservedMigration | null;
-  /** The state service serves this controller, and it knows all jobs. */
+  /** The state service serves this controller, which has loaded all jobs and does not lead. */
   ready: boolean;
 }
 
-/** How far the target has come. */
+/** Progress of the target in a transfer. */
 export type TargetState =
   | { phase: 'idle' }
-  /** The transaction that makes this controller the leader may be applied without its knowledge. */
+  /** The transaction that makes this controller the leader was sent, and may be applied without an answer. */
   | { phase: 'switching'; moveVersion: number; fromTerm: number };
 
-/** What the target is to do. */
+/** What the target does next. */
 export type TargetAction =
   | { kind: 'wait' }
   /** Prefetch the records, then record that the target is ready. */
@@ -47,7 +48,7 @@
   /** Become the leader. */
   | { kind: 'switch'; transaction: Transaction };
 
-/** The state to keep, and what to do. */
+/** The state to keep, and the action to carry out. */
 export interface TargetStep {
   state: TargetState;
   action: TargetAction;
@@ -63,7 +64,7 @@
   return phase === 'switching';
 }
 
-/** What to do next; what was sent without an answer is sent again as it was. */
+/** Takes one step. A transaction that got no answer is sent again unchanged. */
 export function stepTarget(state: TargetState, view: TargetView): TargetStep {
   const wait: TargetStep = { state: dropObsoleteSwitch(state, view), action: WAIT };
   const { name, leaseId, shardVersion } = view;
@@ -88,7 +89,7 @@
   return { state: switching, action: { kind: 'switch', transaction } };
 }
 
-/** Once a condition of the switch is seen to have changed, the switch cannot be applied any more. */
+/** Returns to idle if a condition of the switch has changed: the switch cannot be applied any more. */
 function dropObsoleteSwitch(state: TargetState, view: TargetView): TargetState {
   if (state.phase !== 'switching') return state;
   const mayBeApplied =
--- a/packages/shards/transfer-source.ts
+++ b/packages/shards/transfer-source.ts
@@ -1,4 +1,4 @@
-/** The I/O of the source of a transfer: takes the steps of its state machine and carries them out. */
+/** I/O of the source of a transfer: runs its state machine and carries out the actions. */
 import type { Clock, Runtime } from '#wire';
 import type { LeaderElection, PrefixCache, StateClient } from '#store';
 import { migrationKey, type ObservedMigration } from './migration-record.js';
@@ -31,20 +31,20 @@
   name: string;
   shard: number;
   limits: MigrationLimits;
-  /** The leader in this controller; null while it leads nothing. */
+  /** The leader in this controller; null while this controller does not lead. */
   leader: () => TransferableLeader | null;
-  /** What keeps a controller from becoming the leader now; null if nothing does. */
+  /** Returns what keeps a controller from becoming the leader now; null if nothing does. */
   obstacle: (controller: string) => string | null;
   log: MigrationLog;
 }
 
-/** Carries out what the leader of the shard has to do for a transfer. */
+/** Carries out the source's side of a transfer. */
 export class TransferSource {
   private state: SourceState = DECIDING;
-  /** The term that the state is about; 0 while this controller leads nothing. */
+  /** Term to which the state belongs; 0 while this controller has no leader that is ready. */
   private term = 0;
   private paused = false;
-  /** Steady seconds. */
+  /** When the last pause began; seconds of the monotonic clock. */
   private pausedAt = -Infinity;
   private readonly clock: Clock;
 
@@ -56,7 +56,7 @@
     this.clock = options.runtime.clock;
   }
 
-  /** Does what is due; true if there may be more to do at once. */
+  /** Takes one step; true if another may be possible at once. */
   async step(migration: ObservedMigration | null, signal: AbortSignal): Promise<boolean> {
     const leader = this.options.leader();
     const term = leader?.ready ? leader.term.term : 0;
@@ -76,7 +76,7 @@
       limits,
     };
     const { state, action } = stepSource(this.state, view);
-    // Before anything is sent: from then on the election lease may prove nothing.
+    // The state is set before the transaction is sent: from then on the election lease may prove nothing.
     this.setState(state);
     return this.act(action, leader, signal);
   }
@@ -153,7 +153,7 @@
     return outcome.kind !== 'unknown';
   }
 
-  /** Reads the migration's record as the state service holds it now; false if there is nothing more to do at once. */
+  /** Reads the migration record from the state service; false if the read failed or the term has ended. */
   private async readMigration(leader: TransferableLeader, signal: AbortSignal): Promise<boolean> {
     const { client, shard } = this.options;
     try {
@@ -163,12 +163,12 @@
       this.setState(recordSourceRead(this.state, lastRead));
       return true;
     } catch {
-      // Whatever failed, the state still asks for the read, and the next step tries again.
+      // After any failure the state still requires the read, so the next step tries again.
       return false;
     }
   }
 
-  /** The term has not ended while something was awaited. */
+  /** Whether the leader's term has not ended during an await. */
   private isCurrent(leader: TransferableLeader): boolean {
     return this.options.leader()?.term.term === leader.term.term;
   }
--- a/packages/shards/transfer-target.ts
+++ b/packages/shards/transfer-target.ts
@@ -1,4 +1,4 @@
-/** The I/O of the target of a transfer: takes the steps of its state machine and carries them out. */
+/** I/O of the target of a transfer: runs its state machine and carries out the actions. */
 import type { LeaderElection, PrefixCache, StateClient } from '#store';
 import type { ObservedMigration } from './migration-record.js';
 import type { RecordPrefetch } from './record-prefetch.js';
@@ -22,22 +22,22 @@
   /** This controller's name. */
   name: string;
   shard: number;
-  /** The leader in this controller; null while it leads nothing. */
+  /** The leader in this controller; null while this controller does not lead. */
   leader: () => TransferableLeader | null;
-  /** The state service serves this controller, and it knows all jobs. */
+  /** Whether the state service serves this controller and all jobs are loaded. */
   canLead: () => boolean;
-  /** Prefetches what a new leader loads. */
+  /** Prefetches the records that a new leader loads. */
   ahead: Pick<RecordPrefetch, 'prepare' | 'clear'>;
   log: MigrationLog;
 }
 
-/** Carries out what the target of a transfer has to do. */
+/** Carries out the target's side of a transfer. */
 export class TransferTarget {
   private state: TargetState = IDLE;
 
   constructor(private readonly options: TransferTargetOptions) {}
 
-  /** Does what is due; true if there may be more to do at once. */
+  /** Takes one step; true if another may be possible at once. */
   async step(migration: ObservedMigration | null, signal: AbortSignal): Promise<boolean> {
     const { ahead, election, shard, name, canLead, leader } = this.options;
     const { state, action } = stepTarget(this.state, {
@@ -49,7 +49,7 @@
       ready: canLead() && leader() === null,
     });
     if (migration?.record?.target !== name && leader() === null) ahead.clear();
-    // Before anything is sent: from then on this controller may lead without knowing.
+    // The state is set before the transaction is sent: from then on this controller may lead without knowing.
     this.setState(state);
     return this.act(action, signal);
   }
@@ -74,13 +74,13 @@
     return true;
   }
 
-  /** False if a read failed. */
+  /** Loads the records that have not been prefetched yet; false if a read failed. */
   private async prefetch(signal: AbortSignal): Promise<boolean> {
     try {
       await this.options.ahead.prepare(signal);
       return true;
     } catch {
-      // Whatever failed, nothing was changed: the next step prefetches what is missing.
+      // A failed read changes nothing: the next step prefetches what is missing.
       return false;
     }
   }
--- a/packages/shards/transferable-leader.ts
+++ b/packages/shards/transferable-leader.ts
@@ -1,18 +1,18 @@
-/** What a migration needs to know and control of the controller that it runs in. */
+/** Interfaces through which a migration uses the controller that it runs in. */
 import type { Term } from '#store';
 
-/** The leader of a shard as far as a transfer concerns it. */
+/** State and controls of a shard's leader that a transfer uses. */
 export interface TransferableLeader {
   readonly term: Term;
-  /** Its records are loaded, and it makes decisions. */
+  /** The leader has loaded its records and makes decisions. */
   readonly ready: boolean;
-  /** Stops all decisions; resolves once none is on its way to the state service or the cloud. */
+  /** Stops all decisions; resolves once none is in flight to the state service or the cloud. */
   pause(): Promise<void>;
   /** Makes decisions again. */
   resume(): void;
 }
 
-/** What a migration logs to; pino's loggers are such. */
+/** The logger of a migration; pino's loggers have this interface. */
 export interface MigrationLog {
   info(fields: object, message: string): void;
   error(fields: object, message: string): void;
