--- a/packages/shards/migration-exploration.test.ts
+++ b/packages/shards/migration-exploration.test.ts
@@ -16,7 +16,7 @@
   { budget: TWO_REQUESTS, states: 7959, moved: 4653 },
 ];
 
-/** MOVE_BUDGET=1,1,1,1 in the environment sets the numbers of requests, crashes, lapses and lost answers instead. */
+/** MOVE_BUDGET=1,1,1,1 in the environment sets the numbers of requests, crashes, lease lapses and lost answers. */
 function selectBudgets(): MoveBudget[] {
   const override = process.env.MOVE_BUDGET?.split(',').map(Number);
   if (!override) return [LOST_ANSWER, CRASH, LAPSE, TWO_REQUESTS];
@@ -24,7 +24,7 @@
   return [{ requests, crashes, lapses, lostAnswers }];
 }
 
-test('no order of events in a migration leads to two leaders or leaves the shard without one', () => {
+test('no order of events in a migration leads to two leaders or to a shard that stays without decisions', () => {
   for (const budget of selectBudgets()) {
     const { states, moved, twoLeaders, stuck } = exploreMigrations(budget, 'none');
     console.log(`${JSON.stringify(budget)}: ${states} states, ${moved} after a move`);
--- a/packages/shards/migration-record.ts
+++ b/packages/shards/migration-record.ts
@@ -15,7 +15,7 @@
  * A migration under way. Each phase is stored durably before either controller acts on it:
  * - `requested`: an operator asks for it;
  * - `prepared`: the target is ready, and renews the lease that will hold the shard's key;
- * - `quiesced`: the source makes no more decisions, and its election lease no longer proves that it leads.
+ * - `quiesced`: the source makes no more decisions, and its election lease no longer proves its leadership.
  */
 export type MigrationRecord =
   | (MigrationBase & { phase: 'requested' })
--- a/packages/shards/migration-requests.ts
+++ b/packages/shards/migration-requests.ts
@@ -31,7 +31,7 @@
 /** Outcome of a migration request. The command line prints `reason` unchanged. */
 export type RequestOutcome =
   | { kind: 'moved'; term: number }
-  /** The target does not lead the shard; `reason` says why. */
+  /** The request has not moved the shard; `reason` says why. */
   | { kind: 'not-moved'; reason: string }
   /** The leader did not act on the request in time, and the request was withdrawn. */
   | { kind: 'ignored' };
@@ -115,7 +115,7 @@
     return { kind: 'not-moved', reason: why };
   }
 
-  /** Withdraws the migration unless its source has quiesced; false if there was nothing to withdraw. */
+  /** Withdraws the migration unless its source has quiesced; false if nothing was withdrawn. */
   async withdraw(failureReason: string): Promise<boolean> {
     const { api, shard } = this;
     const entry = await api.get(migrationKey(shard));
--- a/packages/shards/source-state-machine.ts
+++ b/packages/shards/source-state-machine.ts
@@ -21,7 +21,7 @@
   type TransactionOutcome,
 } from './migration-transaction.js';
 
-/** Input of one step; times are seconds of the monotonic clock. */
+/** Input of one step of the state machine; times are seconds of the monotonic clock. */
 export interface SourceView {
   now: number;
   shard: number;
@@ -54,7 +54,7 @@
   | { phase: 'quiescing'; preparedVersion: number; since: number }
   | { phase: 'quiesced'; preparedVersion: number; since: number }
   | RetractingState
-  /** Another controller leads the shard, which the watch will show. */
+  /** Another controller leads the shard; the watch will show the new leader. */
   | { phase: 'over' };
 
 /** The source undoes the migration. */
@@ -72,7 +72,7 @@
   | { kind: 'wait' }
   /** Stop all decisions. */
   | { kind: 'pause'; target: string }
-  /** Decide again, as before the migration. */
+  /** Make decisions again, as before the migration. */
   | { kind: 'resume' }
   /** Read the migration's record in the state service. */
   | { kind: 'read' }
@@ -92,8 +92,8 @@
 const WAIT: SourceAction = { kind: 'wait' };
 
 /**
- * Time from which on a successor may lead without the source knowing, so that the source's election lease proves
- * nothing; null if no successor may lead. Seconds of the monotonic clock.
+ * Time from which on a successor may lead without the source knowing, so that the source's election lease no
+ * longer proves its leadership; null if no successor may lead. Seconds of the monotonic clock.
  */
 export function successorPossibleSince(state: SourceState): number | null {
   switch (state.phase) {
--- a/packages/shards/target-state-machine.ts
+++ b/packages/shards/target-state-machine.ts
@@ -19,7 +19,7 @@
   type TransactionOutcome,
 } from './migration-transaction.js';
 
-/** Input of one step. */
+/** Input of one step of the state machine. */
 export interface TargetView {
   shard: number;
   /** This controller's name. */
@@ -37,7 +37,7 @@
 /** Progress of the target in a transfer. */
 export type TargetState =
   | { phase: 'idle' }
-  /** The transaction that makes this controller the leader was sent, and may be applied without an answer. */
+  /** The transaction that makes this controller the leader was sent, and may be applied even if no answer arrives. */
   | { phase: 'switching'; moveVersion: number; fromTerm: number };
 
 /** What the target does next. */
--- a/packages/shards/transfer-source.ts
+++ b/packages/shards/transfer-source.ts
@@ -76,7 +76,7 @@
       limits,
     };
     const { state, action } = stepSource(this.state, view);
-    // The state is set before the transaction is sent: from then on the election lease may prove nothing.
+    // The state is set before the transaction is sent: from then on the election lease may not prove leadership.
     this.setState(state);
     return this.act(action, leader, signal);
   }
@@ -168,7 +168,7 @@
     }
   }
 
-  /** Whether the leader's term has not ended during an await. */
+  /** Whether the leader's term is still the current one; it may have ended during an await. */
   private isCurrent(leader: TransferableLeader): boolean {
     return this.options.leader()?.term.term === leader.term.term;
   }
