--- a/packages/shards/migration-exploration.test.ts
+++ b/packages/shards/migration-exploration.test.ts
@@ -8,35 +8,36 @@
 const LAPSE: MoveBudget = { requests: 1, crashes: 0, lapses: 1, lostAnswers: 0 };
 const TWO_REQUESTS: MoveBudget = { requests: 2, crashes: 0, lapses: 0, lostAnswers: 0 };
 
-/** How many states there are, as docs/shards.md lists them; a model that tells like states apart has more. */
-const EXPLORED = [
+/** Counts of states, as listed in docs/shards.md. A model that distinguishes equivalent states has more. */
+const EXPECTED_COUNTS = [
   { budget: LOST_ANSWER, states: 5481, moved: 869 },
   { budget: CRASH, states: 9943, moved: 1799 },
   { budget: LAPSE, states: 8625, moved: 2261 },
   { budget: TWO_REQUESTS, states: 7959, moved: 4653 },
 ];
 
-/** `MOVE_BUDGET=1,1,1,1` in the environment explores that many requests, crashes, lapses and lost answers instead. */
-function budgets(): MoveBudget[] {
-  const given = process.env.MOVE_BUDGET?.split(',').map(Number);
-  if (!given) return [LOST_ANSWER, CRASH, LAPSE, TWO_REQUESTS];
-  const [requests, crashes, lapses, lostAnswers] = given;
+/** MOVE_BUDGET=1,1,1,1 in the environment sets the numbers of requests, crashes, lease lapses and lost answers. */
+function selectBudgets(): MoveBudget[] {
+  const override = process.env.MOVE_BUDGET?.split(',').map(Number);
+  if (!override) return [LOST_ANSWER, CRASH, LAPSE, TWO_REQUESTS];
+  const [requests, crashes, lapses, lostAnswers] = override;
   return [{ requests, crashes, lapses, lostAnswers }];
 }
 
-test('in no order of events of a migration are there two leaders, and every order leads back to one', () => {
-  for (const budget of budgets()) {
-    const { states, moved, twoLeaders: twoLeaders, stuck } = exploreMigrations(budget, 'none');
+test('no order of events in a migration leads to two leaders or to a shard that stays without decisions', () => {
+  for (const budget of selectBudgets()) {
+    const { states, moved, twoLeaders, stuck } = exploreMigrations(budget, 'none');
     console.log(`${JSON.stringify(budget)}: ${states} states, ${moved} after a move`);
     assert.deepEqual({ twoLeaders, stuck }, { twoLeaders: null, stuck: null });
     assert.ok(moved > 100, 'the shard moved');
-    const known = EXPLORED.find((each) => isDeepStrictEqual(each.budget, budget));
-    if (known) assert.deepEqual({ states, moved }, { states: known.states, moved: known.moved });
+    const expected = EXPECTED_COUNTS.find((each) => isDeepStrictEqual(each.budget, budget));
+    if (expected)
+      assert.deepEqual({ states, moved }, { states: expected.states, moved: expected.moved });
   }
 });
 
-// Each guard is shown to be needed by a world without it.
-const harmful: [MoveMistake, MoveBudget][] = [
+// Shows that each guard is needed: without it, the exploration finds two leaders.
+const unsafeMistakes: [MoveMistake, MoveBudget][] = [
   ['trusts-its-grant', LOST_ANSWER],
   ['resumes-on-silence', LOST_ANSWER],
   ['resumes-on-failure', LOST_ANSWER],
@@ -44,14 +45,14 @@
   ['takes-without-term', CRASH],
   ['quiesces-without-record', LOST_ANSWER],
 ];
-for (const [mistake, budget] of harmful) {
-  test(`the exploration finds two leaders if one ${mistake}`, () => {
-    const { twoLeaders: twoLeaders } = exploreMigrations(budget, mistake);
+for (const [mistake, budget] of unsafeMistakes) {
+  test(`the exploration finds two leaders with the mistake ${mistake}`, () => {
+    const { twoLeaders } = exploreMigrations(budget, mistake);
     assert.ok(twoLeaders !== null);
   });
 }
 
-test('the exploration finds a shard that nobody decides about if a leader waits-for-ever', () => {
+test('the exploration finds a shard without decisions with the mistake waits-for-ever', () => {
   const { stuck } = exploreMigrations(CRASH, 'waits-for-ever');
   assert.ok(stuck !== null);
 });
--- a/packages/shards/migration-record-codec.ts
+++ b/packages/shards/migration-record-codec.ts
@@ -1,6 +1,6 @@
 /**
- * Maps the records of migrations between their stored form and the code's names. Versions that run side by side, and
- * operators' programs, read the stored form: its fields keep their names and their order.
+ * Converts migration records between their stored form and the names in the code. Other versions that run at the same
+ * time and operators' programs read the stored form, so its fields keep their names and order.
  */
 import { compileSchema } from '#wire';
 import type { MigrationRecord, MigrationResult } from './migration-record.js';
@@ -27,18 +27,18 @@
 const RESULT_FIELDS = { to: 'target', why: 'failureReason' };
 
 const MAX_TEXT_LENGTH = 200;
-const text = { type: 'string', maxLength: MAX_TEXT_LENGTH };
-const revision = { type: 'integer', minimum: 0 };
+const boundedText = { type: 'string', maxLength: MAX_TEXT_LENGTH };
+const nonNegativeInteger = { type: 'integer', minimum: 0 };
 
 const storedSchema = {
   type: 'object',
   required: ['fromTerm', 'to', 'reason', 'phase'],
   properties: {
-    fromTerm: revision,
-    to: { ...text, minLength: 1 },
-    reason: text,
+    fromTerm: nonNegativeInteger,
+    to: { ...boundedText, minLength: 1 },
+    reason: boundedText,
     phase: { enum: ['requested', 'prepared', 'quiesced'] },
-    grant: revision,
+    grant: nonNegativeInteger,
   },
   if: { properties: { phase: { enum: ['prepared', 'quiesced'] } } },
   then: { required: ['grant'] },
@@ -46,32 +46,32 @@
 
 const isStoredMigration = compileSchema<StoredMigration>('moveRecord', storedSchema);
 
-/** Reads a record of any origin; null if it is damaged or of a form that this version does not know. */
+/** Decodes a record from any writer; null if it is damaged or of a form that this version does not know. */
 export function decodeMigration(value: unknown): MigrationRecord | null {
   return isStoredMigration(value) ? (renameFields(value, RECORD_FIELDS) as MigrationRecord) : null;
 }
 
 /** The stored form of a migration's record. */
 export function encodeMigration(record: MigrationRecord): StoredMigration {
-  return renameFields(record, inverse(RECORD_FIELDS)) as StoredMigration;
+  return renameFields(record, invert(RECORD_FIELDS)) as StoredMigration;
 }
 
-/** Reads the result of a migration, which only this service writes. */
+/** Decodes the result of a migration without validation, since only this service writes it. */
 export function decodeMigrationResult(value: unknown): MigrationResult {
   return renameFields(value as StoredMigrationResult, RESULT_FIELDS) as MigrationResult;
 }
 
 /** The stored form of a migration's result. */
 export function encodeMigrationResult(result: MigrationResult): StoredMigrationResult {
-  return renameFields(result, inverse(RESULT_FIELDS)) as StoredMigrationResult;
+  return renameFields(result, invert(RESULT_FIELDS)) as StoredMigrationResult;
 }
 
-/** Renames some fields and keeps the others, which a later version may have added. */
+/** Renames the fields in `names` and keeps all others, which a later version may have added. */
 function renameFields(record: object, names: Readonly<Record<string, string>>): unknown {
   const fields: [string, unknown][] = Object.entries(record);
   return Object.fromEntries(fields.map(([name, value]) => [names[name] ?? name, value]));
 }
 
-function inverse(names: Readonly<Record<string, string>>): Record<string, string> {
+function invert(names: Readonly<Record<string, string>>): Record<string, string> {
   return Object.fromEntries(Object.entries(names).map(([from, to]) => [to, from]));
 }
