--- a/packages/replicas/group-state-machine.test.ts
+++ b/packages/replicas/group-state-machine.test.ts
@@ -13,34 +13,34 @@
 
 const MEMBERS = 3;
 
-function after(events: GroupEvent[], from: GroupState = newGroup(MEMBERS)): GroupState {
+function apply(events: GroupEvent[], from: GroupState = newGroup(MEMBERS)): GroupState {
   return events.reduce((state, event) => step(state, event).state, from);
 }
 
-function each(kind: 'placed' | 'inherited' | 'recorded' | 'running', generation: number) {
+function forAll(kind: 'placed' | 'inherited' | 'recorded' | 'running', generation: number) {
   return [0, 1, 2].map((member): GroupEvent => ({ kind, member, generation }));
 }
 
 test('nothing may start before every member has a durable place', () => {
-  const placed = after(each('placed', 7));
+  const placed = apply(forAll('placed', 7));
   assert.equal(phaseOf(placed), 'reserved');
-  const [first, second, third] = each('recorded', 7);
-  const almost = after([first, second], placed);
+  const [first, second, third] = forAll('recorded', 7);
+  const almost = apply([first, second], placed);
   assert.equal(mayStart(almost, 7), false);
-  const all = after([third], almost);
+  const all = apply([third], almost);
   assert.equal(mayStart(all, 7), true);
   assert.equal(mayStart(all, 6), false);
   assert.equal(phaseOf(all), 'starting');
-  assert.equal(phaseOf(after(each('running', 7), all)), 'whole');
+  assert.equal(phaseOf(apply(forAll('running', 7), all)), 'whole');
 });
 
 test('a member that runs goes on running when its record is written again', () => {
-  const whole = after([...each('placed', 7), ...each('recorded', 7), ...each('running', 7)]);
-  assert.equal(phaseOf(after(each('recorded', 7), whole)), 'whole');
+  const whole = apply([...forAll('placed', 7), ...forAll('recorded', 7), ...forAll('running', 7)]);
+  assert.equal(phaseOf(apply(forAll('recorded', 7), whole)), 'whole');
 });
 
 test('a lost member ends the rest, once, and no generation begins before all of it is gone', () => {
-  const whole = after([...each('placed', 7), ...each('recorded', 7), ...each('running', 7)]);
+  const whole = apply([...forAll('placed', 7), ...forAll('recorded', 7), ...forAll('running', 7)]);
   const lost = step(whole, { kind: 'gone', member: 1, generation: 7 });
   assert.deepEqual(
     lost.stop.map(({ member }) => member),
@@ -51,29 +51,29 @@
   assert.deepEqual(second.stop, []);
   assert.equal(mayBePlaced(second.state), false);
   assert.throws(() => step(second.state, { kind: 'placed', member: 0, generation: 8 }));
-  const gone = after([{ kind: 'gone', member: 2, generation: 7 }], second.state);
+  const gone = apply([{ kind: 'gone', member: 2, generation: 7 }], second.state);
   assert.equal(mayBePlaced(gone), true);
   assert.throws(() => step(gone, { kind: 'placed', member: 0, generation: 7 }), /generation 7/);
-  assert.equal(phaseOf(after(each('placed', 8), gone)), 'reserved');
+  assert.equal(phaseOf(apply(forAll('placed', 8), gone)), 'reserved');
 });
 
 test('a new leader adopts the newest generation if the records name all of it, and ends the others', () => {
   const old: GroupEvent = { kind: 'inherited', member: 1, generation: 5 };
-  const adopted = step(after([old, ...each('inherited', 7)]), { kind: 'loaded' });
+  const adopted = step(apply([old, ...forAll('inherited', 7)]), { kind: 'loaded' });
   assert.deepEqual(adopted.stop, [{ member: 1, generation: 5 }]);
   assert.equal(phaseOf(adopted.state), 'starting');
-  assert.equal(phaseOf(after(each('running', 7), adopted.state)), 'whole');
+  assert.equal(phaseOf(apply(forAll('running', 7), adopted.state)), 'whole');
 });
 
 test('a new leader ends a generation of which the records lack a member', () => {
-  const [first, second] = each('inherited', 7);
-  const judged = step(after([first, second]), { kind: 'loaded' });
+  const [first, second] = forAll('inherited', 7);
+  const judged = step(apply([first, second]), { kind: 'loaded' });
   assert.equal(judged.stop.length, 2);
   assert.equal(phaseOf(judged.state), 'repairing');
   assert.equal(judged.state.reason, 'incomplete-records');
 });
 
-const anEvent: fc.Arbitrary<GroupEvent> = fc.oneof(
+const arbitraryEvent: fc.Arbitrary<GroupEvent> = fc.oneof(
   fc.record({
     kind: fc.constantFrom('recorded', 'running', 'stopping', 'gone', 'unrecorded' as const),
     member: fc.nat(MEMBERS - 1),
@@ -88,8 +88,8 @@
 
 test('whatever happens, starts are of one complete generation, and stops of members that have a place', () => {
   fc.assert(
-    fc.property(fc.array(anEvent, { maxLength: 30 }), (events) => {
-      let state = after(each('placed', 7));
+    fc.property(fc.array(arbitraryEvent, { maxLength: 30 }), (events) => {
+      let state = apply(forAll('placed', 7));
       for (const event of events) {
         const before = state;
         const { state: next, stop } = step(state, event);
--- a/packages/replicas/group-state-machine.ts
+++ b/packages/replicas/group-state-machine.ts
@@ -108,21 +108,21 @@
 export function step(state: GroupState, event: GroupEvent): GroupStep {
   switch (event.kind) {
     case 'placed':
-      return unchanged(addPlace(state, event));
+      return toStep(addPlace(state, event));
     case 'inherited':
-      return unchanged(withPlace(state, { ...refOf(event), stage: 'recorded', ending: false }));
+      return toStep(addFoundPlace(state, { ...refOf(event), stage: 'recorded', ending: false }));
     case 'unrecorded':
-      return unchanged(withPlace(state, { ...refOf(event), stage: 'recorded', ending: true }));
+      return toStep(addFoundPlace(state, { ...refOf(event), stage: 'recorded', ending: true }));
     case 'loaded':
       return adoptInherited(state);
     case 'recorded':
-      return unchanged(markRecorded(state, event));
+      return toStep(markRecorded(state, event));
     case 'running':
-      return unchanged(markRunning(state, event));
+      return toStep(markRunning(state, event));
     case 'stopping':
       return endIfNewest(updatePlace(state, event, { ending: true }), event, 'member-stopped');
     case 'gone':
-      return endIfNewest(withoutPlace(state, event), event, 'member-lost');
+      return endIfNewest(removePlace(state, event), event, 'member-lost');
     case 'end':
       return endGeneration(state, event.reason);
   }
@@ -180,14 +180,14 @@
 }
 
 /** A place that was found, of whatever generation. */
-function withPlace(state: GroupState, added: MemberPlace): GroupState {
+function addFoundPlace(state: GroupState, added: MemberPlace): GroupState {
   const generation = Math.max(state.generation, added.generation);
   return { ...state, generation, places: [...state.places, added] };
 }
 
 /** A new leader adopts the newest generation if the records name all of it, and ends all others. */
 function adoptInherited(state: GroupState): GroupStep {
-  if (state.places.length === 0) return unchanged(state);
+  if (state.places.length === 0) return toStep(state);
   const isNewest = (each: MemberPlace) => each.generation === state.generation;
   if (!isComplete(state)) return endGeneration(state, 'incomplete-records');
   return stopPlaces(state, (each) => !isNewest(each));
@@ -195,7 +195,7 @@
 
 /** A machine's record is written again with each change of it; a member that runs goes on running. */
 function markRecorded(state: GroupState, event: MemberRef): GroupState {
-  const place = state.places.find((each) => isAt(each, event));
+  const place = state.places.find((each) => isPlaceOf(each, event));
   return place?.stage === 'reserved' ? updatePlace(state, event, { stage: 'recorded' }) : state;
 }
 
@@ -206,17 +206,17 @@
 
 /** The newest generation can't serve without the member. */
 function endIfNewest(state: GroupState, { generation }: MemberRef, reason: EndReason): GroupStep {
-  if (generation !== state.generation || state.ending) return unchanged(state);
+  if (generation !== state.generation || state.ending) return toStep(state);
   return endGeneration(state, reason);
 }
 
 function endGeneration(state: GroupState, reason: EndReason): GroupStep {
-  if (state.ending) return unchanged(state);
+  if (state.ending) return toStep(state);
   return stopPlaces({ ...state, ending: true, reason }, () => true);
 }
 
-function stopPlaces(state: GroupState, isStopped: (place: MemberPlace) => boolean): GroupStep {
-  const stopped = state.places.filter((each) => !each.ending && isStopped(each));
+function stopPlaces(state: GroupState, mustStop: (place: MemberPlace) => boolean): GroupStep {
+  const stopped = state.places.filter((each) => !each.ending && mustStop(each));
   const places = state.places.map((each) =>
     stopped.includes(each) ? { ...each, ending: true } : each,
   );
@@ -228,15 +228,15 @@
   ref: MemberRef,
   change: Partial<Pick<MemberPlace, 'stage' | 'ending'>>,
 ): GroupState {
-  const places = state.places.map((each) => (isAt(each, ref) ? { ...each, ...change } : each));
+  const places = state.places.map((each) => (isPlaceOf(each, ref) ? { ...each, ...change } : each));
   return { ...state, places };
 }
 
-function withoutPlace(state: GroupState, ref: MemberRef): GroupState {
-  return { ...state, places: state.places.filter((each) => !isAt(each, ref)) };
+function removePlace(state: GroupState, ref: MemberRef): GroupState {
+  return { ...state, places: state.places.filter((each) => !isPlaceOf(each, ref)) };
 }
 
-function isAt(place: MemberPlace, { member, generation }: MemberRef): boolean {
+function isPlaceOf(place: MemberPlace, { member, generation }: MemberRef): boolean {
   return place.member === member && place.generation === generation;
 }
 
@@ -244,6 +244,6 @@
   return { member, generation };
 }
 
-function unchanged(state: GroupState): GroupStep {
+function toStep(state: GroupState): GroupStep {
   return { state, stop: [] };
 }
--- a/packages/replicas/job-replica-groups.ts
+++ b/packages/replicas/job-replica-groups.ts
@@ -10,13 +10,13 @@
 } from './group-state-machine.js';
 
 /** What the groups of one job ask of the groups of all jobs. */
-export interface GroupRegistry {
+export interface GroupCoordinator {
   /** A group gets its first place. */
   groupAdded(group: ReplicaGroup): void;
   /** Applies an event to a group, and does what follows from it. */
   apply(group: ReplicaGroup, event: GroupEvent, now: number): void;
   /** Ends the whole generation of a group. */
-  end(group: ReplicaGroup, reason: EndReason, now: number): void;
+  endGeneration(group: ReplicaGroup, reason: EndReason, now: number): void;
   /** The cloud takes the machine of a member back. */
   moveOff(group: ReplicaGroup, now: number): void;
   /** Whether one more replica that is being repaired may start now. */
@@ -39,33 +39,33 @@
   constructor(
     private readonly job: JobState,
     shape: ReplicaShape,
-    private readonly registry: GroupRegistry,
+    private readonly coordinator: GroupCoordinator,
   ) {
     this.members = shape.members;
     this.sameZone = shape.sameZone;
   }
 
-  private get size(): number {
+  private get replicaCount(): number {
     return Math.floor(this.job.spec.tasks / this.members);
   }
 
   /** Groups that never had a place. */
-  get neverPlaced(): number {
-    return this.size - this.groups.size;
+  get neverPlacedCount(): number {
+    return this.replicaCount - this.groups.size;
   }
 
   /** Groups that have or had places. */
-  known(): IterableIterator<ReplicaGroup> {
+  everPlaced(): IterableIterator<ReplicaGroup> {
     return this.groups.values();
   }
 
   placeAdded(assignment: Assignment, origin: PlaceOrigin, now: number): void {
     if (this.closed) return;
-    const group = this.groupOf(assignment.index, now);
-    const isFirst = mayBePlaced(group.state);
-    this.registry.apply(group, { kind: origin, ...this.refOf(assignment) }, now);
+    const group = this.findOrCreateGroup(assignment.index, now);
+    const beginsGeneration = mayBePlaced(group.state);
+    this.coordinator.apply(group, { kind: origin, ...this.refOf(assignment) }, now);
     this.withoutPlaces.delete(group);
-    if (isFirst) group.placedAt = now;
+    if (beginsGeneration) group.placedAt = now;
   }
 
   placeRecorded(assignment: Assignment, now: number): void {
@@ -82,27 +82,27 @@
 
   placeEnded(assignment: Assignment, cause: TaskEnd['cause'], now: number): void {
     if (this.closed) return;
-    const group = this.groupOf(assignment.index, now);
+    const group = this.findOrCreateGroup(assignment.index, now);
     if (cause !== 'stopped') group.lostBy = cause;
-    this.registry.apply(group, { kind: 'gone', ...this.refOf(assignment) }, now);
+    this.coordinator.apply(group, { kind: 'gone', ...this.refOf(assignment) }, now);
     if (mayBePlaced(group.state)) this.withoutPlaces.add(group);
   }
 
   mayStart({ index, attempt }: Assignment): boolean {
-    const group = this.groups.get(this.replicaOf(index));
+    const group = this.groups.get(this.replicaIndexOf(index));
     return group !== undefined && mayStart(group.state, attempt);
   }
 
   preempt(assignment: Assignment, now: number): void {
-    this.registry.end(this.groupOf(assignment.index, now), 'preempted', now);
+    this.coordinator.endGeneration(this.findOrCreateGroup(assignment.index, now), 'preempted', now);
   }
 
   moveOff(assignment: Assignment, now: number): void {
-    this.registry.moveOff(this.groupOf(assignment.index, now), now);
+    this.coordinator.moveOff(this.findOrCreateGroup(assignment.index, now), now);
   }
 
   placesWith({ index, attempt }: Assignment): Assignment[] {
-    const group = this.groups.get(this.replicaOf(index));
+    const group = this.groups.get(this.replicaIndexOf(index));
     return group ? [...group.assignments()].filter((each) => each.attempt === attempt) : [];
   }
 
@@ -110,12 +110,16 @@
     const indices: number[] = [];
     for (const group of this.withoutPlaces) {
       if (indices.length === limit) return indices;
-      if (group.backoffUntil <= now && this.registry.mayStartRepair(group))
+      if (group.backoffUntil <= now && this.coordinator.mayStartRepair(group))
         indices.push(group.index);
     }
-    while (this.firstNeverPlaced < this.size && this.groups.has(this.firstNeverPlaced))
+    while (this.firstNeverPlaced < this.replicaCount && this.groups.has(this.firstNeverPlaced))
       this.firstNeverPlaced++;
-    for (let index = this.firstNeverPlaced; index < this.size && indices.length < limit; index++) {
+    for (
+      let index = this.firstNeverPlaced;
+      index < this.replicaCount && indices.length < limit;
+      index++
+    ) {
       if (!this.groups.has(index)) indices.push(index);
     }
     return indices;
@@ -123,7 +127,7 @@
 
   jobClosed(): void {
     this.closed = true;
-    this.registry.jobClosed(this.job, this);
+    this.coordinator.jobClosed(this.job, this);
   }
 
   private applyEvent(
@@ -132,22 +136,22 @@
     now: number,
   ): void {
     if (this.closed) return;
-    const group = this.groupOf(assignment.index, now);
-    this.registry.apply(group, { kind, ...this.refOf(assignment) }, now);
+    const group = this.findOrCreateGroup(assignment.index, now);
+    this.coordinator.apply(group, { kind, ...this.refOf(assignment) }, now);
   }
 
-  private groupOf(taskIndex: number, now: number): ReplicaGroup {
-    const index = this.replicaOf(taskIndex);
+  private findOrCreateGroup(taskIndex: number, now: number): ReplicaGroup {
+    const index = this.replicaIndexOf(taskIndex);
     let group = this.groups.get(index);
     if (!group) {
       group = new ReplicaGroup(this.job, index, this.members, now);
       this.groups.set(index, group);
-      this.registry.groupAdded(group);
+      this.coordinator.groupAdded(group);
     }
     return group;
   }
 
-  private replicaOf(taskIndex: number): number {
+  private replicaIndexOf(taskIndex: number): number {
     return Math.floor(taskIndex / this.members);
   }
 
--- a/packages/replicas/replica-exploration.test.ts
+++ b/packages/replicas/replica-exploration.test.ts
@@ -3,20 +3,20 @@
 import { isDeepStrictEqual } from 'node:util';
 import { exploreReplicas, type ReplicaBudget, type ReplicaMistake } from '#testing';
 
-const QUIET = { failures: 0, leaderChanges: 0, lostCommands: 0, requests: 0 };
-const FAILURE: ReplicaBudget = { ...QUIET, failures: 1 };
-const LEADER_CHANGES: ReplicaBudget = { ...QUIET, leaderChanges: 1 };
-const FAILURE_AND_REQUEST: ReplicaBudget = { ...QUIET, failures: 1, requests: 1 };
-const FAILURE_AND_LEADER_CHANGE: ReplicaBudget = { ...QUIET, failures: 1, leaderChanges: 1 };
+const NO_EVENTS = { failures: 0, leaderChanges: 0, lostCommands: 0, requests: 0 };
+const FAILURE: ReplicaBudget = { ...NO_EVENTS, failures: 1 };
+const LEADER_CHANGES: ReplicaBudget = { ...NO_EVENTS, leaderChanges: 1 };
+const FAILURE_AND_REQUEST: ReplicaBudget = { ...NO_EVENTS, failures: 1, requests: 1 };
+const FAILURE_AND_LEADER_CHANGE: ReplicaBudget = { ...NO_EVENTS, failures: 1, leaderChanges: 1 };
 
 /** How many states there are; a model that tells like states apart has more. */
-const EXPLORED = [
+const EXPECTED_STATES = [
   { budget: LEADER_CHANGES, states: 32657 },
   { budget: FAILURE_AND_REQUEST, states: 24304 },
 ];
 
 /** `REPLICA_BUDGET=2,1,1,1` in the environment explores that many failures, changes of leader, lost commands and requests. */
-function budgets(): ReplicaBudget[] {
+function budgetsToExplore(): ReplicaBudget[] {
   const given = process.env.REPLICA_BUDGET?.split(',').map(Number);
   if (!given) return [LEADER_CHANGES, FAILURE_AND_REQUEST];
   const [failures, leaderChanges, lostCommands, requests] = given;
@@ -24,18 +24,18 @@
 }
 
 test('no order of events gives a broken answer or two generations, and every order leads to a whole replica', () => {
-  for (const budget of budgets()) {
+  for (const budget of budgetsToExplore()) {
     const { states, breach, stuck } = exploreReplicas(budget, 'none');
     console.log(`${JSON.stringify(budget)}: ${states} states`);
     assert.deepEqual({ breach, stuck }, { breach: null, stuck: null });
     assert.ok(states > 1000, `${states} states`);
-    const known = EXPLORED.find((each) => isDeepStrictEqual(each.budget, budget));
+    const known = EXPECTED_STATES.find((each) => isDeepStrictEqual(each.budget, budget));
     if (known) assert.equal(states, known.states);
   }
 });
 
 // Each guard is shown to be needed by a world without it.
-const harmful: [ReplicaMistake, ReplicaBudget, string][] = [
+const harmfulMistakes: [ReplicaMistake, ReplicaBudget, string][] = [
   ['starts-unrecorded', LEADER_CHANGES, 'two generations'],
   ['places-before-gone', FAILURE, 'two generations'],
   ['keeps-the-rest', FAILURE, 'incomplete generation kept'],
@@ -45,8 +45,8 @@
   ['trusts-silence', FAILURE, 'two generations'],
   ['answers-without-mates', FAILURE_AND_REQUEST, 'broken answer'],
 ];
-for (const [mistake, budget, what] of harmful) {
+for (const [mistake, budget, expectedBreach] of harmfulMistakes) {
   test(`the exploration finds a breach if one ${mistake}`, () => {
-    assert.equal(exploreReplicas(budget, mistake).breach?.what, what);
+    assert.equal(exploreReplicas(budget, mistake).breach?.what, expectedBreach);
   });
 }
--- a/packages/replicas/replica-group.ts
+++ b/packages/replicas/replica-group.ts
@@ -25,7 +25,7 @@
   state: GroupState;
   phase: GroupPhase = 'waiting';
   /** Since when it is in this phase. */
-  since: number;
+  phaseSince: number;
   /** When a generation of it first ended since it was last whole; null if none did. */
   incompleteSince: number | null = null;
   /** How the member that was lost last ended. */
@@ -45,7 +45,7 @@
     now: number,
   ) {
     this.state = newGroup(members);
-    this.since = now;
+    this.phaseSince = now;
   }
 
   /** Applies an event; returns the members to be stopped, and the change of phase or null. */
@@ -57,7 +57,7 @@
     const to = phaseOf(state);
     if (from === to) return { stop, change: null };
     this.phase = to;
-    this.since = now;
+    this.phaseSince = now;
     return { stop, change: { group: this, from, to, reason: state.reason ?? reason } };
   }
 
--- a/packages/replicas/replica-groups.test.ts
+++ b/packages/replicas/replica-groups.test.ts
@@ -14,7 +14,7 @@
 import type { Recovery } from './replica-groups.js';
 import { ReplicaGroups } from './replica-groups.js';
 
-const SCHEDULE = {
+const SCHEDULER_OPTIONS = {
   floorWeight: 0.05,
   preemptAfterS: 2,
   gangLeaseS: 120,
@@ -23,7 +23,7 @@
 };
 
 /** A fleet with replica groups, and machines of four accelerators in zones a and b by turns. */
-class GroupWorld {
+class GroupSetup {
   readonly recovered: Recovery[] = [];
   readonly groups = new ReplicaGroups({
     leaseS: 10,
@@ -39,7 +39,7 @@
     this.fleet = aFleet({ makeReplicas: (job, shape) => this.groups.make(job, shape) });
     this.groups.attach(this.fleet);
     for (let i = 0; i < machines; i++) this.addMachine(`n-${i}`, i % 2 === 0 ? 'a' : 'b');
-    this.scheduler = new Scheduler(this.fleet, new Map([['red', quota]]), SCHEDULE);
+    this.scheduler = new Scheduler(this.fleet, new Map([['red', quota]]), SCHEDULER_OPTIONS);
   }
 
   addMachine(name: string, zone: string) {
@@ -55,7 +55,7 @@
   }
 
   /** All that was placed is recorded, started and in the heartbeats as running. */
-  settle(now: number): void {
+  recordAndRunAll(now: number): void {
     for (const assignment of this.assignments())
       this.fleet.assignments.markRecorded(assignment, now);
     for (const { name } of this.fleet.machines.values()) this.heartbeat(name, now);
@@ -82,42 +82,42 @@
 }
 
 test('a replica gets places for all of its members or for none, however many others wait', () => {
-  const world = new GroupWorld(5);
-  world.submit({ id: 'j-1', tasks: 3 }, 3);
-  world.submit({ id: 'j-2', tasks: 3 }, 3);
-  assert.equal(world.scheduler.place(1), 3);
-  const placed = world.assignments();
+  const setup = new GroupSetup(5);
+  setup.submit({ id: 'j-1', tasks: 3 }, 3);
+  setup.submit({ id: 'j-2', tasks: 3 }, 3);
+  assert.equal(setup.scheduler.place(1), 3);
+  const placed = setup.assignments();
   assert.equal(
     new Set(placed.map(({ job }) => job)).size,
     1,
     'the other holds no part of the capacity',
   );
   assert.equal(new Set(placed.map(({ attempt }) => attempt)).size, 1, 'one generation');
-  world.addMachine('n-5', 'b');
-  assert.equal(world.scheduler.place(2), 3);
+  setup.addMachine('n-5', 'b');
+  assert.equal(setup.scheduler.place(2), 3);
 });
 
 test('the limit of a team counts all members', () => {
-  const world = new GroupWorld(6, { ...NO_QUOTA, gpuLimit: 20 });
-  world.submit({ tasks: 6 }, 3);
-  assert.equal(world.scheduler.place(1), 3);
-  assert.equal(world.fleet.usage.ofTeam('red').gpus, 12);
+  const setup = new GroupSetup(6, { ...NO_QUOTA, gpuLimit: 20 });
+  setup.submit({ tasks: 6 }, 3);
+  assert.equal(setup.scheduler.place(1), 3);
+  assert.equal(setup.fleet.usage.ofTeam('red').gpus, 12);
 });
 
 test('members that must share a zone do, also if another zone has more capacity', () => {
-  const world = new GroupWorld(4);
-  world.submit({ tasks: 3 }, 3, true);
-  assert.equal(world.scheduler.place(1), 0, 'two machines in each zone');
-  world.addMachine('n-4', 'b');
-  assert.equal(world.scheduler.place(2), 3);
-  assert.deepEqual(new Set(world.assignments().map(({ machine }) => machine.zone)), new Set(['b']));
+  const setup = new GroupSetup(4);
+  setup.submit({ tasks: 3 }, 3, true);
+  assert.equal(setup.scheduler.place(1), 0, 'two machines in each zone');
+  setup.addMachine('n-4', 'b');
+  assert.equal(setup.scheduler.place(2), 3);
+  assert.deepEqual(new Set(setup.assignments().map(({ machine }) => machine.zone)), new Set(['b']));
 });
 
 test('machines for members that must share a zone are requested in one, also if others have some capacity', () => {
-  const world = new GroupWorld(4);
-  world.submit({ tasks: 3 }, 3, true);
+  const setup = new GroupSetup(4);
+  setup.submit({ tasks: 3 }, 3, true);
   const planner = new CapacityPlanner({
-    fleet: world.fleet,
+    fleet: setup.fleet,
     settings: { reserveSigmas: 0, idleHoldS: 60, memoryS: 120 },
     objectives: [],
     teams: new Map([['red', NO_QUOTA]]),
@@ -128,83 +128,83 @@
   planner.scaleOutRefused(scaleOut[0], 100);
   const [other] = planner.plan(2).scaleOut;
   assert.notEqual(other.zone, scaleOut[0].zone, 'a zone that gives no machines is left');
-  world.addMachine('n-4', scaleOut[0].zone);
-  world.fleet.machines.updateTotals();
+  setup.addMachine('n-4', scaleOut[0].zone);
+  setup.fleet.machines.updateTotals();
   assert.deepEqual(planner.plan(3).scaleOut, []);
 });
 
 test('a start is sent only when the places of all members are durable', () => {
-  const world = new GroupWorld(3);
-  world.submit({ tasks: 3 }, 3);
-  world.scheduler.place(1);
-  const [first, second, third] = world.assignments();
-  const orders = (name: string, sequence: number) => {
-    const { zone } = world.fleet.machines.get(name)!;
-    const outcome = world.fleet.heartbeats.handle(aHeartbeat({ machine: name, zone, sequence }), 1);
+  const setup = new GroupSetup(3);
+  setup.submit({ tasks: 3 }, 3);
+  setup.scheduler.place(1);
+  const [first, second, third] = setup.assignments();
+  const countOrders = (name: string, sequence: number) => {
+    const { zone } = setup.fleet.machines.get(name)!;
+    const outcome = setup.fleet.heartbeats.handle(aHeartbeat({ machine: name, zone, sequence }), 1);
     return outcome.kind === 'answer' ? outcome.orders.length : -1;
   };
-  world.fleet.assignments.markRecorded(first, 1);
-  world.fleet.assignments.markRecorded(second, 1);
-  assert.equal(orders(first.machine.name, 1), 0);
-  world.fleet.assignments.markRecorded(third, 1);
-  assert.equal(orders(first.machine.name, 2), 1);
+  setup.fleet.assignments.markRecorded(first, 1);
+  setup.fleet.assignments.markRecorded(second, 1);
+  assert.equal(countOrders(first.machine.name, 1), 0);
+  setup.fleet.assignments.markRecorded(third, 1);
+  assert.equal(countOrders(first.machine.name, 2), 1);
 });
 
 test('survivors of a lost member are stopped, their capacity is held, and all start again together', () => {
-  const world = new GroupWorld(4);
-  world.submit({ tasks: 3 }, 3);
-  world.scheduler.place(1);
-  world.settle(2);
-  assert.equal(world.groups.countByPhase().whole, 1);
-  const before = world.assignments();
-  world.fleet.removeMachine(before[0].machine.name, 50);
+  const setup = new GroupSetup(4);
+  setup.submit({ tasks: 3 }, 3);
+  setup.scheduler.place(1);
+  setup.recordAndRunAll(2);
+  assert.equal(setup.groups.countByPhase().whole, 1);
+  const before = setup.assignments();
+  setup.fleet.removeMachine(before[0].machine.name, 50);
   const survivors = before.slice(1);
   assert.ok(survivors.every(({ stop }) => stop !== null));
   assert.ok(survivors.every(({ machine }) => machine.capacityHold !== null));
-  assert.equal(world.scheduler.place(50), 0, 'the old generation is not gone yet');
-  for (const { machine } of survivors) world.heartbeat(machine.name, 51);
-  assert.equal(world.scheduler.place(51), 3);
-  const after = world.assignments();
+  assert.equal(setup.scheduler.place(50), 0, 'the old generation is not gone yet');
+  for (const { machine } of survivors) setup.heartbeat(machine.name, 51);
+  assert.equal(setup.scheduler.place(51), 3);
+  const after = setup.assignments();
   assert.equal(new Set(after.map(({ attempt }) => attempt)).size, 1);
   assert.ok(after[0].attempt > before[0].attempt);
   for (const { machine } of survivors) assert.ok(after.some((each) => each.machine === machine));
-  world.settle(52);
+  setup.recordAndRunAll(52);
   assert.deepEqual(
-    world.recovered.map(({ reason, tookS }) => ({ reason, tookS })),
+    setup.recovered.map(({ reason, tookS }) => ({ reason, tookS })),
     [{ reason: 'member-lost', tookS: 2 }],
   );
 });
 
 test('a start that is not whole in time releases its capacity, and is placed again after a growing backoff', () => {
-  const world = new GroupWorld(3);
-  world.submit({ tasks: 3, imageGb: 5 }, 3);
-  world.scheduler.place(1);
+  const setup = new GroupSetup(3);
+  setup.submit({ tasks: 3, imageGb: 5 }, 3);
+  setup.scheduler.place(1);
   // Two leases of 10 s and three times the 5 s that a fetch takes.
-  world.groups.expireStarts(36);
-  assert.equal(world.assignments().length, 3);
-  world.groups.expireStarts(36.1);
-  assert.equal(world.assignments().length, 0, 'nothing was sent, so all of it is gone at once');
-  assert.equal(world.scheduler.place(46), 0);
-  assert.equal(world.scheduler.place(46.1), 3);
-  world.groups.expireStarts(46.1 + 70);
-  assert.equal(world.assignments().length, 3, 'the second time is twice as long');
-  world.groups.expireStarts(46.1 + 70.1);
-  assert.equal(world.assignments().length, 0);
+  setup.groups.expireStarts(36);
+  assert.equal(setup.assignments().length, 3);
+  setup.groups.expireStarts(36.1);
+  assert.equal(setup.assignments().length, 0, 'nothing was sent, so all of it is gone at once');
+  assert.equal(setup.scheduler.place(46), 0);
+  assert.equal(setup.scheduler.place(46.1), 3);
+  setup.groups.expireStarts(46.1 + 70);
+  assert.equal(setup.assignments().length, 3, 'the second time is twice as long');
+  setup.groups.expireStarts(46.1 + 70.1);
+  assert.equal(setup.assignments().length, 0);
 });
 
 test('no more replicas are repaired at the same time than the limit allows, urgent ranks first', () => {
-  const world = new GroupWorld(24);
-  for (let i = 0; i < 12; i++) world.submit({ id: `j-${i}`, tasks: 2, rank: i < 6 ? 2 : 1 }, 2);
-  world.scheduler.place(1);
-  world.settle(2);
-  assert.equal(world.groups.countByPhase().whole, 12);
-  const inZone = [...world.fleet.machines.values()].filter(({ zone }) => zone === 'a');
-  for (const { name } of inZone) world.fleet.removeMachine(name, 50);
-  for (let i = 0; i < 12; i++) world.addMachine(`m-${i}`, 'b');
-  for (const { name } of world.fleet.machines.values()) world.heartbeat(name, 51);
-  world.scheduler.place(52);
+  const setup = new GroupSetup(24);
+  for (let i = 0; i < 12; i++) setup.submit({ id: `j-${i}`, tasks: 2, rank: i < 6 ? 2 : 1 }, 2);
+  setup.scheduler.place(1);
+  setup.recordAndRunAll(2);
+  assert.equal(setup.groups.countByPhase().whole, 12);
+  const inZone = [...setup.fleet.machines.values()].filter(({ zone }) => zone === 'a');
+  for (const { name } of inZone) setup.fleet.removeMachine(name, 50);
+  for (let i = 0; i < 12; i++) setup.addMachine(`m-${i}`, 'b');
+  for (const { name } of setup.fleet.machines.values()) setup.heartbeat(name, 51);
+  setup.scheduler.place(52);
   const starting = new Set(
-    world
+    setup
       .assignments()
       .filter(({ recorded }) => !recorded)
       .map(({ job }) => job),
@@ -214,64 +214,64 @@
 });
 
 test('a new leader adopts a replica that its records name whole, and ends one that they name in part', () => {
-  const world = new GroupWorld(5);
-  const whole = world.submit({ id: 'j-1', tasks: 3 }, 3);
-  const partial = world.submit({ id: 'j-2', tasks: 3 }, 3);
-  const machines = [...world.fleet.machines.values()];
+  const setup = new GroupSetup(5);
+  const whole = setup.submit({ id: 'j-1', tasks: 3 }, 3);
+  const partial = setup.submit({ id: 'j-2', tasks: 3 }, 3);
+  const machines = [...setup.fleet.machines.values()];
   [0, 1, 2].forEach((index) =>
-    world.fleet.assignments.inherit(whole, index, machines[index], 77, 0),
+    setup.fleet.assignments.inherit(whole, index, machines[index], 77, 0),
   );
   [0, 1].forEach((index) =>
-    world.fleet.assignments.inherit(partial, index, machines[index + 3], 78, 0),
+    setup.fleet.assignments.inherit(partial, index, machines[index + 3], 78, 0),
   );
-  world.groups.loaded(0);
-  const stopped = world.assignments().filter(({ stop }) => stop !== null);
+  setup.groups.loaded(0);
+  const stopped = setup.assignments().filter(({ stop }) => stop !== null);
   assert.deepEqual(new Set(stopped.map(({ job }) => job.spec.id)), new Set(['j-2']));
   assert.equal(stopped.length, 2);
 });
 
 test('urgent work preempts a replica as a whole', () => {
-  const world = new GroupWorld(3);
-  world.submit({ id: 'j-1', tasks: 3, rank: 3 }, 3);
-  world.scheduler.place(1);
-  world.settle(2);
-  world.fleet.addJob(aJob({ id: 'j-2', rank: 0, gpus: 4 }), 40, 'accepted', 40);
-  world.scheduler.round(60);
-  const members = world.assignments().filter(({ job }) => job.spec.id === 'j-1');
+  const setup = new GroupSetup(3);
+  setup.submit({ id: 'j-1', tasks: 3, rank: 3 }, 3);
+  setup.scheduler.place(1);
+  setup.recordAndRunAll(2);
+  setup.fleet.addJob(aJob({ id: 'j-2', rank: 0, gpus: 4 }), 40, 'accepted', 40);
+  setup.scheduler.round(60);
+  const members = setup.assignments().filter(({ job }) => job.spec.id === 'j-1');
   assert.equal(members.length, 3);
   assert.ok(members.every(({ stop }) => stop !== null));
 });
 
 test('work is preempted for a replica only if all of its members get capacity', () => {
-  const world = new GroupWorld(2);
-  const low = world.fleet.addJob(
+  const setup = new GroupSetup(2);
+  const low = setup.fleet.addJob(
     aJob({ id: 'j-1', kind: 'service', rank: 3, tasks: 2, gpus: 4 }),
     0,
     'accepted',
     0,
   );
-  world.scheduler.place(1);
-  world.settle(2);
-  world.submit({ id: 'j-2', tasks: 3, rank: 0 }, 3, false, 10);
-  world.scheduler.round(60);
+  setup.scheduler.place(1);
+  setup.recordAndRunAll(2);
+  setup.submit({ id: 'j-2', tasks: 3, rank: 0 }, 3, false, 10);
+  setup.scheduler.round(60);
   const isStopped = () => [...low.assignments.values()].flat().map(({ stop }) => stop !== null);
   assert.deepEqual(isStopped(), [false, false], 'a third machine is missing');
-  world.addMachine('n-2', 'a');
-  world.fleet.machines.updateTotals();
-  world.scheduler.round(61);
+  setup.addMachine('n-2', 'a');
+  setup.fleet.machines.updateTotals();
+  setup.scheduler.round(61);
   assert.deepEqual(isStopped(), [true, true]);
 });
 
 test('a reclaim notice moves a replica once there is capacity for its members elsewhere, or when little time is left', () => {
-  const world = new GroupWorld(3);
-  world.submit({ tasks: 3 }, 3);
-  world.scheduler.place(1);
-  world.settle(2);
-  const [member] = world.assignments();
-  world.fleet.machines.setReclaimAt(member.machine, 100);
+  const setup = new GroupSetup(3);
+  setup.submit({ tasks: 3 }, 3);
+  setup.scheduler.place(1);
+  setup.recordAndRunAll(2);
+  const [member] = setup.assignments();
+  setup.fleet.machines.setReclaimAt(member.machine, 100);
   member.job.replicas!.moveOff(member, 50);
   assert.equal(member.stop, null, 'there is no other machine');
   member.job.replicas!.moveOff(member, 91);
-  assert.ok(world.assignments().every(({ stop }) => stop !== null));
-  assert.equal(world.groups.countByPhase().moving, 1);
+  assert.ok(setup.assignments().every(({ stop }) => stop !== null));
+  assert.equal(setup.groups.countByPhase().moving, 1);
 });
--- a/packages/replicas/replica-groups.ts
+++ b/packages/replicas/replica-groups.ts
@@ -1,12 +1,12 @@
 /** The replica groups of all jobs in the fleet of one leader. */
 import type { Assignment, FleetState, JobReplicas, JobState, Random, ReplicaShape } from '#core';
 import type { EndReason, GroupEvent, GroupPhase, MemberRef } from './group-state-machine.js';
-import { type GroupRegistry, JobReplicaGroups } from './job-replica-groups.js';
+import { type GroupCoordinator, JobReplicaGroups } from './job-replica-groups.js';
 import { ReplicaCapacity } from './replica-capacity.js';
 import type { ReplicaGroup, PhaseChange } from './replica-group.js';
-import { backoffS, repairsAtOnce, startDeadlineS } from './start-limits.js';
+import { backoffS, maxConcurrentRepairs, startDeadlineS } from './start-limits.js';
 
-const NO_GROUPS: Record<GroupPhase, number> = {
+const ZERO_PHASE_COUNTS: Record<GroupPhase, number> = {
   waiting: 0,
   reserved: 0,
   starting: 0,
@@ -49,14 +49,14 @@
  * The replica groups of one leader's fleet. Work is done when something happens to a group, and in each round for
  * those that are starting; groups at rest cost nothing. Times are steady seconds.
  */
-export class ReplicaGroups implements GroupRegistry {
+export class ReplicaGroups implements GroupCoordinator {
   private attached: AttachedFleet | null = null;
-  private readonly jobs = new Map<JobState, JobReplicaGroups>();
+  private readonly groupsByJob = new Map<JobState, JobReplicaGroups>();
   /** Groups that have places and are neither whole nor ending. */
   private readonly starting = new Set<ReplicaGroup>();
   /** Those among them that were whole, or starting, before. */
   private readonly startingRepairs = new Set<ReplicaGroup>();
-  private readonly phases = new Map<GroupPhase, number>();
+  private readonly phaseCounts = new Map<GroupPhase, number>();
 
   constructor(private readonly options: ReplicaGroupsOptions) {}
 
@@ -69,7 +69,7 @@
   /** Makes the groups of a job. */
   make(job: JobState, shape: ReplicaShape): JobReplicas {
     const groups = new JobReplicaGroups(job, shape, this);
-    this.jobs.set(job, groups);
+    this.groupsByJob.set(job, groups);
     return groups;
   }
 
@@ -90,13 +90,13 @@
 
   /** Groups that have or had places. */
   *groups(): Generator<ReplicaGroup> {
-    for (const job of this.jobs.values()) yield* job.known();
+    for (const jobGroups of this.groupsByJob.values()) yield* jobGroups.everPlaced();
   }
 
   /** Number of groups by phase. */
   countByPhase(): Record<GroupPhase, number> {
-    const counts = { ...NO_GROUPS, ...Object.fromEntries(this.phases) };
-    for (const job of this.jobs.values()) counts.waiting += job.neverPlaced;
+    const counts = { ...ZERO_PHASE_COUNTS, ...Object.fromEntries(this.phaseCounts) };
+    for (const jobGroups of this.groupsByJob.values()) counts.waiting += jobGroups.neverPlacedCount;
     return counts;
   }
 
@@ -113,7 +113,7 @@
   }
 
   /** Ends the whole generation of a group. */
-  end(group: ReplicaGroup, reason: EndReason, now: number): void {
+  endGeneration(group: ReplicaGroup, reason: EndReason, now: number): void {
     this.apply(group, { kind: 'end', reason }, now);
   }
 
@@ -126,20 +126,20 @@
     const isUrgent = reclaimTimes.some((reclaimAt) => reclaimAt - now < this.options.leaseS);
     const { capacity } = this.requireAttached();
     const isCapacityHeld = capacity.holdForMembers(group, reclaimTimes.length, now);
-    if (isCapacityHeld || isUrgent) this.end(group, 'notice', now);
+    if (isCapacityHeld || isUrgent) this.endGeneration(group, 'notice', now);
   }
 
   /** Whether one more replica that is being repaired may start now; a first start always may. */
   mayStartRepair(group: ReplicaGroup): boolean {
     if (group.incompleteSince === null) return true;
     const { machines } = this.requireAttached().fleet;
-    return this.startingRepairs.size < repairsAtOnce(machines.size);
+    return this.startingRepairs.size < maxConcurrentRepairs(machines.size);
   }
 
   /** Forgets the groups of a job that is over for its user. */
   jobClosed(job: JobState, groups: JobReplicaGroups): void {
-    this.jobs.delete(job);
-    for (const group of groups.known()) {
+    this.groupsByJob.delete(job);
+    for (const group of groups.everPlaced()) {
       this.starting.delete(group);
       this.startingRepairs.delete(group);
       this.countPhase(group.phase, -1);
@@ -151,15 +151,15 @@
     this.countPhase(from, -1);
     this.countPhase(to, 1);
     const isStarting = to === 'reserved' || to === 'starting';
-    setMembership(this.starting, group, isStarting);
-    setMembership(this.startingRepairs, group, isStarting && group.incompleteSince !== null);
+    setIncluded(this.starting, group, isStarting);
+    setIncluded(this.startingRepairs, group, isStarting && group.incompleteSince !== null);
     if (to === 'whole') this.recordRecovery(group, reason, now);
     else if (!isStarting) group.incompleteSince ??= now;
     this.options.listener.phaseChanged(change, now);
   }
 
   private countPhase(phase: GroupPhase, by: 1 | -1): void {
-    this.phases.set(phase, (this.phases.get(phase) ?? 0) + by);
+    this.phaseCounts.set(phase, (this.phaseCounts.get(phase) ?? 0) + by);
   }
 
   private recordRecovery(group: ReplicaGroup, reason: EndReason | null, now: number): void {
@@ -174,7 +174,7 @@
     const { leaseS, random } = this.options;
     group.failedStarts++;
     group.backoffUntil = now + backoffS(leaseS, group.failedStarts, random());
-    this.end(group, 'start-deadline', now);
+    this.endGeneration(group, 'start-deadline', now);
   }
 
   private stopMembers(group: ReplicaGroup, stop: MemberRef[], now: number): void {
@@ -197,7 +197,7 @@
   }
 }
 
-function setMembership(groups: Set<ReplicaGroup>, group: ReplicaGroup, isMember: boolean): void {
-  if (isMember) groups.add(group);
+function setIncluded(groups: Set<ReplicaGroup>, group: ReplicaGroup, isIncluded: boolean): void {
+  if (isIncluded) groups.add(group);
   else groups.delete(group);
 }
--- a/packages/replicas/replica-rows.ts
+++ b/packages/replicas/replica-rows.ts
@@ -3,7 +3,7 @@
 import type { EndReason, GroupPhase } from './group-state-machine.js';
 import type { ReplicaGroups } from './replica-groups.js';
 
-const TENTHS = 10;
+const TENTHS_PER_SECOND = 10;
 
 /** One replica. */
 export interface ReplicaRow {
@@ -29,19 +29,19 @@
 }
 
 function rowOf(group: ReplicaGroup, now: number): ReplicaRow {
-  const { job, index, state, phase, since } = group;
+  const { job, index, state, phase, phaseSince } = group;
   return {
     job: job.spec.id,
     class: job.spec.class,
     replica: index,
     generation: state.generation,
     phase,
-    forS: roundToTenths(now - since),
+    forS: roundToTenths(now - phaseSince),
     why: state.reason,
     machines: [...group.assignments()].map(({ machine }) => machine.name),
   };
 }
 
 function roundToTenths(seconds: number): number {
-  return Math.round(seconds * TENTHS) / TENTHS;
+  return Math.round(seconds * TENTHS_PER_SECOND) / TENTHS_PER_SECOND;
 }
--- a/packages/replicas/replica-shapes.test.ts
+++ b/packages/replicas/replica-shapes.test.ts
@@ -8,32 +8,32 @@
   whole: { members: 'job' as const, sameZone: false },
 };
 
-function aService(own: object) {
+function makeService(own: object) {
   return aJob({ kind: 'service', ...own });
 }
 
 test('only services of the classes have replicas of several members', () => {
-  assert.deepEqual(replicaShapeOf(aService({ class: 'fixed', tasks: 6 }), CLASSES), {
+  assert.deepEqual(replicaShapeOf(makeService({ class: 'fixed', tasks: 6 }), CLASSES), {
     members: 3,
     sameZone: true,
   });
-  assert.deepEqual(replicaShapeOf(aService({ class: 'whole', tasks: 4 }), CLASSES)?.members, 4);
-  assert.equal(replicaShapeOf(aService({ class: 'whole', tasks: 1 }), CLASSES), null);
-  assert.equal(replicaShapeOf(aService({ class: 'other', tasks: 6 }), CLASSES), null);
-  assert.equal(replicaShapeOf(aService({ class: 'toString', tasks: 6 }), CLASSES), null);
+  assert.deepEqual(replicaShapeOf(makeService({ class: 'whole', tasks: 4 }), CLASSES)?.members, 4);
+  assert.equal(replicaShapeOf(makeService({ class: 'whole', tasks: 1 }), CLASSES), null);
+  assert.equal(replicaShapeOf(makeService({ class: 'other', tasks: 6 }), CLASSES), null);
+  assert.equal(replicaShapeOf(makeService({ class: 'toString', tasks: 6 }), CLASSES), null);
   assert.equal(replicaShapeOf(aJob({ kind: 'gang', class: 'fixed', tasks: 6 }), CLASSES), null);
 });
 
 test('replicas that can never be whole are refused with field and reason', () => {
   const shape = { members: 3, sameZone: false };
-  assert.equal(unplaceableReason(aService({ tasks: 6 }), shape, [STD]), null);
-  assert.match(unplaceableReason(aService({ tasks: 5 }), shape, [STD])!, /^pieces: 5 tasks/);
-  const spread = aService({ tasks: 3, spread: true });
+  assert.equal(unplaceableReason(makeService({ tasks: 6 }), shape, [STD]), null);
+  assert.match(unplaceableReason(makeService({ tasks: 5 }), shape, [STD])!, /^pieces: 5 tasks/);
+  const spread = makeService({ tasks: 3, spread: true });
   assert.equal(unplaceableReason(spread, shape, [STD]), null, 'two of three in one zone');
   assert.match(
     unplaceableReason(spread, { ...shape, sameZone: true }, [STD])!,
     /^apart: the one zone/,
   );
-  const bound = aService({ tasks: 3, spread: true, zone: 'a' });
+  const bound = makeService({ tasks: 3, spread: true, zone: 'a' });
   assert.match(unplaceableReason(bound, shape, [STD])!, /^apart: 1 zones/);
 });
