--- a/packages/replicas/group-state-machine.test.ts
+++ b/packages/replicas/group-state-machine.test.ts
@@ -13,15 +13,17 @@
 
 const MEMBERS = 3;
 
+/** Returns the state after the events. */
 function apply(events: GroupEvent[], from: GroupState = newGroup(MEMBERS)): GroupState {
   return events.reduce((state, event) => step(state, event).state, from);
 }
 
+/** Creates one event of a kind for each member. */
 function forAll(kind: 'placed' | 'inherited' | 'recorded' | 'running', generation: number) {
   return [0, 1, 2].map((member): GroupEvent => ({ kind, member, generation }));
 }
 
-test('nothing may start before every member has a durable place', () => {
+test('no start is allowed before every member has a durable place', () => {
   const placed = apply(forAll('placed', 7));
   assert.equal(phaseOf(placed), 'reserved');
   const [first, second, third] = forAll('recorded', 7);
@@ -34,12 +36,12 @@
   assert.equal(phaseOf(apply(forAll('running', 7), all)), 'whole');
 });
 
-test('a member that runs goes on running when its record is written again', () => {
+test('a running member stays running when its record is written again', () => {
   const whole = apply([...forAll('placed', 7), ...forAll('recorded', 7), ...forAll('running', 7)]);
   assert.equal(phaseOf(apply(forAll('recorded', 7), whole)), 'whole');
 });
 
-test('a lost member ends the rest, once, and no generation begins before all of it is gone', () => {
+test('a lost member stops the others once, and no new generation is placed before all of them are gone', () => {
   const whole = apply([...forAll('placed', 7), ...forAll('recorded', 7), ...forAll('running', 7)]);
   const lost = step(whole, { kind: 'gone', member: 1, generation: 7 });
   assert.deepEqual(
@@ -57,7 +59,7 @@
   assert.equal(phaseOf(apply(forAll('placed', 8), gone)), 'reserved');
 });
 
-test('a new leader adopts the newest generation if the records name all of it, and ends the others', () => {
+test('a new leader adopts the newest generation if the records name all its members, and ends older ones', () => {
   const old: GroupEvent = { kind: 'inherited', member: 1, generation: 5 };
   const adopted = step(apply([old, ...forAll('inherited', 7)]), { kind: 'loaded' });
   assert.deepEqual(adopted.stop, [{ member: 1, generation: 5 }]);
@@ -65,12 +67,12 @@
   assert.equal(phaseOf(apply(forAll('running', 7), adopted.state)), 'whole');
 });
 
-test('a new leader ends a generation of which the records lack a member', () => {
+test('a new leader ends a generation if its records lack a member', () => {
   const [first, second] = forAll('inherited', 7);
-  const judged = step(apply([first, second]), { kind: 'loaded' });
-  assert.equal(judged.stop.length, 2);
-  assert.equal(phaseOf(judged.state), 'repairing');
-  assert.equal(judged.state.reason, 'incomplete-records');
+  const loaded = step(apply([first, second]), { kind: 'loaded' });
+  assert.equal(loaded.stop.length, 2);
+  assert.equal(phaseOf(loaded.state), 'repairing');
+  assert.equal(loaded.state.reason, 'incomplete-records');
 });
 
 const arbitraryEvent: fc.Arbitrary<GroupEvent> = fc.oneof(
@@ -86,7 +88,7 @@
   ),
 );
 
-test('whatever happens, starts are of one complete generation, and stops of members that have a place', () => {
+test('for any events, starts need one complete generation, and stops name only members with a place', () => {
   fc.assert(
     fc.property(fc.array(arbitraryEvent, { maxLength: 30 }), (events) => {
       let state = apply(forAll('placed', 7));
--- a/packages/replicas/replica-exploration.test.ts
+++ b/packages/replicas/replica-exploration.test.ts
@@ -9,13 +9,16 @@
 const FAILURE_AND_REQUEST: ReplicaBudget = { ...NO_EVENTS, failures: 1, requests: 1 };
 const FAILURE_AND_LEADER_CHANGE: ReplicaBudget = { ...NO_EVENTS, failures: 1, leaderChanges: 1 };
 
-/** How many states there are; a model that tells like states apart has more. */
+/** Number of reachable states by budget. A model that distinguishes equivalent states has more. */
 const EXPECTED_STATES = [
   { budget: LEADER_CHANGES, states: 32657 },
   { budget: FAILURE_AND_REQUEST, states: 24304 },
 ];
 
-/** `REPLICA_BUDGET=2,1,1,1` in the environment explores that many failures, changes of leader, lost commands and requests. */
+/**
+ * Returns the budgets to explore. The environment variable `REPLICA_BUDGET=2,1,1,1` replaces them by one budget: its
+ * numbers of failures, leader changes, lost commands and requests.
+ */
 function budgetsToExplore(): ReplicaBudget[] {
   const given = process.env.REPLICA_BUDGET?.split(',').map(Number);
   if (!given) return [LEADER_CHANGES, FAILURE_AND_REQUEST];
@@ -23,7 +26,7 @@
   return [{ failures, leaderChanges, lostCommands, requests }];
 }
 
-test('no order of events gives a broken answer or two generations, and every order leads to a whole replica', () => {
+test('no order of events breaks an answer or runs two generations, and a whole replica stays reachable', () => {
   for (const budget of budgetsToExplore()) {
     const { states, breach, stuck } = exploreReplicas(budget, 'none');
     console.log(`${JSON.stringify(budget)}: ${states} states`);
@@ -34,7 +37,7 @@
   }
 });
 
-// Each guard is shown to be needed by a world without it.
+// Shows that each guard is needed: a model that makes the mistake which the guard prevents reaches the breach.
 const harmfulMistakes: [ReplicaMistake, ReplicaBudget, string][] = [
   ['starts-unrecorded', LEADER_CHANGES, 'two generations'],
   ['places-before-gone', FAILURE, 'two generations'],
@@ -46,7 +49,7 @@
   ['answers-without-mates', FAILURE_AND_REQUEST, 'broken answer'],
 ];
 for (const [mistake, budget, expectedBreach] of harmfulMistakes) {
-  test(`the exploration finds a breach if one ${mistake}`, () => {
+  test(`the exploration finds the expected breach with the mistake ${mistake}`, () => {
     assert.equal(exploreReplicas(budget, mistake).breach?.what, expectedBreach);
   });
 }
--- a/packages/replicas/replica-groups.test.ts
+++ b/packages/replicas/replica-groups.test.ts
@@ -22,7 +22,7 @@
   decisionsPerRound: 200,
 };
 
-/** A fleet with replica groups, and machines of four accelerators in zones a and b by turns. */
+/** A fleet with replica groups, whose machines have four GPUs each and alternate between the zones a and b. */
 class GroupSetup {
   readonly recovered: Recovery[] = [];
   readonly groups = new ReplicaGroups({
@@ -54,7 +54,7 @@
     return this.fleet.addJob(job, now, 'accepted', now, { shape: { members, sameZone } });
   }
 
-  /** All that was placed is recorded, started and in the heartbeats as running. */
+  /** Marks all places as recorded, and has every machine report its tasks as running. */
   recordAndRunAll(now: number): void {
     for (const assignment of this.assignments())
       this.fleet.assignments.markRecorded(assignment, now);
@@ -81,7 +81,7 @@
   }
 }
 
-test('a replica gets places for all of its members or for none, however many others wait', () => {
+test('a replica gets places for all members or for none, also while other replicas wait', () => {
   const setup = new GroupSetup(5);
   setup.submit({ id: 'j-1', tasks: 3 }, 3);
   setup.submit({ id: 'j-2', tasks: 3 }, 3);
@@ -90,21 +90,21 @@
   assert.equal(
     new Set(placed.map(({ job }) => job)).size,
     1,
-    'the other holds no part of the capacity',
+    'the other replica holds no capacity',
   );
   assert.equal(new Set(placed.map(({ attempt }) => attempt)).size, 1, 'one generation');
   setup.addMachine('n-5', 'b');
   assert.equal(setup.scheduler.place(2), 3);
 });
 
-test('the limit of a team counts all members', () => {
+test('the GPU limit of a team counts all members of a replica', () => {
   const setup = new GroupSetup(6, { ...NO_QUOTA, gpuLimit: 20 });
   setup.submit({ tasks: 6 }, 3);
   assert.equal(setup.scheduler.place(1), 3);
   assert.equal(setup.fleet.usage.ofTeam('red').gpus, 12);
 });
 
-test('members that must share a zone do, also if another zone has more capacity', () => {
+test('members that must share a zone are placed in one zone, once a zone has capacity for all of them', () => {
   const setup = new GroupSetup(4);
   setup.submit({ tasks: 3 }, 3, true);
   assert.equal(setup.scheduler.place(1), 0, 'two machines in each zone');
@@ -113,7 +113,7 @@
   assert.deepEqual(new Set(setup.assignments().map(({ machine }) => machine.zone)), new Set(['b']));
 });
 
-test('machines for members that must share a zone are requested in one, also if others have some capacity', () => {
+test('machines for members that must share a zone are requested in one zone, though others have capacity, too', () => {
   const setup = new GroupSetup(4);
   setup.submit({ tasks: 3 }, 3, true);
   const planner = new CapacityPlanner({
@@ -124,16 +124,16 @@
   });
   const { scaleOut } = planner.plan(1);
   assert.equal(scaleOut.length, 1);
-  assert.equal(scaleOut[0].count, 1, 'beside the two machines of that zone');
+  assert.equal(scaleOut[0].count, 1, 'the zone has two machines already');
   planner.scaleOutRefused(scaleOut[0], 100);
   const [other] = planner.plan(2).scaleOut;
-  assert.notEqual(other.zone, scaleOut[0].zone, 'a zone that gives no machines is left');
+  assert.notEqual(other.zone, scaleOut[0].zone, 'a zone that refuses machines is avoided');
   setup.addMachine('n-4', scaleOut[0].zone);
   setup.fleet.machines.updateTotals();
   assert.deepEqual(planner.plan(3).scaleOut, []);
 });
 
-test('a start is sent only when the places of all members are durable', () => {
+test('a start is sent only once the places of all members are durable', () => {
   const setup = new GroupSetup(3);
   setup.submit({ tasks: 3 }, 3);
   setup.scheduler.place(1);
@@ -150,7 +150,7 @@
   assert.equal(countOrders(first.machine.name, 2), 1);
 });
 
-test('survivors of a lost member are stopped, their capacity is held, and all start again together', () => {
+test('when a member is lost, the others are stopped, their machines are held, and all restart together', () => {
   const setup = new GroupSetup(4);
   setup.submit({ tasks: 3 }, 3);
   setup.scheduler.place(1);
@@ -161,7 +161,7 @@
   const survivors = before.slice(1);
   assert.ok(survivors.every(({ stop }) => stop !== null));
   assert.ok(survivors.every(({ machine }) => machine.capacityHold !== null));
-  assert.equal(setup.scheduler.place(50), 0, 'the old generation is not gone yet');
+  assert.equal(setup.scheduler.place(50), 0, 'members of the old generation are not gone yet');
   for (const { machine } of survivors) setup.heartbeat(machine.name, 51);
   assert.equal(setup.scheduler.place(51), 3);
   const after = setup.assignments();
@@ -175,24 +175,24 @@
   );
 });
 
-test('a start that is not whole in time releases its capacity, and is placed again after a growing backoff', () => {
+test('a start that misses its deadline releases its capacity, and the next one has a backoff and twice the time', () => {
   const setup = new GroupSetup(3);
   setup.submit({ tasks: 3, imageGb: 5 }, 3);
   setup.scheduler.place(1);
-  // Two leases of 10 s and three times the 5 s that a fetch takes.
+  // Deadline: two leases of 10 s, and three times the 5 s of a fetch.
   setup.groups.expireStarts(36);
   assert.equal(setup.assignments().length, 3);
   setup.groups.expireStarts(36.1);
-  assert.equal(setup.assignments().length, 0, 'nothing was sent, so all of it is gone at once');
+  assert.equal(setup.assignments().length, 0, 'no start was sent, so all members are gone at once');
   assert.equal(setup.scheduler.place(46), 0);
   assert.equal(setup.scheduler.place(46.1), 3);
   setup.groups.expireStarts(46.1 + 70);
-  assert.equal(setup.assignments().length, 3, 'the second time is twice as long');
+  assert.equal(setup.assignments().length, 3, 'the second start has twice the time');
   setup.groups.expireStarts(46.1 + 70.1);
   assert.equal(setup.assignments().length, 0);
 });
 
-test('no more replicas are repaired at the same time than the limit allows, urgent ranks first', () => {
+test('replicas under repair start together only up to the limit, urgent ranks first', () => {
   const setup = new GroupSetup(24);
   for (let i = 0; i < 12; i++) setup.submit({ id: `j-${i}`, tasks: 2, rank: i < 6 ? 2 : 1 }, 2);
   setup.scheduler.place(1);
@@ -213,7 +213,7 @@
   assert.ok([...starting].every(({ spec }) => spec.rank === 1));
 });
 
-test('a new leader adopts a replica that its records name whole, and ends one that they name in part', () => {
+test('a new leader adopts a replica whose members are all in its records, and ends one that lacks members there', () => {
   const setup = new GroupSetup(5);
   const whole = setup.submit({ id: 'j-1', tasks: 3 }, 3);
   const partial = setup.submit({ id: 'j-2', tasks: 3 }, 3);
@@ -230,7 +230,7 @@
   assert.equal(stopped.length, 2);
 });
 
-test('urgent work preempts a replica as a whole', () => {
+test('an urgent job that preempts one member stops the whole replica', () => {
   const setup = new GroupSetup(3);
   setup.submit({ id: 'j-1', tasks: 3, rank: 3 }, 3);
   setup.scheduler.place(1);
@@ -242,7 +242,7 @@
   assert.ok(members.every(({ stop }) => stop !== null));
 });
 
-test('work is preempted for a replica only if all of its members get capacity', () => {
+test('tasks are preempted for a replica only if that makes room for all of its members', () => {
   const setup = new GroupSetup(2);
   const low = setup.fleet.addJob(
     aJob({ id: 'j-1', kind: 'service', rank: 3, tasks: 2, gpus: 4 }),
@@ -262,7 +262,7 @@
   assert.deepEqual(isStopped(), [true, true]);
 });
 
-test('a reclaim notice moves a replica once there is capacity for its members elsewhere, or when little time is left', () => {
+test('a replica on a machine to be reclaimed moves once there is capacity elsewhere, or when little time is left', () => {
   const setup = new GroupSetup(3);
   setup.submit({ tasks: 3 }, 3);
   setup.scheduler.place(1);
--- a/packages/replicas/replica-rows.test.ts
+++ b/packages/replicas/replica-rows.test.ts
@@ -4,7 +4,7 @@
 import { ReplicaGroups } from './replica-groups.js';
 import { replicaRows } from './replica-rows.js';
 
-test('replicas that are not whole come first, with the reason and for how long', () => {
+test('rows list replicas that are not whole first, with the reason and the time in the phase', () => {
   const groups = new ReplicaGroups({
     leaseS: 10,
     heartbeatIntervalS: 1,
--- a/packages/replicas/replica-shapes.test.ts
+++ b/packages/replicas/replica-shapes.test.ts
@@ -12,7 +12,7 @@
   return aJob({ kind: 'service', ...own });
 }
 
-test('only services of the classes have replicas of several members', () => {
+test('only services of configured classes have replicas of several members', () => {
   assert.deepEqual(replicaShapeOf(makeService({ class: 'fixed', tasks: 6 }), CLASSES), {
     members: 3,
     sameZone: true,
@@ -24,12 +24,12 @@
   assert.equal(replicaShapeOf(aJob({ kind: 'gang', class: 'fixed', tasks: 6 }), CLASSES), null);
 });
 
-test('replicas that can never be whole are refused with field and reason', () => {
+test('replicas that can never be placed are refused with field and reason', () => {
   const shape = { members: 3, sameZone: false };
   assert.equal(unplaceableReason(makeService({ tasks: 6 }), shape, [STD]), null);
   assert.match(unplaceableReason(makeService({ tasks: 5 }), shape, [STD])!, /^pieces: 5 tasks/);
   const spread = makeService({ tasks: 3, spread: true });
-  assert.equal(unplaceableReason(spread, shape, [STD]), null, 'two of three in one zone');
+  assert.equal(unplaceableReason(spread, shape, [STD]), null, 'two of three members fit per zone');
   assert.match(
     unplaceableReason(spread, { ...shape, sameZone: true }, [STD])!,
     /^apart: the one zone/,
