--- a/packages/replicas/group-state-machine.ts
+++ b/packages/replicas/group-state-machine.ts
@@ -1,22 +1,22 @@
 /**
- * The state machine of one replica group: the members of one replica, which start, serve and end together. Pure: it
- * knows neither clock nor machines. A generation is the attempt number that all members of one start carry. Attempt
- * numbers rise with the leader's term, so a generation also tells terms apart (docs/replica-groups.md).
+ * The state machine of one replica group: the members of one replica, which start, serve and end together. Its functions
+ * are pure and use neither a clock nor machines. A generation is the attempt number that all members of one start share.
+ * Attempt numbers rise with the leader's term, so generations of different terms differ (docs/replica-groups.md).
  */
 
-/** What a group is doing, as operators see it. */
+/** Phase of a group, as operators see it. */
 export type GroupPhase =
   /** No member has a place. */
   | 'waiting'
-  /** All members have places, and not all of these are durable: nothing was started. */
+  /** Members have places, but not every member has a durable one: no start was sent. */
   | 'reserved'
-  /** All places are durable; not all members run yet. */
+  /** Every member has a durable place; not all members run yet. */
   | 'starting'
   /** All members of one generation run. */
   | 'whole'
-  /** A member was lost; the rest of its generation ends. */
+  /** A member was lost or is missing from the records; the rest of the generation ends. */
   | 'repairing'
-  /** The generation ends so that another can start on other machines. */
+  /** The cloud reclaims a member's machine; the generation ends so that the next can start on other machines. */
   | 'moving'
   /** The generation ends for another reason. */
   | 'stopping';
@@ -26,33 +26,33 @@
   | 'member-lost'
   /** The records that a new leader loaded do not name every member. */
   | 'incomplete-records'
-  /** Not all members ran in time. */
+  /** Not all members ran by the start deadline. */
   | 'start-deadline'
-  /** The cloud takes a member's machine back. */
+  /** The cloud gave notice that it will reclaim a member's machine. */
   | 'notice'
   | 'preempted'
-  /** A member was stopped by itself. */
+  /** A single member was told to stop. */
   | 'member-stopped';
 
-/** Where one member of one generation is, until it is proven gone. */
+/** Place of one member of one generation. It is kept until the member is proven gone. */
 export interface MemberPlace {
   readonly member: number;
   readonly generation: number;
   readonly stage: 'reserved' | 'recorded' | 'running';
-  /** Its end was asked for. */
+  /** A stop of the member was requested. */
   readonly ending: boolean;
 }
 
-/** What is known of a group; it is never changed in place. */
+/** Immutable state of a group. */
 export interface GroupState {
-  /** Members of the replica. */
+  /** Number of members of the replica. */
   readonly members: number;
-  /** The newest generation that was begun or found; 0 if there was none. */
+  /** The newest generation that was placed, or found in records or heartbeats; 0 if there was none. */
   readonly generation: number;
   readonly places: readonly MemberPlace[];
-  /** Why the newest generation is not to serve any more, or why the one before ended; null once one is whole. */
+  /** Why the newest generation must end, or why the previous one ended; null once a generation is whole. */
   readonly reason: EndReason | null;
-  /** The newest generation is to end. */
+  /** The newest generation must end. */
   readonly ending: boolean;
 }
 
@@ -62,32 +62,32 @@
   generation: number;
 }
 
-/** What happens to a group. */
+/** An event that concerns a group. */
 export type GroupEvent =
   | ({ kind: 'placed' } & MemberRef)
-  /** Found in the records of an earlier term. */
+  /** The member's place was found in the records of an earlier term. */
   | ({ kind: 'inherited' } & MemberRef)
-  /** In a worker's heartbeat though no record names it; it is being stopped already. */
+  /** A worker's heartbeat lists the member though no record names it. The member is being stopped already. */
   | ({ kind: 'unrecorded' } & MemberRef)
   /** All records of earlier terms have been read. */
   | { kind: 'loaded' }
   | ({ kind: 'recorded' } & MemberRef)
   | ({ kind: 'running' } & MemberRef)
-  /** The member's end was asked for. */
+  /** A stop of the member was requested. */
   | ({ kind: 'stopping' } & MemberRef)
   /** The member is proven gone. */
   | ({ kind: 'gone' } & MemberRef)
-  /** The whole generation is to end. */
+  /** The whole generation must end. */
   | { kind: 'end'; reason: EndReason };
 
-/** What an event changes, and what has to be done about it. */
+/** Result of an event: the next state, and the stops that the caller must send. */
 export interface GroupStep {
   state: GroupState;
-  /** Members to be stopped now, which the state counts as ending already. */
+  /** Members that the caller must stop now. The state marks them as ending already. */
   stop: MemberRef[];
 }
 
-/** A member was given a place that breaks the rules of a generation: a fault of the program. */
+/** A member was given a place that violates an invariant of generations. This is a bug in the program. */
 class GenerationViolation extends Error {
   override readonly name = 'GenerationViolation';
 
@@ -99,12 +99,12 @@
   }
 }
 
-/** A group without any place. */
+/** Returns the state of a group without places. */
 export function newGroup(members: number): GroupState {
   return { members, generation: 0, places: [], reason: null, ending: false };
 }
 
-/** Applies an event; throws GenerationViolation for a place that must not be given. */
+/** Applies an event. Throws GenerationViolation for a place that must not be given. */
 export function step(state: GroupState, event: GroupEvent): GroupStep {
   switch (event.kind) {
     case 'placed':
@@ -128,18 +128,18 @@
   }
 }
 
-/** Whether starts of that generation may be sent: every member has a durable place, and nothing else is left. */
+/** Whether starts of the generation may be sent: every member has a durable place, and no other place is left. */
 export function mayStart(state: GroupState, generation: number): boolean {
   const isNewest = generation === state.generation && !state.ending;
   return isNewest && isComplete(state) && state.places.length === state.members;
 }
 
-/** Whether places may be given to the members: no earlier generation has any left. */
+/** Whether a new generation may get places: no member of an earlier generation has a place left. */
 export function mayBePlaced({ places }: GroupState): boolean {
   return places.length === 0;
 }
 
-/** What the group is doing, as operators see it. */
+/** Returns the group's phase, as operators see it. */
 export function phaseOf(state: GroupState): GroupPhase {
   const { places, ending, reason } = state;
   if (places.length === 0) return 'waiting';
@@ -153,7 +153,7 @@
   return reason === 'notice' ? 'moving' : 'stopping';
 }
 
-/** Every member has a durable place in the newest generation. */
+/** Whether every member has a durable place in the newest generation. */
 function isComplete(state: GroupState): boolean {
   const durable = newestPlaces(state).filter(({ stage }) => stage !== 'reserved');
   return new Set(durable.map(({ member }) => member)).size === state.members;
@@ -167,25 +167,25 @@
   const { member, generation } = ref;
   const isNew = state.places.length === 0;
   if (isNew && generation <= state.generation) {
-    throw new GenerationViolation(ref, `it is placed after generation ${state.generation}`);
+    throw new GenerationViolation(ref, `the group has already had generation ${state.generation}`);
   }
   if (!isNew && (generation !== state.generation || state.ending)) {
-    throw new GenerationViolation(ref, 'it is placed while another generation has places');
+    throw new GenerationViolation(ref, 'another generation still has places');
   }
   if (state.places.some((each) => each.member === member)) {
-    throw new GenerationViolation(ref, 'it has a place already');
+    throw new GenerationViolation(ref, 'the member already has a place');
   }
   const added: MemberPlace = { member, generation, stage: 'reserved', ending: false };
   return { ...state, generation, places: [...state.places, added], ending: false };
 }
 
-/** A place that was found, of whatever generation. */
+/** Adds a place that was found in records or heartbeats. Its generation may be any. */
 function addFoundPlace(state: GroupState, added: MemberPlace): GroupState {
   const generation = Math.max(state.generation, added.generation);
   return { ...state, generation, places: [...state.places, added] };
 }
 
-/** A new leader adopts the newest generation if the records name all of it, and ends all others. */
+/** Adopts the newest generation if the records name all of its members, and ends all other generations. */
 function adoptInherited(state: GroupState): GroupStep {
   if (state.places.length === 0) return toStep(state);
   const isNewest = (each: MemberPlace) => each.generation === state.generation;
@@ -193,7 +193,7 @@
   return stopPlaces(state, (each) => !isNewest(each));
 }
 
-/** A machine's record is written again with each change of it; a member that runs goes on running. */
+/** Marks a place as recorded. A running member stays running: a machine's record is written again at each change. */
 function markRecorded(state: GroupState, event: MemberRef): GroupState {
   const place = state.places.find((each) => isPlaceOf(each, event));
   return place?.stage === 'reserved' ? updatePlace(state, event, { stage: 'recorded' }) : state;
@@ -204,7 +204,7 @@
   return phaseOf(next) === 'whole' ? { ...next, reason: null } : next;
 }
 
-/** The newest generation can't serve without the member. */
+/** Ends the newest generation if the member belongs to it, since the generation can't serve without the member. */
 function endIfNewest(state: GroupState, { generation }: MemberRef, reason: EndReason): GroupStep {
   if (generation !== state.generation || state.ending) return toStep(state);
   return endGeneration(state, reason);
--- a/packages/replicas/index.ts
+++ b/packages/replicas/index.ts
@@ -1,6 +1,6 @@
 /**
- * Replicas of several members, which start, serve and end together (docs/replica-groups.md). The package owns the state
- * of the groups in memory; it imports `wire` and `core` only.
+ * Replica groups: replicas of several members that start, serve and end together (docs/replica-groups.md). The package
+ * keeps the state of the groups in memory. It imports `wire` and `core` only.
  */
 export * from './replica-group.js';
 export * from './group-state-machine.js';
--- a/packages/replicas/job-replica-groups.ts
+++ b/packages/replicas/job-replica-groups.ts
@@ -9,30 +9,30 @@
   mayStart,
 } from './group-state-machine.js';
 
-/** What the groups of one job ask of the groups of all jobs. */
+/** Operations on the groups of all jobs that the groups of one job call. */
 export interface GroupCoordinator {
-  /** A group gets its first place. */
+  /** A group is about to get its first place. */
   groupAdded(group: ReplicaGroup): void;
-  /** Applies an event to a group, and does what follows from it. */
+  /** Applies an event to a group, reports a change of its phase, and stops members as the new state requires. */
   apply(group: ReplicaGroup, event: GroupEvent, now: number): void;
   /** Ends the whole generation of a group. */
   endGeneration(group: ReplicaGroup, reason: EndReason, now: number): void;
-  /** The cloud takes the machine of a member back. */
+  /** Moves a group off a machine that the cloud will reclaim. */
   moveOff(group: ReplicaGroup, now: number): void;
-  /** Whether one more replica that is being repaired may start now. */
+  /** Whether the replica may start now; the number of replicas under repair that start together is limited. */
   mayStartRepair(group: ReplicaGroup): boolean;
   /** The job is over for its user. */
   jobClosed(job: JobState, groups: JobReplicaGroups): void;
 }
 
-/** The replica groups of one job. Groups that never had a place are not held one by one. */
+/** The replica groups of one job. A group has no object in memory until it gets its first place. */
 export class JobReplicaGroups implements JobReplicas {
   readonly members: number;
   readonly sameZone: boolean;
   private readonly groups = new Map<number, ReplicaGroup>();
-  /** Groups that had places once and have none now. */
+  /** Groups that had places and have none now. */
   private readonly withoutPlaces = new Set<ReplicaGroup>();
-  /** Index from which on no group ever had a place. */
+  /** All groups below this index had a place; the search for groups that never had one starts here. */
   private firstNeverPlaced = 0;
   private closed = false;
 
@@ -49,7 +49,7 @@
     return Math.floor(this.job.spec.tasks / this.members);
   }
 
-  /** Groups that never had a place. */
+  /** Number of groups that never had a place. */
   get neverPlacedCount(): number {
     return this.replicaCount - this.groups.size;
   }
--- a/packages/replicas/replica-capacity.ts
+++ b/packages/replicas/replica-capacity.ts
@@ -1,4 +1,4 @@
-/** Capacity for the members of a replica that starts again: what is held for them, and how long it takes to use it. */
+/** Capacity for the members of a replica that restarts: holds machines for them, and estimates their image fetch. */
 import {
   type Assignment,
   chooseMachinesTogether,
@@ -11,7 +11,7 @@
 } from '#core';
 import type { ReplicaGroup } from './replica-group.js';
 
-/** Holds capacity in a leader's fleet for replicas that start again. Times are steady seconds. */
+/** Holds capacity in a leader's fleet for replicas that restart. Times are seconds of the monotonic clock. */
 export class ReplicaCapacity {
   constructor(
     private readonly fleet: FleetState,
@@ -19,8 +19,8 @@
   ) {}
 
   /**
-   * Holds the machines of the survivors, which have the image, until the replica starts again, and capacity for its
-   * other members if there is any.
+   * Holds capacity until the replica restarts: the machines of its survivors, which have the image already, and
+   * capacity for its other members if the fleet has enough for all of them.
    */
   holdForRestart(group: ReplicaGroup, survivors: Assignment[], now: number): void {
     for (const { machine } of survivors) {
@@ -30,7 +30,7 @@
     if (lost > 0) this.holdForMembers(group, lost, now);
   }
 
-  /** Finds and holds capacity for so many members; false if there is none. */
+  /** Holds capacity for a number of members. Returns false, and holds nothing, if not all of them fit. */
   holdForMembers(group: ReplicaGroup, members: number, now: number): boolean {
     const { fleet } = this;
     const candidates = new PlacementCandidates(fleet, now);
@@ -46,7 +46,7 @@
     this.fleet.holds.hold(machine, job, until);
   }
 
-  /** Nominal seconds of the slowest fetch of the replica's image on the machines of its members. */
+  /** Nominal seconds of the slowest fetch of the replica's image among the machines of its members. */
   slowestFetchS(group: ReplicaGroup): number {
     const { machines } = this.fleet;
     let slowestS = 0;
--- a/packages/replicas/replica-group.ts
+++ b/packages/replicas/replica-group.ts
@@ -1,4 +1,4 @@
-/** One replica group: its state machine, and what the leader remembers of it beside that. */
+/** One replica group: its state machine, and what the leader keeps about the group besides that state. */
 import type { Assignment, JobState, TaskEnd } from '#core';
 import {
   type EndReason,
@@ -16,30 +16,33 @@
   group: ReplicaGroup;
   from: GroupPhase;
   to: GroupPhase;
-  /** Why the previous generation ended; null if the group has been whole since, or no generation was begun. */
+  /**
+   * Why the newest generation ends, or why the previous one ended. Null if no generation ended since the group was last
+   * whole. A change to `whole` still carries the reason.
+   */
   reason: EndReason | null;
 }
 
-/** One replica group. Times are steady seconds. */
+/** One replica group. Times are seconds of the monotonic clock. */
 export class ReplicaGroup {
   state: GroupState;
   phase: GroupPhase = 'waiting';
-  /** Since when it is in this phase. */
+  /** When the group entered its phase. */
   phaseSince: number;
-  /** When a generation of it first ended since it was last whole; null if none did. */
+  /** When a generation first had to end since the group was last whole; null if none had to. */
   incompleteSince: number | null = null;
-  /** How the member that was lost last ended. */
+  /** Cause of the latest end of a member with another cause than `stopped`; null if there was none. */
   lostBy: TaskEnd['cause'] | null = null;
-  /** When the current generation got its places. */
+  /** When the newest generation got its first place. */
   placedAt = 0;
-  /** Starts that failed since it was last whole. */
+  /** Starts that failed since the group was last whole. */
   failedStarts = 0;
-  /** End of its backoff: it gets no places before. */
+  /** End of the backoff; the group gets no places before then. */
   backoffUntil = 0;
 
   constructor(
     readonly job: JobState,
-    /** Number of the replica in its job, from 0. */
+    /** Index of the replica in its job, from 0. */
     readonly index: number,
     readonly members: number,
     now: number,
@@ -48,7 +51,7 @@
     this.phaseSince = now;
   }
 
-  /** Applies an event; returns the members to be stopped, and the change of phase or null. */
+  /** Applies an event. Returns the members to stop, and the change of phase or null. */
   apply(event: GroupEvent, now: number): { stop: MemberRef[]; change: PhaseChange | null } {
     const { reason } = this.state;
     const { state, stop } = step(this.state, event);
@@ -61,7 +64,7 @@
     return { stop, change: { group: this, from, to, reason: state.reason ?? reason } };
   }
 
-  /** The places of its members, whatever their generation. */
+  /** The places of all members, of every generation. */
   *assignments(): Generator<Assignment> {
     const first = this.index * this.members;
     for (let index = first; index < first + this.members; index++) {
--- a/packages/replicas/replica-groups.ts
+++ b/packages/replicas/replica-groups.ts
@@ -1,4 +1,4 @@
-/** The replica groups of all jobs in the fleet of one leader. */
+/** The replica groups of all jobs in one leader's fleet. */
 import type { Assignment, FleetState, JobReplicas, JobState, Random, ReplicaShape } from '#core';
 import type { EndReason, GroupEvent, GroupPhase, MemberRef } from './group-state-machine.js';
 import { type GroupCoordinator, JobReplicaGroups } from './job-replica-groups.js';
@@ -16,69 +16,72 @@
   stopping: 0,
 };
 
-/** A replica is whole again after a member of it was lost, or it was moved or stopped. */
+/** A replica became whole again after a member was lost, or after the replica was moved or stopped. */
 export interface Recovery {
   group: ReplicaGroup;
   reason: EndReason;
-  /** Seconds for which it was not whole. */
+  /** Seconds for which the replica was not whole. */
   tookS: number;
 }
 
-/** Receives the events of replica groups; listeners change nothing. */
+/** Receives the events of replica groups. Listeners must not change the groups or the fleet. */
 export interface ReplicaListener {
   phaseChanged(change: PhaseChange, now: number): void;
   recovered(recovery: Recovery): void;
 }
 
-/** What replica groups need. */
+/** Settings and dependencies of replica groups. */
 export interface ReplicaGroupsOptions {
-  /** Length of a worker lease; seconds. */
+  /** Duration of a worker lease, in seconds. */
   leaseS: number;
   heartbeatIntervalS: number;
   random: Random;
   listener: ReplicaListener;
 }
 
-/** What the groups have of the fleet that they are attached to. */
+/** The fleet that the groups are attached to, and its capacity for replicas. */
 interface AttachedFleet {
   fleet: FleetState;
   capacity: ReplicaCapacity;
 }
 
 /**
- * The replica groups of one leader's fleet. Work is done when something happens to a group, and in each round for
- * those that are starting; groups at rest cost nothing. Times are steady seconds.
+ * The replica groups of one leader's fleet. A group costs processor time at each of its events, and in each scheduling
+ * round while it is starting. Other groups cost nothing. Times are seconds of the monotonic clock.
  */
 export class ReplicaGroups implements GroupCoordinator {
   private attached: AttachedFleet | null = null;
   private readonly groupsByJob = new Map<JobState, JobReplicaGroups>();
-  /** Groups that have places and are neither whole nor ending. */
+  /** Groups in the phases `reserved` and `starting`. */
   private readonly starting = new Set<ReplicaGroup>();
-  /** Those among them that were whole, or starting, before. */
+  /** Groups of `starting` that are under repair: a generation ended, and none has been whole since. */
   private readonly startingRepairs = new Set<ReplicaGroup>();
   private readonly phaseCounts = new Map<GroupPhase, number>();
 
   constructor(private readonly options: ReplicaGroupsOptions) {}
 
-  /** To be called once, when the fleet state is made. */
+  /** Attaches the groups to their fleet. Must be called once, when the fleet state is created. */
   attach(fleet: FleetState): void {
     const capacity = new ReplicaCapacity(fleet, this.options.heartbeatIntervalS);
     this.attached = { fleet, capacity };
   }
 
-  /** Makes the groups of a job. */
+  /** Creates and registers the groups of a job. */
   make(job: JobState, shape: ReplicaShape): JobReplicas {
     const groups = new JobReplicaGroups(job, shape, this);
     this.groupsByJob.set(job, groups);
     return groups;
   }
 
-  /** All records of earlier terms were loaded: adopts the replicas that are whole by them and ends all others. */
+  /**
+   * Must be called when all records of earlier terms have been loaded. Adopts the replicas whose members are all named by
+   * the records, and ends all others.
+   */
   loaded(now: number): void {
     for (const group of [...this.groups()]) this.apply(group, { kind: 'loaded' }, now);
   }
 
-  /** Ends starts that missed their deadline; to be called in each round. */
+  /** Ends starts that missed their deadline. Must be called in each scheduling round. */
   expireStarts(now: number): void {
     for (const group of [...this.starting]) {
       const { placedAt, failedStarts } = group;
@@ -88,24 +91,24 @@
     }
   }
 
-  /** Groups that have or had places. */
+  /** Yields the groups that have or had places. */
   *groups(): Generator<ReplicaGroup> {
     for (const jobGroups of this.groupsByJob.values()) yield* jobGroups.everPlaced();
   }
 
-  /** Number of groups by phase. */
+  /** Returns the number of groups by phase. */
   countByPhase(): Record<GroupPhase, number> {
     const counts = { ...ZERO_PHASE_COUNTS, ...Object.fromEntries(this.phaseCounts) };
     for (const jobGroups of this.groupsByJob.values()) counts.waiting += jobGroups.neverPlacedCount;
     return counts;
   }
 
-  /** Counts a group that gets its first place. */
+  /** Counts a group that is about to get its first place. */
   groupAdded(group: ReplicaGroup): void {
     this.countPhase(group.phase, 1);
   }
 
-  /** Applies an event to a group, and does what follows from it. */
+  /** Applies an event to a group, reports a change of its phase, and stops members as the new state requires. */
   apply(group: ReplicaGroup, event: GroupEvent, now: number): void {
     const { stop, change } = group.apply(event, now);
     if (change !== null) this.observePhase(change, now);
@@ -117,7 +120,10 @@
     this.apply(group, { kind: 'end', reason }, now);
   }
 
-  /** Moves a replica off a machine that the cloud takes back: once capacity is held elsewhere, or little time is left. */
+  /**
+   * Moves a replica off machines that the cloud will reclaim. The generation ends once capacity is held elsewhere, or
+   * when less than a worker lease is left.
+   */
   moveOff(group: ReplicaGroup, now: number): void {
     if (group.state.ending) return;
     const reclaimTimes = [...group.assignments()]
@@ -129,14 +135,14 @@
     if (isCapacityHeld || isUrgent) this.endGeneration(group, 'notice', now);
   }
 
-  /** Whether one more replica that is being repaired may start now; a first start always may. */
+  /** Whether the replica may start now. Replicas under repair are limited in number; a first start is always allowed. */
   mayStartRepair(group: ReplicaGroup): boolean {
     if (group.incompleteSince === null) return true;
     const { machines } = this.requireAttached().fleet;
     return this.startingRepairs.size < maxConcurrentRepairs(machines.size);
   }
 
-  /** Forgets the groups of a job that is over for its user. */
+  /** Removes the groups of a job that is over for its user. */
   jobClosed(job: JobState, groups: JobReplicaGroups): void {
     this.groupsByJob.delete(job);
     for (const group of groups.everPlaced()) {
--- a/packages/replicas/replica-rows.ts
+++ b/packages/replicas/replica-rows.ts
@@ -1,27 +1,27 @@
-/** The rows of the endpoint `/replicas`, which operators' programs read: the names are part of its JSON. */
+/** Rows of the endpoint `/replicas`. Operators' programs read its JSON, so the field names of a row must not change. */
 import type { ReplicaGroup } from './replica-group.js';
 import type { EndReason, GroupPhase } from './group-state-machine.js';
 import type { ReplicaGroups } from './replica-groups.js';
 
 const TENTHS_PER_SECOND = 10;
 
-/** One replica. */
+/** State of one replica. */
 export interface ReplicaRow {
   job: string;
   class: string;
   replica: number;
-  /** 0 if none was begun. */
+  /** The newest generation; 0 if there was none. */
   generation: number;
   phase: GroupPhase;
-  /** Seconds for which it has been in this phase. */
+  /** Seconds for which the replica has been in its phase. */
   forS: number;
-  /** Why it is not whole, or null. */
+  /** Why the newest generation ends, or the previous one ended; null if none ended since the replica was last whole. */
   why: EndReason | null;
-  /** Machines of its members. */
+  /** Names of the machines where the replica's members have places. */
   machines: string[];
 }
 
-/** All replicas that have or had a place, those that are not whole first, then those longest in their phase. */
+/** Lists all replicas that have or had a place. Replicas that are not whole come first, then the longest in a phase. */
 export function replicaRows(groups: ReplicaGroups, now: number): ReplicaRow[] {
   const rows = [...groups.groups()].map((group) => rowOf(group, now));
   const isWhole = ({ phase }: ReplicaRow) => Number(phase === 'whole');
--- a/packages/replicas/replica-shapes.ts
+++ b/packages/replicas/replica-shapes.ts
@@ -1,19 +1,19 @@
-/** Which jobs have replicas of several members, and which of these replicas can never be placed. */
+/** Determines which jobs have replicas of several members, and which of these replicas can never be placed. */
 import { type ReplicaShape, typeFits, zoneCapacity } from '#core';
 import { type Job, JOB_FIELDS, type MachineType } from '#wire';
 
-/** What operators configure for the replicas of a class. */
+/** The operators' settings for the replicas of a job class. */
 export interface ReplicaClass {
-  /** Tasks of one replica; `job`: all tasks of the job are one replica. */
+  /** Number of tasks in one replica; `job`: all tasks of a job form one replica. */
   members: number | 'job';
   /** All members of one replica must be in the same zone. */
   sameZone: boolean;
 }
 
-/** By name of the class. */
+/** Replica settings by name of the job class. */
 export type ReplicaClasses = Readonly<Record<string, ReplicaClass>>;
 
-/** How the job's tasks form replicas; null if each task is a replica. */
+/** Returns how the job's tasks form replicas, or null if each task is a replica by itself. */
 export function replicaShapeOf(job: Job, classes: ReplicaClasses): ReplicaShape | null {
   if (job.kind !== 'service' || !Object.hasOwn(classes, job.class)) return null;
   const { members, sameZone } = classes[job.class];
@@ -21,7 +21,10 @@
   return count > 1 ? { members: count, sameZone } : null;
 }
 
-/** Why the job's replicas can never be placed, or null; an empty list of machine types means that none is known yet. */
+/**
+ * Returns why the job's replicas can never be placed, or null. An empty list of machine types means that the types are
+ * not known yet.
+ */
 export function unplaceableReason(
   job: Job,
   { members, sameZone }: ReplicaShape,
