--- a/packages/core/autoscaling/arrival-statistics.ts
+++ b/packages/core/autoscaling/arrival-statistics.ts
@@ -2,15 +2,15 @@
 import type { Job } from '#wire';
 
 /** Boot times for which capacity is kept ahead, since a machine must be up before it is needed. */
-const LOOK_AHEAD_BOOTS = 1.2;
+const LOOKAHEAD_BOOTS = 1.2;
 /** Jobs over which the mean square of tasks per job is averaged. */
-const SIZE_MEMORY = 10;
+const SIZE_AVERAGE_JOBS = 10;
 /** After so many mean gaps between jobs without one, a class's rate counts as lower. */
-const QUIET_GAPS = 3;
+const MAX_MEAN_GAPS = 3;
 /** Expected jobs below which no reserve is kept. */
-const FEWEST_JOBS = 0.05;
+const MIN_EXPECTED_JOBS = 0.05;
 /** Share of the reserve that is kept for classes whose work can wait for a boot. */
-const PATIENT_SHARE = 0.3;
+const NON_URGENT_SHARE = 0.3;
 
 /** What is expected for a class of jobs. */
 export interface ClassObjective {
@@ -39,11 +39,11 @@
   /** When the averages were last decayed. */
   decayedAt: number;
   /** When the last job was accepted. */
-  lastAt: number;
+  lastJobAt: number;
   /** Mean square of the tasks per job. */
   meanSquareTasks: number;
   /** The last job, for what tasks of the class need. */
-  sample: Job;
+  lastJob: Job;
 }
 
 /** Averages arrivals and ends by class (docs/design.md). Times are seconds of the steady clock. */
@@ -63,17 +63,18 @@
   /** Observes that a job was accepted. */
   jobArrived(job: Job, now: number): void {
     const { memoryS } = this.settings;
-    const arrivals = this.of(job, now);
-    arrivals.lastAt = now;
+    const arrivals = this.arrivalsOf(job, now);
+    arrivals.lastJobAt = now;
     arrivals.jobRate += 1 / memoryS;
     arrivals.taskArrivalRate += job.tasks / memoryS;
-    arrivals.meanSquareTasks += (job.tasks * job.tasks - arrivals.meanSquareTasks) / SIZE_MEMORY;
-    arrivals.sample = job;
+    arrivals.meanSquareTasks +=
+      (job.tasks * job.tasks - arrivals.meanSquareTasks) / SIZE_AVERAGE_JOBS;
+    arrivals.lastJob = job;
   }
 
   /** Observes that a job is over for its user. */
   jobEnded(job: Job, now: number): void {
-    this.of(job, now).taskEndRate += job.tasks / this.settings.memoryS;
+    this.arrivalsOf(job, now).taskEndRate += job.tasks / this.settings.memoryS;
   }
 
   /** Assumes that as many tasks have ended as came: a new leader does not know when work ended before. */
@@ -86,30 +87,30 @@
 
   /** When the last job of any class was accepted; -Infinity if none was. */
   lastArrivalAt(): number {
-    return Math.max(...[...this.byClass.values()].map(({ lastAt }) => lastAt));
+    return Math.max(...[...this.byClass.values()].map(({ lastJobAt }) => lastJobAt));
   }
 
   /** Tasks of a class to keep capacity for, given the boot time in seconds of machines that can run it. */
   reserveTasks(arrivals: ClassArrivals, bootS: number, now: number): number {
-    const job = arrivals.sample;
+    const job = arrivals.lastJob;
     const objective = this.objectives.find((each) => each.class === job.class);
     if (!objective) return 0;
     this.decay(arrivals, now);
-    const aheadS = bootS * LOOK_AHEAD_BOOTS;
+    const lookaheadS = bootS * LOOKAHEAD_BOOTS;
     // A gap of three times the mean is rare at a steady rate, so after it the rate is taken as lower.
-    const highestRate = QUIET_GAPS / Math.max(now - arrivals.lastAt, 1e-9);
-    const jobs = Math.min(arrivals.jobRate, highestRate) * aheadS;
-    if (jobs < FEWEST_JOBS) return 0;
+    const maxJobRate = MAX_MEAN_GAPS / Math.max(now - arrivals.lastJobAt, 1e-9);
+    const expectedJobs = Math.min(arrivals.jobRate, maxJobRate) * lookaheadS;
+    if (expectedJobs < MIN_EXPECTED_JOBS) return 0;
     const isUrgent = objective.kind === 'wait' && objective.withinS < bootS;
-    const sigmas = this.settings.reserveSigmas * (isUrgent ? 1 : PATIENT_SHARE);
-    const deviation = sigmas * Math.sqrt(jobs * arrivals.meanSquareTasks);
+    const sigmas = this.settings.reserveSigmas * (isUrgent ? 1 : NON_URGENT_SHARE);
+    const deviation = sigmas * Math.sqrt(expectedJobs * arrivals.meanSquareTasks);
     // Replicas stay until their users end them: while fewer end than come, more are needed.
     const mayGrow = isUrgent && job.kind === 'service';
-    const growth = mayGrow ? growthOf(arrivals, aheadS) : 0;
+    const growth = mayGrow ? expectedGrowth(arrivals, lookaheadS) : 0;
     return Math.ceil(growth + deviation);
   }
 
-  private of(job: Job, now: number): ClassArrivals {
+  private arrivalsOf(job: Job, now: number): ClassArrivals {
     let arrivals = this.byClass.get(job.class);
     if (!arrivals) {
       arrivals = {
@@ -117,9 +118,9 @@
         taskArrivalRate: 0,
         taskEndRate: 0,
         decayedAt: now,
-        lastAt: now,
+        lastJobAt: now,
         meanSquareTasks: job.tasks * job.tasks,
-        sample: job,
+        lastJob: job,
       };
       this.byClass.set(job.class, arrivals);
     }
@@ -128,15 +129,15 @@
   }
 
   private decay(arrivals: ClassArrivals, now: number): void {
-    const kept = Math.exp(-(now - arrivals.decayedAt) / this.settings.memoryS);
-    arrivals.jobRate *= kept;
-    arrivals.taskArrivalRate *= kept;
-    arrivals.taskEndRate *= kept;
+    const decayFactor = Math.exp(-(now - arrivals.decayedAt) / this.settings.memoryS);
+    arrivals.jobRate *= decayFactor;
+    arrivals.taskArrivalRate *= decayFactor;
+    arrivals.taskEndRate *= decayFactor;
     arrivals.decayedAt = now;
   }
 }
 
 /** Tasks by which the class grows in so many seconds, at the present rates. */
-function growthOf({ taskArrivalRate, taskEndRate }: ClassArrivals, seconds: number): number {
+function expectedGrowth({ taskArrivalRate, taskEndRate }: ClassArrivals, seconds: number): number {
   return Math.max(0, (taskArrivalRate - taskEndRate) * seconds);
 }
--- a/packages/core/autoscaling/bin-packing.test.ts
+++ b/packages/core/autoscaling/bin-packing.test.ts
@@ -25,17 +25,17 @@
 type Values<T> = T extends fc.Arbitrary<infer V> ? V : never;
 
 /** What is scaled out, and which amounts each machine holds, if so many tasks are packed at a time. */
-function packed(
-  ofJobs: Values<typeof jobs>,
-  ofMachines: Values<typeof machines>,
-  atATime: number,
+function packJobs(
+  jobSpecs: Values<typeof jobs>,
+  machineSpecs: Values<typeof machines>,
+  tasksAtOnce: number,
 ): unknown {
   const fleet = aFleet();
-  ofMachines.forEach((own, i) => aMachine(fleet, `n-${i}`, own));
+  machineSpecs.forEach((own, i) => aMachine(fleet, `n-${i}`, own));
   const existing = existingBins(fleet, 1, 0);
   const types = new Map([[STD.name, STD]]);
   const packing = new BinPacking({ existing, types, refusals: new ScaleOutRefusals(), now: 0 });
-  for (const own of ofJobs) packAll(packing, aJob(own), atATime);
+  for (const own of jobSpecs) packJob(packing, aJob(own), tasksAtOnce);
   const bins = [...packing.existing, ...packing.provisioned];
   const used = bins.map(({ zone, spot, used: { cpus, gpus, memory } }) => [
     zone,
@@ -47,14 +47,14 @@
   return [packing.scaleOutRequests(), used];
 }
 
-function packAll(packing: BinPacking, job: Job, atATime: number): void {
+function packJob(packing: BinPacking, job: Job, tasksAtOnce: number): void {
   const zones = new Map<string, number>();
-  const request = packing.request(job, job.id, zones);
+  const request = packing.createRequest(job, job.id, zones);
   for (let left = job.tasks; left > 0;) {
-    const found = packing.place(request, Math.min(left, atATime));
-    if (!found) return;
-    left -= found.tasks;
-    zones.set(found.bin.zone, (zones.get(found.bin.zone) ?? 0) + found.tasks);
+    const packed = packing.place(request, Math.min(left, tasksAtOnce));
+    if (!packed) return;
+    left -= packed.tasks;
+    zones.set(packed.bin.zone, (zones.get(packed.bin.zone) ?? 0) + packed.tasks);
   }
 }
 
@@ -62,7 +62,7 @@
 test('tasks packed machine by machine take the capacity that they take one by one', () => {
   fc.assert(
     fc.property(jobs, machines, (ofJobs, ofMachines) => {
-      assert.deepEqual(packed(ofJobs, ofMachines, Infinity), packed(ofJobs, ofMachines, 1));
+      assert.deepEqual(packJobs(ofJobs, ofMachines, Infinity), packJobs(ofJobs, ofMachines, 1));
     }),
     { numRuns: 300, seed: 1, includeErrorInReport: true },
   );
--- a/packages/core/autoscaling/bin-packing.ts
+++ b/packages/core/autoscaling/bin-packing.ts
@@ -13,9 +13,9 @@
 import { kindKey, type ScaleOutRefusals, type ScaleOutRequest } from './scale-out-requests.js';
 
 /** Number of tasks by which a machine's price is divided at the most, if tasks need next to nothing. */
-const MOST_PRICE_SHARES = 1000;
+const MAX_PRICE_DIVISOR = 1000;
 /** The price counts double when a zone has so many machines, so that zones fill alike. */
-const CROWDED_ZONE_MACHINES = 1000;
+const DOUBLED_PRICE_MACHINES = 1000;
 
 /** A kind of machine that may be provisioned for tasks, and its price per hour and task. */
 interface PricedKind {
@@ -29,7 +29,7 @@
    * How many bins at the head of each list are full. Capacity only shrinks while a plan is made, so these
    * need not be visited again: else each task would visit every machine.
    */
-  full: { existing: number; provisioned: number };
+  fullPrefix: { existing: number; provisioned: number };
   /** Kinds to provision, without those that the cloud has just refused. */
   kinds: PricedKind[];
 }
@@ -73,7 +73,11 @@
   }
 
   /** What `place` needs to know of a job's tasks; to be made once for many of them. */
-  request(job: Job, gang: string | null, tasksByZone: Map<string, number> | null): PackingRequest {
+  createRequest(
+    job: Job,
+    gang: string | null,
+    tasksByZone: Map<string, number> | null,
+  ): PackingRequest {
     return { job, gangId: gang, tasksByZone, requirements: this.requirementsOf(job) };
   }
 
@@ -108,7 +112,7 @@
   }
 
   /** From now on what best-effort work uses of the existing machines counts, too. */
-  countBestEffort(): void {
+  includeBestEffortUse(): void {
     for (const { machine, used } of this.existing) addAmounts(used, machine.usedBestEffort, 1);
   }
 
@@ -117,8 +121,8 @@
     const byKind = new Map<string, ScaleOutRequest>();
     for (const { type, zone, spot } of this.provisioned) {
       const key = kindKey(type.name, zone, spot);
-      const known = byKind.get(key);
-      if (known) known.count++;
+      const request = byKind.get(key);
+      if (request) request.count++;
       else byKind.set(key, { type: type.name, zone, spot, count: 1 });
     }
     return [...byKind.values()];
@@ -132,7 +136,7 @@
     const key = requirementsKey(job);
     let requirements = this.byRequirements.get(key);
     if (!requirements) {
-      requirements = { full: { existing: 0, provisioned: 0 }, kinds: this.kindsFor(job) };
+      requirements = { fullPrefix: { existing: 0, provisioned: 0 }, kinds: this.kindsFor(job) };
       this.byRequirements.set(key, requirements);
     }
     return requirements;
@@ -143,11 +147,11 @@
     const kinds: PricedKind[] = [];
     for (const type of types.values()) {
       if (!typeFits(job, type)) continue;
-      const fitting = taskCapacity(job, ZERO_AMOUNTS, type);
-      const shares = Math.max(1, Math.min(MOST_PRICE_SHARES, fitting));
+      const fittingTasks = taskCapacity(job, ZERO_AMOUNTS, type);
+      const priceDivisor = Math.max(1, Math.min(MAX_PRICE_DIVISOR, fittingTasks));
       for (const kind of kindsOfType(job, type)) {
-        if (refusals.includes(kind, now)) continue;
-        kinds.push({ kind, price: (kind.spot ? type.spotPrice : type.price) / shares });
+        if (refusals.isRefused(kind, now)) continue;
+        kinds.push({ kind, price: (kind.spot ? type.spotPrice : type.price) / priceDivisor });
       }
     }
     return kinds;
@@ -157,10 +161,10 @@
     const { job, gangId, tasksByZone, requirements } = request;
     const bins: Bin[] = this[list];
     // A machine that is reserved for a gang is not full, though it has capacity for that gang only.
-    let full = requirements.full[list];
-    while (full < bins.length && !canHold(bins[full], job)) full++;
-    requirements.full[list] = full;
-    for (let i = full; i < bins.length; i++) {
+    let fullCount = requirements.fullPrefix[list];
+    while (fullCount < bins.length && !canHold(bins[fullCount], job)) fullCount++;
+    requirements.fullPrefix[list] = fullCount;
+    for (let i = fullCount; i < bins.length; i++) {
       const bin = bins[i];
       if (!canHold(bin, job)) continue;
       if (isReservedForOther(bin.reservedForGang, gangId)) continue;
@@ -180,14 +184,14 @@
 
   private cheapestKind({ job, tasksByZone, requirements }: PackingRequest): MachineKind | null {
     let best: MachineKind | null = null;
-    let lowest = Infinity;
+    let lowestCost = Infinity;
     for (const { kind, price } of requirements.kinds) {
       if (isZoneFull(job, kind.zone, tasksByZone)) continue;
       const machines = this.machinesByZone.get(kind.zone) ?? 0;
-      const cost = price * (1 + machines / CROWDED_ZONE_MACHINES);
-      if (cost >= lowest) continue;
+      const cost = price * (1 + machines / DOUBLED_PRICE_MACHINES);
+      if (cost >= lowestCost) continue;
       best = kind;
-      lowest = cost;
+      lowestCost = cost;
     }
     return best;
   }
@@ -198,15 +202,15 @@
   return type.zones
     .filter((zone) => job.zone === null || job.zone === zone)
     .flatMap((zone) => {
-      const ordinary = { type, zone, spot: false };
-      return job.spot ? [{ type, zone, spot: true }, ordinary] : [ordinary];
+      const onDemand = { type, zone, spot: false };
+      return job.spot ? [{ type, zone, spot: true }, onDemand] : [onDemand];
     });
 }
 
 /** Tasks that the bin and its zone have capacity for; at least one, since one was found to have. */
 function capacityFor({ job, tasksByZone }: PackingRequest, { used, type, zone }: Bin): number {
-  const inZone = tasksByZone?.get(zone) ?? 0;
-  const leftInZone = tasksByZone === null ? Infinity : zoneCapacity(job) - inZone;
+  const tasksInZone = tasksByZone?.get(zone) ?? 0;
+  const leftInZone = tasksByZone === null ? Infinity : zoneCapacity(job) - tasksInZone;
   return Math.max(1, Math.min(taskCapacity(job, used, type), leftInZone));
 }
 
--- a/packages/core/autoscaling/bins.ts
+++ b/packages/core/autoscaling/bins.ts
@@ -44,7 +44,7 @@
   }
   return bins.sort(
     (a, b) =>
-      fillOf(b) - fillOf(a) ||
+      usedShare(b) - usedShare(a) ||
       a.type.price - b.type.price ||
       (a.machine.name < b.machine.name ? -1 : 1),
   );
@@ -57,7 +57,7 @@
   return { machine, type, zone, spot, used, isNeeded: machine.firmTasks > 0, reservedForGang };
 }
 
-function fillOf({ used, type }: Bin): number {
+function usedShare({ used, type }: Bin): number {
   return Math.max(used.cpus / type.cpus, type.gpus > 0 ? used.gpus / type.gpus : 0);
 }
 
--- a/packages/core/autoscaling/capacity-planner.test.ts
+++ b/packages/core/autoscaling/capacity-planner.test.ts
@@ -8,7 +8,7 @@
 const OBJECTIVES = [{ class: 'c', kind: 'wait', withinS: 4 }];
 const SETTINGS = { reserveSigmas: 0, idleHoldS: 60, memoryS: 120 };
 
-function aPlanner(fleet = aFleet()): CapacityPlanner {
+function createPlanner(fleet = aFleet()): CapacityPlanner {
   return new CapacityPlanner({ fleet, settings: SETTINGS, objectives: OBJECTIVES, teams: TEAMS });
 }
 
@@ -20,21 +20,21 @@
   // Guards against a growing fleet that is always one boot behind: in the first minutes replicas
   // waited for a boot each time, since only the swing of arrivals was kept in reserve.
   const service = aJob({ kind: 'service', tasks: 2 });
-  const grows = aPlanner();
-  for (let t = 0; t < 120; t++) grows.jobArrived(service, t);
-  const steady = aPlanner();
+  const growing = createPlanner();
+  for (let t = 0; t < 120; t++) growing.jobArrived(service, t);
+  const steady = createPlanner();
   for (let t = 0; t < 120; t++) {
     steady.jobArrived(service, t);
     steady.jobEnded(service, t);
   }
-  const batch = aPlanner();
+  const batch = createPlanner();
   for (let t = 0; t < 120; t++) batch.jobArrived(aJob({ tasks: 2 }), t);
-  assert.ok(provisionedCount(grows, 120) > 10);
+  assert.ok(provisionedCount(growing, 120) > 10);
   assert.equal(provisionedCount(steady, 120), 0);
   assert.equal(provisionedCount(batch, 120), 0);
   // After a failover it is not known what has ended, and all that stands there is no growth.
-  grows.assumeSteady(120);
-  assert.equal(provisionedCount(grows, 120), 0);
+  growing.assumeSteady(120);
+  assert.equal(provisionedCount(growing, 120), 0);
 });
 
 test('the reserve of a class goes soon after nothing more comes', () => {
@@ -54,23 +54,23 @@
 test('an empty machine is held shorter once nothing more comes', () => {
   // Guards against gangs that wait for a boot since whole machines were scaled in between them, and
   // against machines that are kept for nobody after the last job.
-  const goes = (lastAt: number) => {
+  const scaleInCounts = (lastAt: number) => {
     const fleet = aFleet();
-    const planner = aPlanner(fleet);
+    const planner = createPlanner(fleet);
     planner.jobArrived(aJob(), lastAt);
     aMachine(fleet, 'n-1');
     return [25, 45, 65].map((t) => planner.plan(t).scaleIn.length);
   };
-  assert.deepEqual(goes(24), [0, 0, 1]);
-  assert.deepEqual(goes(0), [0, 1, 1]);
+  assert.deepEqual(scaleInCounts(24), [0, 0, 1]);
+  assert.deepEqual(scaleInCounts(0), [0, 1, 1]);
 });
 
 test('a boot that is late by what boots take at present is replaced', () => {
   // Guards against replicas that wait minutes for a machine that comes late or never, and against
   // provisioning all again on days when every boot takes longer.
-  const late = (boots: number[]) => {
+  const provisionedCounts = (boots: number[]) => {
     const fleet = aFleet();
-    const planner = aPlanner(fleet);
+    const planner = createPlanner(fleet);
     boots.forEach((bootS, i) =>
       planner.machineUp(aMachine(fleet, `n-${i}`, { requestedAt: -bootS }), 0),
     );
@@ -83,6 +83,6 @@
     fleet.addJob(aJob(), 0, 'accepted', 0);
     return [STD.bootS, 1.5 * STD.bootS, 3 * STD.bootS].map((age) => provisionedCount(planner, age));
   };
-  assert.deepEqual(late([30, 31, 29, 120]), [0, 1, 1]);
-  assert.deepEqual(late([45, 50, 44, 48]), [0, 0, 1]);
+  assert.deepEqual(provisionedCounts([30, 31, 29, 120]), [0, 1, 1]);
+  assert.deepEqual(provisionedCounts([45, 50, 44, 48]), [0, 0, 1]);
 });
--- a/packages/core/autoscaling/capacity-planner.ts
+++ b/packages/core/autoscaling/capacity-planner.ts
@@ -20,9 +20,9 @@
 import { WaitingWork } from './waiting-work.js';
 
 /** Once no job has come for this share of the hold, empty machines are held for a shorter time. */
-const QUIET_SHARE = 1 / 2;
+const QUIET_AFTER_SHARE = 1 / 2;
 /** That time, as a share of the hold. */
-const QUIET_HOLD = 1 / 3;
+const QUIET_HOLD_SHARE = 1 / 3;
 
 /** What operators may set of the fleet's size. */
 export interface CapacitySettings extends ArrivalSettings {
@@ -57,7 +57,7 @@
   private readonly idleHoldS: number;
   private readonly teams: ReadonlyMap<string, TeamQuota>;
   private readonly arrivals: ArrivalStatistics;
-  private readonly boots = new BootTimes();
+  private readonly bootTimes = new BootTimes();
   private readonly refusals = new ScaleOutRefusals();
 
   constructor({ fleet, settings, objectives, teams }: CapacityPlannerOptions) {
@@ -84,7 +84,7 @@
 
   /** Observes the first heartbeat of a provisioned machine. */
   machineUp(machine: Machine, now: number): void {
-    this.boots.machineUp(machine, this.fleet.machines.typeOf(machine), now);
+    this.bootTimes.machineUp(machine, this.fleet.machines.typeOf(machine), now);
   }
 
   /** Observes that the cloud gave less than was requested; the kind is not requested again until then. */
@@ -94,7 +94,7 @@
 
   /** What to scale out and in now; changes nothing but the statistics' decay. */
   plan(now: number): CapacityPlan {
-    const existing = existingBins(this.fleet, this.boots.lateAfterBoots(), now);
+    const existing = existingBins(this.fleet, this.bootTimes.lateAfterBoots(), now);
     const { types } = this.fleet.machines;
     const packing = new BinPacking({ existing, types, refusals: this.refusals, now });
     const waiting = new WaitingWork(this.fleet, this.teams, packing, now);
@@ -105,7 +105,7 @@
     waiting.packStarvedBestEffort();
     return {
       scaleOut: packing.scaleOutRequests(),
-      scaleIn: idleMachines(existing, this.holdS(now), now),
+      scaleIn: idleMachines(existing, this.currentHoldS(now), now),
       consolidation: lacksCapacity ? null : findConsolidation(this.fleet, existing, now),
     };
   }
@@ -119,21 +119,21 @@
     for (const arrivals of this.arrivals.classes()) {
       const bootS = shortestBootS(arrivals, types);
       if (bootS === null) continue;
-      const request = packing.request(arrivals.sample, null, null);
+      const request = packing.createRequest(arrivals.lastJob, null, null);
       let left = this.arrivals.reserveTasks(arrivals, bootS, now);
       while (left > 0) left -= packing.place(request, left)?.tasks ?? left;
     }
   }
 
   /** Seconds for which an empty machine that nothing needs is held at present. */
-  private holdS(now: number): number {
-    const isQuiet = now - this.arrivals.lastArrivalAt() > this.idleHoldS * QUIET_SHARE;
-    return isQuiet ? this.idleHoldS * QUIET_HOLD : this.idleHoldS;
+  private currentHoldS(now: number): number {
+    const isQuiet = now - this.arrivals.lastArrivalAt() > this.idleHoldS * QUIET_AFTER_SHARE;
+    return isQuiet ? this.idleHoldS * QUIET_HOLD_SHARE : this.idleHoldS;
   }
 }
 
 /** Boot time of the type that boots soonest among those that can run the class; null if none can. */
-function shortestBootS({ sample }: ClassArrivals, types: MachineType[]): number | null {
-  const suitable = types.filter((type) => typeFits(sample, type));
+function shortestBootS({ lastJob }: ClassArrivals, types: MachineType[]): number | null {
+  const suitable = types.filter((type) => typeFits(lastJob, type));
   return suitable.length > 0 ? Math.min(...suitable.map((type) => type.bootS)) : null;
 }
--- a/packages/core/autoscaling/consolidation.test.ts
+++ b/packages/core/autoscaling/consolidation.test.ts
@@ -8,14 +8,14 @@
 const OBJECTIVES = [{ class: 'c', kind: 'wait', withinS: 4 }];
 const SETTINGS = { reserveSigmas: 0, idleHoldS: 60, memoryS: 120 };
 
-function aPlanner(fleet = aFleet()): CapacityPlanner {
+function createPlanner(fleet = aFleet()): CapacityPlanner {
   return new CapacityPlanner({ fleet, settings: SETTINGS, objectives: OBJECTIVES, teams: TEAMS });
 }
 
 test('a machine is emptied only if its replicas find capacity beside their image', () => {
   // Guards against a fleet that ends as many machines with one replica each, and against replicas
   // that are moved to where they would wait for their image, or into capacity that is counted on.
-  const emptied = (image: string, waiting: number, ranS: number) => {
+  const planConsolidation = (image: string, waiting: number, ranS: number) => {
     const fleet = aFleet();
     const machines = ['n-1', 'n-2'].map((name) => aMachine(fleet, name));
     const job = fleet.addJob(aJob({ kind: 'service', tasks: 3 }), 0, 'accepted', 0);
@@ -36,12 +36,12 @@
     });
     machines[0].images = new Map([[image, 5]]);
     fleet.addJob(aJob({ id: 'j-2', tasks: waiting }), 0, 'accepted', 0);
-    const { consolidation } = aPlanner(fleet).plan(ranS);
+    const { consolidation } = createPlanner(fleet).plan(ranS);
     if (consolidation === null) return null;
     return [consolidation.machine.name, ...consolidation.moves.map(({ to }) => to.name)];
   };
-  assert.deepEqual(emptied('i', 1, 60), ['n-2', 'n-1']);
-  assert.equal(emptied('other', 1, 60), null);
-  assert.equal(emptied('i', 2, 60), null);
-  assert.equal(emptied('i', 1, 5), null);
+  assert.deepEqual(planConsolidation('i', 1, 60), ['n-2', 'n-1']);
+  assert.equal(planConsolidation('other', 1, 60), null);
+  assert.equal(planConsolidation('i', 2, 60), null);
+  assert.equal(planConsolidation('i', 1, 5), null);
 });
--- a/packages/core/autoscaling/consolidation.ts
+++ b/packages/core/autoscaling/consolidation.ts
@@ -10,7 +10,7 @@
 import type { ExistingBin } from './bins.js';
 
 /** No machine of which firm work uses a larger share is emptied. */
-const MOST_USED = 0.5;
+const MAX_LOAD = 0.5;
 
 /** A replica and the machine that has capacity for it. */
 export interface Move {
@@ -37,7 +37,10 @@
 ): Consolidation | null {
   const candidates = bins
     .filter((bin) => canBeEmptied(fleet, bin, now))
-    .sort((a, b) => pricePerTask(b) - pricePerTask(a) || bestEffortOn(a) - bestEffortOn(b));
+    .sort(
+      (a, b) =>
+        pricePerTask(b) - pricePerTask(a) || bestEffortTaskCount(a) - bestEffortTaskCount(b),
+    );
   for (const bin of candidates) {
     const moves = findMoves(fleet, bin, bins, now);
     if (moves) return { machine: bin.machine, moves };
@@ -47,7 +50,7 @@
 
 function canBeEmptied(fleet: FleetState, bin: ExistingBin, now: number): boolean {
   const { machine, type, used, reservedForGang } = bin;
-  if (machine.firmTasks === 0 || load(machine, type) > MOST_USED) return false;
+  if (machine.firmTasks === 0 || load(machine, type) > MAX_LOAD) return false;
   if (!isUsable(machine, fleet.settings.machineRecordBytes, now)) return false;
   // Machines that a gang is waiting for, or that the plan has packed more work on, are kept.
   if (reservedForGang !== null || used.cpus > firmUse(machine).cpus + ROUNDING) return false;
@@ -59,7 +62,7 @@
 }
 
 /** Best-effort tasks there, each of which may have to start again. */
-function bestEffortOn({ machine }: ExistingBin): number {
+function bestEffortTaskCount({ machine }: ExistingBin): number {
   return machine.tasks.size - machine.firmTasks;
 }
 
@@ -77,7 +80,7 @@
   bins: ExistingBin[],
   now: number,
 ): Move[] | null {
-  const taken = new Map<ExistingBin, Amounts>();
+  const plannedUse = new Map<ExistingBin, Amounts>();
   const moves: Move[] = [];
   for (const task of firmTasksOf(from.machine)) {
     const { spec } = task.job;
@@ -85,12 +88,12 @@
       (bin) =>
         bin !== from &&
         canReceive(fleet, bin, from, spec, now) &&
-        hasCapacity(spec, taken.get(bin) ?? bin.used, bin.type),
+        hasCapacity(spec, plannedUse.get(bin) ?? bin.used, bin.type),
     );
     if (!target) return null;
-    const used = taken.get(target) ?? { ...target.used };
+    const used = plannedUse.get(target) ?? { ...target.used };
     addAmounts(used, spec, 1);
-    taken.set(target, used);
+    plannedUse.set(target, used);
     moves.push({ task, to: target.machine });
   }
   return moves;
--- a/packages/core/autoscaling/idle-machines.ts
+++ b/packages/core/autoscaling/idle-machines.ts
@@ -5,7 +5,7 @@
 import type { ExistingBin } from './bins.js';
 
 /** Share of a spot machine that best-effort work must use to keep it. */
-const WORTH_KEEPING = 1 / 2;
+const MIN_BEST_EFFORT_SHARE = 1 / 2;
 
 /** The machines that the plan does not need and that have had no firm task for `holdS` seconds. */
 export function idleMachines(existing: ExistingBin[], holdS: number, now: number): Machine[] {
@@ -22,5 +22,5 @@
 
 /** Best-effort work keeps a machine that is cheap and well used by it, and no other. */
 function isWorthKeeping({ spot, usedBestEffort }: Machine, type: MachineType): boolean {
-  return spot && dominantShare(usedBestEffort, type) >= WORTH_KEEPING;
+  return spot && dominantShare(usedBestEffort, type) >= MIN_BEST_EFFORT_SHARE;
 }
--- a/packages/core/autoscaling/scale-in.ts
+++ b/packages/core/autoscaling/scale-in.ts
@@ -2,7 +2,7 @@
 import type { FleetState } from '../fleet-state.js';
 import { mayRunToEnd } from '../fair-share/best-effort.js';
 import type { Machine } from '../model/entities.js';
-import { bindingZones } from '../placement/task-requirements.js';
+import { constrainingTasksByZone } from '../placement/task-requirements.js';
 import { chooseMachine } from '../placement/choose-machine.js';
 import { PlacementCandidates } from '../placement/placement-candidates.js';
 import { HOLD_HEARTBEATS } from '../preemption/capacity-holds.js';
@@ -35,7 +35,7 @@
     const { job, stop } = task;
     if (!job.isBestEffort || stop !== null || mayRunToEnd(fleet, task, now)) continue;
     if (job.tasksMoved >= job.spec.tasks) continue;
-    if (chooseMachine(fleet, job, bindingZones(job), candidates, now) === null) continue;
+    if (chooseMachine(fleet, job, constrainingTasksByZone(job), candidates, now) === null) continue;
     job.tasksMoved++;
     fleet.assignments.stopGracefully(task, now);
     // The rest of a gang that was not started yet is gone at once, which leaves capacity elsewhere.
--- a/packages/core/autoscaling/scale-out-requests.ts
+++ b/packages/core/autoscaling/scale-out-requests.ts
@@ -20,7 +20,7 @@
   }
 
   /** Whether the kind was refused so recently that it is not requested. */
-  includes({ type, zone, spot }: MachineKind, now: number): boolean {
+  isRefused({ type, zone, spot }: MachineKind, now: number): boolean {
     return (this.until.get(kindKey(type.name, zone, spot)) ?? 0) > now;
   }
 }
--- a/packages/core/autoscaling/waiting-work.ts
+++ b/packages/core/autoscaling/waiting-work.ts
@@ -12,11 +12,11 @@
 import type { ExistingBin } from './bins.js';
 
 /** Tasks of one job that a plan packs; the next plan packs what is left. */
-const MOST_TASKS_PLANNED = 2000;
+const MAX_TASKS_PER_JOB = 2000;
 /** Jobs of one bucket that a plan visits. */
-const MOST_JOBS_PLANNED = 500;
+const MAX_JOBS_PER_BUCKET = 500;
 /** Machines on which a plan packs tasks of a starved best-effort job. */
-const BEST_EFFORT_MACHINES = 1;
+const MAX_BEST_EFFORT_MACHINES = 1;
 /** When jobs are ordered by size, one accelerator counts as much as so many processors. */
 const CPUS_PER_GPU = 1000;
 
@@ -35,7 +35,10 @@
   ) {
     const bestEffort: JobState[] = [];
     for (const bucket of fleet.jobs.waiting.buckets()) {
-      const jobs = firstOf(this.requestingCapacity(oldestFirst([bucket])), MOST_JOBS_PLANNED);
+      const jobs = takeFirst(
+        this.allowedToRequestCapacity(oldestFirst([bucket])),
+        MAX_JOBS_PER_BUCKET,
+      );
       (bucket.isBestEffort ? bestEffort : this.firm).push(...jobs);
     }
     this.starvedBestEffort = bestEffort.filter((job) => mayScaleOutFor(fleet, job, now));
@@ -49,29 +52,29 @@
   /** Packs the best-effort jobs that have waited long without any task, beside all other work. */
   packStarvedBestEffort(): void {
     if (this.starvedBestEffort.length === 0) return;
-    this.packing.countBestEffort();
+    this.packing.includeBestEffortUse();
     for (const job of this.starvedBestEffort.sort(byRankAndSize)) {
-      this.packJob(job, BEST_EFFORT_MACHINES);
+      this.packJob(job, MAX_BEST_EFFORT_MACHINES);
     }
   }
 
   /** Those jobs whose failures don't speak against scaling out for them. */
-  private *requestingCapacity(jobs: Iterable<JobState>): Generator<JobState> {
+  private *allowedToRequestCapacity(jobs: Iterable<JobState>): Generator<JobState> {
     for (const job of jobs) if (this.fleet.failures.mayRequestCapacity(job, this.now)) yield job;
   }
 
-  /** Packs tasks of the job, as far as its team's limit allows, on `mostMachines` each time at the most. */
-  private packJob(job: JobState, mostMachines: number): void {
+  /** Packs tasks of the job, as far as its team's limit allows, on `maxMachines` each time at the most. */
+  private packJob(job: JobState, maxMachines: number): void {
     const { spec } = job;
     const quota = this.teams.get(spec.team);
     if (!quota) return;
     const used = this.usageOf(spec.team);
     const zones = new Map<string, number>();
-    const most = Math.min(this.plannedTasks(job), timesWithinLimit(quota, used, spec));
-    const together = job.replicas?.members ?? most;
-    for (let left = most; left > 0; left -= together) {
-      const tasks = Math.min(left, together);
-      const packed = this.packTogether(job, tasks, zones, mostMachines);
+    const maxTasks = Math.min(this.plannedTasks(job), timesWithinLimit(quota, used, spec));
+    const groupSize = job.replicas?.members ?? maxTasks;
+    for (let left = maxTasks; left > 0; left -= groupSize) {
+      const tasks = Math.min(left, groupSize);
+      const packed = this.packTogether(job, tasks, zones, maxMachines);
       addAmounts(used, multipliedAmounts(spec, packed), 1);
       if (packed < tasks) return;
     }
@@ -86,7 +89,7 @@
   private plannedTasks(job: JobState): number {
     const { jobs, failures } = this.fleet;
     const startable = Math.min(jobs.waitingCount(job), failures.maxStartableTasks(job));
-    return Math.min(startable, MOST_TASKS_PLANNED);
+    return Math.min(startable, MAX_TASKS_PER_JOB);
   }
 
   /**
@@ -97,24 +100,24 @@
     job: JobState,
     count: number,
     zones: Map<string, number>,
-    mostMachines: number,
+    maxMachines: number,
   ): number {
     const { packing } = this;
     const { spec, replicas } = job;
     const oneZone = needsOneZone(job);
     const zone = zoneToPack(spec, packing.existing);
-    let request = packing.request({ ...spec, zone }, spec.id, zones);
+    let request = packing.createRequest({ ...spec, zone }, spec.id, zones);
     if (replicas !== null && oneZone && zone === null) {
       const chosen = packing.zoneForAll(request, count);
-      request = packing.request({ ...spec, zone: chosen }, spec.id, zones);
+      request = packing.createRequest({ ...spec, zone: chosen }, spec.id, zones);
     }
     let left = count;
-    for (let machines = 0; left > 0 && machines < mostMachines; machines++) {
+    for (let machines = 0; left > 0 && machines < maxMachines; machines++) {
       const packed = packing.place(request, left);
       if (!packed) break;
       const { bin, tasks } = packed;
       if (oneZone && request.job.zone === null) {
-        request = packing.request({ ...spec, zone: bin.zone }, spec.id, zones);
+        request = packing.createRequest({ ...spec, zone: bin.zone }, spec.id, zones);
       }
       zones.set(bin.zone, (zones.get(bin.zone) ?? 0) + tasks);
       left -= tasks;
@@ -129,10 +132,10 @@
   return existing.find((bin) => bin.reservedForGang === job.id)?.zone ?? job.zone;
 }
 
-function firstOf<T>(items: Iterable<T>, most: number): T[] {
+function takeFirst<T>(items: Iterable<T>, maxCount: number): T[] {
   const first: T[] = [];
   for (const item of items) {
-    if (first.length === most) break;
+    if (first.length === maxCount) break;
     first.push(item);
   }
   return first;
--- a/packages/core/placement/blocked-shapes.ts
+++ b/packages/core/placement/blocked-shapes.ts
@@ -2,7 +2,7 @@
 import type { Job } from '#wire';
 import type { Amounts } from '../model/amounts.js';
 import type { JobState } from '../model/entities.js';
-import { constraintsKey, isBoundByZones } from './task-requirements.js';
+import { constraintsKey, hasZoneConstraint } from './task-requirements.js';
 
 /**
  * Which capacity a job may use in a round; jobs of the same access fail alike. A best-effort job may use
@@ -46,8 +46,8 @@
  * its failures bound where it may go.
  */
 export function mayBlockShape({ spec, assignments, failures }: JobState): boolean {
-  const isBoundByOwnZones = isBoundByZones(spec) && assignments.size > 0;
-  return !isBoundByOwnZones && failures.attempts === 0;
+  const isConstrainedByOwnTasks = hasZoneConstraint(spec) && assignments.size > 0;
+  return !isConstrainedByOwnTasks && failures.attempts === 0;
 }
 
 function shapeKey(job: Job, access: CapacityAccess): string {
--- a/packages/core/placement/choose-machine.test.ts
+++ b/packages/core/placement/choose-machine.test.ts
@@ -17,13 +17,13 @@
 import { aFleet, aJob, aMachine } from '../../testing/samples.js';
 
 /** The choice as its rules say it, by a look at every machine. */
-function byEveryMachine(fleet: FleetState, state: JobState, now: number): Machine | null {
+function chooseByExhaustiveSearch(fleet: FleetState, state: JobState, now: number): Machine | null {
   const { spec } = state;
-  const classZones = new Map<string, number>();
+  const classTasksByZone = new Map<string, number>();
   for (const { zone, tasks } of fleet.machines.values()) {
     for (const { job: other } of tasks.values()) {
       if (other.spec.class !== spec.class) continue;
-      classZones.set(zone, (classZones.get(zone) ?? 0) + 1);
+      classTasksByZone.set(zone, (classTasksByZone.get(zone) ?? 0) + 1);
     }
   }
   let best: { machine: Machine; cost: number } | null = null;
@@ -38,8 +38,8 @@
       !zoneAllowed(spec, machine.zone, tasksByZone(state))
     )
       continue;
-    const crowd = spec.spread ? (classZones.get(machine.zone) ?? 0) / 4 : 0;
-    const cost = placementCost(spec, machine, type) + crowd;
+    const zoneCost = spec.spread ? (classTasksByZone.get(machine.zone) ?? 0) / 4 : 0;
+    const cost = placementCost(spec, machine, type) + zoneCost;
     if (best === null || cost < best.cost) best = { machine, cost };
   }
   return best?.machine ?? null;
@@ -78,13 +78,13 @@
       if (chance.hit(0.1)) fleet.machines.reserve(machine, jobs[chance.int(0, 23)].spec.id);
     }
     const now = 10;
-    const places = new PlacementCandidates(fleet, now);
+    const candidates = new PlacementCandidates(fleet, now);
     for (let i = 0; i < 80; i++) {
       const state = jobs[chance.int(0, 23)];
       const [index] = fleet.jobs.waitingTasks(state, 1);
       if (index === undefined) continue;
-      const expected = byEveryMachine(fleet, state, now);
-      assert.equal(chooseMachine(fleet, state, tasksByZone(state), places, now), expected);
+      const expected = chooseByExhaustiveSearch(fleet, state, now);
+      assert.equal(chooseMachine(fleet, state, tasksByZone(state), candidates, now), expected);
       compared++;
       if (expected)
         fleet.assignments.assign(state, index, expected, fleet.assignments.newAttempt(), now);
--- a/packages/core/placement/choose-machine.ts
+++ b/packages/core/placement/choose-machine.ts
@@ -5,37 +5,37 @@
 import { isReservedForOther } from './availability.js';
 import { zoneAllowed } from './task-requirements.js';
 import type { PlacementCandidates } from './placement-candidates.js';
-import { CROWDED_ZONE_S } from './placement-cost.js';
+import { SPREAD_TASK_COST_S } from './placement-cost.js';
 
 /**
  * The machine of lowest cost for a single task of the job, or null if there is none. Nothing is assigned.
- * `ownZones` counts the job's tasks by zone.
+ * `jobTasksByZone` counts the job's tasks by zone.
  */
 export function chooseMachine(
   fleet: FleetState,
   job: JobState,
-  ownZones: Map<string, number>,
+  jobTasksByZone: Map<string, number>,
   candidates: PlacementCandidates,
   now: number,
 ): Machine | null {
   const { spec } = job;
-  const classZones = fleet.usage.tasksByZone(spec.class);
+  const classTasksByZone = fleet.usage.tasksByZone(spec.class);
   let best: Machine | null = null;
-  let lowest = Infinity;
+  let lowestCost = Infinity;
   for (const candidate of candidates.forJob(job)) {
     const { machine } = candidate;
     let cost = candidates.cost(candidate, job);
     // Replicas of a class that are spread over zones lose less together.
-    if (spec.spread) cost += (classZones.get(machine.zone) ?? 0) * CROWDED_ZONE_S;
-    if (cost >= lowest) continue;
+    if (spec.spread) cost += (classTasksByZone.get(machine.zone) ?? 0) * SPREAD_TASK_COST_S;
+    if (cost >= lowestCost) continue;
     if (isReservedForOther(machine.reservedForGang, spec.id)) continue;
     if (job.isBestEffort && !mayUseSpareCapacity(fleet, job, machine, candidate.type, now))
       continue;
     if (fleet.holds.isHeldForOther(machine, job, now)) continue;
     if (fleet.failures.isExcluded(job, machine, now)) continue;
-    if (!zoneAllowed(spec, machine.zone, ownZones)) continue;
+    if (!zoneAllowed(spec, machine.zone, jobTasksByZone)) continue;
     best = machine;
-    lowest = cost;
+    lowestCost = cost;
   }
   return best;
 }
--- a/packages/core/placement/choose-machines-together.ts
+++ b/packages/core/placement/choose-machines-together.ts
@@ -3,7 +3,12 @@
 import { mostEntryBytes } from '../model/machine-record-size.js';
 import type { JobState, Machine } from '../model/entities.js';
 import { isReservedForOther } from './availability.js';
-import { bindingZones, taskCapacity, zoneAllowed, zoneCapacity } from './task-requirements.js';
+import {
+  constrainingTasksByZone,
+  taskCapacity,
+  zoneAllowed,
+  zoneCapacity,
+} from './task-requirements.js';
 import type { PlacementCandidates } from './placement-candidates.js';
 
 /** Tasks that are placed together or not at all: those of a gang, or the members of one replica. */
@@ -38,18 +43,18 @@
   now: number,
 ): Machine[] | null {
   const zones = request.oneZone ? fleet.machines.zones : [null];
-  const options = optionsFor(fleet, job, request, candidates, now);
-  const taken = bindingZones(job);
+  const options = machineOptions(fleet, job, request, candidates, now);
+  const otherTasksByZone = constrainingTasksByZone(job);
   let best: JointPlacement | null = null;
   for (const zone of zones) {
-    const placement = fill(job, request, zone, options, taken);
+    const placement = chooseMachinesInZone(job, request, zone, options, otherTasksByZone);
     if (placement && (best === null || placement.cost < best.cost)) best = placement;
   }
   return best?.machines ?? null;
 }
 
 /** Machines that can take some of the tasks, those of lowest cost first. */
-function optionsFor(
+function machineOptions(
   fleet: FleetState,
   job: JobState,
   request: JointRequest,
@@ -58,7 +63,7 @@
 ): MachineOption[] {
   const { spec } = job;
   const { machineRecordBytes } = fleet.settings;
-  const entrySize = mostEntryBytes(spec);
+  const maxEntryBytes = mostEntryBytes(spec);
   const options: MachineOption[] = [];
   for (const candidate of candidates.forJob(job)) {
     const { machine, type } = candidate;
@@ -68,7 +73,7 @@
     if (fleet.failures.isExcluded(job, machine, now)) continue;
     const capacity = Math.min(
       request.tasks,
-      Math.floor((machineRecordBytes - machine.recordBytes) / entrySize),
+      Math.floor((machineRecordBytes - machine.recordBytes) / maxEntryBytes),
       taskCapacity(spec, machine.used, type),
     );
     if (capacity > 0) options.push({ machine, capacity, cost });
@@ -80,25 +85,25 @@
  * Takes the options of lowest cost, in one zone or any (null), until all tasks have one; null if some find
  * none. `taken` counts the job's other tasks by zone.
  */
-function fill(
+function chooseMachinesInZone(
   { spec }: JobState,
   { tasks }: JointRequest,
   zone: string | null,
   options: MachineOption[],
-  taken: ReadonlyMap<string, number>,
+  otherTasksByZone: ReadonlyMap<string, number>,
 ): JointPlacement | null {
   const machines: Machine[] = [];
-  const counts = new Map(taken);
+  const tasksByZone = new Map(otherTasksByZone);
   let cost = 0;
   for (const { machine, capacity, cost: optionCost } of options) {
     if (zone !== null && machine.zone !== zone) continue;
-    if (!zoneAllowed(spec, machine.zone, counts)) continue;
-    const inZone = counts.get(machine.zone) ?? 0;
+    if (!zoneAllowed(spec, machine.zone, tasksByZone)) continue;
+    const inZone = tasksByZone.get(machine.zone) ?? 0;
     const count = Math.min(capacity, tasks - machines.length, zoneCapacity(spec) - inZone);
     for (let i = 0; i < count; i++) machines.push(machine);
     if (count > 0) {
       cost = Math.max(cost, optionCost);
-      counts.set(machine.zone, inZone + count);
+      tasksByZone.set(machine.zone, inZone + count);
     }
     if (machines.length === tasks) return { machines, cost };
   }
--- a/packages/core/placement/gang-reservations.ts
+++ b/packages/core/placement/gang-reservations.ts
@@ -11,7 +11,7 @@
 /** Run times are estimated by users; a task is expected to take this many times as long. */
 const ESTIMATE_MARGIN = 1.5;
 /** Share of the estimate that a task is expected to run on at least, however long it has run already. */
-const LEAST_REST = 1 / 4;
+const MIN_REMAINING_SHARE = 1 / 4;
 /** A gang keeps its machines unless another is empty in less than this share of their time. */
 const SWITCH_RATIO = 1 / 2;
 
@@ -24,7 +24,7 @@
 }
 
 /** Machines collected for a gang so far, in one zone or in all. */
-interface MachineSet {
+interface CollectedMachines {
   machines: Machine[];
   /** Tasks of the gang that they hold when empty. */
   capacity: number;
@@ -122,8 +122,8 @@
   for (const candidate of emptying) {
     const gang = candidate.machine.reservedForGang;
     if (gang === null) continue;
-    const own = byGang.get(gang);
-    if (own) own.push(candidate);
+    const ofGang = byGang.get(gang);
+    if (ofGang) ofGang.push(candidate);
     else byGang.set(gang, [candidate]);
   }
   return byGang;
@@ -137,12 +137,12 @@
   machines: MachineRegistry,
   { spec }: JobState,
   emptying: EmptyingMachine[],
-  own: EmptyingMachine[],
+  reservedMachines: EmptyingMachine[],
   isUnavailable: (machine: Machine) => boolean,
 ): void {
-  const byZone = new Map<string, MachineSet>();
+  const byZone = new Map<string, CollectedMachines>();
   let chosen: Machine[] = [];
-  for (const { machine, type } of soonestFirst(emptying, own)) {
+  for (const { machine, type } of soonestFirst(emptying, reservedMachines)) {
     if (!kindAllowed(spec, type, machine.zone, machine.spot) || isUnavailable(machine)) continue;
     const zone = spec.oneZone ? machine.zone : '';
     let collected = byZone.get(zone);
@@ -153,7 +153,8 @@
     chosen = collected.machines;
     break;
   }
-  for (const { machine } of own) if (!chosen.includes(machine)) machines.reserve(machine, null);
+  for (const { machine } of reservedMachines)
+    if (!chosen.includes(machine)) machines.reserve(machine, null);
   for (const machine of chosen) machines.reserve(machine, spec.id);
 }
 
@@ -163,18 +164,18 @@
  */
 function* soonestFirst(
   emptying: EmptyingMachine[],
-  own: EmptyingMachine[],
+  reservedMachines: EmptyingMachine[],
 ): Generator<EmptyingMachine> {
   let freeIndex = 0;
-  let ownIndex = 0;
+  let reservedIndex = 0;
   for (;;) {
     while (freeIndex < emptying.length && emptying[freeIndex].machine.reservedForGang !== null)
       freeIndex++;
     const nextFree = emptying.at(freeIndex);
-    const nextOwn = own.at(ownIndex);
-    if (nextOwn && !(nextFree && nextFree.emptyInS < nextOwn.emptyInS * SWITCH_RATIO)) {
-      ownIndex++;
-      yield nextOwn;
+    const nextReserved = reservedMachines.at(reservedIndex);
+    if (nextReserved && !(nextFree && nextFree.emptyInS < nextReserved.emptyInS * SWITCH_RATIO)) {
+      reservedIndex++;
+      yield nextReserved;
     } else if (nextFree) {
       freeIndex++;
       yield nextFree;
@@ -185,12 +186,16 @@
 /** Seconds until a machine could be empty on which all firm tasks end by themselves, by their estimates. */
 function secondsUntilEmpty(machine: Machine, bootS: number, now: number): number {
   if (machine.state === 'booting') return Math.max(1, machine.requestedAt + bootS - now);
-  let waitS = 0;
+  let untilEmptyS = 0;
   for (const { job, stop, runningSince } of machine.tasks.values()) {
     const { estimateS } = job.spec;
     if (stop !== null || job.isBestEffort) continue;
     const ranS = runningSince === null ? 0 : now - runningSince;
-    waitS = Math.max(waitS, estimateS * ESTIMATE_MARGIN - ranS, estimateS * LEAST_REST);
+    untilEmptyS = Math.max(
+      untilEmptyS,
+      estimateS * ESTIMATE_MARGIN - ranS,
+      estimateS * MIN_REMAINING_SHARE,
+    );
   }
-  return waitS;
+  return untilEmptyS;
 }
--- a/packages/core/placement/placement-candidates.ts
+++ b/packages/core/placement/placement-candidates.ts
@@ -44,7 +44,7 @@
     const key = `${job.requirementsKey} ${job.spec.image} ${String(job.isBestEffort)}`;
     let candidates = this.byRequirementsAndImage.get(key);
     if (!candidates) {
-      candidates = this.withCapacity(job).map(asCandidate);
+      candidates = this.machinesWithCapacity(job).map(toCandidate);
       this.byRequirementsAndImage.set(key, candidates);
     }
     return candidates;
@@ -77,7 +77,7 @@
     return false;
   }
 
-  private withCapacity({ requirementsKey, spec }: JobState): CandidateMachine[] {
+  private machinesWithCapacity({ requirementsKey, spec }: JobState): CandidateMachine[] {
     let candidates = this.byRequirements.get(requirementsKey);
     if (!candidates) {
       this.byRequirements.set(requirementsKey, (candidates = []));
@@ -97,6 +97,6 @@
   }
 }
 
-function asCandidate({ machine, type }: CandidateMachine): Candidate {
+function toCandidate({ machine, type }: CandidateMachine): Candidate {
   return { machine, type, cost: 0, assignmentVersion: -1 };
 }
--- a/packages/core/placement/placement-round.ts
+++ b/packages/core/placement/placement-round.ts
@@ -5,7 +5,7 @@
 import type { FleetState } from '../fleet-state.js';
 import type { JobReplicas, JobState } from '../model/entities.js';
 import { needsOneZone } from '../model/replica-groups.js';
-import { bindingZones } from './task-requirements.js';
+import { constrainingTasksByZone } from './task-requirements.js';
 import { BlockedShapes, type CapacityAccess, mayBlockShape } from './blocked-shapes.js';
 import { chooseMachine } from './choose-machine.js';
 import { chooseMachinesTogether, type JointRequest } from './choose-machines-together.js';
@@ -20,7 +20,7 @@
   private readonly candidates: PlacementCandidates;
   private readonly blocked = new BlockedShapes();
   /** Jobs for which capacity was held when the round began. */
-  private readonly heldFor: ReadonlyMap<JobState, number>;
+  private readonly holdsByJob: ReadonlyMap<JobState, number>;
 
   constructor(
     private readonly fleet: FleetState,
@@ -30,7 +30,7 @@
     readonly now: number,
   ) {
     this.candidates = new PlacementCandidates(fleet, now);
-    this.heldFor = fleet.holds.machineCountByJob(now);
+    this.holdsByJob = fleet.holds.machineCountByJob(now);
   }
 
   /** Whether the job need not be tried: it backs off, is probed enough, or fails like one before it. */
@@ -43,7 +43,7 @@
   }
 
   /** Whether not even the bucket's smallest task could be placed: no capacity, or its team is at its limit. */
-  isFullFor({ sample, minAmounts }: WaitingBucket): boolean {
+  canPlaceNone({ sample, minAmounts }: WaitingBucket): boolean {
     if (sample.kind === 'gang') return false;
     return (
       !this.shares.withinLimit(sample.team, minAmounts) ||
@@ -63,7 +63,7 @@
     if (this.isBlocked(job)) return 0;
     const startable = Math.min(TASKS_PER_TURN, failures.maxStartableTasks(job));
     const limit = Math.min(startable, this.decisionsPerRound);
-    const zones = bindingZones(job);
+    const zones = constrainingTasksByZone(job);
     let placed = 0;
     for (const index of jobs.waitingTasks(job, limit)) {
       if (!this.shares.withinLimit(job.spec.team, job.spec)) break;
@@ -102,20 +102,22 @@
   }
 
   /** Places all of the tasks from index `first` in one attempt, or none; returns how many. */
-  private placeTogether(job: JobState, request: JointRequest, first: number): number {
+  private placeTogether(job: JobState, request: JointRequest, firstIndex: number): number {
     const { fleet, candidates, now } = this;
     const { assignments } = fleet;
     if (!this.shares.allowsTasks(job.spec, request.tasks)) return 0;
     const machines = chooseMachinesTogether(fleet, job, request, candidates, now);
     if (!machines) return 0;
     const attempt = assignments.newAttempt();
-    machines.forEach((machine, i) => assignments.assign(job, first + i, machine, attempt, now));
+    machines.forEach((machine, i) =>
+      assignments.assign(job, firstIndex + i, machine, attempt, now),
+    );
     return machines.length;
   }
 
   /** Tasks that need as much as one that found no capacity fail alike, unless some is held for the job. */
   private isBlocked(job: JobState): boolean {
-    if (job.spec.kind === 'gang' || this.heldFor.has(job)) return false;
+    if (job.spec.kind === 'gang' || this.holdsByJob.has(job)) return false;
     return this.blocked.has(job.spec, job.rank, this.accessOf(job));
   }
 
--- a/packages/core/placement/scheduler.test.ts
+++ b/packages/core/placement/scheduler.test.ts
@@ -43,10 +43,10 @@
     spot: fc.boolean(),
     acceptedAt: fc.integer({ min: 0, max: 20 }),
     /** When tasks of it began on which machine. */
-    ran: fc.array(fc.tuple(fc.integer({ min: 20, max: 90 }), fc.nat(5)), { maxLength: 3 }),
+    runs: fc.array(fc.tuple(fc.integer({ min: 20, max: 90 }), fc.nat(5)), { maxLength: 3 }),
     /** Whether these have ended since. */
-    rests: fc.boolean(),
-    backsOff: fc.boolean(),
+    hasEnded: fc.boolean(),
+    isBackingOff: fc.boolean(),
   }),
   { minLength: 5, maxLength: 60 },
 );
@@ -58,29 +58,29 @@
 type Machines = typeof machines extends fc.Arbitrary<infer T> ? T : never;
 
 /** The same fleet for the same arguments. */
-function fleetOf(ofJobs: Jobs, ofMachines: Machines): FleetState {
+function createFleet(jobSpecs: Jobs, machineSpecs: Machines): FleetState {
   const fleet = aFleet({ isBestEffort: (job) => isBestEffort(job, TEAMS.get(job.team)) });
-  const stand = ofMachines.map((own, i) => aMachine(fleet, `n-${i}`, own));
-  ofJobs.forEach(({ acceptedAt, ran, rests, backsOff, ...own }, i) => {
+  const created = machineSpecs.map((own, i) => aMachine(fleet, `n-${i}`, own));
+  jobSpecs.forEach(({ acceptedAt, runs, hasEnded, isBackingOff, ...own }, i) => {
     const state = fleet.addJob(aJob({ id: `j-${i}`, ...own }), acceptedAt, 'accepted', acceptedAt);
-    if (backsOff) state.backoffUntil = NOW + 5;
-    ran.slice(0, own.tasks).forEach(([from, on], index) => {
-      const machine = stand[on % stand.length];
-      const place = fleet.assignments.assign(
+    if (isBackingOff) state.backoffUntil = NOW + 5;
+    runs.slice(0, own.tasks).forEach(([from, on], index) => {
+      const machine = created[on % created.length];
+      const assignment = fleet.assignments.assign(
         state,
         index,
         machine,
         fleet.assignments.newAttempt(),
         from,
       );
-      if (rests) fleet.assignments.end(place, 'stopped', false, 95);
+      if (hasEnded) fleet.assignments.end(assignment, 'stopped', false, 95);
     });
   });
   return fleet;
 }
 
 /** A round as its rules say it, by a look at every job. */
-function byEveryJob(fleet: FleetState): void {
+function placeByExhaustiveSearch(fleet: FleetState): void {
   const shares = new FairShares(fleet, TEAMS, SETTINGS.floorWeight);
   const candidates = new PlacementCandidates(fleet, NOW);
   const tierOf = (job: JobState) =>
@@ -111,10 +111,10 @@
   for (const { job } of ranked) {
     if (isFirm && job.isBestEffort) left = Math.min(left, SETTINGS.decisionsPerRound / 10);
     isFirm = !job.isBestEffort;
-    for (let placed = -1; placed !== 0 && left > 0; left -= placed) placed = oneTurn(job);
+    for (let placed = -1; placed !== 0 && left > 0; left -= placed) placed = placeOneTurn(job);
   }
 
-  function oneTurn(job: JobState): number {
+  function placeOneTurn(job: JobState): number {
     let placed = 0;
     for (const index of fleet.jobs.waitingTasks(job, TASKS_PER_TURN)) {
       if (!shares.withinLimit(job.spec.team, job.spec)) break;
@@ -127,11 +127,11 @@
   }
 }
 
-function placesOf(fleet: FleetState): string[] {
-  const places = [...fleet.machines.values()].flatMap(({ name, tasks }) =>
+function listAssignments(fleet: FleetState): string[] {
+  const assignments = [...fleet.machines.values()].flatMap(({ name, tasks }) =>
     [...tasks.keys()].map((task) => `${task} ${name}`),
   );
-  return places.sort();
+  return assignments.sort();
 }
 
 // Guards the order and the short cuts by which a round leaves most waiting jobs alone: nothing may be
@@ -140,13 +140,13 @@
   let placed = 0;
   fc.assert(
     fc.property(jobs, machines, (ofJobs, ofMachines) => {
-      const fleet = fleetOf(ofJobs, ofMachines);
-      const plain = fleetOf(ofJobs, ofMachines);
-      const before = placesOf(fleet).length;
+      const fleet = createFleet(ofJobs, ofMachines);
+      const reference = createFleet(ofJobs, ofMachines);
+      const before = listAssignments(fleet).length;
       new Scheduler(fleet, TEAMS, SETTINGS).place(NOW);
-      byEveryJob(plain);
-      assert.deepEqual(placesOf(fleet), placesOf(plain));
-      placed += placesOf(fleet).length - before;
+      placeByExhaustiveSearch(reference);
+      assert.deepEqual(listAssignments(fleet), listAssignments(reference));
+      placed += listAssignments(fleet).length - before;
     }),
     { numRuns: 500, seed: 1, includeErrorInReport: true },
   );
--- a/packages/core/placement/scheduler.ts
+++ b/packages/core/placement/scheduler.ts
@@ -58,13 +58,13 @@
     // Work that others would have to be preempted for goes first, so that nothing is started only to
     // be stopped again; among equals the design's order decides.
     for (const tier of precedenceTiers(fleet, shares, (job) => round.isSkipped(job), now)) {
-      decided += this.placeTier(tier.queues, this.limitOf(tier, decided), round);
+      decided += this.placeTier(tier.queues, this.decisionLimit(tier, decided), round);
     }
     return decided;
   }
 
   /** Decisions left for the tier. Short best-effort tasks must not take up the leader's processor. */
-  private limitOf({ isBestEffort }: PrecedenceTier, decided: number): number {
+  private decisionLimit({ isBestEffort }: PrecedenceTier, decided: number): number {
     const { decisionsPerRound } = this.settings;
     const left = decisionsPerRound - decided;
     return isBestEffort ? Math.min(left, Math.ceil(decisionsPerRound * BEST_EFFORT_SHARE)) : left;
@@ -77,7 +77,7 @@
       for (let next = queue.peek(); next && decided < limit; next = queue.peek()) {
         const placed = round.placeTurn(next.job);
         decided += placed;
-        if (placed === 0 && round.isFullFor(next.bucket)) queue.drop(next.bucket);
+        if (placed === 0 && round.canPlaceNone(next.bucket)) queue.drop(next.bucket);
         else if (placed === 0 || this.fleet.jobs.waitingCount(next.job) === 0) queue.advance();
       }
     }
--- a/packages/core/placement/task-requirements.ts
+++ b/packages/core/placement/task-requirements.ts
@@ -63,7 +63,7 @@
 }
 
 /** Whether the zones of a job's other tasks bound where one more may go. */
-export function isBoundByZones(job: Job): boolean {
+export function hasZoneConstraint(job: Job): boolean {
   return job.spread || job.oneZone;
 }
 
@@ -77,8 +77,8 @@
 }
 
 /** Where a job's tasks are, as far as that bounds where one more may go; empty if it does not. */
-export function bindingZones(job: JobState): Map<string, number> {
-  return isBoundByZones(job.spec) ? tasksByZone(job) : new Map<string, number>();
+export function constrainingTasksByZone(job: JobState): Map<string, number> {
+  return hasZoneConstraint(job.spec) ? tasksByZone(job) : new Map<string, number>();
 }
 
 /** Whether one more task of the job may go to the zone, given where its other tasks are. */
