--- a/packages/core/placement/blocked-shapes.ts
+++ b/packages/core/placement/blocked-shapes.ts
@@ -1,30 +1,31 @@
-/** Blocked shapes: what found no capacity in a round, so that tasks that need as much are not tried again. */
+/** Blocked shapes: requirements that found no capacity in a round, so that equal or larger ones are not tried again. */
 import type { Job } from '#wire';
 import type { Amounts } from '../model/amounts.js';
 import type { JobState } from '../model/entities.js';
-import { constraintsKey, hasZoneConstraint } from './task-requirements.js';
+import { constraintsKey, dependsOnTaskZones } from './task-requirements.js';
 
 /**
- * Which capacity a job may use in a round; jobs of the same access fail alike. A best-effort job may use
- * spare capacity only, and all free capacity once it is `starved`. In preemption `firm` jobs may preempt
- * all that their rank allows, and `best-effort` ones only best-effort work.
+ * The capacity that a job may use in a round. Whether a job finds capacity says nothing about jobs with other
+ * access. In placement, a `firm` job and a `starved` best-effort job may use all free capacity, and other
+ * best-effort jobs only spare capacity. In preemption, a `firm` job may preempt everything that its rank
+ * allows, and a `best-effort` job only best-effort tasks.
  */
 export type CapacityAccess = 'firm' | 'best-effort' | 'starved';
 
-/** An amount that found no capacity, and the rank of the job that needed it. */
+/** Amounts for which no capacity was found, and the rank of the job that needed them. */
 interface BlockedShape {
   need: Readonly<Amounts>;
   rank: number;
 }
 
 /**
- * What found no capacity in a round. A task that needs as much or more under the same constraints, of the
- * same rank or a lower one, finds none either: only capacity held for its own job could help it.
+ * The shapes that found no capacity in a round. A task with the same access and constraints, at least the
+ * same amounts and the same or a lower rank finds none either, unless capacity is held for its own job.
  */
 export class BlockedShapes {
   private readonly byConstraints = new Map<string, BlockedShape[]>();
 
-  /** Records that a task of the job found no capacity. Only for jobs of which `mayBlockShape` is true. */
+  /** Records that a task of the job found no capacity. The caller checks `mayBlockShape` for the job first. */
   add(job: Job, rank: number, access: CapacityAccess): void {
     const key = shapeKey(job, access);
     const { cpus, gpus, memory } = job;
@@ -33,7 +34,7 @@
     this.byConstraints.set(key, [...kept, shape]);
   }
 
-  /** Whether a task that needs `need`, the job's own amounts unless given, certainly finds no capacity. */
+  /** Whether a task of the job that needs `need` (by default the job's amounts) is known to find no capacity. */
   has(job: Job, rank: number, access: CapacityAccess, need: Readonly<Amounts> = job): boolean {
     if (this.byConstraints.size === 0) return false;
     const shapes = this.byConstraints.get(shapeKey(job, access));
@@ -42,11 +43,11 @@
 }
 
 /**
- * Whether other jobs with the same needs fail where this one does: neither the zones of its own tasks nor
- * its failures bound where it may go.
+ * Whether other jobs with equal requirements find no capacity when this job finds none. They might find some
+ * if the zones of this job's tasks, or machines excluded after its failures, limit where it can be placed.
  */
 export function mayBlockShape({ spec, assignments, failures }: JobState): boolean {
-  const isConstrainedByOwnTasks = hasZoneConstraint(spec) && assignments.size > 0;
+  const isConstrainedByOwnTasks = dependsOnTaskZones(spec) && assignments.size > 0;
   return !isConstrainedByOwnTasks && failures.attempts === 0;
 }
 
--- a/packages/core/placement/choose-machine.test.ts
+++ b/packages/core/placement/choose-machine.test.ts
@@ -16,7 +16,7 @@
 import { Chance } from '../../testing/random.js';
 import { aFleet, aJob, aMachine } from '../../testing/samples.js';
 
-/** The choice as its rules say it, by a look at every machine. */
+/** Chooses the machine by applying the placement rules to every machine of the fleet. */
 function chooseByExhaustiveSearch(fleet: FleetState, state: JobState, now: number): Machine | null {
   const { spec } = state;
   const classTasksByZone = new Map<string, number>();
@@ -45,8 +45,9 @@
   return best?.machine ?? null;
 }
 
-// Guards the lists that spare each job a look at each machine: they must not change what is decided.
-test('a place chosen from the lists of a round is the one that a look at every machine finds', () => {
+// Guards against candidate lists that change decisions: a round keeps lists of machines so that not every
+// job visits every machine, and a list that is out of date would lead to another choice.
+test('choosing from the candidate lists of a round gives the same machine as an exhaustive search', () => {
   let compared = 0;
   for (let seed = 1; seed <= 40; seed++) {
     const chance = new Chance(seed);
--- a/packages/core/placement/choose-machine.ts
+++ b/packages/core/placement/choose-machine.ts
@@ -8,8 +8,8 @@
 import { SPREAD_TASK_COST_S } from './placement-cost.js';
 
 /**
- * The machine of lowest cost for a single task of the job, or null if there is none. Nothing is assigned.
- * `jobTasksByZone` counts the job's tasks by zone.
+ * Returns the machine of lowest cost for a single task of the job, or null if no machine can take it.
+ * Assigns nothing. `jobTasksByZone` counts the job's tasks by zone.
  */
 export function chooseMachine(
   fleet: FleetState,
@@ -25,7 +25,7 @@
   for (const candidate of candidates.forJob(job)) {
     const { machine } = candidate;
     let cost = candidates.cost(candidate, job);
-    // Replicas of a class that are spread over zones lose less together.
+    // Spreading the tasks of a class over the zones means that a zone outage stops fewer of them.
     if (spec.spread) cost += (classTasksByZone.get(machine.zone) ?? 0) * SPREAD_TASK_COST_S;
     if (cost >= lowestCost) continue;
     if (isReservedForOther(machine.reservedForGang, spec.id)) continue;
--- a/packages/core/placement/choose-machines-together.ts
+++ b/packages/core/placement/choose-machines-together.ts
@@ -14,15 +14,15 @@
 /** Tasks that are placed together or not at all: those of a gang, or the members of one replica. */
 export interface JointRequest {
   tasks: number;
-  /** All of them must be in the same zone. */
+  /** Whether all of the tasks must be in the same zone. */
   oneZone: boolean;
 }
 
-/** A machine that can take some of the tasks. */
+/** A machine that has capacity for at least one of the tasks. */
 interface MachineOption {
   machine: Machine;
   cost: number;
-  /** How many of the tasks the machine can take. */
+  /** Number of the tasks that the machine has capacity for. */
   capacity: number;
 }
 
@@ -30,11 +30,11 @@
 interface JointPlacement {
   /** The machine of each task, in order. */
   machines: Machine[];
-  /** Cost of the most expensive place: the slowest machine sets the speed of all. */
+  /** Cost of the most expensive machine, since the slowest machine sets the speed of all tasks. */
   cost: number;
 }
 
-/** A machine for each of the tasks, or null if not all find one. Nothing is assigned. */
+/** Returns a machine for each of the tasks, or null if some task finds none. Assigns nothing. */
 export function chooseMachinesTogether(
   fleet: FleetState,
   job: JobState,
@@ -53,7 +53,7 @@
   return best?.machines ?? null;
 }
 
-/** Machines that can take some of the tasks, those of lowest cost first. */
+/** Returns the machines that have capacity for at least one of the tasks, in order of cost. */
 function machineOptions(
   fleet: FleetState,
   job: JobState,
@@ -82,8 +82,8 @@
 }
 
 /**
- * Takes the options of lowest cost, in one zone or any (null), until all tasks have one; null if some find
- * none. `taken` counts the job's other tasks by zone.
+ * Fills the options in order, or those in `zone` if it is not null, until each task has a machine.
+ * Returns null if some task finds none. `otherTasksByZone` counts the job's tasks that are already placed.
  */
 function chooseMachinesInZone(
   { spec }: JobState,
--- a/packages/core/placement/gang-reservations.test.ts
+++ b/packages/core/placement/gang-reservations.test.ts
@@ -4,8 +4,8 @@
 import { GangReservations } from './gang-reservations.js';
 
 test('a machine whose capacity is held for other work is not reserved for a gang', () => {
-  // Guards against empty machines that serve nobody: capacity made for a replica was reserved for a gang,
-  // so that the replica could not go there and the gang had to wait for the replica, over and over.
+  // Guards against a machine that stays empty: capacity freed and held for a replica was reserved for a
+  // gang as well, so that the replica could not be placed there and the gang kept waiting for the replica.
   const fleet = aFleet();
   const [held, free] = [aMachine(fleet, 'n-1'), aMachine(fleet, 'n-2')];
   const replica = fleet.addJob(aJob({ id: 'j-1', kind: 'service', rank: 1 }), 0, 'accepted', 0);
@@ -14,7 +14,7 @@
   fleet.holds.hold(held, replica, 12);
   reservations.update(1);
   assert.deepEqual([held.reservedForGang, free.reservedForGang], [null, gang.spec.id]);
-  // A reservation that is older than the hold ends, and comes back once the hold has run out.
+  // A hold ends an earlier reservation; the machine can be reserved again once the hold has expired.
   fleet.holds.hold(free, replica, 12);
   reservations.update(2);
   assert.deepEqual([held.reservedForGang, free.reservedForGang], [null, null]);
--- a/packages/core/placement/gang-reservations.ts
+++ b/packages/core/placement/gang-reservations.ts
@@ -8,36 +8,36 @@
 import type { MachineRegistry } from '../model/machine-registry.js';
 import type { JobState, Machine } from '../model/entities.js';
 
-/** Run times are estimated by users; a task is expected to take this many times as long. */
+/** Factor by which a task is expected to run longer than the estimate of its user. */
 const ESTIMATE_MARGIN = 1.5;
-/** Share of the estimate that a task is expected to run on at least, however long it has run already. */
+/** Least remaining run time that is expected of a task, as a share of its estimate, however long it has run. */
 const MIN_REMAINING_SHARE = 1 / 4;
-/** A gang keeps its machines unless another is empty in less than this share of their time. */
+/** A gang switches from a reserved machine only to one that is empty in less than this share of the time. */
 const SWITCH_RATIO = 1 / 2;
 
-/** A machine that becomes empty without a stop of firm work. */
+/** A machine that becomes empty without stopping any firm task. */
 interface EmptyingMachine {
   machine: Machine;
   type: MachineType;
-  /** Seconds until then. */
+  /** Seconds until the machine is empty. */
   emptyInS: number;
 }
 
-/** Machines collected for a gang so far, in one zone or in all. */
+/** Machines collected for a gang so far, in one zone or across all zones. */
 interface CollectedMachines {
   machines: Machine[];
-  /** Tasks of the gang that they hold when empty. */
+  /** Number of the gang's tasks that these machines hold when they are empty. */
   capacity: number;
 }
 
 /**
- * Keeps machines free for gangs that wait, so that small tasks do not fill every gap. The machines
- * that can be empty soonest are reserved, for the oldest gang of the highest rank first.
+ * Keeps machines free for waiting gangs; otherwise small tasks would take all capacity that becomes free.
+ * The machines that can be empty soonest are reserved. Gangs are served by rank, and by age within a rank.
  */
 export class GangReservations {
   constructor(private readonly fleet: FleetState) {}
 
-  /** Brings all reservations up to date. */
+  /** Updates the reservations of all waiting gangs. */
   update(now: number): void {
     const gangs = [...this.fleet.jobs.waiting.gangs].filter(
       (job) => needsReservations(job) && this.fleet.failures.mayRequestCapacity(job, now),
@@ -62,7 +62,7 @@
     this.stopBestEffortOnReserved(emptying, now);
   }
 
-  /** Stops best-effort work on reserved machines once no firm work is left there. */
+  /** Stops best-effort tasks on reserved machines that no longer run firm tasks. */
   private stopBestEffortOnReserved(emptying: EmptyingMachine[], now: number): void {
     for (const { machine } of emptying) {
       if (machine.reservedForGang === null || machine.firmTasks > 0) continue;
@@ -80,7 +80,7 @@
     }
   }
 
-  /** Ends reservations of machines that are gone or leave, and of gangs that wait no more. */
+  /** Ends reservations of machines that have expired or are leaving, and of gangs that no longer wait. */
   private releaseObsolete(waitingGangs: Set<string>): void {
     const { machines } = this.fleet;
     for (const machine of machines.groups.reserved) {
@@ -90,7 +90,7 @@
     }
   }
 
-  /** Ends reservations of machines that something keeps from becoming empty. */
+  /** Ends reservations of machines that are no longer expected to become empty. */
   private releaseIfNotEmptying(emptying: EmptyingMachine[]): void {
     const { machines } = this.fleet;
     const found = new Set(emptying.map(({ machine }) => machine));
@@ -99,7 +99,7 @@
     }
   }
 
-  /** Machines that become empty without a stop of firm work, soonest first. */
+  /** Returns the machines that become empty without stopping any firm task, soonest first. */
   private emptyingMachines(now: number): EmptyingMachine[] {
     const found: EmptyingMachine[] = [];
     const { machines } = this.fleet;
@@ -112,7 +112,7 @@
   }
 }
 
-/** Whether machines are kept free for the gang; for best-effort work none are. */
+/** Whether machines are reserved for the gang: it has not started and is not best-effort. */
 function needsReservations(job: JobState): boolean {
   return job.assignments.size === 0 && !job.isBestEffort;
 }
@@ -130,8 +130,9 @@
 }
 
 /**
- * Reserves the machines that are empty soonest and hold the whole gang; none if no set does. A machine
- * whose capacity is held for another job is not reserved as well, or neither of the two could use it.
+ * Reserves the machines that are empty soonest and together hold the whole gang, or none if there is no
+ * such set. A machine whose capacity is held for another job is not reserved: neither the gang nor the
+ * other job could use it.
  */
 function reserveFor(
   machines: MachineRegistry,
@@ -159,8 +160,8 @@
 }
 
 /**
- * The machines that nobody has reserved and the gang's own, by time. Its own count as empty in half the
- * time, so that the choice does not flap.
+ * Yields the unreserved machines and those reserved for the gang, soonest empty first. The time until reserved
+ * machines are empty is multiplied by `SWITCH_RATIO`, so that the gang does not keep switching between machines.
  */
 function* soonestFirst(
   emptying: EmptyingMachine[],
@@ -183,7 +184,10 @@
   }
 }
 
-/** Seconds until a machine could be empty on which all firm tasks end by themselves, by their estimates. */
+/**
+ * Seconds until a machine is expected to be empty: until it has booted, or until its firm tasks end by
+ * themselves according to their estimates.
+ */
 function secondsUntilEmpty(machine: Machine, bootS: number, now: number): number {
   if (machine.state === 'booting') return Math.max(1, machine.requestedAt + bootS - now);
   let untilEmptyS = 0;
--- a/packages/core/placement/placement-candidates.ts
+++ b/packages/core/placement/placement-candidates.ts
@@ -1,4 +1,4 @@
-/** The machines with capacity for a task, listed once in a round for all tasks with the same requirements. */
+/** Lists the machines with capacity for a task, once per round for all tasks with the same requirements. */
 import type { Job, MachineType } from '#wire';
 import type { Amounts } from '../model/amounts.js';
 import { isUsable } from './availability.js';
@@ -11,24 +11,24 @@
 export interface Candidate {
   machine: Machine;
   type: MachineType;
-  /** Cost of a place there; Infinity: no capacity any more. */
+  /** Cost of placing the task on the machine; Infinity if it has no capacity any more. */
   cost: number;
   /** The machine's `assignmentVersion` when the cost was computed. */
   assignmentVersion: number;
 }
 
-/** A machine that meets the requirements, whatever the image. */
+/** A machine that meets the requirements of a task, regardless of the task's image. */
 interface CandidateMachine {
   machine: Machine;
   type: MachineType;
 }
 
 /**
- * Candidates by requirements and image, as they stood when first asked for. Within a round free
- * capacity only shrinks, so a machine that is not in a list can't become a candidate later in the round,
- * and the cost of a place changes only with the tasks on its machine. Without the lists each waiting job
- * would visit every machine in every round. What else may change within a round (holds, reservations) is
- * checked by those who choose.
+ * Lists of candidates by requirements and image, each made on its first use in a round. Free capacity only
+ * shrinks within a round, so a machine that is not in a list can't become a candidate later in the round.
+ * The cost of a machine changes only with the tasks on it. Without the lists each waiting job would visit
+ * every machine in every round. Holds and reservations may change within a round, so the functions that
+ * choose machines check them.
  */
 export class PlacementCandidates {
   private readonly byRequirementsAndImage = new Map<string, Candidate[]>();
@@ -39,7 +39,7 @@
     private readonly now: number,
   ) {}
 
-  /** Machines that had capacity for a task of the job when first asked for. */
+  /** Returns the machines that had capacity for a task of the job when their list was made. */
   forJob(job: JobState): Candidate[] {
     const key = `${job.requirementsKey} ${job.spec.image} ${String(job.isBestEffort)}`;
     let candidates = this.byRequirementsAndImage.get(key);
@@ -50,7 +50,7 @@
     return candidates;
   }
 
-  /** Cost of a place for the job now; Infinity if the place is gone. */
+  /** Returns the present cost of placing a task of the job on the candidate; Infinity if it has no capacity. */
   cost(candidate: Candidate, { spec: job, isBestEffort }: JobState): number {
     const { machine, type } = candidate;
     if (candidate.assignmentVersion !== machine.assignmentVersion) {
@@ -62,7 +62,7 @@
     return candidate.cost;
   }
 
-  /** Whether any machine, reserved or not, has capacity for `need` under the job's constraints. */
+  /** Whether any usable machine, reserved or not, meets the job's constraints and has capacity for `need`. */
   anyCapacityFor(job: Job, need: Readonly<Amounts>): boolean {
     const { machines } = this.fleet;
     const candidates = machines.free.mayHold(need);
--- a/packages/core/placement/placement-cost.ts
+++ b/packages/core/placement/placement-cost.ts
@@ -1,19 +1,19 @@
-/** The cost of a place for a task, in seconds; the machine of lowest cost is chosen. */
+/** Cost of placing a task on a machine, in seconds; the machine of lowest cost is chosen. */
 import type { Job, MachineType } from '#wire';
 import type { Machine } from '../model/entities.js';
 
-/** The first task on an empty machine costs the type's boot time divided by this. */
+/** Placing a task on an empty machine costs the boot time of its type divided by this number. */
 const EMPTY_MACHINE_DIVISOR = 6;
-/** An ordinary machine costs a task that may run on a spot machine the boot time divided by this. */
+/** For tasks that may use spot machines, on-demand machines cost the boot time divided by this number. */
 const ON_DEMAND_MACHINE_DIVISOR = 4;
-/** The first best-effort task on a machine costs the boot time divided by this. */
+/** Placing the first best-effort task on a machine costs the boot time divided by this number. */
 const FIRST_BEST_EFFORT_DIVISOR = 3;
-/** Seconds that an otherwise empty machine costs more than one that gets full. */
+/** Most seconds that free capacity adds to `placementCost`, and processors in use to `spareCapacityCost`. */
 const UNUSED_CAPACITY_S = 2;
-/** Seconds for each task of the class in the zone, for classes that spread. */
+/** Cost in seconds of each task that the class already has in the zone, for jobs that spread over zones. */
 export const SPREAD_TASK_COST_S = 1 / 4;
 
-/** Seconds that a task would wait for its image on this machine. */
+/** Seconds that a task would wait for its image on the machine; images that are being fetched delay it. */
 function imageWaitS(job: Job, machine: Machine, type: MachineType): number {
   if (machine.images.has(job.image)) return 0;
   const fetchingImages = new Set<string>();
@@ -25,9 +25,9 @@
 }
 
 /**
- * Cost of a place for a best-effort task without accelerators. It prefers machines that are likely to
- * stay, which are ordinary ones whose accelerators are in use, and few of these, so that few records
- * change for short tasks.
+ * Returns the cost for a best-effort task without accelerators. It is low on machines that are likely to
+ * stay, namely on-demand machines whose accelerators are in use. It is also low on machines that already
+ * run best-effort tasks, so that short tasks change few machine records.
  */
 export function spareCapacityCost(job: Job, machine: Machine, type: MachineType): number {
   const { tasks, firmTasks, used, spot } = machine;
@@ -40,8 +40,9 @@
 }
 
 /**
- * Cost of a place for any other task. The wait for the image counts as it is; an empty machine is worth
- * keeping empty for gangs; work that may use spot machines should; else the tightest packing wins.
+ * Returns the cost for any other task. It counts the wait for the image in full. Empty machines cost more,
+ * since they are kept for gangs, and so do on-demand machines for tasks that may use spot machines. Among
+ * machines that are otherwise equal, the one that is packed most tightly costs least.
  */
 export function placementCost(job: Job, machine: Machine, type: MachineType): number {
   const fetchS = imageWaitS(job, machine, type);
--- a/packages/core/placement/placement-round.ts
+++ b/packages/core/placement/placement-round.ts
@@ -1,4 +1,4 @@
-/** One scheduling round: places the jobs whose turn comes, and remembers what found no capacity. */
+/** One scheduling round: places waiting tasks, and remembers which requirements found no capacity. */
 import { mayUseAnyCapacity } from '../fair-share/best-effort.js';
 import type { FairShares } from '../fair-share/fair-shares.js';
 import type { WaitingBucket } from '../fair-share/waiting-bucket.js';
@@ -12,14 +12,14 @@
 import type { GangReservations } from './gang-reservations.js';
 import { PlacementCandidates } from './placement-candidates.js';
 
-/** Tasks that a job is given at once before it queues again behind the others. */
+/** Number of tasks of a job that are placed in one turn. The job then queues again behind the others. */
 const TASKS_PER_TURN = 8;
 
-/** Places waiting jobs at one moment, `now` (seconds of the steady clock), and is then thrown away. */
+/** Places waiting tasks at the time `now` (seconds of the monotonic clock). An instance serves one round. */
 export class PlacementRound {
   private readonly candidates: PlacementCandidates;
   private readonly blocked = new BlockedShapes();
-  /** Jobs for which capacity was held when the round began. */
+  /** Number of machines with capacity held for a job when the round began, by job. */
   private readonly holdsByJob: ReadonlyMap<JobState, number>;
 
   constructor(
@@ -33,7 +33,7 @@
     this.holdsByJob = fleet.holds.machineCountByJob(now);
   }
 
-  /** Whether the job need not be tried: it backs off, is probed enough, or fails like one before it. */
+  /** Whether the job is left out: it backs off, may start no task now, or its requirements found no capacity. */
   isSkipped(job: JobState): boolean {
     return (
       job.backoffUntil > this.now ||
@@ -42,7 +42,7 @@
     );
   }
 
-  /** Whether not even the bucket's smallest task could be placed: no capacity, or its team is at its limit. */
+  /** Whether not even the bucket's smallest task can be placed, for lack of capacity or by its team's limit. */
   canPlaceNone({ sample, minAmounts }: WaitingBucket): boolean {
     if (sample.kind === 'gang') return false;
     return (
@@ -51,7 +51,7 @@
     );
   }
 
-  /** Gives the job's waiting tasks machines while there is capacity, a turn's worth; returns how many. */
+  /** Places one turn of the job's waiting tasks, as far as there is capacity; returns how many. */
   placeTurn(job: JobState): number {
     if (job.spec.kind === 'gang') return this.placeGang(job);
     if (job.replicas !== null) return this.placeReplicas(job, job.replicas);
@@ -79,7 +79,7 @@
     return placed;
   }
 
-  /** A replica gets machines for all of its members or for none. */
+  /** Places waiting replicas, each with all of its members or not at all; returns how many tasks. */
   private placeReplicas(job: JobState, replicas: JobReplicas): number {
     const { members } = replicas;
     if (this.isBlocked(job) || this.fleet.failures.maxStartableTasks(job) === 0) return 0;
@@ -101,7 +101,7 @@
     return placed;
   }
 
-  /** Places all of the tasks from index `first` in one attempt, or none; returns how many. */
+  /** Places all of the request's tasks, from `firstIndex` on, in one attempt, or none; returns how many. */
   private placeTogether(job: JobState, request: JointRequest, firstIndex: number): number {
     const { fleet, candidates, now } = this;
     const { assignments } = fleet;
@@ -115,7 +115,7 @@
     return machines.length;
   }
 
-  /** Tasks that need as much as one that found no capacity fail alike, unless some is held for the job. */
+  /** Whether the job's requirements have found no capacity in this round, and no capacity is held for it. */
   private isBlocked(job: JobState): boolean {
     if (job.spec.kind === 'gang' || this.holdsByJob.has(job)) return false;
     return this.blocked.has(job.spec, job.rank, this.accessOf(job));
--- a/packages/core/placement/scheduler.test.ts
+++ b/packages/core/placement/scheduler.test.ts
@@ -42,9 +42,9 @@
     spread: fc.boolean(),
     spot: fc.boolean(),
     acceptedAt: fc.integer({ min: 0, max: 20 }),
-    /** When tasks of it began on which machine. */
+    /** For each task that was started: the time of its assignment and the index of its machine. */
     runs: fc.array(fc.tuple(fc.integer({ min: 20, max: 90 }), fc.nat(5)), { maxLength: 3 }),
-    /** Whether these have ended since. */
+    /** Whether the tasks that were started have ended. */
     hasEnded: fc.boolean(),
     isBackingOff: fc.boolean(),
   }),
@@ -57,21 +57,21 @@
 type Jobs = typeof jobs extends fc.Arbitrary<infer T> ? T : never;
 type Machines = typeof machines extends fc.Arbitrary<infer T> ? T : never;
 
-/** The same fleet for the same arguments. */
+/** Makes a fleet with the jobs and machines; equal arguments give equal fleets. */
 function createFleet(jobSpecs: Jobs, machineSpecs: Machines): FleetState {
   const fleet = aFleet({ isBestEffort: (job) => isBestEffort(job, TEAMS.get(job.team)) });
   const created = machineSpecs.map((own, i) => aMachine(fleet, `n-${i}`, own));
   jobSpecs.forEach(({ acceptedAt, runs, hasEnded, isBackingOff, ...own }, i) => {
     const state = fleet.addJob(aJob({ id: `j-${i}`, ...own }), acceptedAt, 'accepted', acceptedAt);
     if (isBackingOff) state.backoffUntil = NOW + 5;
-    runs.slice(0, own.tasks).forEach(([from, on], index) => {
-      const machine = created[on % created.length];
+    runs.slice(0, own.tasks).forEach(([assignedAt, machineIndex], index) => {
+      const machine = created[machineIndex % created.length];
       const assignment = fleet.assignments.assign(
         state,
         index,
         machine,
         fleet.assignments.newAttempt(),
-        from,
+        assignedAt,
       );
       if (hasEnded) fleet.assignments.end(assignment, 'stopped', false, 95);
     });
@@ -79,7 +79,7 @@
   return fleet;
 }
 
-/** A round as its rules say it, by a look at every job. */
+/** Runs a round of placement by applying its rules to every waiting job. */
 function placeByExhaustiveSearch(fleet: FleetState): void {
   const shares = new FairShares(fleet, TEAMS, SETTINGS.floorWeight);
   const candidates = new PlacementCandidates(fleet, NOW);
@@ -134,14 +134,14 @@
   return assignments.sort();
 }
 
-// Guards the order and the short cuts by which a round leaves most waiting jobs alone: nothing may be
-// decided otherwise than by a look at every job.
-test('a round decides what a look at every waiting job decides', () => {
+// Guards against changed decisions by the job order and the shortcuts of a round: a round skips most waiting
+// jobs, and must decide the same as a search that visits every one of them.
+test('a round makes the same assignments as an exhaustive search over all waiting jobs', () => {
   let placed = 0;
   fc.assert(
-    fc.property(jobs, machines, (ofJobs, ofMachines) => {
-      const fleet = createFleet(ofJobs, ofMachines);
-      const reference = createFleet(ofJobs, ofMachines);
+    fc.property(jobs, machines, (jobSpecs, machineSpecs) => {
+      const fleet = createFleet(jobSpecs, machineSpecs);
+      const reference = createFleet(jobSpecs, machineSpecs);
       const before = listAssignments(fleet).length;
       new Scheduler(fleet, TEAMS, SETTINGS).place(NOW);
       placeByExhaustiveSearch(reference);
--- a/packages/core/placement/scheduler.ts
+++ b/packages/core/placement/scheduler.ts
@@ -1,4 +1,4 @@
-/** The scheduler: rounds that give waiting tasks machines, and then preempt tasks for those left waiting. */
+/** The scheduler: in rounds, assigns machines to waiting tasks and preempts tasks for those that still wait. */
 import { FairShares } from '../fair-share/fair-shares.js';
 import { type PrecedenceTier, precedenceTiers } from '../fair-share/precedence-tiers.js';
 import type { TeamQueue } from '../fair-share/team-queue.js';
@@ -12,17 +12,17 @@
 /** Share of a round's decisions that may go to best-effort tasks. */
 const BEST_EFFORT_SHARE = 1 / 10;
 
-/** What operators may set of scheduling, and the size of a round. */
+/** Scheduling settings of the operators, and the size of a round. */
 export interface ScheduleSettings extends PreemptionSettings {
-  /** Share of the fleet that a team counts as having guaranteed at least. */
+  /** Least share of the fleet that counts as a team's guarantee in its fair-share index. */
   floorWeight: number;
-  /** Most decisions taken in one round. */
+  /** Number of placed tasks after which a round begins no further turn. */
   decisionsPerRound: number;
 }
 
-/** Decides which waiting tasks get which machines, and what is preempted for them. */
+/** Decides which machines waiting tasks are assigned to, and which tasks are preempted for them. */
 export class Scheduler {
-  /** Machines kept free for gangs; to be updated before a round. */
+  /** Machines kept free for gangs; the caller updates the reservations before a round. */
   readonly reservations: GangReservations;
   private readonly shares: FairShares;
   private readonly preemption: Preemption;
@@ -42,35 +42,35 @@
     return this.shares.index(team, now);
   }
 
-  /** One round of decisions. Returns how many tasks were given a machine. */
+  /** Runs one round of placement and preemption. Returns how many tasks were assigned to a machine. */
   round(now: number): number {
     const decided = this.place(now);
     this.preemption.run(now);
     return decided;
   }
 
-  /** Gives machines to waiting tasks, as far as there is capacity; returns to how many. */
+  /** Assigns waiting tasks to machines with capacity; returns how many tasks. */
   place(now: number): number {
     const { fleet, shares, reservations } = this;
     const { decisionsPerRound } = this.settings;
     const round = new PlacementRound(fleet, shares, reservations, decisionsPerRound, now);
     let decided = 0;
-    // Work that others would have to be preempted for goes first, so that nothing is started only to
-    // be stopped again; among equals the design's order decides.
+    // Jobs that may preempt others are placed first, so that no task is started only to be preempted.
+    // Jobs of equal precedence are placed in fair-share order (docs/design.md).
     for (const tier of precedenceTiers(fleet, shares, (job) => round.isSkipped(job), now)) {
       decided += this.placeTier(tier.queues, this.decisionLimit(tier, decided), round);
     }
     return decided;
   }
 
-  /** Decisions left for the tier. Short best-effort tasks must not take up the leader's processor. */
+  /** Number of tasks that the tier may place; few best-effort ones, as many short tasks would load the leader's CPU. */
   private decisionLimit({ isBestEffort }: PrecedenceTier, decided: number): number {
     const { decisionsPerRound } = this.settings;
     const left = decisionsPerRound - decided;
     return isBestEffort ? Math.min(left, Math.ceil(decisionsPerRound * BEST_EFFORT_SHARE)) : left;
   }
 
-  /** Places jobs of equal precedence, `limit` tasks or a turn more at the most; returns how many tasks. */
+  /** Places jobs of equal precedence until `limit` tasks are placed. The last turn may exceed it. Returns how many. */
   private placeTier(queues: TeamQueue[], limit: number, round: PlacementRound): number {
     let decided = 0;
     for (const queue of this.lowestIndexFirst(queues, round.now)) {
@@ -84,7 +84,7 @@
     return decided;
   }
 
-  /** The indexes as they are now: what is placed at a moment changes them only after it. */
+  /** Sorts the queues by fair-share index. One sort suffices: tasks placed at `now` change the indexes only later. */
   private lowestIndexFirst(queues: TeamQueue[], now: number): TeamQueue[] {
     const indexed = queues.map((queue) => ({ queue, index: this.index(queue.team, now) }));
     indexed.sort((a, b) => a.index - b.index || (a.queue.team < b.queue.team ? -1 : 1));
--- a/packages/core/placement/task-requirements.ts
+++ b/packages/core/placement/task-requirements.ts
@@ -1,19 +1,19 @@
 /**
- * What a task requires of a machine: its type, zone and kind, the amounts that must be free, and the zones
- * in which other tasks of its job may be.
+ * What a task requires of a machine: a type, a zone, spot or on-demand, and free amounts. Jobs that
+ * spread over zones or stay in one also depend on the zones of their other tasks.
  */
 import type { Job, MachineType } from '#wire';
 import { type Amounts, ROUNDING } from '../model/amounts.js';
 import { assignmentsOf, JobState } from '../model/entities.js';
 
-/** A kind of machine, as the cloud offers it. */
+/** A machine type in one zone, as spot or on-demand machines: what the cloud offers. */
 export interface MachineKind {
   type: MachineType;
   zone: string;
   spot: boolean;
 }
 
-/** Whether a task of the job could ever run on a machine of this type. */
+/** Whether a task of the job can run on an empty machine of this type in a zone that the job allows. */
 export function typeFits(job: Job, type: MachineType): boolean {
   return (
     (job.types === null || job.types.includes(type.name)) &&
@@ -25,8 +25,8 @@
 }
 
 /**
- * Whether the job allows machines of this type and zone, and spot machines if this is one. Its other tasks
- * don't count here. The protocol calls any other machine a wrong place.
+ * Whether the job allows machines of this type and zone, and spot machines if `spot` is true. The zones of
+ * the job's other tasks are not considered. In the protocol, a machine that is not allowed is a wrong place.
  */
 export function kindAllowed(job: Job, type: MachineType, zone: string, spot: boolean): boolean {
   return (!spot || job.spot) && (job.zone === null || job.zone === zone) && typeFits(job, type);
@@ -41,7 +41,7 @@
   );
 }
 
-/** For how many tasks of the job there is capacity in addition to what is used; Infinity if they need nothing. */
+/** Number of further tasks of the job that the machine type has capacity for; Infinity if they need nothing. */
 export function taskCapacity(job: Job, used: Readonly<Amounts>, type: MachineType): number {
   return Math.max(
     0,
@@ -57,17 +57,17 @@
   return need > 0 ? Math.floor((free + ROUNDING) / need) : Infinity;
 }
 
-/** Most tasks of the job that one zone may hold. */
+/** Maximum number of the job's tasks in one zone. */
 export function zoneCapacity(job: Job): number {
   return job.spread ? Math.ceil(job.tasks / 2) : job.tasks;
 }
 
-/** Whether the zones of a job's other tasks bound where one more may go. */
-export function hasZoneConstraint(job: Job): boolean {
+/** Whether the zones of a job's tasks limit where its further tasks can be placed. */
+export function dependsOnTaskZones(job: Job): boolean {
   return job.spread || job.oneZone;
 }
 
-/** Where a job's tasks are, old attempts included until they are proven gone. */
+/** Counts the job's tasks by zone, including earlier attempts until they are proven to have ended. */
 export function tasksByZone(job: JobState): Map<string, number> {
   const counts = new Map<string, number>();
   for (const { machine } of assignmentsOf(job)) {
@@ -76,12 +76,12 @@
   return counts;
 }
 
-/** Where a job's tasks are, as far as that bounds where one more may go; empty if it does not. */
+/** Counts the job's tasks by zone if these zones limit its further tasks; empty otherwise. */
 export function constrainingTasksByZone(job: JobState): Map<string, number> {
-  return hasZoneConstraint(job.spec) ? tasksByZone(job) : new Map<string, number>();
+  return dependsOnTaskZones(job.spec) ? tasksByZone(job) : new Map<string, number>();
 }
 
-/** Whether one more task of the job may go to the zone, given where its other tasks are. */
+/** Whether a further task of the job may be placed in the zone; `counts` holds the job's tasks by zone. */
 export function zoneAllowed(job: Job, zone: string, counts: Map<string, number>): boolean {
   if (job.zone !== null && job.zone !== zone) return false;
   if (job.oneZone) {
@@ -90,13 +90,13 @@
   return (counts.get(zone) ?? 0) < zoneCapacity(job);
 }
 
-/** Equal for jobs with the same constraints on the type, zone and kind of machine. */
+/** Key that is equal for jobs with the same constraints on machine type, zone and spot machines. */
 export function constraintsKey(job: Job): string {
   const types = job.types === null ? '*' : job.types.join(',');
   return `${types} ${job.zone ?? '*'} ${String(job.spot)}`;
 }
 
-/** Equal for jobs whose tasks need the same amounts under the same constraints. */
+/** Key that is equal for jobs whose tasks need the same amounts under the same constraints. */
 export function requirementsKey(job: Job): string {
   return `${job.cpus} ${job.gpus} ${job.memory} ${constraintsKey(job)}`;
 }
