--- a/packages/core/autoscaling/arrival-statistics.ts
+++ b/packages/core/autoscaling/arrival-statistics.ts
@@ -1,30 +1,30 @@
-/** Arrival statistics: how much work of each class comes and ends, and the reserve that it calls for. */
+/** Arrival statistics: the rates at which work of each class arrives and ends, and the reserve kept for it. */
 import type { Job } from '#wire';
 
-/** Boot times for which capacity is kept ahead, since a machine must be up before it is needed. */
+/** Period that the reserve covers, in boot times. It is more than one, as a machine must be up before it is needed. */
 const LOOKAHEAD_BOOTS = 1.2;
-/** Jobs over which the mean square of tasks per job is averaged. */
+/** Number of jobs over which the square of tasks per job is averaged. */
 const SIZE_AVERAGE_JOBS = 10;
-/** After so many mean gaps between jobs without one, a class's rate counts as lower. */
+/** Time without a job, in mean gaps between jobs, after which the job rate of a class is taken as lower. */
 const MAX_MEAN_GAPS = 3;
-/** Expected jobs below which no reserve is kept. */
+/** Least number of expected jobs for which a reserve is kept. */
 const MIN_EXPECTED_JOBS = 0.05;
-/** Share of the reserve that is kept for classes whose work can wait for a boot. */
+/** Factor on the standard deviations reserved for classes whose tasks can wait for a machine to boot. */
 const NON_URGENT_SHARE = 0.3;
 
-/** What is expected for a class of jobs. */
+/** Service objective of a class of jobs. */
 export interface ClassObjective {
   class: string;
-  /** `wait`: tasks start within `withinS` of the submission. */
+  /** The objective `wait`: tasks start within `withinS` seconds of the submission. */
   kind: string;
   withinS: number;
 }
 
-/** What operators may set of the reserve. */
+/** Reserve settings of the operators. */
 export interface ArrivalSettings {
-  /** Standard deviations of arrivals kept free for classes that must start sooner than a boot. */
+  /** Standard deviations of arrivals reserved for classes whose tasks must start in less than a boot time. */
   reserveSigmas: number;
-  /** A class's arrival rate is averaged over this many seconds. */
+  /** Time constant, in seconds, of the decayed rates of a class. */
   memoryS: number;
 }
 
@@ -42,11 +42,11 @@
   lastJobAt: number;
   /** Mean square of the tasks per job. */
   meanSquareTasks: number;
-  /** The last job, for what tasks of the class need. */
+  /** The last job, whose requirements stand for those of the class. */
   lastJob: Job;
 }
 
-/** Averages arrivals and ends by class (docs/design.md). Times are seconds of the steady clock. */
+/** Averages arrivals and ends by class (docs/design.md). Times are seconds of the monotonic clock. */
 export class ArrivalStatistics {
   private readonly byClass = new Map<string, ClassArrivals>();
 
@@ -55,7 +55,7 @@
     private readonly objectives: ClassObjective[],
   ) {}
 
-  /** All classes of which a job has been accepted. */
+  /** Returns the averages of each class of which a job has been accepted. */
   classes(): IterableIterator<ClassArrivals> {
     return this.byClass.values();
   }
@@ -72,12 +72,12 @@
     arrivals.lastJob = job;
   }
 
-  /** Observes that a job is over for its user. */
+  /** Observes that a job has ended from its user's point of view. */
   jobEnded(job: Job, now: number): void {
     this.arrivalsOf(job, now).taskEndRate += job.tasks / this.settings.memoryS;
   }
 
-  /** Assumes that as many tasks have ended as came: a new leader does not know when work ended before. */
+  /** Sets the rate of ended tasks to that of arrivals: a new leader does not know how many tasks ended before. */
   assumeSteady(now: number): void {
     for (const arrivals of this.byClass.values()) {
       this.decay(arrivals, now);
@@ -85,26 +85,26 @@
     }
   }
 
-  /** When the last job of any class was accepted; -Infinity if none was. */
+  /** Returns when the last job of any class was accepted; -Infinity if none was. */
   lastArrivalAt(): number {
     return Math.max(...[...this.byClass.values()].map(({ lastJobAt }) => lastJobAt));
   }
 
-  /** Tasks of a class to keep capacity for, given the boot time in seconds of machines that can run it. */
+  /** Number of tasks to reserve capacity for, given the boot time in seconds of machines that can run the class. */
   reserveTasks(arrivals: ClassArrivals, bootS: number, now: number): number {
     const job = arrivals.lastJob;
     const objective = this.objectives.find((each) => each.class === job.class);
     if (!objective) return 0;
     this.decay(arrivals, now);
     const lookaheadS = bootS * LOOKAHEAD_BOOTS;
-    // A gap of three times the mean is rare at a steady rate, so after it the rate is taken as lower.
+    // A gap of three times the mean is rare at a constant rate, so the rate is taken as lower after it.
     const maxJobRate = MAX_MEAN_GAPS / Math.max(now - arrivals.lastJobAt, 1e-9);
     const expectedJobs = Math.min(arrivals.jobRate, maxJobRate) * lookaheadS;
     if (expectedJobs < MIN_EXPECTED_JOBS) return 0;
     const isUrgent = objective.kind === 'wait' && objective.withinS < bootS;
     const sigmas = this.settings.reserveSigmas * (isUrgent ? 1 : NON_URGENT_SHARE);
     const deviation = sigmas * Math.sqrt(expectedJobs * arrivals.meanSquareTasks);
-    // Replicas stay until their users end them: while fewer end than come, more are needed.
+    // Replicas run until their users end them, so demand grows while fewer replicas end than arrive.
     const mayGrow = isUrgent && job.kind === 'service';
     const growth = mayGrow ? expectedGrowth(arrivals, lookaheadS) : 0;
     return Math.ceil(growth + deviation);
@@ -137,7 +137,7 @@
   }
 }
 
-/** Tasks by which the class grows in so many seconds, at the present rates. */
+/** Number of tasks by which the class grows within `seconds` at its present rates. */
 function expectedGrowth({ taskArrivalRate, taskEndRate }: ClassArrivals, seconds: number): number {
   return Math.max(0, (taskArrivalRate - taskEndRate) * seconds);
 }
--- a/packages/core/autoscaling/bin-packing.test.ts
+++ b/packages/core/autoscaling/bin-packing.test.ts
@@ -24,7 +24,7 @@
 });
 type Values<T> = T extends fc.Arbitrary<infer V> ? V : never;
 
-/** What is scaled out, and which amounts each machine holds, if so many tasks are packed at a time. */
+/** Packs the jobs, up to `tasksAtOnce` tasks per call; returns the scale-out requests and the use of each bin. */
 function packJobs(
   jobSpecs: Values<typeof jobs>,
   machineSpecs: Values<typeof machines>,
@@ -58,11 +58,14 @@
   }
 }
 
-// Guards the packing of many tasks at once, which must not provision otherwise than one by one.
-test('tasks packed machine by machine take the capacity that they take one by one', () => {
+// Guards against provisioning that depends on whether tasks are packed many per call or one by one.
+test('tasks packed many at a time use the same capacity as tasks packed one at a time', () => {
   fc.assert(
-    fc.property(jobs, machines, (ofJobs, ofMachines) => {
-      assert.deepEqual(packJobs(ofJobs, ofMachines, Infinity), packJobs(ofJobs, ofMachines, 1));
+    fc.property(jobs, machines, (jobSpecs, machineSpecs) => {
+      assert.deepEqual(
+        packJobs(jobSpecs, machineSpecs, Infinity),
+        packJobs(jobSpecs, machineSpecs, 1),
+      );
     }),
     { numRuns: 300, seed: 1, includeErrorInReport: true },
   );
--- a/packages/core/autoscaling/bin-packing.ts
+++ b/packages/core/autoscaling/bin-packing.ts
@@ -1,4 +1,4 @@
-/** Packs tasks into the bins of a plan, and adds bins for what finds no capacity. */
+/** Packs tasks into the bins of a plan, and adds bins for tasks that find no capacity. */
 import type { Job, MachineType } from '#wire';
 import { addAmounts, ZERO_AMOUNTS } from '../model/amounts.js';
 import { isReservedForOther } from '../placement/availability.js';
@@ -12,45 +12,45 @@
 import { type Bin, canHold, emptyBin, type ExistingBin, packTasks } from './bins.js';
 import { kindKey, type ScaleOutRefusals, type ScaleOutRequest } from './scale-out-requests.js';
 
-/** Number of tasks by which a machine's price is divided at the most, if tasks need next to nothing. */
+/** Maximum number of tasks by which a machine's price is divided, reached if tasks need almost nothing. */
 const MAX_PRICE_DIVISOR = 1000;
-/** The price counts double when a zone has so many machines, so that zones fill alike. */
+/** Number of machines in a zone at which prices there count double, so that zones fill evenly. */
 const DOUBLED_PRICE_MACHINES = 1000;
 
-/** A kind of machine that may be provisioned for tasks, and its price per hour and task. */
+/** A kind of machine that may be provisioned, and its price per hour, divided by the tasks that it holds. */
 interface PricedKind {
   kind: MachineKind;
   price: number;
 }
 
-/** What is computed once for all tasks of the same requirements. */
+/** Data computed once per plan for all tasks with the same requirements. */
 interface Requirements {
   /**
-   * How many bins at the head of each list are full. Capacity only shrinks while a plan is made, so these
-   * need not be visited again: else each task would visit every machine.
+   * Number of bins at the head of each list without capacity for such a task. Free capacity only shrinks
+   * while a plan is made, so these bins are skipped; otherwise each task would visit every machine.
    */
   fullPrefix: { existing: number; provisioned: number };
-  /** Kinds to provision, without those that the cloud has just refused. */
+  /** Kinds of machine that may be provisioned, without those that the cloud has recently refused. */
   kinds: PricedKind[];
 }
 
-/** Tasks of one job that are to be packed. */
+/** Describes tasks of one job that are to be packed. */
 export interface PackingRequest {
   job: Job;
   /** Id of the gang whose reserved machines may be used. */
   gangId: string | null;
-  /** Tasks of the job by zone, which bound how many more one zone takes; null if nothing bounds them. */
+  /** Number of the job's tasks by zone, for the limit of tasks in one zone; null if no limit applies. */
   tasksByZone: Map<string, number> | null;
   requirements: Requirements;
 }
 
-/** Tasks that were packed on one machine. */
+/** A number of tasks that were packed into one bin. */
 export interface PackedTasks {
   bin: Bin;
   tasks: number;
 }
 
-/** What a plan starts from: machines that are up or boot, types by name, and what the cloud refuses. */
+/** Input of a plan: machines that are up or booting, machine types by name, and the cloud's refusals. */
 export interface PackingOptions {
   existing: ExistingBin[];
   types: ReadonlyMap<string, MachineType>;
@@ -58,9 +58,9 @@
   now: number;
 }
 
-/** Packs tasks into existing machines, and into machines to provision once these are full. */
+/** Packs tasks into existing machines, and into machines to provision once the existing ones are full. */
 export class BinPacking {
-  /** Machines that are up or boot. */
+  /** Machines that are up or booting. */
   readonly existing: ExistingBin[];
   /** Machines that would be provisioned. */
   readonly provisioned: Bin[] = [];
@@ -72,7 +72,7 @@
     for (const { zone } of this.existing) this.countMachine(zone);
   }
 
-  /** What `place` needs to know of a job's tasks; to be made once for many of them. */
+  /** Makes the argument of `place` for a job's tasks; one request serves many calls. */
   createRequest(
     job: Job,
     gang: string | null,
@@ -82,8 +82,8 @@
   }
 
   /**
-   * Packs up to `count` tasks on one machine, as many as it has capacity for. Null if none has any and the
-   * cloud refuses all kinds that would do.
+   * Packs as many of `count` tasks as possible into one bin. Returns null if no bin has capacity and no kind
+   * of machine that the job allows can be provisioned.
    */
   place(request: PackingRequest, count: number): PackedTasks | null {
     const bin =
@@ -97,8 +97,8 @@
   }
 
   /**
-   * The zone for tasks that must be in the same one: where existing machines have capacity for all of them,
-   * or else where machines can be provisioned; null if there is none.
+   * Returns the zone for `count` tasks that must be in the same zone: one where existing machines have
+   * capacity for all of them, or else one where machines can be provisioned; null if there is none.
    */
   zoneForAll({ job, requirements }: PackingRequest, count: number): string | null {
     const capacityByZone = new Map<string, number>();
@@ -111,7 +111,7 @@
     return this.cheapestKind({ job, gangId: null, tasksByZone: null, requirements })?.zone ?? null;
   }
 
-  /** From now on what best-effort work uses of the existing machines counts, too. */
+  /** Adds the amounts that best-effort tasks use to the use of the existing machines. */
   includeBestEffortUse(): void {
     for (const { machine, used } of this.existing) addAmounts(used, machine.usedBestEffort, 1);
   }
@@ -160,7 +160,7 @@
   private firstWithCapacity(list: 'existing' | 'provisioned', request: PackingRequest): Bin | null {
     const { job, gangId, tasksByZone, requirements } = request;
     const bins: Bin[] = this[list];
-    // A machine that is reserved for a gang is not full, though it has capacity for that gang only.
+    // A machine that is reserved for a gang still has capacity for that gang, so it does not count as full.
     let fullCount = requirements.fullPrefix[list];
     while (fullCount < bins.length && !canHold(bins[fullCount], job)) fullCount++;
     requirements.fullPrefix[list] = fullCount;
@@ -197,7 +197,7 @@
   }
 }
 
-/** The zones and kinds of a type that the job allows, spot machines first. */
+/** Returns the kinds of machine of a type that the job allows; in each zone, spot comes before on-demand. */
 function kindsOfType(job: Job, type: MachineType): MachineKind[] {
   return type.zones
     .filter((zone) => job.zone === null || job.zone === zone)
@@ -207,7 +207,7 @@
     });
 }
 
-/** Tasks that the bin and its zone have capacity for; at least one, since one was found to have. */
+/** Number of tasks that the bin and its zone can take. At least one, as the bin was chosen for a task. */
 function capacityFor({ job, tasksByZone }: PackingRequest, { used, type, zone }: Bin): number {
   const tasksInZone = tasksByZone?.get(zone) ?? 0;
   const leftInZone = tasksByZone === null ? Infinity : zoneCapacity(job) - tasksInZone;
--- a/packages/core/autoscaling/bins.ts
+++ b/packages/core/autoscaling/bins.ts
@@ -1,4 +1,4 @@
-/** The bins of a plan: machines that exist or would be provisioned, with what the plan packs into them. */
+/** Bins of a plan: machines that exist or would be provisioned, with the tasks that the plan packs into them. */
 import type { Job, MachineType } from '#wire';
 import { firmUse } from '../fair-share/best-effort.js';
 import type { FleetState } from '../fleet-state.js';
@@ -7,25 +7,25 @@
 import { canTakeTasks } from '../placement/availability.js';
 import { hasCapacity, kindAllowed, type MachineKind } from '../placement/task-requirements.js';
 
-/** A machine that is up, boots or would be provisioned, as a plan fills it. */
+/** A machine that is up, booting or to be provisioned, with its use in the plan. */
 export interface Bin extends MachineKind {
-  /** Null if it would be provisioned. */
+  /** The existing machine; null if it would be provisioned. */
   machine: Machine | null;
-  /** The amounts that firm work uses, with what the plan has packed. */
+  /** Amounts used by firm tasks and by the tasks that the plan has packed. */
   used: Amounts;
-  /** Firm work is there, or the plan has packed something. */
+  /** Whether the machine runs firm tasks or the plan has packed tasks into it. */
   isNeeded: boolean;
   /** Id of the gang that the machine is reserved for. */
   reservedForGang: string | null;
 }
 
-/** A machine that is up or boots. */
+/** The bin of a machine that is up or booting. */
 export type ExistingBin = Bin & { machine: Machine };
 
 /**
- * The machines that are or soon will be up. Fuller ones come first, so that the emptiest stay unused and
- * can be scaled in; then the cheaper. `lateAfterBoots` is the multiple of its type's boot time after which a
- * machine that boots is not counted on: it may come very late or never.
+ * Returns bins for the machines that are up or soon will be. Fuller machines come first, so that the emptiest
+ * stay unused and can be scaled in; among equally full ones, the cheapest come first. A machine that has been
+ * booting for more than `lateAfterBoots` boot times of its type is left out: it may come very late or never.
  */
 export function existingBins(
   fleet: FleetState,
@@ -52,7 +52,7 @@
 
 function existingBin(machine: Machine, type: MachineType): ExistingBin {
   const { zone, spot, reservedForGang } = machine;
-  // What a gang waits for will be empty when it starts, and best-effort work gives way.
+  // A reserved machine will be empty when its gang starts. Best-effort tasks are stopped when needed.
   const used = reservedForGang === null ? firmUse(machine) : { ...ZERO_AMOUNTS };
   return { machine, type, zone, spot, used, isNeeded: machine.firmTasks > 0, reservedForGang };
 }
@@ -62,15 +62,15 @@
 }
 
 /**
- * A machine that would be provisioned. Its fields come in the same order as those of existing ones, so that
- * all bins have one hidden class: plans scan them.
+ * Makes the bin of a machine to provision. Its fields have the same order as those of existing machines, so
+ * that all bins share one hidden class of the JavaScript engine: plans scan many bins.
  */
 export function emptyBin({ type, zone, spot }: MachineKind): Bin {
   const used = { ...ZERO_AMOUNTS };
   return { machine: null, type, zone, spot, used, isNeeded: false, reservedForGang: null };
 }
 
-/** Whether one more task of the job has capacity there and may go there; zones of its other tasks are checked elsewhere. */
+/** Whether the bin has capacity for a task of the job on an allowed machine; tasks per zone are not checked. */
 export function canHold(bin: Bin, job: Job): boolean {
   const { used, type, zone, spot } = bin;
   return hasCapacity(job, used, type) && kindAllowed(job, type, zone, spot);
--- a/packages/core/autoscaling/boot-times.ts
+++ b/packages/core/autoscaling/boot-times.ts
@@ -1,25 +1,25 @@
-/** Boot times: how long boots take at present, and so which of them are late. */
+/** Boot times: measures how long boots take at present, to tell which machines are late. */
 import type { MachineType } from '#wire';
 import type { Machine } from '../model/entities.js';
 
-/** Boots by which the next ones are judged. */
+/** Number of recent boots whose median is used. */
 const SAMPLE_COUNT = 15;
-/** Multiple of their median that counts as late. */
+/** Multiple of the median boot time after which a booting machine counts as late. */
 const LATE_FACTOR = 1.25;
 
-/** Samples of boot times. Times are seconds of the steady clock. */
+/** Samples of boot times. Times are seconds of the monotonic clock. */
 export class BootTimes {
-  /** The last boots, in multiples of their type's boot time. */
+  /** Durations of the last boots, in multiples of the boot time of the machine's type. */
   private readonly recentRatios: number[] = [];
 
-  /** Samples a provisioned machine that has sent its first heartbeat. */
+  /** Records the boot time of a provisioned machine that has sent its first heartbeat. */
   machineUp(machine: Machine, type: MachineType | undefined, now: number): void {
     if (!type || type.bootS <= 0) return;
     this.recentRatios.push((now - machine.requestedAt) / type.bootS);
     if (this.recentRatios.length > SAMPLE_COUNT) this.recentRatios.shift();
   }
 
-  /** Multiple of its type's boot time after which a machine that boots is not counted on. */
+  /** Multiple of its type's boot time after which a booting machine is left out of the plan. */
   lateAfterBoots(): number {
     const sorted = [...this.recentRatios].sort((a, b) => a - b);
     return LATE_FACTOR * Math.max(1, sorted[Math.floor(sorted.length / 2)] ?? 1);
--- a/packages/core/autoscaling/capacity-planner.test.ts
+++ b/packages/core/autoscaling/capacity-planner.test.ts
@@ -16,9 +16,9 @@
   return planner.plan(now).scaleOut.reduce((sum, r) => sum + r.count, 0);
 }
 
-test('replicas that come faster than they end are provisioned for ahead, and only those', () => {
-  // Guards against a growing fleet that is always one boot behind: in the first minutes replicas
-  // waited for a boot each time, since only the swing of arrivals was kept in reserve.
+test('capacity is provisioned ahead only for replicas that arrive faster than they end', () => {
+  // Guards against a growing fleet that is always one boot behind: the reserve covered only the deviation
+  // of arrivals, so that in the first minutes replicas waited for a boot each time.
   const service = aJob({ kind: 'service', tasks: 2 });
   const growing = createPlanner();
   for (let t = 0; t < 120; t++) growing.jobArrived(service, t);
@@ -32,13 +32,13 @@
   assert.ok(provisionedCount(growing, 120) > 10);
   assert.equal(provisionedCount(steady, 120), 0);
   assert.equal(provisionedCount(batch, 120), 0);
-  // After a failover it is not known what has ended, and all that stands there is no growth.
+  // A new leader does not know which jobs have ended, and must not take all recorded jobs for growth.
   growing.assumeSteady(120);
   assert.equal(provisionedCount(growing, 120), 0);
 });
 
-test('the reserve of a class goes soon after nothing more comes', () => {
-  // Guards against a fleet that stays for minutes after the last job, since averages fade slowly.
+test('the reserve of a class shrinks soon after its last job', () => {
+  // Guards against a fleet that is kept for minutes after the last job because averages decay slowly.
   const planner = new CapacityPlanner({
     fleet: aFleet(),
     settings: { ...SETTINGS, reserveSigmas: 2 },
@@ -51,13 +51,13 @@
   assert.ok(provisionedCount(planner, 240 + STD.bootS) <= during / 2);
 });
 
-test('an empty machine is held shorter once nothing more comes', () => {
-  // Guards against gangs that wait for a boot since whole machines were scaled in between them, and
-  // against machines that are kept for nobody after the last job.
-  const scaleInCounts = (lastAt: number) => {
+test('an empty machine is held for a shorter time once no more jobs arrive', () => {
+  // Guards against gangs that wait for a boot because whole machines were scaled in between two gangs, and
+  // against machines that are kept without need after the last job.
+  const scaleInCounts = (lastJobAt: number) => {
     const fleet = aFleet();
     const planner = createPlanner(fleet);
-    planner.jobArrived(aJob(), lastAt);
+    planner.jobArrived(aJob(), lastJobAt);
     aMachine(fleet, 'n-1');
     return [25, 45, 65].map((t) => planner.plan(t).scaleIn.length);
   };
@@ -65,9 +65,9 @@
   assert.deepEqual(scaleInCounts(0), [0, 1, 1]);
 });
 
-test('a boot that is late by what boots take at present is replaced', () => {
+test('a machine that boots late compared with recent boots is replaced', () => {
   // Guards against replicas that wait minutes for a machine that comes late or never, and against
-  // provisioning all again on days when every boot takes longer.
+  // provisioning every machine twice when all boots take longer.
   const provisionedCounts = (boots: number[]) => {
     const fleet = aFleet();
     const planner = createPlanner(fleet);
--- a/packages/core/autoscaling/capacity-planner.ts
+++ b/packages/core/autoscaling/capacity-planner.ts
@@ -1,4 +1,4 @@
-/** The capacity planner: how many machines of which kinds the fleet needs. */
+/** The capacity planner: determines how many machines of which kinds the fleet needs. */
 import type { Job, MachineType } from '#wire';
 import { isBestEffort } from '../fair-share/best-effort.js';
 import type { TeamQuota } from '../fair-share/team-quota.js';
@@ -19,27 +19,27 @@
 import { ScaleOutRefusals, type ScaleOutRequest } from './scale-out-requests.js';
 import { WaitingWork } from './waiting-work.js';
 
-/** Once no job has come for this share of the hold, empty machines are held for a shorter time. */
+/** Share of `idleHoldS` without a job after which empty machines are kept for a shorter time. */
 const QUIET_AFTER_SHARE = 1 / 2;
-/** That time, as a share of the hold. */
+/** Share of `idleHoldS` for which empty machines are kept while no jobs arrive. */
 const QUIET_HOLD_SHARE = 1 / 3;
 
-/** What operators may set of the fleet's size. */
+/** Fleet size settings of the operators. */
 export interface CapacitySettings extends ArrivalSettings {
-  /** Seconds for which an empty machine that nothing needs is kept. */
+  /** Seconds for which an empty machine is kept that the plan does not need. */
   idleHoldS: number;
 }
 
-/** What to do now; the caller carries it out. */
+/** Machines to scale out, scale in and consolidate; the caller carries the plan out. */
 export interface CapacityPlan {
   scaleOut: ScaleOutRequest[];
   /** Idle machines, to be deprovisioned. */
   scaleIn: Machine[];
-  /** A machine to be emptied, or null. */
+  /** A machine to be emptied by moving its replicas, or null. */
   consolidation: Consolidation | null;
 }
 
-/** What a planner is made of; `teams` are the quotas by team. */
+/** Options of the planner; `teams` holds the quotas by team. */
 export interface CapacityPlannerOptions {
   fleet: FleetState;
   settings: CapacitySettings;
@@ -48,9 +48,9 @@
 }
 
 /**
- * Sizes the fleet: packs the waiting work, and a reserve for what may come sooner than a machine boots,
- * into the machines that exist. What finds no capacity there is scaled out for, and what is left over
- * is scaled in. Times are seconds of the steady clock.
+ * Sizes the fleet. The planner packs the waiting tasks into the existing machines, with a reserve for tasks
+ * that may arrive before a new machine could boot. It scales out for tasks that find no capacity, and scales
+ * in machines that are not needed. Times are seconds of the monotonic clock.
  */
 export class CapacityPlanner {
   private readonly fleet: FleetState;
@@ -72,12 +72,12 @@
     if (!this.isBestEffort(job)) this.arrivals.jobArrived(job, now);
   }
 
-  /** Observes that a job is over for its user. */
+  /** Observes that a job has ended from its user's point of view. */
   jobEnded(job: Job, now: number): void {
     if (!this.isBestEffort(job)) this.arrivals.jobEnded(job, now);
   }
 
-  /** Assumes that as much work has ended before as came. */
+  /** Assumes that tasks have ended at the rate at which they arrived, for a leader that has just taken over. */
   assumeSteady(now: number): void {
     this.arrivals.assumeSteady(now);
   }
@@ -87,12 +87,12 @@
     this.bootTimes.machineUp(machine, this.fleet.machines.typeOf(machine), now);
   }
 
-  /** Observes that the cloud gave less than was requested; the kind is not requested again until then. */
+  /** Observes that the cloud provided fewer machines than requested; the kind is not requested before `until`. */
   scaleOutRefused(request: ScaleOutRequest, until: number): void {
     this.refusals.record(request, until);
   }
 
-  /** What to scale out and in now; changes nothing but the statistics' decay. */
+  /** Plans what to scale out and in at `now`; changes no state except the decay of the arrival statistics. */
   plan(now: number): CapacityPlan {
     const existing = existingBins(this.fleet, this.bootTimes.lateAfterBoots(), now);
     const { types } = this.fleet.machines;
@@ -100,7 +100,7 @@
     const waiting = new WaitingWork(this.fleet, this.teams, packing, now);
     waiting.packFirm();
     this.packReserve(packing, now);
-    // Replicas are moved only while nothing lacks capacity.
+    // Replicas are moved only if the plan provisions no machines for firm tasks or the reserve.
     const lacksCapacity = packing.provisioned.length > 0;
     waiting.packStarvedBestEffort();
     return {
@@ -125,14 +125,14 @@
     }
   }
 
-  /** Seconds for which an empty machine that nothing needs is held at present. */
+  /** Seconds for which an empty machine is kept at `now` if the plan does not need it. */
   private currentHoldS(now: number): number {
     const isQuiet = now - this.arrivals.lastArrivalAt() > this.idleHoldS * QUIET_AFTER_SHARE;
     return isQuiet ? this.idleHoldS * QUIET_HOLD_SHARE : this.idleHoldS;
   }
 }
 
-/** Boot time of the type that boots soonest among those that can run the class; null if none can. */
+/** Returns the shortest boot time of the types that can run the class; null if none can. */
 function shortestBootS({ lastJob }: ClassArrivals, types: MachineType[]): number | null {
   const suitable = types.filter((type) => typeFits(lastJob, type));
   return suitable.length > 0 ? Math.min(...suitable.map((type) => type.bootS)) : null;
--- a/packages/core/autoscaling/consolidation.test.ts
+++ b/packages/core/autoscaling/consolidation.test.ts
@@ -12,9 +12,9 @@
   return new CapacityPlanner({ fleet, settings: SETTINGS, objectives: OBJECTIVES, teams: TEAMS });
 }
 
-test('a machine is emptied only if its replicas find capacity beside their image', () => {
-  // Guards against a fleet that ends as many machines with one replica each, and against replicas
-  // that are moved to where they would wait for their image, or into capacity that is counted on.
+test('a machine is emptied only if its replicas find capacity on machines that have their image', () => {
+  // Guards against a fleet that ends up with many machines of one replica each, against moves to machines
+  // where replicas wait for their image, and against moves into capacity that waiting tasks need.
   const planConsolidation = (image: string, waiting: number, ranS: number) => {
     const fleet = aFleet();
     const machines = ['n-1', 'n-2'].map((name) => aMachine(fleet, name));
--- a/packages/core/autoscaling/consolidation.ts
+++ b/packages/core/autoscaling/consolidation.ts
@@ -1,4 +1,4 @@
-/** Consolidation: finds a little used machine whose replicas other machines have capacity for. */
+/** Consolidation: finds a machine with little use whose replicas have capacity on other machines. */
 import type { Job, MachineType } from '#wire';
 import { firmUse } from '../fair-share/best-effort.js';
 import type { FleetState } from '../fleet-state.js';
@@ -9,26 +9,26 @@
 import { isPastStartWindow } from '../preemption/start-window.js';
 import type { ExistingBin } from './bins.js';
 
-/** No machine of which firm work uses a larger share is emptied. */
+/** Largest share of a machine that firm tasks may use for the machine to be emptied. */
 const MAX_LOAD = 0.5;
 
-/** A replica and the machine that has capacity for it. */
+/** A replica and the machine to which it moves. */
 export interface Move {
   task: Assignment;
   to: Machine;
 }
 
-/** A machine that can be scaled in once its replicas run elsewhere. */
+/** A machine that can be scaled in once its replicas have moved. */
 export interface Consolidation {
   machine: Machine;
   moves: Move[];
 }
 
 /**
- * The most expensive machine, per replica on it, whose replicas all find capacity on machines of the same
- * zone that have their image and are used more; null if there is none. Such a move takes a stop and a
- * start without a fetch. Without moves, a fleet whose demand falls ends as many machines with one replica
- * each.
+ * Returns the machine with the highest price per replica whose replicas all find capacity on other machines,
+ * or null if there is none. The other machines must be in the same zone, have the replica's image, and be used
+ * at least as much. A move then costs a stop and a start, but no image fetch. Without consolidation, falling
+ * demand would leave many machines with one replica each.
  */
 export function findConsolidation(
   fleet: FleetState,
@@ -52,7 +52,7 @@
   const { machine, type, used, reservedForGang } = bin;
   if (machine.firmTasks === 0 || load(machine, type) > MAX_LOAD) return false;
   if (!isUsable(machine, fleet.settings.machineRecordBytes, now)) return false;
-  // Machines that a gang is waiting for, or that the plan has packed more work on, are kept.
+  // A machine is kept if it is reserved for a gang or the plan has packed further tasks into it.
   if (reservedForGang !== null || used.cpus > firmUse(machine).cpus + ROUNDING) return false;
   return firmTasksOf(machine).every((task) => isMovable(task, now));
 }
@@ -61,19 +61,19 @@
   return type.price / machine.firmTasks;
 }
 
-/** Best-effort tasks there, each of which may have to start again. */
+/** Number of best-effort tasks on the machine, each of which may have to start again elsewhere. */
 function bestEffortTaskCount({ machine }: ExistingBin): number {
   return machine.tasks.size - machine.firmTasks;
 }
 
 function isMovable({ job, stop, reportedState, runningSince }: Assignment, now: number): boolean {
   const hasStarted = runningSince !== null && isPastStartWindow(runningSince, now);
-  // A replica of several members would have to move as a whole.
+  // A replica with several members would have to move as a whole, so only single replicas are moved.
   const isSingle = job.spec.kind === 'service' && job.replicas === null;
   return isSingle && stop === null && hasStarted && reportedState === 'running';
 }
 
-/** A machine for each firm task of the bin, or null if one finds none. */
+/** Returns a target machine for each firm task of the bin, or null if some task finds none. */
 function findMoves(
   fleet: FleetState,
   from: ExistingBin,
@@ -99,7 +99,7 @@
   return moves;
 }
 
-/** Whether replicas of the job may move there from the other machine, if there is capacity. */
+/** Whether replicas of the job may move from the bin `from` to this one; free capacity is not checked. */
 function canReceive(
   fleet: FleetState,
   { machine, type, reservedForGang }: ExistingBin,
@@ -122,7 +122,7 @@
   return [...machine.tasks.values()].filter(({ job }) => !job.isBestEffort);
 }
 
-/** Share of the machine that firm work uses. */
+/** Share of the machine's processors or accelerators that firm tasks use; the larger of the two. */
 function load(machine: Machine, type: MachineType): number {
   const used = firmUse(machine);
   return Math.max(
--- a/packages/core/autoscaling/scale-in.ts
+++ b/packages/core/autoscaling/scale-in.ts
@@ -1,4 +1,4 @@
-/** Starts to scale in: drains machines, and moves what runs there. */
+/** Starts to scale in machines: drains them and moves their tasks. */
 import type { FleetState } from '../fleet-state.js';
 import { mayRunToEnd } from '../fair-share/best-effort.js';
 import type { Machine } from '../model/entities.js';
@@ -8,7 +8,7 @@
 import { HOLD_HEARTBEATS } from '../preemption/capacity-holds.js';
 import type { Consolidation } from './consolidation.js';
 
-/** Stops the replicas on a machine that is to be scaled in; the capacity found for them is held. */
+/** Drains a machine, stops its replicas, and holds the capacity found for them on other machines. */
 export function startConsolidation(
   fleet: FleetState,
   { machine, moves }: Consolidation,
@@ -25,8 +25,8 @@
 
 /**
  * Drains the machine, so that it is deprovisioned once it is empty. Best-effort tasks that may not run to
- * their end start again elsewhere, if there is capacity, but a job only as often as it has tasks: in a
- * fleet that shrinks they would go from machine to machine and never end.
+ * their end are stopped if another machine has capacity for them. A job's tasks are moved no more often than
+ * the job has tasks: in a shrinking fleet they would otherwise move from machine to machine and never end.
  */
 export function beginScaleIn(fleet: FleetState, machine: Machine, now: number): void {
   fleet.machines.drain(machine);
@@ -38,7 +38,7 @@
     if (chooseMachine(fleet, job, constrainingTasksByZone(job), candidates, now) === null) continue;
     job.tasksMoved++;
     fleet.assignments.stopGracefully(task, now);
-    // The rest of a gang that was not started yet is gone at once, which leaves capacity elsewhere.
+    // Stopping a gang immediately ends those of its tasks that have not started. This frees capacity elsewhere.
     if (job.spec.kind === 'gang') candidates = new PlacementCandidates(fleet, now);
   }
 }
--- a/packages/core/autoscaling/scale-out-requests.ts
+++ b/packages/core/autoscaling/scale-out-requests.ts
@@ -1,7 +1,7 @@
 /** Requests to scale out, and the kinds of machine that the cloud has refused. */
 import type { MachineKind } from '../placement/task-requirements.js';
 
-/** Machines to provision, all of one kind. */
+/** A request for a number of machines of one kind. */
 export interface ScaleOutRequest {
   /** Name of the machine type. */
   type: string;
@@ -10,11 +10,11 @@
   count: number;
 }
 
-/** Kinds of machine that the cloud could not provide, and until when they are not requested again. */
+/** Kinds of machine that the cloud could not provide, with the time until which they are not requested again. */
 export class ScaleOutRefusals {
   private readonly until = new Map<string, number>();
 
-  /** Records that the cloud provided fewer machines than requested; `until` is on the steady clock. */
+  /** Records that the cloud provided fewer machines than requested; `until` is in seconds of the monotonic clock. */
   record({ type, zone, spot }: ScaleOutRequest, until: number): void {
     this.until.set(kindKey(type, zone, spot), until);
   }
@@ -25,7 +25,7 @@
   }
 }
 
-/** Equal for machines of the same type, zone and kind. */
+/** Key that is equal for machines of the same type and zone that are either all spot or all on-demand. */
 export function kindKey(type: string, zone: string, spot: boolean): string {
   return `${type} ${zone} ${String(spot)}`;
 }
--- a/packages/core/autoscaling/waiting-work.ts
+++ b/packages/core/autoscaling/waiting-work.ts
@@ -1,4 +1,4 @@
-/** Packs the jobs that wait into the bins of a plan. */
+/** Packs waiting jobs into the bins of a plan. */
 import type { Job } from '#wire';
 import { mayScaleOutFor } from '../fair-share/best-effort.js';
 import { byAge } from '../fair-share/job-order.js';
@@ -11,20 +11,20 @@
 import type { BinPacking } from './bin-packing.js';
 import type { ExistingBin } from './bins.js';
 
-/** Tasks of one job that a plan packs; the next plan packs what is left. */
+/** Maximum number of tasks of one job that a plan packs; later plans pack the rest. */
 const MAX_TASKS_PER_JOB = 2000;
-/** Jobs of one bucket that a plan visits. */
+/** Maximum number of jobs of one bucket that a plan visits. */
 const MAX_JOBS_PER_BUCKET = 500;
-/** Machines on which a plan packs tasks of a starved best-effort job. */
+/** Maximum number of machines on which a plan packs tasks of a starved best-effort job. */
 const MAX_BEST_EFFORT_MACHINES = 1;
-/** When jobs are ordered by size, one accelerator counts as much as so many processors. */
+/** Number of processors that count as much as one accelerator when jobs are ordered by size. */
 const CPUS_PER_GPU = 1000;
 
-/** The waiting work of one plan, made at `now` (seconds of the steady clock). */
+/** The waiting jobs of one plan, which is made at `now` (seconds of the monotonic clock). */
 export class WaitingWork {
   private readonly firm: JobState[] = [];
   private readonly starvedBestEffort: JobState[];
-  /** Amounts by team, what the plan has packed included. */
+  /** Amounts used by team, including the tasks that the plan has packed. */
   private readonly usage = new Map<string, Amounts>();
 
   constructor(
@@ -44,12 +44,12 @@
     this.starvedBestEffort = bestEffort.filter((job) => mayScaleOutFor(fleet, job, now));
   }
 
-  /** Packs the firm jobs as if best-effort work were not there. */
+  /** Packs the firm jobs. Amounts used by best-effort tasks are ignored. */
   packFirm(): void {
     for (const job of this.firm.sort(byRankAndSize)) this.packJob(job, Infinity);
   }
 
-  /** Packs the best-effort jobs that have waited long without any task, beside all other work. */
+  /** Packs the best-effort jobs that have waited long without any task, beside all other tasks. */
   packStarvedBestEffort(): void {
     if (this.starvedBestEffort.length === 0) return;
     this.packing.includeBestEffortUse();
@@ -58,12 +58,12 @@
     }
   }
 
-  /** Those jobs whose failures don't speak against scaling out for them. */
+  /** Yields the jobs for which machines may be scaled out; crash-looping jobs are left out for some time. */
   private *allowedToRequestCapacity(jobs: Iterable<JobState>): Generator<JobState> {
     for (const job of jobs) if (this.fleet.failures.mayRequestCapacity(job, this.now)) yield job;
   }
 
-  /** Packs tasks of the job, as far as its team's limit allows, on `maxMachines` each time at the most. */
+  /** Packs tasks of the job within its team's limit, on at most `maxMachines` for the job or for each replica. */
   private packJob(job: JobState, maxMachines: number): void {
     const { spec } = job;
     const quota = this.teams.get(spec.team);
@@ -93,8 +93,8 @@
   }
 
   /**
-   * Packs up to `count` tasks of a job, or of one replica, on at most so many machines; returns how many
-   * found capacity. `zones` counts the job's tasks packed so far.
+   * Packs up to `count` tasks of a job, or of one replica, on at most `maxMachines` machines. Returns how many
+   * found capacity. `zones` counts the job's packed tasks by zone.
    */
   private packTogether(
     job: JobState,
@@ -126,7 +126,10 @@
   }
 }
 
-/** Where a job that must stay in one zone is packed: where machines are reserved for it, if any are. */
+/**
+ * Returns the zone to which packing the job is limited, or null for any zone. A job that must be in one zone
+ * goes where machines are reserved for it, if there are any.
+ */
 function zoneToPack(job: Job, existing: ExistingBin[]): string | null {
   if (!job.oneZone) return job.zone;
   return existing.find((bin) => bin.reservedForGang === job.id)?.zone ?? job.zone;
@@ -141,12 +144,12 @@
   return first;
 }
 
-/** Higher ranks first, then whole-machine work before what goes into gaps, then the oldest. */
+/** Orders by rank, highest first; then by size, largest first, since small tasks fit into gaps; then by age. */
 function byRankAndSize(a: JobState, b: JobState): number {
   return a.rank - b.rank || sizeOf(b.spec) - sizeOf(a.spec) || byAge(a, b);
 }
 
-/** Accelerators count before processors. */
+/** Size of a task of the job, in which accelerators outweigh processors. */
 function sizeOf(job: Job): number {
   return job.gpus * CPUS_PER_GPU + job.cpus;
 }
