--- a/packages/core/autoscaling/arrival-statistics.ts
+++ b/packages/core/autoscaling/arrival-statistics.ts
@@ -1,30 +1,30 @@
-/** Arrival statistics: how much work of each class comes and ends, and the reserve that it calls for. */
+/** Arrival statistics: the rates at which work of each class arrives and ends, and the reserve kept for it. */
 import type { Job } from '#wire';
 
-/** Boot times for which capacity is kept ahead, since a machine must be up before it is needed. */
-const LOOK_AHEAD_BOOTS = 1.2;
-/** Jobs over which the mean square of tasks per job is averaged. */
-const SIZE_MEMORY = 10;
-/** After so many mean gaps between jobs without one, a class's rate counts as lower. */
-const QUIET_GAPS = 3;
-/** Expected jobs below which no reserve is kept. */
-const FEWEST_JOBS = 0.05;
-/** Share of the reserve that is kept for classes whose work can wait for a boot. */
-const PATIENT_SHARE = 0.3;
+/** Period that the reserve covers, in boot times. It is more than one, as a machine must be up before it is needed. */
+const LOOKAHEAD_BOOTS = 1.2;
+/** Number of jobs over which the square of tasks per job is averaged. */
+const SIZE_AVERAGE_JOBS = 10;
+/** Time without a job, in mean gaps between jobs, after which the job rate of a class is taken as lower. */
+const MAX_MEAN_GAPS = 3;
+/** Least number of expected jobs for which a reserve is kept. */
+const MIN_EXPECTED_JOBS = 0.05;
+/** Factor on the standard deviations reserved for classes whose tasks can wait for a machine to boot. */
+const NON_URGENT_SHARE = 0.3;
 
-/** What is expected for a class of jobs. */
+/** Service objective of a class of jobs. */
 export interface ClassObjective {
   class: string;
-  /** `wait`: tasks start within `withinS` of the submission. */
+  /** The objective `wait`: tasks start within `withinS` seconds of the submission. */
   kind: string;
   withinS: number;
 }
 
-/** What operators may set of the reserve. */
+/** Reserve settings of the operators. */
 export interface ArrivalSettings {
-  /** Standard deviations of arrivals kept free for classes that must start sooner than a boot. */
+  /** Standard deviations of arrivals reserved for classes whose tasks must start in less than a boot time. */
   reserveSigmas: number;
-  /** A class's arrival rate is averaged over this many seconds. */
+  /** Time constant, in seconds, of the decayed rates of a class. */
   memoryS: number;
 }
 
@@ -39,14 +39,14 @@
   /** When the averages were last decayed. */
   decayedAt: number;
   /** When the last job was accepted. */
-  lastAt: number;
+  lastJobAt: number;
   /** Mean square of the tasks per job. */
   meanSquareTasks: number;
-  /** The last job, for what tasks of the class need. */
-  sample: Job;
+  /** The last job, whose requirements stand for those of the class. */
+  lastJob: Job;
 }
 
-/** Averages arrivals and ends by class (docs/design.md). Times are seconds of the steady clock. */
+/** Averages arrivals and ends by class (docs/design.md). Times are seconds of the monotonic clock. */
 export class ArrivalStatistics {
   private readonly byClass = new Map<string, ClassArrivals>();
 
@@ -55,7 +55,7 @@
     private readonly objectives: ClassObjective[],
   ) {}
 
-  /** All classes of which a job has been accepted. */
+  /** Returns the averages of each class of which a job has been accepted. */
   classes(): IterableIterator<ClassArrivals> {
     return this.byClass.values();
   }
@@ -63,20 +63,21 @@
   /** Observes that a job was accepted. */
   jobArrived(job: Job, now: number): void {
     const { memoryS } = this.settings;
-    const arrivals = this.of(job, now);
-    arrivals.lastAt = now;
+    const arrivals = this.arrivalsOf(job, now);
+    arrivals.lastJobAt = now;
     arrivals.jobRate += 1 / memoryS;
     arrivals.taskArrivalRate += job.tasks / memoryS;
-    arrivals.meanSquareTasks += (job.tasks * job.tasks - arrivals.meanSquareTasks) / SIZE_MEMORY;
-    arrivals.sample = job;
+    arrivals.meanSquareTasks +=
+      (job.tasks * job.tasks - arrivals.meanSquareTasks) / SIZE_AVERAGE_JOBS;
+    arrivals.lastJob = job;
   }
 
-  /** Observes that a job is over for its user. */
+  /** Observes that a job has ended from its user's point of view. */
   jobEnded(job: Job, now: number): void {
-    this.of(job, now).taskEndRate += job.tasks / this.settings.memoryS;
+    this.arrivalsOf(job, now).taskEndRate += job.tasks / this.settings.memoryS;
   }
 
-  /** Assumes that as many tasks have ended as came: a new leader does not know when work ended before. */
+  /** Sets the rate of ended tasks to that of arrivals: a new leader does not know how many tasks ended before. */
   assumeSteady(now: number): void {
     for (const arrivals of this.byClass.values()) {
       this.decay(arrivals, now);
@@ -84,32 +85,32 @@
     }
   }
 
-  /** When the last job of any class was accepted; -Infinity if none was. */
+  /** Returns when the last job of any class was accepted; -Infinity if none was. */
   lastArrivalAt(): number {
-    return Math.max(...[...this.byClass.values()].map(({ lastAt }) => lastAt));
+    return Math.max(...[...this.byClass.values()].map(({ lastJobAt }) => lastJobAt));
   }
 
-  /** Tasks of a class to keep capacity for, given the boot time in seconds of machines that can run it. */
+  /** Number of tasks to reserve capacity for, given the boot time in seconds of machines that can run the class. */
   reserveTasks(arrivals: ClassArrivals, bootS: number, now: number): number {
-    const job = arrivals.sample;
+    const job = arrivals.lastJob;
     const objective = this.objectives.find((each) => each.class === job.class);
     if (!objective) return 0;
     this.decay(arrivals, now);
-    const aheadS = bootS * LOOK_AHEAD_BOOTS;
-    // A gap of three times the mean is rare at a steady rate, so after it the rate is taken as lower.
-    const highestRate = QUIET_GAPS / Math.max(now - arrivals.lastAt, 1e-9);
-    const jobs = Math.min(arrivals.jobRate, highestRate) * aheadS;
-    if (jobs < FEWEST_JOBS) return 0;
+    const lookaheadS = bootS * LOOKAHEAD_BOOTS;
+    // A gap of three times the mean is rare at a constant rate, so the rate is taken as lower after it.
+    const maxJobRate = MAX_MEAN_GAPS / Math.max(now - arrivals.lastJobAt, 1e-9);
+    const expectedJobs = Math.min(arrivals.jobRate, maxJobRate) * lookaheadS;
+    if (expectedJobs < MIN_EXPECTED_JOBS) return 0;
     const isUrgent = objective.kind === 'wait' && objective.withinS < bootS;
-    const sigmas = this.settings.reserveSigmas * (isUrgent ? 1 : PATIENT_SHARE);
-    const deviation = sigmas * Math.sqrt(jobs * arrivals.meanSquareTasks);
-    // Replicas stay until their users end them: while fewer end than come, more are needed.
+    const sigmas = this.settings.reserveSigmas * (isUrgent ? 1 : NON_URGENT_SHARE);
+    const deviation = sigmas * Math.sqrt(expectedJobs * arrivals.meanSquareTasks);
+    // Replicas run until their users end them, so demand grows while fewer replicas end than arrive.
     const mayGrow = isUrgent && job.kind === 'service';
-    const growth = mayGrow ? growthOf(arrivals, aheadS) : 0;
+    const growth = mayGrow ? expectedGrowth(arrivals, lookaheadS) : 0;
     return Math.ceil(growth + deviation);
   }
 
-  private of(job: Job, now: number): ClassArrivals {
+  private arrivalsOf(job: Job, now: number): ClassArrivals {
     let arrivals = this.byClass.get(job.class);
     if (!arrivals) {
       arrivals = {
@@ -117,9 +118,9 @@
         taskArrivalRate: 0,
         taskEndRate: 0,
         decayedAt: now,
-        lastAt: now,
+        lastJobAt: now,
         meanSquareTasks: job.tasks * job.tasks,
-        sample: job,
+        lastJob: job,
       };
       this.byClass.set(job.class, arrivals);
     }
@@ -128,15 +129,15 @@
   }
 
   private decay(arrivals: ClassArrivals, now: number): void {
-    const kept = Math.exp(-(now - arrivals.decayedAt) / this.settings.memoryS);
-    arrivals.jobRate *= kept;
-    arrivals.taskArrivalRate *= kept;
-    arrivals.taskEndRate *= kept;
+    const decayFactor = Math.exp(-(now - arrivals.decayedAt) / this.settings.memoryS);
+    arrivals.jobRate *= decayFactor;
+    arrivals.taskArrivalRate *= decayFactor;
+    arrivals.taskEndRate *= decayFactor;
     arrivals.decayedAt = now;
   }
 }
 
-/** Tasks by which the class grows in so many seconds, at the present rates. */
-function growthOf({ taskArrivalRate, taskEndRate }: ClassArrivals, seconds: number): number {
+/** Number of tasks by which the class grows within `seconds` at its present rates. */
+function expectedGrowth({ taskArrivalRate, taskEndRate }: ClassArrivals, seconds: number): number {
   return Math.max(0, (taskArrivalRate - taskEndRate) * seconds);
 }
--- a/packages/core/placement/choose-machine.test.ts
+++ b/packages/core/placement/choose-machine.test.ts
@@ -16,14 +16,14 @@
 import { Chance } from '../../testing/random.js';
 import { aFleet, aJob, aMachine } from '../../testing/samples.js';
 
-/** The choice as its rules say it, by a look at every machine. */
-function byEveryMachine(fleet: FleetState, state: JobState, now: number): Machine | null {
+/** Chooses the machine by applying the placement rules to every machine of the fleet. */
+function chooseByExhaustiveSearch(fleet: FleetState, state: JobState, now: number): Machine | null {
   const { spec } = state;
-  const classZones = new Map<string, number>();
+  const classTasksByZone = new Map<string, number>();
   for (const { zone, tasks } of fleet.machines.values()) {
     for (const { job: other } of tasks.values()) {
       if (other.spec.class !== spec.class) continue;
-      classZones.set(zone, (classZones.get(zone) ?? 0) + 1);
+      classTasksByZone.set(zone, (classTasksByZone.get(zone) ?? 0) + 1);
     }
   }
   let best: { machine: Machine; cost: number } | null = null;
@@ -38,15 +38,16 @@
       !zoneAllowed(spec, machine.zone, tasksByZone(state))
     )
       continue;
-    const crowd = spec.spread ? (classZones.get(machine.zone) ?? 0) / 4 : 0;
-    const cost = placementCost(spec, machine, type) + crowd;
+    const zoneCost = spec.spread ? (classTasksByZone.get(machine.zone) ?? 0) / 4 : 0;
+    const cost = placementCost(spec, machine, type) + zoneCost;
     if (best === null || cost < best.cost) best = { machine, cost };
   }
   return best?.machine ?? null;
 }
 
-// Guards the lists that spare each job a look at each machine: they must not change what is decided.
-test('a place chosen from the lists of a round is the one that a look at every machine finds', () => {
+// Guards against candidate lists that change decisions: a round keeps lists of machines so that not every
+// job visits every machine, and a list that is out of date would lead to another choice.
+test('choosing from the candidate lists of a round gives the same machine as an exhaustive search', () => {
   let compared = 0;
   for (let seed = 1; seed <= 40; seed++) {
     const chance = new Chance(seed);
@@ -78,13 +79,13 @@
       if (chance.hit(0.1)) fleet.machines.reserve(machine, jobs[chance.int(0, 23)].spec.id);
     }
     const now = 10;
-    const places = new PlacementCandidates(fleet, now);
+    const candidates = new PlacementCandidates(fleet, now);
     for (let i = 0; i < 80; i++) {
       const state = jobs[chance.int(0, 23)];
       const [index] = fleet.jobs.waitingTasks(state, 1);
       if (index === undefined) continue;
-      const expected = byEveryMachine(fleet, state, now);
-      assert.equal(chooseMachine(fleet, state, tasksByZone(state), places, now), expected);
+      const expected = chooseByExhaustiveSearch(fleet, state, now);
+      assert.equal(chooseMachine(fleet, state, tasksByZone(state), candidates, now), expected);
       compared++;
       if (expected)
         fleet.assignments.assign(state, index, expected, fleet.assignments.newAttempt(), now);
--- a/packages/core/placement/placement-round.ts
+++ b/packages/core/placement/placement-round.ts
@@ -1,26 +1,26 @@
-/** One scheduling round: places the jobs whose turn comes, and remembers what found no capacity. */
+/** One scheduling round: places waiting tasks, and remembers which requirements found no capacity. */
 import { mayUseAnyCapacity } from '../fair-share/best-effort.js';
 import type { FairShares } from '../fair-share/fair-shares.js';
 import type { WaitingBucket } from '../fair-share/waiting-bucket.js';
 import type { FleetState } from '../fleet-state.js';
 import type { JobReplicas, JobState } from '../model/entities.js';
 import { needsOneZone } from '../model/replica-groups.js';
-import { bindingZones } from './task-requirements.js';
+import { constrainingTasksByZone } from './task-requirements.js';
 import { BlockedShapes, type CapacityAccess, mayBlockShape } from './blocked-shapes.js';
 import { chooseMachine } from './choose-machine.js';
 import { chooseMachinesTogether, type JointRequest } from './choose-machines-together.js';
 import type { GangReservations } from './gang-reservations.js';
 import { PlacementCandidates } from './placement-candidates.js';
 
-/** Tasks that a job is given at once before it queues again behind the others. */
+/** Number of tasks of a job that are placed in one turn. The job then queues again behind the others. */
 const TASKS_PER_TURN = 8;
 
-/** Places waiting jobs at one moment, `now` (seconds of the steady clock), and is then thrown away. */
+/** Places waiting tasks at the time `now` (seconds of the monotonic clock). An instance serves one round. */
 export class PlacementRound {
   private readonly candidates: PlacementCandidates;
   private readonly blocked = new BlockedShapes();
-  /** Jobs for which capacity was held when the round began. */
-  private readonly heldFor: ReadonlyMap<JobState, number>;
+  /** Number of machines with capacity held for a job when the round began, by job. */
+  private readonly holdsByJob: ReadonlyMap<JobState, number>;
 
   constructor(
     private readonly fleet: FleetState,
@@ -30,10 +30,10 @@
     readonly now: number,
   ) {
     this.candidates = new PlacementCandidates(fleet, now);
-    this.heldFor = fleet.holds.machineCountByJob(now);
+    this.holdsByJob = fleet.holds.machineCountByJob(now);
   }
 
-  /** Whether the job need not be tried: it backs off, is probed enough, or fails like one before it. */
+  /** Whether the job is left out: it backs off, may start no task now, or its requirements found no capacity. */
   isSkipped(job: JobState): boolean {
     return (
       job.backoffUntil > this.now ||
@@ -42,8 +42,8 @@
     );
   }
 
-  /** Whether not even the bucket's smallest task could be placed: no capacity, or its team is at its limit. */
-  isFullFor({ sample, minAmounts }: WaitingBucket): boolean {
+  /** Whether not even the bucket's smallest task can be placed, for lack of capacity or by its team's limit. */
+  canPlaceNone({ sample, minAmounts }: WaitingBucket): boolean {
     if (sample.kind === 'gang') return false;
     return (
       !this.shares.withinLimit(sample.team, minAmounts) ||
@@ -51,7 +51,7 @@
     );
   }
 
-  /** Gives the job's waiting tasks machines while there is capacity, a turn's worth; returns how many. */
+  /** Places one turn of the job's waiting tasks, as far as there is capacity; returns how many. */
   placeTurn(job: JobState): number {
     if (job.spec.kind === 'gang') return this.placeGang(job);
     if (job.replicas !== null) return this.placeReplicas(job, job.replicas);
@@ -63,7 +63,7 @@
     if (this.isBlocked(job)) return 0;
     const startable = Math.min(TASKS_PER_TURN, failures.maxStartableTasks(job));
     const limit = Math.min(startable, this.decisionsPerRound);
-    const zones = bindingZones(job);
+    const zones = constrainingTasksByZone(job);
     let placed = 0;
     for (const index of jobs.waitingTasks(job, limit)) {
       if (!this.shares.withinLimit(job.spec.team, job.spec)) break;
@@ -79,7 +79,7 @@
     return placed;
   }
 
-  /** A replica gets machines for all of its members or for none. */
+  /** Places waiting replicas, each with all of its members or not at all; returns how many tasks. */
   private placeReplicas(job: JobState, replicas: JobReplicas): number {
     const { members } = replicas;
     if (this.isBlocked(job) || this.fleet.failures.maxStartableTasks(job) === 0) return 0;
@@ -101,21 +101,23 @@
     return placed;
   }
 
-  /** Places all of the tasks from index `first` in one attempt, or none; returns how many. */
-  private placeTogether(job: JobState, request: JointRequest, first: number): number {
+  /** Places all of the request's tasks, from `firstIndex` on, in one attempt, or none; returns how many. */
+  private placeTogether(job: JobState, request: JointRequest, firstIndex: number): number {
     const { fleet, candidates, now } = this;
     const { assignments } = fleet;
     if (!this.shares.allowsTasks(job.spec, request.tasks)) return 0;
     const machines = chooseMachinesTogether(fleet, job, request, candidates, now);
     if (!machines) return 0;
     const attempt = assignments.newAttempt();
-    machines.forEach((machine, i) => assignments.assign(job, first + i, machine, attempt, now));
+    machines.forEach((machine, i) =>
+      assignments.assign(job, firstIndex + i, machine, attempt, now),
+    );
     return machines.length;
   }
 
-  /** Tasks that need as much as one that found no capacity fail alike, unless some is held for the job. */
+  /** Whether the job's requirements have found no capacity in this round, and no capacity is held for it. */
   private isBlocked(job: JobState): boolean {
-    if (job.spec.kind === 'gang' || this.heldFor.has(job)) return false;
+    if (job.spec.kind === 'gang' || this.holdsByJob.has(job)) return false;
     return this.blocked.has(job.spec, job.rank, this.accessOf(job));
   }
 
