--- a/packages/controller/cloud/cloud-reconciler.test.ts
+++ b/packages/controller/cloud/cloud-reconciler.test.ts
@@ -37,7 +37,7 @@
 }
 
 /** A leader that has read its records long ago, with a planner of its own. */
-function aLeader(
+function makeLeader(
   fleet: FleetState,
   planner: Pick<CapacityPlanner, 'plan' | 'scaleOutRefused'>,
 ): ShardLeader {
@@ -47,13 +47,13 @@
 }
 
 /** The requests that a leader with one failed machine and one scale-out sends under these permissions. */
-async function requestsOf(permission: Permission): Promise<string[]> {
+async function collectRequests(permission: Permission): Promise<string[]> {
   const stop = new AbortController();
   const cloud = new RecordingCloud();
   const fleet = aFleet();
   fleet.machines.markFailed(aMachine(fleet, 'n-1'));
   let plans = 0;
-  const leader = aLeader(fleet, {
+  const leader = makeLeader(fleet, {
     plan: () => {
       plans++;
       return {
@@ -88,32 +88,32 @@
 test('only a leader that nobody can have succeeded scales out, and scales in only while the state service serves it', async () => {
   // Guards against a former leader that provisions a second fleet for the work it takes for lost, and
   // deprovisions machines that its successor uses.
-  assert.deepEqual(await requestsOf({ scaleOut: false, scaleIn: false }), []);
-  assert.deepEqual(await requestsOf({ scaleOut: true, scaleIn: false }), ['provision']);
-  assert.deepEqual(await requestsOf({ scaleOut: true, scaleIn: true }), [
+  assert.deepEqual(await collectRequests({ scaleOut: false, scaleIn: false }), []);
+  assert.deepEqual(await collectRequests({ scaleOut: true, scaleIn: false }), ['provision']);
+  assert.deepEqual(await collectRequests({ scaleOut: true, scaleIn: true }), [
     'release n-1',
     'provision',
   ]);
 });
 
 /** A cloud without capacity that answers no provisioning request before that many have come. */
-async function aFullCloud(calls: number) {
-  const asked: number[] = [];
-  let answerAll = () => {};
-  const all = new Promise<void>((resolve) => (answerAll = resolve));
+async function serveFullCloud(calls: number) {
+  const requestedCounts: number[] = [];
+  let resolveAllRequested = () => {};
+  const allRequested = new Promise<void>((resolve) => (resolveAllRequested = resolve));
   const server = await serveCbor(
     nodeRuntime,
     FREE_LOOPBACK_PORT,
     async ({ method, path, body }) => {
       if (path === '/catalog') return { status: 200, body: { rigs: [] } };
       if (method === 'GET') return { status: 200, body: { hosts: [], more: false } };
-      asked.push((body as { number: number }).number);
-      if (asked.length === calls) answerAll();
-      await all;
+      requestedCounts.push((body as { number: number }).number);
+      if (requestedCounts.length === calls) resolveAllRequested();
+      await allRequested;
       return { status: 503, body: { error: 'no capacity' } };
     },
   );
-  return { server, asked };
+  return { server, requestedCounts };
 }
 
 test('the provisioning requests of one plan do not wait for the answers to each other', async () => {
@@ -121,12 +121,12 @@
   const counts = [40, 40, 60];
   const kinds = counts.map((count, i) => ({ type: 'std', zone: 'abc'[i], spot: false, count }));
   const calls = 4;
-  const { server, asked } = await aFullCloud(calls);
+  const { server, requestedCounts } = await serveFullCloud(calls);
   const fleet = aFleet();
   fleet.machines.setType(STD);
   const stop = new AbortController();
   const refused: string[] = [];
-  const leader = aLeader(fleet, {
+  const leader = makeLeader(fleet, {
     plan: () => ({ scaleOut: refused.length === 0 ? kinds : [], scaleIn: [], consolidation: null }),
     scaleOutRefused: ({ zone }) => {
       refused.push(zone);
@@ -154,7 +154,7 @@
   server.close();
   // What one call may ask for is bounded, and a full portion is no refusal of the rest.
   assert.deepEqual(
-    asked.sort((x, y) => x - y),
+    requestedCounts.sort((x, y) => x - y),
     [10, 40, 40, 50],
   );
 });
--- a/packages/controller/cloud/cloud-reconciler.ts
+++ b/packages/controller/cloud/cloud-reconciler.ts
@@ -51,7 +51,7 @@
   private plannedAt = -Infinity;
   private paused = false;
   /** The step that is under way; resolved if none is. */
-  private current: Promise<void> = Promise.resolve();
+  private currentStep: Promise<void> = Promise.resolve();
   private readonly clock: Clock;
   private readonly leader: ShardLeader;
   private readonly fleet: FleetState;
@@ -87,8 +87,8 @@
     const { heartbeatIntervalS } = this.options;
     while (!signal.aborted) {
       try {
-        if (!this.paused) this.current = this.step(signal);
-        await this.current;
+        if (!this.paused) this.currentStep = this.step(signal);
+        await this.currentStep;
       } catch (err) {
         // eslint-disable-next-line @typescript-eslint/no-unnecessary-condition -- it may have aborted in the step
         if (signal.aborted) return;
@@ -103,7 +103,7 @@
   async pause(): Promise<void> {
     this.paused = true;
     try {
-      await this.current;
+      await this.currentStep;
     } catch {
       // Nothing is lost: `run` awaits the same step, logs its failure and retries it after `resume`.
     }
--- a/packages/controller/cloud/machine-provisioner.ts
+++ b/packages/controller/cloud/machine-provisioner.ts
@@ -6,7 +6,7 @@
 import type { CloudAccess } from './cloud-access.js';
 
 /** Share of a type's boot time for which a refused kind of machine is not requested again. */
-const REFUSED_FOR_BOOT_SHARE = 1 / 3;
+const NO_CAPACITY_BOOT_SHARE = 1 / 3;
 /** Calls for one request whose outcome is unknown or that the cloud could not serve. */
 const PROVISION_ATTEMPTS = 4;
 
@@ -23,7 +23,7 @@
 
 /** Provisions machines in a term, under request names that no other incarnation of any controller uses. */
 export class MachineProvisioner {
-  private requests = 0;
+  private requestCount = 0;
 
   constructor(private readonly options: MachineProvisionerOptions) {}
 
@@ -59,7 +59,7 @@
 
   private nextRequest(): string {
     const { name, leader } = this.options;
-    return `${name}-${leader.term.term}-${++this.requests}`;
+    return `${name}-${leader.term.term}-${++this.requestCount}`;
   }
 
   private register(request: string, scaleOut: ScaleOutRequest, names: string[]): void {
@@ -69,7 +69,7 @@
     const now = clock.now();
     if (names.length < count) {
       const bootS = machines.types.get(type)?.bootS ?? 0;
-      leader.planner.scaleOutRefused(scaleOut, now + bootS * REFUSED_FOR_BOOT_SHARE);
+      leader.planner.scaleOutRefused(scaleOut, now + bootS * NO_CAPACITY_BOOT_SHARE);
     }
     for (const name of names) {
       machines.register({ name, addr: '', type, zone, spot }, 'booting', now);
--- a/packages/controller/heartbeats/worker-silence.test.ts
+++ b/packages/controller/heartbeats/worker-silence.test.ts
@@ -7,7 +7,7 @@
 const SAMPLE_INTERVAL_S = 0.5;
 
 /** A fleet whose machines have all been answered at that time. */
-function fleetOf(machines: number, answeredAt: number, termConfirmed = true): FleetState {
+function makeFleet(machines: number, answeredAt: number, termConfirmed = true): FleetState {
   const machine = { state: 'up', termConfirmed, answeredAt };
   const byName = new Map(Array.from({ length: machines }, (_, i) => [`n-${i}`, machine]));
   return { machines: byName } as unknown as FleetState;
@@ -29,23 +29,23 @@
 }
 
 test('workers that all fall silent are noticed after two heartbeat intervals', () => {
-  const answeredUntil5 = (now: number) => fleetOf(8, Math.min(now, 5));
+  const answeredUntil5 = (now: number) => makeFleet(8, Math.min(now, 5));
   assert.equal(sampleUntil(6.5, answeredUntil5), false);
   assert.equal(sampleUntil(7.5, answeredUntil5), true);
 });
 
 test('workers that send heartbeats, are few, have not accepted the term, or were sampled too late do not count as silent', () => {
-  const silent = () => fleetOf(8, 0);
+  const silent = () => makeFleet(8, 0);
   assert.equal(
-    sampleUntil(20, (now) => fleetOf(8, now)),
+    sampleUntil(20, (now) => makeFleet(8, now)),
     false,
   );
   assert.equal(
-    sampleUntil(20, () => fleetOf(1, 0)),
+    sampleUntil(20, () => makeFleet(1, 0)),
     false,
   );
   assert.equal(
-    sampleUntil(20, () => fleetOf(8, 0, false)),
+    sampleUntil(20, () => makeFleet(8, 0, false)),
     false,
   );
   assert.equal(
--- a/packages/controller/heartbeats/worker-silence.ts
+++ b/packages/controller/heartbeats/worker-silence.ts
@@ -36,9 +36,9 @@
     const workers = [...fleet.machines.values()].filter(
       ({ state, termConfirmed }) => state === 'up' && termConfirmed,
     );
-    const stoodStill = now - this.sampledAt > LATE_SAMPLE_INTERVALS * sampleIntervalS;
+    const wasSuspended = now - this.sampledAt > LATE_SAMPLE_INTERVALS * sampleIntervalS;
     const isAnyReachable = workers.some(({ answeredAt }) => answeredAt >= this.sampledAt);
-    if (stoodStill || isAnyReachable) this.silentSince = now;
+    if (wasSuspended || isAnyReachable) this.silentSince = now;
     this.sampledAt = now;
     return (
       workers.length >= MIN_WORKERS &&
--- a/packages/controller/peers/cancellations.test.ts
+++ b/packages/controller/peers/cancellations.test.ts
@@ -4,7 +4,7 @@
 import { Chance } from '#testing';
 import { Cancellations } from './cancellations.js';
 
-function sorted(notices: CancellationNotice[]): CancellationNotice[] {
+function sortByJob(notices: CancellationNotice[]): CancellationNotice[] {
   return notices.sort((a, b) => (a.job < b.job ? -1 : 1));
 }
 
@@ -16,7 +16,7 @@
   known.addRequested('j-2', 5);
   const asked = ['j-2', 'j-3'].map((job) => ({ job, ageMs: 1000 }));
   assert.deepEqual(known.listSince(10, 6), { since: 10, cancelled: asked });
-  assert.deepEqual(sorted(known.listSince(20, 6).cancelled), asked);
+  assert.deepEqual(sortByJob(known.listSince(20, 6).cancelled), asked);
   // A request is dropped after its time; a record stays.
   const recorded = ['j-1', 'j-2'].map((job) => ({ job, ageMs: 0 }));
   assert.deepEqual(known.listSince(0, 66), { since: 0, cancelled: recorded });
--- a/packages/controller/peers/cancellations.ts
+++ b/packages/controller/peers/cancellations.ts
@@ -15,7 +15,7 @@
 }
 
 /** Cancellations in one list; a status frame has to stay small. */
-const MAX_ANNOUNCED = 2000;
+const MAX_CANCELLATIONS_PER_LIST = 2000;
 
 /**
  * The cancellations that this controller knows: those recorded, in the order in which they became
@@ -89,8 +89,8 @@
     }
     for (const request of this.requests(now)) known.set(request.job, request);
     const cancelled = [...known.values()];
-    if (cancelled.length > MAX_ANNOUNCED) {
-      return { since: Infinity, cancelled: cancelled.slice(0, MAX_ANNOUNCED) };
+    if (cancelled.length > MAX_CANCELLATIONS_PER_LIST) {
+      return { since: Infinity, cancelled: cancelled.slice(0, MAX_CANCELLATIONS_PER_LIST) };
     }
     return { since: Math.max(revision, this.droppedUpTo), cancelled };
   }
--- a/packages/controller/peers/dead-connections.ts
+++ b/packages/controller/peers/dead-connections.ts
@@ -21,12 +21,12 @@
  * frame that it has read. A network cut may have swallowed the sign that our connection is dead.
  */
 export class DeadConnectionMonitor {
-  private readonly currentS: number;
+  private readonly currentStatusS: number;
   private readonly maxUnreadS: number;
 
   constructor(private readonly options: DeadConnectionMonitorOptions) {
     const { report_s: heartbeatIntervalS } = options.settings.deployment.workers;
-    this.currentS = CURRENT_STATUS_INTERVALS * heartbeatIntervalS;
+    this.currentStatusS = CURRENT_STATUS_INTERVALS * heartbeatIntervalS;
     this.maxUnreadS = MAX_UNREAD_INTERVALS * heartbeatIntervalS;
   }
 
@@ -36,7 +36,7 @@
     const now = runtime.clock.now();
     for (const { host_name: peer } of settings.peers) {
       const status = statuses.statusOf(peer);
-      if (!isReachable(status, now, this.currentS)) continue;
+      if (!isReachable(status, now, this.currentStatusS)) continue;
       if (now - status.statedAfter > this.maxUnreadS) peers.redial(peer, this.maxUnreadS);
     }
   }
--- a/packages/controller/peers/peer-proof.ts
+++ b/packages/controller/peers/peer-proof.ts
@@ -20,15 +20,15 @@
   /** Nobody led in a newer term as of this moment. */
   soleLeaderAt = -Infinity;
   /** For each peer, the moment as of which all cancellations that it had confirmed are known. */
-  private readonly informedAtByPeer: number[];
+  private readonly knownAtByPeer: number[];
 
   constructor(private readonly peerCount: number) {
-    this.informedAtByPeer = new Array<number>(peerCount).fill(-Infinity);
+    this.knownAtByPeer = new Array<number>(peerCount).fill(-Infinity);
   }
 
   /** Every cancellation that any peer had confirmed by this moment is known. */
   get informedAt(): number {
-    return this.peerCount === 0 ? Infinity : Math.min(...this.informedAtByPeer);
+    return this.peerCount === 0 ? Infinity : Math.min(...this.knownAtByPeer);
   }
 
   /** Records both proofs. */
@@ -51,8 +51,8 @@
     const { peers } = view;
     if (peers.length !== this.peerCount) return;
     peers.forEach((peer, index) => {
-      const informedAt = informedAsOf(view, peer);
-      this.informedAtByPeer[index] = Math.max(this.informedAtByPeer[index], informedAt);
+      const knownAt = cancellationsKnownAsOf(view, peer);
+      this.knownAtByPeer[index] = Math.max(this.knownAtByPeer[index], knownAt);
     });
   }
 }
@@ -71,7 +71,7 @@
  * The moment as of which the peer surely had listed all cancellations that it knew or might have
  * recorded, those of its earlier incarnations included.
  */
-function informedAsOf(view: ProofView, peer: PeerStatus | null): number {
+function cancellationsKnownAsOf(view: ProofView, peer: PeerStatus | null): number {
   if (peer === null) return -Infinity;
   const { loaded, cancelledSince } = peer.frame;
   return loaded && cancelledSince <= view.jobsRevision ? peer.statedAfter : -Infinity;
--- a/packages/controller/peers/peer-status.test.ts
+++ b/packages/controller/peers/peer-status.test.ts
@@ -5,7 +5,7 @@
 
 const OWN_INCARNATION = 7;
 
-function statusOf(
+function makeStatus(
   incarnation: number,
   sequence: number,
   echo: StatusReference | null,
@@ -33,7 +33,7 @@
   const table = new PeerStatusTable(OWN_INCARNATION, ['c-1']);
   const first = table.beginRound(100);
   table.beginRound(101);
-  assert.ok(table.accept('c-1', statusOf(1, 1, first), 130));
+  assert.ok(table.accept('c-1', makeStatus(1, 1, first), 130));
   const status = table.get('c-1');
   assert.equal(status?.statedAfter, 100);
   assert.equal(status?.receivedAt, 130);
@@ -44,24 +44,24 @@
 test('an echo of an earlier incarnation of ours, or none, proves nothing', () => {
   const table = new PeerStatusTable(OWN_INCARNATION, ['c-1']);
   table.beginRound(100);
-  table.accept('c-1', statusOf(1, 1, { incarnation: 6, sequence: 1 }), 101);
+  table.accept('c-1', makeStatus(1, 1, { incarnation: 6, sequence: 1 }), 101);
   assert.equal(table.get('c-1')?.statedAfter, -Infinity);
-  table.accept('c-1', statusOf(1, 2, null), 102);
+  table.accept('c-1', makeStatus(1, 2, null), 102);
   assert.equal(table.get('c-1')?.statedAfter, -Infinity);
 });
 
 test('frames that a cut held back do not replace newer ones, nor those of a later incarnation', () => {
   const table = new PeerStatusTable(OWN_INCARNATION, ['c-1']);
-  assert.ok(table.accept('c-1', statusOf(1, 5, null), 10));
-  assert.ok(!table.accept('c-1', statusOf(1, 4, null), 11));
-  assert.ok(table.accept('c-1', statusOf(2, 1, null), 12));
-  assert.ok(!table.accept('c-1', statusOf(1, 6, null), 13));
+  assert.ok(table.accept('c-1', makeStatus(1, 5, null), 10));
+  assert.ok(!table.accept('c-1', makeStatus(1, 4, null), 11));
+  assert.ok(table.accept('c-1', makeStatus(2, 1, null), 12));
+  assert.ok(!table.accept('c-1', makeStatus(1, 6, null), 13));
   assert.equal(table.get('c-1')?.frame.incarnation, 2);
 });
 
 test('every peer that the settings name has an entry, whether a statement has arrived or not', () => {
   const table = new PeerStatusTable(OWN_INCARNATION, ['c-1', 'c-2']);
-  table.accept('c-2', statusOf(1, 1, null), 10);
+  table.accept('c-2', makeStatus(1, 1, null), 10);
   assert.equal(table.all()[0], null);
   assert.equal(table.all()[1]?.frame.incarnation, 1);
 });
--- a/packages/peer/accepted-connections.ts
+++ b/packages/peer/accepted-connections.ts
@@ -4,7 +4,7 @@
 import { FrameReader } from './frame-codec.js';
 import type { Frame } from './frames.js';
 import { BadFrame } from './payload.js';
-import { onSilence } from './silence.js';
+import { detectSilence } from './silence.js';
 
 /** From whom connections are accepted, and who is told of their frames. */
 export interface AcceptOptions {
@@ -48,8 +48,8 @@
       lastReceivedAt: clock.now(),
     };
     const lastReceivedAt = () => accepted.lastReceivedAt;
-    const act = () => void connection.destroy();
-    const silence = onSilence({ clock, retryMs, lastReceivedAt, act });
+    const onSilent = () => void connection.destroy();
+    const silence = detectSilence({ clock, retryMs, lastReceivedAt, onSilent });
     connection.on('error', () => {
       // `close` follows, and the peer dials again.
     });
--- a/packages/peer/dialled-connections.ts
+++ b/packages/peer/dialled-connections.ts
@@ -3,7 +3,7 @@
 import { parseHostPort, pause, type Runtime } from '#wire';
 import { encodeFrame } from './frame-codec.js';
 import type { Frame } from './frames.js';
-import { onSilence } from './silence.js';
+import { detectSilence } from './silence.js';
 
 /** Another controller. */
 export interface PeerAddress {
@@ -54,7 +54,7 @@
   }
 
   /** Ends the connection to a peer, to be dialled again, if it has been open for longer than that. */
-  endIfOlder(peer: string, seconds: number): void {
+  closeIfOlderThan(peer: string, seconds: number): void {
     const dialled = this.open.get(peer);
     if (!dialled) return;
     const ageS = this.options.runtime.clock.now() - dialled.openedAt;
@@ -62,7 +62,7 @@
   }
 
   /** Keeps a connection to the peer until the signal aborts. */
-  async keepDialling(peer: PeerAddress, signal: AbortSignal): Promise<void> {
+  async maintainConnection(peer: PeerAddress, signal: AbortSignal): Promise<void> {
     const { runtime, retryMs } = this.options;
     while (!signal.aborted) {
       await this.dial(peer, signal);
@@ -81,7 +81,7 @@
       const dialledAt = clock.now();
       // What is sent into a network partition stays unacknowledged: the peer must be dialled again.
       const lastReceivedAt = () => Math.max(dialledAt, this.lastReceived(peer.name));
-      const silence = onSilence({ clock, retryMs, lastReceivedAt, act: end });
+      const silence = detectSilence({ clock, retryMs, lastReceivedAt, onSilent: end });
       signal.addEventListener('abort', end);
       connection.on('connect', () => {
         connectTimer.cancel();
--- a/packages/peer/frame-codec.ts
+++ b/packages/peer/frame-codec.ts
@@ -8,7 +8,7 @@
 /** The byte for each kind of frame. */
 const KINDS = { hello: 1, status: 2, cancel: 3, counts: 4 } as const;
 /** Bytes of the length before each frame. */
-const LENGTH_BYTES = 4;
+const LENGTH_PREFIX_BYTES = 4;
 /** Largest frame that is read, without its length. */
 const MAX_FRAME_BYTES = 1 << 20;
 
@@ -17,7 +17,7 @@
   const payload = new PayloadWriter().u8(KINDS[frame.kind]);
   writePayload(payload, frame);
   const body = payload.toBuffer();
-  const length = Buffer.alloc(LENGTH_BYTES);
+  const length = Buffer.alloc(LENGTH_PREFIX_BYTES);
   length.writeUInt32BE(body.length);
   return Buffer.concat([length, body]);
 }
@@ -31,12 +31,12 @@
   push(chunk: Buffer): Frame[] {
     this.pending = this.pending.length === 0 ? chunk : Buffer.concat([this.pending, chunk]);
     const frames: Frame[] = [];
-    while (this.pending.length >= LENGTH_BYTES) {
+    while (this.pending.length >= LENGTH_PREFIX_BYTES) {
       const length = this.pending.readUInt32BE(0);
       if (length < 1 || length > MAX_FRAME_BYTES) throw new BadFrame(`length of ${length} bytes`);
-      const end = LENGTH_BYTES + length;
+      const end = LENGTH_PREFIX_BYTES + length;
       if (this.pending.length < end) break;
-      frames.push(readFrame(new PayloadReader(this.pending.subarray(LENGTH_BYTES, end))));
+      frames.push(readFrame(new PayloadReader(this.pending.subarray(LENGTH_PREFIX_BYTES, end))));
       this.pending = this.pending.subarray(end);
     }
     return frames;
--- a/packages/peer/payload.ts
+++ b/packages/peer/payload.ts
@@ -13,7 +13,7 @@
 }
 
 /** How u64 holds Infinity. */
-const INFINITE = 0xffffffffffffffffn;
+const INFINITY_U64 = 0xffffffffffffffffn;
 const MAX_U32 = 0xffffffff;
 const FLAGS_PER_BYTE = 8;
 
@@ -38,7 +38,7 @@
   /** A non-negative integer that JavaScript holds exactly, or Infinity (all bits set). */
   u64(value: number): this {
     const bytes = Buffer.alloc(8);
-    bytes.writeBigUInt64BE(value === Infinity ? INFINITE : BigInt(value));
+    bytes.writeBigUInt64BE(value === Infinity ? INFINITY_U64 : BigInt(value));
     return this.push(bytes);
   }
 
@@ -93,7 +93,7 @@
   /** An integer that JavaScript holds exactly, or Infinity. */
   u64(): number {
     const value = this.bytes.readBigUInt64BE(this.advance(8));
-    if (value === INFINITE) return Infinity;
+    if (value === INFINITY_U64) return Infinity;
     if (value > BigInt(Number.MAX_SAFE_INTEGER)) throw new BadFrame('number too large');
     return Number(value);
   }
--- a/packages/peer/peer-link.test.ts
+++ b/packages/peer/peer-link.test.ts
@@ -8,7 +8,7 @@
 const HOST = '127.0.0.1';
 const RETRY_MS = 50;
 
-async function freePort(): Promise<number> {
+async function findFreePort(): Promise<number> {
   const server = net.createServer().listen(0, HOST);
   await new Promise((resolve) => server.once('listening', resolve));
   const { port } = server.address() as AddressInfo;
@@ -16,7 +16,7 @@
   return port;
 }
 
-function linkOf(self: string, port: number, peer: string, peerPort: number): PeerLink {
+function makeLink(self: string, port: number, peer: string, peerPort: number): PeerLink {
   return new PeerLink({
     runtime: nodeRuntime,
     self,
@@ -27,7 +27,7 @@
 }
 
 /** A connection whose other end is gone without a sign: it says who it was, and nothing more. */
-function silentConnection(port: number, name: string): net.Socket {
+function openSilentConnection(port: number, name: string): net.Socket {
   const socket = net.connect(port, HOST);
   socket.on('error', () => {});
   socket.write(encodeFrame({ kind: 'hello', name }));
@@ -37,15 +37,15 @@
 test('connections that a network partition left open do not keep a peer out', async () => {
   // Guards against a controller that accepted no new connection of any peer once such ones had used up all
   // that it accepts, and that received nothing from then on.
-  const [portA, portB] = [await freePort(), await freePort()];
+  const [portA, portB] = [await findFreePort(), await findFreePort()];
   const stop = new AbortController();
-  const linkA = linkOf('a', portA, 'b', portB);
-  const linkB = linkOf('b', portB, 'a', portA);
+  const linkA = makeLink('a', portA, 'b', portB);
+  const linkB = makeLink('b', portB, 'a', portA);
   let received = 0;
   linkB.frames.subscribe(() => received++);
   const runB = linkB.run(stop.signal);
   await pause(nodeRuntime.clock, RETRY_MS);
-  const silent = Array.from({ length: 40 }, () => silentConnection(portB, 'a'));
+  const silent = Array.from({ length: 40 }, () => openSilentConnection(portB, 'a'));
   await pause(nodeRuntime.clock, 4 * RETRY_MS);
   const runA = linkA.run(stop.signal);
   for (let i = 0; i < 40 && received === 0; i++) {
@@ -59,11 +59,11 @@
 });
 
 test('a connection that the peer does not read is dialled again, unless it is young', async () => {
-  const [port, peerPort] = [await freePort(), await freePort()];
+  const [port, peerPort] = [await findFreePort(), await findFreePort()];
   const dialled: net.Socket[] = [];
   const peer = net.createServer((socket) => dialled.push(socket)).listen(peerPort, HOST);
   const stop = new AbortController();
-  const link = linkOf('a', port, 'b', peerPort);
+  const link = makeLink('a', port, 'b', peerPort);
   const run = link.run(stop.signal);
   await pause(nodeRuntime.clock, 4 * RETRY_MS);
   assert.equal(dialled.length, 1);
--- a/packages/peer/peer-link.ts
+++ b/packages/peer/peer-link.ts
@@ -55,7 +55,7 @@
   async run(signal: AbortSignal): Promise<void> {
     const { listen, peers } = this.options;
     await this.listener.open(listen);
-    await Promise.all(peers.map((peer) => this.dialled.keepDialling(peer, signal)));
+    await Promise.all(peers.map((peer) => this.dialled.maintainConnection(peer, signal)));
     await signalAborted(signal);
     await this.listener.close();
   }
@@ -75,6 +75,6 @@
    * may have hidden that it closed our connection or restarted; a younger connection may only be slow.
    */
   redial(peer: string, unreadS: number): void {
-    this.dialled.endIfOlder(peer, unreadS);
+    this.dialled.closeIfOlderThan(peer, unreadS);
   }
 }
--- a/packages/peer/silence.ts
+++ b/packages/peer/silence.ts
@@ -12,15 +12,15 @@
   /** When the peer was last received from; steady seconds. */
   lastReceivedAt: () => number;
   /** Called in each retry period while the silence lasts. */
-  act: () => void;
+  onSilent: () => void;
 }
 
 /**
  * Acts while nothing was received for long, until it is cancelled: a network partition leaves connections
  * open without an error.
  */
-export function onSilence({ clock, retryMs, lastReceivedAt, act }: SilenceOptions): Timer {
+export function detectSilence({ clock, retryMs, lastReceivedAt, onSilent }: SilenceOptions): Timer {
   return every(clock, retryMs, () => {
-    if ((clock.now() - lastReceivedAt()) * 1000 > MAX_SILENT_PERIODS * retryMs) act();
+    if ((clock.now() - lastReceivedAt()) * 1000 > MAX_SILENT_PERIODS * retryMs) onSilent();
   });
 }
