--- a/packages/controller/cloud/cloud-access.ts
+++ b/packages/controller/cloud/cloud-access.ts
@@ -1,10 +1,10 @@
-/** Access to the cloud's interface, shared by everything that sends requests to it. */
+/** Access to the cloud API, shared by all components that send requests to it. */
 import type { Budget } from '#store';
 import type { CloudClient } from '#wire';
 
-/** The cloud's interface, within this controller's share of the rate that the cloud allows. */
+/** A client of the cloud API and the rate limit for its requests. */
 export interface CloudAccess {
   cloud: CloudClient;
-  /** Requests that may be sent; those that provision and deprovision machines go before reads. */
+  /** Limits the rate of requests; provisioning and deprovisioning take precedence over reads. */
   budget: Budget;
 }
--- a/packages/controller/cloud/cloud-reconciler.test.ts
+++ b/packages/controller/cloud/cloud-reconciler.test.ts
@@ -36,7 +36,7 @@
   }
 }
 
-/** A leader that has read its records long ago, with a planner of its own. */
+/** Makes a leader that read its records long ago and uses the given planner. */
 function makeLeader(
   fleet: FleetState,
   planner: Pick<CapacityPlanner, 'plan' | 'scaleOutRefused'>,
@@ -46,7 +46,7 @@
   return { fleet, planner, term, ...state, requestRound: () => {} } as unknown as ShardLeader;
 }
 
-/** The requests that a leader with one failed machine and one scale-out sends under these permissions. */
+/** Returns the requests of a reconciler with one failed machine and one planned scale-out. */
 async function collectRequests(permission: Permission): Promise<string[]> {
   const stop = new AbortController();
   const cloud = new RecordingCloud();
@@ -85,8 +85,8 @@
   return [...new Set(cloud.requests)];
 }
 
-test('only a leader that nobody can have succeeded scales out, and scales in only while the state service serves it', async () => {
-  // Guards against a former leader that provisions a second fleet for the work it takes for lost, and
+test('a leader scales out only if it has no successor, and scales in only if the state service also serves it', async () => {
+  // Guards against a former leader that provisions a second fleet for work that it assumes to be lost, and
   // deprovisions machines that its successor uses.
   assert.deepEqual(await collectRequests({ scaleOut: false, scaleIn: false }), []);
   assert.deepEqual(await collectRequests({ scaleOut: true, scaleIn: false }), ['provision']);
@@ -96,7 +96,7 @@
   ]);
 });
 
-/** A cloud without capacity that answers no provisioning request before that many have come. */
+/** Serves a cloud without capacity that answers provisioning requests only once `calls` have arrived. */
 async function serveFullCloud(calls: number) {
   const requestedCounts: number[] = [];
   let resolveAllRequested = () => {};
@@ -116,8 +116,8 @@
   return { server, requestedCounts };
 }
 
-test('the provisioning requests of one plan do not wait for the answers to each other', async () => {
-  // Guards against a fleet that is provisioned kind by kind: the last came seconds after the first.
+test('the provisioning requests of one plan are sent without waiting for answers', async () => {
+  // Guards against provisioning one kind of machine after another: the last machines came seconds late.
   const counts = [40, 40, 60];
   const kinds = counts.map((count, i) => ({ type: 'std', zone: 'abc'[i], spot: false, count }));
   const calls = 4;
@@ -152,7 +152,7 @@
   await reconciler.run(stop.signal);
   client.close();
   server.close();
-  // What one call may ask for is bounded, and a full portion is no refusal of the rest.
+  // The scale-out of 60 machines exceeds the limit of one call and is split into 50 and 10.
   assert.deepEqual(
     requestedCounts.sort((x, y) => x - y),
     [10, 40, 40, 50],
--- a/packages/controller/cloud/cloud-reconciler.ts
+++ b/packages/controller/cloud/cloud-reconciler.ts
@@ -1,4 +1,4 @@
-/** The loop that keeps the cloud's machines and the fleet state of a leader in step. */
+/** The loop that reconciles the cloud's machines with the fleet state of a leader. */
 import { beginScaleIn, type Consolidation, type FleetState, startConsolidation } from '#core';
 import { Budget } from '#store';
 import { type Clock, type CloudClient, type MachineType, pause, type Runtime } from '#wire';
@@ -9,14 +9,15 @@
 import { MachineList } from './machine-list.js';
 import { MachineProvisioner } from './machine-provisioner.js';
 
-/** Heartbeat intervals that a new leader receives heartbeats before it plans, unless it is the first. */
+/** Heartbeat intervals for which a new leader waits before it plans, unless it found no machines. */
 const HEARTBEATS_BEFORE_PLAN = 4;
-/** Shares of a heartbeat interval from one step to the next, and what a failed step adds to it. */
+/** Pause between two steps, as a share of a heartbeat interval. */
 const STEP_PAUSE_SHARE = 1 / 4;
+/** Additional pause after a failed step, as a share of a heartbeat interval. */
 const FAILURE_PAUSE_SHARE = 1 / 2;
-/** Each pause is drawn between this share of itself and as much above it. */
+/** Lower bound of the random factor on each pause; the upper bound is as far above 1. */
 const MIN_JITTER = 0.75;
-/** Share of the allowed rate that is used; a former leader's last calls may still count. */
+/** Share of the allowed rate that is used: a former leader's last requests may still count towards it. */
 const RATE_SHARE = 0.85;
 
 /** What a `CloudReconciler` works on. */
@@ -26,9 +27,9 @@
   leader: ShardLeader;
   /** This controller's name. */
   name: string;
-  /** Requests a second that the cloud allows to all controllers together. */
+  /** Requests per second that the cloud allows for all controllers together. */
   rps: number;
-  /** How far the cloud's list of machines may be behind; seconds. */
+  /** Seconds by which the cloud's machine list may be out of date. */
   listLagS: number;
   heartbeatIntervalS: number;
   /** Length of a worker lease; seconds. */
@@ -37,20 +38,23 @@
   onTypes: (types: MachineType[], signal: AbortSignal) => Promise<void>;
   /** Whether no other controller can lead the shard now, so that nothing is provisioned twice. */
   mayScaleOut: () => boolean;
-  /** Whether, besides, the state service serves us: what is stopped here can start elsewhere at once. */
+  /**
+   * Whether `mayScaleOut` holds and the state service serves this controller, so that tasks that are stopped here can
+   * start elsewhere at once.
+   */
   mayScaleIn: () => boolean;
   log: Log;
 }
 
 /**
  * Reads the cloud's catalog and list of machines, and scales the fleet out and in as the leader's
- * planner asks. One step at a time; a step that fails is logged at debug and tried again.
+ * planner requests. Steps run one at a time; a failed step is logged at debug level and retried.
  */
 export class CloudReconciler {
-  /** When the fleet was last planned; steady seconds. */
+  /** When capacity was last planned, in seconds of the monotonic clock. */
   private plannedAt = -Infinity;
   private paused = false;
-  /** The step that is under way; resolved if none is. */
+  /** The step in progress; resolved while no step is in progress. */
   private currentStep: Promise<void> = Promise.resolve();
   private readonly clock: Clock;
   private readonly leader: ShardLeader;
@@ -90,7 +94,7 @@
         if (!this.paused) this.currentStep = this.step(signal);
         await this.currentStep;
       } catch (err) {
-        // eslint-disable-next-line @typescript-eslint/no-unnecessary-condition -- it may have aborted in the step
+        // eslint-disable-next-line @typescript-eslint/no-unnecessary-condition -- the signal may have aborted during the step
         if (signal.aborted) return;
         this.log.debug({ err: String(err) }, 'cloud reconciliation failed, will be retried');
         await this.pauseFor(heartbeatIntervalS * FAILURE_PAUSE_SHARE, signal);
@@ -99,7 +103,7 @@
     }
   }
 
-  /** Sends no further request to the cloud; resolves once no call is under way. */
+  /** Stops sending requests to the cloud; resolves once no request is in flight. */
   async pause(): Promise<void> {
     this.paused = true;
     try {
@@ -109,7 +113,7 @@
     }
   }
 
-  /** Reconciles again after a pause. */
+  /** Resumes reconciliation after `pause`. */
   resume(): void {
     this.paused = false;
   }
@@ -124,8 +128,8 @@
     const now = this.clock.now();
     await this.catalog.refreshIfDue(now, signal);
     await this.machineList.refreshIfDue(now, signal);
-    // A former leader that doesn't know of its successor yet takes every machine for unreachable, and those
-    // that it was about to scale in for empty: it must neither scale out nor scale in on that.
+    // To a former leader that doesn't know of its successor yet, every machine looks unreachable, and machines
+    // that it was about to scale in look empty. It must neither scale out nor scale in on such a view.
     if (!mayScaleOut()) return;
     if (mayScaleIn()) await this.deprovisioner.deprovisionUnusable(now, signal);
     if (!this.mayPlan(now) || now - this.plannedAt < heartbeatIntervalS) return;
@@ -133,7 +137,7 @@
     await this.carryOutPlan(now, signal);
   }
 
-  /** After a failover, first wait for heartbeats of the machines that are there. */
+  /** Whether capacity may be planned. After a failover the heartbeats of existing machines come first. */
   private mayPlan(now: number): boolean {
     const { leader, machineList, options } = this;
     const waitS = leader.foundNoMachines ? 0 : HEARTBEATS_BEFORE_PLAN * options.heartbeatIntervalS;
--- a/packages/controller/cloud/machine-catalog.ts
+++ b/packages/controller/cloud/machine-catalog.ts
@@ -14,16 +14,16 @@
   onTypes: (types: MachineType[], signal: AbortSignal) => Promise<void>;
 }
 
-/** Keeps the fleet's machine types as the cloud's catalog has them. */
+/** Keeps the fleet's machine types up to date with the cloud's catalog. */
 export class MachineCatalog {
-  /** When the catalog was last read; steady seconds. */
+  /** When the catalog was last read, in seconds of the monotonic clock. */
   private readAt = -Infinity;
 
   constructor(private readonly options: MachineCatalogOptions) {}
 
   /**
-   * Reads the catalog if no type is known or the last read is too old. `now` is in steady seconds.
-   * Rejects if the cloud or `onTypes` fails; the next call then reads again.
+   * Reads the catalog if no type is known or the last read is too old. Rejects if the cloud or `onTypes`
+   * fails; the next call then reads again. `now` is in seconds of the monotonic clock.
    */
   async refreshIfDue(now: number, signal: AbortSignal): Promise<void> {
     if (!this.isDue(now)) return;
--- a/packages/controller/cloud/machine-deprovisioner.ts
+++ b/packages/controller/cloud/machine-deprovisioner.ts
@@ -1,4 +1,4 @@
-/** Gives machines back to the cloud. */
+/** Returns unusable machines to the cloud. */
 import type { FleetState, Machine } from '#core';
 import { type Clock, RELEASE_AT_ONCE } from '#wire';
 import type { Log } from '../observability/log.js';
@@ -13,9 +13,9 @@
   machineList: MachineList;
   /** Length of a worker lease; seconds. */
   leaseS: number;
-  /** Whether this controller certainly leads and what it stops can start elsewhere at once. */
+  /** Whether this controller certainly leads and tasks that it stops can start elsewhere at once. */
   mayScaleIn: () => boolean;
-  /** Called once tasks were removed with their machines. */
+  /** Requests a scheduling round, once tasks were removed with their machines. */
   requestRound: () => void;
   log: Log;
 }
@@ -25,8 +25,8 @@
   constructor(private readonly options: MachineDeprovisionerOptions) {}
 
   /**
-   * Deprovisions as many unusable machines as one call may. `now` is in steady seconds. Rejects if the
-   * cloud fails; the machines are then found again by the next call.
+   * Deprovisions unusable machines, as many as one request to the cloud may name. Rejects if the cloud fails;
+   * the next call then finds the machines again. `now` is in seconds of the monotonic clock.
    */
   async deprovisionUnusable(now: number, signal: AbortSignal): Promise<void> {
     const { fleet, leaseS } = this.options;
@@ -39,7 +39,7 @@
     const names = machines.map((machine) => machine.name);
     for (const machine of machines) fleet.machines.drain(machine);
     await budget.acquireFor('urgent', 1, signal);
-    // The wait for the budget may have been long, or the process may have stood still in it.
+    // The wait for the budget may have been long, or the process may have been suspended meanwhile.
     if (!mayScaleIn()) return;
     await cloud.release(names, signal);
     const now = clock.now();
--- a/packages/controller/cloud/machine-list.ts
+++ b/packages/controller/cloud/machine-list.ts
@@ -3,27 +3,30 @@
 import type { Clock, ListedMachine } from '#wire';
 import type { CloudAccess } from './cloud-access.js';
 
-/** Heartbeat intervals from one list to the next, if the list's lag does not ask for more. */
+/** Minimum time between two reads of the list, in heartbeat intervals. */
 const LIST_INTERVALS = 2;
-/** Share of the list's lag from one list to the next. */
+/** Minimum time between two reads of the list, as a share of the list's lag. */
 const LIST_LAG_SHARE = 1 / 2;
-/** Multiple of the list's lag for which a deprovisioned machine is remembered. */
+/** Time for which a deprovisioned machine is remembered, as a multiple of the list's lag. */
 const DEPROVISIONED_MEMORY_LAGS = 20;
 
 /** What a `MachineList` works on. */
 export interface MachineListOptions extends CloudAccess {
   clock: Clock;
   fleet: FleetState;
-  /** How far the cloud's list may be behind; seconds. */
+  /** Seconds by which the cloud's list may be out of date. */
   listLagS: number;
   heartbeatIntervalS: number;
 }
 
-/** Keeps the fleet in step with the cloud's list of machines, which lags behind deprovisioning. */
+/** Registers the machines of the cloud's list, which may still show deprovisioned ones for some time. */
 export class MachineList {
-  /** When the last complete list was requested; steady seconds. */
+  /** When the last complete list was requested, in seconds of the monotonic clock. */
   private listedAt = -Infinity;
-  /** When each machine was deprovisioned, for as long as the list may still show it; steady seconds. */
+  /**
+   * When each machine was deprovisioned, in seconds of the monotonic clock. Kept for as long as the list may
+   * still show the machine.
+   */
   private readonly deprovisionedAt = new Map<string, number>();
 
   constructor(private readonly options: MachineListOptions) {}
@@ -34,8 +37,9 @@
   }
 
   /**
-   * Reads the list if the last one is too old. `now` is in steady seconds. Rejects if the cloud fails;
-   * what was read until then is kept, and the next call reads the list from its start.
+   * Reads the list if the last read is too old. Rejects if the cloud fails; pages that were read before the
+   * failure stay applied, and the next call reads the list from its start. `now` is in seconds of the
+   * monotonic clock.
    */
   async refreshIfDue(now: number, signal: AbortSignal): Promise<void> {
     const { heartbeatIntervalS, listLagS } = this.options;
@@ -43,7 +47,10 @@
     if (now - this.listedAt > intervalS) await this.refresh(signal);
   }
 
-  /** These machines are gone, whatever later lists show. `now` is in steady seconds. */
+  /**
+   * Records that the machines are gone even if later lists show them. `now` is in seconds of the monotonic
+   * clock.
+   */
   recordDeprovisioned(names: string[], now: number): void {
     for (const name of names) this.deprovisionedAt.set(name, now);
   }
@@ -82,7 +89,8 @@
       return;
     }
     const bootS = machines.types.get(listed.type)?.bootS ?? 0;
-    // One that is listed as running has a boot time to send its first heartbeat to this leader.
+    // A machine listed as running counts as requested one boot time ago, which leaves it time to send its
+    // first heartbeat to this leader.
     const requestedAt = listed.state === 'booting' ? now - listed.ageS : now - bootS;
     const machine = machines.register(listed, 'booting', requestedAt);
     if (listed.state === 'failed') machines.markFailed(machine);
--- a/packages/controller/cloud/machine-provisioner.ts
+++ b/packages/controller/cloud/machine-provisioner.ts
@@ -1,13 +1,13 @@
-/** Requests machines from the cloud, as the capacity planner asks for them. */
+/** Requests the machines of a capacity plan from the cloud. */
 import type { ScaleOutRequest } from '#core';
 import { type Clock, MACHINES_PER_REQUEST, NoAnswer } from '#wire';
 import type { ShardLeader } from '../leadership/shard-leader.js';
 import type { Log } from '../observability/log.js';
 import type { CloudAccess } from './cloud-access.js';
 
-/** Share of a type's boot time for which a refused kind of machine is not requested again. */
+/** Time before a kind of machine without capacity is requested again, as a share of its boot time. */
 const NO_CAPACITY_BOOT_SHARE = 1 / 3;
-/** Calls for one request whose outcome is unknown or that the cloud could not serve. */
+/** Maximum calls for one request, repeated if the outcome is unknown or the cloud could not serve it. */
 const PROVISION_ATTEMPTS = 4;
 
 /** What a `MachineProvisioner` works on. */
@@ -21,16 +21,16 @@
   log: Log;
 }
 
-/** Provisions machines in a term, under request names that no other incarnation of any controller uses. */
+/** Provisions machines in one term. No other incarnation of any controller uses the same request names. */
 export class MachineProvisioner {
   private requestCount = 0;
 
   constructor(private readonly options: MachineProvisionerOptions) {}
 
   /**
-   * Provisions what a plan asks for. The calls go out together, as fast as the rate allows: each second that
-   * one waits for the answer to another is a second that somebody's replica is not up. Rejects with the first
-   * error of the cloud other than a missing answer.
+   * Provisions the machines of a plan. The calls are sent concurrently, as fast as the rate allows: each second
+   * that a call waits for the answer to another delays the start of some replica by a second. Rejects with the
+   * first error of the cloud other than a missing answer.
    */
   async provisionAll(scaleOuts: ScaleOutRequest[], signal: AbortSignal): Promise<void> {
     const calls = scaleOuts
@@ -51,7 +51,7 @@
         this.register(request, scaleOut, outcome === 'no-capacity' ? [] : outcome.machines);
         return;
       } catch (err) {
-        // Unknown outcome: the same name again gives the same answer and provisions nothing more.
+        // The outcome is unknown. A repeated name gets the same answer and provisions no further machines.
         if (!(err instanceof NoAnswer)) throw err;
       }
     }
@@ -78,7 +78,7 @@
   }
 }
 
-/** Requests of at most as many machines as one call may provision. */
+/** Splits a request into requests of at most as many machines as one call may provision. */
 function splitByCall(scaleOut: ScaleOutRequest): ScaleOutRequest[] {
   const requests: ScaleOutRequest[] = [];
   for (let left = scaleOut.count; left > 0; left -= MACHINES_PER_REQUEST) {
--- a/packages/controller/cloud/machine-types.ts
+++ b/packages/controller/cloud/machine-types.ts
@@ -1,16 +1,16 @@
-/** The machine types as all controllers know them, by their record in the state service. */
+/** The machine types, shared by all controllers through records in the state service. */
 import { type PrefixCache, sizeInJson, type StateClient, TYPES_KEY } from '#store';
 import type { MachineType } from '#wire';
 
-/** The machine types that can be provisioned, recorded for the controllers that don't ask the cloud. */
+/** The machine types that can be provisioned, recorded for controllers that don't query the cloud. */
 export class MachineTypes {
   private types: MachineType[] = [];
-  /** What the records hold, by page. */
+  /** The types in each record, by page number. */
   private readonly pages = new Map<number, MachineType[]>();
 
   constructor(
     private readonly client: StateClient,
-    /** Holds the record of the types. */
+    /** Cache of the keys that include the records of the types. */
     private readonly world: PrefixCache,
   ) {
     world.changes.subscribe(({ key, value }) => {
@@ -19,14 +19,14 @@
     });
   }
 
-  /** Empty until they are known. */
+  /** All known types; empty until the records are read. */
   all(): MachineType[] {
     return this.types;
   }
 
   /**
-   * Records the types as the cloud has just listed them, if their nominal sizes differ. Rejects if the state
-   * service does not answer or refuses the request.
+   * Records the types of the cloud's catalog if a name, size or zone differs from the known types. Rejects if
+   * the state service does not answer or refuses the request.
    */
   async publish(types: MachineType[], signal: AbortSignal): Promise<void> {
     if (this.types.length > 0 && sizesOf(types) === sizesOf(this.types)) {
@@ -50,18 +50,18 @@
   }
 }
 
-/** The first page has the key under which older versions find all types. */
+/** The key of a page. The first page has the key under which older versions find all types. */
 function typesKey(page: number): string {
   return page === 0 ? TYPES_KEY : `${TYPES_KEY}/${page}`;
 }
 
-/** The page that the key names, or null if it is none of machine types. */
+/** The page number in the key of a type record; null for other keys. */
 function pageOf(key: string): number | null {
   if (key === TYPES_KEY) return 0;
   return key.startsWith(`${TYPES_KEY}/`) ? Number(key.slice(TYPES_KEY.length + 1)) : null;
 }
 
-/** The types in as few values as hold them, each of at most so many bytes unless one type alone is larger. */
+/** Splits the types into pages of at most `valueBytes` bytes; a type larger than that is alone on its page. */
 function typePages(types: MachineType[], valueBytes: number): MachineType[][] {
   let page: MachineType[] = [];
   const pages = [page];
@@ -75,7 +75,7 @@
   return pages;
 }
 
-/** Prices and times vary; these do not. */
+/** Serialises the constant fields of the types for comparison; prices and times vary and are left out. */
 function sizesOf(types: MachineType[]): string {
   return JSON.stringify(
     types.map(({ name, cpus, gpus, memory, zones }) => [name, cpus, gpus, memory, zones]),
--- a/packages/controller/cloud/unusable-machines.ts
+++ b/packages/controller/cloud/unusable-machines.ts
@@ -1,14 +1,14 @@
-/** Which machines are to be deprovisioned because nothing can run on them. */
+/** Finds the machines to be deprovisioned because nothing can run on them. */
 import type { FleetState, Machine } from '#core';
 
 /** Multiple of a type's boot time after which a machine without a heartbeat counts as never booted. */
 const BOOT_TIMEOUT_FACTOR = 4;
-/** Worker leases, counted from the lease expiry, after which a machine is given up. */
+/** Time from the expiry of a worker lease until its machine is given up, in lease lengths. */
 const LEASES_AFTER_EXPIRY = 2;
 
 /**
- * Machines that cost money for nothing: failed, never booted, long without a heartbeat, or drained.
- * `now` is in steady seconds, `leaseS` is the length of a worker lease.
+ * Machines that cost money but can run nothing: failed, never booted, without a heartbeat for long, or
+ * drained. `now` is in seconds of the monotonic clock, `leaseS` is the length of a worker lease.
  */
 export function unusableMachines(fleet: FleetState, now: number, leaseS: number): Machine[] {
   const { machines } = fleet;
--- a/packages/controller/heartbeats/follower-heartbeats.ts
+++ b/packages/controller/heartbeats/follower-heartbeats.ts
@@ -1,12 +1,12 @@
-/** The workers that send their heartbeats to this controller while it is a follower. */
+/** Tracks the workers that send their heartbeats to this controller while it is a follower. */
 import type { Clock } from '#wire';
 
-/** Heartbeat intervals within which a worker counts as reachable, from here or from a peer. */
+/** Heartbeat intervals after its last heartbeat for which a worker counts as reachable. */
 export const REACHABLE_INTERVALS = 3;
 
-/** Counts the workers whose heartbeats lately reached this controller although it doesn't lead. */
+/** Counts the workers whose heartbeats recently reached this controller although it doesn't lead. */
 export class FollowerHeartbeats {
-  /** Steady seconds by machine. */
+  /** Time of each machine's last heartbeat, in seconds of the monotonic clock. */
   private readonly lastHeartbeatAt = new Map<string, number>();
 
   constructor(
@@ -14,7 +14,7 @@
     private readonly heartbeatIntervalS: number,
   ) {}
 
-  /** Records a heartbeat of the machine as of now. */
+  /** Records that a heartbeat of the machine has just arrived. */
   record(machine: string): void {
     this.lastHeartbeatAt.set(machine, this.clock.now());
   }
--- a/packages/controller/heartbeats/heartbeat-endpoint.ts
+++ b/packages/controller/heartbeats/heartbeat-endpoint.ts
@@ -24,19 +24,22 @@
 
 type Services = Pick<ControllerServices, 'runtime' | 'settings' | 'jobs' | 'election' | 'log'>;
 
-/** What the answer to a heartbeat depends on. */
+/** Dependencies of a `HeartbeatEndpoint`. */
 export interface HeartbeatEndpointOptions extends Services {
   /** The leader that runs in this process, if it holds the leader lease; else null. */
   activeLeader: () => ShardLeader | null;
   standby: StandbyRenewal;
   statuses: StatusExchange;
-  /** A controller that has sent nothing for this long is unreachable; seconds. */
+  /** Seconds after which a controller that has sent nothing counts as unreachable. */
   silenceS: number;
   followerHeartbeats: FollowerHeartbeats;
   statistics: ProcessStatistics;
 }
 
-/** Answers as the leader while its leader lease is held, else with the controller that leads. */
+/**
+ * Answers heartbeats as the leader while this controller holds the leader lease; otherwise renews worker leases
+ * as a standby, or redirects workers to the leader.
+ */
 export class HeartbeatEndpoint {
   private readonly connections = new WorkerConnections();
 
@@ -60,7 +63,7 @@
     else this.renewLease(leader.term.term, heartbeat, res);
   }
 
-  /** Answers without a leader lease: renews the worker's lease as a standby, or redirects it. */
+  /** Answers without a leader lease: renews the worker's lease as a standby, or redirects the worker. */
   private answerAsFollower(heartbeat: Heartbeat, res: ServerResponse): void {
     const term = this.options.standby.renewableTerm();
     if (term !== null && !this.hasSeenNewerLeader(heartbeat, term))
@@ -68,7 +71,7 @@
     else this.redirect(heartbeat, res);
   }
 
-  /** Whether the worker has seen a newer fencing token, so that a newer leader commands it. */
+  /** Whether the worker has seen a newer fencing token, and so obeys a newer leader. */
   private hasSeenNewerLeader(heartbeat: Heartbeat, fencingToken: number): boolean {
     return heartbeat.fencingToken > fencingToken;
   }
@@ -80,7 +83,10 @@
     reply(res, 421, redirectToWire(null));
   }
 
-  /** Sends the worker to the leader if it may reach it; elsewhere it soon finds the next one. */
+  /**
+   * Redirects the worker to the leader if the leader may be reachable. Otherwise refuses the heartbeat, so that
+   * the worker tries other controllers and soon finds the next leader.
+   */
   private redirect(heartbeat: Heartbeat, res: ServerResponse): void {
     const { settings, election, followerHeartbeats } = this.options;
     followerHeartbeats.record(heartbeat.machine);
@@ -103,8 +109,8 @@
   }
 
   /**
-   * Renews the worker's lease without the fleet's state: leases must not expire while a leader reads its
-   * records, nor because a leader has ended in an outage. Nothing is started; cancelled tasks are stopped.
+   * Renews the worker's lease without the fleet state: leases must not expire while a leader reads its
+   * records, nor because a leader has ended in an outage. Starts no tasks, and stops cancelled ones.
    */
   private renewLease(term: number, heartbeat: Heartbeat, res: ServerResponse): void {
     const stops: Order[] = heartbeat.tasks
@@ -117,7 +123,7 @@
     const { machine } = heartbeat;
     const answer = leader.acceptHeartbeat(heartbeat);
     if (answer === null) {
-      // A late copy: its worker must drop the answer, which doesn't count as a lease renewal.
+      // A delayed duplicate: the worker must drop the answer, which doesn't count as a lease renewal.
       reply(res, 200, answerToWire(NO_FENCING_TOKEN, []));
       return;
     }
--- a/packages/controller/heartbeats/reachable-workers.ts
+++ b/packages/controller/heartbeats/reachable-workers.ts
@@ -1,7 +1,7 @@
 /** Counts the workers that reach the leader with their heartbeats. */
 import type { FleetState } from '#core';
 
-/** How many machines should send heartbeats to the leader, and how many lately did. */
+/** How many machines should send heartbeats to the leader, and how many recently did. */
 export interface WorkerCounts {
   machines: number;
   reachable: number;
@@ -9,8 +9,8 @@
 
 /**
  * Counts the machines whose heartbeats were answered within the last `withinS` seconds, among all that
- * have booted. Those whose worker leases have expired count as well: a leader that no worker reaches has
- * no others in the end. `now` is steady seconds.
+ * have booted. Machines with expired worker leases count as well: a leader that no worker reaches eventually
+ * has no others. `now` is in seconds of the monotonic clock.
  */
 export function countReachable(fleet: FleetState, now: number, withinS: number): WorkerCounts {
   let machines = 0;
--- a/packages/controller/heartbeats/worker-connections.test.ts
+++ b/packages/controller/heartbeats/worker-connections.test.ts
@@ -3,9 +3,9 @@
 import { test } from 'node:test';
 import { WorkerConnections } from './worker-connections.js';
 
-test('a worker that connects again gives its old connection back', () => {
-  // Guards against the half-open connections of a zone that was cut off: with those of its machines
-  // that came back they used up the leader's sockets, and others could not send heartbeats.
+test('the old connection of a worker that connects again is closed', () => {
+  // Guards against half-open connections after a partition of a zone: together with the new connections
+  // of the zone's machines they used up the leader's sockets, and other workers could not send heartbeats.
   const connections = new WorkerConnections();
   const [first, second] = [new Socket(), new Socket()];
   connections.track('n-1', first);
--- a/packages/controller/heartbeats/worker-silence.test.ts
+++ b/packages/controller/heartbeats/worker-silence.test.ts
@@ -6,14 +6,14 @@
 const HEARTBEAT_INTERVAL_S = 1;
 const SAMPLE_INTERVAL_S = 0.5;
 
-/** A fleet whose machines have all been answered at that time. */
+/** Makes a fleet whose machines were all last answered at `answeredAt`. */
 function makeFleet(machines: number, answeredAt: number, termConfirmed = true): FleetState {
   const machine = { state: 'up', termConfirmed, answeredAt };
   const byName = new Map(Array.from({ length: machines }, (_, i) => [`n-${i}`, machine]));
   return { machines: byName } as unknown as FleetState;
 }
 
-/** Samples a fleet from 0 s to the end; true if it counted as silent at the last sample. */
+/** Samples a fleet from 0 s to `endS`; true if the fleet counted as silent at the last sample. */
 function sampleUntil(
   endS: number,
   fleetAt: (now: number) => FleetState,
@@ -28,14 +28,14 @@
   return silent;
 }
 
-test('workers that all fall silent are noticed after two heartbeat intervals', () => {
+test('workers that all stop sending heartbeats count as silent after two heartbeat intervals', () => {
   const answeredUntil5 = (now: number) => makeFleet(8, Math.min(now, 5));
   assert.equal(sampleUntil(6.5, answeredUntil5), false);
   assert.equal(sampleUntil(7.5, answeredUntil5), true);
 });
 
 test('workers that send heartbeats, are few, have not accepted the term, or were sampled too late do not count as silent', () => {
-  const silent = () => makeFleet(8, 0);
+  const silentFleet = () => makeFleet(8, 0);
   assert.equal(
     sampleUntil(20, (now) => makeFleet(8, now)),
     false,
@@ -49,9 +49,9 @@
     false,
   );
   assert.equal(
-    sampleUntil(20, silent, 3 * SAMPLE_INTERVAL_S),
+    sampleUntil(20, silentFleet, 3 * SAMPLE_INTERVAL_S),
     false,
-    'the process stands still between samples',
+    'the process is suspended between samples',
   );
-  assert.equal(sampleUntil(20, silent), true);
+  assert.equal(sampleUntil(20, silentFleet), true);
 });
--- a/packages/controller/heartbeats/worker-silence.ts
+++ b/packages/controller/heartbeats/worker-silence.ts
@@ -1,24 +1,24 @@
-/** Notices that all workers of a leader fell silent at once. */
+/** Detects that all workers of a leader have stopped sending heartbeats at once. */
 import type { FleetState } from '#core';
 
-/** Heartbeat intervals without any heartbeat after which the leader counts as cut off from its workers. */
+/** Heartbeat intervals without any heartbeat after which the leader counts as isolated from its workers. */
 const SILENT_INTERVALS = 2;
-/** A single worker that falls silent says something about its machine only. */
+/** The silence of a single worker may be a failure of its machine alone. */
 const MIN_WORKERS = 2;
-/** A sample that is later than this multiple of the sample interval: this process stood still. */
+/** Sample intervals between two samples above which this process counts as having been suspended. */
 const LATE_SAMPLE_INTERVALS = 2;
 
-/** The intervals that the silence is measured by, in seconds. */
+/** Intervals for the measurement of silence, in seconds. */
 export interface WorkerSilenceOptions {
   heartbeatIntervalS: number;
-  /** From one sample to the next. */
+  /** Interval between two samples. */
   sampleIntervalS: number;
 }
 
 /**
- * Measures for how long no worker of a leader has sent a heartbeat. A network cut may swallow heartbeats
- * without an error: then each worker waits for its answer until the timeout, so for seconds no follower
- * is asked for the leader either, and the rest of the worker leases is too short to find another one.
+ * Measures for how long no worker of a leader has sent a heartbeat. A network partition may drop heartbeats
+ * without an error. Each worker then waits for its answer until the timeout, so for seconds no worker asks a
+ * follower for the leader either, and the rest of the worker leases is too short to find another leader.
  */
 export class WorkerSilence {
   private sampledAt = -Infinity;
@@ -27,9 +27,9 @@
   constructor(private readonly options: WorkerSilenceOptions) {}
 
   /**
-   * Takes a sample, to be called once in a sample interval while a fleet state is in charge. `now` is
-   * steady seconds. True if all workers that had accepted the leader's term have been silent for too
-   * long, while this process was awake.
+   * Takes a sample; to be called once per sample interval while a leader runs in this process. Returns true if
+   * all workers that had accepted the leader's term have been silent for too long, while this process was not
+   * suspended. `now` is in seconds of the monotonic clock.
    */
   sample(fleet: FleetState, now: number): boolean {
     const { heartbeatIntervalS, sampleIntervalS } = this.options;
--- a/packages/controller/peers/cancellation-relay.ts
+++ b/packages/controller/peers/cancellation-relay.ts
@@ -5,7 +5,7 @@
 
 type Services = Pick<ControllerServices, 'runtime' | 'cancellations'>;
 
-/** What the relay reads, and how it reaches the peers. */
+/** Dependencies of a `CancellationRelay`. */
 export interface CancellationRelayOptions extends Services {
   /** The leader that runs in this process; null while this controller is a follower. */
   leader: () => ShardLeader | null;
@@ -14,8 +14,8 @@
 }
 
 /**
- * Brings users' cancellation requests to the leader. The record reaches it by the watch, or not at all
- * if an outage begins in between; the tasks end in either case.
+ * Forwards users' cancellation requests to the leader, which then ends the tasks. The leader's watch of the
+ * state service also delivers recorded cancellations, but not if an outage begins before the delivery.
  */
 export class CancellationRelay {
   constructor(private readonly options: CancellationRelayOptions) {}
@@ -42,7 +42,7 @@
     }
   }
 
-  /** The frames that a new connection to a peer begins with. */
+  /** Frames to send first on a new connection to a peer: all cancellation requests that are kept. */
   greeting(): Frame[] {
     const requests = this.options.cancellations.requests(this.now());
     return requests.map((request) => ({ kind: 'cancel', ...request }));
--- a/packages/controller/peers/cancellations.ts
+++ b/packages/controller/peers/cancellations.ts
@@ -1,4 +1,4 @@
-/** The cancellations that this controller knows of, recorded or only requested. */
+/** Stores the cancellations that this controller knows of, recorded or only requested. */
 import type { CancellationNotice } from '#peer';
 
 /** A cancellation that the state service holds, with the revision of its record. */
@@ -7,30 +7,30 @@
   revision: number;
 }
 
-/** What a peer is told of the cancellations after a revision. */
+/** The cancellations that a status frame announces to a peer. */
 export interface CancellationList {
-  /** The list is complete from this revision on; Infinity if it can't be complete. */
+  /** The list holds every known record newer than this revision; Infinity if the list was truncated. */
   since: number;
   cancelled: CancellationNotice[];
 }
 
-/** Cancellations in one list; a status frame has to stay small. */
+/** Bounds the size of a status frame. */
 const MAX_CANCELLATIONS_PER_LIST = 2000;
 
 /**
- * The cancellations that this controller knows: those recorded, in the order in which they became
- * known, and those that users requested here or at a peer, whose record may still be under way.
+ * Cancellations that this controller knows of: those recorded, in the order in which they became known,
+ * and those that users requested from this controller or a peer, whose records may not be written yet.
  * Each is kept for as long as a task of its job may still be allowed to run anywhere.
  */
 export class Cancellations {
   private recorded: RecordedCancellation[] = [];
-  /** When each job's cancellation was requested; steady seconds. */
+  /** When each job's cancellation was requested, in seconds of the monotonic clock. */
   private readonly requestedAt = new Map<string, number>();
-  /** Recorded cancellations up to this revision may have been dropped. */
+  /** Records up to this revision may have been dropped from `recorded`. */
   private droppedUpTo = 0;
 
   /**
-   * @param maxRecorded Recorded cancellations that are kept at least, if there were as many.
+   * @param maxRecorded Number of newest recorded cancellations that are always kept.
    * @param keepRequestedS Seconds for which a request is kept.
    */
   constructor(
@@ -48,14 +48,15 @@
     }
   }
 
-  /** Adds a request that a user sent to this controller. `now` is steady seconds. */
+  /** Adds a request that a user sent to this controller. `now` is in seconds of the monotonic clock. */
   addRequested(job: string, now: number): void {
     this.requestedAt.set(job, now);
   }
 
   /**
-   * Adds a request that a peer told of. It never renews one that is known, and one that is too old is
-   * ignored: otherwise controllers would remind each other of it for ever. `now` is steady seconds.
+   * Adds a request that a peer announced. A known request keeps its age and an expired request is ignored;
+   * otherwise controllers would renew a request in each other for ever. `now` is in seconds of the
+   * monotonic clock.
    */
   addFromPeer({ job, ageMs }: CancellationNotice, now: number): void {
     const ageS = ageMs / 1000;
@@ -64,12 +65,12 @@
     }
   }
 
-  /** Whether the cancellation of a job was requested, here or at a peer, and is still kept. */
+  /** Whether a request to cancel the job, from this controller's users or from a peer, is still kept. */
   wasRequested(job: string): boolean {
     return this.requestedAt.has(job);
   }
 
-  /** All requests that are still kept; drops the older ones. `now` is steady seconds. */
+  /** Drops expired requests and returns all others. `now` is in seconds of the monotonic clock. */
   requests(now: number): CancellationNotice[] {
     const notices: CancellationNotice[] = [];
     for (const [job, requestedAt] of this.requestedAt) {
@@ -80,7 +81,10 @@
     return notices;
   }
 
-  /** All recorded cancellations after the revision, and all requests that may still be recorded. */
+  /**
+   * Lists all known records newer than the revision, and all requests that may still be recorded. `now` is
+   * in seconds of the monotonic clock.
+   */
   listSince(revision: number, now: number): CancellationList {
     const known = new Map<string, CancellationNotice>();
     for (const cancellation of this.recorded) {
--- a/packages/controller/peers/dead-connections.ts
+++ b/packages/controller/peers/dead-connections.ts
@@ -1,13 +1,13 @@
-/** Finds connections to peers that are dead although nothing has closed them. */
+/** Detects connections to peers that are dead although neither end has closed them. */
 import type { PeerLink } from '#peer';
 import type { ControllerServices } from '../services.js';
 import { CURRENT_STATUS_INTERVALS, isReachable } from './peer-status.js';
 import type { StatusExchange } from './status-exchange.js';
 
-/** Heartbeat intervals within which a reachable peer should have read one of our status frames. */
+/** Heartbeat intervals within which a reachable peer should have read a status frame of this controller. */
 const MAX_UNREAD_INTERVALS = 8;
 
-/** What the monitor compares, and how it replaces a connection. */
+/** Dependencies of a `DeadConnectionMonitor`. */
 export interface DeadConnectionMonitorOptions extends Pick<
   ControllerServices,
   'runtime' | 'settings'
@@ -17,8 +17,9 @@
 }
 
 /**
- * Dials a peer again that sends to us but reads nothing of ours: its status frames echo the newest
- * frame that it has read. A network cut may have swallowed the sign that our connection is dead.
+ * Dials a peer again if its status frames arrive but show that it receives none of this controller's: a status
+ * frame echoes the newest frame that its sender has read. A network partition may have hidden that the
+ * connection to the peer is dead.
  */
 export class DeadConnectionMonitor {
   private readonly currentStatusS: number;
@@ -30,7 +31,7 @@
     this.maxUnreadS = MAX_UNREAD_INTERVALS * heartbeatIntervalS;
   }
 
-  /** Dials all peers again whose connections seem dead. */
+  /** Dials all peers again whose connections appear to be dead. */
   redial(): void {
     const { runtime, settings, statuses, peers } = this.options;
     const now = runtime.clock.now();
--- a/packages/controller/peers/own-status.ts
+++ b/packages/controller/peers/own-status.ts
@@ -3,16 +3,16 @@
 import type { ControllerServices } from '../services.js';
 import type { OwnStatus } from './status-exchange.js';
 
-/** Where the fields of the status come from. */
+/** Sources of the status fields. */
 export interface OwnStatusSources extends Pick<ControllerServices, 'client' | 'jobs' | 'election'> {
   followerHeartbeats: FollowerHeartbeats;
   /** Whether a leader runs in this process. */
   isLeading: () => boolean;
-  /** Whether that leader is reached by hardly any of its workers. */
+  /** Whether a leader runs in this process and hardly any of its workers reach it. */
   isUnreachable: (now: number) => boolean;
 }
 
-/** Reads the status of this controller at `now`, in steady seconds. */
+/** Reads the status of this controller. `now` is in seconds of the monotonic clock. */
 export function readOwnStatus(sources: OwnStatusSources, now: number): OwnStatus {
   const { client, jobs, election, followerHeartbeats } = sources;
   return {
--- a/packages/controller/peers/peer-coordinator.ts
+++ b/packages/controller/peers/peer-coordinator.ts
@@ -1,4 +1,4 @@
-/** Drives everything that this controller exchanges with its peers. */
+/** Drives the exchange of frames between this controller and its peers. */
 import type { Frame, PeerLink } from '#peer';
 import { pause } from '#wire';
 import type { FollowerHeartbeats } from '../heartbeats/follower-heartbeats.js';
@@ -12,9 +12,9 @@
 import { StepDownMonitor } from './step-down.js';
 import { TaskCountExchange } from './task-count-exchange.js';
 
-/** Rounds of status in a heartbeat interval. */
+/** Status rounds per heartbeat interval. */
 const STATUS_ROUNDS_PER_INTERVAL = 2;
-/** Rounds of status from one round of task counts and cancellations to the next. */
+/** Status rounds per round of task counts and cancellations. */
 const STATUS_ROUNDS_PER_COUNT = 2;
 
 type Services = Pick<
@@ -22,7 +22,7 @@
   'runtime' | 'settings' | 'client' | 'jobs' | 'election' | 'log'
 >;
 
-/** What the coordinator exchanges with the peers, and who has to know of it. */
+/** Dependencies of a `PeerCoordinator`. */
 export interface PeerCoordinatorOptions extends Services {
   peers: PeerLink;
   statuses: StatusExchange;
@@ -34,8 +34,8 @@
 }
 
 /**
- * Sends status, task counts and cancellations to the peers in regular rounds, and passes what they send
- * on to whoever uses it. Before each round the leader of this process steps down if it has to.
+ * Sends status, task counts and cancellations to the peers in regular rounds, and dispatches the frames that
+ * they send. Before each round it checks whether the leader of this process must step down.
  */
 export class PeerCoordinator {
   private readonly roundIntervalS: number;
@@ -72,7 +72,7 @@
     };
   }
 
-  /** Passes on what a peer has sent. */
+  /** Dispatches a frame that a peer has sent. */
   receive(from: string, frame: Frame): void {
     const { runtime, statuses, cancellationRelay, standby } = this.options;
     switch (frame.kind) {
@@ -89,7 +89,7 @@
         cancellationRelay.receive(frame);
         break;
       case 'hello':
-        // The connection itself has read it.
+        // The connection that received the frame has handled it.
         break;
     }
   }
@@ -105,7 +105,7 @@
 
   private runRound(): void {
     const { runtime, statuses, cancellationRelay, leader: currentLeader } = this.options;
-    // First of all, so that the peers learn at once that this controller no longer leads.
+    // Runs before the status is sent, so that peers learn at once if this controller no longer leads.
     this.stepDown.checkIsolation();
     const now = runtime.clock.now();
     statuses.send(readOwnStatus(this.ownStatus, now), now);
@@ -120,10 +120,13 @@
     this.leaderRounds++;
   }
 
-  /** A leader has to know the cancellations that others accepted, however quiet its own users are. */
+  /**
+   * Syncs the cache of job records. A leader must learn of cancellations that other controllers accepted,
+   * even if its own users send no requests.
+   */
   private readCancellations(): void {
     this.options.jobs.cache.sync().catch(() => {
-      // A later round asks again; the leader lease counts from the newest request that succeeded.
+      // A later round tries again; the leader lease counts from the newest request that succeeded.
     });
   }
 }
--- a/packages/controller/peers/peer-link.ts
+++ b/packages/controller/peers/peer-link.ts
@@ -3,10 +3,10 @@
 import { parseHostPort, type Runtime } from '#wire';
 import type { Settings } from '../settings/settings.js';
 
-/** Attempts to reach a peer in one heartbeat interval. */
+/** Attempts to connect to a peer per heartbeat interval. */
 const DIALS_PER_INTERVAL = 2;
 
-/** Makes the connections to all peers; each new one begins with the frames of `greeting`. */
+/** Makes the connections to all peers; the frames of `greeting` are sent first on each new one. */
 export function makePeerLink(
   runtime: Runtime,
   settings: Settings,
--- a/packages/controller/peers/peer-proof.ts
+++ b/packages/controller/peers/peer-proof.ts
@@ -1,32 +1,32 @@
-/** What the statements of all peers prove together (docs/safety.md, point 7). */
+/** Proofs that follow from the statuses of all peers together (docs/safety.md, point 7). */
 import type { PeerStatus } from './peer-status.js';
 
-/** What a proof about one term is drawn from; times are steady seconds. */
+/** Input of the proofs about one term. Times are in seconds of the monotonic clock. */
 export interface ProofView {
   now: number;
   term: number;
-  /** Revision up to which all cancellations are known here. */
+  /** Revision up to which this controller knows all cancellations. */
   jobsRevision: number;
-  /** The latest statement of each other controller; null if none has arrived. */
+  /** The latest status of each other controller; null if none has arrived. */
   peers: (PeerStatus | null)[];
 }
 
 /**
- * Proves two things about one term from the statements of all peers: that nobody leads in a newer one,
- * and that every confirmed cancellation is known here. Each is certain as of some moment; all moments
- * are steady seconds of this process.
+ * Proves two facts about one term from the statuses of all peers: that no controller leads in a newer term,
+ * and that this controller knows every confirmed cancellation. Each proof holds as of some moment, in seconds
+ * of this process's monotonic clock.
  */
 export class PeerProof {
-  /** Nobody led in a newer term as of this moment. */
+  /** No controller led in a newer term as of this moment. */
   soleLeaderAt = -Infinity;
-  /** For each peer, the moment as of which all cancellations that it had confirmed are known. */
+  /** For each peer: this controller knows all cancellations that the peer had confirmed by this moment. */
   private readonly knownAtByPeer: number[];
 
   constructor(private readonly peerCount: number) {
     this.knownAtByPeer = new Array<number>(peerCount).fill(-Infinity);
   }
 
-  /** Every cancellation that any peer had confirmed by this moment is known. */
+  /** This controller knows every cancellation that any peer had confirmed by this moment. */
   get informedAt(): number {
     return this.peerCount === 0 ? Infinity : Math.min(...this.knownAtByPeer);
   }
@@ -37,16 +37,16 @@
     this.recordInformed(view);
   }
 
-  /** Records since when the statements prove that nobody leads in a newer term. */
+  /** Updates `soleLeaderAt` with what the statuses prove about leaders of newer terms. */
   recordSoleLeader(view: ProofView): void {
     const { now, peers } = view;
-    // Peers that the settings don't name can't attest anything.
+    // A list of other peers than those in the settings proves nothing.
     if (peers.length !== this.peerCount) return;
     const soleLeaderAt = peers.map((peer) => soleLeaderAsOf(view, peer));
     this.soleLeaderAt = Math.max(this.soleLeaderAt, Math.min(now, ...soleLeaderAt));
   }
 
-  /** Records since when the statements prove that every confirmed cancellation is known here. */
+  /** Updates `informedAt` with what the statuses prove about known cancellations. */
   recordInformed(view: ProofView): void {
     const { peers } = view;
     if (peers.length !== this.peerCount) return;
@@ -58,8 +58,8 @@
 }
 
 /**
- * The moment as of which the peer surely did not lead and could not be elected: the state service
- * refused it, and no campaign of its own was under way.
+ * The moment as of which the peer certainly did not lead and could not be elected: the state service
+ * refused its requests, and none of its campaigns was in flight. -Infinity without such proof.
  */
 function soleLeaderAsOf(view: ProofView, peer: PeerStatus | null): number {
   if (peer === null) return -Infinity;
@@ -68,8 +68,8 @@
 }
 
 /**
- * The moment as of which the peer surely had listed all cancellations that it knew or might have
- * recorded, those of its earlier incarnations included.
+ * The moment as of which the peer had certainly listed all cancellations that it knew or might have
+ * recorded, including those of its earlier incarnations. -Infinity without such proof.
  */
 function cancellationsKnownAsOf(view: ProofView, peer: PeerStatus | null): number {
   if (peer === null) return -Infinity;
--- a/packages/controller/peers/peer-status.test.ts
+++ b/packages/controller/peers/peer-status.test.ts
@@ -29,7 +29,7 @@
   };
 }
 
-test('a statement is as old as our own frame that it echoes, however late it arrives', () => {
+test('the age of a status counts from the frame that it echoes, however late it arrives', () => {
   const table = new PeerStatusTable(OWN_INCARNATION, ['c-1']);
   const first = table.beginRound(100);
   table.beginRound(101);
@@ -41,7 +41,7 @@
   assert.deepEqual(table.echoFor('c-1'), { incarnation: 1, sequence: 1 });
 });
 
-test('an echo of an earlier incarnation of ours, or none, proves nothing', () => {
+test('a status that echoes an earlier incarnation, or nothing, proves no age', () => {
   const table = new PeerStatusTable(OWN_INCARNATION, ['c-1']);
   table.beginRound(100);
   table.accept('c-1', makeStatus(1, 1, { incarnation: 6, sequence: 1 }), 101);
@@ -50,7 +50,7 @@
   assert.equal(table.get('c-1')?.statedAfter, -Infinity);
 });
 
-test('frames that a cut held back do not replace newer ones, nor those of a later incarnation', () => {
+test('delayed frames replace neither newer frames nor those of a later incarnation', () => {
   const table = new PeerStatusTable(OWN_INCARNATION, ['c-1']);
   assert.ok(table.accept('c-1', makeStatus(1, 5, null), 10));
   assert.ok(!table.accept('c-1', makeStatus(1, 4, null), 11));
@@ -59,7 +59,7 @@
   assert.equal(table.get('c-1')?.frame.incarnation, 2);
 });
 
-test('every peer that the settings name has an entry, whether a statement has arrived or not', () => {
+test('every peer in the settings has an entry, whether a status has arrived or not', () => {
   const table = new PeerStatusTable(OWN_INCARNATION, ['c-1', 'c-2']);
   table.accept('c-2', makeStatus(1, 1, null), 10);
   assert.equal(table.all()[0], null);
--- a/packages/controller/peers/peer-status.ts
+++ b/packages/controller/peers/peer-status.ts
@@ -1,29 +1,29 @@
-/** The newest statement of each peer, ordered by what the frames say and not by their arrival. */
+/** The newest status of each peer, ordered by the sequence numbers in the frames and not by arrival. */
 import type { StatusFrame, StatusReference } from '#peer';
 
-/** Status rounds whose sending time is kept; echoes of older ones are of no use. */
+/** Status rounds whose sending time is kept; echoes of older rounds prove nothing of use. */
 const ROUNDS_KEPT = 64;
-/** Former incarnations of a peer that are remembered, so that their late frames are known as old. */
+/** Former incarnations of a peer that are kept, so that their delayed frames are recognised as old. */
 const INCARNATIONS_KEPT = 16;
 
-/** A peer's newest statement and what is known of its age; steady seconds of this process. */
+/** A peer's newest status and bounds on its age. Times are in seconds of this process's monotonic clock. */
 export interface PeerStatus {
   frame: StatusFrame;
-  /** When the frame arrived. The network may have held it for long. */
+  /** When the frame arrived. The network may have delayed the frame for a long time. */
   receivedAt: number;
   /**
-   * The peer surely made the statement after this moment: it had read a status frame that this
-   * process sent then. -Infinity if it has read none.
+   * The peer certainly stated its status after this moment: the frame echoes a status frame that this
+   * process sent then. -Infinity if the frame echoes none.
    */
   statedAfter: number;
-  /** No earlier than when the state service last served the peer. */
+  /** Upper bound of the time at which the state service last served the peer. */
   lastServedAt: number;
 }
 
-/** Heartbeat intervals for which a peer's newest statement counts as current. */
+/** Heartbeat intervals for which a peer's newest status counts as current. */
 export const CURRENT_STATUS_INTERVALS = 2;
 
-/** Whether the peer's newest statement arrived within the last `withinS` seconds. */
+/** Whether the peer's newest status arrived within the last `withinS` seconds. */
 export function isReachable(
   status: PeerStatus | null,
   now: number,
@@ -33,23 +33,23 @@
 }
 
 /**
- * The newest statement of each peer. A connection that was cut may deliver old frames late, so frames
- * count by their own order and by what they echo, not by when they arrive.
+ * Keeps the newest status of each peer. An interrupted connection may deliver old frames late, so frames are
+ * ordered by their sequence numbers and dated by the frame that they echo, not by arrival.
  */
 export class PeerStatusTable {
   private readonly statuses = new Map<string, PeerStatus>();
   private readonly formerIncarnations = new Map<string, number[]>();
-  /** Sending time of each of our latest rounds, by sequence. */
+  /** Sending time of each of the latest `ROUNDS_KEPT` rounds, by sequence. */
   private readonly sentAt = new Map<number, number>();
   private sequence = 0;
 
   constructor(
-    /** Tells this run of the process from earlier ones. */
+    /** Distinguishes this run of the process from earlier ones. */
     private readonly incarnation: number,
     private readonly peers: readonly string[],
   ) {}
 
-  /** Begins a round of status frames; all of them carry the reference that is returned. */
+  /** Begins a round of status frames; all frames of the round carry the returned reference. */
   beginRound(now: number): StatusReference {
     this.sequence++;
     this.sentAt.set(this.sequence, now);
@@ -57,13 +57,13 @@
     return { incarnation: this.incarnation, sequence: this.sequence };
   }
 
-  /** The peer's newest frame that was read, which the next frame to the peer echoes. */
+  /** The newest frame read from the peer, which the next frame to the peer echoes. */
   echoFor(peer: string): StatusReference | null {
     const frame = this.statuses.get(peer)?.frame;
     return frame ? { incarnation: frame.incarnation, sequence: frame.sequence } : null;
   }
 
-  /** Accepts a frame; false if it is older than what is known of the peer. */
+  /** Accepts a frame; false if the frame is older than the peer's newest status. */
   accept(peer: string, frame: StatusFrame, now: number): boolean {
     const known = this.statuses.get(peer)?.frame;
     if (known && !this.isNewer(peer, known, frame)) return false;
@@ -76,23 +76,23 @@
     return true;
   }
 
-  /** The newest statement of one peer. */
+  /** The newest status of one peer. */
   get(peer: string): PeerStatus | undefined {
     return this.statuses.get(peer);
   }
 
-  /** One entry for each peer that the settings name; null if none has arrived. */
+  /** The newest status of each peer in the settings; null if none has arrived. */
   all(): (PeerStatus | null)[] {
     return this.peers.map((peer) => this.statuses.get(peer) ?? null);
   }
 
-  /** Whether a frame is newer than the known one: by its sequence, or by its incarnation. */
+  /** Whether a frame is newer than the known one: by its sequence, or by a new incarnation. */
   private isNewer(peer: string, known: StatusFrame, frame: StatusFrame): boolean {
     if (known.incarnation === frame.incarnation) return frame.sequence > known.sequence;
     return this.beginIncarnation(peer, known.incarnation, frame.incarnation);
   }
 
-  /** Records that the peer has a new incarnation; false if it is a former one. */
+  /** Records the peer's new incarnation; false if `next` is a former incarnation. */
   private beginIncarnation(peer: string, last: number, next: number): boolean {
     const former = this.formerIncarnations.get(peer) ?? [];
     if (former.includes(next)) return false;
--- a/packages/controller/peers/status-exchange.ts
+++ b/packages/controller/peers/status-exchange.ts
@@ -3,7 +3,7 @@
 import type { Cancellations } from './cancellations.js';
 import { type PeerStatus, PeerStatusTable } from './peer-status.js';
 
-/** What a controller states to all peers alike; the rest of a frame depends on its recipient. */
+/** The fields of a status frame that are the same for all recipients. */
 export type OwnStatus = Pick<
   StatusFrame,
   | 'servedAgoMs'
@@ -17,9 +17,9 @@
   | 'jobsRevision'
 >;
 
-/** What the exchange is made of. */
+/** Dependencies of a `StatusExchange`. */
 export interface StatusExchangeOptions {
-  /** Tells this run of the process from earlier ones; 0 to Number.MAX_SAFE_INTEGER. */
+  /** Distinguishes this run of the process from earlier ones; 0 to Number.MAX_SAFE_INTEGER. */
   incarnation: number;
   /** Names of all other controllers. */
   peers: readonly string[];
@@ -29,9 +29,9 @@
 }
 
 /**
- * Tells each peer how the state service serves this controller and which cancellations it knows, and
- * keeps what the peers state. Cancellations go into each frame, not only into frames of their own, so
- * that a statement that arrives is complete whatever was lost before.
+ * Sends this controller's status to each peer: whether the state service serves it and which cancellations it
+ * knows. Keeps the statuses of the peers. Every status frame lists the cancellations, in addition to separate
+ * cancellation frames, so that a status that arrives is complete even if earlier frames were lost.
  */
 export class StatusExchange {
   private readonly table: PeerStatusTable;
@@ -40,17 +40,17 @@
     this.table = new PeerStatusTable(options.incarnation, options.peers);
   }
 
-  /** The latest statement of each peer, null where none has arrived. */
+  /** The latest status of each peer; null where none has arrived. */
   statuses(): (PeerStatus | null)[] {
     return this.table.all();
   }
 
-  /** The latest statement of one peer; null if none has arrived, or if it is no peer. */
+  /** The latest status of a peer; null if none has arrived, or if the settings name no such peer. */
   statusOf(peer: string): PeerStatus | null {
     return this.table.get(peer) ?? null;
   }
 
-  /** Sends one round of status frames, one to each peer. `now` is steady seconds. */
+  /** Sends one round of status frames, one to each peer. `now` is in seconds of the monotonic clock. */
   send(own: OwnStatus, now: number): void {
     const reference = this.table.beginRound(now);
     for (const peer of this.options.peers) {
@@ -58,7 +58,7 @@
     }
   }
 
-  /** Accepts a peer's frame; its cancellations count however late it arrives. */
+  /** Accepts a peer's status frame; cancellations count however late the frame arrives. */
   receive(peer: string, frame: StatusFrame, now: number): void {
     for (const notice of frame.cancelled) {
       this.options.cancellations.addFromPeer(notice, now);
--- a/packages/controller/peers/step-down.ts
+++ b/packages/controller/peers/step-down.ts
@@ -11,10 +11,10 @@
 
 type Services = Pick<ControllerServices, 'runtime' | 'settings' | 'client' | 'election' | 'log'>;
 
-/** What the monitor judges by. */
+/** Dependencies of a `StepDownMonitor`. */
 export interface StepDownMonitorOptions extends Services {
   statuses: StatusExchange;
-  /** Seconds from one check of the isolation to the next. */
+  /** Seconds between two calls of `checkIsolation`. */
   checkIntervalS: number;
   /** The leader that runs in this process; null while this controller is a follower. */
   leader: () => ShardLeader | null;
@@ -22,7 +22,7 @@
 
 /**
  * Resigns the leadership if a newer leader is known, or if the workers reach other controllers but not
- * this one. Stepping down proves nothing to anybody; it lets the workers find the next leader early.
+ * this one. No other controller relies on the resignation; it lets the workers find the next leader early.
  */
 export class StepDownMonitor {
   private readonly heartbeatIntervalS: number;
@@ -36,7 +36,7 @@
     });
   }
 
-  /** Steps down if a peer has seen a newer leader: the term of ours is over. */
+  /** Steps down if a peer has seen a newer leader: the term of this process's leader is over. */
   checkNewestLeader(newestLeader: StatusFrame['newestLeader']): void {
     const { leader, log, election } = this.options;
     const term = leader()?.term.term;
@@ -68,8 +68,8 @@
   }
 
   /**
-   * Whether hardly any worker reaches the leader; false while this controller is a follower. `now` is
-   * steady seconds.
+   * Whether hardly any worker reaches the leader; false while this controller is a follower. `now` is in
+   * seconds of the monotonic clock.
    */
   isUnreachable(now: number): boolean {
     const workers = this.countWorkers(now);
@@ -77,9 +77,9 @@
   }
 
   /**
-   * The workers of the leader; null while there is none, or it began a short time ago. After a failover
-   * the workers need some time to find it. A whole worker lease would be too long: a leader that none of
-   * them ever reaches would let all their leases expire.
+   * Counts the leader's workers; null while there is no leader, or for a short time after the leader began.
+   * After a failover the workers need some time to find the new leader. To wait for a whole worker lease
+   * would be too long: a leader that no worker ever reaches would let all worker leases expire.
    */
   private countWorkers(now: number): WorkerCounts | null {
     const leader = this.options.leader();
@@ -90,8 +90,9 @@
   }
 
   /**
-   * Whether a reachable peer can be elected, since the state service serves it. While it refuses us, all
-   * peers have to be refused as well: then they renew worker leases for a leader that has stepped down.
+   * Whether a reachable peer can be elected, since the state service serves it. While the state service refuses
+   * this controller, all peers must be refused as well: then they renew worker leases for a leader that has
+   * stepped down.
    */
   private canBeReplaced(now: number): boolean {
     const peers = this.options.statuses.statuses();
@@ -110,7 +111,7 @@
     return isReachable(peer, now, CURRENT_STATUS_INTERVALS * this.heartbeatIntervalS);
   }
 
-  /** Number of workers that lately sent heartbeats to peers, none of which leads. */
+  /** Number of workers that recently sent heartbeats to peers while these were followers. */
   private countReachableByPeers(now: number): number {
     let workers = 0;
     for (const peer of this.options.statuses.statuses()) {
@@ -120,7 +121,7 @@
   }
 }
 
-/** Whether the state service refuses the peer and no campaign of the peer's is under way. */
+/** Whether the state service refuses the peer and none of the peer's campaigns is in flight. */
 function canOnlyRenewLeases({ frame }: PeerStatus): boolean {
   return frame.refused && !frame.mayLead;
 }
--- a/packages/controller/peers/task-count-exchange.ts
+++ b/packages/controller/peers/task-count-exchange.ts
@@ -4,23 +4,23 @@
 import { countAllTasks, countChangedTasks } from '../observability/task-counts.js';
 import type { ControllerServices } from '../services.js';
 
-/** Rounds of counts from one that holds all open jobs to the next; the others hold what has changed. */
+/** Rounds per full round, which sends the counts of all open jobs; the others send changed counts only. */
 const FULL_COUNT_ROUNDS = 10;
-/** Jobs whose counts share a frame. */
+/** Maximum number of jobs in one frame. */
 const MAX_COUNTS_PER_FRAME = 500;
 
-/** What the exchange reads and where it sends. */
+/** Dependencies of a `TaskCountExchange`. */
 export interface TaskCountExchangeOptions extends Pick<ControllerServices, 'jobs'> {
   peers: PeerLink;
 }
 
-/** The leader counts the tasks of its jobs; all controllers keep the newest counts that they know. */
+/** Sends the leader's task counts to all controllers, and keeps the newest counts that arrive. */
 export class TaskCountExchange {
   private round = 0;
 
   constructor(private readonly options: TaskCountExchangeOptions) {}
 
-  /** Sends one round of counts, unless the leader has not read its records yet. */
+  /** Sends one round of counts; skips the round while the leader has not read its records yet. */
   send(leader: ShardLeader): void {
     const isFull = this.round % FULL_COUNT_ROUNDS === 0;
     this.round++;
@@ -33,7 +33,7 @@
     }
   }
 
-  /** Records the counts that a leader has sent or made. */
+  /** Records the counts of a leader, in this process or at a peer. */
   record(counts: CountsFrame['jobs']): void {
     for (const { job, done, running } of counts)
       this.options.jobs.recordTaskCounts(job, done, running);
--- a/packages/peer/accepted-connections.ts
+++ b/packages/peer/accepted-connections.ts
@@ -6,26 +6,26 @@
 import { BadFrame } from './payload.js';
 import { detectSilence } from './silence.js';
 
-/** From whom connections are accepted, and who is told of their frames. */
+/** Dependencies of `AcceptedConnections`. */
 export interface AcceptOptions {
   clock: Clock;
-  /** Names of all peers; connections of others are ended. */
+  /** Names of all peers; connections from any other sender are closed. */
   peers: readonly string[];
-  /** Time between two attempts to reach a peer. */
+  /** Milliseconds between two attempts to connect to a peer. */
   retryMs: number;
-  /** Told of each frame of a peer, and when it was received; steady seconds. */
+  /** Called with each frame of a peer and its time of receipt, in seconds of the monotonic clock. */
   onFrame: (from: string, frame: Frame, lastReceivedAt: number) => void;
 }
 
-/** One connection, and what is known of its sender. */
+/** One connection and the state of its sender. */
 interface AcceptedConnection {
   readonly connection: Duplex;
-  /** Rises with each connection that is accepted. */
+  /** Increases with each connection that is accepted. */
   readonly order: number;
   readonly reader: FrameReader;
-  /** The name of its sender; null before its first frame. */
+  /** The name of the sender; null before the first frame. */
   peer: string | null;
-  /** Steady seconds. */
+  /** When data was last received, in seconds of the monotonic clock. */
   lastReceivedAt: number;
 }
 
@@ -37,7 +37,7 @@
 
   constructor(private readonly options: AcceptOptions) {}
 
-  /** Reads a new connection until it ends; one that breaks the protocol is ended. */
+  /** Reads a new connection until it ends; closes a connection that violates the protocol. */
   receive(connection: Duplex): void {
     const { clock, retryMs } = this.options;
     const accepted: AcceptedConnection = {
@@ -51,7 +51,7 @@
     const onSilent = () => void connection.destroy();
     const silence = detectSilence({ clock, retryMs, lastReceivedAt, onSilent });
     connection.on('error', () => {
-      // `close` follows, and the peer dials again.
+      // A `close` event follows, and the peer dials again.
     });
     connection.on('close', () => {
       silence.cancel();
@@ -67,7 +67,7 @@
     try {
       for (const frame of accepted.reader.push(chunk)) this.handle(accepted, frame);
     } catch {
-      // A peer that still needs the connection dials again, and sends its state again.
+      // A live peer dials again and repeats its state.
       accepted.connection.destroy();
     }
   }
@@ -77,14 +77,15 @@
       this.identify(accepted, frame.name);
       return;
     }
-    if (accepted.peer === null) throw new BadFrame('no hello before it');
+    if (accepted.peer === null) throw new BadFrame('first frame is not a hello');
     this.options.onFrame(accepted.peer, frame, accepted.lastReceivedAt);
   }
 
   /**
-   * A peer that dials again has given up its earlier connection, or has restarted. A network partition may
-   * have left the earlier one open here without a sign; kept, such connections would in time use up all that
-   * are accepted. What was held back on it may still come, and must not pass for news.
+   * Assigns a connection to its sender and closes the sender's earlier connection. A peer that dials again has
+   * given up its earlier connection or has restarted, but a network partition may have left that connection open
+   * here. Such connections would eventually reach the limit of accepted connections, and delayed frames on them
+   * must not count as new.
    */
   private identify(accepted: AcceptedConnection, name: string): void {
     if (!this.options.peers.includes(name)) throw new BadFrame(`hello of unknown peer ${name}`);
--- a/packages/peer/dialled-connections.ts
+++ b/packages/peer/dialled-connections.ts
@@ -12,32 +12,32 @@
   addr: string;
 }
 
-/** How peers are dialled, and what they are told first. */
+/** How peers are dialled, and which frames they are sent first. */
 export interface DialOptions {
   runtime: Runtime;
   /** This controller's name. */
   self: string;
-  /** Time between two attempts to reach a peer, give or take a half. */
+  /** Milliseconds between two attempts to connect to a peer, varied at random by up to a half. */
   retryMs: number;
   /** Frames that a peer is sent on each new connection, since it may have missed them. */
   greeting?: () => Frame[];
 }
 
-/** Bytes that may wait for a slow peer before frames to it are dropped. */
+/** Unsent bytes on a connection to a slow peer from which on further frames are dropped. */
 const MAX_BACKLOG_BYTES = 1 << 20;
-/** Retry periods within which a connection must be open. */
+/** Retry periods after which an attempt to connect is abandoned. */
 const CONNECT_PERIODS = 4;
-/** The least pause between two attempts, as a share of the retry period. */
+/** Minimum pause between two attempts, as a share of the retry period. */
 const MIN_RETRY_SHARE = 0.5;
 
 /** Keeps one connection to each peer, and sends frames on those that are open. */
 export class DialledConnections {
-  /** The open ones, and since when each is open; steady seconds. */
+  /** Open connections by peer; `openedAt` is in seconds of the monotonic clock. */
   private readonly open = new Map<string, { connection: Duplex; openedAt: number }>();
 
   constructor(
     private readonly options: DialOptions,
-    /** When a peer was last received from; steady seconds, -Infinity if never. */
+    /** When data of a peer last arrived, in seconds of the monotonic clock; -Infinity if never. */
     private readonly lastReceived: (peer: string) => number,
   ) {}
 
@@ -53,7 +53,7 @@
     if (connection) write(connection, encodeFrame(frame));
   }
 
-  /** Ends the connection to a peer, to be dialled again, if it has been open for longer than that. */
+  /** Closes a connection that has been open for longer than `seconds`; the peer is then dialled again. */
   closeIfOlderThan(peer: string, seconds: number): void {
     const dialled = this.open.get(peer);
     if (!dialled) return;
@@ -70,7 +70,7 @@
     }
   }
 
-  /** Opens one connection to a peer; resolves once it has ended. */
+  /** Opens one connection to a peer; resolves once the connection has ended. */
   private dial(peer: PeerAddress, signal: AbortSignal): Promise<void> {
     const { runtime, retryMs } = this.options;
     const { clock, network } = runtime;
@@ -79,7 +79,7 @@
       const end = () => void connection.destroy();
       const connectTimer = clock.setTimer(end, CONNECT_PERIODS * retryMs);
       const dialledAt = clock.now();
-      // What is sent into a network partition stays unacknowledged: the peer must be dialled again.
+      // A network partition leaves sent data unacknowledged without an error: a silent peer is dialled again.
       const lastReceivedAt = () => Math.max(dialledAt, this.lastReceived(peer.name));
       const silence = detectSilence({ clock, retryMs, lastReceivedAt, onSilent: end });
       signal.addEventListener('abort', end);
@@ -89,10 +89,10 @@
         this.open.set(peer.name, { connection, openedAt: clock.now() });
       });
       connection.on('data', () => {
-        // Nothing is answered on this connection; reading lets its end be seen.
+        // Peers send nothing on this connection; without a reader its end would go unnoticed.
       });
       connection.on('error', () => {
-        // `close` follows, and the peer is dialled again.
+        // A `close` event follows, and the peer is dialled again.
       });
       connection.on('close', () => {
         connectTimer.cancel();
@@ -111,7 +111,7 @@
   }
 }
 
-/** Sends bytes unless too many wait already: no frame has to arrive. */
+/** Sends bytes unless too many are unsent already. Dropping is safe: nothing relies on a frame's arrival. */
 function write(connection: Duplex, bytes: Buffer): void {
   if (connection.writableLength < MAX_BACKLOG_BYTES) connection.write(bytes);
 }
--- a/packages/peer/frame-codec.test.ts
+++ b/packages/peer/frame-codec.test.ts
@@ -33,7 +33,7 @@
   }),
 );
 
-/** Frames, and their bytes in hexadecimal: other versions of the controller read and write the same. */
+/** Frames and their bytes in hexadecimal, which other versions of the controller also read and write. */
 const KNOWN_FRAMES: { frame: Frame; bytes: string }[] = [
   {
     frame: { kind: 'hello', name: 'berth-1' },
@@ -94,14 +94,14 @@
   },
 ];
 
-test('the bytes of peer frames are those that other versions read and write', () => {
+test('peer frames are encoded to and decoded from the bytes that other versions use', () => {
   for (const { frame, bytes } of KNOWN_FRAMES) {
     assert.equal(encodeFrame(frame).toString('hex'), bytes);
     assert.deepEqual(new FrameReader().push(Buffer.from(bytes, 'hex')), [frame]);
   }
 });
 
-test('peer frames survive any cutting of the stream, and garbage is refused', () => {
+test('frames are decoded from chunks of any size, and bytes of another protocol are rejected', () => {
   fc.assert(
     fc.property(fc.array(anyFrame), fc.integer({ min: 1, max: 30 }), (frames, step) => {
       const bytes = Buffer.concat(frames.map(encodeFrame));
--- a/packages/peer/frame-codec.ts
+++ b/packages/peer/frame-codec.ts
@@ -1,18 +1,18 @@
 /**
- * Frames as bytes: u32 length of what follows, u8 kind, payload (payload.ts has the encoding of its
- * fields). Other versions read and write the same bytes.
+ * Encodes and decodes frames. A frame is a u32 length of the remaining bytes, a u8 kind and a payload, whose
+ * field encodings are in payload.ts. Other versions read and write the same bytes.
  */
 import type { CancellationNotice, Frame, StatusFrame } from './frames.js';
 import { BadFrame, PayloadReader, PayloadWriter } from './payload.js';
 
 /** The byte for each kind of frame. */
 const KINDS = { hello: 1, status: 2, cancel: 3, counts: 4 } as const;
-/** Bytes of the length before each frame. */
+/** Size of the length before each frame, in bytes. */
 const LENGTH_PREFIX_BYTES = 4;
-/** Largest frame that is read, without its length. */
+/** Largest frame that is accepted, without its length prefix. */
 const MAX_FRAME_BYTES = 1 << 20;
 
-/** The bytes of a frame, with its length. */
+/** Encodes a frame, including its length prefix. */
 export function encodeFrame(frame: Frame): Buffer {
   const payload = new PayloadWriter().u8(KINDS[frame.kind]);
   writePayload(payload, frame);
@@ -22,12 +22,12 @@
   return Buffer.concat([length, body]);
 }
 
-/** Cuts a byte stream into frames. */
+/** Decodes a byte stream into frames. */
 export class FrameReader {
-  /** Bytes of a frame that is not complete yet. */
+  /** Received bytes of an incomplete frame. */
   private pending: Buffer = Buffer.alloc(0);
 
-  /** The frames that are complete with these bytes; throws BadFrame on what no controller sends. */
+  /** Adds received bytes and returns the frames completed by them; throws BadFrame on malformed input. */
   push(chunk: Buffer): Frame[] {
     this.pending = this.pending.length === 0 ? chunk : Buffer.concat([this.pending, chunk]);
     const frames: Frame[] = [];
@@ -96,7 +96,7 @@
   }
 }
 
-/** Fields are read in the order in which they stand. */
+/** The order of the reads is the order of the fields in the payload. */
 function readStatus(payload: PayloadReader): StatusFrame {
   const incarnation = payload.u64();
   const sequence = payload.u32();
--- a/packages/peer/frames.ts
+++ b/packages/peer/frames.ts
@@ -1,65 +1,65 @@
-/** What controllers tell each other; frame-codec.ts maps it to bytes. */
+/** The frames that controllers exchange; frame-codec.ts encodes and decodes them. */
 
 /** One message from a controller to a peer. */
 export type Frame = HelloFrame | StatusFrame | CancellationFrame | CountsFrame;
 
-/** Who sends on this connection; always the first frame. */
+/** Names the sender on a connection; always the connection's first frame. */
 export interface HelloFrame {
   kind: 'hello';
   name: string;
 }
 
 /**
- * How the sender is served by the state service and what it knows, made for one recipient. Together
- * with `echo` it lets a leader prove that nobody else can lead its shard and that it knows every
- * confirmed cancellation (docs/safety.md, point 7).
+ * The sender's status for one recipient: whether the state service serves the sender, and what the sender
+ * knows. Together with `echo`, it lets a leader prove that no other controller can lead its shard and that the
+ * leader knows every confirmed cancellation (docs/safety.md, point 7).
  */
 export interface StatusFrame {
   kind: 'status';
-  /** Identifies one run of the sender's process; drawn at random when it began. */
+  /** Identifies one run of the sender's process; drawn at random at its start. */
   incarnation: number;
-  /** Rises with every status frame of this incarnation. */
+  /** Increases with every round of status frames of this incarnation. */
   sequence: number;
   /** The newest status frame of the recipient that the sender had read; null before the first. */
   echo: StatusReference | null;
-  /** How long ago the newest request was sent that the state service served; milliseconds. */
+  /** Milliseconds since the sender sent its newest request that the state service served. */
   servedAgoMs: number;
-  /** The newest request whose outcome is known was not served. */
+  /** The state service did not serve the sender's newest request whose outcome is known. */
   refused: boolean;
-  /** All job records were read in this incarnation, so `cancelled` misses none that an earlier one recorded. */
+  /** This incarnation has read all job records, so `cancelled` lacks no record of an earlier incarnation. */
   loaded: boolean;
   /** The sender leads the shard. */
   leading: boolean;
-  /** The sender leads the shard, or a campaign that it sent may still be carried out. */
+  /** The sender leads the shard, or one of the sender's campaigns is in flight and may still succeed. */
   mayLead: boolean;
   /** Newest leader of the shard that the sender has seen; term 0 if none. */
   newestLeader: { term: number; name: string };
-  /** The sender leads the shard, but next to none of its workers can reach it. */
+  /** The sender leads the shard, but hardly any of its workers reach it. */
   unreachable: boolean;
-  /** How many workers' heartbeats lately reached the sender though it is a follower. */
+  /** Number of workers whose heartbeats recently reached the sender while it was a follower. */
   followerHeartbeats: number;
   /** Revision up to which the sender's cache of the jobs is complete. */
   jobsRevision: number;
   /** `cancelled` holds all cancellations known to the sender that are newer than this revision. */
   cancelledSince: number;
-  /** Jobs that are cancelled, or whose cancellation the sender was asked for and may have recorded. */
+  /** Cancelled jobs, and jobs whose cancellation was requested and may have been recorded. */
   cancelled: CancellationNotice[];
 }
 
 /** A cancellation that the sender knows of. */
 export interface CancellationNotice {
   job: string;
-  /** How long ago a user asked for it, as far as the sender knows; 0 if it is recorded. Milliseconds. */
+  /** Milliseconds since the user's request, as far as the sender knows; 0 if the cancellation is recorded. */
   ageMs: number;
 }
 
-/** One status frame among those of its sender. */
+/** Identifies one round of status frames of a sender. */
 export interface StatusReference {
   incarnation: number;
   sequence: number;
 }
 
-/** A user has asked for this cancellation; sent before the record is made. */
+/** A user's cancellation request, sent before the cancellation is recorded. */
 export interface CancellationFrame extends CancellationNotice {
   kind: 'cancel';
 }
--- a/packages/peer/payload.ts
+++ b/packages/peer/payload.ts
@@ -1,18 +1,18 @@
-/** The payload of a frame, field by field. All numbers are big-endian. */
+/** Encodes and decodes the fields of a frame's payload. All numbers are big-endian. */
 
-/** A frame that no controller sends: too large, cut short, or of an unknown kind. */
+/** Thrown for input that violates the peer protocol, such as a truncated frame or an unknown kind. */
 export class BadFrame extends Error {
   override readonly name = 'BadFrame';
 
   constructor(
-    /** What is wrong with it. */
+    /** What is wrong with the frame. */
     readonly reason: string,
   ) {
-    super(`not a frame of a controller: ${reason}`);
+    super(`malformed peer frame: ${reason}`);
   }
 }
 
-/** How u64 holds Infinity. */
+/** The u64 value that encodes Infinity. */
 const INFINITY_U64 = 0xffffffffffffffffn;
 const MAX_U32 = 0xffffffff;
 const FLAGS_PER_BYTE = 8;
@@ -28,7 +28,7 @@
     return this.push(bytes);
   }
 
-  /** An integer of 32 bits; other values become the nearest one. */
+  /** An unsigned integer of 32 bits; other values are rounded and clamped to that range. */
   u32(value: number): this {
     const bytes = Buffer.alloc(4);
     bytes.writeUInt32BE(Math.min(MAX_U32, Math.max(0, Math.round(value))));
@@ -42,7 +42,7 @@
     return this.push(bytes);
   }
 
-  /** UTF-8 after its length in 16 bits. */
+  /** A UTF-8 string after its length in bytes, in 16 bits. */
   text(value: string): this {
     const content = Buffer.from(value, 'utf8');
     const length = Buffer.alloc(2);
@@ -50,19 +50,19 @@
     return this.push(length).push(content);
   }
 
-  /** Bits of one byte, the first flag lowest; eight at the most. */
+  /** Up to eight flags as the bits of one byte; the first flag is the lowest bit. */
   flags(values: readonly boolean[]): this {
     return this.u8(values.reduce((bits, value, i) => bits | (value ? 1 << i : 0), 0));
   }
 
-  /** A count in 32 bits, then each item. */
+  /** The number of items in 32 bits, then each item. */
   list<T>(items: readonly T[], write: (item: T) => void): this {
     this.u32(items.length);
     for (const item of items) write(item);
     return this;
   }
 
-  /** All that was written. */
+  /** All fields written so far. */
   toBuffer(): Buffer {
     return Buffer.concat(this.fields);
   }
@@ -73,9 +73,9 @@
   }
 }
 
-/** Reads a payload in the order in which it was written; throws BadFrame where it is too short. */
+/** Reads fields in the order in which they were written; throws BadFrame if the payload is too short. */
 export class PayloadReader {
-  /** Where the next field begins. */
+  /** Offset of the next field in bytes. */
   private offset = 0;
 
   constructor(private readonly bytes: Buffer) {}
@@ -94,28 +94,29 @@
   u64(): number {
     const value = this.bytes.readBigUInt64BE(this.advance(8));
     if (value === INFINITY_U64) return Infinity;
-    if (value > BigInt(Number.MAX_SAFE_INTEGER)) throw new BadFrame('number too large');
+    if (value > BigInt(Number.MAX_SAFE_INTEGER))
+      throw new BadFrame('number above Number.MAX_SAFE_INTEGER');
     return Number(value);
   }
 
-  /** UTF-8 after its length in 16 bits. */
+  /** A UTF-8 string after its length in bytes, in 16 bits. */
   text(): string {
     const length = this.bytes.readUInt16BE(this.advance(2));
     const from = this.advance(length);
     return this.bytes.toString('utf8', from, from + length);
   }
 
-  /** All bits of one byte, the lowest first. */
+  /** All eight flags of one byte, the lowest bit first. */
   flags(): boolean[] {
     const bits = this.u8();
     return Array.from({ length: FLAGS_PER_BYTE }, (_, i) => (bits & (1 << i)) !== 0);
   }
 
-  /** A count in 32 bits, then each item. */
+  /** The number of items in 32 bits, then each item. */
   list<T>(read: () => T): T[] {
     const count = this.u32();
-    // Each item takes a byte or more, so that a longer list can't be whole.
-    if (count > this.bytes.length - this.offset) throw new BadFrame('list cut short');
+    // Each item takes at least one byte, so a count above the number of remaining bytes is invalid.
+    if (count > this.bytes.length - this.offset) throw new BadFrame('list is truncated');
     const items: T[] = [];
     for (let i = 0; i < count; i++) items.push(read());
     return items;
@@ -123,7 +124,7 @@
 
   private advance(size: number): number {
     const from = this.offset;
-    if (from + size > this.bytes.length) throw new BadFrame('cut short');
+    if (from + size > this.bytes.length) throw new BadFrame('payload is truncated');
     this.offset = from + size;
     return from;
   }
--- a/packages/peer/peer-link.test.ts
+++ b/packages/peer/peer-link.test.ts
@@ -26,7 +26,7 @@
   });
 }
 
-/** A connection whose other end is gone without a sign: it says who it was, and nothing more. */
+/** Opens a connection that sends a hello frame and then neither sends anything nor closes. */
 function openSilentConnection(port: number, name: string): net.Socket {
   const socket = net.connect(port, HOST);
   socket.on('error', () => {});
@@ -34,9 +34,9 @@
   return socket;
 }
 
-test('connections that a network partition left open do not keep a peer out', async () => {
-  // Guards against a controller that accepted no new connection of any peer once such ones had used up all
-  // that it accepts, and that received nothing from then on.
+test('a peer can connect although a network partition left many of its connections open', async () => {
+  // Guards against a controller that receives nothing from any peer, because connections left open have
+  // reached the limit of accepted connections.
   const [portA, portB] = [await findFreePort(), await findFreePort()];
   const stop = new AbortController();
   const linkA = makeLink('a', portA, 'b', portB);
@@ -58,7 +58,7 @@
   await Promise.all([runA, runB]);
 });
 
-test('a connection that the peer does not read is dialled again, unless it is young', async () => {
+test('redial replaces a connection, unless it is younger than the given age', async () => {
   const [port, peerPort] = [await findFreePort(), await findFreePort()];
   const dialled: net.Socket[] = [];
   const peer = net.createServer((socket) => dialled.push(socket)).listen(peerPort, HOST);
--- a/packages/peer/peer-link.ts
+++ b/packages/peer/peer-link.ts
@@ -6,7 +6,7 @@
 import { DialledConnections, type DialOptions, type PeerAddress } from './dialled-connections.js';
 import type { Frame } from './frames.js';
 
-/** What a link needs. */
+/** Dependencies of a `PeerLink`. */
 export interface PeerLinkOptions extends DialOptions {
   /** Where this controller accepts connections. */
   listen: HostPort;
@@ -14,17 +14,18 @@
   peers: PeerAddress[];
 }
 
-/** Connections that are accepted of each controller: the present one and those that it replaces. */
+/** Connections accepted per controller: the current one and those that it replaces. */
 const CONNECTIONS_PER_PEER = 4;
 
 /**
- * Every controller dials every other and sends on its own connection; it receives on those that the
- * others dialled. Frames are hints: nothing durable depends on one that arrives.
+ * Connects this controller with its peers. Every controller dials every other, sends on the connections that it
+ * dialled and receives on those that its peers dialled. Frames are hints: nothing durable depends on their
+ * arrival.
  */
 export class PeerLink {
-  /** Each frame that was received, and the name of its sender. */
+  /** Emits each received frame with the name of its sender. */
   readonly frames = new Subject<{ from: string; frame: Frame }>();
-  /** When each peer was last received from; steady seconds. */
+  /** When data of each peer last arrived, in seconds of the monotonic clock. */
   private readonly lastReceived = new Map<string, number>();
   private readonly dialled: DialledConnections;
   private readonly listener: Listener;
@@ -51,7 +52,7 @@
     this.listener = new Listener(runtime.network, server);
   }
 
-  /** Keeps connections until the signal aborts, then ends all of them; rejects with ListenError. */
+  /** Maintains all connections until the signal aborts, then closes them; rejects with ListenError. */
   async run(signal: AbortSignal): Promise<void> {
     const { listen, peers } = this.options;
     await this.listener.open(listen);
@@ -71,8 +72,9 @@
   }
 
   /**
-   * Dials a peer again that sends to us but has read nothing of ours for so many seconds. A network partition
-   * may have hidden that it closed our connection or restarted; a younger connection may only be slow.
+   * Dials a peer again that sends frames but has read none of this controller's for `unreadS` seconds. A network
+   * partition may have hidden that the peer restarted or closed the connection. A connection younger than
+   * `unreadS` is kept, since it may only be slow.
    */
   redial(peer: string, unreadS: number): void {
     this.dialled.closeIfOlderThan(peer, unreadS);
--- a/packages/peer/silence.ts
+++ b/packages/peer/silence.ts
@@ -1,23 +1,23 @@
-/** Gives up connections on which nothing was received for long. */
+/** Detects connections on which nothing has been received for a long time. */
 import { type Clock, every, type Timer } from '#wire';
 
-/** Retry periods without a byte from a peer after which its connection is given up. */
+/** Retry periods without a byte from a peer after which the peer's connection counts as silent. */
 const MAX_SILENT_PERIODS = 16;
 
-/** Whose silence counts, and what follows. */
+/** Options of `detectSilence`. */
 export interface SilenceOptions {
   clock: Clock;
-  /** Time between two attempts to reach a peer. */
+  /** Milliseconds between two attempts to connect to a peer. */
   retryMs: number;
-  /** When the peer was last received from; steady seconds. */
+  /** When data of the peer last arrived, in seconds of the monotonic clock. */
   lastReceivedAt: () => number;
   /** Called in each retry period while the silence lasts. */
   onSilent: () => void;
 }
 
 /**
- * Acts while nothing was received for long, until it is cancelled: a network partition leaves connections
- * open without an error.
+ * Calls `onSilent` in each retry period while nothing has been received for a long time, until the timer is
+ * cancelled. A network partition leaves connections open without an error.
  */
 export function detectSilence({ clock, retryMs, lastReceivedAt, onSilent }: SilenceOptions): Timer {
   return every(clock, retryMs, () => {
