--- a/packages/controller/cloud/cloud-reconciler.test.ts
+++ b/packages/controller/cloud/cloud-reconciler.test.ts
@@ -117,7 +117,7 @@
 }
 
 test('the provisioning requests of one plan are sent without waiting for answers', async () => {
-  // Guards against provisioning one kind of machine after another: the last machines came seconds late.
+  // Guards against provisioning one kind of machine after another: the last came seconds after the first.
   const counts = [40, 40, 60];
   const kinds = counts.map((count, i) => ({ type: 'std', zone: 'abc'[i], spot: false, count }));
   const calls = 4;
@@ -152,7 +152,7 @@
   await reconciler.run(stop.signal);
   client.close();
   server.close();
-  // The scale-out of 60 machines exceeds the limit of one call and is split into 50 and 10.
+  // The scale-out of 60 machines exceeds the limit of one call and is split into 50 and 10, both of which are requested.
   assert.deepEqual(
     requestedCounts.sort((x, y) => x - y),
     [10, 40, 40, 50],
--- a/packages/controller/cloud/cloud-reconciler.ts
+++ b/packages/controller/cloud/cloud-reconciler.ts
@@ -9,7 +9,7 @@
 import { MachineList } from './machine-list.js';
 import { MachineProvisioner } from './machine-provisioner.js';
 
-/** Heartbeat intervals for which a new leader waits before it plans, unless it found no machines. */
+/** Heartbeat intervals for which a new leader collects heartbeats before it plans, unless it found no machines. */
 const HEARTBEATS_BEFORE_PLAN = 4;
 /** Pause between two steps, as a share of a heartbeat interval. */
 const STEP_PAUSE_SHARE = 1 / 4;
--- a/packages/controller/cloud/machine-list.ts
+++ b/packages/controller/cloud/machine-list.ts
@@ -19,7 +19,7 @@
   heartbeatIntervalS: number;
 }
 
-/** Registers the machines of the cloud's list, which may still show deprovisioned ones for some time. */
+/** Applies the cloud's machine list to the fleet state. The list may still show deprovisioned machines. */
 export class MachineList {
   /** When the last complete list was requested, in seconds of the monotonic clock. */
   private listedAt = -Infinity;
--- a/packages/controller/cloud/machine-provisioner.ts
+++ b/packages/controller/cloud/machine-provisioner.ts
@@ -5,9 +5,9 @@
 import type { Log } from '../observability/log.js';
 import type { CloudAccess } from './cloud-access.js';
 
-/** Time before a kind of machine without capacity is requested again, as a share of its boot time. */
+/** Time before a kind of machine without capacity is requested again, as a share of the type's boot time. */
 const NO_CAPACITY_BOOT_SHARE = 1 / 3;
-/** Maximum calls for one request, repeated if the outcome is unknown or the cloud could not serve it. */
+/** Maximum calls for one request; a call is repeated if its outcome is unknown or the cloud could not serve it. */
 const PROVISION_ATTEMPTS = 4;
 
 /** What a `MachineProvisioner` works on. */
--- a/packages/controller/peers/cancellations.ts
+++ b/packages/controller/peers/cancellations.ts
@@ -55,7 +55,7 @@
 
   /**
    * Adds a request that a peer announced. A known request keeps its age and an expired request is ignored;
-   * otherwise controllers would renew a request in each other for ever. `now` is in seconds of the
+   * otherwise controllers would renew each other's copy of a request for ever. `now` is in seconds of the
    * monotonic clock.
    */
   addFromPeer({ job, ageMs }: CancellationNotice, now: number): void {
--- a/packages/peer/accepted-connections.ts
+++ b/packages/peer/accepted-connections.ts
@@ -67,7 +67,7 @@
     try {
       for (const frame of accepted.reader.push(chunk)) this.handle(accepted, frame);
     } catch {
-      // A live peer dials again and repeats its state.
+      // A peer that still uses the connection dials again and repeats its state.
       accepted.connection.destroy();
     }
   }
