--- a/packages/controller/cloud/cloud-reconciler.test.ts
+++ b/packages/controller/cloud/cloud-reconciler.test.ts
@@ -36,8 +36,8 @@
   }
 }
 
-/** A leader that has read its records long ago, with a planner of its own. */
-function aLeader(
+/** Makes a leader that read its records long ago and uses the given planner. */
+function makeLeader(
   fleet: FleetState,
   planner: Pick<CapacityPlanner, 'plan' | 'scaleOutRefused'>,
 ): ShardLeader {
@@ -46,14 +46,14 @@
   return { fleet, planner, term, ...state, requestRound: () => {} } as unknown as ShardLeader;
 }
 
-/** The requests that a leader with one failed machine and one scale-out sends under these permissions. */
-async function requestsOf(permission: Permission): Promise<string[]> {
+/** Returns the requests of a reconciler with one failed machine and one planned scale-out. */
+async function collectRequests(permission: Permission): Promise<string[]> {
   const stop = new AbortController();
   const cloud = new RecordingCloud();
   const fleet = aFleet();
   fleet.machines.markFailed(aMachine(fleet, 'n-1'));
   let plans = 0;
-  const leader = aLeader(fleet, {
+  const leader = makeLeader(fleet, {
     plan: () => {
       plans++;
       return {
@@ -85,48 +85,48 @@
   return [...new Set(cloud.requests)];
 }
 
-test('only a leader that nobody can have succeeded scales out, and scales in only while the state service serves it', async () => {
-  // Guards against a former leader that provisions a second fleet for the work it takes for lost, and
+test('a leader scales out only if it has no successor, and scales in only if the state service also serves it', async () => {
+  // Guards against a former leader that provisions a second fleet for work that it assumes to be lost, and
   // deprovisions machines that its successor uses.
-  assert.deepEqual(await requestsOf({ scaleOut: false, scaleIn: false }), []);
-  assert.deepEqual(await requestsOf({ scaleOut: true, scaleIn: false }), ['provision']);
-  assert.deepEqual(await requestsOf({ scaleOut: true, scaleIn: true }), [
+  assert.deepEqual(await collectRequests({ scaleOut: false, scaleIn: false }), []);
+  assert.deepEqual(await collectRequests({ scaleOut: true, scaleIn: false }), ['provision']);
+  assert.deepEqual(await collectRequests({ scaleOut: true, scaleIn: true }), [
     'release n-1',
     'provision',
   ]);
 });
 
-/** A cloud without capacity that answers no provisioning request before that many have come. */
-async function aFullCloud(calls: number) {
-  const asked: number[] = [];
-  let answerAll = () => {};
-  const all = new Promise<void>((resolve) => (answerAll = resolve));
+/** Serves a cloud without capacity that answers provisioning requests only once `calls` have arrived. */
+async function serveFullCloud(calls: number) {
+  const requestedCounts: number[] = [];
+  let resolveAllRequested = () => {};
+  const allRequested = new Promise<void>((resolve) => (resolveAllRequested = resolve));
   const server = await serveCbor(
     nodeRuntime,
     FREE_LOOPBACK_PORT,
     async ({ method, path, body }) => {
       if (path === '/catalog') return { status: 200, body: { rigs: [] } };
       if (method === 'GET') return { status: 200, body: { hosts: [], more: false } };
-      asked.push((body as { number: number }).number);
-      if (asked.length === calls) answerAll();
-      await all;
+      requestedCounts.push((body as { number: number }).number);
+      if (requestedCounts.length === calls) resolveAllRequested();
+      await allRequested;
       return { status: 503, body: { error: 'no capacity' } };
     },
   );
-  return { server, asked };
+  return { server, requestedCounts };
 }
 
-test('the provisioning requests of one plan do not wait for the answers to each other', async () => {
-  // Guards against a fleet that is provisioned kind by kind: the last came seconds after the first.
+test('the provisioning requests of one plan are sent without waiting for answers', async () => {
+  // Guards against provisioning one kind of machine after another: the last came seconds after the first.
   const counts = [40, 40, 60];
   const kinds = counts.map((count, i) => ({ type: 'std', zone: 'abc'[i], spot: false, count }));
   const calls = 4;
-  const { server, asked } = await aFullCloud(calls);
+  const { server, requestedCounts } = await serveFullCloud(calls);
   const fleet = aFleet();
   fleet.machines.setType(STD);
   const stop = new AbortController();
   const refused: string[] = [];
-  const leader = aLeader(fleet, {
+  const leader = makeLeader(fleet, {
     plan: () => ({ scaleOut: refused.length === 0 ? kinds : [], scaleIn: [], consolidation: null }),
     scaleOutRefused: ({ zone }) => {
       refused.push(zone);
@@ -152,9 +152,9 @@
   await reconciler.run(stop.signal);
   client.close();
   server.close();
-  // What one call may ask for is bounded, and a full portion is no refusal of the rest.
+  // The scale-out of 60 machines exceeds the limit of one call and is split into 50 and 10, both of which are requested.
   assert.deepEqual(
-    asked.sort((x, y) => x - y),
+    requestedCounts.sort((x, y) => x - y),
     [10, 40, 40, 50],
   );
 });
--- a/packages/peer/frame-codec.ts
+++ b/packages/peer/frame-codec.ts
@@ -1,42 +1,42 @@
 /**
- * Frames as bytes: u32 length of what follows, u8 kind, payload (payload.ts has the encoding of its
- * fields). Other versions read and write the same bytes.
+ * Encodes and decodes frames. A frame is a u32 length of the remaining bytes, a u8 kind and a payload, whose
+ * field encodings are in payload.ts. Other versions read and write the same bytes.
  */
 import type { CancellationNotice, Frame, StatusFrame } from './frames.js';
 import { BadFrame, PayloadReader, PayloadWriter } from './payload.js';
 
 /** The byte for each kind of frame. */
 const KINDS = { hello: 1, status: 2, cancel: 3, counts: 4 } as const;
-/** Bytes of the length before each frame. */
-const LENGTH_BYTES = 4;
-/** Largest frame that is read, without its length. */
+/** Size of the length before each frame, in bytes. */
+const LENGTH_PREFIX_BYTES = 4;
+/** Largest frame that is accepted, without its length prefix. */
 const MAX_FRAME_BYTES = 1 << 20;
 
-/** The bytes of a frame, with its length. */
+/** Encodes a frame, including its length prefix. */
 export function encodeFrame(frame: Frame): Buffer {
   const payload = new PayloadWriter().u8(KINDS[frame.kind]);
   writePayload(payload, frame);
   const body = payload.toBuffer();
-  const length = Buffer.alloc(LENGTH_BYTES);
+  const length = Buffer.alloc(LENGTH_PREFIX_BYTES);
   length.writeUInt32BE(body.length);
   return Buffer.concat([length, body]);
 }
 
-/** Cuts a byte stream into frames. */
+/** Decodes a byte stream into frames. */
 export class FrameReader {
-  /** Bytes of a frame that is not complete yet. */
+  /** Received bytes of an incomplete frame. */
   private pending: Buffer = Buffer.alloc(0);
 
-  /** The frames that are complete with these bytes; throws BadFrame on what no controller sends. */
+  /** Adds received bytes and returns the frames completed by them; throws BadFrame on malformed input. */
   push(chunk: Buffer): Frame[] {
     this.pending = this.pending.length === 0 ? chunk : Buffer.concat([this.pending, chunk]);
     const frames: Frame[] = [];
-    while (this.pending.length >= LENGTH_BYTES) {
+    while (this.pending.length >= LENGTH_PREFIX_BYTES) {
       const length = this.pending.readUInt32BE(0);
       if (length < 1 || length > MAX_FRAME_BYTES) throw new BadFrame(`length of ${length} bytes`);
-      const end = LENGTH_BYTES + length;
+      const end = LENGTH_PREFIX_BYTES + length;
       if (this.pending.length < end) break;
-      frames.push(readFrame(new PayloadReader(this.pending.subarray(LENGTH_BYTES, end))));
+      frames.push(readFrame(new PayloadReader(this.pending.subarray(LENGTH_PREFIX_BYTES, end))));
       this.pending = this.pending.subarray(end);
     }
     return frames;
@@ -96,7 +96,7 @@
   }
 }
 
-/** Fields are read in the order in which they stand. */
+/** The order of the reads is the order of the fields in the payload. */
 function readStatus(payload: PayloadReader): StatusFrame {
   const incarnation = payload.u64();
   const sequence = payload.u32();
