--- a/packages/core/fair-share/best-effort.test.ts
+++ b/packages/core/fair-share/best-effort.test.ts
@@ -13,103 +13,103 @@
 } from '../index.js';
 import { aFleet, aJob, aMachine, STD } from '../../testing/samples.js';
 
-const HOST = { ...NO_QUOTA, guaranteedGpus: 100 };
+const GUARANTEED_QUOTA = { ...NO_QUOTA, guaranteedGpus: 100 };
 const TEAMS = new Map([
-  ['host', HOST],
-  ['guest', NO_QUOTA],
+  ['firm', GUARANTEED_QUOTA],
+  ['best-effort', NO_QUOTA],
 ]);
-const ROUND = {
+const SCHEDULER_SETTINGS = {
   floorWeight: 0.05,
   preemptAfterS: 2,
   gangLeaseS: 20,
   stopThreshold: 0.5,
   decisionsPerRound: 200,
 };
-const GUEST = { team: 'guest', rank: 3, class: 'g', spot: true };
+const BEST_EFFORT = { team: 'best-effort', rank: 3, class: 'g', spot: true };
 
-function aSharedFleet(): FleetState {
+function createFleet(): FleetState {
   return aFleet({ isBestEffort: (job) => isBestEffort(job, TEAMS.get(job.team)) });
 }
 
-function aPlanner(fleet: FleetState): CapacityPlanner {
+function createPlanner(fleet: FleetState): CapacityPlanner {
   const settings = { reserveSigmas: 2, idleHoldS: 60, memoryS: 120 };
   const objectives = [{ class: 'g', kind: 'finished', withinS: 400 }];
   return new CapacityPlanner({ fleet, settings, objectives, teams: TEAMS });
 }
 
-function aScheduler(fleet: FleetState): Scheduler {
-  return new Scheduler(fleet, TEAMS, ROUND);
+function createScheduler(fleet: FleetState): Scheduler {
+  return new Scheduler(fleet, TEAMS, SCHEDULER_SETTINGS);
 }
 
 /** Gives the first `tasks` tasks of the job to the machine, where they run from then on. */
-function run(fleet: FleetState, job: JobState, on: Machine, tasks: number, from: number): void {
+function runTasks(fleet: FleetState, job: JobState, on: Machine, tasks: number, at: number): void {
   for (let index = 0; index < tasks; index++) {
     const attempt = fleet.assignments.newAttempt();
-    const place = fleet.assignments.assign(job, index, on, attempt, from);
-    Object.assign(place, { recorded: true, startSent: true, reportedState: 'running' });
-    place.runningSince = from;
+    const assignment = fleet.assignments.assign(job, index, on, attempt, at);
+    Object.assign(assignment, { recorded: true, startSent: true, reportedState: 'running' });
+    assignment.runningSince = at;
   }
 }
 
 function provisionedCount(fleet: FleetState, now: number): number {
-  return aPlanner(fleet)
+  return createPlanner(fleet)
     .plan(now)
     .scaleOut.reduce((sum, { count }) => sum + count, 0);
 }
 
 test('best-effort tasks leave the processors that free accelerators need', () => {
   // Guards against replicas that wait since small tasks fill the processors beside free accelerators.
-  const fleet = aSharedFleet();
+  const fleet = createFleet();
   const machine = aMachine(fleet, 'n-1');
-  const service = aJob({ id: 'j-1', team: 'host', kind: 'service', cpus: 4, gpus: 2 });
-  run(fleet, fleet.addJob(service, 0, 'accepted', 0), machine, 1, 0);
-  const guest = aJob({ ...GUEST, id: 'j-2', tasks: 40, cpus: 1, gpus: 0, memory: 0.5 });
-  const state = fleet.addJob(guest, 0, 'accepted', 0);
-  aScheduler(fleet).round(1);
+  const service = aJob({ id: 'j-1', team: 'firm', kind: 'service', cpus: 4, gpus: 2 });
+  runTasks(fleet, fleet.addJob(service, 0, 'accepted', 0), machine, 1, 0);
+  const job = aJob({ ...BEST_EFFORT, id: 'j-2', tasks: 40, cpus: 1, gpus: 0, memory: 0.5 });
+  const state = fleet.addJob(job, 0, 'accepted', 0);
+  createScheduler(fleet).round(1);
   // Of 16 processors 4 are used, and 8 belong to the two free accelerators.
   assert.equal(state.assignments.size, 4);
 });
 
 test('small best-effort tasks go to few machines, of those that are likely to stay', () => {
   // Guards against a record to write for every machine when thousands of short tasks come and go.
-  const fleet = aSharedFleet();
-  const used = { steady: 4, steadyToo: 4, half: 2 };
-  Object.entries(used).forEach(([name, gpus], i) => {
-    const service = aJob({ id: `j-${i}`, team: 'host', kind: 'service', gpus, cpus: 2 * gpus });
-    run(fleet, fleet.addJob(service, 0, 'accepted', 0), aMachine(fleet, name), 1, 0);
+  const fleet = createFleet();
+  const gpusInUse = { usedFully: 4, usedFullyToo: 4, usedHalf: 2 };
+  Object.entries(gpusInUse).forEach(([name, gpus], i) => {
+    const service = aJob({ id: `j-${i}`, team: 'firm', kind: 'service', gpus, cpus: 2 * gpus });
+    runTasks(fleet, fleet.addJob(service, 0, 'accepted', 0), aMachine(fleet, name), 1, 0);
   });
   const spot = aMachine(fleet, 'spot', { spot: true });
-  const other = aJob({ id: 'j-8', team: 'host', gpus: 4 });
-  run(fleet, fleet.addJob(other, 0, 'accepted', 0), spot, 1, 0);
-  const guest = aJob({ ...GUEST, id: 'j-9', tasks: 8, cpus: 0.25, gpus: 0, memory: 0.5 });
-  fleet.addJob(guest, 0, 'accepted', 0);
-  aScheduler(fleet).round(1);
-  const tasks = (name: string) => fleet.machines.get(name)!.tasks.size - 1;
-  assert.deepEqual(['steady', 'steadyToo', 'half', 'spot'].map(tasks), [8, 0, 0, 0]);
+  const other = aJob({ id: 'j-8', team: 'firm', gpus: 4 });
+  runTasks(fleet, fleet.addJob(other, 0, 'accepted', 0), spot, 1, 0);
+  const job = aJob({ ...BEST_EFFORT, id: 'j-9', tasks: 8, cpus: 0.25, gpus: 0, memory: 0.5 });
+  fleet.addJob(job, 0, 'accepted', 0);
+  createScheduler(fleet).round(1);
+  const addedTasks = (name: string) => fleet.machines.get(name)!.tasks.size - 1;
+  assert.deepEqual(['usedFully', 'usedFullyToo', 'usedHalf', 'spot'].map(addedTasks), [8, 0, 0, 0]);
 });
 
 test('best-effort work gives way at once, and to firm work only', () => {
-  const fleet = aSharedFleet();
+  const fleet = createFleet();
   const machine = aMachine(fleet, 'n-1');
-  const guest = fleet.addJob(aJob({ ...GUEST, id: 'j-1', tasks: 4 }), 0, 'accepted', 0);
-  run(fleet, guest, machine, 4, 0);
-  const stops = () => [...machine.tasks.values()].filter(({ stop }) => stop !== null).length;
-  fleet.addJob(aJob({ ...GUEST, id: 'j-2' }), 1, 'accepted', 1);
-  aScheduler(fleet).round(1);
-  assert.equal(stops(), 0);
-  fleet.addJob(aJob({ id: 'j-3', team: 'host', rank: 2 }), 1, 'accepted', 1);
-  aScheduler(fleet).round(1);
-  assert.equal(stops(), 1);
+  const job = fleet.addJob(aJob({ ...BEST_EFFORT, id: 'j-1', tasks: 4 }), 0, 'accepted', 0);
+  runTasks(fleet, job, machine, 4, 0);
+  const stopCount = () => [...machine.tasks.values()].filter(({ stop }) => stop !== null).length;
+  fleet.addJob(aJob({ ...BEST_EFFORT, id: 'j-2' }), 1, 'accepted', 1);
+  createScheduler(fleet).round(1);
+  assert.equal(stopCount(), 0);
+  fleet.addJob(aJob({ id: 'j-3', team: 'firm', rank: 2 }), 1, 'accepted', 1);
+  createScheduler(fleet).round(1);
+  assert.equal(stopCount(), 1);
 });
 
 test('starts of best-effort tasks wait for a heartbeat, stops do not', () => {
   // Guards against a call for each few of thousands of short tasks, which took most of a round.
-  const fleet = aSharedFleet();
+  const fleet = createFleet();
   const machine = aMachine(fleet, 'n-1');
   Object.assign(machine, { termConfirmed: true, answeredAt: 1 });
-  const guest = fleet.addJob(aJob({ ...GUEST, id: 'j-1', tasks: 2 }), 0, 'accepted', 0);
-  run(fleet, guest, machine, 1, 0);
-  fleet.assignments.assign(guest, 1, machine, fleet.assignments.newAttempt(), 1).recorded = true;
+  const job = fleet.addJob(aJob({ ...BEST_EFFORT, id: 'j-1', tasks: 2 }), 0, 'accepted', 0);
+  runTasks(fleet, job, machine, 1, 0);
+  fleet.assignments.assign(job, 1, machine, fleet.assignments.newAttempt(), 1).recorded = true;
   assert.deepEqual(fleet.directOrders.nextOrders(machine, 1), []);
   for (const task of machine.tasks.values()) fleet.assignments.stop(task, 0, 1);
   const orders = fleet.directOrders.nextOrders(machine, 1);
@@ -120,61 +120,61 @@
 });
 
 test('a gang is not stopped at its lease end for work of lower rank', () => {
-  // Guards against a guest whose index is near zero and who so would win any gang's machines.
-  const fleet = aSharedFleet();
+  // Guards against a job whose index is near zero and who so would win any gang's machines.
+  const fleet = createFleet();
   const machine = aMachine(fleet, 'n-1');
-  const gang = aJob({ id: 'j-1', team: 'host', kind: 'gang', rank: 1, gpus: 4, checkpointS: 5 });
-  run(fleet, fleet.addJob(gang, 0, 'accepted', 0), machine, 1, 0);
-  fleet.addJob(aJob({ ...GUEST, id: 'j-2' }), 0, 'accepted', 0);
-  aScheduler(fleet).round(100);
+  const gang = aJob({ id: 'j-1', team: 'firm', kind: 'gang', rank: 1, gpus: 4, checkpointS: 5 });
+  runTasks(fleet, fleet.addJob(gang, 0, 'accepted', 0), machine, 1, 0);
+  fleet.addJob(aJob({ ...BEST_EFFORT, id: 'j-2' }), 0, 'accepted', 0);
+  createScheduler(fleet).round(100);
   assert.equal([...machine.tasks.values()][0].stop, null);
 });
 
 test('nothing is provisioned for best-effort work until a job has waited two boots without a task', () => {
-  // Guards against a fleet that grows for a guest: its reserve alone was thousands of tasks.
-  const fleet = aSharedFleet();
-  const planner = aPlanner(fleet);
-  const huge = aJob({ ...GUEST, tasks: 25_000, gpus: 0, cpus: 0.25, memory: 1 });
+  // Guards against a fleet that grows for a job: its reserve alone was thousands of tasks.
+  const fleet = createFleet();
+  const planner = createPlanner(fleet);
+  const huge = aJob({ ...BEST_EFFORT, tasks: 25_000, gpus: 0, cpus: 0.25, memory: 1 });
   planner.jobArrived(huge, 0);
   const state = fleet.addJob(huge, 0, 'accepted', 0);
   assert.deepEqual(planner.plan(2 * STD.bootS - 1).scaleOut, []);
   const [request, ...more] = planner.plan(2 * STD.bootS).scaleOut;
   assert.deepEqual({ ...request, zone: '' }, { type: 'std', zone: '', spot: true, count: 1 });
   assert.deepEqual(more, []);
-  run(fleet, state, aMachine(fleet, 'n-1'), 1, 60);
+  runTasks(fleet, state, aMachine(fleet, 'n-1'), 1, 60);
   assert.equal(provisionedCount(fleet, 300), 0);
 });
 
 test('firm work is planned as if best-effort work were not there', () => {
-  const fleet = aSharedFleet();
-  const guest = fleet.addJob(aJob({ ...GUEST, id: 'j-1', tasks: 4 }), 0, 'accepted', 0);
-  run(fleet, guest, aMachine(fleet, 'n-1'), 4, 0);
-  fleet.addJob(aJob({ id: 'j-2', team: 'host', tasks: 4 }), 1, 'accepted', 1);
+  const fleet = createFleet();
+  const job = fleet.addJob(aJob({ ...BEST_EFFORT, id: 'j-1', tasks: 4 }), 0, 'accepted', 0);
+  runTasks(fleet, job, aMachine(fleet, 'n-1'), 4, 0);
+  fleet.addJob(aJob({ id: 'j-2', team: 'firm', tasks: 4 }), 1, 'accepted', 1);
   assert.equal(provisionedCount(fleet, 1), 0);
 });
 
 test('best-effort work keeps no machine but a spot machine that it uses well', () => {
-  const kept = (spot: boolean, tasks: number) => {
-    const fleet = aSharedFleet();
-    const guest = fleet.addJob(aJob({ ...GUEST, tasks: 4 }), 0, 'accepted', 0);
-    run(fleet, guest, aMachine(fleet, 'n-1', { spot }), tasks, 0);
-    return aPlanner(fleet).plan(61).scaleIn.length === 0;
+  const isKept = (spot: boolean, tasks: number) => {
+    const fleet = createFleet();
+    const job = fleet.addJob(aJob({ ...BEST_EFFORT, tasks: 4 }), 0, 'accepted', 0);
+    runTasks(fleet, job, aMachine(fleet, 'n-1', { spot }), tasks, 0);
+    return createPlanner(fleet).plan(61).scaleIn.length === 0;
   };
-  assert.deepEqual([kept(false, 4), kept(true, 1), kept(true, 2)], [false, false, true]);
+  assert.deepEqual([isKept(false, 4), isKept(true, 1), isKept(true, 2)], [false, false, true]);
 });
 
 test('best-effort tasks do not go from machine to machine for ever', () => {
   // Guards against tasks that never end in a fleet that shrinks: each machine they go to is the next to go.
-  const fleet = aSharedFleet();
+  const fleet = createFleet();
   const machines = ['n-1', 'n-2', 'n-3', 'n-4'].map((name) => aMachine(fleet, name));
   machines.forEach((machine, i) => {
-    const service = aJob({ id: `j-${i}`, team: 'host', kind: 'service', gpus: 4 });
-    run(fleet, fleet.addJob(service, 0, 'accepted', 0), machine, 1, 0);
+    const service = aJob({ id: `j-${i}`, team: 'firm', kind: 'service', gpus: 4 });
+    runTasks(fleet, fleet.addJob(service, 0, 'accepted', 0), machine, 1, 0);
   });
-  const guest = aJob({ ...GUEST, id: 'j-9', gpus: 0, cpus: 0.5, estimateS: 150 });
-  const state = fleet.addJob(guest, 0, 'accepted', 0);
+  const job = aJob({ ...BEST_EFFORT, id: 'j-9', gpus: 0, cpus: 0.5, estimateS: 150 });
+  const state = fleet.addJob(job, 0, 'accepted', 0);
   const isStopped = machines.slice(0, 3).map((machine) => {
-    run(fleet, state, machine, 1, 0);
+    runTasks(fleet, state, machine, 1, 0);
     const task = machine.tasks.get('j-9/0')!;
     beginScaleIn(fleet, machine, 40);
     const { stop } = task;
@@ -185,17 +185,17 @@
 });
 
 test('a little used machine is emptied although best-effort tasks run there', () => {
-  const fleet = aSharedFleet();
+  const fleet = createFleet();
   const machines = [aMachine(fleet, 'n-1'), aMachine(fleet, 'n-2')];
   machines.forEach((machine, i) => {
-    const service = aJob({ id: `j-${i}`, team: 'host', kind: 'service', tasks: 2 });
-    run(fleet, fleet.addJob(service, 0, 'accepted', 0), machine, 1 + i, 0);
+    const service = aJob({ id: `j-${i}`, team: 'firm', kind: 'service', tasks: 2 });
+    runTasks(fleet, fleet.addJob(service, 0, 'accepted', 0), machine, 1 + i, 0);
     machine.images.set('i', 5);
   });
-  const guest = aJob({ ...GUEST, id: 'j-9', tasks: 40, gpus: 0, cpus: 0.5, estimateS: 150 });
-  const state = fleet.addJob(guest, 0, 'accepted', 0);
-  run(fleet, state, machines[0], 6, 0);
-  const { consolidation } = aPlanner(fleet).plan(40);
+  const job = aJob({ ...BEST_EFFORT, id: 'j-9', tasks: 40, gpus: 0, cpus: 0.5, estimateS: 150 });
+  const state = fleet.addJob(job, 0, 'accepted', 0);
+  runTasks(fleet, state, machines[0], 6, 0);
+  const { consolidation } = createPlanner(fleet).plan(40);
   assert.equal(consolidation?.machine, machines[0]);
   startConsolidation(fleet, consolidation, 40);
   assert.ok([...machines[0].tasks.values()].every(({ stop }) => stop !== null));
--- a/packages/core/fair-share/best-effort.ts
+++ b/packages/core/fair-share/best-effort.ts
@@ -7,11 +7,11 @@
 import { hasGuarantee, TeamQuota } from './team-quota.js';
 
 /** Share of a machine's record that best-effort tasks may fill, so that firm work never lacks an entry. */
-const RECORD_SHARE = 3 / 4;
+const MAX_RECORD_FILL = 3 / 4;
 /** Boot times without any task after which a best-effort job may use all free capacity. */
-const ANY_CAPACITY_AFTER_BOOTS = 1;
+const ANY_CAPACITY_AFTER_BOOT_TIMES = 1;
 /** Boot times without any task after which a machine may be provisioned for the job. */
-const SCALE_OUT_AFTER_BOOTS = 2;
+const SCALE_OUT_AFTER_BOOT_TIMES = 2;
 
 /**
  * Whether the job is best-effort: of the lowest rank, and its team has no guarantee. It gives way at once
@@ -36,7 +36,7 @@
   type: MachineType,
   now: number,
 ): boolean {
-  if (machine.recordBytes >= fleet.settings.machineRecordBytes * RECORD_SHARE) return false;
+  if (machine.recordBytes >= fleet.settings.machineRecordBytes * MAX_RECORD_FILL) return false;
   return leavesCapacityForGpus(job.spec, machine, type) || mayUseAnyCapacity(fleet, job, now);
 }
 
@@ -52,21 +52,21 @@
 
 /** Whether the job has waited so long without any task that it need not leave capacity for accelerators. */
 export function mayUseAnyCapacity(fleet: FleetData, job: JobState, now: number): boolean {
-  return hasStarvedFor(fleet, job, ANY_CAPACITY_AFTER_BOOTS, now);
+  return hasStarvedFor(fleet, job, ANY_CAPACITY_AFTER_BOOT_TIMES, now);
 }
 
 /** Whether the job has waited so long without any task that a machine may be provisioned for it. */
 export function mayScaleOutFor(fleet: FleetData, job: JobState, now: number): boolean {
-  return hasStarvedFor(fleet, job, SCALE_OUT_AFTER_BOOTS, now);
+  return hasStarvedFor(fleet, job, SCALE_OUT_AFTER_BOOT_TIMES, now);
 }
 
 function hasStarvedFor(
   { machines }: FleetData,
   job: JobState,
-  boots: number,
+  bootTimes: number,
   now: number,
 ): boolean {
-  return job.assignments.size === 0 && now - job.waitingSince >= boots * machines.shortestBootS;
+  return job.assignments.size === 0 && now - job.waitingSince >= bootTimes * machines.shortestBootS;
 }
 
 /**
@@ -80,6 +80,6 @@
   now: number,
 ): boolean {
   if (spec.kind === 'service' || runningSince === null) return false;
-  const restS = spec.estimateS - (now - runningSince);
-  return restS <= Math.min(spec.estimateS / 2, machines.shortestBootS);
+  const remainingS = spec.estimateS - (now - runningSince);
+  return remainingS <= Math.min(spec.estimateS / 2, machines.shortestBootS);
 }
--- a/packages/core/fair-share/precedence-tiers.ts
+++ b/packages/core/fair-share/precedence-tiers.ts
@@ -38,7 +38,7 @@
 }
 
 class TierBuilder {
-  private readonly byNumber = new Map<number, PrecedenceTier>();
+  private readonly byPrecedence = new Map<number, PrecedenceTier>();
 
   constructor(
     private readonly isSkipped: JobFilter,
@@ -69,15 +69,15 @@
 
   /** The tiers that have jobs, highest precedence first. */
   build(): PrecedenceTier[] {
-    return [...this.byNumber].sort(([a], [b]) => a - b).map(([, tier]) => tier);
+    return [...this.byPrecedence].sort(([a], [b]) => a - b).map(([, tier]) => tier);
   }
 
-  private enqueue(number: number, bucket: WaitingBucket, isSkipped: JobFilter): void {
+  private enqueue(precedence: number, bucket: WaitingBucket, isSkipped: JobFilter): void {
     const { team } = bucket.sample;
-    let tier = this.byNumber.get(number);
+    let tier = this.byPrecedence.get(precedence);
     if (!tier) {
       tier = { isBestEffort: bucket.isBestEffort, queues: [] };
-      this.byNumber.set(number, tier);
+      this.byPrecedence.set(precedence, tier);
     }
     let queue = tier.queues.find((each) => each.team === team);
     if (!queue) tier.queues.push((queue = new TeamQueue(team, this.now)));
--- a/packages/core/fair-share/service-counter.ts
+++ b/packages/core/fair-share/service-counter.ts
@@ -1,7 +1,7 @@
 /** Service: the share of the fleet that a team or a job has received over time. */
 
 /** Rates are sums of decimal numbers; what is below this is rounding. */
-const ROUNDING = 1e-12;
+const RATE_TOLERANCE = 1e-12;
 
 /**
  * Service received, decayed by half-life: an integral of a rate that changes only at known moments,
@@ -22,8 +22,8 @@
   /** Fleet-share seconds received up to `now`, older ones counting less. */
   read(now: number): number {
     const elapsedS = Math.max(0, now - this.valueAt);
-    const kept = Math.pow(2, -elapsedS / this.halfLifeS);
-    return this.value * kept + this.rate * (this.halfLifeS / Math.LN2) * (1 - kept);
+    const decay = Math.pow(2, -elapsedS / this.halfLifeS);
+    return this.value * decay + this.rate * (this.halfLifeS / Math.LN2) * (1 - decay);
   }
 
   /** Adds an amount of service, in fleet-share seconds, at once. */
@@ -36,7 +36,7 @@
    * A key by which counters that receive nothing at present sort as by `read` at any time, since all of
    * them decay alike. -Infinity if nothing was ever received.
    */
-  idleOrder(): number {
+  idleSortKey(): number {
     return this.value === 0 ? -Infinity : Math.log2(this.value) + this.valueAt / this.halfLifeS;
   }
 
@@ -45,6 +45,6 @@
     this.value = this.read(now);
     this.valueAt = Math.max(this.valueAt, now);
     const rate = this.rate + share;
-    this.rate = rate < ROUNDING ? 0 : rate;
+    this.rate = rate < RATE_TOLERANCE ? 0 : rate;
   }
 }
--- a/packages/core/fair-share/team-queue.ts
+++ b/packages/core/fair-share/team-queue.ts
@@ -4,7 +4,7 @@
 import type { WaitingBucket } from './waiting-bucket.js';
 
 /** A job whose turn may come, and the service that it has received. */
-interface RankedJob {
+interface JobWithService {
   job: JobState;
   service: number;
 }
@@ -14,7 +14,7 @@
 
 /** Iterates over the jobs of a bucket, least served first, while tasks of them are placed. */
 class BucketCursor {
-  private readonly active: RankedJob[];
+  private readonly active: JobWithService[];
   private nextActive = 0;
   private nextIdle = 0;
 
@@ -23,20 +23,20 @@
     private readonly isSkipped: JobFilter,
     private readonly now: number,
   ) {
-    this.active = [...bucket.active].map((job) => this.ranked(job)).sort(compareRanked);
+    this.active = [...bucket.active].map((job) => this.withService(job)).sort(compareByService);
   }
 
   /** The next job, or null if there is none. */
-  peek(): RankedJob | null {
+  peek(): JobWithService | null {
     const { idle } = this.bucket;
     while (this.nextActive < this.active.length && this.isSkipped(this.active[this.nextActive].job))
       this.nextActive++;
     while (this.nextIdle < idle.length && this.isSkipped(idle[this.nextIdle].job)) this.nextIdle++;
     const active = this.active.at(this.nextActive) ?? null;
     const next = idle.at(this.nextIdle);
-    const idleJob = next ? this.ranked(next.job) : null;
+    const idleJob = next ? this.withService(next.job) : null;
     if (active === null || idleJob === null) return active ?? idleJob;
-    return compareRanked(active, idleJob) <= 0 ? active : idleJob;
+    return compareByService(active, idleJob) <= 0 ? active : idleJob;
   }
 
   /** Goes past a job that has had its turn. One whose first task was placed has left the idle jobs already. */
@@ -46,7 +46,7 @@
   }
 
   /** What is placed at `now` does not change the service read for `now`. */
-  private ranked(job: JobState): RankedJob {
+  private withService(job: JobState): JobWithService {
     return { job, service: job.service.read(this.now) };
   }
 }
@@ -92,11 +92,11 @@
   }
 
   private next(): QueueHead | null {
-    let first: RankedJob | null = null;
+    let first: JobWithService | null = null;
     let from: BucketCursor | null = null;
     for (const cursor of this.cursors) {
       const head = cursor.peek();
-      if (head === null || (first !== null && compareRanked(first, head) <= 0)) continue;
+      if (head === null || (first !== null && compareByService(first, head) <= 0)) continue;
       first = head;
       from = cursor;
     }
@@ -104,6 +104,6 @@
   }
 }
 
-function compareRanked(a: RankedJob, b: RankedJob): number {
+function compareByService(a: JobWithService, b: JobWithService): number {
   return a.service - b.service || byAge(a.job, b.job);
 }
--- a/packages/core/fair-share/waiting-bucket.ts
+++ b/packages/core/fair-share/waiting-bucket.ts
@@ -8,8 +8,8 @@
 /** A job that has no task anywhere. Its position among such jobs never changes, as all service decays alike. */
 interface IdleEntry {
   job: JobState;
-  /** See `ServiceCounter.idleOrder`. */
-  service: number;
+  /** See `ServiceCounter.idleSortKey`. */
+  sortKey: number;
 }
 
 /**
@@ -69,7 +69,7 @@
   }
 
   /** To be called when a task of the job was assigned, or its assignment has ended. */
-  placesChanged(job: JobState): void {
+  assignmentsChanged(job: JobState): void {
     if (job.assignments.size > 0 === this.active.has(job)) return;
     this.remove(job);
     this.add(job);
@@ -83,20 +83,20 @@
 
   /** Jobs that have never received service, the oldest first. */
   *neverServed(): Generator<JobState, undefined> {
-    for (const { job, service } of this.idle) {
-      if (service !== -Infinity) return;
+    for (const { job, sortKey } of this.idle) {
+      if (sortKey !== -Infinity) return;
       yield job;
     }
   }
 
   /** The jobs that `neverServed` leaves out, in no order. */
   served(): JobState[] {
-    const firstServed = this.firstFrom((entry) => entry.service !== -Infinity);
+    const firstServed = this.firstIndexWhere((entry) => entry.sortKey !== -Infinity);
     return [...this.idle.slice(firstServed).map(({ job }) => job), ...this.active];
   }
 
   private addIdle(job: JobState): void {
-    const entry = { job, service: job.service.idleOrder() };
+    const entry = { job, sortKey: job.service.idleSortKey() };
     this.entries.set(job, entry);
     this.idle.splice(this.positionOf(entry), 0, entry);
   }
@@ -110,16 +110,16 @@
 
   /** Where the entry is or belongs. */
   private positionOf(entry: IdleEntry): number {
-    return this.firstFrom((other) => compareIdle(other, entry) >= 0);
+    return this.firstIndexWhere((other) => compareIdle(other, entry) >= 0);
   }
 
-  /** Index of the first entry for which `isFrom` is true; it must be true for all after it, too. */
-  private firstFrom(isFrom: (entry: IdleEntry) => boolean): number {
+  /** Index of the first entry for which `predicate` is true; it must be true for all after it, too. */
+  private firstIndexWhere(predicate: (entry: IdleEntry) => boolean): number {
     let low = 0;
     let high = this.idle.length;
     while (low < high) {
       const middle = (low + high) >> 1;
-      if (isFrom(this.idle[middle])) high = middle;
+      if (predicate(this.idle[middle])) high = middle;
       else low = middle + 1;
     }
     return low;
@@ -127,6 +127,6 @@
 }
 
 function compareIdle(a: IdleEntry, b: IdleEntry): number {
-  if (a.service !== b.service) return a.service < b.service ? -1 : 1;
+  if (a.sortKey !== b.sortKey) return a.sortKey < b.sortKey ? -1 : 1;
   return byAge(a.job, b.job);
 }
--- a/packages/core/fair-share/waiting-jobs.ts
+++ b/packages/core/fair-share/waiting-jobs.ts
@@ -10,7 +10,7 @@
   readonly gangs = new Set<JobState>();
   private readonly bucketOf = new Map<JobState, WaitingBucket>();
   private readonly byKey = new Map<string, WaitingBucket>();
-  private joined = 0;
+  private lastWaitingOrder = 0;
 
   /** Number of jobs. */
   get size(): number {
@@ -39,7 +39,7 @@
 
   /** Adds a job that has begun to wait. */
   add(job: JobState): void {
-    if (!this.bucketOf.has(job)) this.enqueue(job, ++this.joined);
+    if (!this.bucketOf.has(job)) this.enqueue(job, ++this.lastWaitingOrder);
   }
 
   private enqueue(job: JobState, waitingOrder: number): void {
@@ -73,7 +73,7 @@
 
   /** To be called when a task of the job was assigned, or its assignment has ended. */
   placesChanged(job: JobState): void {
-    this.bucketOf.get(job)?.placesChanged(job);
+    this.bucketOf.get(job)?.assignmentsChanged(job);
   }
 }
 
--- a/packages/core/preemption/preemption.test.ts
+++ b/packages/core/preemption/preemption.test.ts
@@ -5,12 +5,17 @@
 import { Scheduler } from '../placement/scheduler.js';
 
 /** Three machines full of running work of the lowest rank, and who may stop it. */
-function fullFleet() {
+function createFullFleet() {
   const fleet = aFleet();
   const machines = ['n-1', 'n-2', 'n-3'].map((name) => aMachine(fleet, name));
-  const low = fleet.addJob(aJob({ id: 'j-1', rank: 3, tasks: 3, gpus: 4 }), 0, 'accepted', 0);
+  const lowRankJob = fleet.addJob(
+    aJob({ id: 'j-1', rank: 3, tasks: 3, gpus: 4 }),
+    0,
+    'accepted',
+    0,
+  );
   machines.forEach((machine, i) => {
-    const assignment = fleet.assignments.assign(low, i, machine, i + 1, 0);
+    const assignment = fleet.assignments.assign(lowRankJob, i, machine, i + 1, 0);
     assignment.recorded = assignment.startSent = true;
     assignment.reportedState = 'running';
     assignment.runningSince = 0;
@@ -22,14 +27,14 @@
     preemptAfterS: 2,
     decisionsPerRound: 100,
   });
-  const stopping = () =>
+  const stoppingTasks = () =>
     machines.flatMap(({ tasks }) => [...tasks.values()].filter(({ stop }) => stop));
-  return { fleet, scheduler, stopping };
+  return { fleet, scheduler, stopping: stoppingTasks };
 }
 
 test('work is stopped once for a waiting task, not again while the capacity is coming free', () => {
   // Guards against stopping work on one machine after another while the first stop takes effect.
-  const { fleet, scheduler, stopping } = fullFleet();
+  const { fleet, scheduler, stopping } = createFullFleet();
   fleet.addJob(aJob({ id: 'j-2', rank: 1, gpus: 4 }), 100, 'accepted', 100);
   scheduler.round(101);
   assert.equal(stopping().length, 0, 'not before it has waited');
@@ -40,7 +45,7 @@
 test('capacity that was made and taken does not count as coming free for the rest of the job', () => {
   // Guards against replicas of one job that start one by one, each only when the hold
   // of the capacity before has run out.
-  const { fleet, scheduler, stopping } = fullFleet();
+  const { fleet, scheduler, stopping } = createFullFleet();
   const job = fleet.addJob(aJob({ id: 'j-2', rank: 1, tasks: 2, gpus: 4 }), 100, 'accepted', 100);
   scheduler.round(103);
   const [first] = stopping();
@@ -58,12 +63,12 @@
 
 test('a job that is excluded from the only machine with victims does not block others', () => {
   // Guards against work that waits for as long as an older job of the same needs is excluded from a machine.
-  const { fleet, scheduler, stopping } = fullFleet();
+  const { fleet, scheduler, stopping } = createFullFleet();
   for (const name of ['n-2', 'n-3']) fleet.machines.drain(fleet.machines.get(name)!);
-  const own = { rank: 1, gpus: 4 };
-  const excluded = fleet.addJob(aJob({ ...own, id: 'j-2' }), 99, 'accepted', 99);
+  const requirements = { rank: 1, gpus: 4 };
+  const excluded = fleet.addJob(aJob({ ...requirements, id: 'j-2' }), 99, 'accepted', 99);
   Object.assign(excluded.failures, { attempts: 1, countedAt: 99, machines: new Set(['n-1']) });
-  fleet.addJob(aJob({ ...own, id: 'j-3' }), 100, 'accepted', 100);
+  fleet.addJob(aJob({ ...requirements, id: 'j-3' }), 100, 'accepted', 100);
   scheduler.round(103);
   assert.deepEqual(
     stopping().map(({ machine }) => [machine.name, machine.capacityHold?.job.spec.id]),
--- a/packages/core/preemption/preemption.ts
+++ b/packages/core/preemption/preemption.ts
@@ -105,7 +105,7 @@
     if (blocked === undefined) return false;
     return (
       blocked.has(job.spec, job.rank, 'firm') ||
-      blocked.has(job.spec, job.rank, this.access(job, round.now))
+      blocked.has(job.spec, job.rank, this.accessOf(job, round.now))
     );
   }
 
@@ -122,7 +122,7 @@
   /** Spares the jobs after it that need as much the same search. */
   private recordBlocked(job: JobState, round: PreemptionRound): void {
     if (!mayBlockShape(job)) return;
-    this.blockedShapesOf(job, round)?.add(job.spec, job.rank, this.access(job, round.now));
+    this.blockedShapesOf(job, round)?.add(job.spec, job.rank, this.accessOf(job, round.now));
   }
 
   private blockedShapesOf(job: JobState, { blocked }: PreemptionRound): BlockedShapes | undefined {
@@ -130,7 +130,7 @@
     return bucket && blocked.get(bucket);
   }
 
-  private access(job: JobState, now: number): CapacityAccess {
+  private accessOf(job: JobState, now: number): CapacityAccess {
     return this.rules.mayPreemptFirmWork(job, now) ? 'firm' : 'best-effort';
   }
 
--- a/packages/core/preemption/victim-selection.ts
+++ b/packages/core/preemption/victim-selection.ts
@@ -44,11 +44,11 @@
   ): Victims[] | null {
     const excluded = new Set(stopping);
     const selected: Victims[] = [];
-    const free = this.freeForMembers(job, now);
+    const freeMachines = this.freeMachinesForMembers(job, now);
     const sameZone = job.replicas?.sameZone ?? false;
-    let zone = sameZone ? (free.at(0)?.zone ?? null) : null;
-    const lacking = membersOf(job) - held - free.length;
-    for (let left = Math.max(1, lacking); left > 0; left--) {
+    let zone = sameZone ? (freeMachines.at(0)?.zone ?? null) : null;
+    const missing = membersOf(job) - held - freeMachines.length;
+    for (let remaining = Math.max(1, missing); remaining > 0; remaining--) {
       const victims = this.cheapestVictims(job, excluded, zone, now);
       if (victims === null) return null;
       if (sameZone) zone = victims.machine.zone;
@@ -59,7 +59,7 @@
   }
 
   /** Machines with free capacity for as many members of a replica as possible; none for other jobs. */
-  private freeForMembers(job: JobState, now: number): Machine[] {
+  private freeMachinesForMembers(job: JobState, now: number): Machine[] {
     if (job.replicas === null) return [];
     const candidates = new PlacementCandidates(this.fleet, now);
     for (let tasks = job.replicas.members - 1; tasks > 0; tasks--) {
--- a/packages/dependencies/dependency-graph.test.ts
+++ b/packages/dependencies/dependency-graph.test.ts
@@ -3,16 +3,16 @@
 import fc from 'fast-check';
 import { SEEDED } from '../testing/generators.js';
 import { DependencyGraph, type DependencyChange, type Outcome } from './dependency-graph.js';
-import { mostUrgent, type Urgency } from './urgency.js';
+import { combineUrgency, type Urgency } from './urgency.js';
 
 interface SampleJob {
   id: string;
   dependencies: string[];
-  own: Urgency;
+  ownUrgency: Urgency;
 }
 
 /** Records as a controller reads them, and a graph that records them. */
-class Records {
+class RecordedJobs {
   readonly jobs = new Map<string, SampleJob>();
   /** By their own records, and those that are cancelled with others as the graph said. */
   readonly outcomes = new Map<string, Outcome>();
@@ -20,7 +20,7 @@
   readonly urgencies = new Map<string, Urgency>();
   readonly graph = new DependencyGraph({
     outcomeOf: (id) => this.outcomes.get(id) ?? null,
-    urgencyOf: (id) => (this.outcomes.has(id) ? null : (this.jobs.get(id)?.own ?? null)),
+    urgencyOf: (id) => (this.outcomes.has(id) ? null : (this.jobs.get(id)?.ownUrgency ?? null)),
   });
 
   accept(job: SampleJob): void {
@@ -45,33 +45,39 @@
   }
 }
 
-function aJob(id: string, dependencies: string[] = [], rank = 3, dueAtMs = Infinity): SampleJob {
-  return { id, dependencies, own: { rank, dueAtMs } };
+function newJob(id: string, dependencies: string[] = [], rank = 3, dueAtMs = Infinity): SampleJob {
+  return { id, dependencies, ownUrgency: { rank, dueAtMs } };
 }
 
 /** The same by going through all jobs. */
-function isCancelled(jobs: Map<string, SampleJob>, own: Map<string, Outcome>, id: string): boolean {
-  if (own.has(id)) return own.get(id) === 'cancelled';
+function isCancelledByScan(
+  jobs: Map<string, SampleJob>,
+  outcomes: Map<string, Outcome>,
+  id: string,
+): boolean {
+  if (outcomes.has(id)) return outcomes.get(id) === 'cancelled';
   return (
-    jobs.get(id)?.dependencies.some((dependency) => isCancelled(jobs, own, dependency)) ?? false
+    jobs
+      .get(id)
+      ?.dependencies.some((dependency) => isCancelledByScan(jobs, outcomes, dependency)) ?? false
   );
 }
 
-function urgencyOf(
+function urgencyByScan(
   jobs: Map<string, SampleJob>,
   isOver: (id: string) => boolean,
   id: string,
 ): Urgency {
-  let urgency = jobs.get(id)!.own;
+  let urgency = jobs.get(id)!.ownUrgency;
   for (const { id: other, dependencies } of jobs.values()) {
     if (!dependencies.includes(id) || isOver(other)) continue;
-    urgency = mostUrgent(urgency, urgencyOf(jobs, isOver, other));
+    urgency = combineUrgency(urgency, urgencyByScan(jobs, isOver, other));
   }
   return urgency;
 }
 
 test('what follows for each job is the same as by going through all jobs, in whatever order they become known', () => {
-  const anyPlan = fc.record({
+  const anyHistory = fc.record({
     jobs: fc.array(
       fc.record({
         dependencies: fc.array(fc.nat(20), { maxLength: 3 }),
@@ -83,13 +89,13 @@
     ends: fc.array(fc.record({ job: fc.nat(11), isDone: fc.boolean() }), { maxLength: 12 }),
     order: fc.array(fc.nat(1000), { minLength: 24, maxLength: 24 }),
   });
-  let cancelledWithOthers = 0;
+  let indirectCancellations = 0;
   let waiting = 0;
   fc.assert(
-    fc.property(anyPlan, ({ jobs: plans, ends, order }) => {
+    fc.property(anyHistory, ({ jobs: plans, ends, order }) => {
       const all = plans.map(({ dependencies, rank, dueAtMs }, number) => {
         const earlier = number === 0 ? [] : [...new Set(dependencies.map((each) => each % number))];
-        return aJob(
+        return newJob(
           `j-${number}`,
           earlier.map((each) => `j-${each}`),
           rank,
@@ -98,46 +104,46 @@
       });
       const jobs = new Map(all.map((job) => [job.id, job]));
       // Only a job without open dependencies can be done, and nothing ends twice.
-      const own = new Map<string, Outcome>();
+      const outcomes = new Map<string, Outcome>();
       for (const { job: number, isDone } of ends) {
         const job = all.at(number);
-        if (!job || own.has(job.id) || isCancelled(jobs, own, job.id)) continue;
-        const isReady = job.dependencies.every((dependency) => own.get(dependency) === 'done');
-        if (!isDone || isReady) own.set(job.id, isDone ? 'done' : 'cancelled');
+        if (!job || outcomes.has(job.id) || isCancelledByScan(jobs, outcomes, job.id)) continue;
+        const isReady = job.dependencies.every((dependency) => outcomes.get(dependency) === 'done');
+        if (!isDone || isReady) outcomes.set(job.id, isDone ? 'done' : 'cancelled');
       }
       // Each record is read once as it is now, or first as accepted and later as it ended.
-      const records = new Records();
+      const records = new RecordedJobs();
       const events = all.flatMap((job, number) => {
-        const ended = own.get(job.id);
+        const ended = outcomes.get(job.id);
         const accept = { at: order[number], run: () => records.accept(job) };
         if (ended === undefined) return [accept];
         const end = { at: order[number + 12], run: () => records.end(job.id, ended) };
         return order[number] % 2 === 0 ? [accept, end] : [end];
       });
       for (const { run } of events.sort((one, other) => one.at - other.at)) run();
-      const isOver = (id: string) => own.has(id) || isCancelled(jobs, own, id);
+      const isOver = (id: string) => outcomes.has(id) || isCancelledByScan(jobs, outcomes, id);
       for (const { id, dependencies } of all) {
-        const expected = isCancelled(jobs, own, id) ? 'cancelled' : own.get(id);
+        const expected = isCancelledByScan(jobs, outcomes, id) ? 'cancelled' : outcomes.get(id);
         assert.equal(records.outcomes.get(id), expected, id);
         if (isOver(id)) {
-          if (!own.has(id)) cancelledWithOthers++;
+          if (!outcomes.has(id)) indirectCancellations++;
           continue;
         }
-        const isWaiting = dependencies.some((dependency) => own.get(dependency) !== 'done');
+        const isWaiting = dependencies.some((dependency) => outcomes.get(dependency) !== 'done');
         if (isWaiting) waiting++;
         assert.equal(records.graph.hasOpenDependencies(id), isWaiting, id);
-        assert.deepEqual(records.graph.urgencyOf(id), urgencyOf(jobs, isOver, id), id);
+        assert.deepEqual(records.graph.urgencyOf(id), urgencyByScan(jobs, isOver, id), id);
         assert.deepEqual(records.urgencies.get(id), records.graph.urgencyOf(id), `${id} was told`);
       }
     }),
     SEEDED,
   );
-  assert.ok(cancelledWithOthers > 50 && waiting > 100, `${cancelledWithOthers}, ${waiting}`);
+  assert.ok(indirectCancellations > 50 && waiting > 100, `${indirectCancellations}, ${waiting}`);
 });
 
 test('a job is startable once, when the last of its dependencies is done', () => {
-  const records = new Records();
-  for (const job of [aJob('a'), aJob('b'), aJob('c', ['a', 'b'])]) records.accept(job);
+  const records = new RecordedJobs();
+  for (const job of [newJob('a'), newJob('b'), newJob('c', ['a', 'b'])]) records.accept(job);
   assert.deepEqual(records.graph.openDependencies('c'), ['a', 'b']);
   records.end('b', 'done');
   assert.ok(records.graph.hasOpenDependencies('c'));
@@ -148,28 +154,33 @@
 });
 
 test('a cancellation reaches a chain of a thousand, and what a cancelled job made urgent is so no longer', () => {
-  const records = new Records();
-  records.accept(aJob('first', [], 3));
-  let before = 'first';
+  const records = new RecordedJobs();
+  records.accept(newJob('first', [], 3));
+  let previous = 'first';
   for (let number = 0; number < 1000; number++) {
     const id = `c-${number}`;
-    records.accept(aJob(id, [before], number === 999 ? 0 : 2, 500));
-    before = id;
+    records.accept(newJob(id, [previous], number === 999 ? 0 : 2, 500));
+    previous = id;
   }
   assert.deepEqual(records.urgencies.get('first'), { rank: 0, dueAtMs: 500 });
   records.end('c-500', 'cancelled');
   assert.equal(records.outcomes.get('c-999'), 'cancelled');
   assert.equal(records.outcomes.get('c-499'), undefined);
   assert.deepEqual(records.urgencies.get('first'), { rank: 2, dueAtMs: 500 });
-  records.accept(aJob('late', ['c-700']));
+  records.accept(newJob('late', ['c-700']));
   assert.equal(records.outcomes.get('late'), 'cancelled');
   records.end('first', 'done');
   assert.deepEqual(records.startable, ['c-0']);
 });
 
 test('a diamond waits for both sides and is cancelled once', () => {
-  const records = new Records();
-  for (const job of [aJob('a'), aJob('b', ['a']), aJob('c', ['a']), aJob('d', ['b', 'c'], 1)])
+  const records = new RecordedJobs();
+  for (const job of [
+    newJob('a'),
+    newJob('b', ['a']),
+    newJob('c', ['a']),
+    newJob('d', ['b', 'c'], 1),
+  ])
     records.accept(job);
   assert.equal(records.urgencies.get('a')?.rank, 1);
   records.end('a', 'done');
@@ -181,11 +192,11 @@
 });
 
 test('nothing is kept of jobs that have neither dependencies nor dependents', () => {
-  const records = new Records();
-  const job = aJob('a');
+  const records = new RecordedJobs();
+  const job = newJob('a');
   records.accept(job);
   assert.deepEqual(records.graph.recordEnded('a', 'done'), []);
-  for (const each of [aJob('b'), aJob('c', ['b'])]) records.accept(each);
+  for (const each of [newJob('b'), newJob('c', ['b'])]) records.accept(each);
   records.end('b', 'done');
   records.end('c', 'done');
   assert.deepEqual(
--- a/packages/dependencies/dependency-graph.ts
+++ b/packages/dependencies/dependency-graph.ts
@@ -2,7 +2,7 @@
  * The DAG of jobs and their dependencies. Whether a job may start or is cancelled, and how urgent it is, follows from
  * the durable records of its dependencies and dependents, whatever the order in which they are read.
  */
-import { isSameUrgency, mostUrgent, type Urgency } from './urgency.js';
+import { isSameUrgency, combineUrgency, type Urgency } from './urgency.js';
 
 /** How a job ended. */
 export type Outcome = 'done' | 'cancelled';
@@ -70,7 +70,7 @@
     if (known === undefined && open.length === 0) return [];
     const node = known ?? this.add(id);
     // Its dependents may have become known before it.
-    node.urgency = mostUrgent(node.urgency, this.jobs.urgencyOf(id) ?? NOT_URGENT);
+    node.urgency = combineUrgency(node.urgency, this.jobs.urgencyOf(id) ?? NOT_URGENT);
     for (const dependency of open) this.link(node, dependency);
     return this.raiseDependencies(node);
   }
@@ -95,8 +95,8 @@
   }
 
   /** Cancels all its dependents, direct or not. */
-  private recordCancelled(first: Node): DependencyChange[] {
-    const removed = new Set([first]);
+  private recordCancelled(cancelled: Node): DependencyChange[] {
+    const removed = new Set([cancelled]);
     // A set that grows while it is iterated yields what was added, too.
     for (const node of removed) for (const dependent of node.dependents) removed.add(dependent);
     const remaining = new Set<Node>();
@@ -106,7 +106,7 @@
       }
       this.remove(node);
     }
-    removed.delete(first);
+    removed.delete(cancelled);
     const changes = [...removed].map(({ id }) => ({ kind: 'cancelled', job: id }) as const);
     return [...changes, ...this.recomputeUrgency(remaining)];
   }
@@ -137,32 +137,32 @@
   }
 
   /** Makes all dependencies of the job, direct or not, at least as urgent as it is. */
-  private raiseDependencies(first: Node): DependencyChange[] {
+  private raiseDependencies(start: Node): DependencyChange[] {
     const raised = new Set<Node>();
-    const open = [first];
-    for (let node = open.pop(); node !== undefined; node = open.pop()) {
+    const stack = [start];
+    for (let node = stack.pop(); node !== undefined; node = stack.pop()) {
       for (const dependency of node.openDependencies) {
-        const urgency = mostUrgent(dependency.urgency, node.urgency);
+        const urgency = combineUrgency(dependency.urgency, node.urgency);
         if (isSameUrgency(urgency, dependency.urgency)) continue;
         dependency.urgency = urgency;
         raised.add(dependency);
-        open.push(dependency);
+        stack.push(dependency);
       }
     }
     return [...raised].map(urgencyChange);
   }
 
   /** Computes again how urgent these jobs and all their dependencies, direct or not, are. */
-  private recomputeUrgency(first: Iterable<Node>): DependencyChange[] {
+  private recomputeUrgency(start: Iterable<Node>): DependencyChange[] {
     const changed = new Set<Node>();
-    const open = [...first];
-    for (let node = open.pop(); node !== undefined; node = open.pop()) {
+    const stack = [...start];
+    for (let node = stack.pop(); node !== undefined; node = stack.pop()) {
       let urgency = this.jobs.urgencyOf(node.id) ?? NOT_URGENT;
-      for (const dependent of node.dependents) urgency = mostUrgent(urgency, dependent.urgency);
+      for (const dependent of node.dependents) urgency = combineUrgency(urgency, dependent.urgency);
       if (isSameUrgency(urgency, node.urgency)) continue;
       node.urgency = urgency;
       changed.add(node);
-      open.push(...node.openDependencies);
+      stack.push(...node.openDependencies);
     }
     return [...changed].map(urgencyChange);
   }
--- a/packages/dependencies/urgency.ts
+++ b/packages/dependencies/urgency.ts
@@ -9,7 +9,7 @@
 }
 
 /** The more urgent of both in rank and in due time. */
-export function mostUrgent(one: Urgency, other: Urgency): Urgency {
+export function combineUrgency(one: Urgency, other: Urgency): Urgency {
   return {
     rank: Math.min(one.rank, other.rank),
     dueAtMs: Math.min(one.dueAtMs, other.dueAtMs),
