--- a/packages/core/preemption/preemption.test.ts
+++ b/packages/core/preemption/preemption.test.ts
@@ -8,14 +8,9 @@
 function createFullFleet() {
   const fleet = aFleet();
   const machines = ['n-1', 'n-2', 'n-3'].map((name) => aMachine(fleet, name));
-  const lowRankJob = fleet.addJob(
-    aJob({ id: 'j-1', rank: 3, tasks: 3, gpus: 4 }),
-    0,
-    'accepted',
-    0,
-  );
+  const low = fleet.addJob(aJob({ id: 'j-1', rank: 3, tasks: 3, gpus: 4 }), 0, 'accepted', 0);
   machines.forEach((machine, i) => {
-    const assignment = fleet.assignments.assign(lowRankJob, i, machine, i + 1, 0);
+    const assignment = fleet.assignments.assign(low, i, machine, i + 1, 0);
     assignment.recorded = assignment.startSent = true;
     assignment.reportedState = 'running';
     assignment.runningSince = 0;
@@ -29,26 +24,26 @@
   });
   const stoppingTasks = () =>
     machines.flatMap(({ tasks }) => [...tasks.values()].filter(({ stop }) => stop));
-  return { fleet, scheduler, stopping: stoppingTasks };
+  return { fleet, scheduler, stoppingTasks };
 }
 
 test('work is stopped once for a waiting task, not again while the capacity is coming free', () => {
   // Guards against stopping work on one machine after another while the first stop takes effect.
-  const { fleet, scheduler, stopping } = createFullFleet();
+  const { fleet, scheduler, stoppingTasks } = createFullFleet();
   fleet.addJob(aJob({ id: 'j-2', rank: 1, gpus: 4 }), 100, 'accepted', 100);
   scheduler.round(101);
-  assert.equal(stopping().length, 0, 'not before it has waited');
+  assert.equal(stoppingTasks().length, 0, 'not before it has waited');
   for (const t of [103, 103.25, 103.5, 104]) scheduler.round(t);
-  assert.equal(stopping().length, 1);
+  assert.equal(stoppingTasks().length, 1);
 });
 
 test('capacity that was made and taken does not count as coming free for the rest of the job', () => {
   // Guards against replicas of one job that start one by one, each only when the hold
   // of the capacity before has run out.
-  const { fleet, scheduler, stopping } = createFullFleet();
+  const { fleet, scheduler, stoppingTasks } = createFullFleet();
   const job = fleet.addJob(aJob({ id: 'j-2', rank: 1, tasks: 2, gpus: 4 }), 100, 'accepted', 100);
   scheduler.round(103);
-  const [first] = stopping();
+  const [first] = stoppingTasks();
   const { machine, attempt, index } = first;
   const ended = { job: 'j-1', index, attempt, state: 'exited', cause: 'stopped' } as const;
   fleet.heartbeats.handle(
@@ -58,12 +53,12 @@
   scheduler.round(104);
   assert.equal(job.assignments.size, 1);
   scheduler.round(104.25);
-  assert.equal(stopping().length, 1, 'capacity for the second task is being made');
+  assert.equal(stoppingTasks().length, 1, 'capacity for the second task is being made');
 });
 
 test('a job that is excluded from the only machine with victims does not block others', () => {
   // Guards against work that waits for as long as an older job of the same needs is excluded from a machine.
-  const { fleet, scheduler, stopping } = createFullFleet();
+  const { fleet, scheduler, stoppingTasks } = createFullFleet();
   for (const name of ['n-2', 'n-3']) fleet.machines.drain(fleet.machines.get(name)!);
   const requirements = { rank: 1, gpus: 4 };
   const excluded = fleet.addJob(aJob({ ...requirements, id: 'j-2' }), 99, 'accepted', 99);
@@ -71,7 +66,7 @@
   fleet.addJob(aJob({ ...requirements, id: 'j-3' }), 100, 'accepted', 100);
   scheduler.round(103);
   assert.deepEqual(
-    stopping().map(({ machine }) => [machine.name, machine.capacityHold?.job.spec.id]),
+    stoppingTasks().map(({ machine }) => [machine.name, machine.capacityHold?.job.spec.id]),
     [['n-1', 'j-3']],
   );
 });
