--- a/packages/core/fair-share/best-effort.test.ts
+++ b/packages/core/fair-share/best-effort.test.ts
@@ -41,7 +41,7 @@
   return new Scheduler(fleet, TEAMS, SCHEDULER_SETTINGS);
 }
 
-/** Gives the first `tasks` tasks of the job to the machine, where they run from then on. */
+/** Assigns the first `tasks` tasks of the job to the machine, where they have been running since `at`. */
 function runTasks(fleet: FleetState, job: JobState, on: Machine, tasks: number, at: number): void {
   for (let index = 0; index < tasks; index++) {
     const attempt = fleet.assignments.newAttempt();
@@ -57,8 +57,8 @@
     .scaleOut.reduce((sum, { count }) => sum + count, 0);
 }
 
-test('best-effort tasks leave the processors that free accelerators need', () => {
-  // Guards against replicas that wait since small tasks fill the processors beside free accelerators.
+test('best-effort tasks do not use the processors that belong to free accelerators', () => {
+  // Guards against replicas that cannot start because small tasks use all processors beside free accelerators.
   const fleet = createFleet();
   const machine = aMachine(fleet, 'n-1');
   const service = aJob({ id: 'j-1', team: 'firm', kind: 'service', cpus: 4, gpus: 2 });
@@ -66,12 +66,12 @@
   const job = aJob({ ...BEST_EFFORT, id: 'j-2', tasks: 40, cpus: 1, gpus: 0, memory: 0.5 });
   const state = fleet.addJob(job, 0, 'accepted', 0);
   createScheduler(fleet).round(1);
-  // Of 16 processors 4 are used, and 8 belong to the two free accelerators.
+  // Of the 16 processors 4 are used and 8 belong to the two free accelerators.
   assert.equal(state.assignments.size, 4);
 });
 
-test('small best-effort tasks go to few machines, of those that are likely to stay', () => {
-  // Guards against a record to write for every machine when thousands of short tasks come and go.
+test('small best-effort tasks are packed onto few machines that are likely to stay: fully used, not spot', () => {
+  // Guards against writing the records of all machines when thousands of short tasks start and end.
   const fleet = createFleet();
   const gpusInUse = { usedFully: 4, usedFullyToo: 4, usedHalf: 2 };
   Object.entries(gpusInUse).forEach(([name, gpus], i) => {
@@ -88,7 +88,7 @@
   assert.deepEqual(['usedFully', 'usedFullyToo', 'usedHalf', 'spot'].map(addedTasks), [8, 0, 0, 0]);
 });
 
-test('best-effort work gives way at once, and to firm work only', () => {
+test('best-effort work is preempted without a wait, but only for firm work', () => {
   const fleet = createFleet();
   const machine = aMachine(fleet, 'n-1');
   const job = fleet.addJob(aJob({ ...BEST_EFFORT, id: 'j-1', tasks: 4 }), 0, 'accepted', 0);
@@ -102,8 +102,8 @@
   assert.equal(stopCount(), 1);
 });
 
-test('starts of best-effort tasks wait for a heartbeat, stops do not', () => {
-  // Guards against a call for each few of thousands of short tasks, which took most of a round.
+test('starts of best-effort tasks wait for a heartbeat, while their stops are sent directly', () => {
+  // Guards against one direct call for every few of thousands of short tasks: these calls took most of a round.
   const fleet = createFleet();
   const machine = aMachine(fleet, 'n-1');
   Object.assign(machine, { termConfirmed: true, answeredAt: 1 });
@@ -119,8 +119,8 @@
   );
 });
 
-test('a gang is not stopped at its lease end for work of lower rank', () => {
-  // Guards against a job whose index is near zero and who so would win any gang's machines.
+test('a gang whose lease has ended is not stopped for work of lower rank', () => {
+  // Guards against a best-effort team whose fair-share index is near zero: it would win the machines of any gang.
   const fleet = createFleet();
   const machine = aMachine(fleet, 'n-1');
   const gang = aJob({ id: 'j-1', team: 'firm', kind: 'gang', rank: 1, gpus: 4, checkpointS: 5 });
@@ -130,8 +130,8 @@
   assert.equal([...machine.tasks.values()][0].stop, null);
 });
 
-test('nothing is provisioned for best-effort work until a job has waited two boots without a task', () => {
-  // Guards against a fleet that grows for a job: its reserve alone was thousands of tasks.
+test('no machine is provisioned for best-effort work until a job has waited two boot times without a task', () => {
+  // Guards against a fleet that grows for best-effort work: the reserve for it alone was thousands of tasks.
   const fleet = createFleet();
   const planner = createPlanner(fleet);
   const huge = aJob({ ...BEST_EFFORT, tasks: 25_000, gpus: 0, cpus: 0.25, memory: 1 });
@@ -145,7 +145,7 @@
   assert.equal(provisionedCount(fleet, 300), 0);
 });
 
-test('firm work is planned as if best-effort work were not there', () => {
+test('no machine is provisioned for firm work that fits where best-effort tasks run', () => {
   const fleet = createFleet();
   const job = fleet.addJob(aJob({ ...BEST_EFFORT, id: 'j-1', tasks: 4 }), 0, 'accepted', 0);
   runTasks(fleet, job, aMachine(fleet, 'n-1'), 4, 0);
@@ -153,7 +153,7 @@
   assert.equal(provisionedCount(fleet, 1), 0);
 });
 
-test('best-effort work keeps no machine but a spot machine that it uses well', () => {
+test('best-effort work keeps a machine from scale-in only if it is a spot machine and at least half used', () => {
   const isKept = (spot: boolean, tasks: number) => {
     const fleet = createFleet();
     const job = fleet.addJob(aJob({ ...BEST_EFFORT, tasks: 4 }), 0, 'accepted', 0);
@@ -163,8 +163,8 @@
   assert.deepEqual([isKept(false, 4), isKept(true, 1), isKept(true, 2)], [false, false, true]);
 });
 
-test('best-effort tasks do not go from machine to machine for ever', () => {
-  // Guards against tasks that never end in a fleet that shrinks: each machine they go to is the next to go.
+test('scale-in stops tasks of a best-effort job at most as often as the job has tasks', () => {
+  // Guards against tasks that never end while the fleet shrinks, since each machine they move to is removed next.
   const fleet = createFleet();
   const machines = ['n-1', 'n-2', 'n-3', 'n-4'].map((name) => aMachine(fleet, name));
   machines.forEach((machine, i) => {
@@ -184,7 +184,7 @@
   assert.deepEqual(isStopped, [true, false, false]);
 });
 
-test('a little used machine is emptied although best-effort tasks run there', () => {
+test('consolidation empties a machine with little firm work even if best-effort tasks run there', () => {
   const fleet = createFleet();
   const machines = [aMachine(fleet, 'n-1'), aMachine(fleet, 'n-2')];
   machines.forEach((machine, i) => {
--- a/packages/core/fair-share/best-effort.ts
+++ b/packages/core/fair-share/best-effort.ts
@@ -1,4 +1,4 @@
-/** Best-effort work: what runs on spare capacity only, and gives way at once (docs/design.md). */
+/** Best-effort work: it runs on spare capacity only and is preempted without a wait (docs/design.md). */
 import type { Job, MachineType } from '#wire';
 import { addAmounts, Amounts, ROUNDING } from '../model/amounts.js';
 import type { FleetData } from '../fleet-data.js';
@@ -6,29 +6,32 @@
 import { LOWEST_RANK } from './ranks.js';
 import { hasGuarantee, TeamQuota } from './team-quota.js';
 
-/** Share of a machine's record that best-effort tasks may fill, so that firm work never lacks an entry. */
+/**
+ * Best-effort tasks are added to a machine only while its record is below this fraction of the largest record size.
+ * The rest is left for entries of firm (not best-effort) tasks.
+ */
 const MAX_RECORD_FILL = 3 / 4;
-/** Boot times without any task after which a best-effort job may use all free capacity. */
+/** Waiting time without any task, in boot times, after which a best-effort job may use all free capacity. */
 const ANY_CAPACITY_AFTER_BOOT_TIMES = 1;
-/** Boot times without any task after which a machine may be provisioned for the job. */
+/** Waiting time without any task, in boot times, after which a machine may be provisioned for a best-effort job. */
 const SCALE_OUT_AFTER_BOOT_TIMES = 2;
 
 /**
- * Whether the job is best-effort: of the lowest rank, and its team has no guarantee. It gives way at once
- * to all other work, which this project calls firm.
+ * Whether the job is best-effort: it has the lowest rank and its team has no guarantee. All other work is called
+ * firm and may preempt best-effort work without a wait.
  */
 export function isBestEffort({ rank }: Pick<Job, 'rank'>, quota: TeamQuota | undefined): boolean {
   return rank === LOWEST_RANK && !hasGuarantee(quota);
 }
 
-/** The amounts that firm tasks use on the machine. */
+/** The amounts that firm (not best-effort) tasks use on the machine. */
 export function firmUse({ used, usedBestEffort }: Machine): Amounts {
   const firm = { ...used };
   addAmounts(firm, usedBestEffort, -1);
   return firm;
 }
 
-/** Whether a best-effort task may use the machine's free capacity, as far as firm work is concerned. */
+/** Whether a task of the best-effort job may use the machine's free capacity without getting in the way of firm work. */
 export function mayUseSpareCapacity(
   fleet: FleetData,
   job: JobState,
@@ -40,7 +43,7 @@
   return leavesCapacityForGpus(job.spec, machine, type) || mayUseAnyCapacity(fleet, job, now);
 }
 
-/** Whether each free accelerator keeps its share of the processors and of the memory. */
+/** Whether placing a task of the job leaves each free accelerator its share of the machine's processors and memory. */
 function leavesCapacityForGpus(job: Job, { used }: Machine, type: MachineType): boolean {
   if (job.gpus > 0 || type.gpus === 0) return true;
   const freeShare = (type.gpus - used.gpus) / type.gpus;
@@ -50,12 +53,12 @@
   );
 }
 
-/** Whether the job has waited so long without any task that it need not leave capacity for accelerators. */
+/** Whether the job has waited long enough without any task to use processors and memory beside free accelerators. */
 export function mayUseAnyCapacity(fleet: FleetData, job: JobState, now: number): boolean {
   return hasStarvedFor(fleet, job, ANY_CAPACITY_AFTER_BOOT_TIMES, now);
 }
 
-/** Whether the job has waited so long without any task that a machine may be provisioned for it. */
+/** Whether the job has waited long enough without any task for a machine to be provisioned for it. */
 export function mayScaleOutFor(fleet: FleetData, job: JobState, now: number): boolean {
   return hasStarvedFor(fleet, job, SCALE_OUT_AFTER_BOOT_TIMES, now);
 }
@@ -70,9 +73,9 @@
 }
 
 /**
- * Whether a best-effort task on a machine that is to be deprovisioned may run to its end: by its user's
- * estimate it has run for half of its time and ends within a boot time, so that the machine waits for a
- * bounded time.
+ * Whether a best-effort task on a machine that is to be deprovisioned may run to its end. By its user's estimate
+ * it must have run for at least half of its duration and must end within a boot time, which bounds the delay of
+ * the deprovisioning.
  */
 export function mayRunToEnd(
   { machines }: FleetData,
--- a/packages/core/fair-share/fair-shares.ts
+++ b/packages/core/fair-share/fair-shares.ts
@@ -1,10 +1,10 @@
-/** Fair shares: where teams stand towards their quota, and whose turn it is (docs/design.md). */
+/** Fair shares: how much of their quota teams use, and which team is served next (docs/design.md). */
 import type { Job } from '#wire';
 import type { FleetState } from '../fleet-state.js';
 import { type Amounts, multipliedAmounts } from '../model/amounts.js';
 import { hasGuarantee, NO_QUOTA, type TeamQuota, teamWeight, withinLimit } from './team-quota.js';
 
-/** Compares what teams use and have received with their guarantees and limits. */
+/** Compares the amounts that teams use, and the service that they have received, with their guarantees and limits. */
 export class FairShares {
   constructor(
     private readonly fleet: FleetState,
@@ -17,14 +17,14 @@
     return this.teams.has(team);
   }
 
-  /** The team's decayed service over its weight; the team with the lowest index is served first. */
+  /** The team's decayed service divided by its weight. The team with the lowest index is served first. */
   index(team: string, now: number): number {
     const quota = this.teams.get(team) ?? NO_QUOTA;
     const weight = teamWeight(quota, this.fleet.machines.totals, this.floorWeight);
     return this.fleet.usage.service(team, now).read(now) / weight;
   }
 
-  /** Whether the team may use so much more (docs/safety.md, point 9). Unknown teams may use nothing. */
+  /** Whether the team's limit allows `more` in addition (docs/safety.md, point 9). Unknown teams may use nothing. */
   withinLimit(team: string, more: Amounts): boolean {
     const quota = this.teams.get(team);
     return quota !== undefined && withinLimit(quota, this.fleet.usage.ofTeam(team), more);
@@ -35,7 +35,7 @@
     return this.withinLimit(job.team, multipliedAmounts(job, count));
   }
 
-  /** Whether the team uses more than its guarantee; one without a guarantee always borrows. */
+  /** Whether the team uses more than its guarantee. A team without a guarantee always borrows. */
   isBorrowing(team: string): boolean {
     const quota = this.guaranteeOf(team);
     if (quota === null) return true;
@@ -51,7 +51,10 @@
     return this.guaranteeCheck(job.team)(job);
   }
 
-  /** A check whether one more task stays within the guarantee, in addition to what the team uses at this moment. */
+  /**
+   * Returns a function that tells whether one more task stays within the team's guarantee. The function counts what
+   * the team uses at the time of this call.
+   */
   guaranteeCheck(team: string): (need: Pick<Amounts, 'cpus' | 'gpus'>) => boolean {
     const quota = this.guaranteeOf(team);
     if (quota === null) return () => false;
--- a/packages/core/fair-share/precedence-tiers.ts
+++ b/packages/core/fair-share/precedence-tiers.ts
@@ -1,4 +1,4 @@
-/** Sorts the waiting jobs into tiers of equal precedence, with a queue for each team. */
+/** Sorts waiting jobs into tiers of equal precedence, each with one queue for each team. */
 import type { FleetState } from '../fleet-state.js';
 import type { Amounts } from '../model/amounts.js';
 import type { JobState } from '../model/entities.js';
@@ -7,20 +7,23 @@
 import { type JobFilter, TeamQueue } from './team-queue.js';
 import type { WaitingBucket } from './waiting-bucket.js';
 
-/** Tiers 0 to `RANKS` - 1 hold work within its team's guarantee, by rank; the next ones borrowers. */
+/**
+ * Number of the first tier of borrowers, which are jobs beyond their team's guarantee. Tiers 0 to `RANKS` - 1 contain
+ * the jobs within their team's guarantee. Both kinds have one tier for each rank.
+ */
 const FIRST_BORROWER_TIER = RANKS;
-/** Best-effort work comes after all other. */
+/** Number of the tier of best-effort jobs, which follows all others. */
 const BEST_EFFORT_TIER = 2 * RANKS;
 
-/** Waiting jobs of equal precedence. */
+/** Waiting jobs of equal precedence, queued by team. */
 export interface PrecedenceTier {
   isBestEffort: boolean;
   queues: TeamQueue[];
 }
 
 /**
- * The waiting jobs by precedence: work within a guarantee before borrowers, then by rank, and best-effort
- * work last. Jobs for which `isSkipped` is true when their turn comes are left out.
+ * The waiting jobs in order of precedence: jobs within their team's guarantee by rank, then borrowers by rank, then
+ * best-effort jobs. A job for which `isSkipped` returns true when it would be served next is left out.
  */
 export function precedenceTiers(
   fleet: FleetState,
@@ -49,7 +52,7 @@
     this.enqueue(BEST_EFFORT_TIER, bucket, this.isSkipped);
   }
 
-  /** A bucket of which some jobs are within the guarantee and others are not goes into both tiers. */
+  /** Adds a bucket of firm (not best-effort) jobs. It is added to two tiers if only some jobs are within the guarantee. */
   addFirm(bucket: WaitingBucket, shares: FairShares): void {
     const { isSkipped } = this;
     const { rank, members, minAmounts, maxCpus, sample } = bucket;
--- a/packages/core/fair-share/ranks.ts
+++ b/packages/core/fair-share/ranks.ts
@@ -1,4 +1,4 @@
-/** The ranks of jobs, as users submit them. */
+/** The ranks that users give to their jobs. */
 
 /** Number of ranks; 0 is the most urgent. */
 export const RANKS = 4;
--- a/packages/core/fair-share/service-counter.test.ts
+++ b/packages/core/fair-share/service-counter.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { ServiceCounter } from './service-counter.js';
 
-test('service decays by half in a half-life and does not depend on when it is read', () => {
+test('service halves within a half-life, and reading it more often gives the same value', () => {
   const counter = new ServiceCounter(100, 0);
   counter.changeRate(0.5, 0);
   const steadyState = (0.5 * 100) / Math.LN2;
--- a/packages/core/fair-share/service-counter.ts
+++ b/packages/core/fair-share/service-counter.ts
@@ -1,11 +1,12 @@
-/** Service: the share of the fleet that a team or a job has received over time. */
+/** Measures service: the share of the fleet that a team or a job uses, integrated over time. */
 
-/** Rates are sums of decimal numbers; what is below this is rounding. */
+/** A rate below this is set to 0. Rates are sums of decimal fractions, so a smaller rate is only a rounding error. */
 const RATE_TOLERANCE = 1e-12;
 
 /**
- * Service received, decayed by half-life: an integral of a rate that changes only at known moments,
- * so its value is exact at any time without periodic sampling. Times are seconds of the steady clock.
+ * Service received, with exponential decay by a half-life. It is the integral of a rate that changes only in
+ * calls of `changeRate`, so its value is exact at any time without periodic sampling. Times are seconds of the
+ * monotonic clock.
  */
 export class ServiceCounter {
   private value = 0;
@@ -19,28 +20,28 @@
     this.valueAt = now;
   }
 
-  /** Fleet-share seconds received up to `now`, older ones counting less. */
+  /** Decayed service received up to `now`: shares of the fleet multiplied by seconds. */
   read(now: number): number {
     const elapsedS = Math.max(0, now - this.valueAt);
     const decay = Math.pow(2, -elapsedS / this.halfLifeS);
     return this.value * decay + this.rate * (this.halfLifeS / Math.LN2) * (1 - decay);
   }
 
-  /** Adds an amount of service, in fleet-share seconds, at once. */
+  /** Adds an amount of service (share of the fleet multiplied by seconds) at time `now`. */
   charge(amount: number, now: number): void {
     this.value = this.read(now) + amount;
     this.valueAt = Math.max(this.valueAt, now);
   }
 
   /**
-   * A key by which counters that receive nothing at present sort as by `read` at any time, since all of
-   * them decay alike. -Infinity if nothing was ever received.
+   * Sort key for counters whose rate is 0: it orders them as `read` would at any time, since all counters decay
+   * with the same half-life. -Infinity if no service was ever received.
    */
   idleSortKey(): number {
     return this.value === 0 ? -Infinity : Math.log2(this.value) + this.valueAt / this.halfLifeS;
   }
 
-  /** From now on so much more (or, if negative, less) of the fleet is received. */
+  /** Adds `share`, which may be negative, to the share of the fleet that is received from `now` on. */
   changeRate(share: number, now: number): void {
     this.value = this.read(now);
     this.valueAt = Math.max(this.valueAt, now);
--- a/packages/core/fair-share/team-queue.ts
+++ b/packages/core/fair-share/team-queue.ts
@@ -1,18 +1,18 @@
-/** A team's waiting jobs of equal precedence, in the order in which they are served. */
+/** Queues a team's waiting jobs of equal precedence in the order in which they are served. */
 import type { JobState } from '../model/entities.js';
 import { byAge } from './job-order.js';
 import type { WaitingBucket } from './waiting-bucket.js';
 
-/** A job whose turn may come, and the service that it has received. */
+/** A waiting job and the service that it has received. */
 interface JobWithService {
   job: JobState;
   service: number;
 }
 
-/** Whether a job is left out of a round, such as one that backs off. */
+/** Whether a job is left out of a scheduling round, for example during its backoff. */
 export type JobFilter = (job: JobState) => boolean;
 
-/** Iterates over the jobs of a bucket, least served first, while tasks of them are placed. */
+/** Iterates over the jobs of a bucket, least served first. Tasks of these jobs may be placed meanwhile. */
 class BucketCursor {
   private readonly active: JobWithService[];
   private nextActive = 0;
@@ -26,7 +26,7 @@
     this.active = [...bucket.active].map((job) => this.withService(job)).sort(compareByService);
   }
 
-  /** The next job, or null if there is none. */
+  /** The next job of the bucket, or null if none is left. */
   peek(): JobWithService | null {
     const { idle } = this.bucket;
     while (this.nextActive < this.active.length && this.isSkipped(this.active[this.nextActive].job))
@@ -39,25 +39,25 @@
     return compareByService(active, idleJob) <= 0 ? active : idleJob;
   }
 
-  /** Goes past a job that has had its turn. One whose first task was placed has left the idle jobs already. */
+  /** Moves on after a job was served. A job whose first task was placed has already left the bucket's idle jobs. */
   advance(job: JobState): void {
     if (this.active.at(this.nextActive)?.job === job) this.nextActive++;
     else if (this.bucket.idle.at(this.nextIdle)?.job === job) this.nextIdle++;
   }
 
-  /** What is placed at `now` does not change the service read for `now`. */
+  /** The job with its service at `now`. Tasks that are placed at `now` do not change that service. */
   private withService(job: JobState): JobWithService {
     return { job, service: job.service.read(this.now) };
   }
 }
 
-/** The job whose turn it is, and where it was found. */
+/** The next job to serve and the cursor that yielded it. */
 interface QueueHead {
   job: JobState;
   cursor: BucketCursor;
 }
 
-/** The waiting jobs of one team that have equal precedence, least served first. */
+/** The waiting jobs of one team with equal precedence, least served first. */
 export class TeamQueue {
   private readonly cursors: BucketCursor[] = [];
   private current: QueueHead | null = null;
@@ -67,24 +67,24 @@
     private readonly now: number,
   ) {}
 
-  /** Adds the bucket's jobs, without those for which `isSkipped` is true when their turn comes. */
+  /** Adds the bucket's jobs. A job for which `isSkipped` returns true when it would be served next is left out. */
   add(bucket: WaitingBucket, isSkipped: JobFilter): void {
     this.cursors.push(new BucketCursor(bucket, isSkipped, this.now));
   }
 
-  /** The job whose turn it is, and its bucket; null if none is left. It stays until `advance`. */
+  /** The next job to serve and its bucket; null if no job is left. Returns the same job until `advance` or `drop`. */
   peek(): { job: JobState; bucket: WaitingBucket } | null {
     this.current ??= this.next();
     return this.current && { job: this.current.job, bucket: this.current.cursor.bucket };
   }
 
-  /** Goes past the job whose turn it was. */
+  /** Moves on to the job after the one that `peek` returned. */
   advance(): void {
     this.current?.cursor.advance(this.current.job);
     this.current = null;
   }
 
-  /** Leaves out the rest of the bucket, since none of its jobs can be placed any more. */
+  /** Removes the bucket from the queue. To be called when none of its jobs can be placed any more. */
   drop(bucket: WaitingBucket): void {
     const index = this.cursors.findIndex((cursor) => cursor.bucket === bucket);
     if (index >= 0) this.cursors.splice(index, 1);
--- a/packages/core/fair-share/team-quota.ts
+++ b/packages/core/fair-share/team-quota.ts
@@ -1,7 +1,7 @@
-/** Quota: what is guaranteed to a team, and what it may use at the most. */
+/** Team quotas: the capacity that is guaranteed to a team, and the most that it may use. */
 import { type Amounts, ROUNDING } from '../model/amounts.js';
 
-/** A team's guarantee and limit, in processors and accelerators. For a limit, 0 means that there is none. */
+/** A team's guarantee and limit, in processors and accelerators. A limit of 0 means that there is no limit. */
 export interface TeamQuota {
   guaranteedCpus: number;
   guaranteedGpus: number;
@@ -22,7 +22,7 @@
   return quota !== undefined && (quota.guaranteedGpus > 0 || quota.guaranteedCpus > 0);
 }
 
-/** Guaranteed share of the fleet's totals, never less than the floor weight. */
+/** The team's weight: its guaranteed share of the fleet's totals, but at least `floorWeight`. */
 export function teamWeight(quota: TeamQuota, totals: Amounts, floorWeight: number): number {
   return Math.max(
     floorWeight,
@@ -31,7 +31,7 @@
   );
 }
 
-/** How many times the team may use `more` in addition to what it uses; Infinity if nothing bounds it. */
+/** How many times `more` fits between `used` and the team's limit; Infinity if no limit applies. */
 export function timesWithinLimit(quota: TeamQuota, used: Amounts, more: Amounts): number {
   return Math.min(
     timesWithin(quota.cpuLimit, used.cpus, more.cpus),
@@ -45,7 +45,7 @@
   return Math.floor((limit + ROUNDING - used) / more);
 }
 
-/** Whether the team may use `more` in addition to what it uses. */
+/** Whether the team's limit allows `more` in addition to `used`. */
 export function withinLimit(quota: TeamQuota, used: Amounts, more: Amounts): boolean {
   return (
     (quota.cpuLimit === 0 || used.cpus + more.cpus <= quota.cpuLimit + ROUNDING) &&
--- a/packages/core/fair-share/usage-ledger.ts
+++ b/packages/core/fair-share/usage-ledger.ts
@@ -1,9 +1,9 @@
-/** The usage ledger: what teams and classes hold, and the service that teams have received. */
+/** Records the amounts and tasks that teams and classes have assigned, and the service that teams have received. */
 import { addAmounts, type Amounts, ZERO_AMOUNTS } from '../model/amounts.js';
 import type { Assignment, JobState } from '../model/entities.js';
 import { ServiceCounter } from './service-counter.js';
 
-/** Number of assigned tasks of one team and rank, those of gangs apart from others. */
+/** Number of assigned tasks of one team and rank. Tasks of gangs and other tasks are in separate groups. */
 interface TaskGroup {
   team: string;
   rank: number;
@@ -12,7 +12,7 @@
   tasks: number;
 }
 
-/** Counts assignments by team, by rank, and by class and zone, as they come and go. */
+/** Keeps counts of the current assignments by team, by rank, and by class and zone. */
 export class UsageLedger {
   private readonly amountsByTeam = new Map<string, Amounts>();
   private readonly serviceByTeam = new Map<string, ServiceCounter>();
@@ -21,7 +21,7 @@
 
   constructor(private readonly halfLifeS: number) {}
 
-  /** Counts an assignment that was made (1) or is proven gone (-1). */
+  /** Adds a new assignment to the counts (`sign` 1), or removes one that has provably ended (`sign` -1). */
   count(assignment: Assignment, sign: 1 | -1, now: number): void {
     const { job, machine, share } = assignment;
     const { team } = job.spec;
@@ -34,23 +34,26 @@
     job.service.changeRate(sign * share, now);
   }
 
-  /** Counts the assignment among the tasks of its job's rank. */
+  /** Adds the assignment to the task count of its job's team and rank (`sign` 1), or removes it (`sign` -1). */
   countRank({ job }: Assignment, sign: 1 | -1): void {
     this.groupOf(job).tasks += sign;
   }
 
-  /** Charges a job and its team for service that they caused but did not receive, in fleet-share seconds. */
+  /**
+   * Charges a job and its team for service that they caused but did not receive. The amount is a share of the fleet
+   * multiplied by seconds.
+   */
   charge(job: JobState, amount: number, now: number): void {
     this.service(job.spec.team, now).charge(amount, now);
     job.service.charge(amount, now);
   }
 
-  /** Amounts of all assignments of the team, also of those that may have ended (docs/safety.md, point 9). */
+  /** Amounts of all assignments of the team, including those that may have ended already (docs/safety.md, point 9). */
   ofTeam(team: string): Readonly<Amounts> {
     return this.amountsByTeam.get(team) ?? ZERO_AMOUNTS;
   }
 
-  /** Service that the team has received, in decayed fleet-share seconds. */
+  /** The counter of the decayed service that the team has received (share of the fleet multiplied by seconds). */
   service(team: string, now: number): ServiceCounter {
     let counter = this.serviceByTeam.get(team);
     if (!counter) {
@@ -60,7 +63,7 @@
     return counter;
   }
 
-  /** The groups with any task. */
+  /** The groups that have at least one task. */
   groups(): TaskGroup[] {
     return [...this.groupsByKey.values()].filter(({ tasks }) => tasks > 0);
   }
@@ -73,7 +76,7 @@
     return group;
   }
 
-  /** Number of tasks of a class in each zone, kept current. */
+  /** Number of assigned tasks of the class in each zone. The map is live: later assignments change it. */
   tasksByZone(jobClass: string): Map<string, number> {
     let zones = this.tasksByClassAndZone.get(jobClass);
     if (!zones) this.tasksByClassAndZone.set(jobClass, (zones = new Map<string, number>()));
--- a/packages/core/fair-share/waiting-bucket.ts
+++ b/packages/core/fair-share/waiting-bucket.ts
@@ -1,11 +1,11 @@
-/** Waiting buckets: like jobs that wait, in the order in which they are served. */
+/** Groups similar waiting jobs and keeps them in the order in which they are served. */
 import type { Job } from '#wire';
 import type { Amounts } from '../model/amounts.js';
 import type { JobState } from '../model/entities.js';
 import { membersOf } from '../model/replica-groups.js';
 import { byAge } from './job-order.js';
 
-/** A job that has no task anywhere. Its position among such jobs never changes, as all service decays alike. */
+/** A job without any assigned task. The order of such jobs never changes, since all service has the same half-life. */
 interface IdleEntry {
   job: JobState;
   /** See `ServiceCounter.idleSortKey`. */
@@ -13,29 +13,32 @@
 }
 
 /**
- * Waiting jobs of one team and rank whose tasks differ at most in their need of processors and memory.
- * Those without a task anywhere are kept in order, least served first and then the oldest, so that a
- * round gets the next one without visiting the others. The rest, whose service grows all the time, are no
- * more than there are tasks on machines.
+ * Waiting jobs of one team and rank whose tasks differ at most in the processors and memory that they need. Jobs
+ * without an assigned task are kept sorted, least served first and then the oldest, so that a scheduling round gets
+ * the next one without visiting the others. Jobs with assigned tasks are not sorted, since their service grows all
+ * the time; there are at most as many of them as there are tasks on machines.
  */
 export class WaitingBucket {
-  /** Jobs without a task anywhere, least served first. */
+  /** Jobs without any assigned task, least served first. */
   readonly idle: IdleEntry[] = [];
-  /** Jobs that have tasks somewhere. */
+  /** Jobs with at least one assigned task, in no order. */
   readonly active = new Set<JobState>();
-  /** No task in the bucket needs less than this. */
+  /** Lower bounds of the amounts that a task in the bucket needs. */
   readonly minAmounts: Amounts;
-  /** No task in the bucket needs more processors. */
+  /** Upper bound of the processors that a task in the bucket needs. */
   maxCpus: number;
   private readonly entries = new Map<JobState, IdleEntry>();
 
-  /** The job that the bucket was made for; what it has in common with the others stands for all. */
+  /**
+   * The job that the bucket was created for. All jobs of the bucket have its team, accelerators and constraints, and
+   * are gangs if it is a gang.
+   */
   readonly sample: Job;
-  /** Rank that counts for its jobs. */
+  /** Effective rank of the bucket's jobs (`JobState.rank`). */
   readonly rank: number;
-  /** Whether its jobs are best-effort. */
+  /** Whether the bucket's jobs are best-effort. */
   readonly isBestEffort: boolean;
-  /** Members of each replica of its jobs; 1 if each task is by itself. */
+  /** Number of members of each replica of the bucket's jobs; 1 if a replica is a single task. */
   readonly members: number;
 
   constructor(sample: JobState) {
@@ -48,7 +51,7 @@
     this.maxCpus = cpus;
   }
 
-  /** Number of jobs. */
+  /** Number of jobs in the bucket. */
   get size(): number {
     return this.idle.length + this.active.size;
   }
@@ -68,14 +71,14 @@
     if (!this.active.delete(job)) this.removeIdle(job);
   }
 
-  /** To be called when a task of the job was assigned, or its assignment has ended. */
+  /** To be called after a task of the job was assigned or an assignment of the job has ended. */
   assignmentsChanged(job: JobState): void {
     if (job.assignments.size > 0 === this.active.has(job)) return;
     this.remove(job);
     this.add(job);
   }
 
-  /** All jobs, in no order. */
+  /** All jobs of the bucket, in no order. */
   *jobs(): Generator<JobState> {
     for (const { job } of this.idle) yield job;
     yield* this.active;
@@ -89,7 +92,7 @@
     }
   }
 
-  /** The jobs that `neverServed` leaves out, in no order. */
+  /** Jobs that have received service, in no order. */
   served(): JobState[] {
     const firstServed = this.firstIndexWhere((entry) => entry.sortKey !== -Infinity);
     return [...this.idle.slice(firstServed).map(({ job }) => job), ...this.active];
@@ -108,12 +111,15 @@
     this.idle.splice(this.positionOf(entry), 1);
   }
 
-  /** Where the entry is or belongs. */
+  /** Index in `idle` at which the entry is or would be inserted. */
   private positionOf(entry: IdleEntry): number {
     return this.firstIndexWhere((other) => compareIdle(other, entry) >= 0);
   }
 
-  /** Index of the first entry for which `predicate` is true; it must be true for all after it, too. */
+  /**
+   * Index in `idle` of the first entry for which `predicate` is true, by binary search. The predicate must be true for
+   * all later entries as well.
+   */
   private firstIndexWhere(predicate: (entry: IdleEntry) => boolean): number {
     let low = 0;
     let high = this.idle.length;
--- a/packages/core/fair-share/waiting-jobs.ts
+++ b/packages/core/fair-share/waiting-jobs.ts
@@ -1,18 +1,18 @@
-/** All waiting jobs of the fleet. */
+/** Keeps the fleet's waiting jobs. */
 import { constraintsKey } from '../placement/task-requirements.js';
 import type { JobState } from '../model/entities.js';
 import { membersOf } from '../model/replica-groups.js';
 import { WaitingBucket } from './waiting-bucket.js';
 
-/** The jobs with tasks that wait for a machine, in buckets of like jobs. */
+/** The jobs with tasks that wait for a machine, grouped into buckets of similar jobs. */
 export class WaitingJobs {
-  /** The gangs among them: they are few and are visited one by one. */
+  /** The waiting jobs that are gangs. There are few of them, so they are visited one by one. */
   readonly gangs = new Set<JobState>();
   private readonly bucketOf = new Map<JobState, WaitingBucket>();
   private readonly byKey = new Map<string, WaitingBucket>();
   private lastWaitingOrder = 0;
 
-  /** Number of jobs. */
+  /** Number of waiting jobs. */
   get size(): number {
     return this.bucketOf.size;
   }
@@ -22,12 +22,12 @@
     return this.bucketOf.has(job);
   }
 
-  /** All jobs, longest in this state first. */
+  /** All waiting jobs, in the order in which they were last added. */
   [Symbol.iterator](): IterableIterator<JobState> {
     return this.bucketOf.keys();
   }
 
-  /** The buckets; none is empty. */
+  /** All buckets; each contains at least one job. */
   buckets(): IterableIterator<WaitingBucket> {
     return this.byKey.values();
   }
@@ -62,7 +62,10 @@
     this.gangs.delete(job);
   }
 
-  /** Changes what decides in which bucket the job waits; it keeps its position by age. */
+  /**
+   * Applies a change to a job that may move it to another bucket, such as a change of its rank. The job keeps its
+   * `waitingOrder`, so its position by age stays the same.
+   */
   change(job: JobState, change: () => void): void {
     const { waitingOrder } = job;
     const isWaiting = this.has(job);
@@ -71,13 +74,13 @@
     if (isWaiting) this.enqueue(job, waitingOrder);
   }
 
-  /** To be called when a task of the job was assigned, or its assignment has ended. */
+  /** To be called after a task of the job was assigned or an assignment of the job has ended. */
   placesChanged(job: JobState): void {
     this.bucketOf.get(job)?.assignmentsChanged(job);
   }
 }
 
-/** Equal for jobs of the same bucket. */
+/** Key of the bucket that the job belongs to. */
 function bucketKey(job: JobState): string {
   const { spec, rank } = job;
   const { team, kind, gpus } = spec;
--- a/packages/core/fair-share/waiting-order.ts
+++ b/packages/core/fair-share/waiting-order.ts
@@ -3,7 +3,7 @@
 import { byAge, byRankAndAge } from './job-order.js';
 import type { WaitingBucket } from './waiting-bucket.js';
 
-/** Some of a bucket's jobs, by age; `next` comes before what `rest` yields. */
+/** Some jobs of a bucket, oldest first. `next` is the oldest; `rest` yields the others in order. */
 interface SortedRun {
   bucket: WaitingBucket;
   rest: Iterator<JobState, undefined>;
@@ -11,8 +11,8 @@
 }
 
 /**
- * The buckets' jobs of the highest rank first, then the oldest. A bucket for which `isExhausted` is true after
- * one of its jobs is left out from then on.
+ * Yields the buckets' jobs by rank, the most urgent first, and within a rank by age, the oldest first. After each
+ * job `isExhausted` is called with the job's bucket; if it returns true, the bucket's other jobs are left out.
  */
 export function* oldestFirst(
   buckets: WaitingBucket[],
@@ -29,7 +29,7 @@
   }
 }
 
-/** The bucket's jobs in two runs: those never served are in order already, the others are sorted. */
+/** The bucket's jobs in two sorted runs: jobs never served, which the bucket keeps in order, and the others. */
 function sortedRunsOf(bucket: WaitingBucket): SortedRun[] {
   const served = bucket.served().sort(byAge);
   return [bucket.neverServed(), served.values()].flatMap((rest: Iterator<JobState, undefined>) => {
