--- a/packages/core/preemption/capacity-holds.ts
+++ b/packages/core/preemption/capacity-holds.ts
@@ -1,15 +1,15 @@
-/** Capacity holds: machines whose free capacity waits for one job. */
+/** Capacity holds: the free capacity of a machine is kept for one job. */
 import type { JobState, Machine } from '../model/entities.js';
 
-/** Heartbeat intervals for which capacity is held, beside the time that stopped tasks take to save. */
+/** Heartbeat intervals for which capacity is held, in addition to the time that stopped tasks take to save. */
 export const HOLD_HEARTBEATS = 4;
 
-/** Holds capacity that was made by preemption, or is counted on for a move, for the job it is meant for. */
+/** Keeps capacity that was freed by preemption, or that a move of tasks relies on, for the job that is to use it. */
 export class CapacityHolds {
-  /** All machines with a hold, so that a count visits few machines. */
+  /** All machines with a hold, so that counting holds visits few machines. */
   private readonly machines = new Set<Machine>();
 
-  /** Holds the machine's capacity for the job, until then (seconds of the steady clock) at the longest. */
+  /** Holds the machine's capacity for the job, at the longest until `until` (seconds of the monotonic clock). */
   hold(machine: Machine, job: JobState, until: number): void {
     machine.capacityHold = { job, until };
     this.machines.add(machine);
@@ -27,14 +27,14 @@
     for (const machine of [...this.machines]) this.releaseIfHeldFor(machine, job);
   }
 
-  /** Ends the hold once the job has a task there: its other tasks need capacity of their own. */
+  /** Ends the machine's hold if it is for the job, whose task was placed there. Its other tasks need capacity elsewhere. */
   releaseIfHeldFor(machine: Machine, job: JobState): void {
     if (machine.capacityHold?.job === job) this.release(machine);
   }
 
   /**
-   * Whether the capacity is held for another job that still waits and is not of lower rank. A hold that has
-   * run out, or whose job is over, is released.
+   * Whether the machine's capacity is held for another job that still has waiting tasks and is at least as urgent as
+   * `job`. A hold that has expired, or whose job has ended, is released.
    */
   isHeldForOther(machine: Machine, job: JobState, now: number): boolean {
     const hold = machine.capacityHold;
@@ -46,7 +46,7 @@
     return hold.job.rank <= job.rank && hold.job.assignments.size < hold.job.spec.tasks;
   }
 
-  /** On how many machines capacity is held for each job. */
+  /** For each job, the number of machines on which capacity is held for it. */
   machineCountByJob(now: number): Map<JobState, number> {
     const counts = new Map<JobState, number>();
     for (const { capacityHold } of this.machines) {
--- a/packages/core/preemption/preemption-rules.ts
+++ b/packages/core/preemption/preemption-rules.ts
@@ -5,20 +5,23 @@
 import { type Assignment, assignmentsOf, type JobState } from '../model/entities.js';
 import { isPastStartWindow } from './start-window.js';
 
-/** When work may preempt other work. */
+/** Settings that decide when work may preempt other work. */
 export interface PreemptionSettings {
-  /** Waiting time, in seconds, after which a job may preempt firm work. */
+  /** Waiting time, in seconds, after which a job may preempt firm (not best-effort) work. */
   preemptAfterS: number;
   /** Seconds that a gang runs before another team may preempt it. */
   gangLeaseS: number;
-  /** A gang may be preempted at its lease end below this ratio of fair-share indexes. */
+  /** A gang may be preempted after its lease if the waiting team's fair-share index is below this ratio of its own. */
   stopThreshold: number;
 }
 
 /**
- * Who may preempt whom. A job of higher rank, or within its team's guaranteed quota, may preempt firm
- * work once it has waited; a gang at its lease end gives way to a team that is far behind; best-effort
- * work gives way at once. No work is preempted for its own rank or a lower one otherwise.
+ * Decides which jobs may preempt which tasks:
+ * - Best-effort tasks may be preempted at once.
+ * - Firm tasks may be preempted for a job that has waited for `preemptAfterS`, and only in three cases: the job has a
+ *   higher rank; the job is within its team's guarantee, and the tasks belong to another team that uses more than its
+ *   guarantee; or the tasks are a gang of the same rank and of another team, the gang's lease has ended, and the
+ *   fair-share index of the job's team is far below that of the gang's team.
  */
 export class PreemptionRules {
   constructor(
@@ -27,12 +30,12 @@
     private readonly settings: PreemptionSettings,
   ) {}
 
-  /** Whether the job has waited long enough to preempt firm work; best-effort work needs no wait. */
+  /** Whether the job has waited long enough to preempt firm work. Best-effort work may be preempted without a wait. */
   mayPreemptFirmWork({ waitingSince }: JobState, now: number): boolean {
     return now - waitingSince >= this.settings.preemptAfterS;
   }
 
-  /** Whether anything runs that jobs of the bucket may preempt, on whatever machine. */
+  /** Whether any assigned task, on whatever machine, could be preempted for jobs of the bucket. */
   mayPreemptAny({ sample, rank, minAmounts, isBestEffort }: WaitingBucket): boolean {
     const { kind, team } = sample;
     if (kind === 'gang' || isBestEffort) return false;
@@ -48,7 +51,7 @@
   /** Whether the job may preempt the assignment now. */
   mayPreempt(job: JobState, victim: Assignment, now: number): boolean {
     if (victim.job.isBestEffort) return true;
-    if (!this.mayPreemptFirmWork(job, now) || isInStartWindow(victim, job, now)) return false;
+    if (!this.mayPreemptFirmWork(job, now) || isInMinimumRunTime(victim, job, now)) return false;
     return this.hasPrecedence(job, victim.job, now);
   }
 
@@ -65,7 +68,7 @@
     return isOtherTeam && victim.spec.kind === 'gang' && this.isGangLeaseOver(victim, job, now);
   }
 
-  /** Whether the gang's lease has ended and the waiting job's team is far behind the gang's. */
+  /** Whether the gang's lease has ended and the waiting team's fair-share index is far below that of the gang's team. */
   private isGangLeaseOver(gang: JobState, waiting: JobState, now: number): boolean {
     const { gangLeaseS, stopThreshold } = this.settings;
     const startedAt = Math.min(
@@ -78,9 +81,10 @@
 }
 
 /**
- * A start that is undone at once served nobody, so a task that has just begun to run is left alone,
- * except for the most urgent rank. This also bounds how often two jobs can displace each other.
+ * Whether the task has begun to run so recently that it may not be preempted for the job. A start that is undone at
+ * once is of no use to anyone. The rule also bounds how often two jobs can displace each other. It does not apply to
+ * jobs of the most urgent rank.
  */
-function isInStartWindow({ runningSince }: Assignment, forJob: JobState, now: number): boolean {
+function isInMinimumRunTime({ runningSince }: Assignment, forJob: JobState, now: number): boolean {
   return forJob.rank !== 0 && runningSince !== null && !isPastStartWindow(runningSince, now);
 }
--- a/packages/core/preemption/preemption.test.ts
+++ b/packages/core/preemption/preemption.test.ts
@@ -4,7 +4,7 @@
 import { NO_QUOTA } from '../fair-share/team-quota.js';
 import { Scheduler } from '../placement/scheduler.js';
 
-/** Three machines full of running work of the lowest rank, and who may stop it. */
+/** A fleet of three machines that are full of running tasks of the lowest rank, and a scheduler for it. */
 function createFullFleet() {
   const fleet = aFleet();
   const machines = ['n-1', 'n-2', 'n-3'].map((name) => aMachine(fleet, name));
@@ -27,19 +27,19 @@
   return { fleet, scheduler, stoppingTasks };
 }
 
-test('work is stopped once for a waiting task, not again while the capacity is coming free', () => {
-  // Guards against stopping work on one machine after another while the first stop takes effect.
+test('one task is stopped for a waiting task, and no other while that one ends', () => {
+  // Guards against stopping tasks on one machine after another while the first stop takes effect.
   const { fleet, scheduler, stoppingTasks } = createFullFleet();
   fleet.addJob(aJob({ id: 'j-2', rank: 1, gpus: 4 }), 100, 'accepted', 100);
   scheduler.round(101);
-  assert.equal(stoppingTasks().length, 0, 'not before it has waited');
+  assert.equal(stoppingTasks().length, 0, 'nothing is stopped before the job has waited');
   for (const t of [103, 103.25, 103.5, 104]) scheduler.round(t);
   assert.equal(stoppingTasks().length, 1);
 });
 
-test('capacity that was made and taken does not count as coming free for the rest of the job', () => {
-  // Guards against replicas of one job that start one by one, each only when the hold
-  // of the capacity before has run out.
+test("freed capacity that a task of the job has taken is not counted for the job's other tasks", () => {
+  // Guards against replicas of one job that start one by one, each only after the capacity hold for
+  // the previous replica has expired.
   const { fleet, scheduler, stoppingTasks } = createFullFleet();
   const job = fleet.addJob(aJob({ id: 'j-2', rank: 1, tasks: 2, gpus: 4 }), 100, 'accepted', 100);
   scheduler.round(103);
@@ -53,11 +53,11 @@
   scheduler.round(104);
   assert.equal(job.assignments.size, 1);
   scheduler.round(104.25);
-  assert.equal(stoppingTasks().length, 1, 'capacity for the second task is being made');
+  assert.equal(stoppingTasks().length, 1, 'capacity for the second task is being freed');
 });
 
 test('a job that is excluded from the only machine with victims does not block others', () => {
-  // Guards against work that waits for as long as an older job of the same needs is excluded from a machine.
+  // Guards against jobs that wait for as long as an older job with the same needs is excluded from a machine.
   const { fleet, scheduler, stoppingTasks } = createFullFleet();
   for (const name of ['n-2', 'n-3']) fleet.machines.drain(fleet.machines.get(name)!);
   const requirements = { rank: 1, gpus: 4 };
--- a/packages/core/preemption/preemption.ts
+++ b/packages/core/preemption/preemption.ts
@@ -1,4 +1,4 @@
-/** Preemption: stops tasks for waiting jobs of higher precedence, on a few machines in each round. */
+/** Preemption: stops tasks so that waiting jobs of higher precedence can start, on a few machines in each round. */
 import type { FairShares } from '../fair-share/fair-shares.js';
 import type { WaitingBucket } from '../fair-share/waiting-bucket.js';
 import { oldestFirst } from '../fair-share/waiting-order.js';
@@ -10,26 +10,26 @@
 import { type PreemptionSettings, PreemptionRules } from './preemption-rules.js';
 import { type Victims, VictimSelector } from './victim-selection.js';
 
-/** Machines on which one round preempts tasks at the most. */
+/** The most machines on which tasks are preempted in one round. */
 const MACHINES_PER_ROUND = 4;
 
-/** What is found out in the course of one round. */
+/** The data of one preemption round. */
 interface PreemptionRound {
   readonly now: number;
   /** Whether any best-effort task is assigned to a machine. */
   readonly anyBestEffort: boolean;
   /** Machines with a task that is being stopped. */
   readonly stopping: Set<Machine>;
-  /** On how many machines capacity is held for a job. */
+  /** For each job, the number of machines on which capacity is held for it. */
   readonly heldMachines: Map<JobState, number>;
-  /** By bucket: what found no victims. */
+  /** For each bucket, the task shapes for which no victims were found. */
   readonly blocked: Map<WaitingBucket, BlockedShapes>;
 }
 
 /**
- * Makes capacity for jobs that have waited long enough, by the exceptions to leases that the rules of
- * the platform need (`PreemptionRules`). The capacity is held for the job that it was made for. None
- * is made for gangs.
+ * Frees capacity for waiting jobs by preempting tasks. This is allowed only where the rules of the platform need an
+ * exception to leases; `PreemptionRules` defines these cases and how long a job must have waited. The freed capacity
+ * is held for the job that it was freed for. No capacity is freed for gangs.
  */
 export class Preemption {
   private readonly rules: PreemptionRules;
@@ -44,7 +44,7 @@
     this.selector = new VictimSelector(fleet, this.rules);
   }
 
-  /** Preempts for the waiting jobs of the highest rank, the oldest first. */
+  /** Preempts tasks for waiting jobs, in order of rank and then of age. */
   run(now: number): void {
     const { jobs } = this.fleet;
     const buckets = [...jobs.waiting.buckets()].filter((each) => this.rules.mayPreemptAny(each));
@@ -75,7 +75,7 @@
     };
   }
 
-  /** Whether not even the smallest task of the bucket finds victims, or its team's limit is reached. */
+  /** Whether no victims were found for even the smallest task of the bucket, or the team's limit allows no more tasks. */
   private isBlocked(bucket: WaitingBucket, { blocked }: PreemptionRound): boolean {
     const { sample, rank, minAmounts } = bucket;
     const isShapeBlocked = blocked.get(bucket)?.has(sample, rank, 'firm', minAmounts) ?? false;
@@ -94,12 +94,12 @@
     );
   }
 
-  /** Whether there may be anything to preempt: best-effort work, or firm work once the job has waited. */
+  /** Whether there may be tasks to preempt: best-effort ones, or firm ones if the job has waited long enough. */
   private mayPreemptNow(job: JobState, { anyBestEffort, now }: PreemptionRound): boolean {
     return anyBestEffort || this.rules.mayPreemptFirmWork(job, now);
   }
 
-  /** Whether a job that needs no more, and that may preempt as much or more, has found no victims. */
+  /** Whether no victims were found for another job that needs no more than this job and may preempt at least as much. */
   private isShapeBlocked(job: JobState, round: PreemptionRound): boolean {
     const blocked = this.blockedShapesOf(job, round);
     if (blocked === undefined) return false;
@@ -109,17 +109,20 @@
     );
   }
 
-  /** Capacity that is being made takes a moment to come free; no more is made for the job meanwhile. */
+  /**
+   * Whether capacity is already held for all waiting tasks of the job. Preempted tasks take a moment to end, and
+   * nothing more is preempted for the job meanwhile.
+   */
   private isCapacityComingFree(job: JobState, { heldMachines }: PreemptionRound): boolean {
     return (heldMachines.get(job) ?? 0) >= this.fleet.jobs.waitingCount(job);
   }
 
-  /** Whether one more task of the job, or one more replica with all members, exceeds its team's limit. */
+  /** Whether one more task of the job, or one more replica with all its members, would exceed its team's limit. */
   private wouldExceedLimit(job: JobState): boolean {
     return !this.shares.allowsTasks(job.spec, membersOf(job));
   }
 
-  /** Spares the jobs after it that need as much the same search. */
+  /** Records that no victims were found, so that the search is not repeated for later jobs that need as much. */
   private recordBlocked(job: JobState, round: PreemptionRound): void {
     if (!mayBlockShape(job)) return;
     this.blockedShapesOf(job, round)?.add(job.spec, job.rank, this.accessOf(job, round.now));
@@ -134,7 +137,7 @@
     return this.rules.mayPreemptFirmWork(job, now) ? 'firm' : 'best-effort';
   }
 
-  /** Stops the victims on one machine and holds the machine for the job until they have ended. */
+  /** Stops the victims on one machine and holds the machine's capacity for the job while the victims end. */
   private preempt(
     job: JobState,
     victims: Victims,
--- a/packages/core/preemption/start-window.ts
+++ b/packages/core/preemption/start-window.ts
@@ -1,9 +1,9 @@
-/** The start window: how long a task must be left running for its start to be of use. */
+/** The minimum run time: how long a task must run after its start for that start to be of use. */
 
-/** The platform's users count a start only if no command stops the task for so many seconds. */
-const START_WINDOW_S = 30;
+/** The platform's users count a start only if no command stops the task within this time, in seconds. */
+const MINIMUM_RUN_TIME_S = 30;
 
-/** Whether a task that runs since `runningSince` (seconds of the steady clock) has outlived the window. */
+/** Whether a task has run for the minimum time since `runningSince`. Times are seconds of the monotonic clock. */
 export function isPastStartWindow(runningSince: number, now: number): boolean {
-  return now - runningSince >= START_WINDOW_S;
+  return now - runningSince >= MINIMUM_RUN_TIME_S;
 }
--- a/packages/core/preemption/victim-selection.ts
+++ b/packages/core/preemption/victim-selection.ts
@@ -1,4 +1,4 @@
-/** Chooses the machines on which preemption loses the least work. */
+/** Selects the tasks whose preemption loses the least work. */
 import { firmUse } from '../fair-share/best-effort.js';
 import type { FleetState } from '../fleet-state.js';
 import { addAmounts } from '../model/amounts.js';
@@ -20,11 +20,11 @@
 export interface Victims {
   machine: Machine;
   assignments: Assignment[];
-  /** Work that is lost by preempting them, in accelerator seconds. */
+  /** Work that is lost by preempting these tasks, in accelerator seconds. */
   cost: number;
 }
 
-/** Selects victims for a waiting job; preempts nothing itself. */
+/** Selects victims for a waiting job. It does not stop them. */
 export class VictimSelector {
   constructor(
     private readonly fleet: FleetState,
@@ -32,9 +32,9 @@
   ) {}
 
   /**
-   * The victims on one machine for a task of the job, or on several for the members of a replica that
-   * have neither free capacity nor one of the `held` machines. Machines in `stopping` are left out.
-   * Null if some member finds no capacity.
+   * Selects the victims on one machine for a task of the job. For a replica, it selects one machine for each member
+   * beyond those that fit into free capacity or on the `held` machines on which capacity is held for the job. Machines
+   * in `stopping` are left out. Null if there are no victims for some member.
    */
   select(
     job: JobState,
@@ -58,7 +58,7 @@
     return selected;
   }
 
-  /** Machines with free capacity for as many members of a replica as possible; none for other jobs. */
+  /** Machines with free capacity for as many members of a replica as possible; empty if the job has no replicas. */
   private freeMachinesForMembers(job: JobState, now: number): Machine[] {
     if (job.replicas === null) return [];
     const candidates = new PlacementCandidates(this.fleet, now);
@@ -70,7 +70,7 @@
     return [];
   }
 
-  /** The machine, in `zone` unless null, on which a task of the job costs least; null if there is none. */
+  /** The victims for one task of the job with the lowest cost, in `zone` unless that is null. Null if there are none. */
   private cheapestVictims(
     job: JobState,
     excluded: ReadonlySet<Machine>,
@@ -93,11 +93,11 @@
     return best;
   }
 
-  /** What must be stopped there for one task of the job; null if that does not yield the capacity. */
+  /** The tasks to stop on the machine for one task of the job; null if stopping tasks cannot free enough capacity. */
   private victimsOn(machine: Machine, job: JobState, now: number): Assignment[] | null {
     const type = this.fleet.machines.typeOf(machine);
     if (!type || !kindAllowed(job.spec, type, machine.zone, machine.spot)) return null;
-    // Where only best-effort tasks may go, the firm ones must leave enough.
+    // If only best-effort tasks may be stopped, the firm tasks must leave enough capacity.
     const onlyBestEffort = !this.rules.mayPreemptFirmWork(job, now);
     if (onlyBestEffort && !hasCapacity(job.spec, firmUse(machine), type)) return null;
     const preemptible = this.preemptibleTasks(machine, job, now);
@@ -112,7 +112,7 @@
     return victims.length > 0 && hasCapacity(job.spec, used, type) ? victims : null;
   }
 
-  /** The tasks there that the job may preempt: the lowest rank first, then the newest. */
+  /** The machine's tasks that the job may preempt, least urgent rank first, then newest first. */
   private preemptibleTasks(machine: Machine, job: JobState, now: number): Assignment[] {
     return [...machine.tasks.values()]
       .filter((each) => each.stop === null && this.rules.mayPreempt(job, each, now))
