--- a/packages/dependencies/dependency-graph.test.ts
+++ b/packages/dependencies/dependency-graph.test.ts
@@ -11,10 +11,10 @@
   ownUrgency: Urgency;
 }
 
-/** Records as a controller reads them, and a graph that records them. */
+/** Jobs whose records are read one by one, as a controller reads them, and the graph that is built from them. */
 class RecordedJobs {
   readonly jobs = new Map<string, SampleJob>();
-  /** By their own records, and those that are cancelled with others as the graph said. */
+  /** Outcomes from the jobs' own records, and of the jobs that the graph has reported as cancelled. */
   readonly outcomes = new Map<string, Outcome>();
   readonly startable: string[] = [];
   readonly urgencies = new Map<string, Urgency>();
@@ -49,7 +49,7 @@
   return { id, dependencies, ownUrgency: { rank, dueAtMs } };
 }
 
-/** The same by going through all jobs. */
+/** Computes by recursion over all jobs whether a job is cancelled, to compare with the graph. */
 function isCancelledByScan(
   jobs: Map<string, SampleJob>,
   outcomes: Map<string, Outcome>,
@@ -76,7 +76,7 @@
   return urgency;
 }
 
-test('what follows for each job is the same as by going through all jobs, in whatever order they become known', () => {
+test('the graph agrees with a recursion over all jobs, in whatever order the records are read', () => {
   const anyHistory = fc.record({
     jobs: fc.array(
       fc.record({
@@ -103,7 +103,7 @@
         );
       });
       const jobs = new Map(all.map((job) => [job.id, job]));
-      // Only a job without open dependencies can be done, and nothing ends twice.
+      // Only a job without open dependencies can be done, and no job ends twice.
       const outcomes = new Map<string, Outcome>();
       for (const { job: number, isDone } of ends) {
         const job = all.at(number);
@@ -111,7 +111,7 @@
         const isReady = job.dependencies.every((dependency) => outcomes.get(dependency) === 'done');
         if (!isDone || isReady) outcomes.set(job.id, isDone ? 'done' : 'cancelled');
       }
-      // Each record is read once as it is now, or first as accepted and later as it ended.
+      // The record of an ended job is read either only as ended, or first as accepted and later as ended.
       const records = new RecordedJobs();
       const events = all.flatMap((job, number) => {
         const ended = outcomes.get(job.id);
@@ -133,7 +133,7 @@
         if (isWaiting) waiting++;
         assert.equal(records.graph.hasOpenDependencies(id), isWaiting, id);
         assert.deepEqual(records.graph.urgencyOf(id), urgencyByScan(jobs, isOver, id), id);
-        assert.deepEqual(records.urgencies.get(id), records.graph.urgencyOf(id), `${id} was told`);
+        assert.deepEqual(records.urgencies.get(id), records.graph.urgencyOf(id), `${id} changes`);
       }
     }),
     SEEDED,
@@ -141,7 +141,7 @@
   assert.ok(indirectCancellations > 50 && waiting > 100, `${indirectCancellations}, ${waiting}`);
 });
 
-test('a job is startable once, when the last of its dependencies is done', () => {
+test('a job is reported as startable once, when the last of its dependencies is done', () => {
   const records = new RecordedJobs();
   for (const job of [newJob('a'), newJob('b'), newJob('c', ['a', 'b'])]) records.accept(job);
   assert.deepEqual(records.graph.openDependencies('c'), ['a', 'b']);
@@ -153,7 +153,7 @@
   assert.deepEqual(records.startable, ['c']);
 });
 
-test('a cancellation reaches a chain of a thousand, and what a cancelled job made urgent is so no longer', () => {
+test('a cancellation reaches the rest of a chain of a thousand jobs and lowers the urgency of its first job', () => {
   const records = new RecordedJobs();
   records.accept(newJob('first', [], 3));
   let previous = 'first';
@@ -173,7 +173,7 @@
   assert.deepEqual(records.startable, ['c-0']);
 });
 
-test('a diamond waits for both sides and is cancelled once', () => {
+test('in a diamond of dependencies, the last job waits for both sides and is cancelled once', () => {
   const records = new RecordedJobs();
   for (const job of [
     newJob('a'),
@@ -191,7 +191,7 @@
   assert.deepEqual(records.startable, ['b', 'c']);
 });
 
-test('nothing is kept of jobs that have neither dependencies nor dependents', () => {
+test('the graph keeps nothing of jobs that have neither dependencies nor dependents', () => {
   const records = new RecordedJobs();
   const job = newJob('a');
   records.accept(job);
--- a/packages/dependencies/dependency-graph.ts
+++ b/packages/dependencies/dependency-graph.ts
@@ -1,42 +1,42 @@
 /**
- * The DAG of jobs and their dependencies. Whether a job may start or is cancelled, and how urgent it is, follows from
- * the durable records of its dependencies and dependents, whatever the order in which they are read.
+ * The DAG of jobs and their dependencies. Whether a job may start or is cancelled, and how urgent it is, depends only on
+ * the durable records of its dependencies and dependents, not on the order in which these are read.
  */
 import { isSameUrgency, combineUrgency, type Urgency } from './urgency.js';
 
 /** How a job ended. */
 export type Outcome = 'done' | 'cancelled';
 
-/** What the graph asks about accepted jobs. */
+/** Looks up accepted jobs for the graph. */
 export interface KnownJobs {
-  /** Null while the job is open or not known. */
+  /** How the job ended; null while it is open or not known. */
   outcomeOf(id: string): Outcome | null;
   /** The job's own urgency; null while it is not known. */
   urgencyOf(id: string): Urgency | null;
 }
 
-/** What follows for one job from what happened to another. */
+/** A change of one job that results from the acceptance or the end of another. */
 export type DependencyChange =
-  /** All its dependencies are done. */
+  /** All dependencies of the job are done. */
   | { kind: 'startable'; job: string }
-  /** One of its dependencies, direct or not, is cancelled, and so is it. */
+  /** The job is cancelled because one of its dependencies, direct or indirect, is cancelled. */
   | { kind: 'cancelled'; job: string }
-  /** Its own dependents, direct or not, have come or gone. */
+  /** The job's urgency has changed because dependents, direct or indirect, were added or have ended. */
   | { kind: 'urgency'; job: string; urgency: Urgency };
 
 /** An open job that has dependencies or dependents. */
 interface Node {
   id: string;
   readonly openDependencies: Set<Node>;
-  /** Open jobs that depend on it. */
+  /** Open jobs that depend directly on this job. */
   readonly dependents: Set<Node>;
-  /** The most urgent of its own and of those of all its dependents, direct or not. */
+  /** The job's own urgency combined with that of all its dependents, direct or indirect. */
   urgency: Urgency;
 }
 
 const NOT_URGENT: Urgency = { rank: Infinity, dueAtMs: Infinity };
 
-/** The open jobs that have dependencies or dependents; others cost nothing. */
+/** The graph of open jobs that have dependencies or dependents. Other jobs have no node and use no memory. */
 export class DependencyGraph {
   private readonly nodes = new Map<string, Node>();
 
@@ -52,14 +52,14 @@
     return [...(this.nodes.get(id)?.openDependencies ?? [])].map((dependency) => dependency.id);
   }
 
-  /** How urgent the job is, by itself and by all its dependents, direct or not. */
+  /** The job's own urgency combined with that of all its dependents, direct or indirect. */
   urgencyOf(id: string): Urgency {
     return this.nodes.get(id)?.urgency ?? this.jobs.urgencyOf(id) ?? NOT_URGENT;
   }
 
   /**
-   * Records an open job, which `KnownJobs` knows already. If one of its dependencies is cancelled, the first change
-   * says that it is, too.
+   * Records that an open job was accepted. `KnownJobs` must already contain the job. If one of its dependencies is
+   * cancelled, the first change returned is that the job is cancelled as well.
    */
   recordAccepted(id: string, dependencies: readonly string[]): DependencyChange[] {
     if (dependencies.some((dependency) => this.jobs.outcomeOf(dependency) === 'cancelled')) {
@@ -69,13 +69,13 @@
     const known = this.nodes.get(id);
     if (known === undefined && open.length === 0) return [];
     const node = known ?? this.add(id);
-    // Its dependents may have become known before it.
+    // Dependents of the job may have been recorded before the job itself.
     node.urgency = combineUrgency(node.urgency, this.jobs.urgencyOf(id) ?? NOT_URGENT);
     for (const dependency of open) this.link(node, dependency);
     return this.raiseDependencies(node);
   }
 
-  /** Records that a job is over; `KnownJobs` knows how it ended already. */
+  /** Records that a job has ended. `KnownJobs` must already return the outcome. */
   recordEnded(id: string, outcome: Outcome): DependencyChange[] {
     const node = this.nodes.get(id);
     if (node === undefined) return [];
@@ -94,10 +94,10 @@
     return changes;
   }
 
-  /** Cancels all its dependents, direct or not. */
+  /** Cancels all dependents of the job, direct or indirect. */
   private recordCancelled(cancelled: Node): DependencyChange[] {
     const removed = new Set([cancelled]);
-    // A set that grows while it is iterated yields what was added, too.
+    // Iterating over a set also visits the elements that are added meanwhile.
     for (const node of removed) for (const dependent of node.dependents) removed.add(dependent);
     const remaining = new Set<Node>();
     for (const node of removed) {
@@ -136,7 +136,7 @@
     if (openDependencies.size === 0 && dependents.size === 0) this.nodes.delete(id);
   }
 
-  /** Makes all dependencies of the job, direct or not, at least as urgent as it is. */
+  /** Makes all dependencies of the job, direct or indirect, at least as urgent as the job. */
   private raiseDependencies(start: Node): DependencyChange[] {
     const raised = new Set<Node>();
     const stack = [start];
@@ -152,7 +152,7 @@
     return [...raised].map(urgencyChange);
   }
 
-  /** Computes again how urgent these jobs and all their dependencies, direct or not, are. */
+  /** Recomputes the urgency of these jobs and of all their dependencies, direct or indirect. */
   private recomputeUrgency(start: Iterable<Node>): DependencyChange[] {
     const changed = new Set<Node>();
     const stack = [...start];
--- a/packages/dependencies/urgency.ts
+++ b/packages/dependencies/urgency.ts
@@ -1,14 +1,14 @@
-/** How urgent jobs are, and which of two urgencies counts. */
+/** The urgency of jobs: rank and due time. */
 
 /** How urgent a job is. */
 export interface Urgency {
-  /** 0 is the most urgent. */
+  /** 0 is the most urgent rank. */
   rank: number;
-  /** When it should be done, in milliseconds of the time of day; Infinity if there is no deadline. */
+  /** When the job should be done, in milliseconds since the epoch; Infinity if it has no deadline. */
   dueAtMs: number;
 }
 
-/** The more urgent of both in rank and in due time. */
+/** The more urgent of the two ranks together with the earlier of the two due times. */
 export function combineUrgency(one: Urgency, other: Urgency): Urgency {
   return {
     rank: Math.min(one.rank, other.rank),
@@ -16,7 +16,7 @@
   };
 }
 
-/** Whether both are equally urgent in rank and in due time. */
+/** Whether both ranks and both due times are equal. */
 export function isSameUrgency(one: Urgency, other: Urgency): boolean {
   return one.rank === other.rank && one.dueAtMs === other.dueAtMs;
 }
