--- a/packages/core/fair-share/waiting-bucket.ts
+++ b/packages/core/fair-share/waiting-bucket.ts
@@ -41,12 +41,12 @@
   /** Number of members of each replica of the bucket's jobs; 1 if a replica is a single task. */
   readonly members: number;
 
-  constructor(sample: JobState) {
-    this.sample = sample.spec;
-    this.rank = sample.rank;
-    this.isBestEffort = sample.isBestEffort;
-    this.members = membersOf(sample);
-    const { cpus, gpus, memory } = sample.spec;
+  constructor(firstJob: JobState) {
+    this.sample = firstJob.spec;
+    this.rank = firstJob.rank;
+    this.isBestEffort = firstJob.isBestEffort;
+    this.members = membersOf(firstJob);
+    const { cpus, gpus, memory } = firstJob.spec;
     this.minAmounts = { cpus, gpus, memory };
     this.maxCpus = cpus;
   }
