--- a/packages/core/preemption/preemption.ts
+++ b/packages/core/preemption/preemption.ts
@@ -94,7 +94,7 @@
     );
   }
 
-  /** Whether there may be tasks to preempt: best-effort ones, or firm ones if the job has waited long enough. */
+  /** Whether there may be tasks to preempt: best-effort ones at any time, others once the job has waited long enough. */
   private mayPreemptNow(job: JobState, { anyBestEffort, now }: PreemptionRound): boolean {
     return anyBestEffort || this.rules.mayPreemptFirmWork(job, now);
   }
--- a/packages/core/preemption/victim-selection.ts
+++ b/packages/core/preemption/victim-selection.ts
@@ -97,7 +97,7 @@
   private victimsOn(machine: Machine, job: JobState, now: number): Assignment[] | null {
     const type = this.fleet.machines.typeOf(machine);
     if (!type || !kindAllowed(job.spec, type, machine.zone, machine.spot)) return null;
-    // If only best-effort tasks may be stopped, the firm tasks must leave enough capacity.
+    // If only best-effort tasks may be stopped, all other tasks must leave enough capacity.
     const onlyBestEffort = !this.rules.mayPreemptFirmWork(job, now);
     if (onlyBestEffort && !hasCapacity(job.spec, firmUse(machine), type)) return null;
     const preemptible = this.preemptibleTasks(machine, job, now);
