--- a/packages/core/preemption/preemption-rules.ts
+++ b/packages/core/preemption/preemption-rules.ts
@@ -20,8 +20,8 @@
  * - Best-effort tasks may be preempted at once.
  * - Firm tasks, which are all others, may be preempted for a job that has waited for `preemptAfterS`, and only in three
  *   cases: the job has a higher rank; the job is within its team's guarantee, and the tasks belong to another team that
- *   uses more than its guarantee; or the tasks are a gang of the same rank and of another team, the gang's lease has ended, and the
- *   fair-share index of the job's team is far below that of the gang's team.
+ *   uses more than its guarantee; or the tasks are a gang of the same rank and of another team, the gang's lease has
+ *   ended, and the fair-share index of the job's team is far below that of the gang's team.
  */
 export class PreemptionRules {
   constructor(
@@ -30,7 +30,7 @@
     private readonly settings: PreemptionSettings,
   ) {}
 
-  /** Whether the job has waited long enough to preempt firm work, that is, all work that is not best-effort. */
+  /** Whether the job has waited long enough to preempt firm work. Best-effort work may be preempted without a wait. */
   mayPreemptFirmWork({ waitingSince }: JobState, now: number): boolean {
     return now - waitingSince >= this.settings.preemptAfterS;
   }
