--- a/packages/core/fair-share/best-effort.ts
+++ b/packages/core/fair-share/best-effort.ts
@@ -31,7 +31,7 @@
   return firm;
 }
 
-/** Whether a task of the best-effort job may use the machine's free capacity without getting in the way of firm work. */
+/** Whether a task of the best-effort job may use the machine's free capacity without hindering firm work. */
 export function mayUseSpareCapacity(
   fleet: FleetData,
   job: JobState,
--- a/packages/core/fair-share/precedence-tiers.ts
+++ b/packages/core/fair-share/precedence-tiers.ts
@@ -52,7 +52,7 @@
     this.enqueue(BEST_EFFORT_TIER, bucket, this.isSkipped);
   }
 
-  /** Adds a bucket of firm (not best-effort) jobs. It is added to two tiers if only some jobs are within the guarantee. */
+  /** Adds a bucket of firm (not best-effort) jobs. If only some are within the guarantee, it goes into two tiers. */
   addFirm(bucket: WaitingBucket, shares: FairShares): void {
     const { isSkipped } = this;
     const { rank, members, minAmounts, maxCpus, sample } = bucket;
--- a/packages/core/preemption/capacity-holds.ts
+++ b/packages/core/preemption/capacity-holds.ts
@@ -27,7 +27,7 @@
     for (const machine of [...this.machines]) this.releaseIfHeldFor(machine, job);
   }
 
-  /** Ends the machine's hold if it is for the job, whose task was placed there. Its other tasks need capacity elsewhere. */
+  /** Ends the machine's hold for the job once a task was placed there. The job's other tasks need other capacity. */
   releaseIfHeldFor(machine: Machine, job: JobState): void {
     if (machine.capacityHold?.job === job) this.release(machine);
   }
--- a/packages/core/preemption/preemption-rules.ts
+++ b/packages/core/preemption/preemption-rules.ts
@@ -68,7 +68,7 @@
     return isOtherTeam && victim.spec.kind === 'gang' && this.isGangLeaseOver(victim, job, now);
   }
 
-  /** Whether the gang's lease has ended and the waiting team's fair-share index is far below that of the gang's team. */
+  /** Whether the gang's lease has ended and the waiting team's fair-share index is far below the gang's team's. */
   private isGangLeaseOver(gang: JobState, waiting: JobState, now: number): boolean {
     const { gangLeaseS, stopThreshold } = this.settings;
     const startedAt = Math.min(
--- a/packages/core/preemption/preemption.ts
+++ b/packages/core/preemption/preemption.ts
@@ -75,7 +75,7 @@
     };
   }
 
-  /** Whether no victims were found for even the smallest task of the bucket, or the team's limit allows no more tasks. */
+  /** Whether no victims were found for the bucket's smallest task, or the team's limit allows no more tasks. */
   private isBlocked(bucket: WaitingBucket, { blocked }: PreemptionRound): boolean {
     const { sample, rank, minAmounts } = bucket;
     const isShapeBlocked = blocked.get(bucket)?.has(sample, rank, 'firm', minAmounts) ?? false;
@@ -94,12 +94,12 @@
     );
   }
 
-  /** Whether there may be tasks to preempt: best-effort ones at any time, others once the job has waited long enough. */
+  /** Whether there may be tasks to preempt: best-effort ones, or others once the job has waited long enough. */
   private mayPreemptNow(job: JobState, { anyBestEffort, now }: PreemptionRound): boolean {
     return anyBestEffort || this.rules.mayPreemptFirmWork(job, now);
   }
 
-  /** Whether no victims were found for another job that needs no more than this job and may preempt at least as much. */
+  /** Whether no victims were found for another job that needs no more than this one and may preempt as much. */
   private isShapeBlocked(job: JobState, round: PreemptionRound): boolean {
     const blocked = this.blockedShapesOf(job, round);
     if (blocked === undefined) return false;
--- a/packages/core/preemption/victim-selection.ts
+++ b/packages/core/preemption/victim-selection.ts
@@ -70,7 +70,7 @@
     return [];
   }
 
-  /** The victims for one task of the job with the lowest cost, in `zone` unless that is null. Null if there are none. */
+  /** The victims of lowest cost for one task of the job, in `zone` unless that is null. Null if there are none. */
   private cheapestVictims(
     job: JobState,
     excluded: ReadonlySet<Machine>,
--- a/packages/dependencies/dependency-graph.ts
+++ b/packages/dependencies/dependency-graph.ts
@@ -1,6 +1,6 @@
 /**
- * The DAG of jobs and their dependencies. Whether a job may start or is cancelled, and how urgent it is, depends only on
- * the durable records of its dependencies and dependents, not on the order in which these are read.
+ * The DAG of jobs and their dependencies. Whether a job may start or is cancelled, and how urgent it is, depends only
+ * on the durable records of its dependencies and dependents, not on the order in which these are read.
  */
 import { isSameUrgency, combineUrgency, type Urgency } from './urgency.js';
 
