--- a/packages/bundle/compiled-code.test.ts
+++ b/packages/bundle/compiled-code.test.ts
@@ -19,11 +19,11 @@
 });
 
 test('without usable compiled code the program is loaded as well', () => {
-  const whole = readFileSync(CACHE_FILE);
-  const other = Buffer.from(whole);
+  const validCache = readFileSync(CACHE_FILE);
+  const mismatchedCache = Buffer.from(validCache);
   // The first bytes tell versions and options.
-  other.fill(0, 0, 16);
-  for (const cache of [undefined, Buffer.alloc(0), whole.subarray(0, 5000), other]) {
+  mismatchedCache.fill(0, 0, 16);
+  for (const cache of [undefined, Buffer.alloc(0), validCache.subarray(0, 5000), mismatchedCache]) {
     assert.equal(typeof loadProgram(compileProgram(cache)).main, 'function');
   }
 });
--- a/packages/bundle/keep-compiled.ts
+++ b/packages/bundle/keep-compiled.ts
@@ -5,13 +5,13 @@
 import { writeFileSync } from 'node:fs';
 import { setFlagsFromString } from 'node:v8';
 import { CACHE_FILE, compileProgram, loadProgram } from '../cli/launch.cjs';
-import { rehearse } from './rehearsal.js';
+import { warmUp } from './rehearsal.js';
 
 // What has not run for a while would be given up, and be missing. Compiled code is of use only under the
 // options under which it was written, so the usual ones are in force again by then.
 setFlagsFromString('--no-flush-bytecode');
 const script = compileProgram(undefined);
-await rehearse(loadProgram(script));
+await warmUp(loadProgram(script));
 setFlagsFromString('--flush-bytecode');
 writeFileSync(CACHE_FILE, script.createCachedData());
 // Controllers of the simulation never end by themselves.
--- a/packages/bundle/main.ts
+++ b/packages/bundle/main.ts
@@ -7,7 +7,7 @@
 import { nodeOptions } from './service-file.js';
 
 /** Compiled code is of use only to a process with the same options, so such a process makes it. */
-function keepCompiledCode(): void {
+function writeCodeCache(): void {
   const program = fileURLToPath(new URL('./keep-compiled.js', import.meta.url));
   const { status, error } = spawnSync(process.execPath, [...nodeOptions(), program], {
     stdio: 'inherit',
@@ -18,4 +18,4 @@
 // Node does not notice that compiled code is of another program, if both are of the same length.
 rmSync(CACHE_FILE, { force: true });
 await bundleProgram();
-keepCompiledCode();
+writeCodeCache();
--- a/packages/bundle/rehearsal.ts
+++ b/packages/bundle/rehearsal.ts
@@ -9,8 +9,8 @@
 const EXAMPLE_SETTINGS = fileURLToPath(new URL('../../examples/settings.toml', import.meta.url));
 const SEED = 1;
 /** Simulated seconds: long enough for machines to boot, and for jobs to come, run, be cancelled and end. */
-const LENGTH_S = 90;
-const LAST_JOBS_S = 70;
+const SCENARIO_LENGTH_S = 90;
+const LAST_SUBMISSION_S = 70;
 /** By then work runs, which the next leader takes over. */
 const FAILOVER_S = 50;
 
@@ -18,7 +18,7 @@
  * Simulates a small cluster whose controllers are the program's own, with users, machines and a failover. Rejects if
  * anything went wrong.
  */
-export async function rehearse(program: Program): Promise<void> {
+export async function warmUp(program: Program): Promise<void> {
   program.loadSettings(EXAMPLE_SETTINGS, null);
   const logFile = openSync(devNull, 'w');
   const make: ControllerMaker = (runtime, settings) => {
@@ -28,11 +28,11 @@
   const scenario = {
     name: 'rehearsal',
     cluster: SMALL_CLUSTER,
-    workload: { classes: USUAL_CLASSES, intensity: 2, untilS: LAST_JOBS_S },
+    workload: { classes: USUAL_CLASSES, intensity: 2, untilS: LAST_SUBMISSION_S },
     faults: [
       { kind: 'controller-crash', controllers: 'leader', atS: FAILOVER_S, downS: 5 } as const,
     ],
-    lengthS: LENGTH_S,
+    lengthS: SCENARIO_LENGTH_S,
   };
   const problems = describeProblems(await runScenario(scenario, SEED, make));
   closeSync(logFile);
--- a/packages/bundle/schema-checks.test.ts
+++ b/packages/bundle/schema-checks.test.ts
@@ -29,7 +29,7 @@
 });
 
 /** What is right by each schema, to be made wrong in one place. */
-const GOOD: Record<string, fc.Arbitrary<Json>> = {
+const VALID_VALUES: Record<string, fc.Arbitrary<Json>> = {
   job: anyJob.map(jobToWire),
   heartbeat: anyHeartbeat.map(heartbeatToWire),
   moveRecord: anyMoveRecord,
@@ -44,7 +44,7 @@
   fc.boolean(),
 );
 
-function evaluate(code: string): Checks {
+function evaluateModule(code: string): Checks {
   const module = { exports: {} as Checks };
   const require = createRequire(import.meta.url);
   const wrapped = `(function (module, exports, require) {${code}\n})`;
@@ -60,8 +60,8 @@
 }
 
 /** Puts another value in one place, or takes it out if that is undefined. */
-function spoil(good: Json, place: number, other: unknown): Json {
-  const copy = structuredClone(good);
+function corrupt(valid: Json, place: number, other: unknown): Json {
+  const copy = structuredClone(valid);
   const places = containersIn(copy).flatMap((container) =>
     Object.keys(container).map((key) => ({ container, key })),
   );
@@ -71,28 +71,28 @@
   return copy;
 }
 
-function outcome(check: ValidateFunction, value: Json): unknown {
+function runCheck(check: ValidateFunction, value: Json): unknown {
   const checked = structuredClone(value);
   const isGood = check(checked);
   return { isGood, errors: isGood ? null : check.errors, checked };
 }
 
 test('the code that the build makes of each schema gives the same errors and defaults as ajv', () => {
-  assert.deepEqual([...namedSchemas.keys()].sort(), Object.keys(GOOD).sort());
-  const checks = evaluate(schemaChecksCode());
+  assert.deepEqual([...namedSchemas.keys()].sort(), Object.keys(VALID_VALUES).sort());
+  const checks = evaluateModule(schemaChecksCode());
   for (const [name, schema] of [...namedSchemas]) {
     const compiled = compileSchema(name, schema);
-    const wrong = new Set<string>();
+    const failedKeywords = new Set<string>();
     fc.assert(
-      fc.property(GOOD[name], fc.nat(), anyValue, (good, place, other) => {
+      fc.property(VALID_VALUES[name], fc.nat(), anyValue, (good, place, other) => {
         assert.equal(checks[name](structuredClone(good)), true, name);
-        const value = spoil(good, place, other);
-        const expected = outcome(compiled, value);
-        assert.deepEqual(outcome(checks[name], value), expected);
-        for (const { keyword } of compiled.errors ?? []) wrong.add(keyword);
+        const value = corrupt(good, place, other);
+        const expected = runCheck(compiled, value);
+        assert.deepEqual(runCheck(checks[name], value), expected);
+        for (const { keyword } of compiled.errors ?? []) failedKeywords.add(keyword);
       }),
       SEEDED,
     );
-    assert.ok(wrong.size > 1, `${name} was made wrong in several ways`);
+    assert.ok(failedKeywords.size > 1, `${name} was made wrong in several ways`);
   }
 });
--- a/packages/cli/commands.ts
+++ b/packages/cli/commands.ts
@@ -2,7 +2,7 @@
 import { Command, CommanderError } from 'commander';
 import { readFileSync } from 'node:fs';
 import { ExitCode } from './command-error.js';
-import { examples } from './help.js';
+import { formatExamples } from './help.js';
 import type { Output } from './output.js';
 import { addShardCommands } from './shard-commands.js';
 import { addReplicaCommands } from './replica-commands.js';
@@ -26,7 +26,7 @@
 function makeProgram(output: Output): Command {
   const program = new Command('sorreldale')
     .description('A fair-share scheduler for fleets that serve language models')
-    .version(version())
+    .version(readVersion())
     .exitOverride()
     .showSuggestionAfterError(false)
     .configureOutput({ writeOut: output.out, writeErr: output.err })
@@ -34,7 +34,7 @@
     .option('--operator <file>', "the operators' own settings (JSON)")
     .addHelpText(
       'after',
-      examples(
+      formatExamples(
         '--config examples/settings.toml',
         '--config examples/settings.toml --operator examples/operator.json',
       ),
@@ -50,7 +50,7 @@
   return program;
 }
 
-function version(): string {
+function readVersion(): string {
   const file = new URL('../../package.json', import.meta.url);
   return (JSON.parse(readFileSync(file, 'utf8')) as { version: string }).version;
 }
--- a/packages/cli/examples.test.ts
+++ b/packages/cli/examples.test.ts
@@ -5,10 +5,10 @@
 import { loadSettings, operatorSchema } from '#controller';
 import { parseJob } from '#wire';
 
-const SETTINGS = example('settings.toml');
-const OPERATOR = example('operator.json');
+const SETTINGS = examplePath('settings.toml');
+const OPERATOR = examplePath('operator.json');
 
-function example(name: string): string {
+function examplePath(name: string): string {
   return fileURLToPath(new URL(`../../examples/${name}`, import.meta.url));
 }
 
@@ -28,7 +28,7 @@
 });
 
 test('the sample job is one that the sample deployment serves', () => {
-  const job = parseJob(readJson(example('job.json')));
+  const job = parseJob(readJson(examplePath('job.json')));
   const { teams, objectives } = loadSettings(SETTINGS, null).deployment;
   const team = teams.find(({ name }) => name === job.team);
   assert.ok(team && team.gpus_max >= job.gpus);
@@ -37,8 +37,8 @@
 
 test('the jobs of the sample pipeline can be submitted in the order of their numbers', () => {
   const { teams } = loadSettings(SETTINGS, null).deployment;
-  const files = readdirSync(example('pipeline')).sort();
-  const jobs = files.map((file) => parseJob(readJson(example(`pipeline/${file}`))));
+  const files = readdirSync(examplePath('pipeline')).sort();
+  const jobs = files.map((file) => parseJob(readJson(examplePath(`pipeline/${file}`))));
   assert.ok(jobs.length > 2);
   const accepted = new Set<string>();
   for (const [number, job] of jobs.entries()) {
--- a/packages/cli/help.ts
+++ b/packages/cli/help.ts
@@ -1,7 +1,7 @@
 /** Texts of the commands' help. */
 
 /** Text for the end of a command's help: how it may be called. */
-export function examples(...calls: string[]): string {
+export function formatExamples(...calls: string[]): string {
   const heading = calls.length === 1 ? 'Example:' : 'Examples:';
   return ['', heading, ...calls.map((call) => `  $ sorreldale ${call}`)].join('\n');
 }
--- a/packages/cli/program.test.ts
+++ b/packages/cli/program.test.ts
@@ -12,14 +12,14 @@
 const directory = mkdtempSync(path.join(tmpdir(), 'sorreldale-cli-'));
 after(() => rmSync(directory, { recursive: true }));
 
-const SAMPLE_SETTINGS = sample('settings.toml');
-const SAMPLE_JOB = sample('job.json');
+const SAMPLE_SETTINGS = samplePath('settings.toml');
+const SAMPLE_JOB = samplePath('job.json');
 
-function sample(name: string): string {
+function samplePath(name: string): string {
   return fileURLToPath(new URL(`../../examples/${name}`, import.meta.url));
 }
 
-function fileWith(name: string, text: string): string {
+function writeTestFile(name: string, text: string): string {
   const file = path.join(directory, name);
   writeFileSync(file, text);
   return file;
@@ -45,9 +45,9 @@
   const missing = path.join(directory, 'none.json');
   await assertFails(['submit', missing], 2, /none\.json: cannot be read: ENOENT/);
   await assertFails(['submit', directory], 2, /cannot be read: EISDIR/);
-  const broken = fileWith('broken.json', '{"id": \n\n oops}');
+  const broken = writeTestFile('broken.json', '{"id": \n\n oops}');
   await assertFails(['submit', broken], 2, /broken\.json: is no JSON: /);
-  const list = fileWith('list.json', '[1]');
+  const list = writeTestFile('list.json', '[1]');
   await assertFails(['submit', list], 2, /list\.json: is no JSON object/);
 });
 
@@ -55,15 +55,15 @@
   const missing = path.join(directory, 'none.toml');
   for (const command of [['check'], ['--config']]) {
     await assertFails([...command, missing], 2, /none\.toml: the file: ENOENT/);
-    const broken = fileWith('broken.toml', 'host_name = \n');
+    const broken = writeTestFile('broken.toml', 'host_name = \n');
     await assertFails([...command, broken], 2, /broken\.toml: the file: /);
-    const incomplete = fileWith('incomplete.toml', 'host_name = "c-0"\n');
+    const incomplete = writeTestFile('incomplete.toml', 'host_name = "c-0"\n');
     await assertFails([...command, incomplete], 2, /incomplete\.toml: zone: is missing/);
   }
-  const operator = fileWith('operator.json', '{"floorWeight": 2}');
+  const operator = writeTestFile('operator.json', '{"floorWeight": 2}');
   const check = ['check', SAMPLE_SETTINGS, '--with-operator'];
   await assertFails([...check, operator], 2, /operator\.json: floorWeight: must be <= 1/);
-  const broken = fileWith('broken-operator.json', '{');
+  const broken = writeTestFile('broken-operator.json', '{');
   await assertFails([...check, broken], 2, /broken-operator\.json: the file: /);
 });
 
@@ -89,8 +89,8 @@
   const from = `refused by ${server.target}:`;
   const submitted = new RegExp(`^submit .*job\\.json: ${from} 400 /pieces must be >= 1\n`);
   await assertFails(['submit', SAMPLE_JOB, ...at], 1, submitted);
-  const asked = new RegExp(`^status j-000009: ${from} 404 unknown job\n`);
-  await assertFails(['status', 'j-000009', ...at], 1, asked);
+  const queried = new RegExp(`^status j-000009: ${from} 404 unknown job\n`);
+  await assertFails(['status', 'j-000009', ...at], 1, queried);
   server.close();
 });
 
@@ -113,9 +113,9 @@
   await assertFails(['abort', 'j 1/../x'], 2, /^j 1\/\.\.\/x: is no job id/);
   await assertFails(['submit'], 2, /missing required argument 'file'/);
   await assertFails(['status', 'j-1', '--when'], 2, /unknown option '--when'/);
-  const nothing = await run();
-  assert.equal(nothing.exitCode, 2);
-  assert.match(nothing.err, /Usage: sorreldale/);
+  const withoutArguments = await run();
+  assert.equal(withoutArguments.exitCode, 2);
+  assert.match(withoutArguments.err, /Usage: sorreldale/);
 });
 
 test('each command has help with an example', async () => {
--- a/packages/cli/program.ts
+++ b/packages/cli/program.ts
@@ -2,12 +2,12 @@
 import { CommandError, ExitCode, LoggedError } from './command-error.js';
 import type { Output } from './output.js';
 import { serve } from './serve.js';
-import { controllerFiles } from './settings-files.js';
+import { parseControllerArguments } from './settings-files.js';
 
 /** Runs the command line; resolves with the exit code once all is written, and never rejects. */
 export async function runCommandLine(args: string[], output: Output): Promise<ExitCode> {
   try {
-    const files = controllerFiles(args);
+    const files = parseControllerArguments(args);
     if (files === null) return await runCommand(args, output);
     await serve(files);
     return ExitCode.done;
--- a/packages/cli/replica-commands.test.ts
+++ b/packages/cli/replica-commands.test.ts
@@ -5,7 +5,7 @@
 import express from 'express';
 import { runCommandLine } from './program.js';
 
-async function answering(status: number, body: object): Promise<string> {
+async function startController(status: number, body: object): Promise<string> {
   const app = express();
   app.get('/replicas', (_req, res) => void res.status(status).json(body));
   const server = http.createServer(app).listen(0, '127.0.0.1');
@@ -27,19 +27,24 @@
     { job: 'j-1', replica: 0, generation: 7, phase: 'repairing', forS: 2, why: 'member-lost' },
     { job: 'j-2', replica: 0, generation: 5, phase: 'whole', forS: 90, why: null },
   ];
-  const result = await run(await answering(200, { replicas: rows }));
+  const result = await run(await startController(200, { replicas: rows }));
   const out = rows.map((row) => `${JSON.stringify(row)}\n`).join('');
   assert.deepEqual(result, { exitCode: 0, out, err: '' });
 });
 
 test('a follower and a controller on which replica groups are off give different errors', async () => {
-  const other = { error: 'this controller does not own the machines', owner: 'controller-2' };
-  const elsewhere = await run(await answering(503, other));
-  assert.equal(elsewhere.exitCode, 1);
-  assert.match(elsewhere.err, /does not own the machines; ask controller-2/);
-  const off = await run(await answering(404, { error: 'the section replicaGroups is absent' }));
-  assert.equal(off.exitCode, 1);
-  assert.match(off.err, /404 the section replicaGroups is absent/);
-  const nobody = await run('127.0.0.1:1');
-  assert.equal(nobody.exitCode, 3);
+  const followerBody = {
+    error: 'this controller does not own the machines',
+    owner: 'controller-2',
+  };
+  const fromFollower = await run(await startController(503, followerBody));
+  assert.equal(fromFollower.exitCode, 1);
+  assert.match(fromFollower.err, /does not own the machines; ask controller-2/);
+  const whileDisabled = await run(
+    await startController(404, { error: 'the section replicaGroups is absent' }),
+  );
+  assert.equal(whileDisabled.exitCode, 1);
+  assert.match(whileDisabled.err, /404 the section replicaGroups is absent/);
+  const unreachable = await run('127.0.0.1:1');
+  assert.equal(unreachable.exitCode, 3);
 });
--- a/packages/cli/replica-commands.ts
+++ b/packages/cli/replica-commands.ts
@@ -1,11 +1,11 @@
 /** The command `replicas`. */
 import type { Command } from 'commander';
-import { controllerAddress } from './arguments.js';
+import { parseControllerAddress } from './arguments.js';
 import { CommandError, ExitCode } from './command-error.js';
-import { examples } from './help.js';
+import { formatExamples } from './help.js';
 import type { Output } from './output.js';
 
-const TIMEOUT_MS = 5000;
+const REQUEST_TIMEOUT_MS = 5000;
 /** Status of a follower's answer. */
 const NOT_LEADER = 503;
 
@@ -25,9 +25,9 @@
     .command('replicas')
     .description('list the replicas that span several tasks, those that are not whole first')
     .option('--at <address>', 'address of the controller that owns the machines', '127.0.0.1:8080')
-    .addHelpText('after', examples('replicas --at 10.0.0.1:8080'))
+    .addHelpText('after', formatExamples('replicas --at 10.0.0.1:8080'))
     .action(async ({ at }: { at: string }) => {
-      const address = controllerAddress(at);
+      const address = parseControllerAddress(at);
       const { status, body } = await fetchReplicas(address);
       if (body.replicas === undefined) {
         throw new CommandError(
@@ -41,7 +41,7 @@
 
 async function fetchReplicas(address: string): Promise<{ status: number; body: ReplicasAnswer }> {
   try {
-    const signal = AbortSignal.timeout(TIMEOUT_MS);
+    const signal = AbortSignal.timeout(REQUEST_TIMEOUT_MS);
     const response = await fetch(`http://${address}/replicas`, { signal });
     return { status: response.status, body: (await response.json()) as ReplicasAnswer };
   } catch (err) {
--- a/packages/cli/serve.test.ts
+++ b/packages/cli/serve.test.ts
@@ -12,15 +12,15 @@
 after(() => rmSync(directory, { recursive: true }));
 
 /** A server on a free port of the loopback. */
-async function serveNothing(): Promise<{ server: net.Server; address: string }> {
+async function listenOnFreePort(): Promise<{ server: net.Server; address: string }> {
   const server = net.createServer().listen(0, '127.0.0.1');
   await once(server, 'listening');
   const { address, port } = server.address() as AddressInfo;
   return { server, address: `${address}:${port}` };
 }
 
-async function freeAddress(): Promise<string> {
-  const { server, address } = await serveNothing();
+async function findFreeAddress(): Promise<string> {
+  const { server, address } = await listenOnFreePort();
   server.close();
   await once(server, 'close');
   return address;
@@ -44,8 +44,8 @@
 }
 
 test('a controller whose address is taken ends with a line that names it and code 4', async () => {
-  const { server, address } = await serveNothing();
-  const child = startController(await freeAddress(), address);
+  const { server, address } = await listenOnFreePort();
+  const child = startController(await findFreeAddress(), address);
   let log = '';
   child.stderr!.on('data', (chunk: Buffer) => (log += chunk.toString()));
   const [exitCode] = (await once(child, 'close')) as [number | null];
@@ -57,7 +57,7 @@
 });
 
 test('a controller that gets a signal ends with code 0', async () => {
-  const child = startController(await freeAddress(), await freeAddress());
+  const child = startController(await findFreeAddress(), await findFreeAddress());
   // Its first line comes once it listens to signals.
   await once(child.stderr!, 'data');
   child.kill('SIGTERM');
--- a/packages/cli/serve.ts
+++ b/packages/cli/serve.ts
@@ -16,7 +16,7 @@
       stop.abort();
     });
   }
-  logUncaught(log);
+  logUncaughtErrors(log);
   log.info({ startedMs: Math.round(process.uptime() * MS_PER_S) }, 'controller starting');
   try {
     await new Controller(nodeRuntime, settings, log).run(stop.signal);
@@ -25,21 +25,21 @@
       log.error({ err: err.message }, 'controller cannot listen: it ends');
       throw new LoggedError(ExitCode.cannotListen, err.message, { cause: err });
     }
-    log.error({ err: describe(err) }, 'controller failed: it ends');
-    throw new LoggedError(ExitCode.unexpected, describe(err), { cause: err });
+    log.error({ err: describeError(err) }, 'controller failed: it ends');
+    throw new LoggedError(ExitCode.unexpected, describeError(err), { cause: err });
   }
 }
 
 /** A fault in one request or loop is logged; the process goes on. */
-function logUncaught(log: Log): void {
+function logUncaughtErrors(log: Log): void {
   process.on('uncaughtException', (err) => {
     log.error({ err: err.stack }, 'exception not caught: the controller goes on');
   });
   process.on('unhandledRejection', (err) => {
-    log.error({ err: describe(err) }, 'rejection not handled: the controller goes on');
+    log.error({ err: describeError(err) }, 'rejection not handled: the controller goes on');
   });
 }
 
-function describe(err: unknown): string {
+function describeError(err: unknown): string {
   return err instanceof Error ? (err.stack ?? err.message) : String(err);
 }
--- a/packages/cli/settings-commands.ts
+++ b/packages/cli/settings-commands.ts
@@ -1,7 +1,7 @@
 /** The commands about settings files: `check` and `schema`. */
 import type { Command } from 'commander';
 import { operatorSchema } from '#controller';
-import { examples } from './help.js';
+import { formatExamples } from './help.js';
 import type { Output } from './output.js';
 import { readSettings } from './settings-files.js';
 
@@ -14,7 +14,7 @@
     .option('--with-operator <file>', "the operators' own settings (JSON)")
     .addHelpText(
       'after',
-      examples(
+      formatExamples(
         'check examples/settings.toml',
         'check examples/settings.toml --with-operator examples/operator.json',
       ),
@@ -26,7 +26,7 @@
   program
     .command('schema')
     .description("print the JSON schema of the operators' own settings")
-    .addHelpText('after', examples('schema > operator.schema.json'))
+    .addHelpText('after', formatExamples('schema > operator.schema.json'))
     .action(() => {
       output.out(`${JSON.stringify(operatorSchema, null, 2)}\n`);
     });
--- a/packages/cli/settings-files.test.ts
+++ b/packages/cli/settings-files.test.ts
@@ -1,13 +1,13 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { controllerFiles } from './settings-files.js';
+import { parseControllerArguments } from './settings-files.js';
 
 test('plain arguments of a controller are read in any order', () => {
   const both = { config: 'a.toml', operator: 'b.json' };
-  assert.deepEqual(controllerFiles(['--config', 'a.toml', '--operator', 'b.json']), both);
-  assert.deepEqual(controllerFiles(['--operator', 'b.json', '--config', 'a.toml']), both);
-  const alone = { config: 'a.toml', operator: undefined };
-  assert.deepEqual(controllerFiles(['--config', 'a.toml']), alone);
+  assert.deepEqual(parseControllerArguments(['--config', 'a.toml', '--operator', 'b.json']), both);
+  assert.deepEqual(parseControllerArguments(['--operator', 'b.json', '--config', 'a.toml']), both);
+  const configOnly = { config: 'a.toml', operator: undefined };
+  assert.deepEqual(parseControllerArguments(['--config', 'a.toml']), configOnly);
 });
 
 test('all other arguments are left to the commands', () => {
@@ -25,6 +25,6 @@
   ];
   for (const line of others) {
     const args = line === '' ? [] : line.split(' ');
-    assert.equal(controllerFiles(args), null, line);
+    assert.equal(parseControllerArguments(args), null, line);
   }
 });
--- a/packages/cli/settings-files.ts
+++ b/packages/cli/settings-files.ts
@@ -24,7 +24,7 @@
  * The files that plain arguments of a controller name, `--config FILE` with or without `--operator FILE`; null for
  * all other arguments, which are commander's to read. To load commander took as long as a tenth of a start.
  */
-export function controllerFiles(args: string[]): SettingsFiles | null {
+export function parseControllerArguments(args: string[]): SettingsFiles | null {
   const files: Partial<SettingsFiles> = {};
   for (let at = 0; at < args.length; at += 2) {
     const option = args[at];
--- a/packages/cli/shard-commands.test.ts
+++ b/packages/cli/shard-commands.test.ts
@@ -17,21 +17,21 @@
 const LIMITS = { rps: 500, writeRps: 200, valueKb: 8, txnOps: 24 };
 
 /** The sample settings with the state service at that address. */
-function settingsFor(state: string): string {
+function writeSettings(state: string): string {
   const file = path.join(directory, `${state.replace(':', '-')}.toml`);
   const sample = readFileSync(SAMPLE, 'utf8');
   writeFileSync(file, sample.replace(/^state = .*$/m, `state = "${state}"`));
   return file;
 }
 
-async function aStateService() {
+async function startStateService() {
   const state = new StateService(nodeRuntime, LIMITS);
   const { target } = await state.listen(FREE_LOOPBACK_PORT);
   after(() => state.close());
   const term = state.store.apply([
     { put: shardKey(0), value: { owner: 'controller-0', grant: 1 } },
   ]);
-  return { store: state.store, term, config: settingsFor(target) };
+  return { store: state.store, term, config: writeSettings(target) };
 }
 
 async function run(...args: string[]) {
@@ -43,15 +43,15 @@
 }
 
 test('a migration that is carried out is printed with its term, and one that the leader refuses with its reason', async () => {
-  const { store, config } = await aStateService();
-  const asked = run('move', 'controller-1', '--reason', 'a restart', '--settings', config);
-  await Promise.race([asked, until(() => store.get(migrationKey(0)) !== undefined)]);
+  const { store, config } = await startStateService();
+  const accepted = run('move', 'controller-1', '--reason', 'a restart', '--settings', config);
+  await Promise.race([accepted, until(() => store.get(migrationKey(0)) !== undefined)]);
   assert.equal((store.get(migrationKey(0))!.value as { reason: string }).reason, 'a restart');
   const term = store.apply([
     { put: shardKey(0), value: { owner: 'controller-1', grant: 2 } },
     { delete: migrationKey(0) },
   ]);
-  assert.deepEqual(await asked, {
+  assert.deepEqual(await accepted, {
     exitCode: 0,
     out: `{"owner":"controller-1","term":${term}}\n`,
     err: '',
@@ -70,7 +70,7 @@
 });
 
 test('a request that nobody takes up is withdrawn, and one beside another is refused', async () => {
-  const { store, term, config } = await aStateService();
+  const { store, term, config } = await startStateService();
   const ignored = await run('move', 'controller-1', '--within', '0.2', '--settings', config);
   assert.equal(ignored.exitCode, 3);
   assert.match(
@@ -88,7 +88,7 @@
 });
 
 test('a damaged record is shown as such and can be withdrawn, and a migration that is carried out can not', async () => {
-  const { store, term, config } = await aStateService();
+  const { store, term, config } = await startStateService();
   store.apply([{ put: migrationKey(0), value: { phase: 'unheard of' } }]);
   const shown = JSON.parse((await run('show', '--settings', config)).out) as { move: string };
   assert.equal(shown.move, 'unreadable');
@@ -106,7 +106,7 @@
 });
 
 test('unknown controllers, times that are none and a silent state service end with one line', async () => {
-  const { config } = await aStateService();
+  const { config } = await startStateService();
   const cases: [string[], number, RegExp][] = [
     [
       ['move', 'controller-9', '--settings', config],
@@ -120,7 +120,11 @@
       /^--within 0: must be a number/,
     ],
     [['show', '--settings', path.join(directory, 'none.toml')], 2, /none\.toml: the file: ENOENT/],
-    [['show', '--settings', settingsFor('127.0.0.1:9')], 3, /no answer from the state service at/],
+    [
+      ['show', '--settings', writeSettings('127.0.0.1:9')],
+      3,
+      /no answer from the state service at/,
+    ],
   ];
   for (const [args, exitCode, line] of cases) {
     const result = await run(...args);
--- a/packages/cli/shard-commands.ts
+++ b/packages/cli/shard-commands.ts
@@ -10,13 +10,13 @@
 import { NoAnswer, nodeRuntime, StateApi, StateRefused } from '#wire';
 import type { PlatformSettings } from '#controller';
 import { CommandError, ExitCode } from './command-error.js';
-import { examples } from './help.js';
+import { formatExamples } from './help.js';
 import type { Output } from './output.js';
 import { readSettings } from './settings-files.js';
 
 /** The shard that holds all machines. */
 const SHARD = 0;
-const TIMEOUT_MS = 2000;
+const REQUEST_TIMEOUT_MS = 2000;
 const DEFAULT_WITHIN_S = 30;
 
 interface ShardOptions {
@@ -28,7 +28,7 @@
   within: string;
 }
 
-const SETTINGS = [
+const SETTINGS_OPTION = [
   '--settings <file>',
   "the platform's settings file of any controller (TOML)",
 ] as const;
@@ -47,10 +47,12 @@
   shard
     .command('show')
     .description('print who owns the part, and its moves')
-    .requiredOption(...SETTINGS)
-    .addHelpText('after', examples('part show --settings examples/settings.toml'))
+    .requiredOption(...SETTINGS_OPTION)
+    .addHelpText('after', formatExamples('part show --settings examples/settings.toml'))
     .action(async (options: ShardOptions) => {
-      const status = await withRequests('part show', options, (requests) => requests.status());
+      const status = await withMigrationRequests('part show', options, (requests) =>
+        requests.status(),
+      );
       output.out(`${JSON.stringify(shardStatusToJson(status))}\n`);
     });
 }
@@ -71,15 +73,18 @@
     .command('move')
     .description('have another controller own the part, while jobs run on')
     .argument('<controller>', 'its host_name')
-    .requiredOption(...SETTINGS)
+    .requiredOption(...SETTINGS_OPTION)
     .option('--reason <text>', 'kept with the move, for others to see', '')
     .option('--within <seconds>', 'how long to wait for it', String(DEFAULT_WITHIN_S))
-    .addHelpText('after', examples('part move controller-1 --settings examples/settings.toml'))
+    .addHelpText(
+      'after',
+      formatExamples('part move controller-1 --settings examples/settings.toml'),
+    )
     .action(async (controller: string, options: MoveOptions) => {
       const withinS = parseSeconds(options.within);
-      const name = knownController(controller, options);
+      const name = requireKnownController(controller, options);
       const { reason } = options;
-      const outcome = await withRequests(`part move ${name}`, options, (requests) =>
+      const outcome = await withMigrationRequests(`part move ${name}`, options, (requests) =>
         requests.move(name, reason, withinS),
       );
       output.out(`${JSON.stringify(requireMigrated(name, outcome))}\n`);
@@ -90,11 +95,11 @@
   shard
     .command('withdraw')
     .description('take a request to move the part back')
-    .requiredOption(...SETTINGS)
-    .addHelpText('after', examples('part withdraw --settings examples/settings.toml'))
+    .requiredOption(...SETTINGS_OPTION)
+    .addHelpText('after', formatExamples('part withdraw --settings examples/settings.toml'))
     .action(async (options: ShardOptions) => {
       const withdraw = (requests: MigrationRequests) => requests.withdraw('withdrawn');
-      if (await withRequests('part withdraw', options, withdraw)) return;
+      if (await withMigrationRequests('part withdraw', options, withdraw)) return;
       const why = 'no move is there that could be taken back';
       throw new CommandError(ExitCode.refused, `part withdraw: ${why}`);
     });
@@ -117,7 +122,7 @@
 }
 
 /** The name as it was given, if the settings name such a controller. */
-function knownController(name: string, { settings }: ShardOptions): string {
+function requireKnownController(name: string, { settings }: ShardOptions): string {
   const { host_name, peers } = readSettings({ config: settings });
   const names = [host_name, ...peers.map((peer) => peer.host_name)];
   if (names.includes(name)) return name;
@@ -126,15 +131,15 @@
 }
 
 /** Asks the state service that the settings name; throws CommandError if it does not answer. */
-async function withRequests<T>(
+async function withMigrationRequests<T>(
   subject: string,
   { settings }: ShardOptions,
-  ask: (requests: MigrationRequests) => Promise<T>,
+  run: (requests: MigrationRequests) => Promise<T>,
 ): Promise<T> {
   const { external }: PlatformSettings = readSettings({ config: settings });
-  const api = new StateApi(nodeRuntime, external.state, TIMEOUT_MS);
+  const api = new StateApi(nodeRuntime, external.state, REQUEST_TIMEOUT_MS);
   try {
-    return await ask(new MigrationRequests(api, nodeRuntime.clock, SHARD));
+    return await run(new MigrationRequests(api, nodeRuntime.clock, SHARD));
   } catch (err) {
     if (!(err instanceof NoAnswer || err instanceof StateRefused)) throw err;
     const why = `no answer from the state service at ${external.state}: ${err.message}`;
--- a/packages/cli/user-commands.ts
+++ b/packages/cli/user-commands.ts
@@ -1,9 +1,9 @@
 /** The commands for users: `submit`, `status` and `abort`. */
 import type { Command } from 'commander';
 import { NoAnswer, type UserAnswer, UserClient } from '#wire';
-import { controllerAddress, jobId } from './arguments.js';
+import { parseControllerAddress, parseJobId } from './arguments.js';
 import { CommandError, ExitCode } from './command-error.js';
-import { examples } from './help.js';
+import { formatExamples } from './help.js';
 import { readJobFile } from './job-file.js';
 import type { Output } from './output.js';
 
@@ -25,7 +25,7 @@
     .description('submit a job')
     .argument('<file>', "JSON file with the job in the protocol's words")
     .option(...at)
-    .addHelpText('after', examples('submit examples/job.json --at 10.0.0.1:8080'))
+    .addHelpText('after', formatExamples('submit examples/job.json --at 10.0.0.1:8080'))
     .action(async (file: string, options: { at: string }) => {
       const job = readJobFile(file);
       const send = (client: UserClient) => client.submitRaw(job);
@@ -36,9 +36,9 @@
     .description('ask how a job is')
     .argument('<id>')
     .option(...at)
-    .addHelpText('after', examples('status j-000412 --at 10.0.0.1:8080'))
+    .addHelpText('after', formatExamples('status j-000412 --at 10.0.0.1:8080'))
     .action(async (id: string, options: { at: string }) => {
-      const send = (client: UserClient) => client.status(jobId(id));
+      const send = (client: UserClient) => client.status(parseJobId(id));
       await sendRequest({ subject: `status ${id}`, address: options.at, send }, output);
     });
   program
@@ -46,16 +46,16 @@
     .description('abort a job')
     .argument('<id>')
     .option(...at)
-    .addHelpText('after', examples('abort j-000412 --at 10.0.0.1:8080'))
+    .addHelpText('after', formatExamples('abort j-000412 --at 10.0.0.1:8080'))
     .action(async (id: string, options: { at: string }) => {
-      const send = (client: UserClient) => client.abort(jobId(id));
+      const send = (client: UserClient) => client.abort(parseJobId(id));
       await sendRequest({ subject: `abort ${id}`, address: options.at, send }, output);
     });
 }
 
 /** Prints the answer; throws CommandError if there is none, or if it is a refusal. */
 async function sendRequest({ subject, address, send }: UserRequest, output: Output): Promise<void> {
-  const client = new UserClient(controllerAddress(address));
+  const client = new UserClient(parseControllerAddress(address));
   try {
     const answer = await send(client);
     if (answer.status !== OK && answer.status !== CREATED) {
--- a/packages/controller/observability/fleet-summary.ts
+++ b/packages/controller/observability/fleet-summary.ts
@@ -22,7 +22,7 @@
 }
 
 /** Decimal places of the index in a summary. */
-const INDEX_DIGITS = 3;
+const INDEX_DECIMAL_PLACES = 3;
 
 /** Summarises the fleet at `now`, in steady seconds. */
 export function summariseFleet(
@@ -42,19 +42,19 @@
     crashLoopingJobs: fleet.failures.crashLoopingJobs.size,
   };
   for (const machine of fleet.machines.values()) {
-    add(summary.machines, `${machine.state}${machine.spot ? ' spot' : ''}`, 1);
+    addToCount(summary.machines, `${machine.state}${machine.spot ? ' spot' : ''}`, 1);
     if (machine.state === 'up' && machine.tasks.size === 0) summary.idleMachines++;
   }
   for (const job of fleet.jobs.waiting) {
-    add(summary.waitingTasks, job.spec.class, fleet.jobs.waitingCount(job));
+    addToCount(summary.waitingTasks, job.spec.class, fleet.jobs.waitingCount(job));
   }
   for (const team of teams) {
     summary.gpusInUse[team] = fleet.usage.ofTeam(team).gpus;
-    summary.fairShareIndex[team] = Number(scheduler.index(team, now).toFixed(INDEX_DIGITS));
+    summary.fairShareIndex[team] = Number(scheduler.index(team, now).toFixed(INDEX_DECIMAL_PLACES));
   }
   return summary;
 }
 
-function add(counts: Record<string, number>, key: string, count: number): void {
+function addToCount(counts: Record<string, number>, key: string, count: number): void {
   counts[key] = (counts[key] ?? 0) + count;
 }
--- a/packages/controller/observability/metrics-endpoint.ts
+++ b/packages/controller/observability/metrics-endpoint.ts
@@ -21,7 +21,7 @@
 }
 
 /** The values of the label `of` that differ from the names of the counts. */
-const TOTAL_LABELS: Record<string, string> = { heartbeats: 'reports', userRequests: 'questions' };
+const LABEL_OF_TOTAL: Record<string, string> = { heartbeats: 'reports', userRequests: 'questions' };
 
 /** Serves `/metrics`. The metrics are loaded with the first request; until then none is kept. */
 export class MetricsEndpoint {
@@ -63,7 +63,7 @@
 
   private time(observe: (metrics: Metrics, seconds: number) => void): () => void {
     const { loaded: metrics } = this;
-    if (metrics === null) return doNothing;
+    if (metrics === null) return ignoreObservation;
     const { clock } = this.options;
     const startedAt = clock.now();
     return () => {
@@ -81,7 +81,7 @@
   private register(metrics: Metrics): void {
     const { statistics, client, admission, leader } = this.options;
     metrics.gauge('total', 'Counts since the start', 'of', () => labelTotals(statistics.totals()));
-    metrics.gauge('held', 'What the process holds now', 'of', () => statistics.held());
+    metrics.gauge('held', 'What the process holds now', 'of', () => statistics.resourceUsage());
     metrics.gauge('term', 'Term of the part that is owned here, 0 if none', null, () => ({
       '': leader()?.term.term ?? 0,
     }));
@@ -136,9 +136,9 @@
 /** The counts under the names that the metric's label gives them. */
 function labelTotals(totals: Record<string, number>): GaugeValues {
   const entries = Object.entries(totals);
-  return Object.fromEntries(entries.map(([name, total]) => [TOTAL_LABELS[name] ?? name, total]));
+  return Object.fromEntries(entries.map(([name, total]) => [LABEL_OF_TOTAL[name] ?? name, total]));
 }
 
-function doNothing(): void {
+function ignoreObservation(): void {
   // No metrics are loaded, so that there is nothing to observe.
 }
--- a/packages/controller/observability/process-statistics.ts
+++ b/packages/controller/observability/process-statistics.ts
@@ -4,7 +4,7 @@
 /** Least time that rates are taken over, in seconds. */
 const MIN_SAMPLE_S = 1e-3;
 /** Heartbeat intervals between two samples. */
-const SAMPLE_INTERVALS = 10;
+const SAMPLE_INTERVAL_HEARTBEATS = 10;
 
 /** Where the figures come from and who is told of them. */
 export interface ProcessStatisticsOptions {
@@ -39,7 +39,7 @@
   async run(signal: AbortSignal): Promise<void> {
     const { clock, heartbeatIntervalS, onSample } = this.options;
     while (!signal.aborted) {
-      await pause(clock, SAMPLE_INTERVALS * heartbeatIntervalS * 1000, signal);
+      await pause(clock, SAMPLE_INTERVAL_HEARTBEATS * heartbeatIntervalS * 1000, signal);
       onSample(this.sample());
     }
   }
@@ -58,7 +58,7 @@
   }
 
   /** What the process holds now: connections, and memory in MiB. */
-  held(): Record<string, number> {
+  resourceUsage(): Record<string, number> {
     const { heapUsed, rss } = process.memoryUsage();
     return {
       connections: this.options.connections(),
@@ -82,7 +82,7 @@
     this.sampledAt = now;
     this.cpuAtSample = process.cpuUsage();
     this.totalsAtSample = totals;
-    return { ...sample, ...this.held() };
+    return { ...sample, ...this.resourceUsage() };
   }
 }
 
--- a/packages/controller/settings/operator-settings.ts
+++ b/packages/controller/settings/operator-settings.ts
@@ -4,7 +4,7 @@
 import type { PlatformSettings } from './platform-settings.js';
 
 /** The operators' own settings, in force; docs/operator.schema.json describes the file. */
-export interface OperatorSettings extends Omit<PlainSettings, 'ownerTtlS'> {
+export interface OperatorSettings extends Omit<NumberSettings, 'ownerTtlS'> {
   /** Time to live of the election lease, seconds; `ownerTtlS` in the file. */
   electionLeaseTtlS: number;
   /** Planned moves of the shard; null: they are switched off, and nothing of them is loaded. */
@@ -14,7 +14,7 @@
 }
 
 /** What the operators' file may hold. */
-export type OperatorFile = Partial<PlainSettings> & {
+export type OperatorFile = Partial<NumberSettings> & {
   moves?: Partial<MoveSettings>;
   replicaGroups?: Record<string, ReplicaClassFields>;
 };
@@ -32,7 +32,7 @@
 }
 
 /** Settings that are one number each, by their names in the file. */
-interface PlainSettings {
+interface NumberSettings {
   shareHalfLifeS: number;
   floorWeight: number;
   stopThreshold: number;
@@ -50,22 +50,22 @@
 interface OperatorField {
   description: string;
   schema: Record<string, unknown>;
-  default: number | RatioOf;
+  default: number | MultipleOf;
 }
 
 /** A default that is a multiple of one of the platform's figures. */
-interface RatioOf {
+interface MultipleOf {
   times: number;
   of: 'lease_s' | 'report_s';
 }
 
 const positive = { type: 'number', exclusiveMinimum: 0 };
-const amount = { type: 'number', minimum: 0 };
+const nonNegative = { type: 'number', minimum: 0 };
 const ratio = { type: 'number', minimum: 0, maximum: 1 };
 /** What the state service accepts as a lease's time to live; seconds. */
 const leaseTtl = { type: 'number', minimum: 0.1, maximum: 600 };
 
-const fields: Record<keyof PlainSettings, OperatorField> = {
+const numberFields: Record<keyof NumberSettings, OperatorField> = {
   shareHalfLifeS: {
     description: 'Half-life of the service counters, seconds.',
     schema: positive,
@@ -90,7 +90,7 @@
   preemptAfterS: {
     description:
       'How long work of higher rank or within a guarantee waits before it stops other work, seconds.',
-    schema: amount,
+    schema: nonNegative,
     default: { times: 2, of: 'report_s' },
   },
   ownerTtlS: {
@@ -101,13 +101,13 @@
   reserveSigmas: {
     description:
       'Standard deviations of the arrivals within a boot time that are kept free for classes with a short wait.',
-    schema: amount,
+    schema: nonNegative,
     default: 2,
   },
   idleHoldS: {
     description:
       'How long an empty machine that is not needed is kept, seconds; a third of it once nothing has come for half of it.',
-    schema: amount,
+    schema: nonNegative,
     default: { times: 6, of: 'lease_s' },
   },
   arrivalMemoryS: {
@@ -160,60 +160,61 @@
   title: "sorreldale: operators' settings",
   type: 'object',
   properties: {
-    ...propertiesOf(fields),
+    ...toSchemaProperties(numberFields),
     moves: {
       type: 'object',
       description:
         'Planned moves of the part from one controller to another. Switched off if the section is absent.',
-      properties: propertiesOf(moveFields),
+      properties: toSchemaProperties(moveFields),
       additionalProperties: false,
     },
     replicaGroups: replicaGroupsSchema,
   },
 };
 
-function propertiesOf(described: Record<string, OperatorField>): Record<string, object> {
-  const properties = Object.entries(described).map(([name, field]) => [
+function toSchemaProperties(fields: Record<string, OperatorField>): Record<string, object> {
+  const properties = Object.entries(fields).map(([name, field]) => [
     name,
-    { ...field.schema, description: `${field.description} Default: ${defaultText(field)}.` },
+    { ...field.schema, description: `${field.description} Default: ${describeDefault(field)}.` },
   ]);
   return Object.fromEntries(properties) as Record<string, object>;
 }
 
-function defaultText({ default: value }: OperatorField): string {
+function describeDefault({ default: value }: OperatorField): string {
   if (typeof value === 'number') return String(value);
   return `${value.times} times workers.${value.of}`;
 }
 
 /** What is in force: the operators' own values, and defaults for the rest. */
-export function withDefaults(own: OperatorFile, platform: PlatformSettings): OperatorSettings {
-  const { moves, replicaGroups, ...plain } = own;
-  const { ownerTtlS: electionLeaseTtlS, ...others } = complete(fields, plain, platform);
+export function withDefaults(file: OperatorFile, platform: PlatformSettings): OperatorSettings {
+  const { moves, replicaGroups, ...plain } = file;
+  const { ownerTtlS: electionLeaseTtlS, ...others } = applyDefaults(numberFields, plain, platform);
   return {
     ...others,
     electionLeaseTtlS,
-    moves: moves === undefined ? null : complete(moveFields, moves, platform),
-    replicaGroups: replicaGroups === undefined ? null : replicaClasses(replicaGroups),
+    moves: moves === undefined ? null : applyDefaults(moveFields, moves, platform),
+    replicaGroups: replicaGroups === undefined ? null : toReplicaClasses(replicaGroups),
   };
 }
 
-function replicaClasses(own: Record<string, ReplicaClassFields>): ReplicaClasses {
-  const classes = Object.entries(own).map(([name, { members, sameZone = false }]) => {
+function toReplicaClasses(classFields: Record<string, ReplicaClassFields>): ReplicaClasses {
+  const classes = Object.entries(classFields).map(([name, { members, sameZone = false }]) => {
     return [name, { members, sameZone }];
   });
   return Object.fromEntries(classes) as ReplicaClasses;
 }
 
-function complete<Name extends string>(
-  described: Record<Name, OperatorField>,
-  own: Partial<Record<Name, number>>,
+function applyDefaults<Name extends string>(
+  fields: Record<Name, OperatorField>,
+  configured: Partial<Record<Name, number>>,
   { deployment }: PlatformSettings,
 ): Record<Name, number> {
-  const names = Object.keys(described) as Name[];
+  const names = Object.keys(fields) as Name[];
   const settings = names.map((name) => {
-    const { default: value } = described[name];
-    const usual = typeof value === 'number' ? value : value.times * deployment.workers[value.of];
-    return [name, own[name] ?? usual];
+    const { default: value } = fields[name];
+    const defaultValue =
+      typeof value === 'number' ? value : value.times * deployment.workers[value.of];
+    return [name, configured[name] ?? defaultValue];
   });
   return Object.fromEntries(settings) as Record<Name, number>;
 }
--- a/packages/controller/settings/platform-settings.ts
+++ b/packages/controller/settings/platform-settings.ts
@@ -51,8 +51,8 @@
 }
 
 const positive = { type: 'number', exclusiveMinimum: 0 };
-const amount = { type: 'number', minimum: 0 };
-const text = { type: 'string', minLength: 1 };
+const nonNegative = { type: 'number', minimum: 0 };
+const nonEmptyText = { type: 'string', minLength: 1 };
 const address = { type: 'string', pattern: '^[0-9]+(\\.[0-9]+){3}:[0-9]{1,5}$' };
 
 const stateLimits = {
@@ -67,8 +67,8 @@
   type: 'object',
   required: ['host_name', 'zone', 'listen', 'cluster_listen', 'external', 'deployment'],
   properties: {
-    host_name: text,
-    zone: text,
+    host_name: nonEmptyText,
+    zone: nonEmptyText,
     listen: address,
     cluster_listen: address,
     peers: {
@@ -77,7 +77,7 @@
       items: {
         type: 'object',
         required: ['host_name', 'peer_addr'],
-        properties: { host_name: text, zone: text, peer_addr: address },
+        properties: { host_name: nonEmptyText, zone: nonEmptyText, peer_addr: address },
       },
     },
     external: {
@@ -90,19 +90,19 @@
       required: ['nodes', 'zones', 'teams', 'workers', 'state', 'cloud', 'limits'],
       properties: {
         nodes: { type: 'integer', minimum: 1 },
-        zones: { type: 'array', items: text },
-        clock_off_ms: { ...amount, default: 0 },
+        zones: { type: 'array', items: nonEmptyText },
+        clock_off_ms: { ...nonNegative, default: 0 },
         teams: {
           type: 'array',
           items: {
             type: 'object',
             required: ['name'],
             properties: {
-              name: text,
-              cpus: { ...amount, default: 0 },
-              cpus_max: { ...amount, default: 0 },
-              gpus: { ...amount, default: 0 },
-              gpus_max: { ...amount, default: 0 },
+              name: nonEmptyText,
+              cpus: { ...nonNegative, default: 0 },
+              cpus_max: { ...nonNegative, default: 0 },
+              gpus: { ...nonNegative, default: 0 },
+              gpus_max: { ...nonNegative, default: 0 },
             },
           },
         },
@@ -112,7 +112,12 @@
           items: {
             type: 'object',
             required: ['kind'],
-            properties: { kind: text, class: text, within_s: amount, share: amount },
+            properties: {
+              kind: nonEmptyText,
+              class: nonEmptyText,
+              within_s: nonNegative,
+              share: nonNegative,
+            },
           },
         },
         workers: {
@@ -137,7 +142,7 @@
         cloud: {
           type: 'object',
           required: ['rps', 'list_lag_s'],
-          properties: { rps: positive, list_lag_s: amount },
+          properties: { rps: positive, list_lag_s: nonNegative },
         },
         limits: {
           type: 'object',
--- a/packages/controller/settings/replica-classes.ts
+++ b/packages/controller/settings/replica-classes.ts
@@ -4,7 +4,7 @@
 import type { SettingsProblem } from './settings-error.js';
 
 /** Kinds of objectives that say of a class that its jobs end by themselves, which services do not. */
-const ENDING_KINDS = ['finished', 'deadline'];
+const BATCH_OBJECTIVE_KINDS = ['finished', 'deadline'];
 
 /** Why the classes of replica groups contradict the platform's settings, or null. */
 export function checkReplicaClasses(
@@ -17,9 +17,9 @@
     if (objectives.length === 0) {
       return { field, reason: "no objective of the platform's settings names this class" };
     }
-    const ending = objectives.find(({ kind }) => ENDING_KINDS.includes(kind));
-    if (ending) {
-      const reason = `is no class of services, since an objective of kind ${ending.kind} says that its jobs end`;
+    const batchObjective = objectives.find(({ kind }) => BATCH_OBJECTIVE_KINDS.includes(kind));
+    if (batchObjective) {
+      const reason = `is no class of services, since an objective of kind ${batchObjective.kind} says that its jobs end`;
       return { field, reason };
     }
   }
--- a/packages/controller/settings/settings.ts
+++ b/packages/controller/settings/settings.ts
@@ -13,7 +13,7 @@
 import { platformSchema, PlatformSettings, TeamSettings } from './platform-settings.js';
 import { checkReplicaClasses } from './replica-classes.js';
 import { SettingsError, type SettingsProblem, WHOLE_FILE } from './settings-error.js';
-import { checkMoveTimes, checkTimes } from './time-bounds.js';
+import { checkMigrationTimes, checkTimes } from './time-bounds.js';
 
 /** Guarantees and limits by team, in the core's words. */
 export function teamQuotas(teams: TeamSettings[]): Map<string, TeamQuota> {
@@ -38,33 +38,33 @@
 /** What errors name if the operators have no file. */
 const NO_OPERATOR_FILE = 'defaults';
 
-const validPlatform = compileSchema<PlatformSettings>('platformSettings', platformSchema);
-const validOperator = compileSchema<OperatorFile>('operatorSettings', operatorSchema);
+const validatePlatform = compileSchema<PlatformSettings>('platformSettings', platformSchema);
+const validateOperator = compileSchema<OperatorFile>('operatorSettings', operatorSchema);
 
 /**
  * Reads and checks the platform's file and, if given, the operators'. Throws BadSettings if a file can't be
  * read, a field is not valid, or the settings contradict each other.
  */
 export function loadSettings(platformFile: string, operatorFile: string | null): Settings {
-  const platform = validated(platformFile, read(platformFile, parseToml), validPlatform);
-  const raw = operatorFile === null ? {} : read(operatorFile, JSON.parse);
+  const platform = validate(platformFile, readAndParse(platformFile, parseToml), validatePlatform);
+  const raw = operatorFile === null ? {} : readAndParse(operatorFile, JSON.parse);
   const operatorName = operatorFile ?? NO_OPERATOR_FILE;
-  const own = validated(operatorName, raw, validOperator);
-  const settings = { ...platform, operator: withDefaults(own, platform) };
+  const operatorValues = validate(operatorName, raw, validateOperator);
+  const settings = { ...platform, operator: withDefaults(operatorValues, platform) };
   const { workers } = platform.deployment;
   const { moves, replicaGroups } = settings.operator;
-  refuse(platformFile, checkTimes(workers));
-  refuse(operatorName, checkMoveTimes(workers, moves));
-  refuse(operatorName, checkReplicaClasses(platform, replicaGroups));
+  throwIfProblem(platformFile, checkTimes(workers));
+  throwIfProblem(operatorName, checkMigrationTimes(workers, moves));
+  throwIfProblem(operatorName, checkReplicaClasses(platform, replicaGroups));
   return settings;
 }
 
-function refuse(file: string, problem: SettingsProblem | null): void {
+function throwIfProblem(file: string, problem: SettingsProblem | null): void {
   if (problem !== null) throw new SettingsError(file, problem);
 }
 
 /** The content of a settings file; throws BadSettings. */
-function read(file: string, parse: (text: string) => unknown): unknown {
+function readAndParse(file: string, parse: (text: string) => unknown): unknown {
   const content = readText(file);
   try {
     return parse(content);
@@ -84,12 +84,12 @@
 }
 
 /** The value if it keeps to the schema; throws BadSettings with the first field that does not. */
-function validated<T>(file: string, value: unknown, valid: ValidateFunction<T>): T {
-  if (valid(value)) return value;
-  throw new SettingsError(file, problemOf(valid.errors?.[0]));
+function validate<T>(file: string, value: unknown, validator: ValidateFunction<T>): T {
+  if (validator(value)) return value;
+  throw new SettingsError(file, toProblem(validator.errors?.[0]));
 }
 
-function problemOf(error: ErrorObject | undefined): SettingsProblem {
+function toProblem(error: ErrorObject | undefined): SettingsProblem {
   const path = (error?.instancePath ?? '').slice(1).replaceAll('/', '.');
   if (error?.keyword === 'required') {
     const missing = String(error.params.missingProperty);
--- a/packages/controller/settings/time-bounds.ts
+++ b/packages/controller/settings/time-bounds.ts
@@ -6,7 +6,7 @@
 type WorkerSettings = PlatformSettings['deployment']['workers'];
 
 /** Clocks differ by 0.05% each; a lease is counted on the worker's. */
-const LEASE_DRIFT = 1.002;
+const LEASE_DRIFT_FACTOR = 1.002;
 /** A heartbeat under way, its answer, and the worker's reaction. */
 const MARGIN_HEARTBEATS = 3;
 /** Least grace: a leader reads the jobs again about once in a heartbeat interval. */
@@ -23,7 +23,7 @@
   leaseS: number,
   heartbeatIntervalS: number,
 ): number {
-  return cancelS - leaseS * LEASE_DRIFT - MARGIN_HEARTBEATS * heartbeatIntervalS;
+  return cancelS - leaseS * LEASE_DRIFT_FACTOR - MARGIN_HEARTBEATS * heartbeatIntervalS;
 }
 
 /** Why no leader could keep the times that workers and users are promised, or null. */
@@ -32,12 +32,12 @@
   const missingS =
     MIN_GRACE_HEARTBEATS * heartbeatIntervalS - graceAfterLoss(cancelS, leaseS, heartbeatIntervalS);
   if (missingS <= 0) return null;
-  const leastS = Math.ceil((cancelS + missingS) * 100) / 100;
+  const minCancelS = Math.ceil((cancelS + missingS) * 100) / 100;
   const heartbeats = MARGIN_HEARTBEATS + MIN_GRACE_HEARTBEATS;
   return {
     field: 'deployment.workers.cancel_s',
     reason:
-      `must be at least ${leastS}, so that a lease of ${leaseS} s and ` +
+      `must be at least ${minCancelS}, so that a lease of ${leaseS} s and ` +
       `${heartbeats} report periods end within it`,
   };
 }
@@ -46,17 +46,17 @@
  * Share of the grace after a loss that a planned move may use up: the source must be able to take the shard back,
  * and an outage may begin meanwhile.
  */
-const MOVE_SHARE = 1 / 2;
+const MAX_MIGRATION_SHARE = 1 / 2;
 
 /** Why the times of planned moves can't be kept, or null. */
-export function checkMoveTimes(
+export function checkMigrationTimes(
   workers: WorkerSettings,
   moves: MoveSettings | null,
 ): SettingsProblem | null {
   const { cancel_s: cancelS, lease_s: leaseS, report_s: heartbeatIntervalS } = workers;
-  const mostS = graceAfterLoss(cancelS, leaseS, heartbeatIntervalS) * MOVE_SHARE;
-  if (moves === null || moves.switchS <= mostS) return null;
-  const bound = Math.floor(mostS * 100) / 100;
+  const maxSwitchS = graceAfterLoss(cancelS, leaseS, heartbeatIntervalS) * MAX_MIGRATION_SHARE;
+  if (moves === null || moves.switchS <= maxSwitchS) return null;
+  const bound = Math.floor(maxSwitchS * 100) / 100;
   return {
     field: 'moves.switchS',
     reason:
