--- a/deploy/assert-stub.cjs
+++ b/deploy/assert-stub.cjs
@@ -1,4 +1,4 @@
-// Stands in for node:assert, of which sonic-boom, pino's file writer, uses the plain call only.
+// Replaces node:assert for sonic-boom, pino's file writer, which only calls assert(condition, message).
 module.exports = (condition, message) => {
   if (!condition) throw new Error(message);
 };
--- a/deploy/body-parser-stub.cjs
+++ b/deploy/body-parser-stub.cjs
@@ -1,3 +1,3 @@
-// Stands in for body-parser in the bundled program. Express loads it for its body parsers, which this program does not
-// use, since its bodies are CBOR; the parsers' tables of character sets were a third of the program to load.
+// Replaces body-parser in the bundled program. Express loads body-parser at startup, but this program does not use
+// its parsers, because its bodies are CBOR. Their tables of character sets were a third of the code to load.
 module.exports = {};
--- a/packages/bundle/bundle-program.ts
+++ b/packages/bundle/bundle-program.ts
@@ -6,7 +6,7 @@
 
 const ROOT = fileURLToPath(new URL('../..', import.meta.url));
 
-/** The ES modules of rxjs, of which only what is used is taken; the CommonJS ones were a fifth of the program. */
+/** The ES modules of rxjs, from which esbuild drops unused code; the CommonJS modules were a fifth of the program. */
 const RXJS = './node_modules/rxjs/dist/esm/index.js';
 
 const OPTIONS: BuildOptions = {
--- a/packages/bundle/compiled-code.test.ts
+++ b/packages/bundle/compiled-code.test.ts
@@ -8,7 +8,7 @@
 
 const LAUNCH = fileURLToPath(new URL('../cli/launch.cjs', import.meta.url));
 
-test('the compiled code that the build keeps is used by a controller as the platform starts it', () => {
+test('V8 accepts the code cache of the build under the options with which the platform starts a controller', () => {
   const program = `
     const { CACHE_FILE, compileProgram } = require(${JSON.stringify(LAUNCH)});
     const { cachedDataRejected } = compileProgram(require('node:fs').readFileSync(CACHE_FILE));
@@ -18,10 +18,10 @@
   assert.equal(stdout, 'false', stderr);
 });
 
-test('without usable compiled code the program is loaded as well', () => {
+test('the program loads without a usable code cache', () => {
   const validCache = readFileSync(CACHE_FILE);
   const mismatchedCache = Buffer.from(validCache);
-  // The first bytes tell versions and options.
+  // The first bytes of a code cache hold V8's version and options.
   mismatchedCache.fill(0, 0, 16);
   for (const cache of [undefined, Buffer.alloc(0), validCache.subarray(0, 5000), mismatchedCache]) {
     assert.equal(typeof loadProgram(compileProgram(cache)).main, 'function');
--- a/packages/bundle/rehearsal.ts
+++ b/packages/bundle/rehearsal.ts
@@ -1,4 +1,4 @@
-/** Runs what controllers run in a small simulated cluster, so that all of it gets compiled. */
+/** Runs the bundled program's controllers in a small simulated cluster, so that V8 compiles their code. */
 import { closeSync, openSync } from 'node:fs';
 import { devNull } from 'node:os';
 import { fileURLToPath } from 'node:url';
@@ -8,15 +8,15 @@
 
 const EXAMPLE_SETTINGS = fileURLToPath(new URL('../../examples/settings.toml', import.meta.url));
 const SEED = 1;
-/** Simulated seconds: long enough for machines to boot, and for jobs to come, run, be cancelled and end. */
+/** Simulated seconds: long enough for machines to boot, and for jobs to be submitted, run, be cancelled and end. */
 const SCENARIO_LENGTH_S = 90;
 const LAST_SUBMISSION_S = 70;
-/** By then work runs, which the next leader takes over. */
+/** Simulated second of the leader's crash. Tasks run by then, and the next leader takes them over. */
 const FAILOVER_S = 50;
 
 /**
- * Simulates a small cluster whose controllers are the program's own, with users, machines and a failover. Rejects if
- * anything went wrong.
+ * Simulates a small cluster that runs the controllers of the bundled program, with users, machines and a failover.
+ * Rejects if the simulation reports a problem.
  */
 export async function warmUp(program: Program): Promise<void> {
   program.loadSettings(EXAMPLE_SETTINGS, null);
@@ -26,7 +26,7 @@
     return new program.Controller(runtime, settings, log);
   };
   const scenario = {
-    name: 'rehearsal',
+    name: 'warm-up',
     cluster: SMALL_CLUSTER,
     workload: { classes: USUAL_CLASSES, intensity: 2, untilS: LAST_SUBMISSION_S },
     faults: [
@@ -36,5 +36,5 @@
   };
   const problems = describeProblems(await runScenario(scenario, SEED, make));
   closeSync(logFile);
-  if (problems.length > 0) throw new Error(`the rehearsal failed: ${problems.join('; ')}`);
+  if (problems.length > 0) throw new Error(`the warm-up simulation failed: ${problems.join('; ')}`);
 }
--- a/packages/bundle/replacements.ts
+++ b/packages/bundle/replacements.ts
@@ -1,14 +1,14 @@
-/** Replaces, in the bundled program, modules that libraries load but this program never calls. */
+/** Replaces modules in the bundled program that libraries load but that this program does not need. */
 import path from 'node:path';
 import { fileURLToPath } from 'node:url';
 import type { Plugin } from 'esbuild';
 
 const DEPLOY = fileURLToPath(new URL('../../deploy/', import.meta.url));
 
-/** A module that a library loads, and the stub that stands in for it. */
+/** A module that a library loads, and the stub that replaces it. */
 interface Replacement {
   module: string;
-  /** The library that gets the stub; all others get the module itself. */
+  /** The library that loads the stub; all other importers load the module itself. */
   usedBy: string;
   /** File name of the stub in `deploy`. */
   stub: string;
@@ -30,7 +30,7 @@
   );
 }
 
-/** The plugin of esbuild that makes the replacements. */
+/** The esbuild plugin that makes the replacements. */
 export const replacements: Plugin = {
   name: 'replacements',
   setup(build) {
--- a/packages/bundle/schema-checks.test.ts
+++ b/packages/bundle/schema-checks.test.ts
@@ -28,7 +28,7 @@
   grant: fc.nat(),
 });
 
-/** What is right by each schema, to be made wrong in one place. */
+/** Generators of valid values by schema name; the test corrupts each value in one place. */
 const VALID_VALUES: Record<string, fc.Arbitrary<Json>> = {
   job: anyJob.map(jobToWire),
   heartbeat: anyHeartbeat.map(heartbeatToWire),
@@ -53,13 +53,13 @@
   return module.exports;
 }
 
-/** Every object and array in a value, itself included. */
+/** All objects and arrays in a value, including the value itself. */
 function containersIn(value: unknown): Json[] {
   if (typeof value !== 'object' || value === null) return [];
   return [value as Json, ...Object.values(value).flatMap(containersIn)];
 }
 
-/** Puts another value in one place, or takes it out if that is undefined. */
+/** Returns a copy with the value at one place replaced by `other`, or removed if `other` is undefined. */
 function corrupt(valid: Json, place: number, other: unknown): Json {
   const copy = structuredClone(valid);
   const places = containersIn(copy).flatMap((container) =>
@@ -77,7 +77,7 @@
   return { isGood, errors: isGood ? null : check.errors, checked };
 }
 
-test('the code that the build makes of each schema gives the same errors and defaults as ajv', () => {
+test('the validators that the build generates give the same errors and defaults as ajv', () => {
   assert.deepEqual([...namedSchemas.keys()].sort(), Object.keys(VALID_VALUES).sort());
   const checks = evaluateModule(schemaChecksCode());
   for (const [name, schema] of [...namedSchemas]) {
@@ -93,6 +93,6 @@
       }),
       SEEDED,
     );
-    assert.ok(failedKeywords.size > 1, `${name} was made wrong in several ways`);
+    assert.ok(failedKeywords.size > 1, `${name} fails by several keywords`);
   }
 });
--- a/packages/bundle/schema-checks.ts
+++ b/packages/bundle/schema-checks.ts
@@ -1,9 +1,9 @@
-/** Compiles all schemas that the program uses to code at build time, so that ajv need not be loaded. */
+/** Compiles all JSON schemas of the program to code at build time, so that the program need not load ajv. */
 import { Ajv } from 'ajv';
 import standalone from 'ajv/dist/standalone/index.js';
 import type { Plugin } from 'esbuild';
 import path from 'node:path';
-// Both compile their schemas when they are loaded.
+// These modules register their schemas when they are loaded.
 import '#controller';
 import '#shards';
 import '#wire';
@@ -11,7 +11,7 @@
 
 const standaloneCode = standalone.default;
 
-/** A CommonJS module that exports the check of each schema by the schema's name. */
+/** The source of a CommonJS module that exports the validator of each schema under the schema's name. */
 export function schemaChecksCode(): string {
   const ajv = new Ajv({ ...SCHEMA_OPTIONS, code: { source: true } });
   for (const [name, schema] of namedSchemas) ajv.addSchema(schema, name);
@@ -23,7 +23,7 @@
 const NAMESPACE = 'compiled-schemas';
 const COMPILE_SCHEMA = 'const checks = exports;\nexports.compileSchema = (name) => checks[name];';
 
-/** The plugin of esbuild that puts the checks in the place of the module that compiles schemas. */
+/** The esbuild plugin that replaces the module `schema.js`, which compiles schemas, by the compiled validators. */
 export const compiledSchemas: Plugin = {
   name: NAMESPACE,
   setup(build) {
--- a/packages/cli/arguments.ts
+++ b/packages/cli/arguments.ts
@@ -1,10 +1,10 @@
-/** Checks of arguments of the command line. */
+/** Checks arguments of the command line. */
 import { isJobId } from '#wire';
 import { CommandError, ExitCode } from './command-error.js';
 
 const MAX_PORT = 65_535;
 
-/** A `HOST:PORT` as it was given, or a CommandError. */
+/** Returns the text if it has the form `HOST:PORT`; throws CommandError otherwise. */
 export function parseControllerAddress(text: string): string {
   const [, port] = /^[^:\s]+:([0-9]{1,5})$/.exec(text) ?? [];
   const isPort = Number(port) >= 1 && Number(port) <= MAX_PORT;
@@ -12,8 +12,8 @@
   throw new CommandError(ExitCode.badInput, `--at ${text}: must be HOST:PORT`);
 }
 
-/** A job's id as it was given, or a CommandError. */
+/** Returns the text if it is a job id; throws CommandError otherwise. */
 export function parseJobId(text: string): string {
   if (isJobId(text)) return text;
-  throw new CommandError(ExitCode.badInput, `${text}: is no job id, like j-000412`);
+  throw new CommandError(ExitCode.badInput, `${text}: is not a job id such as j-000412`);
 }
--- a/packages/cli/commands.ts
+++ b/packages/cli/commands.ts
@@ -1,4 +1,4 @@
-/** The commands that people type, and how they are put together. */
+/** Assembles the commands of the command line. */
 import { Command, CommanderError } from 'commander';
 import { readFileSync } from 'node:fs';
 import { ExitCode } from './command-error.js';
@@ -18,7 +18,7 @@
     return ExitCode.done;
   } catch (err) {
     if (!(err instanceof CommanderError)) throw err;
-    // Commander has written its own message, or the help that was asked for.
+    // Commander has already written its error message, or the requested help.
     return err.exitCode === 0 ? ExitCode.done : ExitCode.badInput;
   }
 }
--- a/packages/cli/examples.test.ts
+++ b/packages/cli/examples.test.ts
@@ -16,7 +16,7 @@
   return JSON.parse(readFileSync(file, 'utf8'));
 }
 
-test('the sample settings can be used, and the operators set what they can set', () => {
+test('the sample settings are valid, and every value in the sample operator settings takes effect', () => {
   const { operator, deployment } = loadSettings(SETTINGS, OPERATOR);
   assert.equal(deployment.nodes, 3);
   const own = readJson(OPERATOR) as Record<string, number>;
@@ -27,7 +27,7 @@
   }
 });
 
-test('the sample job is one that the sample deployment serves', () => {
+test('the sample job fits the teams and classes of the sample deployment', () => {
   const job = parseJob(readJson(examplePath('job.json')));
   const { teams, objectives } = loadSettings(SETTINGS, null).deployment;
   const team = teams.find(({ name }) => name === job.team);
@@ -35,7 +35,7 @@
   assert.ok(objectives.some((objective) => objective.class === job.class));
 });
 
-test('the jobs of the sample pipeline can be submitted in the order of their numbers', () => {
+test('the jobs of the sample pipeline can be submitted in the order of their file names', () => {
   const { teams } = loadSettings(SETTINGS, null).deployment;
   const files = readdirSync(examplePath('pipeline')).sort();
   const jobs = files.map((file) => parseJob(readJson(examplePath(`pipeline/${file}`))));
--- a/packages/cli/help.ts
+++ b/packages/cli/help.ts
@@ -1,6 +1,6 @@
-/** Texts of the commands' help. */
+/** Formats help texts of the commands. */
 
-/** Text for the end of a command's help: how it may be called. */
+/** The examples at the end of a command's help. */
 export function formatExamples(...calls: string[]): string {
   const heading = calls.length === 1 ? 'Example:' : 'Examples:';
   return ['', heading, ...calls.map((call) => `  $ sorreldale ${call}`)].join('\n');
--- a/packages/cli/job-file.ts
+++ b/packages/cli/job-file.ts
@@ -1,12 +1,12 @@
-/** Reads files with jobs. */
+/** Reads job files. */
 import { readFileSync } from 'node:fs';
 import { CommandError, ExitCode } from './command-error.js';
 
-/** The object in a JSON file; throws CommandError, which names the file. The service checks what is in the object. */
+/** Reads a JSON file that holds an object; throws CommandError, which names the file. The service checks the fields. */
 export function readJobFile(file: string): object {
   const job = parse(file, read(file));
   if (typeof job === 'object' && job !== null && !Array.isArray(job)) return job;
-  throw new CommandError(ExitCode.badInput, `${file}: is no JSON object`);
+  throw new CommandError(ExitCode.badInput, `${file}: is not a JSON object`);
 }
 
 function read(file: string): string {
@@ -25,6 +25,6 @@
     return JSON.parse(text);
   } catch (err) {
     const [reason] = (err as Error).message.split('\n');
-    throw new CommandError(ExitCode.badInput, `${file}: is no JSON: ${reason}`, { cause: err });
+    throw new CommandError(ExitCode.badInput, `${file}: is not JSON: ${reason}`, { cause: err });
   }
 }
--- a/packages/cli/launch.cts
+++ b/packages/cli/launch.cts
@@ -1,10 +1,10 @@
 #!/usr/bin/env node
 /**
- * Starts the bundled program with the compiled code that the build keeps beside it. A controller that comes
- * back must answer before the worker leases expire, and on a small share of a core most of a start is loading
- * code. Without a usable cache the program starts as well, only later.
+ * Starts the bundled program with V8's code cache, which the build writes beside the program. A restarted
+ * controller must answer before the worker leases expire, and on a small share of a core it spends most of its
+ * start loading code. Without a usable cache the program also starts, but later.
  *
- * This file is CommonJS, since Node's loader of ES modules alone took as long as a fifth of the bare Node.
+ * This file is CommonJS, because Node's loader of ES modules alone added a fifth to the start of an empty program.
  */
 import { readFileSync } from 'node:fs';
 import { dirname, join } from 'node:path';
@@ -15,22 +15,22 @@
 export type Program = typeof ProgramModule;
 
 const PROGRAM_FILE = join(__dirname, '..', 'bin', 'sorreldale.cjs');
-/** The compiled code that the build keeps. */
+/** V8's code cache of the program, which the build writes. */
 export const CACHE_FILE = join(__dirname, '..', 'bin', 'sorreldale.cache');
 
-/** The program as a script, compiled again if there is no usable cache of its code. */
+/** The program as a script, compiled from its source if there is no usable code cache. */
 export function compileProgram(cachedData: Buffer | undefined): Script {
-  // The bundle is pure ASCII, and text of one byte a character is read without decoding.
+  // The bundle is pure ASCII, so latin1 gives the same text as utf8 without decoding.
   const text = readFileSync(PROGRAM_FILE, 'latin1');
   const source = `(function (exports, require, module, __filename, __dirname) {${text}\n})`;
   return new Script(source, { filename: PROGRAM_FILE, cachedData });
 }
 
-/** Evaluates the program's modules; nothing is run yet. */
+/** Evaluates the program's modules and returns its exports; `main` is not called yet. */
 export function loadProgram(script: Script): Program {
   const module = { exports: {} };
   const evaluate = script.runInThisContext() as (...args: unknown[]) => void;
-  // The bundle requires nothing but what is built into Node.
+  // The bundle requires only modules that are built into Node.
   evaluate(module.exports, require, module, PROGRAM_FILE, dirname(PROGRAM_FILE));
   return module.exports as Program;
 }
@@ -39,7 +39,7 @@
   try {
     return readFileSync(CACHE_FILE);
   } catch {
-    // Without the file the program is compiled, which only takes longer.
+    // Without the file the program is compiled from its source, which takes longer.
     return undefined;
   }
 }
--- a/packages/cli/main.ts
+++ b/packages/cli/main.ts
@@ -1,14 +1,14 @@
-/** The program that the bundle holds and that `launch` starts. */
+/** Entry point of the bundled program, which `launch.cts` starts. */
 import { processOutput } from './output.js';
 import { runCommandLine } from './program.js';
 
-/** Runs the command line in this process, and ends it with the exit code if something failed. */
+/** Runs the command line in this process, and exits with the exit code if the command failed. */
 export function main(args: string[]): void {
   void runCommandLine(args, processOutput).then((exitCode) => {
-    // A controller that has failed may leave timers behind; what succeeded ends by itself.
+    // Timers of a failed controller may keep the process alive. After a success the process ends by itself.
     if (exitCode !== 0) process.exit(exitCode);
   });
 }
 
-/** For the build, which runs a small cluster of the bundled program so that its code gets compiled. */
+/** For the build, which simulates a small cluster with the bundled program so that V8 compiles its code. */
 export { Controller, loadSettings, makeLog } from '#controller';
--- a/packages/cli/output.ts
+++ b/packages/cli/output.ts
@@ -1,6 +1,6 @@
 /** The streams that commands write to. */
 
-/** Where a command writes, so that tests can read it. */
+/** The output of a command; tests replace it to read what the command writes. */
 export interface Output {
   /** Results, for programs to read. */
   out: (text: string) => void;
@@ -8,7 +8,7 @@
   err: (text: string) => void;
 }
 
-/** This process's own streams. */
+/** Writes to standard output and standard error of this process. */
 export const processOutput: Output = {
   out: (text) => void process.stdout.write(text),
   err: (text) => void process.stderr.write(text),
--- a/packages/cli/program.test.ts
+++ b/packages/cli/program.test.ts
@@ -33,7 +33,7 @@
   return { exitCode, out, err };
 }
 
-/** Expects nothing on standard output and one line on standard error. */
+/** Asserts the exit code, an empty standard output, and one line on standard error that matches `line`. */
 async function assertFails(args: string[], exitCode: number, line: RegExp): Promise<void> {
   const result = await run(...args);
   assert.match(result.err, /^[^\n]+\n$/, args.join(' '));
@@ -41,17 +41,17 @@
   assert.deepEqual([result.exitCode, result.out], [exitCode, '']);
 }
 
-test('job files that are missing or hold no job end with one line that names them', async () => {
+test('a job file that is missing or holds no job gives a one-line error that names the file', async () => {
   const missing = path.join(directory, 'none.json');
   await assertFails(['submit', missing], 2, /none\.json: cannot be read: ENOENT/);
   await assertFails(['submit', directory], 2, /cannot be read: EISDIR/);
   const broken = writeTestFile('broken.json', '{"id": \n\n oops}');
-  await assertFails(['submit', broken], 2, /broken\.json: is no JSON: /);
+  await assertFails(['submit', broken], 2, /broken\.json: is not JSON: /);
   const list = writeTestFile('list.json', '[1]');
-  await assertFails(['submit', list], 2, /list\.json: is no JSON object/);
+  await assertFails(['submit', list], 2, /list\.json: is not a JSON object/);
 });
 
-test('settings files that are missing, unreadable or incomplete end with one line that names them', async () => {
+test('a settings file that is missing, malformed or incomplete gives a one-line error that names the file', async () => {
   const missing = path.join(directory, 'none.toml');
   for (const command of [['check'], ['--config']]) {
     await assertFails([...command, missing], 2, /none\.toml: the file: ENOENT/);
@@ -67,7 +67,7 @@
   await assertFails([...check, broken], 2, /broken-operator\.json: the file: /);
 });
 
-test('a controller that does not answer ends the command with its address', async () => {
+test('a controller that does not answer gives an error with its address', async () => {
   const server = await serveCbor(nodeRuntime, FREE_LOOPBACK_PORT, () => ({
     status: 200,
     body: {},
@@ -80,7 +80,7 @@
   await assertFails(['abort', 'j-000001', ...at], 3, noAnswer);
 });
 
-test('refused work ends with the status and the reason of the service', async () => {
+test('a request that the service refuses gives an error with the status and the reason', async () => {
   const refusal = { status: 400, body: { error: '/pieces must be\n>= 1' } };
   const server = await serveCbor(nodeRuntime, FREE_LOOPBACK_PORT, ({ method }) =>
     method === 'GET' ? { status: 404, body: { error: 'unknown job' } } : refusal,
@@ -94,7 +94,7 @@
   server.close();
 });
 
-test('what the service accepts is printed for programs', async () => {
+test('the answer to an accepted job is printed as JSON', async () => {
   const job = { id: 'j-000412', phase: 'pending' };
   const server = await serveCbor(nodeRuntime, FREE_LOOPBACK_PORT, () => ({
     status: 201,
@@ -106,11 +106,11 @@
   assert.deepEqual(JSON.parse(result.out), { status: 201, ...job });
 });
 
-test('arguments that cannot be meant are refused before anything is sent', async () => {
+test('invalid arguments are refused before a request is sent', async () => {
   for (const address of ['localhost', '127.0.0.1:', '127.0.0.1:0', '127.0.0.1:70000', ':80']) {
     await assertFails(['status', 'j-1', '--at', address], 2, /^--at .*: must be HOST:PORT/);
   }
-  await assertFails(['abort', 'j 1/../x'], 2, /^j 1\/\.\.\/x: is no job id/);
+  await assertFails(['abort', 'j 1/../x'], 2, /^j 1\/\.\.\/x: is not a job id/);
   await assertFails(['submit'], 2, /missing required argument 'file'/);
   await assertFails(['status', 'j-1', '--when'], 2, /unknown option '--when'/);
   const withoutArguments = await run();
@@ -127,7 +127,7 @@
   }
 });
 
-test('the program as it is built ends with the line and the code', () => {
+test('the built program prints the error line and ends with the exit code', () => {
   const launch = fileURLToPath(new URL('./launch.cjs', import.meta.url));
   const command = [launch, 'submit', path.join(directory, 'none.json')];
   const { status, stdout, stderr } = spawnSync(process.execPath, command, { encoding: 'utf8' });
--- a/packages/cli/program.ts
+++ b/packages/cli/program.ts
@@ -1,10 +1,10 @@
-/** The command line: runs a command or a controller, and turns what went wrong into an exit code. */
+/** The command line: runs a command or a controller, and maps errors to exit codes. */
 import { CommandError, ExitCode, LoggedError } from './command-error.js';
 import type { Output } from './output.js';
 import { serve } from './serve.js';
 import { parseControllerArguments } from './settings-files.js';
 
-/** Runs the command line; resolves with the exit code once all is written, and never rejects. */
+/** Runs the command line; resolves with the exit code once all output is written, and never rejects. */
 export async function runCommandLine(args: string[], output: Output): Promise<ExitCode> {
   try {
     const files = parseControllerArguments(args);
@@ -16,13 +16,13 @@
   }
 }
 
-/** The commands are loaded only here: a controller does without them. */
+/** Runs a command. The commands are loaded on demand, because a controller starts without them. */
 async function runCommand(args: string[], output: Output): Promise<ExitCode> {
   const commands = await import('./commands.js');
   return commands.runCommand(args, output);
 }
 
-/** Writes what went wrong in one line, unless it has been written, and returns the exit code. */
+/** Writes the error as one line, unless it has been logged, and returns the exit code. */
 function printError(err: unknown, output: Output): ExitCode {
   if (err instanceof LoggedError) return err.exitCode;
   const known = err instanceof CommandError;
--- a/packages/cli/replica-commands.test.ts
+++ b/packages/cli/replica-commands.test.ts
@@ -22,7 +22,7 @@
   return { exitCode, out, err };
 }
 
-test('replicas are listed, one line each', async () => {
+test('replicas are listed as JSON, one per line', async () => {
   const rows = [
     { job: 'j-1', replica: 0, generation: 7, phase: 'repairing', forS: 2, why: 'member-lost' },
     { job: 'j-2', replica: 0, generation: 5, phase: 'whole', forS: 90, why: null },
@@ -32,7 +32,7 @@
   assert.deepEqual(result, { exitCode: 0, out, err: '' });
 });
 
-test('a follower and a controller on which replica groups are off give different errors', async () => {
+test('a follower and a controller with replica groups disabled give different errors', async () => {
   const followerBody = {
     error: 'this controller does not own the machines',
     owner: 'controller-2',
--- a/packages/cli/replica-commands.ts
+++ b/packages/cli/replica-commands.ts
@@ -6,14 +6,14 @@
 import type { Output } from './output.js';
 
 const REQUEST_TIMEOUT_MS = 5000;
-/** Status of a follower's answer. */
+/** HTTP status of a follower's answer. */
 const NOT_LEADER = 503;
 
-/** What a controller answers to operators who ask for its replicas. */
+/** Body of a controller's answer at `/replicas`. */
 interface ReplicasAnswer {
   replicas?: object[];
   error?: string;
-  /** The leader, if a follower was asked. */
+  /** Name of the leader, if a follower answers. */
 
   // eslint-disable-next-line local/retired-words -- the endpoint's field
   owner?: string | null;
@@ -23,8 +23,12 @@
 export function addReplicaCommands(program: Command, output: Output): void {
   program
     .command('replicas')
-    .description('list the replicas that span several tasks, those that are not whole first')
-    .option('--at <address>', 'address of the controller that owns the machines', '127.0.0.1:8080')
+    .description('list the replicas that span several tasks, incomplete replicas first')
+    .option(
+      '--at <address>',
+      'address of the leader: the controller that owns the machines',
+      '127.0.0.1:8080',
+    )
     .addHelpText('after', formatExamples('replicas --at 10.0.0.1:8080'))
     .action(async ({ at }: { at: string }) => {
       const address = parseControllerAddress(at);
@@ -55,6 +59,6 @@
 
 function describeRefusal(status: number, { error, owner: leader }: ReplicasAnswer): string {
   const hint = leader ? `; ask ${leader}` : '; no controller owns them now';
-  const reason = `${status} ${error ?? 'an answer that cannot be used'}`;
+  const reason = `${status} ${error ?? 'the answer cannot be used'}`;
   return status === NOT_LEADER ? reason + hint : reason;
 }
--- a/packages/cli/serve.test.ts
+++ b/packages/cli/serve.test.ts
@@ -11,7 +11,7 @@
 const directory = mkdtempSync(path.join(tmpdir(), 'sorreldale-serve-'));
 after(() => rmSync(directory, { recursive: true }));
 
-/** A server on a free port of the loopback. */
+/** Opens a server on a free port of the loopback interface. */
 async function listenOnFreePort(): Promise<{ server: net.Server; address: string }> {
   const server = net.createServer().listen(0, '127.0.0.1');
   await once(server, 'listening');
@@ -26,7 +26,7 @@
   return address;
 }
 
-/** Starts the program that the build made with the sample settings, but for its two addresses. */
+/** Starts the built program as a controller with the sample settings and these two addresses. */
 function startController(listen: string, clusterListen: string): ChildProcess {
   const sample = new URL('../../examples/settings.toml', import.meta.url);
   const file = path.join(directory, 'settings.toml');
@@ -43,7 +43,7 @@
   });
 }
 
-test('a controller whose address is taken ends with a line that names it and code 4', async () => {
+test('a controller whose address is in use logs the address and ends with code 4', async () => {
   const { server, address } = await listenOnFreePort();
   const child = startController(await findFreeAddress(), address);
   let log = '';
@@ -52,13 +52,13 @@
   server.close();
   assert.equal(exitCode, 4);
   const last = JSON.parse(log.trim().split('\n').at(-1)!) as { msg: string; err: string };
-  assert.equal(last.msg, 'controller cannot listen: it ends');
+  assert.equal(last.msg, 'controller cannot listen on its address, exiting');
   assert.ok(last.err.includes(address), last.err);
 });
 
-test('a controller that gets a signal ends with code 0', async () => {
+test('a controller that receives SIGTERM ends with code 0', async () => {
   const child = startController(await findFreeAddress(), await findFreeAddress());
-  // Its first line comes once it listens to signals.
+  // The controller handles signals before it writes its first log line.
   await once(child.stderr!, 'data');
   child.kill('SIGTERM');
   child.stderr!.resume();
--- a/packages/cli/serve.ts
+++ b/packages/cli/serve.ts
@@ -6,7 +6,7 @@
 
 const MS_PER_S = 1000;
 
-/** Runs a controller until a signal ends it; throws CommandError if it cannot run. */
+/** Runs a controller until SIGINT or SIGTERM; throws CommandError if the controller cannot run. */
 export async function serve(files: SettingsFiles): Promise<void> {
   const settings = readSettings(files);
   const log = makeLog(nodeRuntime.clock, settings.host_name, process.env.LOG_LEVEL);
@@ -22,21 +22,24 @@
     await new Controller(nodeRuntime, settings, log).run(stop.signal);
   } catch (err) {
     if (err instanceof ListenError) {
-      log.error({ err: err.message }, 'controller cannot listen: it ends');
+      log.error({ err: err.message }, 'controller cannot listen on its address, exiting');
       throw new LoggedError(ExitCode.cannotListen, err.message, { cause: err });
     }
-    log.error({ err: describeError(err) }, 'controller failed: it ends');
+    log.error({ err: describeError(err) }, 'controller failed, exiting');
     throw new LoggedError(ExitCode.unexpected, describeError(err), { cause: err });
   }
 }
 
-/** A fault in one request or loop is logged; the process goes on. */
+/** Logs errors that nothing has caught, so that an error in one request or loop does not end the process. */
 function logUncaughtErrors(log: Log): void {
   process.on('uncaughtException', (err) => {
-    log.error({ err: err.stack }, 'exception not caught: the controller goes on');
+    log.error({ err: err.stack }, 'uncaught exception, the controller keeps running');
   });
   process.on('unhandledRejection', (err) => {
-    log.error({ err: describeError(err) }, 'rejection not handled: the controller goes on');
+    log.error(
+      { err: describeError(err) },
+      'unhandled promise rejection, the controller keeps running',
+    );
   });
 }
 
--- a/packages/cli/settings-commands.ts
+++ b/packages/cli/settings-commands.ts
@@ -9,7 +9,7 @@
 export function addSettingsCommands(program: Command, output: Output): void {
   program
     .command('check')
-    .description('check settings files without starting')
+    .description('check settings files without starting a controller')
     .argument('<config>', "the platform's settings file (TOML)")
     .option('--with-operator <file>', "the operators' own settings (JSON)")
     .addHelpText(
--- a/packages/cli/settings-files.test.ts
+++ b/packages/cli/settings-files.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { parseControllerArguments } from './settings-files.js';
 
-test('plain arguments of a controller are read in any order', () => {
+test('the arguments of a controller are parsed in any order', () => {
   const both = { config: 'a.toml', operator: 'b.json' };
   assert.deepEqual(parseControllerArguments(['--config', 'a.toml', '--operator', 'b.json']), both);
   assert.deepEqual(parseControllerArguments(['--operator', 'b.json', '--config', 'a.toml']), both);
@@ -10,7 +10,7 @@
   assert.deepEqual(parseControllerArguments(['--config', 'a.toml']), configOnly);
 });
 
-test('all other arguments are left to the commands', () => {
+test('all other arguments give null, so that commander parses them', () => {
   const others = [
     '',
     'status j-1',
--- a/packages/cli/settings-files.ts
+++ b/packages/cli/settings-files.ts
@@ -2,7 +2,7 @@
 import { SettingsError, loadSettings, type Settings } from '#controller';
 import { CommandError, ExitCode } from './command-error.js';
 
-/** The files that a controller's settings come from. */
+/** Paths of a controller's settings files. */
 export interface SettingsFiles {
   /** The platform's settings (TOML). */
   config: string;
@@ -10,7 +10,7 @@
   operator?: string;
 }
 
-/** Reads the settings files; throws CommandError naming file, field and reason. */
+/** Reads the settings files; throws CommandError, which names file, field and reason. */
 export function readSettings({ config, operator }: SettingsFiles): Settings {
   try {
     return loadSettings(config, operator ?? null);
@@ -21,8 +21,8 @@
 }
 
 /**
- * The files that plain arguments of a controller name, `--config FILE` with or without `--operator FILE`; null for
- * all other arguments, which are commander's to read. To load commander took as long as a tenth of a start.
+ * Parses the arguments of a controller: `--config FILE`, with or without `--operator FILE`. Null for all other
+ * arguments, which commander parses. A controller does not load commander, which took a tenth of its start time.
  */
 export function parseControllerArguments(args: string[]): SettingsFiles | null {
   const files: Partial<SettingsFiles> = {};
--- a/packages/cli/shard-commands.test.ts
+++ b/packages/cli/shard-commands.test.ts
@@ -16,7 +16,7 @@
 const SAMPLE = fileURLToPath(new URL('../../examples/settings.toml', import.meta.url));
 const LIMITS = { rps: 500, writeRps: 200, valueKb: 8, txnOps: 24 };
 
-/** The sample settings with the state service at that address. */
+/** Writes the sample settings with this address of the state service; returns the file. */
 function writeSettings(state: string): string {
   const file = path.join(directory, `${state.replace(':', '-')}.toml`);
   const sample = readFileSync(SAMPLE, 'utf8');
@@ -42,7 +42,7 @@
   return { exitCode, out, err };
 }
 
-test('a migration that is carried out is printed with its term, and one that the leader refuses with its reason', async () => {
+test('a completed migration is printed with its term, and a refused migration gives an error with the reason', async () => {
   const { store, config } = await startStateService();
   const accepted = run('move', 'controller-1', '--reason', 'a restart', '--settings', config);
   await Promise.race([accepted, until(() => store.get(migrationKey(0)) !== undefined)]);
@@ -69,13 +69,13 @@
   assert.deepEqual([exitCode, err], [1, 'part move controller-2: controller-2 is asleep\n']);
 });
 
-test('a request that nobody takes up is withdrawn, and one beside another is refused', async () => {
+test('a request that the leader does not start is withdrawn, and a second request beside another is refused', async () => {
   const { store, term, config } = await startStateService();
   const ignored = await run('move', 'controller-1', '--within', '0.2', '--settings', config);
   assert.equal(ignored.exitCode, 3);
   assert.match(
     ignored.err,
-    /^part move controller-1: withdrawn, the owner has not taken it up.*\n$/,
+    /^part move controller-1: withdrawn, the owner did not start it in time.*\n$/,
   );
   assert.equal(store.get(migrationKey(0)), undefined);
   const record = { fromTerm: term, to: 'controller-2', reason: '', phase: 'requested' };
@@ -87,7 +87,7 @@
   assert.equal((await run('withdraw', '--settings', config)).exitCode, 1);
 });
 
-test('a damaged record is shown as such and can be withdrawn, and a migration that is carried out can not', async () => {
+test('a damaged record is shown as unreadable and can be withdrawn, and a migration under way cannot', async () => {
   const { store, term, config } = await startStateService();
   store.apply([{ put: migrationKey(0), value: { phase: 'unheard of' } }]);
   const shown = JSON.parse((await run('show', '--settings', config)).out) as { move: string };
@@ -105,13 +105,13 @@
   assert.ok(store.get(migrationKey(0)));
 });
 
-test('unknown controllers, times that are none and a silent state service end with one line', async () => {
+test('an unknown controller, an invalid time and an unreachable state service give a one-line error', async () => {
   const { config } = await startStateService();
   const cases: [string[], number, RegExp][] = [
     [
       ['move', 'controller-9', '--settings', config],
       2,
-      /^controller-9: is no controller; there are controller-0/,
+      /^controller-9: is not a controller; known controllers: controller-0/,
     ],
     [['move', 'controller-0', '--settings', config], 1, /controller-0 owns the part already/],
     [
--- a/packages/cli/shard-commands.ts
+++ b/packages/cli/shard-commands.ts
@@ -1,4 +1,4 @@
-/** The commands about the shard that holds the machines: `part show`, `part move` and `part withdraw`. */
+/** The commands for the shard that holds the machines: `part show`, `part move` and `part withdraw`. */
 import type { Command } from 'commander';
 import {
   encodeMigration,
@@ -14,7 +14,7 @@
 import type { Output } from './output.js';
 import { readSettings } from './settings-files.js';
 
-/** The shard that holds all machines. */
+/** Number of the shard that holds all machines. */
 const SHARD = 0;
 const REQUEST_TIMEOUT_MS = 2000;
 const DEFAULT_WITHIN_S = 30;
@@ -37,7 +37,7 @@
 export function addShardCommands(program: Command, output: Output): void {
   const shard = program
     .command('part')
-    .description('see and move the part that holds the machines');
+    .description('show and move the part: the shard that holds the machines');
   addShow(shard, output);
   addMove(shard, output);
   addWithdraw(shard);
@@ -46,7 +46,7 @@
 function addShow(shard: Command, output: Output): void {
   shard
     .command('show')
-    .description('print who owns the part, and its moves')
+    .description('print the owner of the part and its moves')
     .requiredOption(...SETTINGS_OPTION)
     .addHelpText('after', formatExamples('part show --settings examples/settings.toml'))
     .action(async (options: ShardOptions) => {
@@ -57,7 +57,7 @@
     });
 }
 
-/** The names that operators' programs read: those of the stored records. */
+/** The status under the field names that operators' programs read, with migrations as the stored records. */
 function shardStatusToJson({ shard, leader, migration, lastMigration }: ShardStatus): object {
   const isRecord = migration !== null && migration !== 'unreadable';
   return {
@@ -71,11 +71,11 @@
 function addMove(shard: Command, output: Output): void {
   shard
     .command('move')
-    .description('have another controller own the part, while jobs run on')
-    .argument('<controller>', 'its host_name')
+    .description('move the part to another controller while its jobs keep running')
+    .argument('<controller>', 'host_name of the controller')
     .requiredOption(...SETTINGS_OPTION)
-    .option('--reason <text>', 'kept with the move, for others to see', '')
-    .option('--within <seconds>', 'how long to wait for it', String(DEFAULT_WITHIN_S))
+    .option('--reason <text>', 'text that is stored with the move', '')
+    .option('--within <seconds>', 'how long to wait for the move', String(DEFAULT_WITHIN_S))
     .addHelpText(
       'after',
       formatExamples('part move controller-1 --settings examples/settings.toml'),
@@ -94,24 +94,25 @@
 function addWithdraw(shard: Command): void {
   shard
     .command('withdraw')
-    .description('take a request to move the part back')
+    .description('withdraw a request to move the part')
     .requiredOption(...SETTINGS_OPTION)
     .addHelpText('after', formatExamples('part withdraw --settings examples/settings.toml'))
     .action(async (options: ShardOptions) => {
       const withdraw = (requests: MigrationRequests) => requests.withdraw('withdrawn');
       if (await withMigrationRequests('part withdraw', options, withdraw)) return;
-      const why = 'no move is there that could be taken back';
+      const why = 'there is no move that can be withdrawn';
       throw new CommandError(ExitCode.refused, `part withdraw: ${why}`);
     });
 }
 
-/** What is printed of a migration that was carried out; throws CommandError if it was not. */
+/** The object to print for a completed migration; throws CommandError if the migration was not completed. */
 function requireMigrated(name: string, outcome: RequestOutcome): object {
   if (outcome.kind === 'moved') return { owner: name, term: outcome.term };
   if (outcome.kind === 'not-moved') {
     throw new CommandError(ExitCode.refused, `part move ${name}: ${outcome.reason}`);
   }
-  const why = "the owner has not taken it up; is the section moves in its operators' settings?";
+  const why =
+    "the owner did not start it in time; is the section moves in its operators' settings?";
   throw new CommandError(ExitCode.noAnswer, `part move ${name}: withdrawn, ${why}`);
 }
 
@@ -121,16 +122,19 @@
   throw new CommandError(ExitCode.badInput, `--within ${text}: must be a number above 0`);
 }
 
-/** The name as it was given, if the settings name such a controller. */
+/** Returns the name if the settings contain such a controller; throws CommandError otherwise. */
 function requireKnownController(name: string, { settings }: ShardOptions): string {
   const { host_name, peers } = readSettings({ config: settings });
   const names = [host_name, ...peers.map((peer) => peer.host_name)];
   if (names.includes(name)) return name;
   const known = names.sort().join(', ');
-  throw new CommandError(ExitCode.badInput, `${name}: is no controller; there are ${known}`);
+  throw new CommandError(
+    ExitCode.badInput,
+    `${name}: is not a controller; known controllers: ${known}`,
+  );
 }
 
-/** Asks the state service that the settings name; throws CommandError if it does not answer. */
+/** Runs requests to the state service named in the settings; throws CommandError if it does not answer. */
 async function withMigrationRequests<T>(
   subject: string,
   { settings }: ShardOptions,
--- a/packages/cli/user-commands.ts
+++ b/packages/cli/user-commands.ts
@@ -10,7 +10,7 @@
 const OK = 200;
 const CREATED = 201;
 
-/** One request to a controller: what it is about, where it goes, and how it is sent. */
+/** One request to a controller: its subject for error messages, its address, and the call that sends it. */
 interface UserRequest {
   subject: string;
   address: string;
@@ -23,7 +23,7 @@
   program
     .command('submit')
     .description('submit a job')
-    .argument('<file>', "JSON file with the job in the protocol's words")
+    .argument('<file>', "JSON file with the job, under the protocol's field names")
     .option(...at)
     .addHelpText('after', formatExamples('submit examples/job.json --at 10.0.0.1:8080'))
     .action(async (file: string, options: { at: string }) => {
@@ -33,7 +33,7 @@
     });
   program
     .command('status')
-    .description('ask how a job is')
+    .description('print the status of a job')
     .argument('<id>')
     .option(...at)
     .addHelpText('after', formatExamples('status j-000412 --at 10.0.0.1:8080'))
@@ -53,7 +53,7 @@
     });
 }
 
-/** Prints the answer; throws CommandError if there is none, or if it is a refusal. */
+/** Sends the request and prints the answer; throws CommandError if there is no answer, or if it is a refusal. */
 async function sendRequest({ subject, address, send }: UserRequest, output: Output): Promise<void> {
   const client = new UserClient(parseControllerAddress(address));
   try {
@@ -72,7 +72,7 @@
   }
 }
 
-/** Status and reason in one line, and when a repetition may help. */
+/** One line with the status and reason of a refusal, and the time after which to retry if there is one. */
 function describeRefusal({ status, job, retryAfterS }: UserAnswer): string {
   const reason = job !== null && 'error' in job && job.error ? ` ${oneLine(job.error)}` : '';
   const retry = retryAfterS === null ? '' : `, try again after ${retryAfterS} s`;
