--- a/packages/controller/observability/event-loop-delay.ts
+++ b/packages/controller/observability/event-loop-delay.ts
@@ -1,20 +1,21 @@
-/** Measures how far this process is behind with its work. */
+/** Measures how late the event loop of this process runs its timers, as a sign of overload. */
 import { pause, type Runtime } from '#wire';
 
-/** Delay above which submissions are refused, in ms: half of the second after which users would retry. */
+/** Event loop delay above which submissions are refused, in ms: half of the second after which users retry. */
 const DELAY_LIMIT_MS = 500;
-/** Share of a delay that still counts at the next sample; samples are `DELAY_LIMIT_MS` apart. */
+/** Factor by which a measured delay shrinks from one sample to the next; samples are `DELAY_LIMIT_MS` apart. */
 const DELAY_DECAY = 1 / 3;
 
-/** Samples how late timers fire. */
+/** Samples the event loop delay: how late a timer fires. */
 export class EventLoopDelayMonitor {
   private delayMs = 0;
 
   constructor(private readonly runtime: Runtime) {}
 
   /**
-   * Seconds until the delay will have passed if nothing is added, and up to as much again so that users
-   * who are refused do not retry together; null if the delay is within the limit.
+   * Seconds after which a refused user should retry: the present delay, which will have passed by then if no work is
+   * added, plus a random time of up to the same length so that refused users do not retry together. Null if the
+   * delay is within the limit.
    */
   get overloadedForS(): number | null {
     if (this.delayMs <= DELAY_LIMIT_MS) return null;
@@ -28,7 +29,7 @@
       const startedAt = clock.now();
       await pause(clock, DELAY_LIMIT_MS, signal);
       const delayMs = (clock.now() - startedAt) * 1000 - DELAY_LIMIT_MS;
-      // A delay that is over refuses nobody from the next sample on, unless it was a very long one.
+      // After the decay, only a delay of over three times the limit still refuses submissions one sample later.
       this.delayMs = Math.max(delayMs, this.delayMs * DELAY_DECAY);
     }
   }
--- a/packages/controller/observability/fleet-summary.ts
+++ b/packages/controller/observability/fleet-summary.ts
@@ -1,7 +1,7 @@
 /** Summarises the fleet for operators: for the leader's log and for `/metrics`. */
 import type { FleetState, Scheduler } from '#core';
 
-/** The fleet, its use and what waits. */
+/** Machines of the fleet, their use by teams, and the jobs and tasks that wait. */
 export interface FleetSummary {
   /** Number of machines by state and kind, such as `up spot`. */
   machines: Record<string, number>;
@@ -11,9 +11,9 @@
   totalGpus: number;
   /** Accelerators in use, by team. */
   gpusInUse: Record<string, number>;
-  /** Index by which the fair share orders the teams. */
+  /** Fair-share index by which the scheduler orders the teams. */
   fairShareIndex: Record<string, number>;
-  /** Tasks that wait for a place, by class. */
+  /** Tasks that wait to be placed on a machine, by class. */
   waitingTasks: Record<string, number>;
   /** Jobs with dependencies that are not done. */
   jobsWithOpenDependencies: number;
@@ -21,10 +21,10 @@
   crashLoopingJobs: number;
 }
 
-/** Decimal places of the index in a summary. */
+/** Decimal places of the fair-share index in a summary. */
 const INDEX_DECIMAL_PLACES = 3;
 
-/** Summarises the fleet at `now`, in steady seconds. */
+/** Summarises the fleet at `now`, in seconds of the monotonic clock. */
 export function summariseFleet(
   fleet: FleetState,
   scheduler: Scheduler,
--- a/packages/controller/observability/log.ts
+++ b/packages/controller/observability/log.ts
@@ -1,8 +1,8 @@
-/** The log of a controller: one JSON object a line. */
+/** Makes the log of a controller: one JSON object per line. */
 import { pino } from 'pino';
 import type { Clock } from '#wire';
 
-/** A log that takes the fields of a line and its message. */
+/** A logger whose methods take the fields of a line and its message. */
 export type Log = pino.Logger;
 
 const LEVELS = ['error', 'warn', 'info', 'debug'];
@@ -11,7 +11,7 @@
 const STANDARD_ERROR = 2;
 
 /**
- * Makes a log that writes synchronously. An unknown level counts as `info`; `file` is a descriptor.
+ * Makes a log that writes synchronously. An unknown level counts as `info`; `file` is a file descriptor.
  */
 export function makeLog(
   clock: Clock,
--- a/packages/controller/observability/metrics-endpoint.test.ts
+++ b/packages/controller/observability/metrics-endpoint.test.ts
@@ -7,7 +7,7 @@
 import { MetricsEndpoint, type MetricsEndpointOptions } from './metrics-endpoint.js';
 import { ProcessStatistics } from './process-statistics.js';
 
-/** The metrics of a follower that has counted a few things, in Prometheus' text form. */
+/** Reads `/metrics` of a follower with a few counts, in Prometheus' text format. */
 async function readMetrics(): Promise<string> {
   const { clock } = nodeRuntime;
   const statistics = new ProcessStatistics({
@@ -38,7 +38,7 @@
   return (await fetch(`http://127.0.0.1:${port}/metrics`)).text();
 }
 
-test('metrics keep their names and labels, whatever the code calls the counts', async () => {
+test('metrics keep their names and labels, although the code names the counts differently', async () => {
   const lines = (await readMetrics()).split('\n');
   const values = lines.filter((line) => line !== '' && !line.startsWith('#'));
   const totals = values.filter((line) => line.startsWith('sorreldale_total'));
--- a/packages/controller/observability/metrics-endpoint.ts
+++ b/packages/controller/observability/metrics-endpoint.ts
@@ -8,7 +8,7 @@
 import type { OptionalReplicaSupport } from '../replica-support.js';
 import type { ProcessStatistics } from './process-statistics.js';
 
-/** What the metrics are read from. */
+/** The components that the metrics are read from. */
 export interface MetricsEndpointOptions {
   clock: Clock;
   heartbeatIntervalS: number;
@@ -20,10 +20,10 @@
   leader: () => ShardLeader | null;
 }
 
-/** The values of the label `of` that differ from the names of the counts. */
+/** Values of the label `of` by the name of the count in the code, where the two differ. */
 const LABEL_OF_TOTAL: Record<string, string> = { heartbeats: 'reports', userRequests: 'questions' };
 
-/** Serves `/metrics`. The metrics are loaded with the first request; until then none is kept. */
+/** Serves `/metrics`. The first request loads the metrics library; no times are observed before. */
 export class MetricsEndpoint {
   private loading: Promise<Metrics> | null = null;
   private loaded: Metrics | null = null;
@@ -42,21 +42,21 @@
     });
   }
 
-  /** Times the answer to a heartbeat from now until the function that it returns is called. */
+  /** Starts timing the answer to a heartbeat; the caller ends it by calling the returned function. */
   timeHeartbeat(): () => void {
     return this.time((metrics, seconds) => {
       metrics.heartbeats.observe(seconds);
     });
   }
 
-  /** Times the answer to a user's request in the same way. */
+  /** Starts timing the answer to a user's request; the caller ends it by calling the returned function. */
   timeUserRequest(kind: string): () => void {
     return this.time((metrics, seconds) => {
       metrics.userRequests.observe({ kind }, seconds);
     });
   }
 
-  /** Observes the time of a scheduling round, in ms. */
+  /** Adds the duration of a scheduling round, in ms, to its histogram. */
   observeRound(roundMs: number): void {
     this.loaded?.rounds.observe(roundMs / 1000);
   }
@@ -81,27 +81,27 @@
   private register(metrics: Metrics): void {
     const { statistics, client, admission, leader } = this.options;
     metrics.gauge('total', 'Counts since the start', 'of', () => labelTotals(statistics.totals()));
-    metrics.gauge('held', 'What the process holds now', 'of', () => statistics.resourceUsage());
-    metrics.gauge('term', 'Term of the part that is owned here, 0 if none', null, () => ({
+    metrics.gauge('held', 'Connections, and memory (MiB)', 'of', () => statistics.resourceUsage());
+    metrics.gauge('term', 'Term of the shard that this controller leads, 0 if none', null, () => ({
       '': leader()?.term.term ?? 0,
     }));
-    const budgetHelp = "Left of this controller's part of the state service's rates";
+    const budgetHelp = "Unused part of this controller's share of the state service's rate limits";
     metrics.gauge('budget', budgetHelp, 'of', () => client.available());
-    const refusedHelp = 'Submissions refused since the start for want of changes';
+    const refusedHelp = "Submissions refused for lack of the state service's write rate";
     metrics.gauge('refused_submissions', refusedHelp, 'team', () => admission.totals());
     metrics.gauge(
       'team_index',
-      'Index of each team',
+      'Fair-share index of each team',
       'team',
       () => leader()?.fleetSummary().fairShareIndex ?? {},
     );
     metrics.gauge(
       'waiting',
-      'Tasks that wait for a place',
+      'Tasks that wait to be placed on a machine',
       'class',
       () => leader()?.fleetSummary().waitingTasks ?? {},
     );
-    const openDependenciesHelp = 'Jobs that await others which are not done';
+    const openDependenciesHelp = 'Jobs with dependencies that are not done';
     metrics.gauge('awaiting_jobs', openDependenciesHelp, null, () => ({
       '': leader()?.fleet.jobs.jobsWithOpenDependencies ?? 0,
     }));
@@ -111,7 +111,7 @@
     }));
     metrics.gauge(
       'machines',
-      'Machines by state',
+      'Machines by state and kind',
       'state',
       () => leader()?.fleetSummary().machines ?? {},
     );
@@ -125,20 +125,21 @@
     const phases = () => leader()?.replicaGroups?.countByPhase() ?? {};
     metrics.gauge('replicas', 'Replicas of several members, by phase', 'phase', phases);
     const recoveries = () => support.metrics.recoveries();
-    const recoveriesHelp = 'Times that a replica became whole again, by why it was not';
+    const recoveriesHelp =
+      'Times that a replica became complete again, by the reason for which it was incomplete';
     metrics.gauge('replica_recoveries', recoveriesHelp, 'why', recoveries);
     const seconds = () => support.metrics.brokenSeconds();
-    const secondsHelp = 'Seconds until replicas were whole again';
+    const secondsHelp = 'Seconds for which replicas were incomplete';
     metrics.gauge('replica_broken_seconds', secondsHelp, 'of', seconds);
   }
 }
 
-/** The counts under the names that the metric's label gives them. */
+/** Maps the names of the counts to the values of the metric's label. */
 function labelTotals(totals: Record<string, number>): GaugeValues {
   const entries = Object.entries(totals);
   return Object.fromEntries(entries.map(([name, total]) => [LABEL_OF_TOTAL[name] ?? name, total]));
 }
 
 function ignoreObservation(): void {
-  // No metrics are loaded, so that there is nothing to observe.
+  // Times are not observed before the metrics are loaded.
 }
--- a/packages/controller/observability/metrics.ts
+++ b/packages/controller/observability/metrics.ts
@@ -1,16 +1,16 @@
-/** The metrics of a controller, by the library of Prometheus. */
+/** The metrics of a controller, kept by the Prometheus client library. */
 import type { Histogram, Registry } from 'prom-client';
 
-/** Upper bounds of the histograms' buckets, in heartbeat intervals. */
+/** Upper bounds of the histogram buckets, in heartbeat intervals. */
 const BUCKETS = [0.0004, 0.001, 0.004, 0.01, 0.04, 0.1, 0.4, 1];
 
-/** The values of a gauge by the values of its label; the key is '' if it has no label. */
+/** Values of a gauge by label value; the key is '' if the gauge has no label. */
 export type GaugeValues = Record<string, number>;
 
 /**
- * What `/metrics` shows, in Prometheus' text form. Gauges are read with each request. The library is
- * loaded with the first one, and times are observed from then on: to load it at each start cost a
- * controller a tenth of a second that the worker leases may not have.
+ * The metrics that `/metrics` serves in Prometheus' text format. Gauges are read on each request. The first
+ * request loads the library, and times are observed from then on. Loading the library at each start delayed
+ * a controller by a tenth of a second, during which worker leases may expire.
  */
 export class Metrics {
   private readonly registry: Registry;
@@ -18,10 +18,10 @@
   readonly heartbeats: Histogram;
   /** Seconds to answer a user's request. */
   readonly userRequests: Histogram<'kind'>;
-  /** Seconds of a scheduling round. */
+  /** Duration of a scheduling round, in seconds. */
   readonly rounds: Histogram;
 
-  /** Loads the library and makes the metrics. Buckets follow from the heartbeat interval in seconds. */
+  /** Loads the library and makes the metrics. Bucket bounds are multiples of the heartbeat interval. */
   static async load(heartbeatIntervalS: number): Promise<Metrics> {
     return new Metrics(await import('prom-client'), heartbeatIntervalS);
   }
@@ -36,26 +36,26 @@
     const buckets = BUCKETS.map((bound) => bound * heartbeatIntervalS);
     this.heartbeats = new Histogram({
       name: 'sorreldale_report_seconds',
-      help: 'Time to answer a report of a worker',
+      help: 'Seconds to answer a heartbeat of a worker',
       buckets,
       registers,
     });
     this.userRequests = new Histogram({
       name: 'sorreldale_user_request_seconds',
-      help: 'Time to answer a request of a user',
+      help: 'Seconds to answer a request of a user',
       labelNames: ['kind'],
       buckets,
       registers,
     });
     this.rounds = new Histogram({
       name: 'sorreldale_round_seconds',
-      help: 'Time of a scheduling round',
+      help: 'Duration of a scheduling round in seconds',
       buckets,
       registers,
     });
   }
 
-  /** Adds a gauge whose values are read with each request. */
+  /** Adds a gauge; `read` returns its values and is called on each request. */
   gauge(name: string, help: string, label: string | null, read: () => GaugeValues): void {
     new this.library.Gauge({
       name: `sorreldale_${name}`,
@@ -72,12 +72,12 @@
     });
   }
 
-  /** All metrics in the text form. */
+  /** All metrics in Prometheus' text format. */
   text(): Promise<string> {
     return this.registry.metrics();
   }
 
-  /** The content type of the text form. */
+  /** The content type of the text format. */
   get contentType(): string {
     return this.registry.contentType;
   }
--- a/packages/controller/observability/process-statistics.ts
+++ b/packages/controller/observability/process-statistics.ts
@@ -1,30 +1,30 @@
-/** Counts what one controller does and holds. */
+/** Statistics of one controller process: counts of its work, connections, memory and processor time. */
 import { type Clock, pause } from '#wire';
 
-/** Least time that rates are taken over, in seconds. */
+/** Shortest time over which rates are computed, in seconds. */
 const MIN_SAMPLE_S = 1e-3;
-/** Heartbeat intervals between two samples. */
+/** Time between two samples, in heartbeat intervals. */
 const SAMPLE_INTERVAL_HEARTBEATS = 10;
 
-/** Where the figures come from and who is told of them. */
+/** Sources of the statistics and the receiver of the samples. */
 export interface ProcessStatisticsOptions {
   clock: Clock;
   heartbeatIntervalS: number;
-  /** What others have counted since the start. */
+  /** Totals since the start that other components count. */
   counted: () => Record<string, number>;
   /** Number of connections of workers and users that are open now. */
   connections: () => number;
-  /** Told of each sample. */
+  /** Called with each sample. */
   onSample: (sample: Record<string, number>) => void;
 }
 
-/** The figures of one controller, counted where things happen; for its log and for `/metrics`. */
+/** Counters that the components of one controller increment, for its log and for `/metrics`. */
 export class ProcessStatistics {
-  /** Heartbeats of workers, whatever they were answered. */
+  /** Heartbeats of workers, whatever the answer was. */
   heartbeats = 0;
   userRequests = 0;
   peerFrames = 0;
-  /** Scheduling rounds, and the time that they took in ms. */
+  /** Scheduling rounds. `roundMs` is the total time that they took. */
   rounds = 0;
   roundMs = 0;
   private sampledAt: number;
@@ -57,7 +57,7 @@
     };
   }
 
-  /** What the process holds now: connections, and memory in MiB. */
+  /** Open connections, and memory in MiB, of the process now. */
   resourceUsage(): Record<string, number> {
     const { heapUsed, rss } = process.memoryUsage();
     return {
@@ -67,7 +67,7 @@
     };
   }
 
-  /** Rates since the last call, and what is held now. `cores` is the processor time per second. */
+  /** Rates since the last call, and the present resource usage. `cores` is processor time per second. */
   sample(): Record<string, number> {
     const now = this.options.clock.now();
     const seconds = Math.max(MIN_SAMPLE_S, now - this.sampledAt);
--- a/packages/controller/observability/task-counts.ts
+++ b/packages/controller/observability/task-counts.ts
@@ -1,4 +1,4 @@
-/** Counts the tasks of jobs, as users see them. */
+/** Counts the done and running tasks of jobs, for users. */
 import { assignmentsOf, type FleetState, type JobState } from '#core';
 
 /** Task counts of a job, for display. */
@@ -14,7 +14,7 @@
   return open.map(countTasks);
 }
 
-/** The counts of the jobs for which they may have changed since the last call. */
+/** The counts of those jobs whose counts may have changed since the last call. */
 export function countChangedTasks(fleet: FleetState): TaskCounts[] {
   return fleet.jobs.drainChangedCounts().map(countTasks);
 }
--- a/packages/controller/settings/operator-settings.test.ts
+++ b/packages/controller/settings/operator-settings.test.ts
@@ -4,13 +4,13 @@
 import { operatorSchema, withDefaults } from './operator-settings.js';
 import type { PlatformSettings } from './platform-settings.js';
 
-test('the schema in the documentation is the one in force', () => {
+test('the schema in the documentation equals the schema that the code uses', () => {
   // Written by `node target/cli/launch.cjs schema > docs/operator.schema.json`.
   const file = new URL('../../../docs/operator.schema.json', import.meta.url);
   assert.deepEqual(JSON.parse(readFileSync(file, 'utf8')), operatorSchema);
 });
 
-test('what the operators do not set follows from the figures of the platform', () => {
+test('settings that the operators do not set have defaults, some derived from the platform settings', () => {
   const workers = { lease_s: 10, report_s: 2 };
   const platform = { deployment: { workers } } as unknown as PlatformSettings;
   const settings = withDefaults({ ownerTtlS: 4 }, platform);
@@ -20,7 +20,7 @@
   assert.equal(settings.reserveSigmas, 2);
 });
 
-test('planned moves are switched off unless their section is there, and then have defaults', () => {
+test('planned migrations are disabled without the section moves, and have defaults with it', () => {
   const workers = { lease_s: 10, report_s: 2 };
   const platform = { deployment: { workers } } as unknown as PlatformSettings;
   assert.equal(withDefaults({}, platform).moves, null);
--- a/packages/controller/settings/operator-settings.ts
+++ b/packages/controller/settings/operator-settings.ts
@@ -1,37 +1,37 @@
-/** The operators' file: its fields, schema and defaults, and how its names map to those of the code. */
+/** The operators' settings file: its fields, schema and defaults, and how its names map to those of the code. */
 import type { ReplicaClasses } from '#replicas';
 import { MAX_TASKS } from '#wire';
 import type { PlatformSettings } from './platform-settings.js';
 
-/** The operators' own settings, in force; docs/operator.schema.json describes the file. */
+/** The operators' settings with defaults applied; docs/operator.schema.json describes the file. */
 export interface OperatorSettings extends Omit<NumberSettings, 'ownerTtlS'> {
-  /** Time to live of the election lease, seconds; `ownerTtlS` in the file. */
+  /** Time to live of the election lease, in seconds; `ownerTtlS` in the file. */
   electionLeaseTtlS: number;
-  /** Planned moves of the shard; null: they are switched off, and nothing of them is loaded. */
+  /** Time limits of planned shard migrations; null if they are disabled, so that their code is not loaded. */
   moves: MoveSettings | null;
-  /** Classes whose replicas have several members; null: switched off, and nothing of it is loaded. */
+  /** Classes whose replicas have several members; null if disabled, so that the code for them is not loaded. */
   replicaGroups: ReplicaClasses | null;
 }
 
-/** What the operators' file may hold. */
+/** Content of the operators' settings file; every setting is optional. */
 export type OperatorFile = Partial<NumberSettings> & {
   moves?: Partial<MoveSettings>;
   replicaGroups?: Record<string, ReplicaClassFields>;
 };
 
-/** What the file holds of one class. */
+/** The fields of one class of replica groups in the file. */
 interface ReplicaClassFields {
   members: number | 'job';
   sameZone?: boolean;
 }
 
-/** How long a planned move of the shard may take; seconds. */
+/** Time limits of the phases of a planned shard migration, in seconds. */
 export interface MoveSettings {
   prepareS: number;
   switchS: number;
 }
 
-/** Settings that are one number each, by their names in the file. */
+/** Settings whose value is a number, by their names in the file. */
 interface NumberSettings {
   shareHalfLifeS: number;
   floorWeight: number;
@@ -46,14 +46,14 @@
   arrivalMemoryS: number;
 }
 
-/** One setting: what it is, which values are legal, and what holds if the operators don't set it. */
+/** One setting: its description, its JSON schema, and its default. */
 interface OperatorField {
   description: string;
   schema: Record<string, unknown>;
   default: number | MultipleOf;
 }
 
-/** A default that is a multiple of one of the platform's figures. */
+/** A default that is a multiple of a setting of the platform. */
 interface MultipleOf {
   times: number;
   of: 'lease_s' | 'report_s';
@@ -62,12 +62,12 @@
 const positive = { type: 'number', exclusiveMinimum: 0 };
 const nonNegative = { type: 'number', minimum: 0 };
 const ratio = { type: 'number', minimum: 0, maximum: 1 };
-/** What the state service accepts as a lease's time to live; seconds. */
+/** Times to live that the state service accepts for a lease, in seconds. */
 const leaseTtl = { type: 'number', minimum: 0.1, maximum: 600 };
 
 const numberFields: Record<keyof NumberSettings, OperatorField> = {
   shareHalfLifeS: {
-    description: 'Half-life of the service counters, seconds.',
+    description: 'Half-life of the counters of the service that each team has received, seconds.',
     schema: positive,
     default: 86_400,
   },
@@ -78,7 +78,7 @@
   },
   stopThreshold: {
     description:
-      "A gang may be stopped at its lease end if a waiting team's index is below this ratio of its own team's.",
+      "A gang may be stopped when its lease ends if a waiting team's fair-share index is below this ratio of the index of the gang's team.",
     schema: ratio,
     default: 0.5,
   },
@@ -89,24 +89,25 @@
   },
   preemptAfterS: {
     description:
-      'How long work of higher rank or within a guarantee waits before it stops other work, seconds.',
+      'How long work of a higher rank, or within the guarantee of its team, waits before it preempts other work, seconds.',
     schema: nonNegative,
     default: { times: 2, of: 'report_s' },
   },
   ownerTtlS: {
-    description: 'Time to live of the grant that holds a part, seconds.',
+    description:
+      'Time to live of the election lease by which a controller leads the shard, seconds.',
     schema: leaseTtl,
     default: { times: 0.25, of: 'lease_s' },
   },
   reserveSigmas: {
     description:
-      'Standard deviations of the arrivals within a boot time that are kept free for classes with a short wait.',
+      'Capacity kept free for classes with a short wait, in standard deviations of the arrivals within the boot time of a machine.',
     schema: nonNegative,
     default: 2,
   },
   idleHoldS: {
     description:
-      'How long an empty machine that is not needed is kept, seconds; a third of it once nothing has come for half of it.',
+      'How long an empty machine that is not needed is kept, seconds. Once no job has arrived for half of this time, a third of it applies.',
     schema: nonNegative,
     default: { times: 6, of: 'lease_s' },
   },
@@ -120,13 +121,13 @@
 const moveFields: Record<keyof MoveSettings, OperatorField> = {
   prepareS: {
     description:
-      'How long the owner waits for the target of a move to be ready, and for its own decisions to stop, seconds.',
+      'How long the leader waits until the target of a move is ready and the leader itself has stopped making decisions, seconds.',
     schema: positive,
     default: { times: 8, of: 'report_s' },
   },
   switchS: {
     description:
-      'How long the owner, which decides nothing meanwhile, waits for the target to take the part, seconds.',
+      'How long the leader, which makes no decisions meanwhile, waits for the target to take over the shard, seconds.',
     schema: positive,
     default: { times: 2, of: 'report_s' },
   },
@@ -135,14 +136,14 @@
 const replicaGroupsSchema = {
   type: 'object',
   description:
-    'Classes of services whose replicas span several tasks, by name. Each replica starts, moves and is repaired as a whole. Switched off if the section is absent.',
+    'Classes of services whose replicas span several tasks, by name. Each replica starts, moves and is repaired as a whole. Disabled if the section is absent.',
   additionalProperties: {
     type: 'object',
     required: ['members'],
     properties: {
       members: {
         description:
-          'Tasks of one replica: tasks 0 to members - 1 are the first. "job": all tasks of a job are one replica.',
+          'Number of tasks of one replica: tasks 0 to members - 1 are the first replica. "job": all tasks of a job are one replica.',
         anyOf: [{ type: 'integer', minimum: 2, maximum: MAX_TASKS }, { const: 'job' }],
       },
       sameZone: {
@@ -164,7 +165,7 @@
     moves: {
       type: 'object',
       description:
-        'Planned moves of the part from one controller to another. Switched off if the section is absent.',
+        'Planned moves of the shard from one controller to another. Disabled if the section is absent.',
       properties: toSchemaProperties(moveFields),
       additionalProperties: false,
     },
@@ -185,7 +186,7 @@
   return `${value.times} times workers.${value.of}`;
 }
 
-/** What is in force: the operators' own values, and defaults for the rest. */
+/** The operators' settings in force: the values of their file, and defaults for all others. */
 export function withDefaults(file: OperatorFile, platform: PlatformSettings): OperatorSettings {
   const { moves, replicaGroups, ...plain } = file;
   const { ownerTtlS: electionLeaseTtlS, ...others } = applyDefaults(numberFields, plain, platform);
--- a/packages/controller/settings/platform-settings.ts
+++ b/packages/controller/settings/platform-settings.ts
@@ -1,6 +1,6 @@
 /** The settings file that the platform hands to each controller: its fields, units and schema. */
 
-/** One team: amounts guaranteed and the most it may use; 0 means none. */
+/** One team: its guaranteed amounts, and the limits (`_max`) of its use; 0 means none. */
 export interface TeamSettings {
   name: string;
   cpus: number;
@@ -9,7 +9,7 @@
   gpus_max: number;
 }
 
-/** Limits of the state service: requests and changes a second, kB of a value, operations of a transaction. */
+/** Limits of the state service: requests and changes per second, kB per value, operations per transaction. */
 export interface StateLimitSettings {
   rps: number;
   write_rps: number;
@@ -17,12 +17,12 @@
   txn_ops: number;
 }
 
-/** The limits that are in force when the file is written, and those that will be from some later moment on. */
+/** The limits in force when the file is written, and the limits that apply from some later moment on (`next`). */
 export interface StateSettings extends StateLimitSettings {
   next?: Partial<StateLimitSettings>;
 }
 
-/** The whole file, in its own words. Durations are seconds. */
+/** The whole file, with the field names that the platform uses. `_s` stands for seconds. */
 export interface PlatformSettings {
   host_name: string;
   zone: string;
--- a/packages/controller/settings/replica-classes.ts
+++ b/packages/controller/settings/replica-classes.ts
@@ -1,12 +1,12 @@
-/** Whether the classes of replica groups agree with the platform's settings. */
+/** Checks the classes of replica groups against the platform's settings. */
 import type { ReplicaClasses } from '#replicas';
 import type { PlatformSettings } from './platform-settings.js';
 import type { SettingsProblem } from './settings-error.js';
 
-/** Kinds of objectives that say of a class that its jobs end by themselves, which services do not. */
+/** Kinds of objectives of classes whose jobs end by themselves. Jobs of services do not. */
 const BATCH_OBJECTIVE_KINDS = ['finished', 'deadline'];
 
-/** Why the classes of replica groups contradict the platform's settings, or null. */
+/** The first contradiction between the classes of replica groups and the platform's settings, or null. */
 export function checkReplicaClasses(
   { deployment }: PlatformSettings,
   classes: ReplicaClasses | null,
--- a/packages/controller/settings/settings-error.ts
+++ b/packages/controller/settings/settings-error.ts
@@ -1,4 +1,4 @@
-/** What can be wrong with a settings file. */
+/** Errors in settings files. */
 
 /** One field that can't be used. */
 export interface SettingsProblem {
@@ -8,7 +8,7 @@
   reason: string;
 }
 
-/** The field of a problem that concerns a file as a whole. */
+/** Stands for the field in problems that concern the file as a whole. */
 export const WHOLE_FILE = 'the file';
 
 /** A settings file that can't be used; the message names file, field and reason. */
--- a/packages/controller/settings/settings.ts
+++ b/packages/controller/settings/settings.ts
@@ -15,7 +15,7 @@
 import { SettingsError, type SettingsProblem, WHOLE_FILE } from './settings-error.js';
 import { checkMigrationTimes, checkTimes } from './time-bounds.js';
 
-/** Guarantees and limits by team, in the core's words. */
+/** Guarantees and limits by team, with the field names of the core. */
 export function teamQuotas(teams: TeamSettings[]): Map<string, TeamQuota> {
   return new Map(
     teams.map((team) => [
@@ -30,20 +30,20 @@
   );
 }
 
-/** All that a controller is set to: the platform's file, and the operators' settings in force. */
+/** All settings of a controller: the platform's file, and the operators' settings with defaults applied. */
 export interface Settings extends PlatformSettings {
   operator: OperatorSettings;
 }
 
-/** What errors name if the operators have no file. */
+/** Stands for the file name in errors if the operators have no settings file. */
 const NO_OPERATOR_FILE = 'defaults';
 
 const validatePlatform = compileSchema<PlatformSettings>('platformSettings', platformSchema);
 const validateOperator = compileSchema<OperatorFile>('operatorSettings', operatorSchema);
 
 /**
- * Reads and checks the platform's file and, if given, the operators'. Throws BadSettings if a file can't be
- * read, a field is not valid, or the settings contradict each other.
+ * Reads and checks the platform's file and, if given, the operators' file. Throws SettingsError if a file can't
+ * be read, a field is not valid, or the settings contradict each other.
  */
 export function loadSettings(platformFile: string, operatorFile: string | null): Settings {
   const platform = validate(platformFile, readAndParse(platformFile, parseToml), validatePlatform);
@@ -63,7 +63,7 @@
   if (problem !== null) throw new SettingsError(file, problem);
 }
 
-/** The content of a settings file; throws BadSettings. */
+/** The parsed content of a settings file; throws SettingsError if it can't be read or parsed. */
 function readAndParse(file: string, parse: (text: string) => unknown): unknown {
   const content = readText(file);
   try {
@@ -83,7 +83,7 @@
   }
 }
 
-/** The value if it keeps to the schema; throws BadSettings with the first field that does not. */
+/** Returns the value if it matches the schema; throws SettingsError with the first field that does not. */
 function validate<T>(file: string, value: unknown, validator: ValidateFunction<T>): T {
   if (validator(value)) return value;
   throw new SettingsError(file, toProblem(validator.errors?.[0]));
--- a/packages/controller/settings/time-bounds.ts
+++ b/packages/controller/settings/time-bounds.ts
@@ -1,22 +1,26 @@
-/** What the times in the settings must leave room for, so that no promise to users and workers is broken. */
+/** Bounds between the times in the settings, so that guarantees to users and workers can be kept. */
 import type { MoveSettings } from './operator-settings.js';
 import type { PlatformSettings } from './platform-settings.js';
 import type { SettingsProblem } from './settings-error.js';
 
 type WorkerSettings = PlatformSettings['deployment']['workers'];
 
-/** Clocks differ by 0.05% each; a lease is counted on the worker's. */
+/**
+ * Factor by which a worker lease may outlast its nominal duration: the worker's clock counts the lease, and clocks
+ * differ by 0.05% each.
+ */
 const LEASE_DRIFT_FACTOR = 1.002;
-/** A heartbeat under way, its answer, and the worker's reaction. */
+/** Heartbeat intervals allowed for a heartbeat in flight, its answer, and the worker's reaction. */
 const MARGIN_HEARTBEATS = 3;
-/** Least grace: a leader reads the jobs again about once in a heartbeat interval. */
+/** Shortest grace period, in heartbeat intervals: a leader reads the jobs again about once per interval. */
 const MIN_GRACE_HEARTBEATS = 1;
 
 /**
- * How long a leader may go on after it last knew all cancellations and that nobody else could lead; seconds.
- * Every task must be gone within `cancelS` of the earliest cancellation that may be unknown: after the last
- * answer the worker leases still run, with clock drift and a heartbeat under way. Not positive if the settings
- * leave no time at all.
+ * Grace period of a leader, in seconds: how long it may continue after the last moment at which it knew all
+ * cancellations and no other controller could lead. Every task must be gone within `cancelS` of the earliest
+ * cancellation that the leader may not know. After the leader's last answer, worker leases continue for `leaseS`,
+ * extended by clock drift and a heartbeat in flight. Zero or negative if the settings leave no time for a grace
+ * period.
  */
 export function graceAfterLoss(
   cancelS: number,
@@ -26,7 +30,7 @@
   return cancelS - leaseS * LEASE_DRIFT_FACTOR - MARGIN_HEARTBEATS * heartbeatIntervalS;
 }
 
-/** Why no leader could keep the times that workers and users are promised, or null. */
+/** The problem if no leader could keep the times guaranteed to workers and users; null if one can. */
 export function checkTimes(workers: WorkerSettings): SettingsProblem | null {
   const { cancel_s: cancelS, lease_s: leaseS, report_s: heartbeatIntervalS } = workers;
   const missingS =
@@ -38,17 +42,17 @@
     field: 'deployment.workers.cancel_s',
     reason:
       `must be at least ${minCancelS}, so that a lease of ${leaseS} s and ` +
-      `${heartbeats} report periods end within it`,
+      `${heartbeats} report intervals end within it`,
   };
 }
 
 /**
- * Share of the grace after a loss that a planned move may use up: the source must be able to take the shard back,
- * and an outage may begin meanwhile.
+ * Largest share of the leader's grace period that the switch of a planned migration may take. The rest is needed
+ * because the source may have to take the shard back, and because an outage may begin during the migration.
  */
 const MAX_MIGRATION_SHARE = 1 / 2;
 
-/** Why the times of planned moves can't be kept, or null. */
+/** The problem if a planned migration may exceed its share of the grace period, or null. */
 export function checkMigrationTimes(
   workers: WorkerSettings,
   moves: MoveSettings | null,
@@ -60,7 +64,7 @@
   return {
     field: 'moves.switchS',
     reason:
-      `must be at most ${bound}, half of the time for which an owner may answer workers ` +
-      'without proof that it owns',
+      `must be at most ${bound}, half of the time for which a leader may answer workers ` +
+      'without proof that it still leads',
   };
 }
