--- a/packages/bundle/rehearsal.ts
+++ b/packages/bundle/rehearsal.ts
@@ -1,4 +1,4 @@
-/** Runs what controllers run in a small simulated cluster, so that all of it gets compiled. */
+/** Runs the bundled program's controllers in a small simulated cluster, so that V8 compiles their code. */
 import { closeSync, openSync } from 'node:fs';
 import { devNull } from 'node:os';
 import { fileURLToPath } from 'node:url';
@@ -8,17 +8,17 @@
 
 const EXAMPLE_SETTINGS = fileURLToPath(new URL('../../examples/settings.toml', import.meta.url));
 const SEED = 1;
-/** Simulated seconds: long enough for machines to boot, and for jobs to come, run, be cancelled and end. */
-const LENGTH_S = 90;
-const LAST_JOBS_S = 70;
-/** By then work runs, which the next leader takes over. */
+/** Simulated seconds: long enough for machines to boot, and for jobs to be submitted, run, be cancelled and end. */
+const SCENARIO_LENGTH_S = 90;
+const LAST_SUBMISSION_S = 70;
+/** Simulated second of the leader's crash. Tasks run by then, and the next leader takes them over. */
 const FAILOVER_S = 50;
 
 /**
- * Simulates a small cluster whose controllers are the program's own, with users, machines and a failover. Rejects if
- * anything went wrong.
+ * Simulates a small cluster that runs the controllers of the bundled program, with users, machines and a failover.
+ * Rejects if the simulation reports a problem.
  */
-export async function rehearse(program: Program): Promise<void> {
+export async function warmUp(program: Program): Promise<void> {
   program.loadSettings(EXAMPLE_SETTINGS, null);
   const logFile = openSync(devNull, 'w');
   const make: ControllerMaker = (runtime, settings) => {
@@ -26,15 +26,15 @@
     return new program.Controller(runtime, settings, log);
   };
   const scenario = {
-    name: 'rehearsal',
+    name: 'warm-up',
     cluster: SMALL_CLUSTER,
-    workload: { classes: USUAL_CLASSES, intensity: 2, untilS: LAST_JOBS_S },
+    workload: { classes: USUAL_CLASSES, intensity: 2, untilS: LAST_SUBMISSION_S },
     faults: [
       { kind: 'controller-crash', controllers: 'leader', atS: FAILOVER_S, downS: 5 } as const,
     ],
-    lengthS: LENGTH_S,
+    lengthS: SCENARIO_LENGTH_S,
   };
   const problems = describeProblems(await runScenario(scenario, SEED, make));
   closeSync(logFile);
-  if (problems.length > 0) throw new Error(`the rehearsal failed: ${problems.join('; ')}`);
+  if (problems.length > 0) throw new Error(`the warm-up simulation failed: ${problems.join('; ')}`);
 }
--- a/packages/cli/examples.test.ts
+++ b/packages/cli/examples.test.ts
@@ -5,10 +5,10 @@
 import { loadSettings, operatorSchema } from '#controller';
 import { parseJob } from '#wire';
 
-const SETTINGS = example('settings.toml');
-const OPERATOR = example('operator.json');
+const SETTINGS = examplePath('settings.toml');
+const OPERATOR = examplePath('operator.json');
 
-function example(name: string): string {
+function examplePath(name: string): string {
   return fileURLToPath(new URL(`../../examples/${name}`, import.meta.url));
 }
 
@@ -16,7 +16,7 @@
   return JSON.parse(readFileSync(file, 'utf8'));
 }
 
-test('the sample settings can be used, and the operators set what they can set', () => {
+test('the sample settings are valid, and every value in the sample operator settings takes effect', () => {
   const { operator, deployment } = loadSettings(SETTINGS, OPERATOR);
   assert.equal(deployment.nodes, 3);
   const own = readJson(OPERATOR) as Record<string, number>;
@@ -27,18 +27,18 @@
   }
 });
 
-test('the sample job is one that the sample deployment serves', () => {
-  const job = parseJob(readJson(example('job.json')));
+test('the sample job fits the teams and classes of the sample deployment', () => {
+  const job = parseJob(readJson(examplePath('job.json')));
   const { teams, objectives } = loadSettings(SETTINGS, null).deployment;
   const team = teams.find(({ name }) => name === job.team);
   assert.ok(team && team.gpus_max >= job.gpus);
   assert.ok(objectives.some((objective) => objective.class === job.class));
 });
 
-test('the jobs of the sample pipeline can be submitted in the order of their numbers', () => {
+test('the jobs of the sample pipeline can be submitted in the order of their file names', () => {
   const { teams } = loadSettings(SETTINGS, null).deployment;
-  const files = readdirSync(example('pipeline')).sort();
-  const jobs = files.map((file) => parseJob(readJson(example(`pipeline/${file}`))));
+  const files = readdirSync(examplePath('pipeline')).sort();
+  const jobs = files.map((file) => parseJob(readJson(examplePath(`pipeline/${file}`))));
   assert.ok(jobs.length > 2);
   const accepted = new Set<string>();
   for (const [number, job] of jobs.entries()) {
--- a/packages/cli/help.ts
+++ b/packages/cli/help.ts
@@ -1,7 +1,7 @@
-/** Texts of the commands' help. */
+/** Formats help texts of the commands. */
 
-/** Text for the end of a command's help: how it may be called. */
-export function examples(...calls: string[]): string {
+/** The examples at the end of a command's help. */
+export function formatExamples(...calls: string[]): string {
   const heading = calls.length === 1 ? 'Example:' : 'Examples:';
   return ['', heading, ...calls.map((call) => `  $ sorreldale ${call}`)].join('\n');
 }
--- a/packages/cli/replica-commands.ts
+++ b/packages/cli/replica-commands.ts
@@ -1,19 +1,19 @@
 /** The command `replicas`. */
 import type { Command } from 'commander';
-import { controllerAddress } from './arguments.js';
+import { parseControllerAddress } from './arguments.js';
 import { CommandError, ExitCode } from './command-error.js';
-import { examples } from './help.js';
+import { formatExamples } from './help.js';
 import type { Output } from './output.js';
 
-const TIMEOUT_MS = 5000;
-/** Status of a follower's answer. */
+const REQUEST_TIMEOUT_MS = 5000;
+/** HTTP status of a follower's answer. */
 const NOT_LEADER = 503;
 
-/** What a controller answers to operators who ask for its replicas. */
+/** Body of a controller's answer at `/replicas`. */
 interface ReplicasAnswer {
   replicas?: object[];
   error?: string;
-  /** The leader, if a follower was asked. */
+  /** Name of the leader, if a follower answers. */
 
   // eslint-disable-next-line local/retired-words -- the endpoint's field
   owner?: string | null;
@@ -23,11 +23,15 @@
 export function addReplicaCommands(program: Command, output: Output): void {
   program
     .command('replicas')
-    .description('list the replicas that span several tasks, those that are not whole first')
-    .option('--at <address>', 'address of the controller that owns the machines', '127.0.0.1:8080')
-    .addHelpText('after', examples('replicas --at 10.0.0.1:8080'))
+    .description('list the replicas that span several tasks, incomplete replicas first')
+    .option(
+      '--at <address>',
+      'address of the leader: the controller that owns the machines',
+      '127.0.0.1:8080',
+    )
+    .addHelpText('after', formatExamples('replicas --at 10.0.0.1:8080'))
     .action(async ({ at }: { at: string }) => {
-      const address = controllerAddress(at);
+      const address = parseControllerAddress(at);
       const { status, body } = await fetchReplicas(address);
       if (body.replicas === undefined) {
         throw new CommandError(
@@ -41,7 +45,7 @@
 
 async function fetchReplicas(address: string): Promise<{ status: number; body: ReplicasAnswer }> {
   try {
-    const signal = AbortSignal.timeout(TIMEOUT_MS);
+    const signal = AbortSignal.timeout(REQUEST_TIMEOUT_MS);
     const response = await fetch(`http://${address}/replicas`, { signal });
     return { status: response.status, body: (await response.json()) as ReplicasAnswer };
   } catch (err) {
@@ -55,6 +59,6 @@
 
 function describeRefusal(status: number, { error, owner: leader }: ReplicasAnswer): string {
   const hint = leader ? `; ask ${leader}` : '; no controller owns them now';
-  const reason = `${status} ${error ?? 'an answer that cannot be used'}`;
+  const reason = `${status} ${error ?? 'the answer cannot be used'}`;
   return status === NOT_LEADER ? reason + hint : reason;
 }
