--- a/packages/controller/api/admission.test.ts
+++ b/packages/controller/api/admission.test.ts
@@ -7,10 +7,10 @@
 
 const LIMITS = { rps: 150, writeRps: 50, valueBytes: 8192, txnOps: 24 };
 const SHARE = 0.3;
-const PER_SECOND = SHARE * LIMITS.writeRps;
+const CHANGES_PER_S = SHARE * LIMITS.writeRps;
 const HEARTBEAT_INTERVAL_S = 1;
 
-async function anAdmission(weightOf?: (team: string) => number) {
+async function createAdmission(weightOf?: (team: string) => number) {
   const state = await StateWorld.start(LIMITS);
   const runtime = state.controller();
   const client = state.client(runtime, { share: SHARE });
@@ -40,7 +40,7 @@
 }
 
 test('a team that overruns is refused at once, and what is accepted of it is recorded in time', async () => {
-  const { state, admission, submit, recorded } = await anAdmission();
+  const { state, admission, submit, recorded } = await createAdmission();
   const outcomes = Array.from({ length: 200 }, () => submit('guests'));
   const refused = outcomes.filter((retryAfterS) => retryAfterS !== null);
   assert.ok(refused.length > 100);
@@ -51,13 +51,13 @@
 });
 
 test('those who are refused return as fast as their submissions can be recorded, and not together', async () => {
-  const { submit } = await anAdmission();
+  const { submit } = await createAdmission();
   const outcomes = Array.from({ length: 2000 }, () => submit('guests'));
   const returns = outcomes.filter((retryAfterS) => retryAfterS !== null);
   assert.ok(returns.every((retryAfterS) => retryAfterS > 0 && retryAfterS <= 30));
   for (let second = 0; second < 15; second++) {
     const together = returns.filter((at) => at >= second && at < second + 1).length;
-    assert.ok(together <= PER_SECOND + 1, `${together} return in second ${second}`);
+    assert.ok(together <= CHANGES_PER_S + 1, `${together} return in second ${second}`);
   }
   // Those for whom there is no such time left are spread over the second half of it.
   const late = returns.slice(-1000);
@@ -68,7 +68,7 @@
 
 test("a flood of one team does not hold up another team's submissions, nor does its size matter", async () => {
   for (const flood of [100, 1000]) {
-    const { state, submit, recorded } = await anAdmission();
+    const { state, submit, recorded } = await createAdmission();
     const refusedHosts = [];
     for (let second = 0; second < 10; second++) {
       for (let i = 0; i < flood; i++) submit('guests');
@@ -80,12 +80,12 @@
     const waits = recorded.filter(({ team }) => team === 'hosts').map(({ afterS }) => afterS);
     assert.equal(waits.length, 30);
     assert.ok(Math.max(...waits) < HEARTBEAT_INTERVAL_S, `${Math.max(...waits)} s`);
-    assert.ok(recorded.filter(({ team }) => team === 'guests').length > 5 * PER_SECOND);
+    assert.ok(recorded.filter(({ team }) => team === 'guests').length > 5 * CHANGES_PER_S);
   }
 });
 
 test('teams that all overrun are served by their weights', async () => {
-  const { state, submit, recorded } = await anAdmission((team) => (team === 'large' ? 3 : 1));
+  const { state, submit, recorded } = await createAdmission((team) => (team === 'large' ? 3 : 1));
   for (let tenth = 0; tenth < 200; tenth++) {
     for (let i = 0; i < 10; i++) for (const team of ['large', 'small']) submit(team);
     await state.run(0.1);
@@ -96,7 +96,7 @@
 });
 
 test('the longer the state service fails, the more the returns of those it did not serve are spread', async () => {
-  const { state, admission, client } = await anAdmission();
+  const { state, admission, client } = await createAdmission();
   const returns = () => Array.from({ length: 200 }, () => admission.retryAfterFailureS());
   assert.deepEqual(new Set(returns()), new Set([HEARTBEAT_INTERVAL_S]));
   state.service.beginOutage();
@@ -113,17 +113,17 @@
 });
 
 test('what is accepted is answered before its user gives up, also when other controllers begin to use their share', async () => {
-  const { state, client, submit, recorded } = await anAdmission();
+  const { state, client, submit, recorded } = await createAdmission();
   client.setChangeShares({ least: SHARE / 6, most: SHARE });
   const outcomes = Array.from({ length: 100 }, () => submit('guests'));
   const accepted = outcomes.filter((retryAfterS) => retryAfterS === null).length;
   // From now on the service refuses this controller as soon as it uses more than its least share.
-  const others = state.client(state.controller('10.0.0.2'), { share: 1 - SHARE / 6 });
+  const otherClient = state.client(state.controller('10.0.0.2'), { share: 1 - SHARE / 6 });
   const puts = Array.from({ length: 4 }, (_, i) => ({ put: `x/${i}`, value: 0 }));
-  const takeAll = async () => {
-    for (;;) await others.txnInBackground([], puts).catch(() => {});
+  const useWholeRate = async () => {
+    for (;;) await otherClient.txnInBackground([], puts).catch(() => {});
   };
-  void takeAll();
+  void useWholeRate();
   await state.run(8);
   assert.ok(client.requestsRefused > 0);
   assert.equal(recorded.length, accepted);
--- a/packages/controller/api/admission.ts
+++ b/packages/controller/api/admission.ts
@@ -9,15 +9,15 @@
  * Longest wait, in seconds, if the other controllers begin to use their whole share of the rates: a user
  * gives up after 5 s.
  */
-const MAX_LONGEST_WAIT_S = 4;
+const MAX_WORST_CASE_WAIT_S = 4;
 /** Longest time, in seconds, that a user waits before a retry, whatever `Retry-After` says. */
 const MAX_RETRY_AFTER_S = 30;
 /** Share of the time for which the state service has failed over which retries are spread. */
-const FAILURE_SPREAD = 1 / 4;
+const FAILURE_SPREAD_RATIO = 1 / 4;
 /** Heartbeat intervals over which retries are spread at most. */
 const MAX_FAILURE_SPREAD_INTERVALS = 4;
 /** Heartbeat intervals between two log lines about one team. */
-const LOG_INTERVALS = 10;
+const INTERVALS_BETWEEN_LOG_LINES = 10;
 
 /** What admission is decided by. */
 export interface AdmissionOptions {
@@ -29,7 +29,7 @@
 }
 
 /** The submissions of a team that were refused. */
-interface Refusals {
+interface TeamRefusals {
   total: number;
   /** When the last retry of those that got a time of their own is due; steady seconds. */
   lastRetryAt: number;
@@ -42,7 +42,7 @@
  * accepted. Each controller decides alone, by its own share of the state service's rates.
  */
 export class Admission {
-  private readonly refusals = new Map<string, Refusals>();
+  private readonly refusals = new Map<string, TeamRefusals>();
 
   constructor(private readonly options: AdmissionOptions) {}
 
@@ -50,10 +50,10 @@
   refusalDelayS(team: string): number | null {
     const { client, commits, heartbeatIntervalS } = this.options;
     const { expected, longest } = client.usersWaitS(commits.changesAhead(team) + 1);
-    const isInTime =
-      expected <= MAX_WAIT_INTERVALS * heartbeatIntervalS && longest <= MAX_LONGEST_WAIT_S;
-    if (!commits.isFull && isInTime) return null;
-    return this.retryAfterS(team);
+    const isWaitAcceptable =
+      expected <= MAX_WAIT_INTERVALS * heartbeatIntervalS && longest <= MAX_WORST_CASE_WAIT_S;
+    if (!commits.isFull && isWaitAcceptable) return null;
+    return this.refuse(team);
   }
 
   /**
@@ -65,7 +65,7 @@
     const failingForS = Math.max(0, runtime.clock.now() - client.failingSince);
     const spreadS = Math.min(
       MAX_FAILURE_SPREAD_INTERVALS * heartbeatIntervalS,
-      failingForS * FAILURE_SPREAD,
+      failingForS * FAILURE_SPREAD_RATIO,
     );
     return heartbeatIntervalS + runtime.random() * spreadS;
   }
@@ -80,21 +80,23 @@
    * the team's submissions are recorded and after all that wait now. Past the longest time that a user
    * waits they are spread at random.
    */
-  retryAfterS(team: string): number {
+  refuse(team: string): number {
     const { runtime, client, commits } = this.options;
     const { expected } = client.usersWaitS(commits.changesAhead(team) + 1);
     const now = runtime.clock.now();
-    const refusals = this.refusalsOf(team);
+    const refusals = this.getOrCreateRefusals(team);
     const recordsPerS = client.usersChangesPerS * commits.shareOf(team);
     const retryAt = Math.max(refusals.lastRetryAt, now + expected) + 1 / recordsPerS;
-    const isInTurn = retryAt <= now + MAX_RETRY_AFTER_S;
-    if (isInTurn) refusals.lastRetryAt = retryAt;
-    const retryAfterS = isInTurn ? retryAt - now : MAX_RETRY_AFTER_S * (1 - runtime.random() / 2);
-    this.recordRefusal(team, refusals, retryAfterS);
+    const hasOwnRetryTime = retryAt <= now + MAX_RETRY_AFTER_S;
+    if (hasOwnRetryTime) refusals.lastRetryAt = retryAt;
+    const retryAfterS = hasOwnRetryTime
+      ? retryAt - now
+      : MAX_RETRY_AFTER_S * (1 - runtime.random() / 2);
+    this.countRefusal(team, refusals, retryAfterS);
     return retryAfterS;
   }
 
-  private refusalsOf(team: string): Refusals {
+  private getOrCreateRefusals(team: string): TeamRefusals {
     let refusals = this.refusals.get(team);
     if (!refusals) {
       refusals = { total: 0, lastRetryAt: -Infinity, loggedAt: -Infinity };
@@ -103,11 +105,11 @@
     return refusals;
   }
 
-  private recordRefusal(team: string, refusals: Refusals, retryAfterS: number): void {
+  private countRefusal(team: string, refusals: TeamRefusals, retryAfterS: number): void {
     const { runtime, heartbeatIntervalS, log } = this.options;
     refusals.total++;
     const now = runtime.clock.now();
-    if (now < refusals.loggedAt + LOG_INTERVALS * heartbeatIntervalS) return;
+    if (now < refusals.loggedAt + INTERVALS_BETWEEN_LOG_LINES * heartbeatIntervalS) return;
     refusals.loggedAt = now;
     log.info({ team, refused: refusals.total, retryAfterS }, 'submissions refused');
   }
--- a/packages/controller/api/bad-input.test.ts
+++ b/packages/controller/api/bad-input.test.ts
@@ -13,11 +13,11 @@
 } from '#testing';
 
 const BODY_BYTES = 64 * 1024;
-const FIELDS = Object.keys(jobToWire(aJob()));
+const JOB_FIELD_NAMES = Object.keys(jobToWire(aJob()));
 /** What a refusal may name: fields, or the body as a whole. */
-const NAMES_FIELD = new RegExp(`^(${FIELDS.join('|')}|body)\\b.*: .`);
+const ERROR_WITH_FIELD = new RegExp(`^(${JOB_FIELD_NAMES.join('|')}|body)\\b.*: .`);
 
-async function aCluster() {
+async function startCluster() {
   const cluster = new Cluster(SMALL_CLUSTER, 1);
   const runtime = cluster.serviceRuntime('users', 'users', USERS_HOST);
   await cluster.start();
@@ -27,7 +27,7 @@
   const address = formatAddress(serviceAddress(index));
   const user = new UserClient(address, 5000, runtime);
   /** Lets time pass until the requests are answered. */
-  const ask = async <T>(requests: () => Promise<T>): Promise<T> => {
+  const runUntilAnswered = async <T>(requests: () => Promise<T>): Promise<T> => {
     const answers: T[] = [];
     const failures: unknown[] = [];
     requests().then(
@@ -40,25 +40,28 @@
     assert.deepEqual(failures, []);
     return answers[0];
   };
-  return { cluster, runtime, address, user, ask };
+  return { cluster, runtime, address, user, ask: runUntilAnswered };
 }
 
-const oddValue = fc.oneof(
+const arbitraryValue = fc.oneof(
   fc.constantFrom(null, true, '', 'x'.repeat(300), [], {}, NaN, Infinity, -1, 1e300, 2 ** 60, 0.5),
   fc.array(fc.string(), { maxLength: 3 }),
   fc.uint8Array({ maxLength: 8 }),
   fc.dictionary(fc.string(), fc.integer(), { maxKeys: 2 }),
 );
-const oddBody = fc
-  .array(fc.tuple(fc.constantFrom(...FIELDS), fc.option(oddValue, { nil: undefined })), {
-    minLength: 1,
-    maxLength: 3,
-  })
+const arbitraryBody = fc
+  .array(
+    fc.tuple(fc.constantFrom(...JOB_FIELD_NAMES), fc.option(arbitraryValue, { nil: undefined })),
+    {
+      minLength: 1,
+      maxLength: 3,
+    },
+  )
   .map((changes) => ({ ...jobToWire(aJob({ id: 'j-7' })), ...Object.fromEntries(changes) }));
 
 test('whatever a submission holds, it is accepted or refused with the field named', async () => {
-  const { cluster, user, ask } = await aCluster();
-  const bodies: unknown[] = fc.sample(oddBody, SEEDED);
+  const { cluster, user, ask } = await startCluster();
+  const bodies: unknown[] = fc.sample(arbitraryBody, SEEDED);
   bodies.push([1], 'text', 7, null, {});
   await ask(async () => {
     for (const body of bodies) {
@@ -66,14 +69,14 @@
       assert.ok([200, 201, 400, 422, 429].includes(status), `${status}`);
       if (status !== 400 && status !== 422) continue;
       const { error } = job as { error: string };
-      assert.match(error, body && typeof body === 'object' ? NAMES_FIELD : /./);
+      assert.match(error, body && typeof body === 'object' ? ERROR_WITH_FIELD : /./);
     }
   });
   assert.deepEqual(cluster.world.uncaught, []);
 });
 
 test('a job that can never run is refused with the fields that say so', async () => {
-  const { user, ask } = await aCluster();
+  const { user, ask } = await startCluster();
   const refusals: Record<string, [Parameters<typeof aJob>[0], number]> = {
     'crew: unknown team': [{ team: 'nobody' }, 422],
     'cores: a task fits no allowed machine type': [{ cpus: 97 }, 422],
@@ -88,8 +91,8 @@
     'pieces: must be >= 1': [{ tasks: 0 }, 400],
   };
   let id = 0;
-  for (const [expected, [own, status]] of Object.entries(refusals)) {
-    const job = aJob({ ...own, id: `j-${++id}` });
+  for (const [expected, [overrides, status]] of Object.entries(refusals)) {
+    const job = aJob({ ...overrides, id: `j-${++id}` });
     const answer = await ask(() => user.submit(job));
     assert.deepEqual([answer.status, answer.job], [status, { error: expected }]);
   }
@@ -102,15 +105,15 @@
 });
 
 test('the largest legal jobs end no controller and hold up nobody, also across a change of leader', async () => {
-  const { cluster, runtime, user, ask } = await aCluster();
-  const nothing = { cpus: 0, gpus: 0, memory: 0, imageGb: 0 };
+  const { cluster, runtime, user, ask } = await startCluster();
+  const noResources = { cpus: 0, gpus: 0, memory: 0, imageGb: 0 };
   const longest = { class: 'c'.repeat(256), image: 'i'.repeat(256) };
   const largest = { tasks: 100_000, team: 'blue', rank: 3, ...longest };
   const jobs = [
     aJob({ ...largest, id: 'j-1', cpus: 0.25, gpus: 0, memory: 1 }),
-    aJob({ ...largest, ...nothing, id: 'j-2' }),
-    aJob({ ...largest, ...nothing, id: 'j-3', kind: 'gang' }),
-    aJob({ ...largest, ...nothing, id: 'j-4', kind: 'service' }),
+    aJob({ ...largest, ...noResources, id: 'j-2' }),
+    aJob({ ...largest, ...noResources, id: 'j-3', kind: 'gang' }),
+    aJob({ ...largest, ...noResources, id: 'j-4', kind: 'service' }),
   ];
   for (const job of jobs) {
     cluster.storage.upload({ job, runS: Array<number>(job.tasks).fill(4), failsAfterS: null });
@@ -121,17 +124,17 @@
   const leader = cluster.leadership.current()?.leader;
   cluster.controllers.find(({ name }) => name === leader)!.process.restart(1);
   await cluster.world.runUntil(75);
-  const small = aJob({ id: 'j-5', team: 'red', rank: 0, gpus: 0 });
-  cluster.storage.upload({ job: small, runS: [5], failsAfterS: null });
-  const other = formatAddress(
+  const smallJob = aJob({ id: 'j-5', team: 'red', rank: 0, gpus: 0 });
+  cluster.storage.upload({ job: smallJob, runS: [5], failsAfterS: null });
+  const otherAddress = formatAddress(
     serviceAddress(cluster.controllers.find(({ name }) => name !== leader)!.index),
   );
-  const client = new UserClient(other, 5000, runtime);
-  const { status } = await ask(() => client.submit(small));
+  const client = new UserClient(otherAddress, 5000, runtime);
+  const { status } = await ask(() => client.submit(smallJob));
   assert.equal(status, 201);
   const phase = await ask(async () => {
     await pause(runtime.clock, 60_000);
-    const { job } = await client.status(small.id);
+    const { job } = await client.status(smallJob.id);
     return job && 'phase' in job ? job.phase : null;
   });
   assert.equal(phase, 'done');
@@ -139,7 +142,7 @@
 });
 
 test('a heartbeat that lists as many tasks as the limit allows is answered within the limit of answers', async () => {
-  const { cluster, runtime, address, ask } = await aCluster();
+  const { cluster, runtime, address, ask } = await startCluster();
   const worker = new CborClient(runtime, address);
   const pieces = Array.from({ length: 900 }, (_, i) => ({
     piece: taskName('j-123456', i),
--- a/packages/controller/api/cancellation-handler.ts
+++ b/packages/controller/api/cancellation-handler.ts
@@ -8,7 +8,7 @@
 import { replyError, replyJob } from './replies.js';
 
 /** Attempts to record one cancellation; the record may change in between. */
-const MAX_ATTEMPTS = 3;
+const MAX_WRITE_ATTEMPTS = 3;
 /** Seconds after which a user repeats a cancellation that was not recorded. */
 const RETRY_AFTER_S = 1;
 
@@ -33,7 +33,7 @@
     // The leader learns of it first: once it is recorded this process may end, and the state service
     // with it, and the user may have been told. Nobody has use for the tasks of a job that is given up.
     if (record?.phase === 'accepted') onCancel(id);
-    for (let attempt = 0; record?.phase === 'accepted' && attempt < MAX_ATTEMPTS; attempt++) {
+    for (let attempt = 0; record?.phase === 'accepted' && attempt < MAX_WRITE_ATTEMPTS; attempt++) {
       const { condition, change } = jobEnding(record, 'cancelled', client.limits.valueBytes);
       const { team } = record.job;
       const write = { id, team, value: change.value, version: condition.version };
--- a/packages/controller/api/dependency-validator.test.ts
+++ b/packages/controller/api/dependency-validator.test.ts
@@ -6,7 +6,7 @@
 const CONTROLLERS = [0, 1, 2];
 
 /** Three controllers, a user of each, and jobs whose tasks run for `runS`. */
-async function aCluster(seed = 1) {
+async function startCluster(seed = 1) {
   const cluster = new Cluster(SMALL_CLUSTER, seed);
   const runtime = cluster.serviceRuntime('users', 'users', USERS_HOST);
   await cluster.start();
@@ -15,7 +15,7 @@
     (index) => new UserClient(formatAddress(serviceAddress(index)), 5000, runtime),
   );
   /** Lets time pass until the requests are answered. */
-  const ask = async <T>(request: Promise<T>): Promise<T> => {
+  const runUntilAnswered = async <T>(request: Promise<T>): Promise<T> => {
     const answers: T[] = [];
     const failures: unknown[] = [];
     request.then(
@@ -35,10 +35,11 @@
     return job;
   };
   const submit = (user: number, own: Partial<Job>, runS?: number) =>
-    ask(users[user].submit(upload(own, runS)));
-  const phaseAt = async (user: number, id: string) => phaseOf(await ask(users[user].status(id)));
-  const wait = (seconds: number) => ask(pause(runtime.clock, seconds * 1000));
-  return { cluster, users, ask, submit, upload, phaseAt, wait };
+    runUntilAnswered(users[user].submit(upload(own, runS)));
+  const phaseAt = async (user: number, id: string) =>
+    phaseOf(await runUntilAnswered(users[user].status(id)));
+  const wait = (seconds: number) => runUntilAnswered(pause(runtime.clock, seconds * 1000));
+  return { cluster, users, ask: runUntilAnswered, submit, upload, phaseAt, wait };
 }
 
 function phaseOf({ job }: UserAnswer): string | null {
@@ -50,7 +51,7 @@
 }
 
 test('a submission is refused that awaits itself, a service, or a job that was never accepted', async () => {
-  const { submit, users, ask } = await aCluster();
+  const { submit, users, ask } = await startCluster();
   await submit(0, { id: 'j-1', kind: 'service' });
   await submit(0, { id: 'j-2' });
   const refusals: [string[], RegExp][] = [
@@ -72,7 +73,7 @@
 });
 
 test('what is no list of job ids is malformed, and what is none is as if it were left out', async () => {
-  const { ask, users, upload } = await aCluster();
+  const { ask, users, upload } = await startCluster();
   const body = (dependencies: unknown) => ({
     ...jobToWire(upload({ id: 'j-10' })),
     awaits: dependencies,
@@ -95,7 +96,7 @@
 test('a job may await one that another controller accepted a millisecond ago', async () => {
   // Guards against a refusal for good by a cache that the watch had not filled yet.
   for (const seed of [1, 2, 3]) {
-    const { submit, ask, users, upload } = await aCluster(seed);
+    const { submit, ask, users, upload } = await startCluster(seed);
     for (let number = 0; number < 12; number++) {
       const first = `j-${100 + number}`;
       assert.equal((await submit(number % 3, { id: first })).status, 201);
@@ -110,7 +111,7 @@
 });
 
 test('a controller that cannot read says so, and when to come again, in place of a refusal for good', async () => {
-  const { cluster, submit, ask, users, upload } = await aCluster();
+  const { cluster, submit, ask, users, upload } = await startCluster();
   await submit(0, { id: 'j-1' });
   const { host } = cluster.controllers[1];
   cluster.state.refuse(host.address);
@@ -126,7 +127,7 @@
 });
 
 test('jobs are done one after another, and each starts only after the record says that the one before is done', async () => {
-  const { cluster, submit, phaseAt, wait } = await aCluster();
+  const { cluster, submit, phaseAt, wait } = await startCluster();
   await submit(0, { id: 'j-1', tasks: 3 }, 6);
   await submit(1, { id: 'j-2', awaits: ['j-1'], kind: 'gang', tasks: 2 }, 4);
   await submit(2, { id: 'j-3', awaits: ['j-2', 'j-1'], rank: 0 }, 3);
@@ -138,27 +139,27 @@
     ['j-2', 'j-1'],
     ['j-3', 'j-2'],
   ]) {
-    const recorded = timeline.of('transaction').find(({ changes }) =>
+    const doneRecorded = timeline.of('transaction').find(({ changes }) =>
       changes.some((change) => {
         if (!('put' in change) || change.put !== `jobs/${before}`) return false;
         return (change.value as { phase: string }).phase === 'done';
       }),
     );
     const first = timeline.of('task-assigned').find(({ task }) => task.job === job);
-    assert.ok(recorded && first && recorded.atS < first.atS, job);
+    assert.ok(doneRecorded && first && doneRecorded.atS < first.atS, job);
   }
   assert.deepEqual(cluster.checker.violations, []);
 });
 
 test('with a job all that need it are aborted, at every controller and also if submitted later', async () => {
-  const { cluster, submit, ask, users, phaseAt, wait } = await aCluster();
+  const { cluster, submit, ask, users, phaseAt, wait } = await startCluster();
   await submit(0, { id: 'j-1' }, 500);
   await submit(1, { id: 'j-2', awaits: ['j-1'] });
   await submit(2, { id: 'j-3', awaits: ['j-2'] });
   await submit(2, { id: 'j-4' }, 500);
   await wait(60);
-  const told = await ask(users[0].abort('j-1'));
-  assert.equal(phaseOf(told), 'aborted');
+  const cancelAnswer = await ask(users[0].abort('j-1'));
+  assert.equal(phaseOf(cancelAnswer), 'aborted');
   for (const user of CONTROLLERS) {
     for (const id of ['j-2', 'j-3']) assert.equal(await phaseAt(user, id), 'aborted');
   }
@@ -182,7 +183,7 @@
 });
 
 test('a cancellation that is answered with done leaves the jobs after it alone', async () => {
-  const { submit, ask, users, phaseAt, wait } = await aCluster();
+  const { submit, ask, users, phaseAt, wait } = await startCluster();
   await submit(0, { id: 'j-1' }, 2);
   await submit(1, { id: 'j-2', awaits: ['j-1'] }, 40);
   await wait(110);
@@ -193,7 +194,7 @@
 test('a controller that was refused for long knows of a cancellation before it answers a submission after it', async () => {
   // Guards against a job called pending long after one that it needs was cancelled: the record was written with the
   // first request that was served again, and the cache was as old as the refusal.
-  const { cluster, submit, ask, users, upload } = await aCluster();
+  const { cluster, submit, ask, users, upload } = await startCluster();
   await submit(0, { id: 'j-1' }, 500);
   await submit(1, { id: 'j-2', awaits: ['j-1'] });
   const late = cluster.controllers[2];
@@ -206,7 +207,7 @@
 });
 
 test('a job submitted in the very milliseconds in which one that it awaits is cancelled or ends is called alike everywhere', async () => {
-  const { cluster, users, ask, submit, upload, phaseAt, wait } = await aCluster();
+  const { cluster, users, ask, submit, upload, phaseAt, wait } = await startCluster();
   let next = 100;
   const newId = () => `j-${next++}`;
   for (const delayMs of [0, 1, 2, 3, 5, 8, 12]) {
@@ -217,15 +218,15 @@
       await pause(cluster.serviceRuntime(`user-${second}`, 'users', USERS_HOST).clock, delayMs);
       return users[1].submit(dependent);
     };
-    const [told, accepted] = await ask(Promise.all([users[2].abort(first), later()]));
-    assert.deepEqual([phaseOf(told), accepted.status], ['aborted', 201]);
+    const [cancelAnswer, accepted] = await ask(Promise.all([users[2].abort(first), later()]));
+    assert.deepEqual([phaseOf(cancelAnswer), accepted.status], ['aborted', 201]);
     for (const user of CONTROLLERS) assert.equal(await phaseAt(user, second), 'aborted');
   }
-  const ends = Array.from({ length: 6 }, () => newId());
-  for (const [number, id] of ends.entries()) await submit(number % 3, { id, cpus: 0.5 }, 3);
+  const shortJobs = Array.from({ length: 6 }, () => newId());
+  for (const [number, id] of shortJobs.entries()) await submit(number % 3, { id, cpus: 0.5 }, 3);
   const dependents: string[] = [];
   for (let s = 0; s < 40; s++) {
-    for (const [number, id] of ends.entries()) {
+    for (const [number, id] of shortJobs.entries()) {
       if (s % 6 !== number) continue;
       const second = newId();
       dependents.push(second);
--- a/packages/controller/api/health-endpoint.ts
+++ b/packages/controller/api/health-endpoint.ts
@@ -6,7 +6,7 @@
 import type { StatusExchange } from '../peers/status-exchange.js';
 
 /** Heartbeat intervals for which a refusal, or a peer's silence, may last before it counts. */
-const PATIENCE_INTERVALS = 2;
+const TOLERANCE_INTERVALS = 2;
 
 type Services = Pick<ControllerServices, 'runtime' | 'settings' | 'client' | 'jobs' | 'types'>;
 
@@ -30,12 +30,12 @@
     const { runtime, settings, client, jobs, types, statuses } = this.options;
     return isHealthy({
       now: runtime.clock.now(),
-      loaded: jobs.cache.isLoaded && types.all().length > 0,
-      refused: client.isFailing,
-      lastOkAt: client.lastOkAt,
-      lastFailAt: client.lastFailAt,
+      isLoaded: jobs.cache.isLoaded && types.all().length > 0,
+      isRefused: client.isFailing,
+      lastSuccessAt: client.lastOkAt,
+      lastFailureAt: client.lastFailAt,
       peers: statuses.statuses(),
-      patienceS: PATIENCE_INTERVALS * settings.deployment.workers.report_s,
+      toleranceS: TOLERANCE_INTERVALS * settings.deployment.workers.report_s,
     });
   }
 }
--- a/packages/controller/api/health.ts
+++ b/packages/controller/api/health.ts
@@ -2,20 +2,20 @@
 import { isReachable, type PeerStatus } from '../peers/peer-status.js';
 
 /** How the state service serves this controller, and what its peers state; steady seconds. */
-export interface HealthView {
+export interface HealthInputs {
   now: number;
   /** The jobs and the machine types are known. */
-  loaded: boolean;
+  isLoaded: boolean;
   /** The state service did not serve the newest request whose outcome is known. */
-  refused: boolean;
+  isRefused: boolean;
   /** When the newest request was sent that the state service served. */
-  lastOkAt: number;
+  lastSuccessAt: number;
   /** When the newest request was sent that the state service did not serve. */
-  lastFailAt: number;
+  lastFailureAt: number;
   /** The latest statement of each other controller; null if none has arrived. */
   peers: (PeerStatus | null)[];
   /** For how long a refusal, or a peer's silence, may last before it counts. */
-  patienceS: number;
+  toleranceS: number;
 }
 
 /**
@@ -23,12 +23,14 @@
  * refuses this controller but may serve others. In an outage for all controllers everybody stays
  * healthy, since no other could answer better.
  */
-export function isHealthy(view: HealthView): boolean {
-  const { now, lastOkAt, patienceS } = view;
-  if (!view.loaded) return false;
-  if (!view.refused || view.lastFailAt - lastOkAt < patienceS) return true;
-  const reachable = view.peers.filter((peer) => isReachable(peer, now, patienceS));
+export function isHealthy(inputs: HealthInputs): boolean {
+  const { now, lastSuccessAt, toleranceS } = inputs;
+  if (!inputs.isLoaded) return false;
+  if (!inputs.isRefused || inputs.lastFailureAt - lastSuccessAt < toleranceS) return true;
+  const reachable = inputs.peers.filter((peer) => isReachable(peer, now, toleranceS));
   // Cut off from the peers as well, this controller can't know whether they are served.
-  if (reachable.length === 0) return view.peers.length === 0;
-  return !reachable.some((peer) => !peer.frame.refused && peer.lastServedAt > lastOkAt + patienceS);
+  if (reachable.length === 0) return inputs.peers.length === 0;
+  return !reachable.some(
+    (peer) => !peer.frame.refused && peer.lastServedAt > lastSuccessAt + toleranceS,
+  );
 }
--- a/packages/controller/api/http-interface.ts
+++ b/packages/controller/api/http-interface.ts
@@ -7,7 +7,7 @@
 import type { EventLoopDelayMonitor } from '../observability/event-loop-delay.js';
 import type { MetricsEndpoint } from '../observability/metrics-endpoint.js';
 import type { ShardLeader } from '../leadership/shard-leader.js';
-import { mountReplicas } from './replica-endpoint.js';
+import { mountReplicaRoute } from './replica-endpoint.js';
 import { HeartbeatEndpoint } from '../heartbeats/heartbeat-endpoint.js';
 import type { ControllerServices } from '../services.js';
 import type { StandbyRenewal } from '../leadership/standby-renewal.js';
@@ -43,7 +43,7 @@
   const { services, statuses, metrics, maxConnections } = options;
   const { runtime, settings } = services;
   const health = new HealthEndpoint({ ...services, statuses });
-  const users = makeUserApi(options, () => server.crowded);
+  const users = makeUserApi(options, () => server.isNearConnectionLimit);
   const heartbeats = new HeartbeatEndpoint({ ...services, ...options });
   const server: HttpServer = new HttpServer({
     network: runtime.network,
@@ -53,18 +53,18 @@
       health.mount(app);
       metrics.mount(app);
       users.mount(app);
-      mountReplicas(app, { ...services, leader: options.leader });
+      mountReplicaRoute(app, { ...services, leader: options.leader });
     },
     onHeartbeat: (body, res) => {
-      const answered = metrics.timeHeartbeat();
+      const observeDuration = metrics.timeHeartbeat();
       heartbeats.handle(body, res);
-      answered();
+      observeDuration();
     },
   });
   return server;
 }
 
-function makeUserApi(options: HttpInterfaceOptions, crowded: () => boolean): UserApi {
+function makeUserApi(options: HttpInterfaceOptions, isNearConnectionLimit: () => boolean): UserApi {
   const { services, statistics, metrics, eventLoopDelay, admission, cancellationRelay } = options;
   const { runtime, client, commits, jobs, types } = services;
   return new UserApi({
@@ -72,7 +72,7 @@
     client,
     commits,
     jobs,
-    submissions: new SubmissionCheck(services),
+    submissionCheck: new SubmissionCheck(services),
     types: () => types.all(),
     onRequest: (kind) => {
       statistics.userRequests++;
@@ -83,6 +83,6 @@
     onCancel: (job) => {
       cancellationRelay.request(job);
     },
-    crowded,
+    isNearConnectionLimit,
   });
 }
--- a/packages/controller/api/http-server.test.ts
+++ b/packages/controller/api/http-server.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { encode } from '#wire';
 import { postBytes, serveOnLoopback } from '#testing';
-import { makeApp, mountFallbacks, withHeartbeats } from './http-server.js';
+import { makeApp, mountFallbacks, routeRequests } from './http-server.js';
 import { reply } from './replies.js';
 import { readBody } from './request-body.js';
 
@@ -19,7 +19,7 @@
   const app = makeApp();
   app.post('/submissions', (req, res) => accept(req.body, res));
   mountFallbacks(app);
-  const { port, close } = await serveOnLoopback(withHeartbeats(app, accept));
+  const { port, close } = await serveOnLoopback(routeRequests(app, accept));
   for (const path of ['/hello', '/submissions']) {
     const large = { text: 'x'.repeat(40_000) };
     assert.equal(await postBytes(port, path, encode(large)), 200);
--- a/packages/controller/api/http-server.ts
+++ b/packages/controller/api/http-server.ts
@@ -8,7 +8,7 @@
 /** How long a connection of a worker or user is kept without a request; milliseconds. */
 const KEEP_ALIVE_MS = 75_000;
 /** Share of the server's connections above which users' connections are not kept. */
-const CROWDED_SHARE = 0.9;
+const NEAR_LIMIT_SHARE = 0.9;
 
 /** Answers a heartbeat; the body is undefined if it is too large. */
 export type HeartbeatHandler = (body: unknown, res: http.ServerResponse) => void;
@@ -34,7 +34,7 @@
     mountFallbacks(app);
     const server = http.createServer(
       { requestTimeout: 0, keepAliveTimeout: KEEP_ALIVE_MS },
-      withHeartbeats(app, options.onHeartbeat),
+      routeRequests(app, options.onHeartbeat),
     );
     server.maxConnections = options.maxConnections;
     this.listener = new Listener(options.network, server);
@@ -46,8 +46,8 @@
   }
 
   /** Whether few connections are left. */
-  get crowded(): boolean {
-    return this.connections > CROWDED_SHARE * this.options.maxConnections;
+  get isNearConnectionLimit(): boolean {
+    return this.connections > NEAR_LIMIT_SHARE * this.options.maxConnections;
   }
 
   /** Serves until the signal aborts, then ends all connections; rejects with ListenError. */
@@ -62,7 +62,7 @@
  * Passes heartbeats by express: nearly all requests to a leader are heartbeats, and express's way to the
  * handler cost more than the handler. Express serves everything else.
  */
-export function withHeartbeats(app: Express, onHeartbeat: HeartbeatHandler): http.RequestListener {
+export function routeRequests(app: Express, onHeartbeat: HeartbeatHandler): http.RequestListener {
   return (req, res) => {
     if (req.method === 'POST' && req.url === '/hello') {
       collectBody(req, (body) => {
@@ -98,10 +98,10 @@
 /** Answers unknown paths, wrong methods and bodies that could not be read. To be mounted last. */
 export function mountFallbacks(app: Express): void {
   app.use((req: Request, res: Response) => {
-    const known = ALLOWED_METHODS.find(({ path }) => path.test(req.path));
-    if (!known) replyError(res, 404, 'unknown path');
+    const allowed = ALLOWED_METHODS.find(({ path }) => path.test(req.path));
+    if (!allowed) replyError(res, 404, 'unknown path');
     else {
-      res.setHeader('Allow', known.method);
+      res.setHeader('Allow', allowed.method);
       replyError(res, 405, 'wrong method');
     }
   });
--- a/packages/controller/api/replica-endpoint.test.ts
+++ b/packages/controller/api/replica-endpoint.test.ts
@@ -4,17 +4,21 @@
 import { after, test } from 'node:test';
 import express from 'express';
 import type { ShardLeader } from '../leadership/shard-leader.js';
-import { mountReplicas } from './replica-endpoint.js';
+import { mountReplicaRoute } from './replica-endpoint.js';
 import type { ReplicaSupport } from '../replica-support.js';
 
 const ROW = { job: 'j-1', replica: 0, generation: 7, phase: 'whole' };
-const SUPPORT = { rows: () => [ROW] } as unknown as ReplicaSupport;
+const SUPPORT = { listReplicas: () => [ROW] } as unknown as ReplicaSupport;
 const LEADER = { replicaGroups: {} } as unknown as ShardLeader;
 
-async function ask(support: ReplicaSupport | null, leader: ShardLeader | null) {
+async function requestReplicas(support: ReplicaSupport | null, leader: ShardLeader | null) {
   const app = express();
   const currentLeader = { leader: 'controller-2', leaseId: 1, version: 9 };
-  mountReplicas(app, { replicas: { support }, leader: () => leader, election: { currentLeader } });
+  mountReplicaRoute(app, {
+    replicas: { support },
+    leader: () => leader,
+    election: { currentLeader },
+  });
   const server = http.createServer(app).listen(0, '127.0.0.1');
   await new Promise((resolve) => server.once('listening', resolve));
   after(() => server.close());
@@ -24,10 +28,13 @@
 }
 
 test('the leader lists replicas, a follower names the leader, and without the section there are none', async () => {
-  assert.deepEqual(await ask(SUPPORT, LEADER), { status: 200, body: { replicas: [ROW] } });
-  const elsewhere = await ask(SUPPORT, null);
-  assert.equal(elsewhere.status, 503);
-  assert.equal(elsewhere.body.owner, 'controller-2');
-  const off = await ask(null, LEADER);
-  assert.equal(off.status, 404);
+  assert.deepEqual(await requestReplicas(SUPPORT, LEADER), {
+    status: 200,
+    body: { replicas: [ROW] },
+  });
+  const fromFollower = await requestReplicas(SUPPORT, null);
+  assert.equal(fromFollower.status, 503);
+  assert.equal(fromFollower.body.owner, 'controller-2');
+  const switchedOff = await requestReplicas(null, LEADER);
+  assert.equal(switchedOff.status, 404);
 });
--- a/packages/controller/api/replica-endpoint.ts
+++ b/packages/controller/api/replica-endpoint.ts
@@ -13,7 +13,7 @@
 }
 
 /** Adds the route `/replicas`, which answers with 404 if replica groups are switched off. */
-export function mountReplicas(app: Express, options: ReplicaEndpointOptions): void {
+export function mountReplicaRoute(app: Express, options: ReplicaEndpointOptions): void {
   app.get('/replicas', (_req, res) => {
     const { support } = options.replicas;
     const groups = options.leader()?.replicaGroups ?? null;
@@ -24,6 +24,6 @@
     } else if (groups === null) {
       const leader = options.election.currentLeader?.leader ?? null;
       res.status(503).json({ error: 'this controller does not own the machines', owner: leader });
-    } else res.json({ replicas: support.rows(groups) });
+    } else res.json({ replicas: support.listReplicas(groups) });
   });
 }
--- a/packages/controller/api/socket-shares.test.ts
+++ b/packages/controller/api/socket-shares.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { socketShares } from './socket-shares.js';
+import { divideSockets } from './socket-shares.js';
 
 test('sockets are shared by need, within the limit', () => {
   for (const [sockets, peers] of [
@@ -9,7 +9,11 @@
     [1908, 2],
     [2153, 6],
   ]) {
-    const { server, direct } = socketShares(sockets, peers);
-    assert.ok(server >= 1 && direct >= 1 && server + direct + 4 * peers <= sockets);
+    const { serverConnections, directConnections } = divideSockets(sockets, peers);
+    assert.ok(
+      serverConnections >= 1 &&
+        directConnections >= 1 &&
+        serverConnections + directConnections + 4 * peers <= sockets,
+    );
   }
 });
--- a/packages/controller/api/submission-check.test.ts
+++ b/packages/controller/api/submission-check.test.ts
@@ -12,26 +12,28 @@
   await cluster.start();
   await cluster.world.runUntil(5);
   const leader = cluster.leadership.current()?.leader;
-  const [here, there] = cluster.controllers
+  const [firstUser, secondUser] = cluster.controllers
     .filter(({ name }) => name !== leader)
     .map(({ index }) => new UserClient(formatAddress(serviceAddress(index)), 5000, runtime));
-  const good = aJob({ id: 'j-1' });
+  const validJob = aJob({ id: 'j-1' });
   const bodies = {
     long: { class: 'x'.repeat(256), image: '\u6771'.repeat(256) },
     unknownTeam: { team: 'nobody' },
   };
   const statuses: Record<string, number> = {};
-  const submitRest = async () => {
+  const submitAll = async () => {
     // The other controller's watch brings this one and then pauses, so it does not know the next.
-    await here.submit({ ...good, id: 'j-0' });
+    await firstUser.submit({ ...validJob, id: 'j-0' });
     await pause(runtime.clock, 50);
-    statuses.first = (await here.submit(good)).status;
-    for (const [name, own] of Object.entries(bodies)) {
-      statuses[name] = (await there.submit({ ...good, ...own })).status;
-      statuses[`${name} alone`] = (await there.submit({ ...good, id: 'j-2', ...own })).status;
+    statuses.first = (await firstUser.submit(validJob)).status;
+    for (const [name, overrides] of Object.entries(bodies)) {
+      statuses[name] = (await secondUser.submit({ ...validJob, ...overrides })).status;
+      statuses[`${name} alone`] = (
+        await secondUser.submit({ ...validJob, id: 'j-2', ...overrides })
+      ).status;
     }
   };
-  void submitRest();
+  void submitAll();
   await cluster.world.runUntil(8);
   assert.deepEqual(statuses, {
     first: 201,
--- a/packages/controller/api/submission-check.ts
+++ b/packages/controller/api/submission-check.ts
@@ -6,7 +6,7 @@
 import { teamQuotas } from '../settings/settings.js';
 
 /** No resources at all. */
-const NOTHING = { cpus: 0, gpus: 0, memory: 0 };
+const NO_RESOURCES = { cpus: 0, gpus: 0, memory: 0 };
 
 /** Why a submission is refused for good. */
 export interface Refusal {
@@ -38,11 +38,11 @@
     try {
       const job = this.withoutUnknownTypes(parseJob(raw));
       const shape = this.services.replicas.support?.shapeOf(job) ?? null;
-      const error = this.whyNever(job) ?? this.whyNeverWhole(job, shape);
+      const error = this.findPermanentObstacle(job) ?? this.findReplicaObstacle(job, shape);
       if (error !== null) return { refusal: { status: 422, error } };
       const acceptable = shape === null ? { job } : { job, replicas: shape };
       if (!this.fitsRecord(acceptable))
-        return { refusal: { status: 400, error: this.whyTooLong() } };
+        return { refusal: { status: 400, error: this.recordTooLargeError() } };
       return acceptable;
     } catch (err) {
       if (!(err instanceof MalformedBody)) throw err;
@@ -58,22 +58,22 @@
   }
 
   /** Why a job can never run, or null. Not by its machine types while these are not known. */
-  private whyNever(job: Job): string | null {
+  private findPermanentObstacle(job: Job): string | null {
     if (job.awaits.includes(job.id)) return `${JOB_FIELDS.awaits}: a job can't await itself`;
     const quota = this.teams.get(job.team);
     if (!quota) return `${JOB_FIELDS.team}: unknown team`;
     const types = this.services.types.all();
-    return whyBeyondLimit(job, quota) ?? (types.length > 0 ? whyNoTypeFits(job, types) : null);
+    return findQuotaExcess(job, quota) ?? (types.length > 0 ? findTypeMismatch(job, types) : null);
   }
 
   /** Why no replica of the job can ever have all its members, or null. */
-  private whyNeverWhole(job: Job, shape: ReplicaShape | null): string | null {
+  private findReplicaObstacle(job: Job, shape: ReplicaShape | null): string | null {
     const { replicas, types } = this.services;
     if (shape === null || replicas.support === null) return null;
-    return replicas.support.whyNeverWhole(job, shape, types.all());
+    return replicas.support.unplaceableReason(job, shape, types.all());
   }
 
-  private whyTooLong(): string {
+  private recordTooLargeError(): string {
     const { valueBytes } = this.services.client.limits;
     return `lane, crew, bundle, rigs, yard, awaits: their record would be larger than ${valueBytes} bytes`;
   }
@@ -91,26 +91,30 @@
 }
 
 /** Why the job needs more than its team's limit, or null: one task of an array, else all tasks. */
-function whyBeyondLimit(job: Job, quota: TeamQuota): string | null {
+function findQuotaExcess(job: Job, quota: TeamQuota): string | null {
   const tasksAtOnce = job.kind === 'array' ? 1 : job.tasks;
   for (const amount of ['cpus', 'gpus'] as const) {
-    const need = job[amount] * tasksAtOnce;
-    if (withinLimit(quota, NOTHING, { ...NOTHING, [amount]: need })) continue;
+    const needed = job[amount] * tasksAtOnce;
+    if (withinLimit(quota, NO_RESOURCES, { ...NO_RESOURCES, [amount]: needed })) continue;
     const fields = tasksAtOnce > 1 ? `${JOB_FIELDS.tasks}, ` : '';
-    return `${fields}${JOB_FIELDS[amount]}: ${need} at once is more than the team's limit`;
+    return `${fields}${JOB_FIELDS[amount]}: ${needed} at once is more than the team's limit`;
   }
   return null;
 }
 
 /** Why a task fits no allowed machine type, or null. */
-function whyNoTypeFits(job: Job, types: MachineType[]): string | null {
+function findTypeMismatch(job: Job, types: MachineType[]): string | null {
   if (types.some((type) => typeFits(job, type))) return null;
-  const named = types.filter(({ name }) => job.types === null || job.types.includes(name));
-  if (named.length === 0) return `${JOB_FIELDS.types}: no such machine type`;
-  const allowed = named.filter(({ zones }) => job.zone === null || zones.includes(job.zone));
+  const listed = types.filter(({ name }) => job.types === null || job.types.includes(name));
+  if (listed.length === 0) return `${JOB_FIELDS.types}: no such machine type`;
+  const allowed = listed.filter(({ zones }) => job.zone === null || zones.includes(job.zone));
   if (allowed.length === 0) return `${JOB_FIELDS.zone}: no allowed machine type is in this zone`;
   const amounts = ['cpus', 'gpus', 'memory'] as const;
-  const short = amounts.filter((amount) => allowed.every((type) => type[amount] < job[amount]));
-  const fields = (short.length > 0 ? short : amounts).map((amount) => JOB_FIELDS[amount]);
+  const insufficient = amounts.filter((amount) =>
+    allowed.every((type) => type[amount] < job[amount]),
+  );
+  const fields = (insufficient.length > 0 ? insufficient : amounts).map(
+    (amount) => JOB_FIELDS[amount],
+  );
   return `${fields.join(', ')}: a task fits no allowed machine type`;
 }
--- a/packages/controller/api/submission-handler.ts
+++ b/packages/controller/api/submission-handler.ts
@@ -13,7 +13,7 @@
 /** Status with which the state service refuses requests above its rates. */
 const TOO_MANY_REQUESTS = 429;
 /** The version of a record that doesn't exist. */
-const NO_RECORD = 0;
+const ABSENT_RECORD_VERSION = 0;
 /** Seconds after which a user repeats a submission that could not be decided. */
 const UNDECIDED_RETRY_S = 1;
 
@@ -22,8 +22,8 @@
   clock: Clock;
   jobs: JobTable;
   store: JobStore;
-  submissions: SubmissionCheck;
-  dependencies: DependencyValidator;
+  submissionCheck: SubmissionCheck;
+  dependencyValidator: DependencyValidator;
   admission: Admission;
   types: () => MachineType[];
   /** Seconds after which submissions are accepted again if this process is overloaded; else null. */
@@ -36,7 +36,7 @@
 
   /** Answers one submission. Rejects with MalformedBody, or with an error of the state service. */
   async submit(req: Request, res: Response): Promise<void> {
-    const { jobs, store, submissions, types, dependencies, admission } = this.options;
+    const { jobs, store, submissionCheck, types, dependencyValidator, admission } = this.options;
     const overloadedForS = this.options.overloadedForS();
     if (overloadedForS !== null) {
       replyError(res, 503, 'overloaded', overloadedForS);
@@ -51,7 +51,7 @@
       replyJob(res, 200, jobs.view(id, current ?? known));
       return;
     }
-    const checked = submissions.check(raw);
+    const checked = submissionCheck.check(raw);
     if ('refusal' in checked) {
       await this.refuseUnlessKnown(id, checked.refusal, res);
       return;
@@ -61,14 +61,14 @@
       return;
     }
     const { job } = checked;
-    const error = await dependencies.rejectionReason(job);
+    const error = await dependencyValidator.rejectionReason(job);
     if (error !== null) {
       await this.refuseUnlessKnown(job.id, { status: 422, error }, res);
       return;
     }
     const retryAfterS = admission.refusalDelayS(job.team);
     if (retryAfterS === null) await this.accept(checked, res);
-    else this.refuseForRate(res, retryAfterS);
+    else this.replyTooManySubmissions(res, retryAfterS);
   }
 
   /** Another controller may have accepted the id a moment ago; it is null if the body has none. */
@@ -83,16 +83,16 @@
     else replyError(res, status, error);
   }
 
-  private refuseForRate(res: Response, retryAfterS: number): void {
+  private replyTooManySubmissions(res: Response, retryAfterS: number): void {
     replyError(res, 429, 'more submissions than can be recorded', retryAfterS);
   }
 
   private async accept(acceptable: AcceptableJob, res: Response): Promise<void> {
-    const { jobs, admission, dependencies } = this.options;
+    const { jobs, admission, dependencyValidator } = this.options;
     const { job } = acceptable;
     // Beside the record, since it takes as long.
-    const outcomesKnown = dependencies.syncOutcomes(job);
-    outcomesKnown.catch(() => {
+    const outcomesSync = dependencyValidator.syncOutcomes(job);
+    outcomesSync.catch(() => {
       // Thrown below, where it is waited for, unless the record fails before.
     });
     let isNew: boolean;
@@ -100,10 +100,10 @@
       isNew = await this.record(acceptable);
     } catch (err) {
       if (!(err instanceof StateRefused && err.status === TOO_MANY_REQUESTS)) throw err;
-      this.refuseForRate(res, admission.retryAfterS(job.team));
+      this.replyTooManySubmissions(res, admission.refuse(job.team));
       return;
     }
-    await outcomesKnown;
+    await outcomesSync;
     const known = jobs.get(job.id);
     if (!known) replyError(res, 503, 'not known whether it was recorded', UNDECIDED_RETRY_S);
     else if (!isNew) replyJob(res, 200, jobs.view(job.id, known));
@@ -114,7 +114,7 @@
   private async record({ job, replicas }: AcceptableJob): Promise<boolean> {
     const { clock, store } = this.options;
     const value = encodeJob({ job, replicas, acceptedAtMs: clock.wallMs(), phase: 'accepted' });
-    const write = { id: job.id, team: job.team, value, version: NO_RECORD };
+    const write = { id: job.id, team: job.team, value, version: ABSENT_RECORD_VERSION };
     try {
       const outcome = await store.commit(write);
       if (outcome.ok) {
--- a/packages/controller/api/user-api-cancel.test.ts
+++ b/packages/controller/api/user-api-cancel.test.ts
@@ -8,7 +8,7 @@
 test('the leader learns of a cancellation before it is recorded, whatever becomes of the record', async (t) => {
   // Guards against tasks that run on past their time: the controller that recorded a cancellation
   // ended before it told the leader, and an outage of the state service began.
-  const seen: string[] = [];
+  const events: string[] = [];
   const record = { job: aJob(), acceptedAtMs: 0, phase: 'accepted', version: 3 };
   const options = {
     client: {
@@ -17,15 +17,15 @@
     },
     commits: {
       commit: () => {
-        seen.push('commit');
+        events.push('commit');
         return Promise.reject(new NoAnswer('cut'));
       },
     },
     admission: { retryAfterFailureS: () => 1 },
     jobs: { get: () => record, cache: { sync: () => Promise.resolve() } },
     onRequest: () => () => {},
-    crowded: () => false,
-    onCancel: (id: string) => seen.push(id),
+    isNearConnectionLimit: () => false,
+    onCancel: (id: string) => events.push(id),
   };
   const app = makeApp();
   new UserApi(options as unknown as UserApiOptions).mount(app);
@@ -33,5 +33,5 @@
   t.after(close);
   const status = await postBytes(port, `/submissions/${record.job.id}/abort`, new Uint8Array());
   assert.equal(status, 503);
-  assert.deepEqual(seen.slice(0, 2), [record.job.id, 'commit']);
+  assert.deepEqual(events.slice(0, 2), [record.job.id, 'commit']);
 });
--- a/packages/controller/api/user-api.ts
+++ b/packages/controller/api/user-api.ts
@@ -19,7 +19,7 @@
 import { SubmissionHandler } from './submission-handler.js';
 
 /** Seconds after which a user repeats a request that failed for no known reason. */
-const UNEXPECTED_RETRY_S = 1;
+const UNEXPECTED_ERROR_RETRY_S = 1;
 
 /** What answers to users depend on. */
 export interface UserApiOptions {
@@ -27,7 +27,7 @@
   client: StateClient;
   commits: GroupCommit;
   jobs: JobTable;
-  submissions: SubmissionCheck;
+  submissionCheck: SubmissionCheck;
   types: () => MachineType[];
   admission: Admission;
   /** Seconds after which submissions are accepted again if this process is overloaded; else null. */
@@ -37,7 +37,7 @@
   /** Told when a user has requested a cancellation and before it is recorded. */
   onCancel: (id: string) => void;
   /** Whether few connections are left. */
-  crowded: () => boolean;
+  isNearConnectionLimit: () => boolean;
 }
 
 /** The kinds of users' requests, as the metrics name them. */
@@ -48,49 +48,49 @@
 /** Serves users; each kind of request has a handler. */
 export class UserApi {
   private readonly store: JobStore;
-  private readonly submissions: SubmissionHandler;
-  private readonly cancellations: CancellationHandler;
+  private readonly submissionHandler: SubmissionHandler;
+  private readonly cancellationHandler: CancellationHandler;
 
   constructor(private readonly options: UserApiOptions) {
-    const { clock, client, commits, jobs, submissions, types, admission } = options;
+    const { clock, client, commits, jobs, submissionCheck, types, admission } = options;
     const { overloadedForS, onCancel } = options;
     const store = new JobStore({ client, commits, jobs });
     this.store = store;
-    this.submissions = new SubmissionHandler({
+    this.submissionHandler = new SubmissionHandler({
       clock,
       jobs,
       store,
-      submissions,
-      dependencies: new DependencyValidator(jobs),
+      submissionCheck,
+      dependencyValidator: new DependencyValidator(jobs),
       admission,
       types,
       overloadedForS,
     });
-    this.cancellations = new CancellationHandler({ client, jobs, store, onCancel });
+    this.cancellationHandler = new CancellationHandler({ client, jobs, store, onCancel });
   }
 
   /** Adds the routes. */
   mount(app: Express): void {
     app.post(
       '/submissions',
-      this.guarded('submit', (req, res) => this.submissions.submit(req, res)),
+      this.wrapHandler('submit', (req, res) => this.submissionHandler.submit(req, res)),
     );
     app.get(
       '/submissions/:id',
-      this.guarded('query', (req, res) => this.query(req, res)),
+      this.wrapHandler('query', (req, res) => this.query(req, res)),
     );
     app.post(
       '/submissions/:id/abort',
-      this.guarded('abort', (req, res) => this.cancellations.cancel(req, res)),
+      this.wrapHandler('abort', (req, res) => this.cancellationHandler.cancel(req, res)),
     );
   }
 
   /** Counts the requests of a handler and answers for its errors. */
-  private guarded(kind: RequestKind, handler: Handler): (req: Request, res: Response) => void {
+  private wrapHandler(kind: RequestKind, handler: Handler): (req: Request, res: Response) => void {
     return (req, res) => {
       res.once('finish', this.options.onRequest(kind));
       // Heartbeats keep their connections when users overrun.
-      if (this.options.crowded()) res.setHeader('Connection', 'close');
+      if (this.options.isNearConnectionLimit()) res.setHeader('Connection', 'close');
       handler(req, res).catch((err: unknown) => {
         this.replyFailure(res, err);
       });
@@ -107,7 +107,7 @@
     ) {
       const retryAfterS = this.options.admission.retryAfterFailureS();
       replyError(res, 503, 'the state service does not answer', retryAfterS);
-    } else replyError(res, 503, 'unexpected trouble', UNEXPECTED_RETRY_S);
+    } else replyError(res, 503, 'unexpected trouble', UNEXPECTED_ERROR_RETRY_S);
   }
 
   private async query(req: Request, res: Response): Promise<void> {
--- a/packages/controller/api/user-burst.test.ts
+++ b/packages/controller/api/user-burst.test.ts
@@ -8,7 +8,7 @@
 const SHARE = 0.3;
 
 /** A cluster with a leader, and a way to make users of a controller that has never led. */
-async function aClusterAndUsers() {
+async function startClusterWithUsers() {
   const cluster = new Cluster(SMALL_CLUSTER, 1);
   const runtime = cluster.serviceRuntime('users', 'users', USERS_HOST);
   await cluster.start();
@@ -16,29 +16,32 @@
   const leader = cluster.leadership.current()?.leader;
   const follower = cluster.controllers.find(({ name }) => name !== leader)!;
   const address = formatAddress(serviceAddress(follower.index));
-  const aUser = () => new UserClient(address, 20_000, runtime);
-  return { cluster, aUser, now: () => cluster.world.now };
+  const makeUser = () => new UserClient(address, 20_000, runtime);
+  return { cluster, makeUser, now: () => cluster.world.now };
 }
 
 test('a burst of submissions and cancellations at a controller that has never led is answered in its share', async () => {
-  const { cluster, aUser, now } = await aClusterAndUsers();
+  const { cluster, makeUser, now } = await startClusterWithUsers();
   const ids = Array.from({ length: 40 }, (_, i) => `j-${i}`);
   const submitted: number[] = [];
   for (const id of ids) {
-    void aUser()
+    void makeUser()
       .submit(aJob({ id }))
       .then(({ status }) => status === 201 && submitted.push(now()));
   }
   await cluster.world.runUntil(now() + 0.5);
-  const most = SHARE * WRITE_RPS * 1.5 + 1;
-  assert.ok(submitted.length > 10 && submitted.length <= most, `${submitted.length} accepted`);
+  const maxAccepted = SHARE * WRITE_RPS * 1.5 + 1;
+  assert.ok(
+    submitted.length > 10 && submitted.length <= maxAccepted,
+    `${submitted.length} accepted`,
+  );
   await cluster.world.runUntil(now() + 5);
   assert.equal(submitted.length, ids.length);
   // The state service answers slowly, so that all that come meanwhile share the next transaction.
   cluster.state.setLatency({ usualMs: [400, 400], slowShare: 0, slowMs: [0, 0] });
   let cancelled = 0;
   for (const id of ids)
-    void aUser()
+    void makeUser()
       .abort(id)
       .then(({ status }) => status === 200 && cancelled++);
   await cluster.world.runUntil(now() + 10);
--- a/packages/controller/controller-components.ts
+++ b/packages/controller/controller-components.ts
@@ -7,7 +7,7 @@
 import { Admission } from './api/admission.js';
 import { makeHttpServer } from './api/http-interface.js';
 import type { HttpServer } from './api/http-server.js';
-import { socketShares } from './api/socket-shares.js';
+import { divideSockets } from './api/socket-shares.js';
 import { FollowerHeartbeats } from './heartbeats/follower-heartbeats.js';
 import { defersCampaign } from './leadership/campaign-deferral.js';
 import { LeaderLease, leaderLeaseLimits } from './leadership/leader-lease.js';
@@ -25,7 +25,7 @@
 import { StatusExchange } from './peers/status-exchange.js';
 import { type ControllerServices, makeServices } from './services.js';
 import type { Settings } from './settings/settings.js';
-import { accessState, type StateAccess } from './state-access.js';
+import { makeStateAccess, type StateAccess } from './state-access.js';
 
 /** Heartbeat intervals that a call to the cloud may take. */
 const CLOUD_TIMEOUT_INTERVALS = 4;
@@ -80,8 +80,8 @@
     leader: () => terms.leader,
     leaseState: () => leases.leaderLease.evaluate(terms.leader),
   };
-  const sockets = socketShares(settings.deployment.limits.sockets, settings.peers.length);
-  const state = accessState(runtime, settings, () => leadership.leader() !== null);
+  const sockets = divideSockets(settings.deployment.limits.sockets, settings.peers.length);
+  const state = makeStateAccess(runtime, settings, () => leadership.leader() !== null);
   const services: ControllerServices = makeServices(runtime, settings, log, state, () =>
     defersCampaign(runtime.clock, settings, peering.statuses),
   );
@@ -90,10 +90,15 @@
   const leases = composeLeases(services, peering.statuses);
   const connections = () => httpServer.connections;
   const observability = composeObservability(services, leadership, connections);
-  const terms = composeTerms(services, cloud, leadership, observability, sockets.direct);
-  const joined = { ...peering, ...leases, ...observability };
-  const coordinator = composeCoordinator(services, leadership, joined);
-  const httpServer: HttpServer = composeHttpServer(services, leadership, joined, sockets.server);
+  const terms = composeTerms(services, cloud, leadership, observability, sockets.directConnections);
+  const composed = { ...peering, ...leases, ...observability };
+  const coordinator = composeCoordinator(services, leadership, composed);
+  const httpServer: HttpServer = composeHttpServer(
+    services,
+    leadership,
+    composed,
+    sockets.serverConnections,
+  );
   return { state, services, cloud, ...peering, ...observability, terms, coordinator, httpServer };
 }
 
@@ -221,11 +226,11 @@
 function composeHttpServer(
   services: ControllerServices,
   { leader, leaseState }: Leadership,
-  joined: Peering & Leases & Observability,
+  composed: Peering & Leases & Observability,
   maxConnections: number,
 ): HttpServer {
-  const { statuses, cancellationRelay, standby, followerHeartbeats } = joined;
-  const { statistics, metrics, eventLoopDelay, admission } = joined;
+  const { statuses, cancellationRelay, standby, followerHeartbeats } = composed;
+  const { statistics, metrics, eventLoopDelay, admission } = composed;
   return makeHttpServer({
     services,
     maxConnections,
--- a/packages/controller/controller.test.ts
+++ b/packages/controller/controller.test.ts
@@ -14,15 +14,15 @@
 import type { Settings } from './settings/settings.js';
 
 /** A state service on the machine's own loopback. */
-async function aStateService() {
+async function startStateService() {
   const limits = { rps: 500, writeRps: 200, valueKb: 8, txnOps: 24 };
   const state = new StateService(nodeRuntime, limits);
   const { target } = await state.listen(FREE_LOOPBACK_PORT);
-  return { state, stateAt: target };
+  return { state, stateAddress: target };
 }
 
 /** A cloud whose machines never come up. */
-async function aCloud() {
+async function startCloud() {
   let provisioned = 0;
   const hosting = {
     addressOf: (number: number) => ({ host: '127.0.0.1', port: (provisioned = number) }),
@@ -34,10 +34,10 @@
   const cloud = new CloudService(nodeRuntime, options, hosting);
   cloud.setBootProfile({ ...USUAL_BOOTS, neverShare: 1 });
   const { target } = await cloud.listen(FREE_LOOPBACK_PORT);
-  return { cloud, cloudAt: target, provisioned: () => provisioned };
+  return { cloud, cloudAddress: target, provisioned: () => provisioned };
 }
 
-function settingsFor(stateAt: string, cloudAt: string, number: number): Settings {
+function settingsFor(stateAddress: string, cloudAddress: string, number: number): Settings {
   const peer = 1 - number;
   return {
     host_name: `c-${number}`,
@@ -45,7 +45,7 @@
     listen: `127.0.0.1:${100 + number}`,
     cluster_listen: `127.0.0.1:${200 + number}`,
     peers: [{ host_name: `c-${peer}`, zone: 'a', peer_addr: `127.0.0.1:${200 + peer}` }],
-    external: { cloud: cloudAt, state: stateAt },
+    external: { cloud: cloudAddress, state: stateAddress },
     deployment: {
       nodes: 2,
       zones: ['a'],
@@ -74,13 +74,13 @@
 }
 
 test('two controllers in one process serve over plain streams and end all that they started', async () => {
-  const { state, stateAt } = await aStateService();
-  const { cloud, cloudAt, provisioned } = await aCloud();
+  const { state, stateAddress } = await startStateService();
+  const { cloud, cloudAddress, provisioned } = await startCloud();
   const log = makeLog(nodeRuntime.clock, 'c', 'error');
   const runtime = new CountingRuntime();
   const stop = new AbortController();
   const runs = [0, 1].map((number) =>
-    new Controller(runtime, settingsFor(stateAt, cloudAt, number), log).run(stop.signal),
+    new Controller(runtime, settingsFor(stateAddress, cloudAddress, number), log).run(stop.signal),
   );
   const client = new UserClient('127.0.0.1:101', 5000, runtime);
   const job = aJob({ cpus: 1, gpus: 1, memory: 1 });
@@ -102,9 +102,9 @@
 });
 
 test('an address that is taken ends the controller with an error and all that it started', async () => {
-  const { state, stateAt } = await aStateService();
+  const { state, stateAddress } = await startStateService();
   const runtime = new CountingRuntime();
-  const settings = settingsFor(stateAt, stateAt, 0);
+  const settings = settingsFor(stateAddress, stateAddress, 0);
   const log = makeLog(nodeRuntime.clock, 'c', 'error');
   for (const port of [100, 200]) {
     const taken = net.createServer();
--- a/packages/controller/controller.ts
+++ b/packages/controller/controller.ts
@@ -48,7 +48,7 @@
     const { moves, replicaGroups } = this.settings.operator;
     const migrator = moves === null ? null : await this.loadShardMigrator(moves);
     if (replicaGroups !== null) await this.loadReplicaSupport(replicaGroups);
-    const running = this.start(stop.signal);
+    const running = this.startComponents(stop.signal);
     if (migrator !== null) running.push(migrator.run(stop.signal));
     try {
       await Promise.all(running);
@@ -81,7 +81,7 @@
   }
 
   /** Starts all components; each promise settles once its component has ended. */
-  private start(signal: AbortSignal): Promise<void>[] {
+  private startComponents(signal: AbortSignal): Promise<void>[] {
     const { components } = this;
     components.peers.frames.subscribe(({ from, frame }) => {
       components.statistics.peerFrames++;
--- a/packages/controller/extreme-limits.test.ts
+++ b/packages/controller/extreme-limits.test.ts
@@ -35,14 +35,14 @@
     const job = aJob({ id: 'j-1', tasks: 4 });
     cluster.storage.upload({ job, runS: [5, 5, 5, 60], failsAfterS: null });
     let isDone = false;
-    const useUntilDone = async () => {
+    const submitUntilDone = async () => {
       while (!isDone) {
         isDone = await user.submit(job).then(phaseIsDone, ignoreNoAnswer);
         await pause(runtime.clock, 1000);
       }
     };
     await cluster.start();
-    void useUntilDone();
+    void submitUntilDone();
     await cluster.world.runUntil(180);
     assert.ok(isDone);
     assert.deepEqual(cluster.world.uncaught, []);
--- a/packages/controller/replica-support.test.ts
+++ b/packages/controller/replica-support.test.ts
@@ -40,8 +40,8 @@
       apart: { id: 'j-3', spread: true },
       array: { id: 'j-4', kind: 'array' as const, tasks: 5, estimateS: 5 },
     };
-    for (const [name, own] of Object.entries(bodies)) {
-      const { status, job } = await client.submit({ ...MODEL, ...own });
+    for (const [name, overrides] of Object.entries(bodies)) {
+      const { status, job } = await client.submit({ ...MODEL, ...overrides });
       answers[name] = [status, job !== null && 'error' in job ? job.error : undefined];
     }
   };
@@ -108,6 +108,6 @@
   const workers = { lease_s: 10, report_s: 2 };
   const withWorkers = { deployment: { workers } } as unknown as PlatformSettings;
   assert.equal(withDefaults({}, withWorkers).replicaGroups, null);
-  const on = withDefaults({ replicaGroups: { model: { members: 2 } } }, withWorkers);
-  assert.deepEqual(on.replicaGroups, { model: members });
+  const withGroups = withDefaults({ replicaGroups: { model: { members: 2 } } }, withWorkers);
+  assert.deepEqual(withGroups.replicaGroups, { model: members });
 });
--- a/packages/controller/replica-support.ts
+++ b/packages/controller/replica-support.ts
@@ -18,11 +18,11 @@
   /** How the tasks of a job that is submitted now form replicas; null if each is by itself. */
   shapeOf(job: Job): ReplicaShape | null;
   /** Why the job's replicas can never be placed, or null. */
-  whyNeverWhole(job: Job, shape: ReplicaShape, types: MachineType[]): string | null;
+  unplaceableReason(job: Job, shape: ReplicaShape, types: MachineType[]): string | null;
   /** The replica groups of a new leader. */
   makeGroups(): ReplicaGroups;
   /** The replicas as operators see them now. */
-  rows(groups: ReplicaGroups): ReplicaRow[];
+  listReplicas(groups: ReplicaGroups): ReplicaRow[];
   /** Logs an open job that was accepted while each task of its class was a replica by itself. */
   recordJob(record: JobRecord): void;
   /** What was measured of repairs. */
@@ -52,27 +52,27 @@
   return {
     metrics,
     shapeOf: (job) => replicas.replicaShapeOf(job, classes),
-    whyNeverWhole: replicas.unplaceableReason,
+    unplaceableReason: replicas.unplaceableReason,
     recordJob: ({ job, replicas: shape }) => {
       if (shape || replicas.replicaShapeOf(job, classes) === null) return;
       log.info({ job: job.id, class: job.class }, 'job predates its replica groups');
     },
-    rows: (groups) => replicas.replicaRows(groups, runtime.clock.now()),
+    listReplicas: (groups) => replicas.replicaRows(groups, runtime.clock.now()),
     makeGroups: () =>
       new replicas.ReplicaGroups({
         leaseS,
         heartbeatIntervalS,
         random: () => runtime.random(),
-        listener: replicaListener(log, metrics),
+        listener: makeReplicaListener(log, metrics),
       }),
   };
 }
 
-function replicaListener(log: Log, metrics: ReplicaMetrics): ReplicaListener {
+function makeReplicaListener(log: Log, metrics: ReplicaMetrics): ReplicaListener {
   return {
     phaseChanged: ({ group, from, to, reason }) => {
       const machines = [...group.assignments()].map(({ machine }) => machine.name);
-      const fields = { ...nameOf(group), from, to, reason, machines };
+      const fields = { ...replicaLogFields(group), from, to, reason, machines };
       if (to === 'repairing')
         log.info({ ...fields, lostBy: group.lostBy }, 'replica repair started');
       else log.debug(fields, 'replica phase changed');
@@ -80,11 +80,11 @@
     recovered: ({ group, reason, tookS }) => {
       metrics.recovered(reason, tookS);
       const tookMs = Math.round(tookS * 1000);
-      log.info({ ...nameOf(group), reason, tookMs }, 'replica recovered');
+      log.info({ ...replicaLogFields(group), reason, tookMs }, 'replica recovered');
     },
   };
 }
 
-function nameOf({ job, index, state }: ReplicaGroup) {
+function replicaLogFields({ job, index, state }: ReplicaGroup) {
   return { job: job.spec.id, replica: index, generation: state.generation };
 }
--- a/packages/controller/services.ts
+++ b/packages/controller/services.ts
@@ -14,12 +14,12 @@
 export const ONLY_SHARD = 0;
 
 /** Cancellations whose records are remembered, to be told to peers that have not read them. */
-const RECORDED_CANCELLATIONS = 2000;
+const MAX_RECORDED_CANCELLATIONS = 2000;
 /** Multiple of the time to cancel for which a request to cancel is remembered. */
-const CANCELLATION_MEMORY = 2;
+const CANCELLATION_RETENTION_FACTOR = 2;
 
 /** Submissions and cancellations that may wait for their record, in seconds of the allowed rate. */
-const COMMIT_QUEUE_S = 2;
+const COMMIT_QUEUE_LENGTH_S = 2;
 
 /** The surroundings of a controller, and what it knows by the state service. */
 export interface ControllerServices {
@@ -38,7 +38,7 @@
 }
 
 /** Weights of teams whose submissions wait side by side: their shares of all guaranteed quotas. */
-function submissionWeights({ deployment, operator }: Settings): (team: string) => number {
+function makeSubmissionWeights({ deployment, operator }: Settings): (team: string) => number {
   const quotas = teamQuotas(deployment.teams);
   const guaranteed = { cpus: 0, gpus: 0, memory: 0 };
   for (const { guaranteedCpus, guaranteedGpus } of quotas.values()) {
@@ -57,8 +57,8 @@
   defersCampaign: () => boolean,
 ): ControllerServices {
   const { workers } = settings.deployment;
-  const memoryS = CANCELLATION_MEMORY * workers.cancel_s;
-  const cancellations = new Cancellations(RECORDED_CANCELLATIONS, memoryS);
+  const retentionS = CANCELLATION_RETENTION_FACTOR * workers.cancel_s;
+  const cancellations = new Cancellations(MAX_RECORDED_CANCELLATIONS, retentionS);
   const election = new LeaderElection({
     client,
     runtime,
@@ -76,8 +76,8 @@
     commits: new GroupCommit({
       client,
       runtime,
-      maxQueue: Math.ceil(client.limits.writeRps * COMMIT_QUEUE_S),
-      weightOf: submissionWeights(settings),
+      maxQueue: Math.ceil(client.limits.writeRps * COMMIT_QUEUE_LENGTH_S),
+      weightOf: makeSubmissionWeights(settings),
     }),
     election,
     jobs: new JobTable(jobs, cancellations),
--- a/packages/controller/state-access.ts
+++ b/packages/controller/state-access.ts
@@ -5,15 +5,15 @@
 import type { Settings } from './settings/settings.js';
 
 /** How long the state service may hold a request of a watch. */
-const WATCH_MS = 10_000;
+const WATCH_TIMEOUT_MS = 10_000;
 /** Shares of a heartbeat interval for which changes of jobs gather, at the leader and at followers. */
-const LEADER_BATCHING = 1 / 50;
-const FOLLOWER_BATCHING = 1 / 2;
+const LEADER_WATCH_PAUSE_INTERVALS = 1 / 50;
+const FOLLOWER_WATCH_PAUSE_INTERVALS = 1 / 2;
 /** Share of the state service's rates that one controller may use, among others and alone. */
-const STATE_SHARE = 0.55;
-const SOLE_STATE_SHARE = 0.9;
+const STATE_RATE_SHARE = 0.55;
+const SINGLE_CONTROLLER_RATE_SHARE = 0.9;
 /** Share of a heartbeat interval that queries wait for the read index, and share it. */
-const SYNC_SPACING = 1 / 5;
+const SYNC_SPACING_INTERVALS = 1 / 5;
 /** The read indexes of all controllers together take a fifth of the state service's rate at the most. */
 const SYNC_RATE_SHARE = 1 / 5;
 
@@ -45,24 +45,26 @@
 }
 
 /** Nothing is sent before the caches run; `leading` tells whether this controller leads now. */
-export function accessState(
+export function makeStateAccess(
   runtime: Runtime,
   { external, deployment }: Settings,
-  leading: () => boolean,
+  isLeading: () => boolean,
 ): StateAccess {
   const { nodes, state, workers } = deployment;
   const heartbeatIntervalMs = workers.report_s * 1000;
   const limits = stateLimits(state);
   const api = new StateApi(runtime, external.state, heartbeatIntervalMs);
-  const share = nodes === 1 ? SOLE_STATE_SHARE : STATE_SHARE;
+  const share = nodes === 1 ? SINGLE_CONTROLLER_RATE_SHARE : STATE_RATE_SHARE;
   const client = new StateClient(runtime.clock, api, limits, share);
-  const leastSpacingMs = (nodes * 1000) / (limits.rps * SYNC_RATE_SHARE);
-  const syncSpacingMs = Math.max(leastSpacingMs, heartbeatIntervalMs * SYNC_SPACING);
-  const caching = { client, runtime, watchMs: WATCH_MS, syncSpacingMs };
-  const gatherMs = () => heartbeatIntervalMs * (leading() ? LEADER_BATCHING : FOLLOWER_BATCHING);
+  const minSpacingMs = (nodes * 1000) / (limits.rps * SYNC_RATE_SHARE);
+  const syncSpacingMs = Math.max(minSpacingMs, heartbeatIntervalMs * SYNC_SPACING_INTERVALS);
+  const cacheOptions = { client, runtime, watchMs: WATCH_TIMEOUT_MS, syncSpacingMs };
+  const watchPauseMs = () =>
+    heartbeatIntervalMs *
+    (isLeading() ? LEADER_WATCH_PAUSE_INTERVALS : FOLLOWER_WATCH_PAUSE_INTERVALS);
   return {
     client,
-    world: new PrefixCache({ ...caching, prefix: WORLD }),
-    jobs: new PrefixCache({ ...caching, prefix: JOBS, gatherMs }),
+    world: new PrefixCache({ ...cacheOptions, prefix: WORLD }),
+    jobs: new PrefixCache({ ...cacheOptions, prefix: JOBS, gatherMs: watchPauseMs }),
   };
 }
--- a/packages/controller/state-limits.test.ts
+++ b/packages/controller/state-limits.test.ts
@@ -26,10 +26,10 @@
 import { stateLimits } from './state-access.js';
 
 const EXAMPLE = fileURLToPath(new URL('../../examples/settings.toml', import.meta.url));
-const NOW = { rps: 150, write_rps: 50, value_kb: 8, txn_ops: 24 };
+const CURRENT_LIMITS = { rps: 150, write_rps: 50, value_kb: 8, txn_ops: 24 };
 
 /** What an older version makes of progress records: it counts the parts that their keys name in units. */
-function readLikeOldVersion(records: [string, unknown][], unit: number): Set<number> {
+function readAsOlderVersion(records: [string, unknown][], unit: number): Set<number> {
   const done = new Set<number>();
   for (const [key, value] of records) {
     const [, label] = key.slice(PROGRESS.length).split('/');
@@ -42,15 +42,18 @@
 }
 
 test('all requests keep to the smaller of the limits in force and those to come', () => {
-  assert.deepEqual(stateLimits({ ...NOW, next: { value_kb: 2, txn_ops: 16, write_rps: 60 } }), {
-    rps: 150,
-    writeRps: 50,
-    valueBytes: 2048,
-    txnOps: 16,
-    layoutBytes: 8192,
-  });
-  assert.deepEqual(stateLimits(NOW), stateLimits({ ...NOW, next: {} }));
-  assert.equal(stateLimits({ ...NOW, value_kb: 64 }).valueBytes, 56 * 1024);
+  assert.deepEqual(
+    stateLimits({ ...CURRENT_LIMITS, next: { value_kb: 2, txn_ops: 16, write_rps: 60 } }),
+    {
+      rps: 150,
+      writeRps: 50,
+      valueBytes: 2048,
+      txnOps: 16,
+      layoutBytes: 8192,
+    },
+  );
+  assert.deepEqual(stateLimits(CURRENT_LIMITS), stateLimits({ ...CURRENT_LIMITS, next: {} }));
+  assert.equal(stateLimits({ ...CURRENT_LIMITS, value_kb: 64 }).valueBytes, 56 * 1024);
 });
 
 test('limits to come are read from the settings file, and bad ones are named at the start', (t) => {
@@ -65,10 +68,10 @@
   assert.deepEqual(load(''), {});
   for (const bad of ['txn_ops = 1', 'txn_ops = 2.5', 'value_kb = 0', 'write_rps = "many"']) {
     const [field] = bad.split(' ');
-    const named = new RegExp(`deployment\\.state\\.next\\.${field}`);
+    const errorPattern = new RegExp(`deployment\\.state\\.next\\.${field}`);
     assert.throws(
       () => load(bad),
-      (err) => err instanceof SettingsError && named.test(err.message),
+      (err) => err instanceof SettingsError && errorPattern.test(err.message),
     );
   }
 });
@@ -117,8 +120,8 @@
   for (const label of [0, 1, 2, 4]) {
     const bits = Buffer.alloc(Math.min(unit, tasks - label * unit) / 8);
     for (const task of done) {
-      const place = task - label * unit;
-      if (place >= 0 && place < bits.length * 8) bits[place >> 3] |= 1 << (place & 7);
+      const bit = task - label * unit;
+      if (bit >= 0 && bit < bits.length * 8) bits[bit >> 3] |= 1 << (bit & 7);
     }
     const value = { done: bits.toString('base64') };
     const version = store.apply([{ put: progressKey('j-1', label), value }]);
@@ -136,7 +139,7 @@
   const records = written.map(({ key, value }): [string, unknown] => [key, value]);
   const expected = [...done, 1, 30_000].sort((one, other) => one - other);
   assert.deepEqual(
-    [...readLikeOldVersion(records, unit)].sort((a, b) => a - b),
+    [...readAsOlderVersion(records, unit)].sort((a, b) => a - b),
     expected,
   );
   for (const { key, value, version } of written) {
@@ -176,10 +179,10 @@
   for (let index = 0; index < 100; index++) {
     fleet.assignments.end([...machine.tasks.values()][0], 'done', false, 1);
     await flush();
-    const named = tasksOn('n-1')!.length;
+    const recordedTasks = tasksOn('n-1')!.length;
     // It says too much, never too little.
-    assert.ok(named >= machine.tasks.size);
-    onRecord = Math.min(onRecord, named);
+    assert.ok(recordedTasks >= machine.tasks.size);
+    onRecord = Math.min(onRecord, recordedTasks);
   }
   assert.equal(onRecord, machine.tasks.size);
   const other = aMachine(fleet, 'n-2');
