--- a/packages/controller/api/admission.ts
+++ b/packages/controller/api/admission.ts
@@ -1,25 +1,25 @@
-/** Limits how many submissions wait for their records, team by team. */
+/** Limits, per team, how many submissions wait for their records to be written. */
 import type { GroupCommit, StateClient } from '#store';
 import type { Runtime } from '#wire';
 import type { Log } from '../observability/log.js';
 
-/** Heartbeat intervals that a submission may be expected to wait for its record; else it is refused. */
+/** A submission whose expected wait for its record exceeds this many heartbeat intervals is refused. */
 const MAX_WAIT_INTERVALS = 2;
 /**
- * Longest wait, in seconds, if the other controllers begin to use their whole share of the rates: a user
- * gives up after 5 s.
+ * Limit of a submission's wait, in seconds, for the case that the other controllers start to use their
+ * whole share of the state service's rates. Users' clients time out after 5 s.
  */
 const MAX_WORST_CASE_WAIT_S = 4;
-/** Longest time, in seconds, that a user waits before a retry, whatever `Retry-After` says. */
+/** Upper limit of `Retry-After`, in seconds: users retry after this time even if the header says more. */
 const MAX_RETRY_AFTER_S = 30;
-/** Share of the time for which the state service has failed over which retries are spread. */
+/** Ratio of the period over which retries are spread to the time for which the state service has failed. */
 const FAILURE_SPREAD_RATIO = 1 / 4;
-/** Heartbeat intervals over which retries are spread at most. */
+/** Upper limit of the period over which retries are spread, in heartbeat intervals. */
 const MAX_FAILURE_SPREAD_INTERVALS = 4;
-/** Heartbeat intervals between two log lines about one team. */
+/** Heartbeat intervals between two log lines about refusals of one team. */
 const INTERVALS_BETWEEN_LOG_LINES = 10;
 
-/** What admission is decided by. */
+/** Dependencies of `Admission`. */
 export interface AdmissionOptions {
   runtime: Runtime;
   client: Pick<StateClient, 'usersChangesPerS' | 'usersWaitS' | 'failingSince'>;
@@ -28,25 +28,29 @@
   log: Log;
 }
 
-/** The submissions of a team that were refused. */
+/** The refused submissions of one team. */
 interface TeamRefusals {
   total: number;
-  /** When the last retry of those that got a time of their own is due; steady seconds. */
+  /**
+   * Latest time at which a refused user was told to retry, in seconds of the monotonic clock. Retries that
+   * are spread at random don't count.
+   */
   lastRetryAt: number;
   loggedAt: number;
 }
 
 /**
- * Decides at once whether a submission may wait for its record. A team's submissions wait only for those
- * of its own and for the turns of other teams, so a team that overruns is refused while others are
- * accepted. Each controller decides alone, by its own share of the state service's rates.
+ * Decides, without waiting, whether a submission may queue for its record to be written. A submission
+ * queues behind those of its own team; teams take turns. A team that submits too much is therefore refused
+ * while the submissions of other teams are accepted. Each controller decides alone, based on its own share
+ * of the state service's rates.
  */
 export class Admission {
   private readonly refusals = new Map<string, TeamRefusals>();
 
   constructor(private readonly options: AdmissionOptions) {}
 
-  /** Null if a submission of the team may wait; else the seconds after which its user is to retry. */
+  /** Null if a submission of the team may queue; otherwise the seconds after which the user should retry. */
   refusalDelayS(team: string): number | null {
     const { client, commits, heartbeatIntervalS } = this.options;
     const { expected, longest } = client.usersWaitS(commits.changesAhead(team) + 1);
@@ -57,8 +61,9 @@
   }
 
   /**
-   * Seconds after which a user is to retry whose request the state service did not serve. They grow with
-   * the time for which the service has failed, so that fewer retry in vain and not all at its end.
+   * Seconds after which a user should retry a request that the state service did not serve. The delay grows
+   * with the time for which the service has failed. Fewer retries then fail again, and the retries don't all
+   * arrive when the service recovers.
    */
   retryAfterFailureS(): number {
     const { runtime, client, heartbeatIntervalS } = this.options;
@@ -76,9 +81,10 @@
   }
 
   /**
-   * Records a refusal; the seconds after which its user is to retry. Retries come one by one, as fast as
-   * the team's submissions are recorded and after all that wait now. Past the longest time that a user
-   * waits they are spread at random.
+   * Counts a refusal of the team and returns the seconds after which the user should retry. Each refused
+   * user gets its own retry time, after all submissions that are queued now and at the rate at which the
+   * team's submissions are recorded. Retry times beyond `MAX_RETRY_AFTER_S` are replaced by random ones
+   * between half of it and all of it.
    */
   refuse(team: string): number {
     const { runtime, client, commits } = this.options;
--- a/packages/controller/api/cancellation-handler.ts
+++ b/packages/controller/api/cancellation-handler.ts
@@ -7,17 +7,17 @@
 import type { JobStore } from './job-store.js';
 import { replyError, replyJob } from './replies.js';
 
-/** Attempts to record one cancellation; the record may change in between. */
+/** Limit of the attempts to record one cancellation. An attempt fails if the job's record has changed. */
 const MAX_WRITE_ATTEMPTS = 3;
-/** Seconds after which a user repeats a cancellation that was not recorded. */
+/** `Retry-After` of a cancellation that was not recorded, in seconds. */
 const RETRY_AFTER_S = 1;
 
-/** What records a cancellation, and who is told of it before. */
+/** Dependencies of `CancellationHandler`. */
 export interface CancellationHandlerOptions {
   client: Pick<StateClient, 'limits'>;
   jobs: JobTable;
   store: JobStore;
-  /** Told when a user has requested a cancellation and before it is recorded. */
+  /** Called when a user has requested a cancellation, before the cancellation is recorded. */
   onCancel: (id: string) => void;
 }
 
@@ -25,13 +25,14 @@
 export class CancellationHandler {
   constructor(private readonly options: CancellationHandlerOptions) {}
 
-  /** Answers one request. Rejects with an error of the state service. */
+  /** Answers one cancellation request. Rejects if the state service fails. */
   async cancel(req: Request, res: Response): Promise<void> {
     const { client, jobs, store, onCancel } = this.options;
     const id = String(req.params.id);
     let record = isJobId(id) ? await store.lookUp(id) : undefined;
-    // The leader learns of it first: once it is recorded this process may end, and the state service
-    // with it, and the user may have been told. Nobody has use for the tasks of a job that is given up.
+    // The leader is told of the cancellation before it is recorded. Afterwards this process and the state
+    // service may fail, and the user may already have the answer, but the job's tasks would still run. It
+    // is safe to stop the tasks early, since nobody needs the tasks of a job whose user cancelled it.
     if (record?.phase === 'accepted') onCancel(id);
     for (let attempt = 0; record?.phase === 'accepted' && attempt < MAX_WRITE_ATTEMPTS; attempt++) {
       const { condition, change } = jobEnding(record, 'cancelled', client.limits.valueBytes);
@@ -46,7 +47,7 @@
         }
       } catch (err) {
         if (!(err instanceof NoAnswer)) throw err;
-        // It may have been applied, or may be later; the record that is read next tells.
+        // The write may have been applied, or may still be; the read below shows the record's current state.
       }
       store.applyRead(id, await store.read(id));
       record = jobs.get(id);
--- a/packages/controller/api/dependency-validator.ts
+++ b/packages/controller/api/dependency-validator.ts
@@ -1,15 +1,16 @@
-/** Judges a submission by the jobs that it depends on. */
+/** Checks the dependencies of submitted jobs. */
 import { type Job, JOB_FIELDS } from '#wire';
 import type { EndedJob, JobTable, OpenJob } from '../jobs/job-table.js';
 
-/** Judges the dependencies of submissions by the job table, and brings the table up to date for it. */
+/** Checks the dependencies of a submission against the job table, and updates the table first if necessary. */
 export class DependencyValidator {
   constructor(private readonly jobs: JobTable) {}
 
   /**
-   * Why a job can never run for what it depends on, or null. Another controller may have accepted a
-   * dependency a moment ago, so that one was never accepted is only said after a read that was sent
-   * after the submission. Rejects as `PrefixCache.sync`.
+   * The reason why the job's dependencies can never be met, or null. Another controller may just have
+   * accepted a dependency that is missing in the job table. The method therefore reports a dependency as
+   * never accepted only after a read of the state service that was sent after the submission arrived.
+   * Rejects like `PrefixCache.sync`.
    */
   async rejectionReason({ awaits: dependencies }: Job): Promise<string | null> {
     if (dependencies.some((id) => !this.jobs.get(id))) await this.jobs.cache.sync();
@@ -24,8 +25,8 @@
   }
 
   /**
-   * Resolves once it is known whether any dependency was cancelled before the call, directly or with
-   * one of its own dependencies. Rejects as `PrefixCache.sync`.
+   * Resolves once the job table shows every cancellation of a dependency made before the call, whether of
+   * the dependency itself or of one of its own dependencies. Rejects like `PrefixCache.sync`.
    */
   async syncOutcomes({ awaits: dependencies }: Job): Promise<void> {
     const hasOpen = dependencies.some((id) => this.jobs.get(id)?.phase === 'accepted');
--- a/packages/controller/api/health-endpoint.ts
+++ b/packages/controller/api/health-endpoint.ts
@@ -5,12 +5,12 @@
 import type { ControllerServices } from '../services.js';
 import type { StatusExchange } from '../peers/status-exchange.js';
 
-/** Heartbeat intervals for which a refusal, or a peer's silence, may last before it counts. */
+/** Heartbeat intervals for which the state service may fail, or a peer may be silent, before it counts. */
 const TOLERANCE_INTERVALS = 2;
 
 type Services = Pick<ControllerServices, 'runtime' | 'settings' | 'client' | 'jobs' | 'types'>;
 
-/** What the health of a controller depends on. */
+/** Dependencies of `HealthEndpoint`. */
 export interface HealthEndpointOptions extends Services {
   statuses: StatusExchange;
 }
@@ -19,7 +19,7 @@
 export class HealthEndpoint {
   constructor(private readonly options: HealthEndpointOptions) {}
 
-  /** Adds the route. */
+  /** Adds the route to the application. */
   mount(app: Express): void {
     app.get('/healthz', (_req, res) => {
       replyHealth(res, this.isHealthy());
--- a/packages/controller/api/health.ts
+++ b/packages/controller/api/health.ts
@@ -1,34 +1,34 @@
-/** Whether users should be sent to this controller. */
+/** Decides whether the load balancer should send users to this controller. */
 import { isReachable, type PeerStatus } from '../peers/peer-status.js';
 
-/** How the state service serves this controller, and what its peers state; steady seconds. */
+/** What the health check evaluates. Times are in seconds of the monotonic clock. */
 export interface HealthInputs {
   now: number;
-  /** The jobs and the machine types are known. */
+  /** Whether the jobs and the machine types are loaded. */
   isLoaded: boolean;
-  /** The state service did not serve the newest request whose outcome is known. */
+  /** Whether the state service failed to serve the newest request whose outcome is known. */
   isRefused: boolean;
-  /** When the newest request was sent that the state service served. */
+  /** Sending time of the newest request that the state service served. */
   lastSuccessAt: number;
-  /** When the newest request was sent that the state service did not serve. */
+  /** Sending time of the newest request that the state service did not serve. */
   lastFailureAt: number;
-  /** The latest statement of each other controller; null if none has arrived. */
+  /** The latest status of each other controller; null if none has arrived. */
   peers: (PeerStatus | null)[];
-  /** For how long a refusal, or a peer's silence, may last before it counts. */
+  /** Seconds for which the state service may fail, or a peer may be silent, before it counts. */
   toleranceS: number;
 }
 
 /**
- * Whether users should be sent here: not before the records are loaded, and not while the state service
- * refuses this controller but may serve others. In an outage for all controllers everybody stays
- * healthy, since no other could answer better.
+ * Whether the load balancer should send users to this controller. The controller is unhealthy until its
+ * records are loaded, and while the state service fails for it but may serve others. In an outage that
+ * affects all controllers, all stay healthy, since no other controller could answer better.
  */
 export function isHealthy(inputs: HealthInputs): boolean {
   const { now, lastSuccessAt, toleranceS } = inputs;
   if (!inputs.isLoaded) return false;
   if (!inputs.isRefused || inputs.lastFailureAt - lastSuccessAt < toleranceS) return true;
   const reachable = inputs.peers.filter((peer) => isReachable(peer, now, toleranceS));
-  // Cut off from the peers as well, this controller can't know whether they are served.
+  // Without a reachable peer this controller can't know whether the state service serves its peers.
   if (reachable.length === 0) return inputs.peers.length === 0;
   return !reachable.some(
     (peer) => !peer.frame.refused && peer.lastServedAt > lastSuccessAt + toleranceS,
--- a/packages/controller/api/http-interface.ts
+++ b/packages/controller/api/http-interface.ts
@@ -1,4 +1,4 @@
-/** Joins the HTTP server with all that answers requests. */
+/** Builds the HTTP server together with the handlers of all its routes. */
 import { parseHostPort } from '#wire';
 import type { Admission } from './admission.js';
 import type { CancellationRelay } from '../peers/cancellation-relay.js';
@@ -17,13 +17,13 @@
 import { UserApi } from './user-api.js';
 import type { ProcessStatistics } from '../observability/process-statistics.js';
 
-/** What answers to workers, users and operators depend on. */
+/** Dependencies of the HTTP server and its handlers. */
 export interface HttpInterfaceOptions {
   services: ControllerServices;
-  /** Connections of workers and users that may be open. */
+  /** Limit of the open connections of workers and users. */
   maxConnections: number;
   statuses: StatusExchange;
-  /** A controller that has sent nothing for this long is unreachable; seconds. */
+  /** Seconds without any message after which another controller counts as unreachable. */
   silenceS: number;
   cancellationRelay: CancellationRelay;
   standby: StandbyRenewal;
@@ -34,7 +34,7 @@
   admission: Admission;
   /** The leader that runs in this process; null while this controller is a follower. */
   leader: () => ShardLeader | null;
-  /** The same leader while it holds the leader lease; else null. */
+  /** The leader that runs in this process while it holds the leader lease; otherwise null. */
   activeLeader: () => ShardLeader | null;
 }
 
--- a/packages/controller/api/http-server.ts
+++ b/packages/controller/api/http-server.ts
@@ -5,21 +5,21 @@
 import { replyError } from './replies.js';
 import { collectBody } from './request-body.js';
 
-/** How long a connection of a worker or user is kept without a request; milliseconds. */
+/** Time after which an idle connection of a worker or user is closed, in milliseconds. */
 const KEEP_ALIVE_MS = 75_000;
-/** Share of the server's connections above which users' connections are not kept. */
+/** Share of the connection limit above which the server closes users' connections after each answer. */
 const NEAR_LIMIT_SHARE = 0.9;
 
-/** Answers a heartbeat; the body is undefined if it is too large. */
+/** Answers a heartbeat. The body is undefined if it exceeds the size limit. */
 export type HeartbeatHandler = (body: unknown, res: http.ServerResponse) => void;
 
-/** What the server listens on and what it serves. */
+/** Address, limits and handlers of `HttpServer`. */
 export interface HttpServerOptions {
   network: Network;
   address: HostPort;
-  /** Connections that may be open at a time. */
+  /** Limit of the connections that are open at the same time. */
   maxConnections: number;
-  /** Adds all routes but that of heartbeats. */
+  /** Adds all routes except the one for heartbeats. */
   mount: (app: Express) => void;
   onHeartbeat: HeartbeatHandler;
 }
@@ -45,12 +45,12 @@
     return this.listener.connections;
   }
 
-  /** Whether few connections are left. */
+  /** Whether the number of open connections is close to the limit. */
   get isNearConnectionLimit(): boolean {
     return this.connections > NEAR_LIMIT_SHARE * this.options.maxConnections;
   }
 
-  /** Serves until the signal aborts, then ends all connections; rejects with ListenError. */
+  /** Serves until the signal aborts, then closes all connections. Rejects with ListenError if it can't listen. */
   async run(signal: AbortSignal): Promise<void> {
     await this.listener.open(this.options.address);
     await signalAborted(signal);
@@ -59,8 +59,8 @@
 }
 
 /**
- * Passes heartbeats by express: nearly all requests to a leader are heartbeats, and express's way to the
- * handler cost more than the handler. Express serves everything else.
+ * Makes a request listener that hands heartbeats directly to their handler and all other requests to
+ * express. Nearly all requests to a leader are heartbeats, and express's routing cost more than the handler.
  */
 export function routeRequests(app: Express, onHeartbeat: HeartbeatHandler): http.RequestListener {
   return (req, res) => {
@@ -72,7 +72,7 @@
   };
 }
 
-/** An express application that hands raw bodies within the limit to its routes. */
+/** Makes an express application whose routes get the raw body, or undefined if it exceeds the size limit. */
 export function makeApp(): Express {
   const app = express();
   app.disable('x-powered-by');
@@ -87,7 +87,7 @@
   return app;
 }
 
-/** The method that each known path allows. */
+/** The HTTP method that each known path allows. */
 const ALLOWED_METHODS = [
   { path: /^\/(submissions|hello)\/?$/, method: 'POST' },
   { path: /^\/submissions\/[^/]+\/?$/, method: 'GET' },
@@ -95,7 +95,7 @@
   { path: /^\/(healthz|metrics|replicas)\/?$/, method: 'GET' },
 ];
 
-/** Answers unknown paths, wrong methods and bodies that could not be read. To be mounted last. */
+/** Answers requests with unknown paths, wrong methods or unreadable bodies. Must be mounted last. */
 export function mountFallbacks(app: Express): void {
   app.use((req: Request, res: Response) => {
     const allowed = ALLOWED_METHODS.find(({ path }) => path.test(req.path));
--- a/packages/controller/api/replica-endpoint.ts
+++ b/packages/controller/api/replica-endpoint.ts
@@ -1,10 +1,10 @@
-/** Serves the replicas of several members to operators. */
+/** Serves the list of replicas that have several members to operators. */
 import type { Express } from 'express';
 import type { LeaderElection } from '#store';
 import type { ShardLeader } from '../leadership/shard-leader.js';
 import type { OptionalReplicaSupport } from '../replica-support.js';
 
-/** What the list of replicas is read from. */
+/** Sources of the list of replicas. */
 export interface ReplicaEndpointOptions {
   replicas: OptionalReplicaSupport;
   /** The leader that runs in this process; null while this controller is a follower. */
@@ -12,7 +12,7 @@
   election: Pick<LeaderElection, 'currentLeader'>;
 }
 
-/** Adds the route `/replicas`, which answers with 404 if replica groups are switched off. */
+/** Adds the route `/replicas`. It answers with 404 if replica groups are disabled. */
 export function mountReplicaRoute(app: Express, options: ReplicaEndpointOptions): void {
   app.get('/replicas', (_req, res) => {
     const { support } = options.replicas;
--- a/packages/controller/api/replies.ts
+++ b/packages/controller/api/replies.ts
@@ -1,11 +1,11 @@
 /**
- * Sends the answers to HTTP requests, in the words of the protocol. Users' answers have a type each, so
- * that a word of the code, such as the phase `cancelled`, can't reach the wire.
+ * Sends the answers to HTTP requests. Each kind of answer to users has its own type, so that internal
+ * names, such as the job phase `cancelled`, can't reach the wire.
  */
 import type { ServerResponse } from 'node:http';
 import { encode, type JobView } from '#wire';
 
-/** Sends a body that `#wire` has made from a message, with one write for head and body. */
+/** Sends a body in wire format. Head and body go out in one write. */
 export function reply(
   res: ServerResponse,
   status: number,
@@ -21,12 +21,12 @@
   res.writeHead(status, head).end(bytes);
 }
 
-/** Tells a user how a job stands. */
+/** Sends the state of a job to a user. */
 export function replyJob(res: ServerResponse, status: 200 | 201, job: JobView): void {
   reply(res, status, { ...job });
 }
 
-/** Says why a request failed and, if it may be repeated, after how many seconds. */
+/** Sends the reason why a request failed and, if the request may be repeated, the delay in seconds. */
 export function replyError(
   res: ServerResponse,
   status: number,
--- a/packages/controller/api/request-body.ts
+++ b/packages/controller/api/request-body.ts
@@ -1,14 +1,14 @@
-/** Reads the bodies of requests. */
+/** Reads request bodies. */
 import type { IncomingMessage } from 'node:http';
 import { decode, MalformedBody } from '#wire';
 
-/** Largest body of a request, in bytes. */
+/** Limit of a request body, in bytes. */
 const MAX_BODY_BYTES = 64 * 1024;
 
 /**
- * Collects a body and passes it on, or undefined if it is too large. Express's body parsers are not
- * used: most of what the leader of a large fleet does is to read heartbeats, and the parsers' streams
- * cost more than reading the heartbeat itself.
+ * Collects a body and passes it to `onBody`, or undefined if the body is too large. Express's body parsers
+ * are not used: the leader of a large fleet spends most of its time reading heartbeats, and the streams of
+ * these parsers cost more than decoding the heartbeat.
  */
 export function collectBody(
   req: IncomingMessage,
@@ -18,7 +18,7 @@
   let size = 0;
   req.on('data', (chunk: Buffer) => {
     size += chunk.length;
-    // A body that is too large is read to its end, so that the answer can be sent, but it is not kept.
+    // A body that is too large is read to its end, so that the answer can be sent, but it is not stored.
     if (size <= MAX_BODY_BYTES) chunks.push(chunk);
   });
   req.on('end', () => {
@@ -27,7 +27,7 @@
   });
 }
 
-/** Decodes the map that a collected body holds; throws MalformedBody. */
+/** Decodes a collected body. Throws MalformedBody if the body is missing, too large or not a map. */
 export function readBody(body: unknown): Record<string, unknown> {
   if (!Buffer.isBuffer(body)) throw new MalformedBody('body: is missing or too long');
   const value = decode(body);
--- a/packages/controller/api/submission-check.ts
+++ b/packages/controller/api/submission-check.ts
@@ -1,20 +1,19 @@
-/** Judges submissions by themselves, whatever is known of their ids. */
+/** Checks the content of submissions, without looking up their ids. */
 import { type ReplicaShape, type TeamQuota, typeFits, withinLimit } from '#core';
 import { encodeJob, jobKey, type JobRecord, sizeInJson } from '#store';
 import { type Job, JOB_FIELDS, type MachineType, MalformedBody, parseJob } from '#wire';
 import type { ControllerServices } from '../services.js';
 import { teamQuotas } from '../settings/settings.js';
 
-/** No resources at all. */
 const NO_RESOURCES = { cpus: 0, gpus: 0, memory: 0 };
 
-/** Why a submission is refused for good. */
+/** A permanent refusal: the HTTP status and the reason. */
 export interface Refusal {
   status: 400 | 422;
   error: string;
 }
 
-/** A job that may be accepted. */
+/** A job that passed the check, with the shape of its replicas if they have several members. */
 export type AcceptableJob = Pick<JobRecord, 'job' | 'replicas'>;
 
 /** Refuses submissions that are malformed or can never run. */
@@ -31,8 +30,8 @@
   }
 
   /**
-   * The job as it is to be recorded, with the shape of its replicas if they have several members, or why
-   * it is refused.
+   * Returns the job as it should be recorded, with the shape of its replicas if they have several members,
+   * or the refusal.
    */
   check(raw: unknown): AcceptableJob | { refusal: Refusal } {
     try {
@@ -50,14 +49,14 @@
     }
   }
 
-  /** Leaves out machine types that don't exist, so that a long list doesn't fill the record. */
+  /** Drops machine types that don't exist, so that a long list of types doesn't fill the record. */
   private withoutUnknownTypes(job: Job): Job {
     const known = new Set(this.services.types.all().map((type) => type.name));
     if (job.types === null || known.size === 0 || job.types.length <= known.size) return job;
     return { ...job, types: job.types.filter((type) => known.has(type)) };
   }
 
-  /** Why a job can never run, or null. Not by its machine types while these are not known. */
+  /** The reason why a job can never run, or null. Ignores machine types until they are loaded. */
   private findPermanentObstacle(job: Job): string | null {
     if (job.awaits.includes(job.id)) return `${JOB_FIELDS.awaits}: a job can't await itself`;
     const quota = this.teams.get(job.team);
@@ -66,7 +65,7 @@
     return findQuotaExcess(job, quota) ?? (types.length > 0 ? findTypeMismatch(job, types) : null);
   }
 
-  /** Why no replica of the job can ever have all its members, or null. */
+  /** The reason why no replica of the job can ever have all its members, or null. */
   private findReplicaObstacle(job: Job, shape: ReplicaShape | null): string | null {
     const { replicas, types } = this.services;
     if (shape === null || replicas.support === null) return null;
@@ -78,7 +77,7 @@
     return `lane, crew, bundle, rigs, yard, awaits: their record would be larger than ${valueBytes} bytes`;
   }
 
-  /** Whether the record fits one value of the state service. */
+  /** Whether the job's record fits into one value of the state service. */
   private fitsRecord({ job, replicas }: AcceptableJob): boolean {
     const value = encodeJob({
       job,
@@ -90,7 +89,10 @@
   }
 }
 
-/** Why the job needs more than its team's limit, or null: one task of an array, else all tasks. */
+/**
+ * The reason why the job exceeds its team's limit, or null. An array needs resources for one task at a
+ * time, a job of another kind for all its tasks.
+ */
 function findQuotaExcess(job: Job, quota: TeamQuota): string | null {
   const tasksAtOnce = job.kind === 'array' ? 1 : job.tasks;
   for (const amount of ['cpus', 'gpus'] as const) {
@@ -102,7 +104,7 @@
   return null;
 }
 
-/** Why a task fits no allowed machine type, or null. */
+/** The reason why a task of the job fits no allowed machine type, or null. */
 function findTypeMismatch(job: Job, types: MachineType[]): string | null {
   if (types.some((type) => typeFits(job, type))) return null;
   const listed = types.filter(({ name }) => job.types === null || job.types.includes(name));
--- a/packages/controller/api/submission-handler.ts
+++ b/packages/controller/api/submission-handler.ts
@@ -10,14 +10,14 @@
 import { readBody } from './request-body.js';
 import type { AcceptableJob, Refusal, SubmissionCheck } from './submission-check.js';
 
-/** Status with which the state service refuses requests above its rates. */
+/** HTTP status with which the state service refuses requests that exceed its rates. */
 const TOO_MANY_REQUESTS = 429;
-/** The version of a record that doesn't exist. */
+/** Version that stands for a record that doesn't exist. */
 const ABSENT_RECORD_VERSION = 0;
-/** Seconds after which a user repeats a submission that could not be decided. */
+/** `Retry-After` of a submission that could be neither accepted nor refused, in seconds. */
 const UNDECIDED_RETRY_S = 1;
 
-/** What decides about a submission. */
+/** Dependencies of `SubmissionHandler`. */
 export interface SubmissionHandlerOptions {
   clock: Clock;
   jobs: JobTable;
@@ -26,15 +26,15 @@
   dependencyValidator: DependencyValidator;
   admission: Admission;
   types: () => MachineType[];
-  /** Seconds after which submissions are accepted again if this process is overloaded; else null. */
+  /** Seconds until an overloaded process accepts submissions again; null if the process is not overloaded. */
   overloadedForS: () => number | null;
 }
 
-/** Accepts submissions, refuses those that can never run, and tells of jobs that are known already. */
+/** Accepts submissions, refuses jobs that can never run, and returns the state of jobs that are already known. */
 export class SubmissionHandler {
   constructor(private readonly options: SubmissionHandlerOptions) {}
 
-  /** Answers one submission. Rejects with MalformedBody, or with an error of the state service. */
+  /** Answers one submission. Rejects with MalformedBody, or with an error if the state service fails. */
   async submit(req: Request, res: Response): Promise<void> {
     const { jobs, store, submissionCheck, types, dependencyValidator, admission } = this.options;
     const overloadedForS = this.options.overloadedForS();
@@ -46,7 +46,7 @@
     const id = typeof raw.id === 'string' && isJobId(raw.id) ? raw.id : null;
     const known = id === null ? undefined : jobs.get(id);
     if (id !== null && known) {
-      // An idempotent repetition: a known job is known whatever the new body says.
+      // Submission is idempotent: the state of a known job is returned whatever the new body contains.
       const current = await store.lookUp(id);
       replyJob(res, 200, jobs.view(id, current ?? known));
       return;
@@ -71,7 +71,10 @@
     else this.replyTooManySubmissions(res, retryAfterS);
   }
 
-  /** Another controller may have accepted the id a moment ago; it is null if the body has none. */
+  /**
+   * Refuses a submission unless another controller has just accepted its id, in which case the job's state
+   * is returned. The id is null if the body has none.
+   */
   private async refuseUnlessKnown(
     id: string | null,
     { status, error }: Refusal,
@@ -90,10 +93,10 @@
   private async accept(acceptable: AcceptableJob, res: Response): Promise<void> {
     const { jobs, admission, dependencyValidator } = this.options;
     const { job } = acceptable;
-    // Beside the record, since it takes as long.
+    // Runs concurrently with the write of the record, since both take about as long.
     const outcomesSync = dependencyValidator.syncOutcomes(job);
     outcomesSync.catch(() => {
-      // Thrown below, where it is waited for, unless the record fails before.
+      // `await outcomesSync` below throws this error, unless the write of the record fails first.
     });
     let isNew: boolean;
     try {
@@ -110,7 +113,7 @@
     else replyJob(res, 201, { id: job.id, phase: jobs.view(job.id, known).phase });
   }
 
-  /** Records an accepted job; false if that was done before, or if it is not known whether it was. */
+  /** Records an accepted job. Returns false if the job was already recorded or if the outcome is unknown. */
   private async record({ job, replicas }: AcceptableJob): Promise<boolean> {
     const { clock, store } = this.options;
     const value = encodeJob({ job, replicas, acceptedAtMs: clock.wallMs(), phase: 'accepted' });
@@ -123,7 +126,8 @@
       }
     } catch (err) {
       if (!(err instanceof NoAnswer)) throw err;
-      // It may have been applied, or may be later; the record tells, and a repetition finds it.
+      // The write may have been applied, or may still be. The read below shows a record that exists now; a
+      // later one is found when the user repeats the submission.
     }
     store.applyRead(job.id, await store.read(job.id));
     return false;
--- a/packages/controller/api/user-api.ts
+++ b/packages/controller/api/user-api.ts
@@ -1,4 +1,4 @@
-/** The routes of users: submissions, queries and cancellations. */
+/** The HTTP routes for users: submissions, queries and cancellations. */
 import type { Express, Request, Response } from 'express';
 import { type GroupCommit, CacheNotLoaded, type StateClient } from '#store';
 import {
@@ -18,10 +18,10 @@
 import type { SubmissionCheck } from './submission-check.js';
 import { SubmissionHandler } from './submission-handler.js';
 
-/** Seconds after which a user repeats a request that failed for no known reason. */
+/** `Retry-After` of a request that failed with an unexpected error, in seconds. */
 const UNEXPECTED_ERROR_RETRY_S = 1;
 
-/** What answers to users depend on. */
+/** Dependencies of `UserApi`. */
 export interface UserApiOptions {
   clock: Clock;
   client: StateClient;
@@ -30,22 +30,22 @@
   submissionCheck: SubmissionCheck;
   types: () => MachineType[];
   admission: Admission;
-  /** Seconds after which submissions are accepted again if this process is overloaded; else null. */
+  /** Seconds until an overloaded process accepts submissions again; null if the process is not overloaded. */
   overloadedForS: () => number | null;
-  /** Told of every request; calls what it returns once the request is answered. */
+  /** Called for every request. The function that it returns is called once the request is answered. */
   onRequest: (kind: RequestKind) => () => void;
-  /** Told when a user has requested a cancellation and before it is recorded. */
+  /** Called when a user has requested a cancellation, before the cancellation is recorded. */
   onCancel: (id: string) => void;
-  /** Whether few connections are left. */
+  /** Whether the number of open connections is close to the limit. */
   isNearConnectionLimit: () => boolean;
 }
 
-/** The kinds of users' requests, as the metrics name them. */
+/** The kinds of users' requests, as they appear in metrics. */
 export type RequestKind = 'submit' | 'query' | 'abort';
 
 type Handler = (req: Request, res: Response) => Promise<void>;
 
-/** Serves users; each kind of request has a handler. */
+/** Routes users' requests to the handler of their kind. */
 export class UserApi {
   private readonly store: JobStore;
   private readonly submissionHandler: SubmissionHandler;
@@ -69,7 +69,7 @@
     this.cancellationHandler = new CancellationHandler({ client, jobs, store, onCancel });
   }
 
-  /** Adds the routes. */
+  /** Adds the routes to the application. */
   mount(app: Express): void {
     app.post(
       '/submissions',
@@ -85,11 +85,11 @@
     );
   }
 
-  /** Counts the requests of a handler and answers for its errors. */
+  /** Wraps a handler so that its requests are counted and its errors are answered. */
   private wrapHandler(kind: RequestKind, handler: Handler): (req: Request, res: Response) => void {
     return (req, res) => {
       res.once('finish', this.options.onRequest(kind));
-      // Heartbeats keep their connections when users overrun.
+      // Close to the connection limit, users' connections are closed so that workers keep theirs for heartbeats.
       if (this.options.isNearConnectionLimit()) res.setHeader('Connection', 'close');
       handler(req, res).catch((err: unknown) => {
         this.replyFailure(res, err);
--- a/packages/controller/controller-components.ts
+++ b/packages/controller/controller-components.ts
@@ -1,6 +1,6 @@
 /**
- * Builds what one controller consists of, and names for each component what it takes. Components that need
- * each other get functions that are called only once all are built.
+ * Builds the components of one controller and passes each component its dependencies. Components that depend
+ * on each other get functions that are called only after all components are built.
  */
 import type { PeerLink } from '#peer';
 import { CloudClient, type Runtime } from '#wire';
@@ -27,10 +27,10 @@
 import type { Settings } from './settings/settings.js';
 import { makeStateAccess, type StateAccess } from './state-access.js';
 
-/** Heartbeat intervals that a call to the cloud may take. */
+/** Timeout of calls to the cloud, in heartbeat intervals. */
 const CLOUD_TIMEOUT_INTERVALS = 4;
 
-/** What a controller starts, ends and hands on. */
+/** The components that a controller starts, stops and passes on. */
 export interface ControllerComponents extends Peering, Observability {
   state: StateAccess;
   services: ControllerServices;
@@ -40,15 +40,15 @@
   httpServer: HttpServer;
 }
 
-/** Who leads here, asked once all components are built. */
+/** Access to the leader in this process. May be called only after all components are built. */
 interface Leadership {
   /** The leader of the current term; null while this controller does not lead. */
   leader: () => ShardLeader | null;
-  /** Whether that leader may still act. */
+  /** State of this leader's lease, which decides whether the leader may still act. */
   leaseState: () => LeaderLeaseState;
 }
 
-/** What talks to the other controllers. */
+/** Components that communicate with the other controllers. */
 interface Peering {
   cancellationRelay: CancellationRelay;
   peers: PeerLink;
@@ -56,13 +56,13 @@
   followerHeartbeats: FollowerHeartbeats;
 }
 
-/** What judges who may answer workers. */
+/** Components that decide whether this controller may answer workers' heartbeats. */
 interface Leases {
   leaderLease: LeaderLease;
   standby: StandbyRenewal;
 }
 
-/** What measures this controller, and what limits its load by that. */
+/** Components that measure this controller, and the admission control that limits its load. */
 interface Observability {
   admission: Admission;
   statistics: ProcessStatistics;
@@ -70,7 +70,7 @@
   eventLoopDelay: EventLoopDelayMonitor;
 }
 
-/** Builds all components of a controller; none of them does anything by itself yet. */
+/** Builds all components of a controller without starting any of them. */
 export function composeController(
   runtime: Runtime,
   settings: Settings,
--- a/packages/controller/controller.ts
+++ b/packages/controller/controller.ts
@@ -1,10 +1,11 @@
 /**
  * Runs one controller.
  *
- * One way to own and end what is started holds everywhere in this package: whatever does work in the
- * background has a method `run(signal)`. The caller owns it and aborts the signal; `run` then ends every timer,
- * connection, subscription and server that it started, and resolves only once all of them have ended. An error
- * rejects the promise, also only then, and the caller ends everything else that it runs beside it.
+ * All background work in this package follows one lifecycle convention. A component that works in the
+ * background has a method `run(signal)`. The caller owns the component and stops it by aborting the signal.
+ * `run` then ends every timer, connection, subscription and server that it started, and resolves only after
+ * all of them have ended. After an error, `run` also ends all of them before it rejects, and the caller stops
+ * all other components that it runs.
  */
 import { setMaxListeners } from 'node:events';
 import type { ReplicaClasses } from '#replicas';
@@ -19,7 +20,7 @@
 import type { MoveSettings } from './settings/operator-settings.js';
 import type { Settings } from './settings/settings.js';
 
-/** One controller of a cluster: starts all its components and ends them. */
+/** One controller of a cluster. Starts and stops all its components. */
 export class Controller {
   private readonly components: ControllerComponents;
 
@@ -32,19 +33,22 @@
   }
 
   /**
-   * Runs until the signal aborts, and resolves once all that was started has ended. Rejects, also only
-   * then, with ListenError if an address cannot be had, or with an unexpected error of a component.
+   * Runs until the signal aborts, and resolves after all components have ended. Rejects, also only after all
+   * components have ended, with ListenError if it can't listen on an address, or with an unexpected error of
+   * a component.
    */
   async run(signal: AbortSignal): Promise<void> {
     const stop = new AbortController();
-    // Every connection and component listens to it, and there is one to each peer.
+    // Every component and connection listens to this signal, and the number of connections grows with the
+    // number of peers.
     setMaxListeners(0, stop.signal);
     const end = () => {
       stop.abort();
     };
     if (signal.aborted) end();
     signal.addEventListener('abort', end, { once: true });
-    // What follows records must be there before the caches run. Without it, all starts at once.
+    // Components that follow changes of records must exist before the caches run. If neither shard migration
+    // nor replica groups are configured, everything starts without waiting for a package to load.
     const { moves, replicaGroups } = this.settings.operator;
     const migrator = moves === null ? null : await this.loadShardMigrator(moves);
     if (replicaGroups !== null) await this.loadReplicaSupport(replicaGroups);
@@ -80,7 +84,7 @@
     );
   }
 
-  /** Starts all components; each promise settles once its component has ended. */
+  /** Starts all components. Each promise settles once its component has ended. */
   private startComponents(signal: AbortSignal): Promise<void>[] {
     const { components } = this;
     components.peers.frames.subscribe(({ from, frame }) => {
--- a/packages/controller/index.ts
+++ b/packages/controller/index.ts
@@ -1,4 +1,4 @@
-/** What other packages use of the controller: running one, its settings, and the judges that models run. */
+/** Public interface of the package: running a controller, its settings, and the checks that model tests run. */
 export * from './peers/cancellations.js';
 export * from './controller.js';
 export * from './leadership/leader-lease-check.js';
--- a/packages/controller/replica-support.ts
+++ b/packages/controller/replica-support.ts
@@ -1,4 +1,4 @@
-/** Joins the package `replicas`, loaded only if operators have switched it on, to this controller. */
+/** Connects the package `replicas`, which is loaded only if operators have enabled it, to this controller. */
 import type { ReplicaShape } from '#core';
 import type {
   ReplicaGroup,
@@ -13,35 +13,35 @@
 import { ReplicaMetrics } from './observability/replica-metrics.js';
 import type { Settings } from './settings/settings.js';
 
-/** What this controller does about replicas of several members, while operators have switched them on. */
+/** Support for replicas that have several members; exists only if operators have enabled replica groups. */
 export interface ReplicaSupport {
-  /** How the tasks of a job that is submitted now form replicas; null if each is by itself. */
+  /** The shape of the replicas of a newly submitted job; null if each of its tasks is a replica of its own. */
   shapeOf(job: Job): ReplicaShape | null;
-  /** Why the job's replicas can never be placed, or null. */
+  /** The reason why the job's replicas can never be placed, or null. */
   unplaceableReason(job: Job, shape: ReplicaShape, types: MachineType[]): string | null;
-  /** The replica groups of a new leader. */
+  /** Makes the replica groups of a new leader. */
   makeGroups(): ReplicaGroups;
-  /** The replicas as operators see them now. */
+  /** The current state of all replicas, for operators. */
   listReplicas(groups: ReplicaGroups): ReplicaRow[];
-  /** Logs an open job that was accepted while each task of its class was a replica by itself. */
+  /** Logs an open job that was accepted before replica groups were enabled for its class. */
   recordJob(record: JobRecord): void;
-  /** What was measured of repairs. */
+  /** Measurements of replica repairs. */
   readonly metrics: ReplicaMetrics;
 }
 
-/** Filled before any component runs, if operators have switched replica groups on. */
+/** Holds the replica support. It is set before any component runs, and stays null if replica groups are disabled. */
 export interface OptionalReplicaSupport {
   support: ReplicaSupport | null;
 }
 
-/** What replica support takes of this controller. */
+/** Dependencies of the replica support. */
 export interface ReplicaSupportOptions {
   runtime: Runtime;
   settings: Settings;
   log: Log;
 }
 
-/** Loads the package `replicas`; to be called only if operators have switched it on. */
+/** Loads the package `replicas`. Must be called only if operators have enabled replica groups. */
 export async function loadReplicaSupport(
   { runtime, settings, log }: ReplicaSupportOptions,
   classes: ReplicaClasses,
--- a/packages/controller/services.ts
+++ b/packages/controller/services.ts
@@ -1,4 +1,4 @@
-/** What most components of a controller share. */
+/** Services that most components of a controller share. */
 import { NO_QUOTA, teamWeight } from '#core';
 import { GroupCommit, LeaderElection, StateClient } from '#store';
 import type { Runtime } from '#wire';
@@ -10,34 +10,37 @@
 import { type Settings, teamQuotas } from './settings/settings.js';
 import type { StateAccess } from './state-access.js';
 
-/** The shard that holds all machines. */
+/** Index of the only shard, which contains all machines. */
 export const ONLY_SHARD = 0;
 
-/** Cancellations whose records are remembered, to be told to peers that have not read them. */
-const MAX_RECORDED_CANCELLATIONS = 2000;
-/** Multiple of the time to cancel for which a request to cancel is remembered. */
+/** Number of recorded cancellations that are kept to announce them to peers that have not read the records. */
+const KEPT_RECORDED_CANCELLATIONS = 2000;
+/** A requested cancellation is kept for this multiple of `cancel_s`. */
 const CANCELLATION_RETENTION_FACTOR = 2;
 
-/** Submissions and cancellations that may wait for their record, in seconds of the allowed rate. */
+/** Limit of the queue of submissions and cancellations to be recorded, in seconds at the allowed write rate. */
 const COMMIT_QUEUE_LENGTH_S = 2;
 
-/** The surroundings of a controller, and what it knows by the state service. */
+/** Runtime, settings and log of a controller, and its views of the state service. */
 export interface ControllerServices {
   runtime: Runtime;
   settings: Settings;
   log: Log;
   client: StateClient;
-  /** Users' changes of jobs, which share transactions. */
+  /** Group commit of users' changes to jobs: several changes share a transaction. */
   commits: GroupCommit;
   election: LeaderElection;
   jobs: JobTable;
   types: MachineTypes;
   cancellations: Cancellations;
-  /** Replicas of several members. */
+  /** Support for replicas that have several members. */
   replicas: OptionalReplicaSupport;
 }
 
-/** Weights of teams whose submissions wait side by side: their shares of all guaranteed quotas. */
+/**
+ * Returns the weight of a team in the turns that the queued submissions of all teams take. The weight is the
+ * team's share of all guaranteed quotas.
+ */
 function makeSubmissionWeights({ deployment, operator }: Settings): (team: string) => number {
   const quotas = teamQuotas(deployment.teams);
   const guaranteed = { cpus: 0, gpus: 0, memory: 0 };
@@ -48,7 +51,7 @@
   return (team) => teamWeight(quotas.get(team) ?? NO_QUOTA, guaranteed, operator.floorWeight);
 }
 
-/** Makes the shared services; `defersCampaign` tells whether others should rather lead than this controller. */
+/** Makes the shared services. `defersCampaign` returns whether another controller should lead instead of this one. */
 export function makeServices(
   runtime: Runtime,
   settings: Settings,
@@ -58,7 +61,7 @@
 ): ControllerServices {
   const { workers } = settings.deployment;
   const retentionS = CANCELLATION_RETENTION_FACTOR * workers.cancel_s;
-  const cancellations = new Cancellations(MAX_RECORDED_CANCELLATIONS, retentionS);
+  const cancellations = new Cancellations(KEPT_RECORDED_CANCELLATIONS, retentionS);
   const election = new LeaderElection({
     client,
     runtime,
--- a/packages/controller/state-access.ts
+++ b/packages/controller/state-access.ts
@@ -1,34 +1,34 @@
-/** How this controller uses the state service: its client, the share of the rates, and the caches. */
+/** Access of this controller to the state service: the client, its share of the rates, and the caches. */
 import { JOBS, MAX_VALUE_BYTES, PrefixCache, StateClient, type StateLimits, WORLD } from '#store';
 import { type Runtime, StateApi } from '#wire';
 import type { StateSettings } from './settings/platform-settings.js';
 import type { Settings } from './settings/settings.js';
 
-/** How long the state service may hold a request of a watch. */
+/** Time for which the state service may hold a watch request open, in milliseconds. */
 const WATCH_TIMEOUT_MS = 10_000;
-/** Shares of a heartbeat interval for which changes of jobs gather, at the leader and at followers. */
+/** Pause between two watch answers about jobs, in heartbeat intervals, at the leader and at followers. */
 const LEADER_WATCH_PAUSE_INTERVALS = 1 / 50;
 const FOLLOWER_WATCH_PAUSE_INTERVALS = 1 / 2;
-/** Share of the state service's rates that one controller may use, among others and alone. */
+/** Share of the state service's rates that a controller may use, with other controllers and without. */
 const STATE_RATE_SHARE = 0.55;
 const SINGLE_CONTROLLER_RATE_SHARE = 0.9;
-/** Share of a heartbeat interval that queries wait for the read index, and share it. */
+/** Spacing of read-index requests, in heartbeat intervals. Queries in between wait and share the next one. */
 const SYNC_SPACING_INTERVALS = 1 / 5;
-/** The read indexes of all controllers together take a fifth of the state service's rate at the most. */
+/** Limit of the share of the state service's rate that the read-index requests of all controllers use together. */
 const SYNC_RATE_SHARE = 1 / 5;
 
-/** The state service as this controller uses it. */
+/** The client of the state service and the caches of its records. */
 export interface StateAccess {
   client: StateClient;
-  /** Who leads the shard, and which machine types exist. */
+  /** Cache of the shard's leader and of the machine types. */
   world: PrefixCache;
-  /** All jobs. */
+  /** Cache of all jobs. */
   jobs: PrefixCache;
 }
 
 /**
- * The limits that all requests keep to: the smaller of those in force now and those to come, since nobody tells
- * when they change.
+ * The limits for all requests to the state service: the smaller ones of the current and the announced future
+ * limits, since the time of the change is not announced.
  */
 export function stateLimits({ next = {}, ...now }: StateSettings): StateLimits {
   return {
@@ -44,7 +44,10 @@
   return Math.min(MAX_VALUE_BYTES, Math.floor(valueKb * 1024));
 }
 
-/** Nothing is sent before the caches run; `leading` tells whether this controller leads now. */
+/**
+ * Makes the client and the caches. They send nothing until the caches run. `isLeading` returns whether this
+ * controller leads now.
+ */
 export function makeStateAccess(
   runtime: Runtime,
   { external, deployment }: Settings,
