--- a/packages/controller/api/admission.test.ts
+++ b/packages/controller/api/admission.test.ts
@@ -25,7 +25,7 @@
   });
   let submitted = 0;
   const recorded: { team: string; afterS: number }[] = [];
-  /** After how many seconds the user is to come again; null if the submission waits for its record. */
+  /** Returns the seconds after which the user should retry; null if the submission is queued to be recorded. */
   const submit = (team: string): number | null => {
     const retryAfterS = admission.refusalDelayS(team);
     if (retryAfterS !== null) return retryAfterS;
@@ -39,7 +39,7 @@
   return { state, admission, client, submit, recorded };
 }
 
-test('a team that overruns is refused at once, and what is accepted of it is recorded in time', async () => {
+test('a team that submits too much is refused at once, and its accepted submissions are recorded in time', async () => {
   const { state, admission, submit, recorded } = await createAdmission();
   const outcomes = Array.from({ length: 200 }, () => submit('guests'));
   const refused = outcomes.filter((retryAfterS) => retryAfterS !== null);
@@ -50,7 +50,7 @@
   assert.ok(Math.max(...recorded.map(({ afterS }) => afterS)) < 2.5 * HEARTBEAT_INTERVAL_S);
 });
 
-test('those who are refused return as fast as their submissions can be recorded, and not together', async () => {
+test('refused users are told to retry one by one, as fast as their submissions can be recorded', async () => {
   const { submit } = await createAdmission();
   const outcomes = Array.from({ length: 2000 }, () => submit('guests'));
   const returns = outcomes.filter((retryAfterS) => retryAfterS !== null);
@@ -59,14 +59,14 @@
     const together = returns.filter((at) => at >= second && at < second + 1).length;
     assert.ok(together <= CHANGES_PER_S + 1, `${together} return in second ${second}`);
   }
-  // Those for whom there is no such time left are spread over the second half of it.
+  // Users without a retry time of their own within 30 s are spread over the last 15 s.
   const late = returns.slice(-1000);
   for (let second = 15; second < 30; second++) {
     assert.ok(late.filter((at) => at >= second && at < second + 1).length < 150);
   }
 });
 
-test("a flood of one team does not hold up another team's submissions, nor does its size matter", async () => {
+test("a flood of one team does not delay another team's submissions, whatever the size of the flood", async () => {
   for (const flood of [100, 1000]) {
     const { state, submit, recorded } = await createAdmission();
     const refusedHosts = [];
@@ -84,7 +84,7 @@
   }
 });
 
-test('teams that all overrun are served by their weights', async () => {
+test('teams that all submit too much are served in proportion to their weights', async () => {
   const { state, submit, recorded } = await createAdmission((team) => (team === 'large' ? 3 : 1));
   for (let tenth = 0; tenth < 200; tenth++) {
     for (let i = 0; i < 10; i++) for (const team of ['large', 'small']) submit(team);
@@ -95,7 +95,7 @@
   assert.ok(ratio > 2.5 && ratio < 3.5, `${count('large')} and ${count('small')}`);
 });
 
-test('the longer the state service fails, the more the returns of those it did not serve are spread', async () => {
+test('the longer the state service fails, the more the retries of requests it did not serve are spread', async () => {
   const { state, admission, client } = await createAdmission();
   const returns = () => Array.from({ length: 200 }, () => admission.retryAfterFailureS());
   assert.deepEqual(new Set(returns()), new Set([HEARTBEAT_INTERVAL_S]));
@@ -112,12 +112,12 @@
   }
 });
 
-test('what is accepted is answered before its user gives up, also when other controllers begin to use their share', async () => {
+test('accepted submissions are answered before users time out, even if other controllers start to use their share', async () => {
   const { state, client, submit, recorded } = await createAdmission();
   client.setChangeShares({ least: SHARE / 6, most: SHARE });
   const outcomes = Array.from({ length: 100 }, () => submit('guests'));
   const accepted = outcomes.filter((retryAfterS) => retryAfterS === null).length;
-  // From now on the service refuses this controller as soon as it uses more than its least share.
+  // From now on the service refuses requests of this controller beyond its minimum share.
   const otherClient = state.client(state.controller('10.0.0.2'), { share: 1 - SHARE / 6 });
   const puts = Array.from({ length: 4 }, (_, i) => ({ put: `x/${i}`, value: 0 }));
   const useWholeRate = async () => {
--- a/packages/controller/api/bad-input.test.ts
+++ b/packages/controller/api/bad-input.test.ts
@@ -14,7 +14,7 @@
 
 const BODY_BYTES = 64 * 1024;
 const JOB_FIELD_NAMES = Object.keys(jobToWire(aJob()));
-/** What a refusal may name: fields, or the body as a whole. */
+/** Matches the error of a refusal, which begins with field names or with `body`. */
 const ERROR_WITH_FIELD = new RegExp(`^(${JOB_FIELD_NAMES.join('|')}|body)\\b.*: .`);
 
 async function startCluster() {
@@ -26,7 +26,7 @@
   const { index } = cluster.controllers.find(({ name }) => name === leader)!;
   const address = formatAddress(serviceAddress(index));
   const user = new UserClient(address, 5000, runtime);
-  /** Lets time pass until the requests are answered. */
+  /** Advances the simulated time until the requests are answered. */
   const runUntilAnswered = async <T>(requests: () => Promise<T>): Promise<T> => {
     const answers: T[] = [];
     const failures: unknown[] = [];
@@ -59,7 +59,7 @@
   )
   .map((changes) => ({ ...jobToWire(aJob({ id: 'j-7' })), ...Object.fromEntries(changes) }));
 
-test('whatever a submission holds, it is accepted or refused with the field named', async () => {
+test('a submission with arbitrary values is accepted, or refused with an error that names the field', async () => {
   const { cluster, user, ask } = await startCluster();
   const bodies: unknown[] = fc.sample(arbitraryBody, SEEDED);
   bodies.push([1], 'text', 7, null, {});
@@ -75,7 +75,7 @@
   assert.deepEqual(cluster.world.uncaught, []);
 });
 
-test('a job that can never run is refused with the fields that say so', async () => {
+test('a job that can never run is refused with an error that names the responsible fields', async () => {
   const { user, ask } = await startCluster();
   const refusals: Record<string, [Parameters<typeof aJob>[0], number]> = {
     'crew: unknown team': [{ team: 'nobody' }, 422],
@@ -104,7 +104,7 @@
   }
 });
 
-test('the largest legal jobs end no controller and hold up nobody, also across a change of leader', async () => {
+test('the largest valid jobs crash no controller and delay no other jobs, also across a change of leader', async () => {
   const { cluster, runtime, user, ask } = await startCluster();
   const noResources = { cpus: 0, gpus: 0, memory: 0, imageGb: 0 };
   const longest = { class: 'c'.repeat(256), image: 'i'.repeat(256) };
@@ -141,7 +141,7 @@
   assert.deepEqual(cluster.world.uncaught, []);
 });
 
-test('a heartbeat that lists as many tasks as the limit allows is answered within the limit of answers', async () => {
+test('a heartbeat with as many tasks as the body limit allows gets an answer within the size limit', async () => {
   const { cluster, runtime, address, ask } = await startCluster();
   const worker = new CborClient(runtime, address);
   const pieces = Array.from({ length: 900 }, (_, i) => ({
@@ -158,7 +158,7 @@
   assert.equal(answer.status, 200);
   const { orders } = answer.body as { orders: { verb: string }[] };
   assert.ok(JSON.stringify(answer.body).length < BODY_BYTES);
-  // What must not run is stopped first.
+  // Orders to stop tasks that must not run come first.
   assert.equal(orders[0].verb, 'halt');
   assert.deepEqual(cluster.world.uncaught, []);
 });
--- a/packages/controller/api/dependency-validator.test.ts
+++ b/packages/controller/api/dependency-validator.test.ts
@@ -5,7 +5,7 @@
 
 const CONTROLLERS = [0, 1, 2];
 
-/** Three controllers, a user of each, and jobs whose tasks run for `runS`. */
+/** Starts three controllers with a user each. Tasks of submitted jobs run for `runS` seconds. */
 async function startCluster(seed = 1) {
   const cluster = new Cluster(SMALL_CLUSTER, seed);
   const runtime = cluster.serviceRuntime('users', 'users', USERS_HOST);
@@ -14,7 +14,7 @@
   const users = CONTROLLERS.map(
     (index) => new UserClient(formatAddress(serviceAddress(index)), 5000, runtime),
   );
-  /** Lets time pass until the requests are answered. */
+  /** Advances the simulated time until the request is answered. */
   const runUntilAnswered = async <T>(request: Promise<T>): Promise<T> => {
     const answers: T[] = [];
     const failures: unknown[] = [];
@@ -50,7 +50,7 @@
   return job !== null && 'error' in job ? (job.error ?? '') : '';
 }
 
-test('a submission is refused that awaits itself, a service, or a job that was never accepted', async () => {
+test('a submission that depends on itself, on a service or on a job that was never accepted is refused', async () => {
   const { submit, users, ask } = await startCluster();
   await submit(0, { id: 'j-1', kind: 'service' });
   await submit(0, { id: 'j-2' });
@@ -72,7 +72,7 @@
   assert.equal((await ask(users[0].status('j-10'))).status, 404);
 });
 
-test('what is no list of job ids is malformed, and what is none is as if it were left out', async () => {
+test('dependencies that are not a list of job ids are refused, and null or an empty list means none', async () => {
   const { ask, users, upload } = await startCluster();
   const body = (dependencies: unknown) => ({
     ...jobToWire(upload({ id: 'j-10' })),
@@ -93,8 +93,9 @@
   assert.match(errorOf(answer), /^lane, crew, bundle, rigs, yard, awaits: .* 8192 bytes$/);
 });
 
-test('a job may await one that another controller accepted a millisecond ago', async () => {
-  // Guards against a refusal for good by a cache that the watch had not filled yet.
+test('a job may depend on one that another controller has just accepted', async () => {
+  // Guards against a permanent refusal by a controller whose job cache had not received the dependency from
+  // the watch yet.
   for (const seed of [1, 2, 3]) {
     const { submit, ask, users, upload } = await startCluster(seed);
     for (let number = 0; number < 12; number++) {
@@ -110,7 +111,7 @@
   }
 });
 
-test('a controller that cannot read says so, and when to come again, in place of a refusal for good', async () => {
+test('a controller that cannot read the state service answers 503 with Retry-After, not a permanent refusal', async () => {
   const { cluster, submit, ask, users, upload } = await startCluster();
   await submit(0, { id: 'j-1' });
   const { host } = cluster.controllers[1];
@@ -121,12 +122,12 @@
   cluster.state.readmit(host.address);
   const known = await ask(users[2].submit(upload({ id: 'j-2', awaits: ['j-1'] })));
   assert.equal(known.status, 201);
-  // Whatever a repeated submission awaits, the job is known.
+  // A repeated submission finds the known job, whatever dependencies the repetition names.
   const repeated = await ask(users[0].submit(upload({ id: 'j-2', awaits: ['j-2', 'j-77'] })));
   assert.equal(repeated.status, 200);
 });
 
-test('jobs are done one after another, and each starts only after the record says that the one before is done', async () => {
+test('a job with dependencies starts only after the records say that all its dependencies are done', async () => {
   const { cluster, submit, phaseAt, wait } = await startCluster();
   await submit(0, { id: 'j-1', tasks: 3 }, 6);
   await submit(1, { id: 'j-2', awaits: ['j-1'], kind: 'gang', tasks: 2 }, 4);
@@ -151,7 +152,7 @@
   assert.deepEqual(cluster.checker.violations, []);
 });
 
-test('with a job all that need it are aborted, at every controller and also if submitted later', async () => {
+test('cancelling a job aborts all jobs that depend on it, at every controller and also if submitted later', async () => {
   const { cluster, submit, ask, users, phaseAt, wait } = await startCluster();
   await submit(0, { id: 'j-1' }, 500);
   await submit(1, { id: 'j-2', awaits: ['j-1'] });
@@ -168,11 +169,11 @@
   assert.deepEqual([late.status, phaseOf(late)], [201, 'aborted']);
   assert.equal(phaseOf(await ask(users[2].abort('j-3'))), 'aborted');
   assert.equal(phaseOf(await submit(0, { id: 'j-2', awaits: ['j-1'] })), 'aborted');
-  // The records of what ended with it are as they were: one change for the late job, none for a cascade.
+  // The records of dependent jobs did not change. Only the record of the late submission was written.
   const jobs = ['j-2', 'j-3', 'j-5'].map((id) => cluster.state.store.get(`jobs/${id}`)!);
   for (const { value } of jobs) assert.equal((value as { phase: string }).phase, 'accepted');
   assert.ok(jobs.filter(({ version }) => version > revision).length === 1);
-  // The same is found by controllers that begin anew.
+  // Restarted controllers report the same phases.
   for (const { process } of cluster.controllers) process.restart(0.5);
   await wait(25);
   for (const user of CONTROLLERS) {
@@ -182,7 +183,7 @@
   assert.deepEqual(cluster.checker.violations, []);
 });
 
-test('a cancellation that is answered with done leaves the jobs after it alone', async () => {
+test('a cancellation that is answered with done does not abort dependent jobs', async () => {
   const { submit, ask, users, phaseAt, wait } = await startCluster();
   await submit(0, { id: 'j-1' }, 2);
   await submit(1, { id: 'j-2', awaits: ['j-1'] }, 40);
@@ -191,9 +192,9 @@
   for (const user of CONTROLLERS) assert.notEqual(await phaseAt(user, 'j-2'), 'aborted');
 });
 
-test('a controller that was refused for long knows of a cancellation before it answers a submission after it', async () => {
-  // Guards against a job called pending long after one that it needs was cancelled: the record was written with the
-  // first request that was served again, and the cache was as old as the refusal.
+test('after a long refusal by the state service a controller reads cancellations before it answers a submission', async () => {
+  // Guards against a job reported as pending long after its dependency was cancelled. The first request that the
+  // state service served again wrote the job's record, but the job cache was as old as the start of the refusal.
   const { cluster, submit, ask, users, upload } = await startCluster();
   await submit(0, { id: 'j-1' }, 500);
   await submit(1, { id: 'j-2', awaits: ['j-1'] });
@@ -206,7 +207,7 @@
   assert.deepEqual([answer.status, phaseOf(answer)], [201, 'aborted']);
 });
 
-test('a job submitted in the very milliseconds in which one that it awaits is cancelled or ends is called alike everywhere', async () => {
+test('a job submitted while its dependency is being cancelled or ends has the same phase at all controllers', async () => {
   const { cluster, users, ask, submit, upload, phaseAt, wait } = await startCluster();
   let next = 100;
   const newId = () => `j-${next++}`;
--- a/packages/controller/api/health-endpoint.ts
+++ b/packages/controller/api/health-endpoint.ts
@@ -5,7 +5,7 @@
 import type { ControllerServices } from '../services.js';
 import type { StatusExchange } from '../peers/status-exchange.js';
 
-/** Heartbeat intervals for which the state service may fail, or a peer may be silent, before it counts. */
+/** Heartbeat intervals for which a failure of the state service or the silence of a peer is tolerated. */
 const TOLERANCE_INTERVALS = 2;
 
 type Services = Pick<ControllerServices, 'runtime' | 'settings' | 'client' | 'jobs' | 'types'>;
@@ -31,7 +31,7 @@
     return isHealthy({
       now: runtime.clock.now(),
       isLoaded: jobs.cache.isLoaded && types.all().length > 0,
-      isRefused: client.isFailing,
+      isServiceFailing: client.isFailing,
       lastSuccessAt: client.lastOkAt,
       lastFailureAt: client.lastFailAt,
       peers: statuses.statuses(),
--- a/packages/controller/api/health.test.ts
+++ b/packages/controller/api/health.test.ts
@@ -8,32 +8,32 @@
   return { receivedAt, lastServedAt: servedAt, statedAfter: receivedAt, frame };
 }
 
-/** Refused since second 10; it is second 30. */
-const refusedInputs: HealthInputs = {
+/** At second 30, the state service has refused this controller since second 10. */
+const failingInputs: HealthInputs = {
   now: 30,
   isLoaded: true,
-  isRefused: true,
+  isServiceFailing: true,
   lastSuccessAt: 10,
   lastFailureAt: 29,
   peers: [makePeerStatus(29, 10, true), makePeerStatus(29, 11, true)],
   toleranceS: 2,
 };
 
-test('a controller is healthy while served, and in an outage for all', () => {
-  assert.ok(isHealthy({ ...refusedInputs, isRefused: false }));
-  assert.ok(isHealthy({ ...refusedInputs, lastFailureAt: 11 }), 'one request failed');
-  assert.ok(isHealthy(refusedInputs));
-  assert.ok(isHealthy({ ...refusedInputs, peers: [] }), 'a single controller');
+test('a controller is healthy while the state service serves it, and in an outage that affects all controllers', () => {
+  assert.ok(isHealthy({ ...failingInputs, isServiceFailing: false }));
+  assert.ok(isHealthy({ ...failingInputs, lastFailureAt: 11 }), 'one request failed');
+  assert.ok(isHealthy(failingInputs));
+  assert.ok(isHealthy({ ...failingInputs, peers: [] }), 'a single controller');
 });
 
-test('a controller that can answer nothing leaves its users to others', () => {
-  assert.ok(!isHealthy({ ...refusedInputs, isRefused: false, isLoaded: false }));
+test('a controller that cannot answer users is unhealthy while other controllers may be able to', () => {
+  assert.ok(!isHealthy({ ...failingInputs, isServiceFailing: false, isLoaded: false }));
   const served = {
-    ...refusedInputs,
+    ...failingInputs,
     peers: [makePeerStatus(29, 29, false), makePeerStatus(29, 11, true)],
   };
   assert.ok(!isHealthy(served), 'refused alone');
-  // Guards against a controller cut off from the state service and its peers: their last words were as
-  // old as its own last success, so it kept its users and answered none of them.
-  assert.ok(!isHealthy({ ...refusedInputs, peers: [makePeerStatus(10, 10, false), null] }));
+  // Guards against a controller without connection to the state service and its peers that stayed healthy and
+  // answered none of its users. The last status of its peers was as old as its own last successful request.
+  assert.ok(!isHealthy({ ...failingInputs, peers: [makePeerStatus(10, 10, false), null] }));
 });
--- a/packages/controller/api/health.ts
+++ b/packages/controller/api/health.ts
@@ -7,14 +7,14 @@
   /** Whether the jobs and the machine types are loaded. */
   isLoaded: boolean;
   /** Whether the state service failed to serve the newest request whose outcome is known. */
-  isRefused: boolean;
+  isServiceFailing: boolean;
   /** Sending time of the newest request that the state service served. */
   lastSuccessAt: number;
   /** Sending time of the newest request that the state service did not serve. */
   lastFailureAt: number;
   /** The latest status of each other controller; null if none has arrived. */
   peers: (PeerStatus | null)[];
-  /** Seconds for which the state service may fail, or a peer may be silent, before it counts. */
+  /** Seconds for which a failure of the state service or the silence of a peer is tolerated. */
   toleranceS: number;
 }
 
@@ -26,7 +26,7 @@
 export function isHealthy(inputs: HealthInputs): boolean {
   const { now, lastSuccessAt, toleranceS } = inputs;
   if (!inputs.isLoaded) return false;
-  if (!inputs.isRefused || inputs.lastFailureAt - lastSuccessAt < toleranceS) return true;
+  if (!inputs.isServiceFailing || inputs.lastFailureAt - lastSuccessAt < toleranceS) return true;
   const reachable = inputs.peers.filter((peer) => isReachable(peer, now, toleranceS));
   // Without a reachable peer this controller can't know whether the state service serves its peers.
   if (reachable.length === 0) return inputs.peers.length === 0;
--- a/packages/controller/api/http-server.test.ts
+++ b/packages/controller/api/http-server.test.ts
@@ -6,7 +6,7 @@
 import { reply } from './replies.js';
 import { readBody } from './request-body.js';
 
-test('a body is collected in pieces, and one that is missing, too large or no CBOR is refused at once', async () => {
+test('a body in several chunks is read, and one that is missing, too large or not a CBOR map is refused', async () => {
   const accepted: unknown[] = [];
   const accept = (body: unknown, res: Parameters<typeof reply>[0]) => {
     try {
--- a/packages/controller/api/replica-endpoint.test.ts
+++ b/packages/controller/api/replica-endpoint.test.ts
@@ -27,7 +27,7 @@
   return { status: response.status, body: (await response.json()) as Record<string, unknown> };
 }
 
-test('the leader lists replicas, a follower names the leader, and without the section there are none', async () => {
+test('the leader lists replicas, a follower names the leader, and without replica groups the answer is 404', async () => {
   assert.deepEqual(await requestReplicas(SUPPORT, LEADER), {
     status: 200,
     body: { replicas: [ROW] },
--- a/packages/controller/api/socket-shares.test.ts
+++ b/packages/controller/api/socket-shares.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { divideSockets } from './socket-shares.js';
 
-test('sockets are shared by need, within the limit', () => {
+test('server, direct commands and peers all get sockets, and together stay within the limit', () => {
   for (const [sockets, peers] of [
     [60, 0],
     [700, 6],
--- a/packages/controller/api/submission-check.test.ts
+++ b/packages/controller/api/submission-check.test.ts
@@ -3,8 +3,8 @@
 import { pause, UserClient } from '#wire';
 import { aJob, Cluster, formatAddress, serviceAddress, SMALL_CLUSTER, USERS_HOST } from '#testing';
 
-test('a job that another controller has just accepted is known whatever its repetition says', async () => {
-  // Guards against 400 for a repetition whose texts are too long for a record.
+test('a repeated submission finds a job that another controller has just accepted, whatever it contains', async () => {
+  // Guards against status 400 for a repeated submission whose texts are too long for a record.
   const { deployment } = SMALL_CLUSTER;
   const state = { ...deployment.state, value_kb: 1 };
   const cluster = new Cluster({ ...SMALL_CLUSTER, deployment: { ...deployment, state } }, 1);
@@ -22,7 +22,7 @@
   };
   const statuses: Record<string, number> = {};
   const submitAll = async () => {
-    // The other controller's watch brings this one and then pauses, so it does not know the next.
+    // The watch of the other controller delivers job j-0 and then pauses, so the controller does not know j-1.
     await firstUser.submit({ ...validJob, id: 'j-0' });
     await pause(runtime.clock, 50);
     statuses.first = (await firstUser.submit(validJob)).status;
--- a/packages/controller/api/user-api-cancel.test.ts
+++ b/packages/controller/api/user-api-cancel.test.ts
@@ -5,9 +5,9 @@
 import { makeApp } from './http-server.js';
 import { UserApi, type UserApiOptions } from './user-api.js';
 
-test('the leader learns of a cancellation before it is recorded, whatever becomes of the record', async (t) => {
-  // Guards against tasks that run on past their time: the controller that recorded a cancellation
-  // ended before it told the leader, and an outage of the state service began.
+test('the leader is told of a cancellation before it is recorded, even if the record is not written', async (t) => {
+  // Guards against tasks that keep running after their job was cancelled. The controller that recorded the
+  // cancellation ended before it told the leader, and an outage of the state service began.
   const events: string[] = [];
   const record = { job: aJob(), acceptedAtMs: 0, phase: 'accepted', version: 3 };
   const options = {
--- a/packages/controller/api/user-api.ts
+++ b/packages/controller/api/user-api.ts
@@ -89,7 +89,8 @@
   private wrapHandler(kind: RequestKind, handler: Handler): (req: Request, res: Response) => void {
     return (req, res) => {
       res.once('finish', this.options.onRequest(kind));
-      // Close to the connection limit, users' connections are closed so that workers keep theirs for heartbeats.
+      // Close to the connection limit, users' connections are not kept, so that workers can keep theirs for
+      // heartbeats.
       if (this.options.isNearConnectionLimit()) res.setHeader('Connection', 'close');
       handler(req, res).catch((err: unknown) => {
         this.replyFailure(res, err);
--- a/packages/controller/api/user-burst.test.ts
+++ b/packages/controller/api/user-burst.test.ts
@@ -4,10 +4,10 @@
 import { aJob, Cluster, formatAddress, serviceAddress, SMALL_CLUSTER, USERS_HOST } from '#testing';
 
 const WRITE_RPS = SMALL_CLUSTER.deployment.state.write_rps;
-/** The share of all changes that a follower may make. */
+/** Share of the state service's write rate that a follower may use. */
 const SHARE = 0.3;
 
-/** A cluster with a leader, and a way to make users of a controller that has never led. */
+/** Starts a cluster with a leader. `makeUser` makes a user of a controller that has never led. */
 async function startClusterWithUsers() {
   const cluster = new Cluster(SMALL_CLUSTER, 1);
   const runtime = cluster.serviceRuntime('users', 'users', USERS_HOST);
@@ -20,7 +20,7 @@
   return { cluster, makeUser, now: () => cluster.world.now };
 }
 
-test('a burst of submissions and cancellations at a controller that has never led is answered in its share', async () => {
+test('a follower that has never led answers a burst of submissions and cancellations within its share', async () => {
   const { cluster, makeUser, now } = await startClusterWithUsers();
   const ids = Array.from({ length: 40 }, (_, i) => `j-${i}`);
   const submitted: number[] = [];
@@ -37,7 +37,7 @@
   );
   await cluster.world.runUntil(now() + 5);
   assert.equal(submitted.length, ids.length);
-  // The state service answers slowly, so that all that come meanwhile share the next transaction.
+  // The state service answers slowly, so that all cancellations that arrive meanwhile share the next transaction.
   cluster.state.setLatency({ usualMs: [400, 400], slowShare: 0, slowMs: [0, 0] });
   let cancelled = 0;
   for (const id of ids)
--- a/packages/controller/controller.test.ts
+++ b/packages/controller/controller.test.ts
@@ -13,7 +13,7 @@
 import { makeLog } from './observability/log.js';
 import type { Settings } from './settings/settings.js';
 
-/** A state service on the machine's own loopback. */
+/** Starts a state service on the loopback interface. */
 async function startStateService() {
   const limits = { rps: 500, writeRps: 200, valueKb: 8, txnOps: 24 };
   const state = new StateService(nodeRuntime, limits);
@@ -21,7 +21,7 @@
   return { state, stateAddress: target };
 }
 
-/** A cloud whose machines never come up. */
+/** Starts a cloud whose machines never finish booting. */
 async function startCloud() {
   let provisioned = 0;
   const hosting = {
@@ -73,7 +73,7 @@
   };
 }
 
-test('two controllers in one process serve over plain streams and end all that they started', async () => {
+test('two controllers in one process serve users and release all timers, connections and listeners when stopped', async () => {
   const { state, stateAddress } = await startStateService();
   const { cloud, cloudAddress, provisioned } = await startCloud();
   const log = makeLog(nodeRuntime.clock, 'c', 'error');
@@ -86,7 +86,7 @@
   const job = aJob({ cpus: 1, gpus: 1, memory: 1 });
   await until(async () => (await client.submit(job).catch(() => null))?.status === 201);
   await until(() => provisioned() > 0);
-  // One call is under way when the controllers end.
+  // One call is in flight when the controllers end.
   const last = client.abort(job.id).catch(() => null);
   stop.abort();
   await Promise.all(runs);
@@ -101,7 +101,7 @@
   cloud.close();
 });
 
-test('an address that is taken ends the controller with an error and all that it started', async () => {
+test('a controller whose address is in use ends with ListenError and releases all that it started', async () => {
   const { state, stateAddress } = await startStateService();
   const runtime = new CountingRuntime();
   const settings = settingsFor(stateAddress, stateAddress, 0);
--- a/packages/controller/extreme-limits.test.ts
+++ b/packages/controller/extreme-limits.test.ts
@@ -4,12 +4,12 @@
 import { aJob, Cluster, formatAddress, serviceAddress, SMALL_CLUSTER, USERS_HOST } from '#testing';
 
 /**
- * Limits that settings may give. Guards against a cloud that was never asked at the first, and a process that
- * hung at the last.
+ * Extreme limits that the settings allow. Guards against a cloud that was never called at a rate below two calls
+ * a second, and against a process that hung with values as large as a transaction.
  */
 const EXTREME_LIMITS = {
-  'a rate of the cloud below two calls a second': { cloud: { rps: 0.5, list_lag_s: 4 } },
-  'few changes a second, in the smallest transactions': {
+  'a cloud rate below two calls a second': { cloud: { rps: 0.5, list_lag_s: 4 } },
+  'few changes a second in the smallest transactions': {
     state: { rps: 60, write_rps: 6, value_kb: 1, txn_ops: 2 },
   },
   'values as large as a transaction': {
@@ -27,7 +27,7 @@
 }
 
 for (const [name, limits] of Object.entries(EXTREME_LIMITS)) {
-  test(`work is served with ${name}`, async () => {
+  test(`a job is completed with ${name}`, async () => {
     const deployment = { ...SMALL_CLUSTER.deployment, ...limits };
     const cluster = new Cluster({ ...SMALL_CLUSTER, deployment }, 1);
     const runtime = cluster.serviceRuntime('users', 'users', USERS_HOST);
--- a/packages/controller/replica-support.test.ts
+++ b/packages/controller/replica-support.test.ts
@@ -26,7 +26,7 @@
   types: ['g8'],
 });
 
-test('submissions whose replicas can never be whole get 422 with the reason, all others are accepted', async () => {
+test('submissions whose replicas can never be complete get 422 with the reason, and all others are accepted', async () => {
   const cluster = new Cluster(SETTINGS, 1);
   const runtime = cluster.serviceRuntime('users', 'users', USERS_HOST);
   await cluster.start();
@@ -56,7 +56,7 @@
   assert.equal(answers.array[0], 201);
 });
 
-test('a job that is older than the section stays known, runs as before, and is logged once', async () => {
+test('a job accepted before replica groups were enabled stays known, runs as before and is logged once', async () => {
   const cluster = new Cluster(SETTINGS, 1);
   const runtime = cluster.serviceRuntime('users', 'users', USERS_HOST);
   const job = { ...MODEL, id: 'j-1', tasks: 4 };
@@ -66,8 +66,12 @@
   await cluster.start();
   await cluster.world.runUntil(60);
   const started = cluster.timeline.of('task-started').map(({ task }) => task.attempt);
-  assert.equal(started.length, 4, 'all tasks run, which are no whole number of replicas');
-  assert.equal(new Set(started).size, 4, 'each by itself');
+  assert.equal(
+    started.length,
+    4,
+    'all tasks run, although their number is not a multiple of the replica size',
+  );
+  assert.equal(new Set(started).size, 4, 'each task starts separately');
   const client = new UserClient(formatAddress(serviceAddress(0)), 5000, runtime);
   let status = 0;
   void client.submit(job).then((answer) => (status = answer.status));
@@ -82,7 +86,7 @@
   );
 });
 
-test('classes of replica groups are refused with field and reason if they make no sense', () => {
+test('invalid classes of replica groups are refused with field and reason', () => {
   const objectives = [...OBJECTIVES, { kind: 'finished', class: 'batch', within_s: 5 }];
   const platform = { deployment: { objectives } } as unknown as PlatformSettings;
   const members = { members: 2, sameZone: false };
--- a/packages/controller/state-limits.test.ts
+++ b/packages/controller/state-limits.test.ts
@@ -28,7 +28,7 @@
 const EXAMPLE = fileURLToPath(new URL('../../examples/settings.toml', import.meta.url));
 const CURRENT_LIMITS = { rps: 150, write_rps: 50, value_kb: 8, txn_ops: 24 };
 
-/** What an older version makes of progress records: it counts the parts that their keys name in units. */
+/** Reads progress records like an older version: the number in a key, times `unit`, is the chunk's first task. */
 function readAsOlderVersion(records: [string, unknown][], unit: number): Set<number> {
   const done = new Set<number>();
   for (const [key, value] of records) {
@@ -41,7 +41,7 @@
   return done;
 }
 
-test('all requests keep to the smaller of the limits in force and those to come', () => {
+test('all requests keep to the smaller of the current and the announced limits', () => {
   assert.deepEqual(
     stateLimits({ ...CURRENT_LIMITS, next: { value_kb: 2, txn_ops: 16, write_rps: 60 } }),
     {
@@ -56,7 +56,7 @@
   assert.equal(stateLimits({ ...CURRENT_LIMITS, value_kb: 64 }).valueBytes, 56 * 1024);
 });
 
-test('limits to come are read from the settings file, and bad ones are named at the start', (t) => {
+test('announced limits are read from the settings file, and invalid ones are refused by name when it is loaded', (t) => {
   const directory = mkdtempSync(path.join(tmpdir(), 'limits-'));
   t.after(() => rmSync(directory, { recursive: true }));
   const file = path.join(directory, 'settings.toml');
@@ -76,7 +76,7 @@
   }
 });
 
-test('chunks of the done tasks keep to the smaller limit, and an older version reads them as the same tasks', () => {
+test('chunks of done tasks keep to the smaller limit, and an older version reads the same tasks from them', () => {
   for (const [layoutBytes, valueBytes] of [
     [8192, 2048],
     [8192, 3000],
@@ -103,13 +103,13 @@
         assert.equal(layout.firstTask(label, value), first);
         keys.add(key);
       }
-      // A job that fits one chunk of the older version and one value has the record that it always had.
+      // A job that fits one chunk of the older version and one value keeps the record key of the older version.
       if (tasks <= 4000 && valueBytes >= 2048) assert.deepEqual([...keys], [progressKey('j-1', 0)]);
     }
   }
 });
 
-test('what an older version recorded under the larger limit is read, and written again in chunks that keep to the smaller one', async () => {
+test('chunks recorded by an older version under a larger limit are read, and rewritten within the smaller limit', async () => {
   const limits = { valueBytes: 2048, layoutBytes: 8192 };
   const { state, store, fleet, record, recorder, sync, flush } = await aRecorder(limits);
   const { unit } = new ProgressLayout({ valueBytes: 8192 });
@@ -146,7 +146,7 @@
     const isRewritten = version > state.service.store.get('jobs/j-1')!.version + 4;
     if (isRewritten) assert.ok(sizeInJson(value) <= 2048, `${key}: ${sizeInJson(value)}`);
   }
-  // Once more by a new term of this version.
+  // A new term of this version reads the rewritten chunks.
   const next = await aRecorder(limits);
   next.record(aJob({ id: 'j-1', tasks }), 'accepted');
   await next.sync();
@@ -157,8 +157,8 @@
   assert.equal(next.fleet.jobs.get('j-1')!.done.size, expected.length);
 });
 
-test('a machine takes as many tasks as its record holds, and one that holds more is recorded once that is small enough', async () => {
-  // Guards against a record that an older version wrote under a larger limit: it was refused for ever.
+test('a machine takes as many tasks as fit its record, and one with more tasks is recorded once they fit', async () => {
+  // Guards against a machine record that was refused forever, since an older version wrote it under a larger limit.
   const limits = { valueBytes: 2048, layoutBytes: 8192 };
   const { store, fleet, record, recorder, sync, flush, tasksOn } = await aRecorder(limits);
   record(aJob({ id: 'j-000001', tasks: 300, cpus: 0.1, gpus: 0, memory: 0 }), 'accepted');
@@ -180,7 +180,7 @@
     fleet.assignments.end([...machine.tasks.values()][0], 'done', false, 1);
     await flush();
     const recordedTasks = tasksOn('n-1')!.length;
-    // It says too much, never too little.
+    // The record may list tasks that have ended, but never misses a running one.
     assert.ok(recordedTasks >= machine.tasks.size);
     onRecord = Math.min(onRecord, recordedTasks);
   }
@@ -198,7 +198,7 @@
   assert.ok(emptyRecordBytes({ type: 'std', zone: 'a', spot: true }) < 150);
 });
 
-test('a job whose record an older version wrote above the limit still becomes done or cancelled', () => {
+test('a job whose record exceeds the limit, as written by an older version, still becomes done or cancelled', () => {
   const types = Array.from({ length: 200 }, (_, number) => `a-type-with-a-long-name-${number}`);
   const job = aJob({ types, class: 'c'.repeat(256), image: 'é'.repeat(256), awaits: ['j-000002'] });
   for (const phase of ['done', 'cancelled'] as const) {
@@ -213,7 +213,7 @@
   assert.deepEqual(decodeJob(whole, 1).job, small);
 });
 
-test('machine types beyond one value are recorded in several, and all are known elsewhere', async () => {
+test('machine types that exceed one value are recorded in several, and other controllers read all of them', async () => {
   const limits = { rps: 150, writeRps: 50, valueBytes: 2048, txnOps: 8 };
   const state = await StateWorld.start(limits);
   const signal = new AbortController().signal;
