--- a/packages/controller/api/health-endpoint.ts
+++ b/packages/controller/api/health-endpoint.ts
@@ -5,12 +5,12 @@
 import type { ControllerServices } from '../services.js';
 import type { StatusExchange } from '../peers/status-exchange.js';
 
-/** Heartbeat intervals for which a refusal, or a peer's silence, may last before it counts. */
-const PATIENCE_INTERVALS = 2;
+/** Heartbeat intervals for which a failure of the state service or the silence of a peer is tolerated. */
+const TOLERANCE_INTERVALS = 2;
 
 type Services = Pick<ControllerServices, 'runtime' | 'settings' | 'client' | 'jobs' | 'types'>;
 
-/** What the health of a controller depends on. */
+/** Dependencies of `HealthEndpoint`. */
 export interface HealthEndpointOptions extends Services {
   statuses: StatusExchange;
 }
@@ -19,7 +19,7 @@
 export class HealthEndpoint {
   constructor(private readonly options: HealthEndpointOptions) {}
 
-  /** Adds the route. */
+  /** Adds the route to the application. */
   mount(app: Express): void {
     app.get('/healthz', (_req, res) => {
       replyHealth(res, this.isHealthy());
@@ -30,12 +30,12 @@
     const { runtime, settings, client, jobs, types, statuses } = this.options;
     return isHealthy({
       now: runtime.clock.now(),
-      loaded: jobs.cache.isLoaded && types.all().length > 0,
-      refused: client.isFailing,
-      lastOkAt: client.lastOkAt,
-      lastFailAt: client.lastFailAt,
+      isLoaded: jobs.cache.isLoaded && types.all().length > 0,
+      isServiceFailing: client.isFailing,
+      lastSuccessAt: client.lastOkAt,
+      lastFailureAt: client.lastFailAt,
       peers: statuses.statuses(),
-      patienceS: PATIENCE_INTERVALS * settings.deployment.workers.report_s,
+      toleranceS: TOLERANCE_INTERVALS * settings.deployment.workers.report_s,
     });
   }
 }
--- a/packages/controller/api/submission-check.test.ts
+++ b/packages/controller/api/submission-check.test.ts
@@ -3,8 +3,8 @@
 import { pause, UserClient } from '#wire';
 import { aJob, Cluster, formatAddress, serviceAddress, SMALL_CLUSTER, USERS_HOST } from '#testing';
 
-test('a job that another controller has just accepted is known whatever its repetition says', async () => {
-  // Guards against 400 for a repetition whose texts are too long for a record.
+test('a repeated submission finds a job that another controller has just accepted, whatever it contains', async () => {
+  // Guards against status 400 for a repeated submission whose texts are too long for a record.
   const { deployment } = SMALL_CLUSTER;
   const state = { ...deployment.state, value_kb: 1 };
   const cluster = new Cluster({ ...SMALL_CLUSTER, deployment: { ...deployment, state } }, 1);
@@ -12,26 +12,28 @@
   await cluster.start();
   await cluster.world.runUntil(5);
   const leader = cluster.leadership.current()?.leader;
-  const [here, there] = cluster.controllers
+  const [firstUser, secondUser] = cluster.controllers
     .filter(({ name }) => name !== leader)
     .map(({ index }) => new UserClient(formatAddress(serviceAddress(index)), 5000, runtime));
-  const good = aJob({ id: 'j-1' });
+  const validJob = aJob({ id: 'j-1' });
   const bodies = {
     long: { class: 'x'.repeat(256), image: '\u6771'.repeat(256) },
     unknownTeam: { team: 'nobody' },
   };
   const statuses: Record<string, number> = {};
-  const submitRest = async () => {
-    // The other controller's watch brings this one and then pauses, so it does not know the next.
-    await here.submit({ ...good, id: 'j-0' });
+  const submitAll = async () => {
+    // The watch of the other controller delivers job j-0 and then pauses, so the controller does not know j-1.
+    await firstUser.submit({ ...validJob, id: 'j-0' });
     await pause(runtime.clock, 50);
-    statuses.first = (await here.submit(good)).status;
-    for (const [name, own] of Object.entries(bodies)) {
-      statuses[name] = (await there.submit({ ...good, ...own })).status;
-      statuses[`${name} alone`] = (await there.submit({ ...good, id: 'j-2', ...own })).status;
+    statuses.first = (await firstUser.submit(validJob)).status;
+    for (const [name, overrides] of Object.entries(bodies)) {
+      statuses[name] = (await secondUser.submit({ ...validJob, ...overrides })).status;
+      statuses[`${name} alone`] = (
+        await secondUser.submit({ ...validJob, id: 'j-2', ...overrides })
+      ).status;
     }
   };
-  void submitRest();
+  void submitAll();
   await cluster.world.runUntil(8);
   assert.deepEqual(statuses, {
     first: 201,
--- a/packages/controller/controller-components.ts
+++ b/packages/controller/controller-components.ts
@@ -1,13 +1,13 @@
 /**
- * Builds what one controller consists of, and names for each component what it takes. Components that need
- * each other get functions that are called only once all are built.
+ * Builds the components of one controller and passes each component its dependencies. Components that depend
+ * on each other get functions that are called only after all components are built.
  */
 import type { PeerLink } from '#peer';
 import { CloudClient, type Runtime } from '#wire';
 import { Admission } from './api/admission.js';
 import { makeHttpServer } from './api/http-interface.js';
 import type { HttpServer } from './api/http-server.js';
-import { socketShares } from './api/socket-shares.js';
+import { divideSockets } from './api/socket-shares.js';
 import { FollowerHeartbeats } from './heartbeats/follower-heartbeats.js';
 import { defersCampaign } from './leadership/campaign-deferral.js';
 import { LeaderLease, leaderLeaseLimits } from './leadership/leader-lease.js';
@@ -25,12 +25,12 @@
 import { StatusExchange } from './peers/status-exchange.js';
 import { type ControllerServices, makeServices } from './services.js';
 import type { Settings } from './settings/settings.js';
-import { accessState, type StateAccess } from './state-access.js';
+import { makeStateAccess, type StateAccess } from './state-access.js';
 
-/** Heartbeat intervals that a call to the cloud may take. */
+/** Timeout of calls to the cloud, in heartbeat intervals. */
 const CLOUD_TIMEOUT_INTERVALS = 4;
 
-/** What a controller starts, ends and hands on. */
+/** The components that a controller starts, stops and passes on. */
 export interface ControllerComponents extends Peering, Observability {
   state: StateAccess;
   services: ControllerServices;
@@ -40,15 +40,15 @@
   httpServer: HttpServer;
 }
 
-/** Who leads here, asked once all components are built. */
+/** Access to the leader in this process. May be called only after all components are built. */
 interface Leadership {
   /** The leader of the current term; null while this controller does not lead. */
   leader: () => ShardLeader | null;
-  /** Whether that leader may still act. */
+  /** State of this leader's lease, which decides whether the leader may still act. */
   leaseState: () => LeaderLeaseState;
 }
 
-/** What talks to the other controllers. */
+/** Components that communicate with the other controllers. */
 interface Peering {
   cancellationRelay: CancellationRelay;
   peers: PeerLink;
@@ -56,13 +56,13 @@
   followerHeartbeats: FollowerHeartbeats;
 }
 
-/** What judges who may answer workers. */
+/** Components that decide whether this controller may answer workers' heartbeats. */
 interface Leases {
   leaderLease: LeaderLease;
   standby: StandbyRenewal;
 }
 
-/** What measures this controller, and what limits its load by that. */
+/** Components that measure this controller, and the admission control that limits its load. */
 interface Observability {
   admission: Admission;
   statistics: ProcessStatistics;
@@ -70,7 +70,7 @@
   eventLoopDelay: EventLoopDelayMonitor;
 }
 
-/** Builds all components of a controller; none of them does anything by itself yet. */
+/** Builds all components of a controller without starting any of them. */
 export function composeController(
   runtime: Runtime,
   settings: Settings,
@@ -80,8 +80,8 @@
     leader: () => terms.leader,
     leaseState: () => leases.leaderLease.evaluate(terms.leader),
   };
-  const sockets = socketShares(settings.deployment.limits.sockets, settings.peers.length);
-  const state = accessState(runtime, settings, () => leadership.leader() !== null);
+  const sockets = divideSockets(settings.deployment.limits.sockets, settings.peers.length);
+  const state = makeStateAccess(runtime, settings, () => leadership.leader() !== null);
   const services: ControllerServices = makeServices(runtime, settings, log, state, () =>
     defersCampaign(runtime.clock, settings, peering.statuses),
   );
@@ -90,10 +90,15 @@
   const leases = composeLeases(services, peering.statuses);
   const connections = () => httpServer.connections;
   const observability = composeObservability(services, leadership, connections);
-  const terms = composeTerms(services, cloud, leadership, observability, sockets.direct);
-  const joined = { ...peering, ...leases, ...observability };
-  const coordinator = composeCoordinator(services, leadership, joined);
-  const httpServer: HttpServer = composeHttpServer(services, leadership, joined, sockets.server);
+  const terms = composeTerms(services, cloud, leadership, observability, sockets.directConnections);
+  const composed = { ...peering, ...leases, ...observability };
+  const coordinator = composeCoordinator(services, leadership, composed);
+  const httpServer: HttpServer = composeHttpServer(
+    services,
+    leadership,
+    composed,
+    sockets.serverConnections,
+  );
   return { state, services, cloud, ...peering, ...observability, terms, coordinator, httpServer };
 }
 
@@ -221,11 +226,11 @@
 function composeHttpServer(
   services: ControllerServices,
   { leader, leaseState }: Leadership,
-  joined: Peering & Leases & Observability,
+  composed: Peering & Leases & Observability,
   maxConnections: number,
 ): HttpServer {
-  const { statuses, cancellationRelay, standby, followerHeartbeats } = joined;
-  const { statistics, metrics, eventLoopDelay, admission } = joined;
+  const { statuses, cancellationRelay, standby, followerHeartbeats } = composed;
+  const { statistics, metrics, eventLoopDelay, admission } = composed;
   return makeHttpServer({
     services,
     maxConnections,
--- a/packages/controller/extreme-limits.test.ts
+++ b/packages/controller/extreme-limits.test.ts
@@ -4,12 +4,12 @@
 import { aJob, Cluster, formatAddress, serviceAddress, SMALL_CLUSTER, USERS_HOST } from '#testing';
 
 /**
- * Limits that settings may give. Guards against a cloud that was never asked at the first, and a process that
- * hung at the last.
+ * Extreme limits that the settings allow. Guards against a cloud that was never called at a rate below two calls
+ * a second, and against a process that hung with values as large as a transaction.
  */
 const EXTREME_LIMITS = {
-  'a rate of the cloud below two calls a second': { cloud: { rps: 0.5, list_lag_s: 4 } },
-  'few changes a second, in the smallest transactions': {
+  'a cloud rate below two calls a second': { cloud: { rps: 0.5, list_lag_s: 4 } },
+  'few changes a second in the smallest transactions': {
     state: { rps: 60, write_rps: 6, value_kb: 1, txn_ops: 2 },
   },
   'values as large as a transaction': {
@@ -27,7 +27,7 @@
 }
 
 for (const [name, limits] of Object.entries(EXTREME_LIMITS)) {
-  test(`work is served with ${name}`, async () => {
+  test(`a job is completed with ${name}`, async () => {
     const deployment = { ...SMALL_CLUSTER.deployment, ...limits };
     const cluster = new Cluster({ ...SMALL_CLUSTER, deployment }, 1);
     const runtime = cluster.serviceRuntime('users', 'users', USERS_HOST);
@@ -35,14 +35,14 @@
     const job = aJob({ id: 'j-1', tasks: 4 });
     cluster.storage.upload({ job, runS: [5, 5, 5, 60], failsAfterS: null });
     let isDone = false;
-    const useUntilDone = async () => {
+    const submitUntilDone = async () => {
       while (!isDone) {
         isDone = await user.submit(job).then(phaseIsDone, ignoreNoAnswer);
         await pause(runtime.clock, 1000);
       }
     };
     await cluster.start();
-    void useUntilDone();
+    void submitUntilDone();
     await cluster.world.runUntil(180);
     assert.ok(isDone);
     assert.deepEqual(cluster.world.uncaught, []);
--- a/packages/controller/state-access.ts
+++ b/packages/controller/state-access.ts
@@ -1,34 +1,34 @@
-/** How this controller uses the state service: its client, the share of the rates, and the caches. */
+/** Access of this controller to the state service: the client, its share of the rates, and the caches. */
 import { JOBS, MAX_VALUE_BYTES, PrefixCache, StateClient, type StateLimits, WORLD } from '#store';
 import { type Runtime, StateApi } from '#wire';
 import type { StateSettings } from './settings/platform-settings.js';
 import type { Settings } from './settings/settings.js';
 
-/** How long the state service may hold a request of a watch. */
-const WATCH_MS = 10_000;
-/** Shares of a heartbeat interval for which changes of jobs gather, at the leader and at followers. */
-const LEADER_BATCHING = 1 / 50;
-const FOLLOWER_BATCHING = 1 / 2;
-/** Share of the state service's rates that one controller may use, among others and alone. */
-const STATE_SHARE = 0.55;
-const SOLE_STATE_SHARE = 0.9;
-/** Share of a heartbeat interval that queries wait for the read index, and share it. */
-const SYNC_SPACING = 1 / 5;
-/** The read indexes of all controllers together take a fifth of the state service's rate at the most. */
+/** Time for which the state service may hold a watch request open, in milliseconds. */
+const WATCH_TIMEOUT_MS = 10_000;
+/** Pause between two watch answers about jobs, in heartbeat intervals, at the leader and at followers. */
+const LEADER_WATCH_PAUSE_INTERVALS = 1 / 50;
+const FOLLOWER_WATCH_PAUSE_INTERVALS = 1 / 2;
+/** Share of the state service's rates that a controller may use, with other controllers and without. */
+const STATE_RATE_SHARE = 0.55;
+const SINGLE_CONTROLLER_RATE_SHARE = 0.9;
+/** Spacing of read-index requests, in heartbeat intervals. Queries in between wait and share the next one. */
+const SYNC_SPACING_INTERVALS = 1 / 5;
+/** Limit of the share of the state service's rate that the read-index requests of all controllers use together. */
 const SYNC_RATE_SHARE = 1 / 5;
 
-/** The state service as this controller uses it. */
+/** The client of the state service and the caches of its records. */
 export interface StateAccess {
   client: StateClient;
-  /** Who leads the shard, and which machine types exist. */
+  /** Cache of the shard's leader and of the machine types. */
   world: PrefixCache;
-  /** All jobs. */
+  /** Cache of all jobs. */
   jobs: PrefixCache;
 }
 
 /**
- * The limits that all requests keep to: the smaller of those in force now and those to come, since nobody tells
- * when they change.
+ * The limits for all requests to the state service: the smaller ones of the current and the announced future
+ * limits, since the time of the change is not announced.
  */
 export function stateLimits({ next = {}, ...now }: StateSettings): StateLimits {
   return {
@@ -44,25 +44,30 @@
   return Math.min(MAX_VALUE_BYTES, Math.floor(valueKb * 1024));
 }
 
-/** Nothing is sent before the caches run; `leading` tells whether this controller leads now. */
-export function accessState(
+/**
+ * Makes the client and the caches. They send nothing until the caches run. `isLeading` returns whether this
+ * controller leads now.
+ */
+export function makeStateAccess(
   runtime: Runtime,
   { external, deployment }: Settings,
-  leading: () => boolean,
+  isLeading: () => boolean,
 ): StateAccess {
   const { nodes, state, workers } = deployment;
   const heartbeatIntervalMs = workers.report_s * 1000;
   const limits = stateLimits(state);
   const api = new StateApi(runtime, external.state, heartbeatIntervalMs);
-  const share = nodes === 1 ? SOLE_STATE_SHARE : STATE_SHARE;
+  const share = nodes === 1 ? SINGLE_CONTROLLER_RATE_SHARE : STATE_RATE_SHARE;
   const client = new StateClient(runtime.clock, api, limits, share);
-  const leastSpacingMs = (nodes * 1000) / (limits.rps * SYNC_RATE_SHARE);
-  const syncSpacingMs = Math.max(leastSpacingMs, heartbeatIntervalMs * SYNC_SPACING);
-  const caching = { client, runtime, watchMs: WATCH_MS, syncSpacingMs };
-  const gatherMs = () => heartbeatIntervalMs * (leading() ? LEADER_BATCHING : FOLLOWER_BATCHING);
+  const minSpacingMs = (nodes * 1000) / (limits.rps * SYNC_RATE_SHARE);
+  const syncSpacingMs = Math.max(minSpacingMs, heartbeatIntervalMs * SYNC_SPACING_INTERVALS);
+  const cacheOptions = { client, runtime, watchMs: WATCH_TIMEOUT_MS, syncSpacingMs };
+  const watchPauseMs = () =>
+    heartbeatIntervalMs *
+    (isLeading() ? LEADER_WATCH_PAUSE_INTERVALS : FOLLOWER_WATCH_PAUSE_INTERVALS);
   return {
     client,
-    world: new PrefixCache({ ...caching, prefix: WORLD }),
-    jobs: new PrefixCache({ ...caching, prefix: JOBS, gatherMs }),
+    world: new PrefixCache({ ...cacheOptions, prefix: WORLD }),
+    jobs: new PrefixCache({ ...cacheOptions, prefix: JOBS, gatherMs: watchPauseMs }),
   };
 }
