--- a/packages/wire/cbor-client.test.ts
+++ b/packages/wire/cbor-client.test.ts
@@ -24,9 +24,9 @@
   }
   assert.equal(runtime.connections, 1);
   await assert.rejects(client.call('GET', '/slow', { timeoutMs: 20 }), NoAnswer);
-  const pending = client.call('GET', '/slow', { timeoutMs: 10_000 });
+  const callInFlight = client.call('GET', '/slow', { timeoutMs: 10_000 });
   client.close();
-  await assert.rejects(pending, NoAnswer);
+  await assert.rejects(callInFlight, NoAnswer);
   await assert.rejects(client.call('GET', '/', { timeoutMs: 1000 }), NoAnswer);
   await listener.close();
   assert.deepEqual([runtime.timers, runtime.connections], [0, 0]);
--- a/packages/wire/cbor-client.ts
+++ b/packages/wire/cbor-client.ts
@@ -42,7 +42,7 @@
   private readonly agent: NetworkAgent;
   private readonly address: HostPort;
   /** Ends each call that is under way. */
-  private readonly pending = new Set<() => void>();
+  private readonly cancelFunctions = new Set<() => void>();
   private closed = false;
 
   constructor(
@@ -57,10 +57,10 @@
   /** Sends one request; resolves with its answer, whatever the status, and rejects with NoAnswer. */
   call(method: string, path: string, options: CallOptions): Promise<Answer> {
     if (this.closed || options.signal?.aborted) {
-      return Promise.reject(new NoAnswer(`${nameOf(method, path)}: cancelled`));
+      return Promise.reject(new NoAnswer(`${describeRequest(method, path)}: cancelled`));
     }
     return new Promise((resolve, reject) => {
-      this.start(method, path, options, (answer) => {
+      this.send(method, path, options, (answer) => {
         if (answer instanceof NoAnswer) reject(answer);
         else resolve(answer);
       });
@@ -68,13 +68,13 @@
   }
 
   /** Sends a request; `settle` may be called more than once, and only the first call counts. */
-  private start(
+  private send(
     method: string,
     path: string,
     { body, maxBytes = Infinity, signal, timeoutMs }: CallOptions,
     settle: (answer: Answer | NoAnswer) => void,
   ): void {
-    const name = nameOf(method, path);
+    const name = describeRequest(method, path);
     const payload = body === undefined ? null : Buffer.from(encode(body));
     const fail = (reason: string, cause?: unknown) => {
       finish();
@@ -89,10 +89,10 @@
     };
     const finish = () => {
       timer.cancel();
-      this.pending.delete(cancel);
+      this.cancelFunctions.delete(cancel);
       signal?.removeEventListener('abort', cancel);
     };
-    const request = this.open(method, path, payload);
+    const request = this.createRequest(method, path, payload);
     request.on('error', (err) => {
       fail(err.message, err);
     });
@@ -102,13 +102,13 @@
         settle(readAnswer(name, response, bytes));
       });
     });
-    this.pending.add(cancel);
+    this.cancelFunctions.add(cancel);
     signal?.addEventListener('abort', cancel);
     if (payload) request.write(payload);
     request.end();
   }
 
-  private open(method: string, path: string, payload: Buffer | null): http.ClientRequest {
+  private createRequest(method: string, path: string, payload: Buffer | null): http.ClientRequest {
     const headers = payload
       ? { 'content-type': 'application/cbor', 'content-length': payload.length }
       : {};
@@ -118,7 +118,7 @@
   /** Ends all calls, also later ones, with NoAnswer. */
   close(): void {
     this.closed = true;
-    for (const cancel of [...this.pending]) cancel();
+    for (const cancel of [...this.cancelFunctions]) cancel();
     this.agent.destroy();
   }
 }
@@ -167,6 +167,6 @@
 }
 
 /** How errors name a request: without its query, which may be long. */
-function nameOf(method: string, path: string): string {
+function describeRequest(method: string, path: string): string {
   return `${method} ${path.split('?')[0]}`;
 }
--- a/packages/wire/cbor.test.ts
+++ b/packages/wire/cbor.test.ts
@@ -6,7 +6,7 @@
 import { jobToWire, parseJob } from './job.js';
 
 test('any bytes decode or are called malformed, never anything else', () => {
-  const check = (bytes: Uint8Array) => {
+  const checkDecoding = (bytes: Uint8Array) => {
     try {
       const value = decode(bytes);
       try {
@@ -18,12 +18,14 @@
       assert.ok(err instanceof MalformedBody, String(err));
     }
   };
-  fc.assert(fc.property(fc.uint8Array({ maxLength: 200 }), check), SEEDED);
+  fc.assert(fc.property(fc.uint8Array({ maxLength: 200 }), checkDecoding), SEEDED);
   // Truncated bodies, nesting as deep as a body allows, and a number beyond any integer type.
   fc.assert(
-    fc.property(anyJob, fc.nat(400), (job, cut) => check(encode(jobToWire(job)).subarray(0, cut))),
+    fc.property(anyJob, fc.nat(400), (job, length) =>
+      checkDecoding(encode(jobToWire(job)).subarray(0, length)),
+    ),
     SEEDED,
   );
-  check(new Uint8Array(65_536).fill(0x81));
-  check(Uint8Array.from([0x1b, 255, 255, 255, 255, 255, 255, 255, 255]));
+  checkDecoding(new Uint8Array(65_536).fill(0x81));
+  checkDecoding(Uint8Array.from([0x1b, 255, 255, 255, 255, 255, 255, 255, 255]));
 });
--- a/packages/wire/heartbeat.ts
+++ b/packages/wire/heartbeat.ts
@@ -144,8 +144,8 @@
   };
 }
 
-const STATE_NAMES = invert(STATES);
-const CAUSE_NAMES = invert(CAUSES);
+const WIRE_STATES = invert(STATES);
+const WIRE_CAUSES = invert(CAUSES);
 
 function invert<T extends string>(map: Record<string, T>): Record<T, string> {
   return Object.fromEntries(Object.entries(map).map(([name, value]) => [value, name])) as Record<
@@ -174,8 +174,8 @@
   return {
     piece: taskName(job, index),
     tryNo: attempt,
-    phase: STATE_NAMES[state],
-    ...(cause ? { cause: CAUSE_NAMES[cause] } : {}),
+    phase: WIRE_STATES[state],
+    ...(cause ? { cause: WIRE_CAUSES[cause] } : {}),
     ...(checkpointed ? { kept: true } : {}),
   };
 }
--- a/packages/wire/job.test.ts
+++ b/packages/wire/job.test.ts
@@ -13,7 +13,7 @@
 });
 
 test('a submission with any field missing or of a wrong kind is malformed', () => {
-  const good = jobToWire({
+  const validJob = jobToWire({
     id: 'j-000001',
     class: 'c',
     team: 't',
@@ -37,15 +37,15 @@
     awaits: ['j-000000'],
   });
   const optional = ['rigs', 'yard', 'dueS', 'awaits'];
-  for (const field of Object.keys(good)) {
-    const without = { ...good };
-    delete without[field];
-    if (optional.includes(field)) parseJob(without);
-    else assert.throws(() => parseJob(without), MalformedBody, field);
-    assert.throws(() => parseJob({ ...good, [field]: { x: 1 } }), MalformedBody, field);
+  for (const field of Object.keys(validJob)) {
+    const withoutField = { ...validJob };
+    delete withoutField[field];
+    if (optional.includes(field)) parseJob(withoutField);
+    else assert.throws(() => parseJob(withoutField), MalformedBody, field);
+    assert.throws(() => parseJob({ ...validJob, [field]: { x: 1 } }), MalformedBody, field);
   }
   for (const pieces of [0, 100_001, 1.5, -1, 2 ** 60]) {
-    assert.throws(() => parseJob({ ...good, pieces }), MalformedBody);
+    assert.throws(() => parseJob({ ...validJob, pieces }), MalformedBody);
   }
-  parseJob({ ...good, unknownField: [1, 2] });
+  parseJob({ ...validJob, unknownField: [1, 2] });
 });
--- a/packages/wire/job.ts
+++ b/packages/wire/job.ts
@@ -55,21 +55,21 @@
 /** Tasks that a job may have. */
 export const MAX_TASKS = 100_000;
 /** Bounds on texts, so that any legal job fits one value of the state service. */
-const MAX_NAME = 256;
+const MAX_NAME_LENGTH = 256;
 const MAX_TYPES = 4096;
 const ID_PATTERN = '^j-[0-9]{1,18}$';
 const idRegExp = new RegExp(ID_PATTERN);
 
 const RANKS = ['critical', 'high', 'standard', 'low'];
 const KINDS: Record<string, Kind> = { array: 'array', group: 'gang', standing: 'service' };
-const KIND_NAMES: Record<Kind, string> = { array: 'array', gang: 'group', service: 'standing' };
+const WIRE_KINDS: Record<Kind, string> = { array: 'array', gang: 'group', service: 'standing' };
 
 /** Whether a text has the form of a job's id. */
 export function isJobId(text: string): boolean {
   return idRegExp.test(text);
 }
 
-const name = { type: 'string', minLength: 1, maxLength: MAX_NAME };
+const name = { type: 'string', minLength: 1, maxLength: MAX_NAME_LENGTH };
 const amount = { type: 'number', minimum: 0, maximum: 1e12 };
 /** What a submission must hold, in the protocol's words; all else may be null or left out. */
 export const REQUIRED_JOB_FIELDS = [
@@ -203,16 +203,16 @@
 /** The protocol's form of a job: what a client submits. Without dependencies it has the form of older versions. */
 export function jobToWire(job: Job): Record<string, unknown> {
   const dependencies = job.awaits;
-  if (dependencies.length === 0) return plainJobToWire(job);
-  return { ...plainJobToWire(job), awaits: [...dependencies] };
+  if (dependencies.length === 0) return jobToWireWithoutDependencies(job);
+  return { ...jobToWireWithoutDependencies(job), awaits: [...dependencies] };
 }
 
-function plainJobToWire(job: Job): Record<string, unknown> {
+function jobToWireWithoutDependencies(job: Job): Record<string, unknown> {
   return {
     id: job.id,
     lane: job.class,
     crew: job.team,
-    shape: KIND_NAMES[job.kind],
+    shape: WIRE_KINDS[job.kind],
     rank: RANKS[job.rank],
     pieces: job.tasks,
     cores: job.cpus,
--- a/packages/wire/network-agent.ts
+++ b/packages/wire/network-agent.ts
@@ -24,8 +24,8 @@
   }): Duplex {
     const connection = this.network.connect({ host: options.host, port: options.port });
     if (connection instanceof net.Socket) {
-      const probeMs = options.keepAliveInitialDelay;
-      connection.once('connect', () => connection.setKeepAlive(true, probeMs));
+      const keepAliveDelayMs = options.keepAliveInitialDelay;
+      connection.once('connect', () => connection.setKeepAlive(true, keepAliveDelayMs));
     } else addSocketMethods(connection);
     return connection;
   }
--- a/packages/wire/state-api.ts
+++ b/packages/wire/state-api.ts
@@ -78,7 +78,7 @@
 const PAGE_SIZE = 1000;
 
 /** How one call is made. */
-interface Call {
+interface StateCallOptions {
   body?: unknown;
   timeoutMs?: number;
   signal: AbortSignal | undefined;
@@ -190,7 +190,7 @@
   }
 
   /** Resolves with a 200 or an expected status; rejects with NoAnswer or StateRefused. */
-  private async call(method: string, path: string, call: Call): Promise<Answer> {
+  private async call(method: string, path: string, call: StateCallOptions): Promise<Answer> {
     const { body, timeoutMs = this.timeoutMs, signal, expected = [] } = call;
     const answer = await this.http.call(method, path, { timeoutMs, signal, body });
     if (answer.status !== HttpStatus.ok && !expected.includes(answer.status)) {
--- a/packages/wire/waits.test.ts
+++ b/packages/wire/waits.test.ts
@@ -5,19 +5,19 @@
 
 test('waits end by time, by a wake or by their signal, and leave no timer', async () => {
   const clock = new HandClock();
-  const pause = new WakeableWait(clock);
-  const stop = new AbortController();
-  pause.wake();
-  const byTime = pause.wait(10, stop.signal);
+  const wakeable = new WakeableWait(clock);
+  const abortController = new AbortController();
+  wakeable.wake();
+  const byTime = wakeable.wait(10, abortController.signal);
   clock.advance(10);
   await byTime;
-  const byWake = pause.wait(10, stop.signal);
-  pause.wake();
+  const byWake = wakeable.wait(10, abortController.signal);
+  wakeable.wake();
   await byWake;
-  const bySignal = pause.wait(10, stop.signal);
-  stop.abort();
+  const bySignal = wakeable.wait(10, abortController.signal);
+  abortController.abort();
   await bySignal;
-  await pause.wait(10, stop.signal);
+  await wakeable.wait(10, abortController.signal);
   let ticks = 0;
   const timer = every(clock, 10, () => {
     if (++ticks === 3) timer.cancel();
