--- a/packages/wire/cbor-client.test.ts
+++ b/packages/wire/cbor-client.test.ts
@@ -6,7 +6,7 @@
 import { CborClient, NoAnswer } from './cbor-client.js';
 import { Listener } from './listener.js';
 
-test('a client keeps its connection, on plain streams too, and a closed one answers no call', async () => {
+test('a client reuses a connection that is a plain stream, and rejects with NoAnswer on timeout and once closed', async () => {
   const runtime = new CountingRuntime();
   let requests = 0;
   const server = http.createServer((req, res) => {
--- a/packages/wire/cbor-client.ts
+++ b/packages/wire/cbor-client.ts
@@ -1,4 +1,4 @@
-/** An HTTP client for bodies of CBOR, below the clients of the state service, the cloud and the service's users. */
+/** An HTTP client with CBOR bodies, on which the clients for users, the cloud and the state service are built. */
 import http from 'node:http';
 import { decode, encode } from './cbor.js';
 import { HttpStatus } from './http-status.js';
@@ -6,42 +6,42 @@
 import { type HostPort, parseHostPort, type Runtime } from './runtime.js';
 
 /**
- * No usable answer came: the other side may have carried out the request or may still do so. The cause, if there is
- * one, is the error of the connection or of the answer's body.
+ * A request got no usable answer; the server may have executed the request or may still execute it. The `cause`, if
+ * set, is the error of the connection or of decoding the answer.
  */
 export class NoAnswer extends Error {
   override readonly name = 'NoAnswer';
 }
 
-/** An answer of any status, with what its body holds. */
+/** An HTTP answer of any status, with its decoded body. */
 export interface Answer {
   status: number;
-  /** Null if there is none, or if it is no CBOR and the status is not 200. */
+  /** Null if the answer has no body, or if the body is not CBOR and the status is not 200. */
   body: unknown;
-  /** Seconds after which the other side wants the request to be repeated; null if it does not say. */
+  /** The delay of the Retry-After header, in seconds; null if the header is missing or is not a number. */
   retryAfterS: number | null;
 }
 
-/** How one call is made. */
+/** Options of one call. */
 export interface CallOptions {
-  /** From the call to the end of its answer. */
+  /** Time limit from the start of the call to the end of its answer. */
   timeoutMs: number;
-  /** Ends the call early. */
+  /** Cancels the call when it aborts. */
   signal?: AbortSignal;
-  /** Sent as CBOR; nothing is sent if it is undefined. */
+  /** Sent as CBOR; the request has no body if this is undefined. */
   body?: unknown;
-  /** Largest answer that is read. */
+  /** Maximum size of the answer's body in bytes; a larger body fails the call. */
   maxBytes?: number;
 }
 
-/** Connections that a client opens at the most, unless its maker says otherwise. */
+/** Default limit on the number of connections that one client opens. */
 export const MAX_SOCKETS = 16;
 
-/** A keep-alive HTTP client that speaks CBOR with one host. */
+/** An HTTP client that exchanges CBOR with one host over keep-alive connections. */
 export class CborClient {
   private readonly agent: NetworkAgent;
   private readonly address: HostPort;
-  /** Ends each call that is under way. */
+  /** Functions that cancel the calls in flight, one per call. */
   private readonly cancelFunctions = new Set<() => void>();
   private closed = false;
 
@@ -54,7 +54,7 @@
     this.agent = new NetworkAgent(runtime.network, maxSockets);
   }
 
-  /** Sends one request; resolves with its answer, whatever the status, and rejects with NoAnswer. */
+  /** Sends one request; resolves with an answer of any status, and rejects with NoAnswer. */
   call(method: string, path: string, options: CallOptions): Promise<Answer> {
     if (this.closed || options.signal?.aborted) {
       return Promise.reject(new NoAnswer(`${describeRequest(method, path)}: cancelled`));
@@ -115,7 +115,7 @@
     return http.request({ ...this.address, method, path, agent: this.agent, headers });
   }
 
-  /** Ends all calls, also later ones, with NoAnswer. */
+  /** Closes the client: calls in flight and all later calls reject with NoAnswer. */
   close(): void {
     this.closed = true;
     for (const cancel of [...this.cancelFunctions]) cancel();
@@ -123,7 +123,7 @@
   }
 }
 
-/** Collects the body of an answer; calls either `fail` or `done`. */
+/** Collects the body of an answer; calls `done` with the complete body, or `fail`. */
 function collectBody(
   response: http.IncomingMessage,
   maxBytes: number,
@@ -148,7 +148,7 @@
   });
 }
 
-/** NoAnswer: a 200 whose body is not CBOR. */
+/** Decodes an answer; returns NoAnswer for a 200 whose body is not CBOR. */
 function readAnswer(
   name: string,
   response: http.IncomingMessage,
@@ -160,13 +160,13 @@
   try {
     if (bytes.length > 0) body = decode(bytes);
   } catch (err) {
-    // The body of any other status is only a hint for people, and may be anything.
+    // With any other status the body is informational only, and need not be CBOR.
     if (status === HttpStatus.ok) return new NoAnswer(`${name}: unreadable answer`, { cause: err });
   }
   return { status, body, retryAfterS: Number.isFinite(retryAfterS) ? retryAfterS : null };
 }
 
-/** How errors name a request: without its query, which may be long. */
+/** Describes a request in error messages, without its query string, which may be long. */
 function describeRequest(method: string, path: string): string {
   return `${method} ${path.split('?')[0]}`;
 }
--- a/packages/wire/cbor.test.ts
+++ b/packages/wire/cbor.test.ts
@@ -5,7 +5,7 @@
 import { decode, encode, MalformedBody } from './cbor.js';
 import { jobToWire, parseJob } from './job.js';
 
-test('any bytes decode or are called malformed, never anything else', () => {
+test('decoding any bytes, and reading a job from the result, throws no error but MalformedBody', () => {
   const checkDecoding = (bytes: Uint8Array) => {
     try {
       const value = decode(bytes);
@@ -19,7 +19,7 @@
     }
   };
   fc.assert(fc.property(fc.uint8Array({ maxLength: 200 }), checkDecoding), SEEDED);
-  // Truncated bodies, nesting as deep as a body allows, and a number beyond any integer type.
+  // Truncated bodies, nesting as deep as the size of a body allows, and an integer beyond JavaScript's safe range.
   fc.assert(
     fc.property(anyJob, fc.nat(400), (job, length) =>
       checkDecoding(encode(jobToWire(job)).subarray(0, length)),
--- a/packages/wire/cbor.ts
+++ b/packages/wire/cbor.ts
@@ -1,23 +1,23 @@
-/** Reads and writes CBOR, the form of all bodies of the protocol. */
+/** Encodes and decodes CBOR, the format of all message bodies of the protocol. */
 import { decode as cborDecode, encode as cborEncode } from 'cborg';
 
 /**
- * A body that is not the CBOR that the protocol allows. The message names the field, if one is wrong, and is part of
- * the answer to the sender.
+ * A message body that is not valid CBOR or does not follow the protocol. The error message names the invalid field,
+ * if there is one, and is part of the answer to the sender.
  */
 export class MalformedBody extends Error {
   override readonly name = 'MalformedBody';
 }
 
-/** Writes one CBOR value; fields that are undefined are left out. */
+/** Encodes a value as CBOR and leaves out fields that are undefined. */
 export function encode(value: unknown): Uint8Array {
-  // Clients by others need not read half-width floats, so only full ones are written.
+  // Other implementations of the protocol need not support 16-bit floats, so all floats have 64 bits.
   return cborEncode(value, { float64: true, ignoreUndefinedProperties: true });
 }
 
 /**
- * Reads one CBOR value. Whatever is wrong with the bytes (truncation, duplicate keys, nesting deep
- * enough to exhaust the stack) surfaces as MalformedBody and never as another kind of failure.
+ * Decodes one CBOR value. Throws MalformedBody, and no other error, for any invalid input: truncated bytes, duplicate
+ * keys, or nesting so deep that the stack overflows.
  */
 export function decode(body: Uint8Array): unknown {
   try {
--- a/packages/wire/cloud-client.ts
+++ b/packages/wire/cloud-client.ts
@@ -1,19 +1,19 @@
-/** The client of the cloud that machines are provisioned from, and the codec of its messages. */
+/** The client of the cloud that provisions machines, and the codec of its messages. */
 import { type Answer, CborClient } from './cbor-client.js';
 import { HttpStatus } from './http-status.js';
 import type { Runtime } from './runtime.js';
 
-/** A type of machine that can be provisioned, with its nominal sizes. */
+/** A machine type that can be provisioned, with its nominal capacity. */
 export interface MachineType {
   name: string;
   cpus: number;
   gpus: number;
   /** GB. */
   memory: number;
-  /** Room for images; GB. */
+  /** Capacity of the image cache; GB. */
   cacheGb: number;
   fetchGbPerS: number;
-  /** Money per hour. */
+  /** Price per hour. */
   price: number;
   spotPrice: number;
   /** Nominal time from a provisioning request to the worker's first heartbeat; seconds. */
@@ -21,16 +21,16 @@
   zones: string[];
 }
 
-/** A machine as the cloud's list shows it, which lags behind. */
+/** A machine in the cloud's list, which is delayed and may describe a past state. */
 export interface ListedMachine {
   name: string;
-  /** HOST:PORT of its worker. */
+  /** HOST:PORT of the machine's worker. */
   addr: string;
   type: string;
   zone: string;
   spot: boolean;
   state: 'booting' | 'running' | 'failed';
-  /** Since it was provisioned, at the time that the list describes; seconds. */
+  /** Seconds since the machine was provisioned, as of the moment that the list describes. */
   ageS: number;
 }
 
@@ -42,7 +42,7 @@
   count: number;
 }
 
-/** The result of a provisioning request; `trouble`: nothing was done, and the same request may be repeated. */
+/** The result of a provisioning request; `trouble`: nothing was provisioned, and the same request may be retried. */
 export type ProvisionOutcome = { machines: string[] } | 'no-capacity' | 'trouble';
 
 interface RawType {
@@ -68,7 +68,7 @@
   ageS: number;
 }
 
-/** The cloud refused a call or had an outage; nothing was carried out. */
+/** The cloud refused a call or had an outage, and did not execute the call. */
 class CloudRefused extends Error {
   override readonly name = 'CloudRefused';
 
@@ -81,15 +81,15 @@
   }
 }
 
-/** Machines on one page of the list. */
+/** Number of machines on one page of the machine list. */
 const PAGE_SIZE = 500;
 const MAX_SOCKETS = 4;
-/** Machines that one call may release. */
+/** Maximum number of machines that one call may release. */
 export const RELEASE_AT_ONCE = 100;
-/** Machines that one call may provision. */
+/** Maximum number of machines that one call may provision. */
 export const MACHINES_PER_REQUEST = 50;
 
-/** The cloud's interface, call by call. Calls reject with NoAnswer or CloudRefused. */
+/** A client with one method per call of the cloud's API. Calls reject with NoAnswer or CloudRefused. */
 export class CloudClient {
   private readonly http: CborClient;
 
@@ -101,13 +101,13 @@
     this.http = new CborClient(runtime, address, MAX_SOCKETS);
   }
 
-  /** All machine types that can be provisioned. */
+  /** Reads all machine types that can be provisioned. */
   async catalog(signal?: AbortSignal): Promise<MachineType[]> {
     const body = (await this.call('GET', '/catalog', undefined, signal)) as { rigs: RawType[] };
     return body.rigs.map(readType);
   }
 
-  /** One page of the machine list, and whether more follow. */
+  /** Reads one page of the machine list; `more` tells whether other pages follow. */
   async list(
     after: string | null,
     signal?: AbortSignal,
@@ -120,7 +120,7 @@
     return { more: page.more, machines: page.hosts.map(readMachine) };
   }
 
-  /** Provisions machines under a name that was never used before, or repeats that same request. */
+  /** Provisions machines. The request name must be new, unless the call retries the same request. */
   async provision(
     request: string,
     { type, zone, spot, count }: ProvisionRequest,
@@ -144,12 +144,12 @@
     return isWithoutCapacity(answer) ? 'no-capacity' : 'trouble';
   }
 
-  /** Deprovisions machines; resolves only on the answer that proves them gone. */
+  /** Deprovisions machines; resolves only once the cloud has confirmed that the machines are gone. */
   async release(machines: string[], signal?: AbortSignal): Promise<void> {
     await this.call('POST', '/hosts/release', { hosts: machines }, signal);
   }
 
-  /** Ends all calls, also later ones, with NoAnswer. */
+  /** Closes the client: calls in flight and all later calls reject with NoAnswer. */
   close(): void {
     this.http.close();
   }
--- a/packages/wire/heartbeat.test.ts
+++ b/packages/wire/heartbeat.test.ts
@@ -5,7 +5,7 @@
 import { decode, encode } from './cbor.js';
 import { parseHeartbeat, heartbeatToWire } from './heartbeat.js';
 
-test('heartbeats survive their way through the wire format', () => {
+test('a heartbeat that is encoded and decoded again is unchanged', () => {
   fc.assert(
     fc.property(anyHeartbeat, (heartbeat) =>
       assert.deepEqual(parseHeartbeat(decode(encode(heartbeatToWire(heartbeat)))), heartbeat),
--- a/packages/wire/heartbeat.ts
+++ b/packages/wire/heartbeat.ts
@@ -1,38 +1,38 @@
-/** A worker's heartbeat: the types, and the codec between them and the protocol's words. */
+/** A worker's heartbeat: its types, and the codec between them and the protocol's field names. */
 import { MalformedBody } from './cbor.js';
 import { compileSchema } from './schema.js';
 import { taskName, type TaskRef } from './task.js';
 
-/** How far a task has come on its machine; `exited` until a controller orders the worker to forget it. */
+/** State of a task on its machine; a task stays `exited` until a controller orders the worker to forget it. */
 export type TaskState = 'fetching' | 'waiting' | 'running' | 'saving' | 'exited';
 /** Why a task exited (docs/glossary.md). */
 export type Cause =
   'done' | 'stopped' | 'peers' | 'alone' | 'error' | 'no_room' | 'busy' | 'unknown';
 
-/** One task as its worker holds it. */
+/** Status of one task on its worker. */
 export interface TaskStatus extends TaskRef {
   state: TaskState;
-  /** Null unless it has exited. */
+  /** Null unless the task has exited. */
   cause: Cause | null;
-  /** Its progress was saved when it was stopped. */
+  /** Whether the task's progress was saved when it was stopped. */
   checkpointed: boolean;
 }
 
-/** A worker's heartbeat, with all its tasks. */
+/** A worker's heartbeat, with the status of all its tasks. */
 export interface Heartbeat {
   machine: string;
-  /** HOST:PORT for direct commands. */
+  /** HOST:PORT where the worker accepts direct commands. */
   addr: string;
   type: string;
   zone: string;
   spot: boolean;
-  /** Rises when the worker's lease has run out. */
+  /** Increases each time the worker's lease expires. */
   agentEpoch: number;
-  /** Number of the message in its agent epoch. */
+  /** Sequence number of the heartbeat within its agent epoch. */
   sequence: number;
-  /** The largest fencing token that the worker has obeyed. */
+  /** The largest fencing token that the worker has accepted. */
   fencingToken: number;
-  /** Seconds until the cloud reclaims the machine; null if it has not announced that. */
+  /** Seconds until the cloud reclaims the machine; null if the cloud has not announced this. */
   noticeS: number | null;
   tasks: TaskStatus[];
 }
@@ -110,7 +110,7 @@
 
 const isRawHeartbeat = compileSchema<RawHeartbeat>('heartbeat', schema);
 
-/** Reads a worker's heartbeat; throws MalformedBody, which names the field. */
+/** Decodes a worker's heartbeat; throws MalformedBody, which names the invalid field. */
 export function parseHeartbeat(raw: unknown): Heartbeat {
   if (!isRawHeartbeat(raw)) {
     const first = isRawHeartbeat.errors?.[0];
@@ -138,7 +138,7 @@
     index: Number(piece.slice(slash + 1)),
     attempt: tryNo,
     state: STATES[phase],
-    // A cause that this version does not know counts as a failure.
+    // A cause that this version does not know counts as `error`.
     cause: cause ? (CAUSES[cause] ?? 'error') : null,
     checkpointed: kept === true,
   };
@@ -154,7 +154,7 @@
   >;
 }
 
-/** The protocol's form of a heartbeat: what a worker sends. */
+/** Encodes a heartbeat as a worker sends it. */
 export function heartbeatToWire(heartbeat: Heartbeat): Record<string, unknown> {
   return {
     host: heartbeat.machine,
--- a/packages/wire/http-status.ts
+++ b/packages/wire/http-status.ts
@@ -1,6 +1,6 @@
-/** Names for statuses of HTTP. */
+/** Named HTTP status codes. */
 
-/** The statuses of HTTP that the clients of this package tell apart. */
+/** The HTTP status codes that the clients of this package distinguish. */
 export const HttpStatus = {
   ok: 200,
   badRequest: 400,
--- a/packages/wire/index.ts
+++ b/packages/wire/index.ts
@@ -1,7 +1,7 @@
 /**
- * Everything that travels between the service and others: messages with their codecs, HTTP clients that speak CBOR,
- * and the runtime (time, randomness, network) that these use. The protocol's field names occur here only. The package
- * holds no state and imports no other package.
+ * The protocol between the service and its users, its workers, the cloud and the state service: message types with
+ * their codecs, HTTP clients that send CBOR, and the runtime (time, randomness, network) that the clients use. Only
+ * this package contains the protocol's field names. It holds no state and imports no other package.
  */
 export * from './cbor.js';
 export * from './cbor-client.js';
--- a/packages/wire/job.test.ts
+++ b/packages/wire/job.test.ts
@@ -5,14 +5,14 @@
 import { decode, encode, MalformedBody } from './cbor.js';
 import { jobToWire, parseJob } from './job.js';
 
-test('jobs survive their way through the wire format', () => {
+test('a job that is encoded and decoded again is unchanged', () => {
   fc.assert(
     fc.property(anyJob, (job) => assert.deepEqual(parseJob(decode(encode(jobToWire(job)))), job)),
     SEEDED,
   );
 });
 
-test('a submission with any field missing or of a wrong kind is malformed', () => {
+test('a submission with a required field missing, or any field of a wrong type, is malformed', () => {
   const validJob = jobToWire({
     id: 'j-000001',
     class: 'c',
--- a/packages/wire/job.ts
+++ b/packages/wire/job.ts
@@ -1,60 +1,60 @@
-/** A job as its user submits it: the types, and the codec between them and the protocol's words. */
+/** A job as its user submits it: its types, and the codec between them and the protocol's field names. */
 import type { ErrorObject } from 'ajv';
 import { MalformedBody } from './cbor.js';
 import { compileSchema } from './schema.js';
 
-/** `array`: independent tasks; `gang`: all at once or none; `service`: replicas that run until they are cancelled. */
+/** `array`: independent tasks; `gang`: all tasks run at once or none; `service`: replicas that run until cancelled. */
 export type Kind = 'array' | 'gang' | 'service';
 
-/** A job in the terms of the code. Amounts are per task; times are seconds. */
+/** A job under the names that the code uses. Resource amounts are per task; times are in seconds. */
 export interface Job {
-  /** Chosen by the user, like `j-000412`. */
+  /** Chosen by the user, such as `j-000412`. */
   id: string;
-  /** Jobs with the same objective. */
+  /** Name of the job's class; all jobs of a class share its objective. */
   class: string;
-  /** The team whose quota counts. */
+  /** The team to whose quota the job is charged. */
   team: string;
   kind: Kind;
-  /** 0 is the most urgent. */
+  /** Priority; 0 is the most urgent. */
   rank: number;
   tasks: number;
   cpus: number;
   gpus: number;
   /** GB. */
   memory: number;
-  /** What a machine must have fetched before a task can start. */
+  /** Name of the image that a machine must fetch before a task can start. */
   image: string;
   imageGb: number;
   /** Allowed machine types; null for any. */
   types: string[] | null;
   /** The only allowed zone; null for any. */
   zone: string | null;
-  /** All tasks must be in the same zone. */
+  /** Whether all tasks must be in the same zone. */
   oneZone: boolean;
-  /** At most half of the tasks, rounded up, may be in one zone. */
+  /** Whether at most half of the tasks, rounded up, may be in one zone. */
   spread: boolean;
-  /** The job may use spot machines. */
+  /** Whether the job may use spot machines. */
   spot: boolean;
-  /** The user's guess of a task's run time without the fetch; 0 for services. */
+  /** The user's estimate of a task's run time, without fetching the image; 0 for services. */
   estimateS: number;
-  /** Progress between two checkpoints; 0 if the tasks save nothing. */
+  /** Run time between two checkpoints; 0 if the tasks save no checkpoints. */
   checkpointS: number;
-  /** What a task needs to save when it is stopped. */
+  /** Time that a task needs to save its progress when it is stopped. */
   saveS: number;
-  /** When the job should be done, from its submission on; null if there is no deadline. */
+  /** Time from submission by which the job should be done; null if there is no deadline. */
   deadlineS: number | null;
-  /** Ids of the dependencies: jobs that must be done before any task of this one starts, each once. */
+  /** Ids of the job's dependencies, without duplicates: jobs that must be done before any of its tasks starts. */
 
-  // eslint-disable-next-line local/retired-words -- the public client API keeps its names
+  // eslint-disable-next-line local/retired-words -- the public client API keeps this name
   awaits: readonly string[];
 }
 
-/** The state of a job as its user sees it; `pending` means that no task runs. */
+/** The state of a job as its user sees it; `pending` means that no task of the job is running. */
 export type Phase = 'pending' | 'running' | 'done' | 'aborted';
 
-/** Tasks that a job may have. */
+/** Maximum number of tasks in a job. */
 export const MAX_TASKS = 100_000;
-/** Bounds on texts, so that any legal job fits one value of the state service. */
+/** Limits on names and on the number of machine types: a valid job must fit into one value of the state service. */
 const MAX_NAME_LENGTH = 256;
 const MAX_TYPES = 4096;
 const ID_PATTERN = '^j-[0-9]{1,18}$';
@@ -64,14 +64,14 @@
 const KINDS: Record<string, Kind> = { array: 'array', group: 'gang', standing: 'service' };
 const WIRE_KINDS: Record<Kind, string> = { array: 'array', gang: 'group', service: 'standing' };
 
-/** Whether a text has the form of a job's id. */
+/** Whether a string has the form of a job id. */
 export function isJobId(text: string): boolean {
   return idRegExp.test(text);
 }
 
 const name = { type: 'string', minLength: 1, maxLength: MAX_NAME_LENGTH };
 const amount = { type: 'number', minimum: 0, maximum: 1e12 };
-/** What a submission must hold, in the protocol's words; all else may be null or left out. */
+/** Protocol names of the fields that a submission must have; all other fields may be null or missing. */
 export const REQUIRED_JOB_FIELDS = [
   'id',
   'lane',
@@ -142,13 +142,13 @@
   snapshotS: number;
   dueS?: number | null;
 
-  // eslint-disable-next-line local/retired-words -- the protocol's word
+  // eslint-disable-next-line local/retired-words -- the protocol's field name
   awaits?: string[] | null;
 }
 
 const isRawJob = compileSchema<RawJob>('job', schema);
 
-/** Reads a submission; throws MalformedBody, which names the field. */
+/** Decodes a submission; throws MalformedBody, which names the invalid field. */
 export function parseJob(raw: unknown): Job {
   if (!isRawJob(raw)) throw new MalformedBody(describeError(isRawJob.errors?.[0]));
   return {
@@ -176,7 +176,7 @@
   };
 }
 
-/** Names the field and what is wrong with it. */
+/** Describes a validation error: the invalid field and the reason. */
 function describeError(error: ErrorObject | undefined): string {
   if (!error) return 'body: is invalid';
   const path = error.instancePath.slice(1).replaceAll('/', '.');
@@ -187,7 +187,7 @@
   return `${path || 'body'}: ${error.message ?? 'is invalid'}`;
 }
 
-/** The fields that decide whether a job can run, as its user knows them. */
+/** Protocol names of the fields that decide whether a job can run, for error messages about a job. */
 export const JOB_FIELDS = {
   team: 'crew',
   tasks: 'pieces',
@@ -200,7 +200,7 @@
   awaits: 'awaits',
 } as const;
 
-/** The protocol's form of a job: what a client submits. Without dependencies it has the form of older versions. */
+/** Encodes a job as a client submits it; without dependencies, as in older versions, which do not have `awaits`. */
 export function jobToWire(job: Job): Record<string, unknown> {
   const dependencies = job.awaits;
   if (dependencies.length === 0) return jobToWireWithoutDependencies(job);
@@ -232,7 +232,7 @@
   };
 }
 
-/** A job as its user sees it; `done` and `running` are numbers of tasks. */
+/** Status of a job as its user sees it; `done` and `running` are numbers of tasks. */
 export interface JobView {
   id: string;
   phase: Phase;
--- a/packages/wire/listener.test.ts
+++ b/packages/wire/listener.test.ts
@@ -5,7 +5,7 @@
 import { Listener, ListenError } from './listener.js';
 import { nodeRuntime } from './runtime.js';
 
-test('the network of the machine says when an address is taken, and closes what it serves', async () => {
+test('listening on an address in use fails with ListenError, and close() closes all connections', async () => {
   const first = new Listener(nodeRuntime.network, net.createServer());
   const address = { host: '127.0.0.1', port: 28_231 };
   await first.open(address);
--- a/packages/wire/listener.ts
+++ b/packages/wire/listener.ts
@@ -1,9 +1,9 @@
-/** Servers on the network of a Runtime. */
+/** Servers that listen on the network of a Runtime. */
 import type net from 'node:net';
 import type { Duplex } from 'node:stream';
 import type { HostPort, Network } from './runtime.js';
 
-/** An address could not be listened on; the cause is the network's own error. */
+/** A server could not listen on an address; the `cause` is the error of the network. */
 export class ListenError extends Error {
   override readonly name = 'ListenError';
 
@@ -16,7 +16,7 @@
   }
 }
 
-/** A server on a network and the connections that it holds, so that both can be ended together. */
+/** A server and its open connections, which can be closed together. */
 export class Listener {
   private readonly openConnections = new Set<Duplex>();
 
@@ -30,14 +30,14 @@
     });
   }
 
-  /** Connections that are open now. */
+  /** Number of open connections. */
   get connections(): number {
     return this.openConnections.size;
   }
 
   /** Resolves once the server is reachable; rejects with ListenError. */
   async open(address: HostPort): Promise<void> {
-    // One connection that cannot be accepted is no reason to stop serving the others.
+    // A connection that cannot be accepted must not end the process, as an `error` event without a handler would.
     this.server.on('error', () => undefined);
     try {
       await this.network.listen(this.server, address);
@@ -46,7 +46,7 @@
     }
   }
 
-  /** Stops listening and ends all connections; resolves once they are gone. */
+  /** Stops listening and closes all connections; resolves once all are closed. */
   async close(): Promise<void> {
     const closed = [
       new Promise<void>((resolve) => {
--- a/packages/wire/network-agent.ts
+++ b/packages/wire/network-agent.ts
@@ -1,13 +1,13 @@
-/** Connections of HTTP clients on the network of a Runtime. */
+/** An agent that opens the connections of HTTP clients on the network of a Runtime. */
 import http from 'node:http';
 import net from 'node:net';
 import type { Duplex } from 'node:stream';
 import type { Network } from './runtime.js';
 
-/** Methods of a socket that http.Agent calls on a connection that it keeps, and that other streams lack. */
+/** Socket methods that http.Agent calls on the connections in its pool, and that other streams do not have. */
 const SOCKET_METHODS = ['ref', 'unref', 'setKeepAlive', 'setTimeout'] as const;
 
-/** Keeps connections as http.Agent does, but takes them from the given network. */
+/** An http.Agent with keep-alive that opens its connections on the given network. */
 export class NetworkAgent extends http.Agent {
   constructor(
     private readonly network: Network,
@@ -16,7 +16,7 @@
     super({ keepAlive: true, maxSockets, scheduling: 'lifo' });
   }
 
-  /** Called by http.Agent; the connection may still be opening. */
+  /** Called by http.Agent, which accepts a connection that is still being established. */
   override createConnection(options: {
     host: string;
     port: number;
@@ -31,7 +31,7 @@
   }
 }
 
-/** Adds those methods, without effect, to a stream that is no socket. */
+/** Adds the methods of SOCKET_METHODS, without any effect, to a stream that is not a socket. */
 function addSocketMethods(stream: Duplex): void {
   const methods = stream as unknown as Record<string, unknown>;
   for (const name of SOCKET_METHODS) methods[name] ??= () => stream;
--- a/packages/wire/runtime.ts
+++ b/packages/wire/runtime.ts
@@ -1,52 +1,52 @@
-/** What a process takes from the machine that it runs on, behind interfaces. */
+/** Interfaces to the clock, the randomness and the network of the machine that a process runs on. */
 import net from 'node:net';
 import type { Duplex } from 'node:stream';
 
 /**
- * The machine as one process sees it: time, randomness and connections. Production code
- * receives it instead of calling Node directly, so that several controllers can run inside one
- * process on a simulated clock and network (packages/testing).
+ * The clock, the randomness and the network of one process. Production code receives a Runtime instead of calling
+ * Node directly, so that tests can run several controllers in one process on a simulated clock and network
+ * (packages/testing).
  */
 export interface Runtime {
   readonly clock: Clock;
   readonly network: Network;
-  /** A number in [0, 1), as Math.random. */
+  /** A random number in [0, 1), as from Math.random. */
   random(): number;
 }
 
-/** Time as one process sees it. */
+/** The clock of one process. */
 export interface Clock {
-  /** Steady time in seconds; its zero has no meaning and it never goes back. */
+  /** Seconds of the monotonic clock, which never goes back and starts at an arbitrary value. */
   now(): number;
-  /** Time of day in milliseconds since 1970, as Date.now. */
+  /** Time of day in milliseconds since 1970, as from Date.now. */
   wallMs(): number;
-  /** Calls back once after so many milliseconds, unless cancelled before. */
+  /** Calls `callback` once after a delay, unless the timer is cancelled first. */
   setTimer(callback: () => void, delayMs: number): Timer;
 }
 
-/** A callback that is still to come. */
+/** A scheduled callback. */
 export interface Timer {
   cancel(): void;
 }
 
-/** TCP as one process sees it. */
+/** The TCP network of one process. */
 export interface Network {
-  /** Opens a connection; `connect`, `error` and `close` are emitted as by net.Socket. */
+  /** Opens a connection, which emits `connect`, `error` and `close` as net.Socket does. */
   connect(address: HostPort): Duplex;
   /**
-   * Serves an http.Server or net.Server at the address until the server's `close` event; rejects if the
-   * address cannot be had. Each connection is given to the server by its `connection` event.
+   * Makes an http.Server or net.Server reachable at the address until the server's `close` event; rejects if the
+   * address is not available. Each new connection is emitted on the server as a `connection` event.
    */
   listen(server: net.Server, address: HostPort): Promise<void>;
 }
 
-/** Where a server listens: an IPv4 address and a port. */
+/** The IPv4 address and port of a server. */
 export interface HostPort {
   host: string;
   port: number;
 }
 
-/** Reads `10.0.0.1:8080`. */
+/** Parses an address such as `10.0.0.1:8080`. */
 export function parseHostPort(address: string): HostPort {
   const colon = address.lastIndexOf(':');
   return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) };
@@ -79,7 +79,7 @@
     }),
 };
 
-/** The machine itself. */
+/** The Runtime of a real process, implemented by Node. */
 export const nodeRuntime: Runtime = {
   clock: nodeClock,
   network: nodeNetwork,
--- a/packages/wire/schema.ts
+++ b/packages/wire/schema.ts
@@ -1,9 +1,9 @@
-/** Compiles the JSON schemas by which data from outside is checked. */
+/** Compiles the JSON schemas that validate data from other processes and from settings files. */
 import { Ajv, type Options, type ValidateFunction } from 'ajv';
 
 /**
- * How schemas are understood. Our own schemas are checked by the tests; checking them again at each start
- * would cost more processor time than all the rest of ajv.
+ * Options of ajv for all schemas. The tests check that the schemas themselves are valid; checking this again at each
+ * start would take more CPU time than the rest of ajv.
  */
 export const SCHEMA_OPTIONS: Options = {
   strict: false,
@@ -15,13 +15,13 @@
 
 const ajv = new Ajv(SCHEMA_OPTIONS);
 
-/** All schemas that this process has compiled, by name; the build makes code of them. */
+/** All schemas that this process has compiled, by name; the build generates validation code from them. */
 export const namedSchemas = new Map<string, object>();
 
 /**
- * Compiles a JSON schema; its check fills in defaults and leaves the first error in `errors`. The name
- * identifies the schema. In the bundled program the checks are code that the build has made of the
- * schemas (packages/bundle/schema-checks.ts), so that ajv is neither loaded nor compiles anything at a start.
+ * Compiles a JSON schema, which its name identifies, to a validation function. The function fills in defaults and
+ * stores the first error in `errors`. In the bundled program the build generates the validation functions
+ * (packages/bundle/schema-checks.ts), so that a start neither loads ajv nor compiles schemas.
  */
 export function compileSchema<T>(name: string, schema: object): ValidateFunction<T> {
   namedSchemas.set(name, schema);
--- a/packages/wire/serving/cloud.ts
+++ b/packages/wire/serving/cloud.ts
@@ -1,4 +1,4 @@
-/** The cloud's side of its interface: requests read, answers written. */
+/** The server side of the cloud's API: decodes requests and encodes answers. */
 import { MalformedBody } from '../cbor.js';
 import {
   RELEASE_AT_ONCE,
@@ -16,7 +16,7 @@
 } from './fields.js';
 import type { WireReply, WireRequest } from './message.js';
 
-/** What the cloud can be asked. */
+/** A decoded request to the cloud. */
 export type CloudRequest =
   | { op: 'catalog' }
   | RawProvisionRequest
@@ -41,7 +41,7 @@
   failed: 'failed',
 };
 
-/** Reads a request; throws MalformedBody for whatever the cloud answers with 400. */
+/** Decodes a request; throws MalformedBody for a request that the cloud answers with status 400. */
 export function parseCloudRequest({ method, path, query, body }: WireRequest): CloudRequest {
   if (method === 'GET' && path === '/catalog') return { op: 'catalog' };
   if (method === 'POST' && path === '/hosts') return parseProvisionRequest(body);
@@ -50,7 +50,7 @@
     const limit = integerQuery(query, 'most', { min: 1, max: MAX_LISTED, ifMissing: MAX_LISTED });
     return { op: 'list', after: query.get('after'), limit };
   }
-  throw new MalformedBody(`${method} ${path} is no request of the cloud`);
+  throw new MalformedBody(`${method} ${path} is not part of the cloud's API`);
 }
 
 function parseProvisionRequest(body: unknown): RawProvisionRequest {
@@ -69,12 +69,12 @@
   const machines = listField(asFields(body), 'hosts');
   if (machines.length > RELEASE_AT_ONCE) throw new MalformedBody('too many hosts');
   if (!machines.every((name) => typeof name === 'string')) {
-    throw new MalformedBody('a host is not a text');
+    throw new MalformedBody('a host is not a string');
   }
   return { op: 'release', machines };
 }
 
-/** All machine types. */
+/** Answers with all machine types. */
 export function catalogReply(types: MachineType[]): WireReply {
   const rigs = types.map((type) => ({
     name: type.name,
@@ -91,18 +91,18 @@
   return { status: 200, body: { rigs } };
 }
 
-/** The machines that were provisioned; none: the refusal for want of capacity. */
+/** Answers with the provisioned machines; an empty list is answered as a lack of capacity. */
 export function provisionReply(machines: string[]): WireReply {
   if (machines.length === 0) return { status: 503, body: { error: 'no capacity' } };
   return { status: 200, body: { hosts: machines } };
 }
 
-/** The machines are gone. */
+/** Answers that the released machines are gone. */
 export function releaseReply(): WireReply {
   return { status: 200, body: {} };
 }
 
-/** One page of the machine list. */
+/** Answers with one page of the machine list. */
 export function machineListReply(machines: ListedMachine[], more: boolean): WireReply {
   const hosts = machines.map((machine) => ({
     id: machine.name,
--- a/packages/wire/serving/fields.ts
+++ b/packages/wire/serving/fields.ts
@@ -1,10 +1,10 @@
-/** Readers for single fields of a decoded body; each throws MalformedBody with the field's name. */
+/** Functions that read single fields of a decoded body; each throws MalformedBody with the field's name. */
 import { MalformedBody } from '../cbor.js';
 
-/** A map as it was decoded. */
+/** A decoded map whose fields are not checked yet. */
 export type Fields = Record<string, unknown>;
 
-/** A map; the name is for the error. */
+/** Checks that a value is a map; `name` is its name in the error. */
 export function asFields(value: unknown, name = 'body'): Fields {
   if (value === null || typeof value !== 'object' || Array.isArray(value)) {
     throw new MalformedBody(`${name} is not a map`);
@@ -12,33 +12,33 @@
   return value as Fields;
 }
 
-/** A list; a missing one counts as empty if it is optional. */
+/** Reads a list; a missing list is read as empty if it is optional. */
 export function listField(fields: Fields, name: string, optional = false): unknown[] {
   const value = fields[name] ?? (optional ? [] : undefined);
   if (!Array.isArray(value)) throw new MalformedBody(`${name} is not a list`);
   return value;
 }
 
-/** A text that must be there. */
+/** Reads a required string. */
 export function textField(fields: Fields, name: string): string {
   const value = fields[name];
-  if (typeof value !== 'string') throw new MalformedBody(`${name} is not a text`);
+  if (typeof value !== 'string') throw new MalformedBody(`${name} is not a string`);
   return value;
 }
 
-/** A boolean that must be there. */
+/** Reads a required boolean. */
 export function booleanField(fields: Fields, name: string): boolean {
   const value = fields[name];
   if (typeof value !== 'boolean') throw new MalformedBody(`${name} is not a boolean`);
   return value;
 }
 
-/** An integer within the bounds that must be there. */
+/** Reads a required integer from `min` to `max`. */
 export function integerField(fields: Fields, name: string, min: number, max: number): number {
   return checkedInteger(fields[name], name, min, max);
 }
 
-/** An integer of the query string; the default stands in for a missing one. */
+/** Reads an integer from the query string; a missing one is read as `ifMissing`, if given, and else is invalid. */
 export function integerQuery(
   query: URLSearchParams,
   name: string,
--- a/packages/wire/serving/index.ts
+++ b/packages/wire/serving/index.ts
@@ -1,6 +1,6 @@
 /**
- * The serving side of the interfaces that production code is a client of: requests read, answers written. Only
- * stand-ins and tools import it.
+ * The server side of the APIs that the service calls: decodes requests and encodes answers. Only stand-ins for other
+ * services, and development tools, import it.
  */
 export * from './cloud.js';
 export * from './message.js';
--- a/packages/wire/serving/message.ts
+++ b/packages/wire/serving/message.ts
@@ -1,15 +1,15 @@
 /**
- * What the serving side of the interfaces passes around: decoded requests and the answers to them.
- * Production code is a client of these interfaces; only stand-ins and tools serve them.
+ * HTTP requests and answers on the server side of the APIs that the service calls. Only stand-ins for other services,
+ * and development tools, use them.
  */
 
 /** One HTTP request with its CBOR body decoded. */
 export interface WireRequest {
   method: string;
-  /** The part of the URL before `?`, unescaped. */
+  /** The part of the URL before `?`, percent-decoded. */
   path: string;
   query: URLSearchParams;
-  /** null if the request has no body. */
+  /** Null if the request has no body. */
   body: unknown;
 }
 
@@ -19,14 +19,14 @@
   body?: unknown;
 }
 
-/** The request cannot be read; a retry would have the same result. */
+/** Answer to a request that cannot be decoded; a retry would have the same result. */
 export const MALFORMED: WireReply = { status: 400, body: { error: 'malformed' } };
-/** Above the allowed rate; nothing was done. */
+/** Answer to a request above the rate limit, which is not executed. */
 export const TOO_MANY_REQUESTS: WireReply = { status: 429, body: { error: 'too many requests' } };
-/** An outage; nothing was done. */
+/** Answer during an outage to a request that is not executed. */
 export const UNAVAILABLE: WireReply = { status: 503, body: { error: 'trouble' } };
 
-/** Bytes of a body as the protocol counts them: in its JSON form. */
+/** Size of a body in bytes as the protocol's limits count it: encoded as JSON. */
 export function wireSize(body: unknown): number {
   const json = JSON.stringify(body) as string | undefined;
   return json === undefined ? 0 : Buffer.byteLength(json);
--- a/packages/wire/serving/state.ts
+++ b/packages/wire/serving/state.ts
@@ -1,10 +1,10 @@
-/** The state service's side of its interface: requests read, answers written. */
+/** The server side of the state service's API: decodes requests and encodes answers. */
 import { MalformedBody } from '../cbor.js';
 import type { Change, Condition, Entry, TxnOutcome, WatchOutcome } from '../state-api.js';
 import { asFields, integerField, integerQuery, listField, textField } from './fields.js';
 import type { WireReply, WireRequest } from './message.js';
 
-/** What the state service can be asked. */
+/** A decoded request to the state service. */
 export type StateRequest =
   | { op: 'get'; key: string }
   | { op: 'list'; prefix: string; after: string | null; limit: number }
@@ -22,7 +22,7 @@
 const STORE_PATH = '/store/';
 const LEASE_PATH = /^\/grants\/([0-9]+)(\/touch)?$/;
 
-/** Reads a request; throws MalformedBody for whatever the service answers with 400. */
+/** Decodes a request; throws MalformedBody for a request that the state service answers with status 400. */
 export function parseStateRequest(request: WireRequest): StateRequest {
   const { method, path, query } = request;
   if (method === 'POST' && path === '/multi') return parseTxn(request.body);
@@ -35,7 +35,7 @@
   const lease = LEASE_PATH.exec(path);
   if (lease && method === 'POST' && lease[2]) return { op: 'touch', lease: Number(lease[1]) };
   if (lease && method === 'DELETE' && !lease[2]) return { op: 'drop', lease: Number(lease[1]) };
-  throw new MalformedBody(`${method} ${path} is no request of the state service`);
+  throw new MalformedBody(`${method} ${path} is not part of the state service's API`);
 }
 
 function parseTxn(body: unknown): StateRequest {
@@ -98,44 +98,44 @@
   return key;
 }
 
-/** One key with its value. */
+/** Answers with one key and its value. */
 export function entryReply(entry: Entry & { lease: number | null }): WireReply {
   return { status: 200, body: { ...entryToWire(entry), permit: entry.lease } };
 }
 
-/** The key does not exist at that revision. */
+/** Answers that the key does not exist at a revision. */
 export function noEntryReply(revision: number): WireReply {
   return { status: 404, body: { epoch: revision } };
 }
 
-/** One page of keys. */
+/** Answers with one page of keys. */
 export function listReply(entries: Entry[], more: boolean, revision: number): WireReply {
   return { status: 200, body: { entries: entries.map(entryToWire), more, epoch: revision } };
 }
 
-/** An entry as lists hold it. */
+/** Encodes an entry as in a list. */
 export function entryToWire(entry: Entry): Record<string, unknown> {
   return { k: entry.key, value: entry.value, stamp: entry.version };
 }
 
-/** What became of a transaction. */
+/** Answers with the result of a transaction. */
 export function txnReply(outcome: TxnOutcome): WireReply {
   if (outcome.ok) return { status: 200, body: { epoch: outcome.revision } };
   if ('leaseGone' in outcome) return { status: 400, body: { error: 'no such lease' } };
   return { status: 409, body: { failed: outcome.failed, epoch: outcome.revision } };
 }
 
-/** A new lease. */
+/** Answers with the id of a new lease. */
 export function grantReply(lease: number): WireReply {
   return { status: 200, body: { permit: lease } };
 }
 
-/** The answer to a renewal or an end of a lease. */
+/** Answers a request to renew or to revoke a lease. */
 export function leaseReply(found: boolean): WireReply {
   return found ? { status: 200, body: {} } : { status: 404, body: { error: 'no such lease' } };
 }
 
-/** Changes up to a revision, or that they are no longer known. */
+/** Answers with the changes up to a revision, or with status 410 if some of them were discarded. */
 export function watchReply(outcome: WatchOutcome): WireReply {
   if (outcome === 'too-old') return { status: 410, body: { error: 'too old' } };
   const events = outcome.events.map((event) =>
--- a/packages/wire/serving/worker.ts
+++ b/packages/wire/serving/worker.ts
@@ -1,24 +1,24 @@
-/** The worker's side of its interface: answers to heartbeats and direct commands, as it reads them. */
+/** The worker's side of the protocol: decodes answers to heartbeats and direct commands. */
 import { MalformedBody } from '../cbor.js';
 import type { Order } from '../worker-orders.js';
 import type { TaskRef } from '../task.js';
 import { asFields, integerField, listField, textField, type Fields } from './fields.js';
 
-/** What a controller answers to a heartbeat. */
+/** A controller's answer to a heartbeat. */
 export interface HeartbeatAnswer {
-  /** Null: the answer has none, and must be ignored. */
+  /** Null if the answer has no fencing token; the worker must then ignore the answer. */
   fencingToken: number | null;
   orders: Order[];
 }
 
-/** A command that comes to the worker directly. */
+/** Orders that a controller sends to the worker outside of the answer to a heartbeat. */
 export interface DirectCommand {
   fencingToken: number;
   agentEpoch: number;
   orders: Order[];
 }
 
-/** Reads the body of a 200 to a heartbeat; throws MalformedBody. */
+/** Decodes the body of an answer to a heartbeat with status 200; throws MalformedBody. */
 export function parseHeartbeatAnswer(body: unknown): HeartbeatAnswer {
   const fields = asFields(body);
   const hasFencingToken = fields.baton !== undefined && fields.baton !== null;
@@ -28,7 +28,7 @@
   };
 }
 
-/** Reads a direct command; throws MalformedBody, also if fencing token or agent epoch is missing. */
+/** Decodes a direct command; throws MalformedBody, also if the fencing token or the agent epoch is missing. */
 export function parseDirectCommand(body: unknown): DirectCommand {
   const fields = asFields(body);
   return {
@@ -38,7 +38,7 @@
   };
 }
 
-/** The controller that a 421 names, or null. */
+/** The leader that an answer with status 421 names, or null. */
 export function parseRedirect(body: unknown): string | null {
   const leader = (body as Fields | null)?.overseer;
   return typeof leader === 'string' ? leader : null;
@@ -55,19 +55,19 @@
     case 'halt':
       return { op: 'stop', graceS: parseGrace(fields.windDownS), ...ref };
     default:
-      throw new MalformedBody(`${verb} is no command`);
+      throw new MalformedBody(`${verb} is not an order`);
   }
 }
 
 function parseTaskRef(fields: Fields): TaskRef {
   const match = /^(.+)\/([0-9]+)$/.exec(textField(fields, 'piece'));
-  if (!match) throw new MalformedBody('piece is no name of a task');
+  if (!match) throw new MalformedBody('piece is not a task name');
   return { job: match[1], index: Number(match[2]), attempt: parseCount(fields, 'tryNo') };
 }
 
 function parseGrace(value: unknown): number {
   if (value === undefined || value === null) return 0;
-  if (typeof value !== 'number') throw new MalformedBody('windDownS is no number');
+  if (typeof value !== 'number') throw new MalformedBody('windDownS is not a number');
   return value;
 }
 
--- a/packages/wire/state-api.ts
+++ b/packages/wire/state-api.ts
@@ -3,39 +3,39 @@
 import { HttpStatus } from './http-status.js';
 import type { Runtime } from './runtime.js';
 
-/** A key of the store with its value. */
+/** A key of the state service with its value. */
 export interface Entry {
   key: string;
   value: unknown;
-  /** Revision of the key's last change. */
+  /** Revision of the store at the key's last change. */
   version: number;
 }
 
-/** What a compare-and-swap transaction depends on: the key has this version. */
+/** A condition of a compare-and-swap transaction: the key must have this version. */
 export interface Condition {
   key: string;
-  /** 0: the key does not exist. */
+  /** 0 means that the key must not exist. */
   version: number;
 }
 
-/** A key that is written, detached from any lease but the one given, or removed. */
+/** Writes or deletes a key. A write attaches the key to `lease`, if given, and detaches it from any other. */
 export type Change = { put: string; value: unknown; lease?: number } | { delete: string };
 
-/** Applied; or nothing was done, since conditions failed or the lease of a change has expired. */
+/** The result of a transaction: applied, or not applied since conditions failed or the lease of a change expired. */
 export type TxnOutcome =
   | { ok: true; revision: number }
   | { ok: false; failed: string[]; revision: number }
   | { ok: false; leaseGone: true };
 
-/** One change that a watch shows. */
+/** One change that a watch returns. */
 export interface WatchEvent {
   key: string;
-  /** undefined: the key was removed. */
+  /** Undefined if the key was deleted. */
   value?: unknown;
   version: number;
 }
 
-/** All changes up to a revision; `too-old`: they are no longer known, and the keys must be read again. */
+/** All changes up to a revision, or `too-old` if the service has discarded some and the keys must be read again. */
 export type WatchOutcome = { revision: number; events: WatchEvent[] } | 'too-old';
 
 /** The state service did not execute the request (429 or 503). */
@@ -47,7 +47,7 @@
   }
 }
 
-/** The state service calls a transaction malformed: nothing was done, and a retry would have the same result. */
+/** The state service rejected a transaction as malformed and applied nothing; a retry would have the same result. */
 export class TxnMalformed extends Error {
   override readonly name = 'TxnMalformed';
 
@@ -74,21 +74,21 @@
   stamp: number;
 }
 
-/** Keys on one page of a list. */
+/** Number of keys on one page of a list. */
 const PAGE_SIZE = 1000;
 
-/** How one call is made. */
+/** Options of one call. */
 interface StateCallOptions {
   body?: unknown;
   timeoutMs?: number;
   signal: AbortSignal | undefined;
-  /** Statuses besides 200 that are a result and no refusal. */
+  /** Status codes other than 200 that are a result of the call and not a refusal. */
   expected?: readonly number[];
 }
 
 /**
- * The state service's interface, call by call; budgets and retries belong to the package `store`. Calls reject with
- * NoAnswer or StateRefused.
+ * A client with one method per call of the state service's API; the package `store` adds rate budgets and retries.
+ * Calls reject with NoAnswer or StateRefused.
  */
 export class StateApi {
   private readonly http: CborClient;
@@ -111,7 +111,7 @@
     return readEntry(answer.body as RawEntry);
   }
 
-  /** Reads a page of the keys with a prefix, after a key if one is given. */
+  /** Reads the page of keys with a prefix that follows the key `after`, or the first page if `after` is null. */
   async list(
     prefix: string,
     after: string | null,
@@ -128,7 +128,7 @@
     };
   }
 
-  /** Applies all changes if all conditions hold; rejects with TxnMalformed, too, if no retry can help. */
+  /** Applies all changes if all conditions hold; also rejects with TxnMalformed, after which a retry cannot succeed. */
   async txn(conditions: Condition[], changes: Change[], signal?: AbortSignal): Promise<TxnOutcome> {
     const body = {
       if: conditions.map(({ key, version }) => ({ k: key, stamp: version })),
@@ -148,7 +148,7 @@
     throw new TxnMalformed(error ?? '');
   }
 
-  /** Creates a lease of so many milliseconds; resolves with its id. */
+  /** Creates a lease with a time to live in milliseconds; resolves with the lease's id. */
   async grantLease(ttlMs: number, signal?: AbortSignal): Promise<number> {
     const answer = await this.call('POST', '/grants', { body: { ttlMs }, signal });
     return (answer.body as { permit: number }).permit;
@@ -161,12 +161,12 @@
     return answer.status === HttpStatus.ok;
   }
 
-  /** Revokes a lease at once, with the keys that are attached to it. */
+  /** Revokes a lease at once and deletes the keys that are attached to it. */
   async revokeLease(leaseId: number, signal?: AbortSignal): Promise<void> {
     await this.call('DELETE', `/grants/${leaseId}`, { signal, expected: [HttpStatus.notFound] });
   }
 
-  /** Waits until a key with the prefix has changed after a revision, or until the time runs out. */
+  /** Resolves with the changes to keys with the prefix after a revision; waits up to `waitMs` for the first change. */
   async changes(
     prefix: string,
     after: number,
@@ -184,12 +184,12 @@
     return { revision: raw.epoch, events: raw.events.map(readEvent) };
   }
 
-  /** Ends all calls, also later ones, with NoAnswer. */
+  /** Closes the client: calls in flight and all later calls reject with NoAnswer. */
   close(): void {
     this.http.close();
   }
 
-  /** Resolves with a 200 or an expected status; rejects with NoAnswer or StateRefused. */
+  /** Resolves with an answer of status 200 or an expected status; rejects with NoAnswer or StateRefused. */
   private async call(method: string, path: string, call: StateCallOptions): Promise<Answer> {
     const { body, timeoutMs = this.timeoutMs, signal, expected = [] } = call;
     const answer = await this.http.call(method, path, { timeoutMs, signal, body });
--- a/packages/wire/user-client.ts
+++ b/packages/wire/user-client.ts
@@ -3,19 +3,19 @@
 import { CborClient } from './cbor-client.js';
 import { nodeRuntime } from './runtime.js';
 
-/** What the service answered a user. */
+/** The service's answer to a user's request. */
 export interface UserAnswer {
   status: number;
-  /** Seconds to wait before a repetition; null if the service does not say. */
+  /** Seconds to wait before a retry; null if the service names no delay. */
   retryAfterS: number | null;
-  /** The job, or why it was refused. */
+  /** The job, or the reason why the request was refused. */
   job: JobView | { error?: string } | null;
 }
 
 const DEFAULT_TIMEOUT_MS = 5000;
 const MAX_SOCKETS = 2;
 
-/** A client for users: submits, queries and cancels jobs. Each call rejects with NoAnswer. */
+/** A client for users: submits, queries and cancels jobs. A call without a usable answer rejects with NoAnswer. */
 export class UserClient {
   private readonly http: CborClient;
 
@@ -28,29 +28,29 @@
     this.http = new CborClient(runtime, address, maxSockets);
   }
 
-  /** Submits a job; a repetition with the same id is safe. */
+  /** Submits a job; a retry with the same id is safe. */
   submit(job: Job): Promise<UserAnswer> {
     return this.submitRaw(jobToWire(job));
   }
 
-  /** Sends a body as it stands, in the protocol's words. */
+  /** Submits a body that already has the protocol's field names, without checking it. */
   submitRaw(body: unknown): Promise<UserAnswer> {
     return this.call('POST', '/submissions', this.timeoutMs, body);
   }
 
-  /** Asks how a job is. */
+  /** Queries the state of a job. */
   status(id: string, timeoutMs = this.timeoutMs): Promise<UserAnswer> {
     return this.call('GET', `/submissions/${id}`, timeoutMs);
   }
 
   /** Cancels a job. */
 
-  // eslint-disable-next-line local/retired-words -- the public client API keeps its names
+  // eslint-disable-next-line local/retired-words -- the public client API keeps this name
   abort(id: string): Promise<UserAnswer> {
     return this.call('POST', `/submissions/${id}/abort`, this.timeoutMs);
   }
 
-  /** Ends all calls and connections. */
+  /** Cancels all calls in flight and closes all connections. */
   close(): void {
     this.http.close();
   }
--- a/packages/wire/waits.test.ts
+++ b/packages/wire/waits.test.ts
@@ -3,7 +3,7 @@
 import { HandClock } from '#testing';
 import { every, WakeableWait } from './waits.js';
 
-test('waits end by time, by a wake or by their signal, and leave no timer', async () => {
+test('a wait ends after its delay, on wake or when its signal aborts, and leaves no timer', async () => {
   const clock = new HandClock();
   const wakeable = new WakeableWait(clock);
   const abortController = new AbortController();
--- a/packages/wire/waits.ts
+++ b/packages/wire/waits.ts
@@ -1,7 +1,7 @@
-/** Ways to wait on a Clock or a signal. */
+/** Functions that wait for a delay of a Clock or for an AbortSignal. */
 import type { Clock, Timer } from './runtime.js';
 
-/** Resolves after so many milliseconds of the clock; rejects with the signal's reason if it aborts. */
+/** Resolves after a delay on the clock; rejects with the signal's reason if the signal aborts first. */
 export function sleep(clock: Clock, delayMs: number, signal?: AbortSignal): Promise<void> {
   return new Promise((resolve, reject) => {
     if (signal?.aborted) {
@@ -20,13 +20,13 @@
   });
 }
 
-/** Like sleep, but a signal ends it early without an error. */
+/** Like `sleep`, but resolves early if the signal aborts. */
 export async function pause(clock: Clock, delayMs: number, signal?: AbortSignal): Promise<void> {
-  // The signal's reason is all that sleep rejects with.
+  // `sleep` rejects only if the signal aborts.
   await sleep(clock, delayMs, signal).catch(() => undefined);
 }
 
-/** Calls back once in every period until it is cancelled. */
+/** Calls `callback` once per period until the returned timer is cancelled. */
 export function every(clock: Clock, periodMs: number, callback: () => void): Timer {
   const tick = () => {
     timer = clock.setTimer(tick, periodMs);
@@ -53,19 +53,19 @@
   });
 }
 
-/** The wait of a loop that others may wake; one wait at a time. */
+/** A delay that other code can end early, for use in a loop; only one wait may run at a time. */
 export class WakeableWait {
-  /** Ends the wait that is under way; null if there is none. */
+  /** Ends the current wait; null if there is none. */
   private endWait: (() => void) | null = null;
 
   constructor(private readonly clock: Clock) {}
 
-  /** Ends the wait that is under way, if any. */
+  /** Ends the current wait, if there is one. */
   wake(): void {
     this.endWait?.();
   }
 
-  /** Resolves after so many milliseconds, on `wake` or when the signal aborts; never rejects. */
+  /** Resolves after the delay, on `wake` or when the signal aborts; never rejects. */
   wait(delayMs: number, signal: AbortSignal): Promise<void> {
     if (signal.aborted) return Promise.resolve();
     return new Promise((resolve) => {
--- a/packages/wire/worker-orders.test.ts
+++ b/packages/wire/worker-orders.test.ts
@@ -6,7 +6,7 @@
 import { answerToWire } from './worker-orders.js';
 import { parseHeartbeatAnswer } from './serving/index.js';
 
-test('orders survive their way to the worker', () => {
+test('orders that are encoded and then decoded by a worker are unchanged', () => {
   const order = fc.oneof(
     record({ op: fc.constant('start' as const), ...anyTaskRef }),
     record({ op: fc.constant('forget' as const), ...anyTaskRef }),
--- a/packages/wire/worker-orders.ts
+++ b/packages/wire/worker-orders.ts
@@ -1,18 +1,18 @@
-/** What a controller sends to a worker: answers to its heartbeats, direct commands and redirects. */
+/** The messages that a controller sends to a worker: answers to heartbeats, direct commands and redirects. */
 import { taskName, type TaskRef } from './task.js';
 
-/** What a worker is to do with one attempt; `graceS` is the time to save before a stop, in seconds. */
+/** An order to a worker about one attempt at a task; `graceS` is the time to save before a stop, in seconds. */
 export type Order =
   | ({ op: 'start' } & TaskRef)
   | ({ op: 'stop'; graceS: number } & TaskRef)
   | ({ op: 'forget' } & TaskRef);
 
-/** The body of a 200 to a heartbeat. */
+/** Encodes the body of an answer to a heartbeat with status 200. */
 export function answerToWire(fencingToken: number, orders: Order[]): Record<string, unknown> {
   return { baton: fencingToken, orders: orders.map(orderToWire) };
 }
 
-/** The body of a direct command. */
+/** Encodes the body of a direct command. */
 export function commandToWire(
   fencingToken: number,
   agentEpoch: number,
@@ -21,7 +21,7 @@
   return { baton: fencingToken, tenure: agentEpoch, orders: orders.map(orderToWire) };
 }
 
-/** Names the controller that leads, for a worker that reached a follower; without a name it tries the next one. */
+/** Encodes a follower's redirect to the leader; without a leader's name the worker tries the next controller. */
 export function redirectToWire(leader: string | null): Record<string, unknown> {
   return leader === null ? {} : { overseer: leader };
 }
