--- a/.dependency-cruiser.js
+++ b/.dependency-cruiser.js
@@ -1,7 +1,7 @@
-/** Circles of imports, of types too: there are none. */
+/** Forbids circular imports, including imports of types only. */
 const noCircles = {
   name: 'no-circles',
-  comment: 'Modules that import each other can only be read together.',
+  comment: 'Modules that import each other cannot be understood separately.',
   severity: 'error',
   from: { path: '^packages/' },
   to: { circular: true },
--- a/eslint.config.js
+++ b/eslint.config.js
@@ -10,7 +10,7 @@
   'packages/{wire,dependencies,core,store,peer,shards,replicas,controller,cli}/**/*.{ts,cts}',
 ];
 const TESTS = ['packages/**/*.test.ts'];
-const GIVEN = 'Use the Runtime that the caller hands over (packages/wire/runtime.ts).';
+const GIVEN = 'Use the Runtime that the caller passes in (packages/wire/runtime.ts).';
 
 const machineProperties = [
   { object: 'Date', property: 'now', message: GIVEN },
@@ -23,7 +23,7 @@
   { object: 'globalThis', property: 'performance', message: GIVEN },
 ];
 
-/** What production code takes from its Runtime instead of from Node, so that tests can simulate it. */
+/** Forbids Node APIs that production code must take from its Runtime, so that tests can simulate them. */
 const runtimeRules = {
   'no-restricted-globals': [
     'error',
@@ -60,7 +60,7 @@
         ]),
         {
           name: 'net',
-          message: "Import 'node:net', whose calls are checked by name.",
+          message: "Import 'node:net' instead, for which these rules forbid single calls by name.",
         },
         {
           name: 'node:net',
@@ -70,20 +70,20 @@
         {
           name: 'rxjs',
           allowImportNames: ['BehaviorSubject', 'filter', 'Subject', 'Subscription'],
-          message: "Operators that wait do so on the machine's clock.",
+          message: 'RxJS operators that wait use the real clock, not that of the Runtime.',
         },
       ],
     },
   ],
 };
 
-/** Sizes that can be read at one go; tests tell one story each and may be longer. */
+/** Size limits of files and functions. Tests are exempt, since each runs through one scenario from start to end. */
 const sizeRules = {
   'max-lines': ['error', { max: 250 }],
   'max-lines-per-function': ['error', { max: 40, skipComments: true, skipBlankLines: true }],
 };
 
-/** The packages that each may import. Production imports neither `testing`, `bundle` nor stand-ins' messages. */
+/** Packages that each package may import. Production code imports neither `testing`, `bundle` nor `#wire/serving`. */
 const MAY_IMPORT = {
   wire: [],
   dependencies: [],
@@ -97,7 +97,7 @@
 };
 const PACKAGES = [...Object.keys(MAY_IMPORT), 'testing', 'bundle'];
 
-/** Forbids, by either way to name a package, to import one that is not lower. */
+/** Forbids imports of packages that are not allowed, by alias (`#core`) and by relative path. */
 function directionRules(name, allowed) {
   const others = PACKAGES.filter((other) => !allowed.includes(other));
   return {
@@ -107,11 +107,11 @@
         patterns: [
           {
             regex: `^(#|(\\.\\./)+)(${others.join('|')})(/|$)|^#wire/serving`,
-            message: `Packages import downwards only; ${name} may import ${allowed.join(', ') || 'none'}.`,
+            message: `Packages import only lower packages; ${name} may import ${allowed.join(', ') || 'none'}.`,
           },
           {
             regex: `^(\\.\\./)+(${allowed.join('|') || '-'})/`,
-            message: 'Other packages are imported by #name.',
+            message: 'Import other packages by their alias, such as #core.',
           },
         ],
       },
@@ -119,7 +119,7 @@
   };
 }
 
-/** Tests may also import `testing`, and stand-ins' messages. */
+/** Like `directionRules` for tests, which may also import `testing` and `#wire/serving`. */
 function testDirectionRules(name, allowed) {
   const others = PACKAGES.filter((other) => other !== 'testing' && !allowed.includes(other));
   const message = `Tests of ${name} may import ${[...allowed, 'testing'].join(', ')}.`;
@@ -129,7 +129,7 @@
   };
 }
 
-/** The rules of finished folders (eslint/readable.js); circles are left to dependency-cruiser. */
+/** The files to which the strict rules apply (eslint/readable.js); dependency-cruiser forbids circular imports. */
 const READABLE_FILES = READABLE.map((folder) => `packages/${folder}/**/*.{ts,cts}`);
 const READABLE_TESTS = READABLE.map((folder) => `packages/${folder}/**/*.test.ts`);
 
@@ -147,7 +147,7 @@
   ],
 };
 
-/** What is exported has a doc comment, and so has the module. */
+/** Requires a doc comment for each module and each export. */
 const docCommentRules = {
   'local/module-comment': 'error',
   'jsdoc/no-blank-blocks': 'error',
@@ -206,7 +206,7 @@
   { files: SOURCES, ignores: TESTS, rules: sizeRules },
   { files: PRODUCTION, ignores: ['packages/wire/runtime.ts', ...TESTS], rules: runtimeRules },
   {
-    // Several controllers may run in one process; only the command line may end it.
+    // Several controllers may run in one process, so only the command line may end the process.
     files: PRODUCTION,
     ignores: ['packages/wire/runtime.ts', 'packages/cli/**', ...TESTS],
     rules: {
@@ -226,7 +226,7 @@
     { files: [`packages/${name}/**/*.test.ts`], rules: testDirectionRules(name, allowed) },
   ]),
   {
-    // The test runner itself waits for what test() returns.
+    // The test runner awaits the promise that test() returns.
     files: TESTS,
     rules: { '@typescript-eslint/no-floating-promises': 'off' },
   },
--- a/eslint/module-comment.js
+++ b/eslint/module-comment.js
@@ -1,13 +1,13 @@
 /**
- * The ESLint rule `module-comment`: every module begins with a doc comment that says what it is for.
+ * The ESLint rule `module-comment`: every module begins with a doc comment that states its purpose.
  *
- * No tag is needed. A module that doesn't begin with an import needs two doc comments, since the
- * last one before a declaration describes that declaration.
+ * The comment needs no JSDoc tag. A module that doesn't begin with an import or a re-export needs two doc comments,
+ * since the last one before a declaration describes that declaration.
  */
 
 const IMPORTS = new Set(['ImportDeclaration', 'ExportAllDeclaration']);
 
-/** Whether a statement only names other modules, so that a comment before it is the module's own. */
+/** Whether a statement is an import or a re-export, so that a doc comment before it describes the module. */
 function namesOtherModule(statement) {
   return IMPORTS.has(statement.type) || Boolean(statement.source);
 }
@@ -36,7 +36,7 @@
     type: 'suggestion',
     docs: { description: 'Require a doc comment at the head of each module' },
     schema: [],
-    messages: { missing: 'Begin the module with a doc comment that says what it is for.' },
+    messages: { missing: 'Begin the module with a doc comment that states its purpose.' },
   },
   create,
 };
--- a/eslint/module-comment.test.js
+++ b/eslint/module-comment.test.js
@@ -1,4 +1,4 @@
-/** Which modules the rule `module-comment` accepts. */
+/** Tests of the rule `module-comment`: which modules it accepts and which it reports. */
 import { test } from 'node:test';
 import { RuleTester } from 'eslint';
 import tseslint from 'typescript-eslint';
--- a/eslint/readable.js
+++ b/eslint/readable.js
@@ -1,9 +1,9 @@
 /**
- * The folders that are finished: they keep the strict rules of eslint.config.js and have no circles
- * of imports (.dependency-cruiser.js).
+ * The folders to which the strict rules of eslint.config.js apply: strict types, doc comments and the vocabulary of
+ * eslint/vocabulary.js. Circular imports are forbidden in all folders (.dependency-cruiser.js).
  *
- * An entry is a folder below `packages`, like `core` or `testing/moves`, and includes what is below
- * it. Folders are only added.
+ * An entry is a folder below `packages`, such as `core` or `testing/models`, and includes its subfolders. Folders may
+ * be added but not removed.
  */
 import { existsSync } from 'node:fs';
 
@@ -22,7 +22,7 @@
   'testing/stand-ins',
 ];
 
-// A folder that was renamed must not lose its rules unnoticed.
+// Without this check, the strict rules would silently stop applying to a folder that was renamed.
 for (const folder of READABLE) {
   if (!existsSync(new URL(`../packages/${folder}/`, import.meta.url))) {
     throw new Error(`eslint/readable.js names packages/${folder}, which does not exist`);
--- a/eslint/retired-words.js
+++ b/eslint/retired-words.js
@@ -1,20 +1,20 @@
 /**
- * The ESLint rule `retired-words`: declared names don't contain words that the code no longer uses.
+ * The ESLint rule `retired-words`: declared names must not contain words of the retired vocabulary.
  *
- * A name is split into its words (`ownerId`, `OwnerId` and `OWNER_ID` alike), and a word counts only
- * as a whole: `part` is not in `partial`. Imported names and keys of object literals are not
- * reported, because they are declared elsewhere.
+ * A name is split into words (`ownerId`, `OwnerId` and `OWNER_ID` alike), and only whole words match: the retired word
+ * `part` does not match `partial`. Imported names and keys of object literals are not reported, because they are
+ * declared elsewhere.
  */
 
 const WORD = /[A-Z]+(?![a-z])|[A-Z]?[a-z]+|[0-9]+/g;
 
-/** The words of a name in lower case, with a space around each: `fencingToken` -> ` fencing token `. */
+/** The words of a name in lower case, each surrounded by spaces: `fencingToken` -> ` fencing token `. */
 function spacedWords(name) {
   const words = name.match(WORD) ?? [];
   return ` ${words.join(' ').toLowerCase()} `;
 }
 
-/** The retired words in a name, leaving out those that belong to an allowed phrase. */
+/** The retired words in a name, except for those within an allowed phrase. */
 function findRetiredWords(name, retiredWords, allowedPhrases) {
   let words = spacedWords(name);
   for (const phrase of allowedPhrases) {
@@ -23,7 +23,7 @@
   return Object.keys(retiredWords).filter((word) => words.includes(` ${word} `));
 }
 
-/** The identifiers that a pattern declares, like `a` and `c` of `{ a, b: [c] }`. */
+/** The identifiers that a pattern declares, such as `a` and `c` in `{ a, b: [c] }`. */
 function identifiersOf(pattern) {
   switch (pattern?.type) {
     case 'Identifier':
@@ -45,7 +45,7 @@
   }
 }
 
-/** The name that an identifier or a key stands for; none for keys that are computed. */
+/** The name of an identifier or of a string key; undefined for any other key. */
 function nameOf(node) {
   if (node.type === 'Literal') {
     return typeof node.value === 'string' ? node.value : undefined;
@@ -66,7 +66,7 @@
   },
 ];
 
-/** Makes the visitor. `ignoreProperties` leaves out properties of interfaces and type literals. */
+/** Creates the rule's visitor. The option `ignoreProperties` exempts properties of interfaces and type literals. */
 function create(context) {
   const { retiredWords, allowedPhrases = [], ignoreProperties = false } = context.options[0];
 
--- a/eslint/retired-words.test.js
+++ b/eslint/retired-words.test.js
@@ -1,4 +1,4 @@
-/** What the rule `retired-words` reports and leaves alone. */
+/** Tests of the rule `retired-words`: which declarations it reports and which it accepts. */
 import { test } from 'node:test';
 import { RuleTester } from 'eslint';
 import tseslint from 'typescript-eslint';
@@ -15,7 +15,7 @@
   allowedPhrases: ['fencing token'],
 };
 
-/** A case whose code declares one name that contains `owner`. */
+/** An invalid test case: the rule must report `name`, which contains the retired word `owner`. */
 function reportsOwner(code, name) {
   const message = `\`${name}\`: use 'leader' for 'owner' (docs/glossary.md)`;
   return { code, options: [WORDS], errors: [{ message }] };
--- a/eslint/source-aliases.js
+++ b/eslint/source-aliases.js
@@ -1,8 +1,8 @@
 /**
- * Where the subpath imports of package.json (`#core`) have their sources.
+ * Maps the subpath imports of package.json (such as `#core`) to their source files.
  *
- * package.json names compiled files (`./target/core/index.js`), which a checkout need not have yet.
- * dependency-cruiser reads this file in the format of a webpack configuration.
+ * package.json maps them to compiled files (`./target/core/index.js`), which do not exist in a fresh checkout.
+ * dependency-cruiser reads this file as a webpack configuration.
  */
 import { readFileSync } from 'node:fs';
 import { fileURLToPath } from 'node:url';
@@ -10,13 +10,13 @@
 const root = new URL('../', import.meta.url);
 const manifest = JSON.parse(readFileSync(new URL('package.json', root), 'utf8'));
 
-/** The source that a compiled file is made from. */
+/** The source file of a compiled file. */
 function sourceOf(compiled) {
   const source = compiled.replace(/^\.\/target\//, './packages/').replace(/\.js$/, '.ts');
   return fileURLToPath(new URL(source, root));
 }
 
-// The `$` of webpack's aliases: `#wire` doesn't stand for `#wire/serving`.
+// In webpack, an alias that ends with `$` matches only the whole name: `#wire$` does not match `#wire/serving`.
 const alias = Object.fromEntries(
   Object.entries(manifest.imports).map(([name, compiled]) => [`${name}$`, sourceOf(compiled)]),
 );
--- a/eslint/vocabulary.js
+++ b/eslint/vocabulary.js
@@ -1,11 +1,11 @@
 /**
- * Words that names in the code no longer use, and the terms of the field in their place.
+ * Retired words, which names in the code must not contain, and the terms that replace them.
  *
- * `docs/glossary.md` explains the terms. The rule `local/retired-words` checks every declared name
- * of the finished folders (`eslint/readable.js`).
+ * `docs/glossary.md` explains the terms. The rule `local/retired-words` checks every declared name in the folders of
+ * `eslint/readable.js`.
  */
 
-/** Retired word or words, in lower case -> term. Forms of a word are listed one by one. */
+/** Maps each retired word or phrase, in lower case, to its replacement. Each form of a word has its own entry. */
 export const RETIRED_WORDS = {
   owner: 'leader',
   owners: 'leaders',
@@ -64,7 +64,7 @@
   suspects: 'crashLooping',
 };
 
-/** Phrases in which a retired word is right: terms of the field, and names of the platform. */
+/** Phrases that may contain a retired word: established technical terms, and names of the JavaScript platform. */
 export const ALLOWED_PHRASES = [
   'fencing token',
   'fencing tokens',
@@ -75,7 +75,7 @@
 ];
 
 /**
- * Files that map names on the wire or in stored records to names of the code. Properties of their
- * interfaces and type literals may have any name; everything else they declare is checked.
+ * Files that map names on the wire or in stored records to names in the code. Properties of their interfaces and type
+ * literals may have any name; all other names that these files declare are checked.
  */
 export const CODEC_FILES = ['packages/**/*codec.ts', 'packages/**/codecs/**/*.ts'];
