--- a/packages/wire/cbor-client.test.ts
+++ b/packages/wire/cbor-client.test.ts
@@ -6,7 +6,7 @@
 import { CborClient, NoAnswer } from './cbor-client.js';
 import { Listener } from './listener.js';
 
-test('a client keeps its connection, on plain streams too, and a closed one answers no call', async () => {
+test('a client reuses a connection that is a plain stream, and rejects with NoAnswer on timeout and once closed', async () => {
   const runtime = new CountingRuntime();
   let requests = 0;
   const server = http.createServer((req, res) => {
@@ -24,9 +24,9 @@
   }
   assert.equal(runtime.connections, 1);
   await assert.rejects(client.call('GET', '/slow', { timeoutMs: 20 }), NoAnswer);
-  const pending = client.call('GET', '/slow', { timeoutMs: 10_000 });
+  const callInFlight = client.call('GET', '/slow', { timeoutMs: 10_000 });
   client.close();
-  await assert.rejects(pending, NoAnswer);
+  await assert.rejects(callInFlight, NoAnswer);
   await assert.rejects(client.call('GET', '/', { timeoutMs: 1000 }), NoAnswer);
   await listener.close();
   assert.deepEqual([runtime.timers, runtime.connections], [0, 0]);
