--- a/packages/testing/stand-ins/distributions.ts
+++ b/packages/testing/stand-ins/distributions.ts
@@ -13,7 +13,7 @@
 }
 
 /** Distance of the 95th percentile from the median in standard deviations. */
-const P95_DEVIATIONS = 1.645;
+const P95_Z_SCORE = 1.645;
 
 /** A number of the span, all equally likely. */
 export function uniform(random: Random, [least, most]: Span): number {
@@ -32,7 +32,7 @@
 
 /** A time drawn from the distribution, in seconds. */
 export function logNormal(random: Random, { medianS, p95S, maxS }: TimeDistribution): number {
-  const deviation = Math.log(p95S / medianS) / P95_DEVIATIONS;
+  const deviation = Math.log(p95S / medianS) / P95_Z_SCORE;
   return Math.min(maxS, medianS * Math.exp(deviation * normal(random)));
 }
 
--- a/packages/testing/stand-ins/fleet.ts
+++ b/packages/testing/stand-ins/fleet.ts
@@ -23,11 +23,11 @@
   slowShare?: number;
 }
 
-const USUAL_SPEED: Span = [0.9, 1.1];
+const NORMAL_SPEED: Span = [0.9, 1.1];
 const SLOW_SPEED: Span = [0.2, 0.5];
 /** Actual rate of image fetches as a multiple of the type's. */
 const FETCH_RATE: Span = [2 / 3, 4 / 3];
-const FAULTY_AFTER_S: Span = [0.5, 15];
+const TASK_FAILURE_DELAY_S: Span = [0.5, 15];
 
 /** Starts a worker on each machine that the cloud has up, and ends it with the machine. */
 export class Fleet implements MachineHosting {
@@ -53,7 +53,7 @@
     const { name, type, zone, spot } = machine;
     const address = `${machine.address.host}:${machine.address.port}`;
     const traits = this.drawTraits(host.runtime, machine);
-    const sound = traits.tasksFailAfterS === null && traits.speed >= USUAL_SPEED[0];
+    const sound = traits.tasksFailAfterS === null && traits.speed >= NORMAL_SPEED[0];
     const facts = { name, sound, address, type, zone, spot };
     const worker = new Worker(host.runtime, facts, traits, this.options.surroundings);
     this.machines.set(name, { worker, host });
@@ -78,9 +78,9 @@
     const slow = runtime.random() < slowShare;
     const faulty = runtime.random() < faultyShare;
     return {
-      speed: span(slow ? SLOW_SPEED : USUAL_SPEED),
+      speed: span(slow ? SLOW_SPEED : NORMAL_SPEED),
       fetchGbPerS: type.fetchGbPerS * span(FETCH_RATE),
-      tasksFailAfterS: faulty ? span(FAULTY_AFTER_S) : null,
+      tasksFailAfterS: faulty ? span(TASK_FAILURE_DELAY_S) : null,
     };
   }
 }
--- a/packages/testing/stand-ins/http-server.ts
+++ b/packages/testing/stand-ins/http-server.ts
@@ -77,13 +77,13 @@
 
 function parseTarget(req: http.IncomingMessage): Omit<ServedRequest, 'body'> {
   const target = req.url ?? '/';
-  const mark = target.indexOf('?');
-  const path = mark < 0 ? target : target.slice(0, mark);
+  const queryStart = target.indexOf('?');
+  const path = queryStart < 0 ? target : target.slice(0, queryStart);
   const origin = req.socket as ConnectionOrigin;
   return {
     method: req.method ?? 'GET',
     path: unescapePath(path),
-    query: new URLSearchParams(mark < 0 ? '' : target.slice(mark + 1)),
+    query: new URLSearchParams(queryStart < 0 ? '' : target.slice(queryStart + 1)),
     clientHost: origin.remoteAddress ?? '',
   };
 }
--- a/packages/testing/stand-ins/job-storage.ts
+++ b/packages/testing/stand-ins/job-storage.ts
@@ -63,7 +63,7 @@
     return this.progress.get(unitKey(unit)) ?? 0;
   }
 
-  save(unit: ProgressUnit, progressS: number): void {
+  saveProgress(unit: ProgressUnit, progressS: number): void {
     const key = unitKey(unit);
     this.progress.set(key, Math.max(this.progress.get(key) ?? 0, progressS));
   }
@@ -80,6 +80,6 @@
 }
 
 /** The progress that is left when a task is lost: that of its last checkpoint. */
-export function atLastCheckpoint(progressS: number, checkpointS: number): number {
+export function progressAtLastCheckpoint(progressS: number, checkpointS: number): number {
   return checkpointS > 0 ? Math.floor(progressS / checkpointS) * checkpointS : 0;
 }
--- a/packages/testing/stand-ins/rate-limit.ts
+++ b/packages/testing/stand-ins/rate-limit.ts
@@ -3,30 +3,30 @@
 
 /** A token bucket: so many units a second, with bursts of so many seconds' worth. */
 export class RateLimit {
-  private level: number;
-  private filledAt: number;
+  private available: number;
+  private refilledAt: number;
 
   constructor(
     private readonly clock: Clock,
     private readonly perSecond: number,
     private readonly burstS: number,
   ) {
-    this.level = perSecond * burstS;
-    this.filledAt = clock.now();
+    this.available = perSecond * burstS;
+    this.refilledAt = clock.now();
   }
 
   /** Takes the units and says true, or takes nothing and says false. */
   take(units: number): boolean {
     this.refill();
-    if (units > this.level) return false;
-    this.level -= units;
+    if (units > this.available) return false;
+    this.available -= units;
     return true;
   }
 
   private refill(): void {
     const now = this.clock.now();
-    const gained = (now - this.filledAt) * this.perSecond;
-    this.level = Math.min(this.perSecond * this.burstS, this.level + gained);
-    this.filledAt = now;
+    const gained = (now - this.refilledAt) * this.perSecond;
+    this.available = Math.min(this.perSecond * this.burstS, this.available + gained);
+    this.refilledAt = now;
   }
 }
--- a/packages/testing/stand-ins/sample-world.ts
+++ b/packages/testing/stand-ins/sample-world.ts
@@ -27,10 +27,10 @@
 
   /** The runtime of a process on a host of its own. */
   runtime(address: string, role: HostRole = 'users'): Runtime {
-    return this.host(address, role).runtime;
+    return this.startHost(address, role).runtime;
   }
 
-  host(address: string, role: HostRole): { runtime: Runtime; powerOff: () => void } {
+  startHost(address: string, role: HostRole): { runtime: Runtime; powerOff: () => void } {
     const host = this.network.addHost(new SimulatedHost(address, role, address, null));
     const skew = { zeroS: 100, drift: 0, wallOffsetMs: 0 };
     const process = new SimulatedProcess(
--- a/packages/testing/stand-ins/worker/agent-epoch.ts
+++ b/packages/testing/stand-ins/worker/agent-epoch.ts
@@ -6,12 +6,12 @@
  * lease. The lease runs on while the machine hangs.
  */
 export class AgentEpochState {
-  private number = 1;
+  private epoch = 1;
   private sequence = 0;
   private fencingToken = 0;
   /** When the last answered heartbeat was sent, or the agent epoch began. */
   private renewedAt: number;
-  private expiry: Timer | null = null;
+  private expiryTimer: Timer | null = null;
 
   constructor(
     private readonly clock: Clock,
@@ -22,11 +22,11 @@
     private readonly onFencingToken: () => void,
   ) {
     this.renewedAt = clock.now();
-    this.planExpiry();
+    this.scheduleExpiryCheck();
   }
 
   get current(): number {
-    return this.number;
+    return this.epoch;
   }
 
   get highestFencingToken(): number {
@@ -42,18 +42,18 @@
     fencingToken: number | null,
     heartbeat: { agentEpoch: number; sentAt: number },
   ): boolean {
-    if (heartbeat.agentEpoch !== this.number || !this.admitFencingToken(fencingToken)) return false;
+    if (heartbeat.agentEpoch !== this.epoch || !this.admitFencingToken(fencingToken)) return false;
     this.renewedAt = Math.max(this.renewedAt, heartbeat.sentAt);
     return true;
   }
 
   /** Whether a direct command is to be carried out. */
   admitCommand(command: { fencingToken: number; agentEpoch: number }): boolean {
-    return command.agentEpoch === this.number && this.admitFencingToken(command.fencingToken);
+    return command.agentEpoch === this.epoch && this.admitFencingToken(command.fencingToken);
   }
 
   close(): void {
-    this.expiry?.cancel();
+    this.expiryTimer?.cancel();
   }
 
   private admitFencingToken(fencingToken: number | null): boolean {
@@ -65,9 +65,9 @@
   }
 
   /** Checks again when the lease would expire, since answers only move that time. */
-  private planExpiry(): void {
+  private scheduleExpiryCheck(): void {
     const leftS = this.renewedAt + this.leaseS - this.clock.now();
-    this.expiry = this.clock.setTimer(
+    this.expiryTimer = this.clock.setTimer(
       () => {
         this.checkExpiry();
       },
@@ -77,10 +77,10 @@
 
   private checkExpiry(): void {
     if (this.clock.now() - this.renewedAt > this.leaseS) {
-      this.number++;
+      this.epoch++;
       this.renewedAt = this.clock.now();
       this.onExpired();
     }
-    this.planExpiry();
+    this.scheduleExpiryCheck();
   }
 }
--- a/packages/testing/stand-ins/worker/command-server.ts
+++ b/packages/testing/stand-ins/worker/command-server.ts
@@ -8,7 +8,7 @@
 /** The worker as its server for direct commands sees it. */
 export interface CommandTarget {
   /** Carries the command out, or says false if fencing token or agent epoch do not match. */
-  command(command: DirectCommand): boolean;
+  executeCommand(command: DirectCommand): boolean;
   /** The heartbeat that the answer holds. */
   nextHeartbeat(): Heartbeat;
   /** Resolves once the machine does not hang. */
@@ -18,7 +18,7 @@
 /** Serves the commands that controllers send to a worker directly. */
 export class CommandServer {
   /** Commands arrive, but are neither carried out nor answered. */
-  deaf = false;
+  commandsBlocked = false;
   private server: CborServer | null = null;
   private closed = false;
 
@@ -41,7 +41,7 @@
 
   private async handle(request: ServedRequest): Promise<WireReply | typeof NO_REPLY> {
     await this.target.whenRunning();
-    if (this.deaf || this.closed) return NO_REPLY;
+    if (this.commandsBlocked || this.closed) return NO_REPLY;
     const route = `${request.method} ${request.path}`;
     if (route === 'GET /show') return this.reply(200);
     if (route !== 'POST /orders') return { status: 404 };
@@ -50,10 +50,10 @@
 
   private async acceptCommand(command: DirectCommand): Promise<WireReply | typeof NO_REPLY> {
     const loss = this.lateCommands.draw();
-    if (loss === null) return this.reply(this.target.command(command) ? 200 : 409);
+    if (loss === null) return this.reply(this.target.executeCommand(command) ? 200 : 409);
     await this.lateCommands.due(loss);
     await this.target.whenRunning();
-    if (!this.closed) this.target.command(command);
+    if (!this.closed) this.target.executeCommand(command);
     return NO_REPLY;
   }
 
--- a/packages/testing/stand-ins/worker/execution.ts
+++ b/packages/testing/stand-ins/worker/execution.ts
@@ -11,28 +11,28 @@
   constructor(
     private readonly clock: Clock,
     /** Infinity: it never completes. */
-    private readonly goalS: number,
+    private readonly totalS: number,
     startS: number,
     private speed: number,
     private readonly onComplete: () => void,
   ) {
-    this.progressS = Math.min(startS, goalS);
+    this.progressS = Math.min(startS, totalS);
   }
 
   progress(): number {
     if (this.runningSince === null) return this.progressS;
     const ranS = (this.clock.now() - this.runningSince) * this.speed;
-    return Math.min(this.goalS, this.progressS + ranS);
+    return Math.min(this.totalS, this.progressS + ranS);
   }
 
   run(): void {
     this.pause();
     this.runningSince = this.clock.now();
-    const leftS = (this.goalS - this.progressS) / this.speed;
+    const leftS = (this.totalS - this.progressS) / this.speed;
     if (leftS === Infinity) return;
     this.completion = this.clock.setTimer(() => {
       this.pause();
-      this.progressS = this.goalS;
+      this.progressS = this.totalS;
       this.onComplete();
     }, leftS * 1000);
   }
--- a/packages/testing/stand-ins/worker/freezable-clock.ts
+++ b/packages/testing/stand-ins/worker/freezable-clock.ts
@@ -4,7 +4,7 @@
 /** The clock of a machine that may hang: it runs on, but what its timers call waits meanwhile. */
 export class FreezableClock implements Clock {
   private frozen = false;
-  private held: (() => void)[] = [];
+  private deferredCallbacks: (() => void)[] = [];
   private readonly thawListeners: (() => void)[] = [];
 
   constructor(private readonly clock: Clock) {}
@@ -21,7 +21,7 @@
     let cancelled = false;
     const run = () => {
       if (cancelled) return;
-      if (this.frozen) this.held.push(run);
+      if (this.frozen) this.deferredCallbacks.push(run);
       else callback();
     };
     const timer = this.clock.setTimer(run, delayMs);
@@ -46,7 +46,7 @@
     if (!this.frozen) return;
     this.frozen = false;
     for (const resolve of this.thawListeners.splice(0)) resolve();
-    for (const callback of this.held.splice(0)) callback();
+    for (const callback of this.deferredCallbacks.splice(0)) callback();
   }
 
   /** Resolves once the machine does not hang. */
--- a/packages/testing/stand-ins/worker/gang-attempt.ts
+++ b/packages/testing/stand-ins/worker/gang-attempt.ts
@@ -1,6 +1,6 @@
 /** One attempt of a gang, from the arrival of its first task until the last has left. */
 import type { Runtime, Timer } from '#wire';
-import { atLastCheckpoint, type JobProgram, type JobStorage } from '../job-storage.js';
+import { progressAtLastCheckpoint, type JobProgram, type JobStorage } from '../job-storage.js';
 import { Execution } from './execution.js';
 import { type GangCoordinator, GangMember } from './gang-member.js';
 import type { RunningTask, WorkerTimes } from './task-host.js';
@@ -18,7 +18,7 @@
   | 'done';
 
 /** Earliest time at which a task notices a loss, as a share of the longest. */
-const EARLIEST_NOTICE = 0.3;
+const MIN_DETECTION_SHARE = 0.3;
 
 /** All tasks of one attempt of a gang: they start, progress, complete and write checkpoints together. */
 export class GangAttempt implements GangCoordinator {
@@ -28,7 +28,7 @@
   private readonly storage: JobStorage;
   private readonly times: WorkerTimes;
   private execution: Execution | null = null;
-  private stopDeadline: Timer | null = null;
+  private stopTimer: Timer | null = null;
 
   constructor(
     private readonly runtime: Runtime,
@@ -43,8 +43,8 @@
   /** A task that comes when the gang has started, or when its place is taken, waits in vain. */
   join(task: RunningTask): GangMember {
     const member = new GangMember(task, this);
-    task.enter('waiting');
-    task.after(this.times.gangWaitS, () => {
+    task.setState('waiting');
+    task.setTimer(this.times.gangWaitS, () => {
       if (task.state === 'waiting') task.exit('alone');
     });
     if (this.phase === 'gathering' && !this.members.has(task.ref.index)) {
@@ -58,14 +58,14 @@
     const { index } = member.task.ref;
     if (this.members.get(index) !== member) return;
     this.members.delete(index);
-    if (this.phase === 'running' || this.phase === 'stopping') this.breakUp();
-    if (this.members.size === 0) this.dissolve();
+    if (this.phase === 'running' || this.phase === 'stopping') this.handleMemberLoss();
+    if (this.members.size === 0) this.dispose();
   }
 
-  memberHangs(member: GangMember): void {
+  memberHangChanged(member: GangMember): void {
     if (this.members.get(member.task.ref.index) !== member) return;
     if (this.phase === 'gathering') this.startIfComplete();
-    else if (this.phase === 'running') this.followHangs();
+    else if (this.phase === 'running') this.pauseWhileHanging();
   }
 
   speedChanged(): void {
@@ -73,27 +73,27 @@
   }
 
   /** A task that is not waiting was told to stop. */
-  stop(member: GangMember, graceS: number): void {
+  stopMember(member: GangMember, graceS: number): void {
     const { checkpointS, saveS } = this.program.job;
     const { task } = member;
-    const orderly = this.phase === 'running' || this.phase === 'stopping';
+    const canCheckpoint = this.phase === 'running' || this.phase === 'stopping';
     if (task.state === 'saving') {
       if (graceS === 0) task.exit('stopped');
-    } else if (orderly && checkpointS > 0 && graceS >= saveS) {
+    } else if (canCheckpoint && checkpointS > 0 && graceS >= saveS) {
       if (this.phase === 'running') this.beginStop();
-      task.enter('saving');
-      task.after(saveS, () => {
+      task.setState('saving');
+      task.setTimer(saveS, () => {
         member.hasCheckpointed = true;
-        this.releaseCheckpointed();
+        this.exitCheckpointed();
       });
-      this.releaseCheckpointed();
+      this.exitCheckpointed();
     } else task.exit('stopped');
   }
 
   private startIfComplete(): void {
-    if (this.members.size < this.program.job.tasks || this.anyHangs()) return;
+    if (this.members.size < this.program.job.tasks || this.hasHangingMember()) return;
     this.phase = 'running';
-    const unit = this.unit();
+    const unit = this.progressUnit();
     this.execution = new Execution(
       this.runtime.clock,
       this.program.runS[0],
@@ -104,10 +104,10 @@
       },
     );
     for (const { task } of this.members.values()) {
-      task.enter('running');
+      task.setState('running');
       const failsAfterS = task.host.failsAfterS(this.program);
       if (failsAfterS !== null)
-        task.after(failsAfterS, () => {
+        task.setTimer(failsAfterS, () => {
           task.exit('error');
         });
     }
@@ -121,84 +121,87 @@
     for (const { task } of members) task.exit('done');
   }
 
-  private followHangs(): void {
-    if (!this.anyHangs()) {
+  private pauseWhileHanging(): void {
+    if (!this.hasHangingMember()) {
       this.execution?.run();
       return;
     }
     this.execution?.pause();
-    this.letOthersNotice();
+    this.scheduleLossDetection();
   }
 
   /** Each task that still sees a loss some time from now exits. */
-  private letOthersNotice(): void {
+  private scheduleLossDetection(): void {
     for (const member of this.members.values()) {
-      const share = EARLIEST_NOTICE + (1 - EARLIEST_NOTICE) * this.runtime.random();
-      member.task.after(share * this.times.gangPeerS, () => {
+      const share = MIN_DETECTION_SHARE + (1 - MIN_DETECTION_SHARE) * this.runtime.random();
+      member.task.setTimer(share * this.times.gangPeerS, () => {
         const othersHang = [...this.members.values()].some((m) => m !== member && m.hanging);
         if (this.phase === 'broken' || othersHang) member.task.exit('peers');
       });
     }
   }
 
-  private breakUp(): void {
+  private handleMemberLoss(): void {
     this.phase = 'broken';
-    this.fallBack();
-    this.letOthersNotice();
+    this.rollBackToCheckpoint();
+    this.scheduleLossDetection();
   }
 
   /** Progress since the last checkpoint is lost. */
-  private fallBack(): void {
+  private rollBackToCheckpoint(): void {
     this.execution?.pause();
     const progressS = this.execution?.progress() ?? 0;
     const { checkpointS } = this.program.job;
-    this.storage.save(this.unit(), atLastCheckpoint(progressS, checkpointS));
+    this.storage.saveProgress(
+      this.progressUnit(),
+      progressAtLastCheckpoint(progressS, checkpointS),
+    );
   }
 
   private beginStop(): void {
     this.phase = 'stopping';
     this.execution?.pause();
     const delayMs = this.times.gangPeerS * 1000;
-    this.stopDeadline = this.runtime.clock.setTimer(() => {
-      this.stopOverdue();
+    this.stopTimer = this.runtime.clock.setTimer(() => {
+      this.handleStopTimeout();
     }, delayMs);
   }
 
   /** Not all tasks were told to stop in time: the checkpoint fails. */
-  private stopOverdue(): void {
+  private handleStopTimeout(): void {
     if (this.phase !== 'stopping') return;
-    if (this.allTold()) return;
+    if (this.allSaving()) return;
     this.phase = 'broken';
-    this.fallBack();
+    this.rollBackToCheckpoint();
     for (const { task } of [...this.members.values()]) {
       const cause = task.state === 'saving' ? 'stopped' : 'peers';
-      task.after(0, () => {
+      task.setTimer(0, () => {
         task.exit(cause);
       });
     }
   }
 
   /** Tasks that have written their checkpoint exit once all have been told. */
-  private releaseCheckpointed(): void {
-    const orderly = this.phase === 'stopping' || this.phase === 'checkpointed';
-    if (!orderly || !this.allTold()) return;
+  private exitCheckpointed(): void {
+    const checkpointing = this.phase === 'stopping' || this.phase === 'checkpointed';
+    if (!checkpointing || !this.allSaving()) return;
     for (const member of [...this.members.values()]) {
       if (!member.hasCheckpointed) continue;
       if (this.phase === 'stopping') {
         this.phase = 'checkpointed';
-        this.storage.save(this.unit(), this.execution?.progress() ?? 0);
+        this.storage.saveProgress(this.progressUnit(), this.execution?.progress() ?? 0);
       }
       member.task.exit('stopped', true);
     }
   }
 
-  private allTold(): boolean {
+  private allSaving(): boolean {
     const members = [...this.members.values()];
     const complete = this.phase === 'checkpointed' || members.length === this.program.job.tasks;
     return complete && members.every(({ task }) => task.state === 'saving');
   }
 
-  private anyHangs(): boolean {
+  private hasHangingMember(): boolean {
     return [...this.members.values()].some((member) => member.hanging);
   }
 
@@ -206,12 +209,12 @@
     return Math.min(...[...this.members.values()].map(({ task }) => task.host.speed));
   }
 
-  private unit() {
+  private progressUnit() {
     return { job: this.program.job.id, index: 'gang' as const };
   }
 
-  private dissolve(): void {
-    this.stopDeadline?.cancel();
+  private dispose(): void {
+    this.stopTimer?.cancel();
     this.execution?.pause();
     this.onEmpty();
   }
--- a/packages/testing/stand-ins/worker/gang-member.ts
+++ b/packages/testing/stand-ins/worker/gang-member.ts
@@ -4,9 +4,9 @@
 /** What a task of a gang tells the others, and asks of them. */
 export interface GangCoordinator {
   /** A task that is not waiting was told to stop. */
-  stop(member: GangMember, graceS: number): void;
+  stopMember(member: GangMember, graceS: number): void;
   memberLeft(member: GangMember): void;
-  memberHangs(member: GangMember): void;
+  memberHangChanged(member: GangMember): void;
   speedChanged(): void;
 }
 
@@ -22,16 +22,16 @@
 
   stop(graceS: number): void {
     if (this.task.state === 'waiting') this.task.exit('stopped');
-    else this.gang.stop(this, graceS);
+    else this.gang.stopMember(this, graceS);
   }
 
-  ended(): void {
+  taskLeft(): void {
     this.gang.memberLeft(this);
   }
 
-  hangs(hanging: boolean): void {
+  setHanging(hanging: boolean): void {
     this.hanging = hanging;
-    this.gang.memberHangs(this);
+    this.gang.memberHangChanged(this);
   }
 
   speedChanged(): void {
--- a/packages/testing/stand-ins/worker/heartbeat-schedule.ts
+++ b/packages/testing/stand-ins/worker/heartbeat-schedule.ts
@@ -1,16 +1,16 @@
 /** When a worker sends heartbeats. */
 import type { Runtime } from '#wire';
 
-const LEAST_SPACING_S = 0.5;
+const MIN_SPACING_S = 0.5;
 /** A period is shorter or longer by up to this share. */
-const PERIOD_SPREAD = 0.25;
+const PERIOD_JITTER = 0.25;
 const NEXT_NODE_DELAY_S = 1;
 const REDIRECT_DELAY_S = 0.5;
 
 /** When a worker sends its next heartbeat; seconds of the runtime's clock. */
 export class HeartbeatSchedule {
   private lastSentAt = -Infinity;
-  private periodicAt: number;
+  private nextPeriodicAt: number;
   /** After a failure or a redirection nothing else counts. */
   private retryAt: number | null = null;
   private changed = false;
@@ -19,13 +19,13 @@
     private readonly runtime: Runtime,
     private readonly heartbeatIntervalS: number,
   ) {
-    this.periodicAt = runtime.clock.now();
+    this.nextPeriodicAt = runtime.clock.now();
   }
 
   dueAt(): number {
     if (this.retryAt !== null) return this.retryAt;
-    if (!this.changed) return this.periodicAt;
-    return Math.min(this.periodicAt, this.lastSentAt + LEAST_SPACING_S);
+    if (!this.changed) return this.nextPeriodicAt;
+    return Math.min(this.nextPeriodicAt, this.lastSentAt + MIN_SPACING_S);
   }
 
   /** The next heartbeat shows something new. */
@@ -35,9 +35,9 @@
 
   /** A heartbeat goes out now. */
   recordSent(): void {
-    const spread = 1 + PERIOD_SPREAD * (2 * this.runtime.random() - 1);
+    const factor = 1 + PERIOD_JITTER * (2 * this.runtime.random() - 1);
     this.lastSentAt = this.runtime.clock.now();
-    this.periodicAt = this.lastSentAt + this.heartbeatIntervalS * spread;
+    this.nextPeriodicAt = this.lastSentAt + this.heartbeatIntervalS * factor;
     this.retryAt = null;
     this.changed = false;
   }
--- a/packages/testing/stand-ins/worker/heartbeat-sender.ts
+++ b/packages/testing/stand-ins/worker/heartbeat-sender.ts
@@ -1,7 +1,7 @@
 /** Sends the heartbeats of a worker and follows redirects to the leader. */
 import { CborClient, NoAnswer, pause, WakeableWait, type Answer, type Runtime } from '#wire';
 import { parseRedirect } from '#wire/serving';
-import { NodeChoice, type ControllerAddress } from './node-choice.js';
+import { ControllerSelector, type ControllerAddress } from './node-choice.js';
 import { HeartbeatSchedule } from './heartbeat-schedule.js';
 
 /** How long a worker waits for the answer to a heartbeat, in seconds. */
@@ -25,12 +25,12 @@
 /** Sends the heartbeats of one worker, one at a time, to the controller that answers them. */
 export class HeartbeatSender {
   /** Its heartbeats reach no controller. */
-  mute = false;
+  heartbeatsBlocked = false;
   /** No answer reaches it. */
-  deaf = false;
+  answersBlocked = false;
   private readonly schedule: HeartbeatSchedule;
-  private readonly choice: NodeChoice;
-  private readonly waiting: WakeableWait;
+  private readonly selector: ControllerSelector;
+  private readonly wakeableWait: WakeableWait;
   private readonly stopping = new AbortController();
   private client: CborClient | null = null;
 
@@ -41,8 +41,8 @@
     private readonly source: HeartbeatSource,
   ) {
     this.schedule = new HeartbeatSchedule(runtime, heartbeatIntervalS);
-    this.choice = new NodeChoice(controllers, () => runtime.random());
-    this.waiting = new WakeableWait(runtime.clock);
+    this.selector = new ControllerSelector(controllers, () => runtime.random());
+    this.wakeableWait = new WakeableWait(runtime.clock);
   }
 
   /** Sends heartbeats until stop(). */
@@ -50,7 +50,7 @@
     const { signal } = this.stopping;
     while (!signal.aborted) {
       const waitS = this.schedule.dueAt() - this.runtime.clock.now();
-      if (waitS > 0) await this.waiting.wait(waitS * 1000, signal);
+      if (waitS > 0) await this.wakeableWait.wait(waitS * 1000, signal);
       else await this.exchange();
       await this.source.whenRunning();
     }
@@ -58,17 +58,17 @@
 
   stop(): void {
     this.stopping.abort();
-    this.leaveNode();
+    this.closeClient();
   }
 
   recordChange(): void {
     this.schedule.recordChange();
-    this.waiting.wake();
+    this.wakeableWait.wake();
   }
 
   private async exchange(): Promise<void> {
     const sentAt = this.runtime.clock.now();
-    const node = this.choice.current;
+    const node = this.selector.current;
     this.schedule.recordSent();
     const body = this.source.nextHeartbeat();
     const answer = await this.send(body, node, sentAt);
@@ -77,7 +77,7 @@
     const inTime = this.runtime.clock.now() - sentAt <= ANSWER_TIMEOUT_S;
     this.source.exchanged(inTime ? (answer?.status ?? null) : null, sentAt, node);
     if (answer?.status === 200 && inTime) this.source.answered(answer.body, sentAt, node);
-    else if (answer?.status === 421 && inTime) this.follow(parseRedirect(answer.body));
+    else if (answer?.status === 421 && inTime) this.followRedirect(parseRedirect(answer.body));
     else this.tryNextNode();
   }
 
@@ -87,7 +87,7 @@
     node: ControllerAddress,
     sentAt: number,
   ): Promise<Answer | null> {
-    if (this.mute) return this.waitInVain(sentAt);
+    if (this.heartbeatsBlocked) return this.waitUntilTimeout(sentAt);
     this.source.sent(body, node);
     this.client ??= new CborClient(this.runtime, node.address, 1);
     const timeoutMs = ANSWER_TIMEOUT_S * 1000;
@@ -97,35 +97,35 @@
         body,
         maxBytes: MAX_ANSWER_BYTES,
       });
-      return this.deaf ? await this.waitInVain(sentAt) : answer;
+      return this.answersBlocked ? await this.waitUntilTimeout(sentAt) : answer;
     } catch (err) {
       if (err instanceof NoAnswer) return null;
       throw err;
     }
   }
 
-  private async waitInVain(sentAt: number): Promise<null> {
+  private async waitUntilTimeout(sentAt: number): Promise<null> {
     const leftS = sentAt + ANSWER_TIMEOUT_S - this.runtime.clock.now();
     await pause(this.runtime.clock, leftS * 1000, this.stopping.signal);
     return null;
   }
 
-  private follow(leader: string | null): void {
-    if (!this.choice.moveTo(leader)) {
+  private followRedirect(leader: string | null): void {
+    if (!this.selector.select(leader)) {
       this.tryNextNode();
       return;
     }
-    this.leaveNode();
+    this.closeClient();
     this.schedule.afterRedirect();
   }
 
   private tryNextNode(): void {
-    this.leaveNode();
-    this.choice.moveToNext();
+    this.closeClient();
+    this.selector.selectNext();
     this.schedule.afterFailure();
   }
 
-  private leaveNode(): void {
+  private closeClient(): void {
     this.client?.close();
     this.client = null;
   }
--- a/packages/testing/stand-ins/worker/hosted-task.ts
+++ b/packages/testing/stand-ins/worker/hosted-task.ts
@@ -11,7 +11,7 @@
   state: TaskState = 'fetching';
   private cause: Cause | null = null;
   private checkpointed = false;
-  private claim: ImageClaim | null = null;
+  private imageClaim: ImageClaim | null = null;
   private run: TaskRun | null = null;
   private readonly timers = new Set<Timer>();
 
@@ -25,7 +25,7 @@
     return this.state === 'exited';
   }
 
-  heartbeat(): TaskStatus {
+  status(): TaskStatus {
     const { state, cause, checkpointed } = this;
     return { ...this.ref, state, cause, checkpointed };
   }
@@ -35,10 +35,10 @@
     const { image, imageGb } = this.program.job;
     this.host.observer({ kind: 'task-assigned', machine: this.host.machine, task: this.ref });
     this.host.taskChanged();
-    this.claim = this.host.images.claim(image, imageGb, () => {
+    this.imageClaim = this.host.images.claim(image, imageGb, () => {
       this.start();
     });
-    if (this.claim.ready) this.start();
+    if (this.imageClaim.ready) this.start();
   }
 
   /** Carries out a stop command. */
@@ -50,24 +50,24 @@
 
   /** The lease has ended or the machine is gone. */
   kill(): void {
-    if (!this.exited) this.leave('killed');
+    if (!this.exited) this.cleanUp('killed');
   }
 
   exit(cause: Cause, checkpointed = false): void {
     if (this.exited) return;
     this.cause = cause;
     this.checkpointed = checkpointed;
-    this.leave(cause);
+    this.cleanUp(cause);
     this.host.taskChanged();
   }
 
-  enter(state: TaskState): void {
+  setState(state: TaskState): void {
     this.state = state;
     this.host.taskChanged();
   }
 
-  hangs(hanging: boolean): void {
-    if (!this.exited) this.run?.hangs(hanging);
+  setHanging(hanging: boolean): void {
+    if (!this.exited) this.run?.setHanging(hanging);
   }
 
   speedChanged(): void {
@@ -75,7 +75,7 @@
   }
 
   /** Calls back after so many seconds of the machine's clock unless the task has left by then. */
-  after(seconds: number, callback: () => void): void {
+  setTimer(seconds: number, callback: () => void): void {
     const timer = this.host.clock.setTimer(() => {
       this.timers.delete(timer);
       callback();
@@ -94,12 +94,12 @@
     this.run = isGang ? host.gangs.join(this) : new SoloRun(this);
   }
 
-  private leave(cause: LeaveCause): void {
+  private cleanUp(cause: LeaveCause): void {
     this.state = 'exited';
     for (const timer of this.timers) timer.cancel();
     this.timers.clear();
-    this.claim?.release();
-    this.run?.ended();
+    this.imageClaim?.release();
+    this.run?.taskLeft();
     const { machine, observer } = this.host;
     observer({ kind: 'task-left', machine, task: this.ref, cause });
   }
--- a/packages/testing/stand-ins/worker/image-cache.ts
+++ b/packages/testing/stand-ins/worker/image-cache.ts
@@ -10,7 +10,7 @@
 }
 
 /** What is lost in rounding. */
-const NEGLIGIBLE_GB = 1e-9;
+const ROUNDING_TOLERANCE_GB = 1e-9;
 
 interface Image {
   name: string;
@@ -24,8 +24,8 @@
 /** The images of one machine: fetched once for all tasks, the most recently used ones kept. */
 export class ImageCache {
   private readonly images = new Map<string, Image>();
-  private countedAt: number;
-  private nextArrival: Timer | null = null;
+  private updatedAt: number;
+  private arrivalTimer: Timer | null = null;
   private paused = false;
 
   constructor(
@@ -34,16 +34,16 @@
     /** Shared by all fetches under way. */
     private readonly fetchGbPerS: number,
   ) {
-    this.countedAt = clock.now();
+    this.updatedAt = clock.now();
   }
 
   /** Calls back once the image has arrived, unless it is there already. */
   claim(name: string, sizeGb: number, onReady: () => void): ImageClaim {
-    this.countFetched();
+    this.updateFetched();
     const image = this.images.get(name) ?? this.add(name, sizeGb);
     image.claims.add(onReady);
     image.lastUsedAt = this.clock.now();
-    this.planNextArrival();
+    this.scheduleNextArrival();
     return {
       ready: image.missingGb === 0,
       release: () => {
@@ -54,15 +54,15 @@
 
   /** Nothing arrives until resume(). */
   pause(): void {
-    this.countFetched();
+    this.updateFetched();
     this.paused = true;
-    this.planNextArrival();
+    this.scheduleNextArrival();
   }
 
   resume(): void {
-    this.countedAt = this.clock.now();
+    this.updatedAt = this.clock.now();
     this.paused = false;
-    this.planNextArrival();
+    this.scheduleNextArrival();
   }
 
   private add(name: string, sizeGb: number): Image {
@@ -72,11 +72,11 @@
   }
 
   private release(image: Image, onReady: () => void): void {
-    this.countFetched();
+    this.updateFetched();
     image.claims.delete(onReady);
     image.lastUsedAt = this.clock.now();
     if (image.claims.size === 0 && image.missingGb > 0) this.images.delete(image.name);
-    this.planNextArrival();
+    this.scheduleNextArrival();
   }
 
   private fetching(): Image[] {
@@ -84,36 +84,36 @@
   }
 
   /** Adds what has arrived since the last count; the fetches share the rate evenly. */
-  private countFetched(): void {
+  private updateFetched(): void {
     const now = this.clock.now();
     const fetching = this.fetching();
     if (!this.paused && fetching.length > 0) {
-      const eachGb = ((now - this.countedAt) * this.fetchGbPerS) / fetching.length;
+      const eachGb = ((now - this.updatedAt) * this.fetchGbPerS) / fetching.length;
       for (const image of fetching) {
         const leftGb = image.missingGb - eachGb;
-        image.missingGb = leftGb > NEGLIGIBLE_GB ? leftGb : 0;
+        image.missingGb = leftGb > ROUNDING_TOLERANCE_GB ? leftGb : 0;
       }
     }
-    this.countedAt = now;
+    this.updatedAt = now;
   }
 
-  private planNextArrival(): void {
-    this.nextArrival?.cancel();
-    this.nextArrival = null;
+  private scheduleNextArrival(): void {
+    this.arrivalTimer?.cancel();
+    this.arrivalTimer = null;
     const fetching = this.fetching();
     if (this.paused || fetching.length === 0) return;
     const leastGb = Math.min(...fetching.map((image) => image.missingGb));
     const waitS = (leastGb * fetching.length) / this.fetchGbPerS;
-    this.nextArrival = this.clock.setTimer(() => {
-      this.deliver(fetching);
+    this.arrivalTimer = this.clock.setTimer(() => {
+      this.finishFetches(fetching);
     }, waitS * 1000);
   }
 
-  private deliver(fetching: Image[]): void {
-    this.countFetched();
+  private finishFetches(fetching: Image[]): void {
+    this.updateFetched();
     const arrived = fetching.filter((image) => image.missingGb === 0);
     this.evict();
-    this.planNextArrival();
+    this.scheduleNextArrival();
     for (const image of arrived) {
       for (const onReady of [...image.claims]) {
         if (image.claims.has(onReady)) onReady();
--- a/packages/testing/stand-ins/worker/late-heartbeats.ts
+++ b/packages/testing/stand-ins/worker/late-heartbeats.ts
@@ -8,7 +8,7 @@
   { share: number; delayS: Span } | { share: number; forNextLeader: true };
 
 /** Copies that are kept of one machine's heartbeats for the next leader. */
-const MAX_KEPT = 3;
+const MAX_KEPT_PER_MACHINE = 3;
 const SEND_TIMEOUT_MS = 4000;
 
 /**
@@ -18,7 +18,7 @@
 export class LateHeartbeats {
   private fault: LateHeartbeatFault | null = null;
   private leader: string | null = null;
-  private readonly kept = new Map<string, unknown[]>();
+  private readonly keptBodies = new Map<string, unknown[]>();
 
   /** The runtime is that of a host that outlives all machines. */
   constructor(private readonly runtime: Runtime) {}
@@ -37,8 +37,8 @@
     const { fault } = this;
     if (fault === null || this.runtime.random() >= fault.share) return;
     if ('forNextLeader' in fault) {
-      const kept = this.kept.get(machine) ?? [];
-      this.kept.set(machine, [...kept, body].slice(-MAX_KEPT));
+      const kept = this.keptBodies.get(machine) ?? [];
+      this.keptBodies.set(machine, [...kept, body].slice(-MAX_KEPT_PER_MACHINE));
       return;
     }
     const delayS = uniform(() => this.runtime.random(), fault.delayS);
@@ -46,11 +46,11 @@
   }
 
   /** A worker obeys that node; if it has just become leader, what was kept arrives there. */
-  obeyed(node: ControllerAddress): void {
+  answerAccepted(node: ControllerAddress): void {
     if (node.name === this.leader) return;
     this.leader = node.name;
-    const bodies = [...this.kept.values()].flat();
-    this.kept.clear();
+    const bodies = [...this.keptBodies.values()].flat();
+    this.keptBodies.clear();
     for (const body of bodies) void this.deliver(body, node);
   }
 
--- a/packages/testing/stand-ins/worker/node-choice.ts
+++ b/packages/testing/stand-ins/worker/node-choice.ts
@@ -7,27 +7,27 @@
 }
 
 /** The controller that a worker sends its heartbeats to, and the next one to try. */
-export class NodeChoice {
+export class ControllerSelector {
   private index: number;
 
   constructor(
-    private readonly nodes: ControllerAddress[],
+    private readonly controllers: ControllerAddress[],
     random: () => number,
   ) {
-    this.index = Math.floor(random() * nodes.length);
+    this.index = Math.floor(random() * controllers.length);
   }
 
   get current(): ControllerAddress {
-    return this.nodes[this.index];
+    return this.controllers[this.index];
   }
 
-  moveToNext(): void {
-    this.index = (this.index + 1) % this.nodes.length;
+  selectNext(): void {
+    this.index = (this.index + 1) % this.controllers.length;
   }
 
   /** Goes to the named node; false if there is none but the present one. */
-  moveTo(name: string | null): boolean {
-    const index = this.nodes.findIndex((node) => node.name === name);
+  select(name: string | null): boolean {
+    const index = this.controllers.findIndex((node) => node.name === name);
     if (index < 0 || index === this.index) return false;
     this.index = index;
     return true;
--- a/packages/testing/stand-ins/worker/sample-workers.ts
+++ b/packages/testing/stand-ins/worker/sample-workers.ts
@@ -22,8 +22,8 @@
 
 /** The settings of the workers, in seconds. */
 export const TIMES = { heartbeatIntervalS: 1, leaseS: 10, gangWaitS: 40, gangPeerS: 8 };
-const NAMES = ['c-0', 'c-1'];
-const PORT = 8080;
+const CONTROLLER_NAMES = ['c-0', 'c-1'];
+const CONTROLLER_PORT = 8080;
 
 /** A controller that answers heartbeats as a test tells it. */
 class ScriptedController {
@@ -44,7 +44,7 @@
   }
 
   /** The task in the newest heartbeat. */
-  task(index = 0): TaskStatus | undefined {
+  findTask(index = 0): TaskStatus | undefined {
     return this.heartbeats.at(-1)?.tasks.find((task) => task.index === index);
   }
 }
@@ -55,23 +55,23 @@
   readonly storage = new JobStorage(this.world.observer);
   readonly lateHeartbeats = new LateHeartbeats(this.world.runtime('10.9.0.3'));
   readonly lateCommands = new ReplyLoss(this.world.runtime('10.9.0.1'));
-  readonly controllers = NAMES.map(() => new ScriptedController(this.world));
-  private readonly commander = this.world.runtime('10.0.0.9', 'controller');
+  readonly controllers = CONTROLLER_NAMES.map(() => new ScriptedController(this.world));
+  private readonly commandRuntime = this.world.runtime('10.0.0.9', 'controller');
   private readonly gangs = new GangNetwork(this.world.runtime('10.9.0.2'));
   private started = 0;
 
-  async begin(): Promise<this> {
+  async startControllers(): Promise<this> {
     for (const [index, controller] of this.controllers.entries()) {
       const host = `10.0.0.${index + 1}`;
       const runtime = this.world.runtime(host, 'controller');
-      const address = { host, port: PORT };
+      const address = { host, port: CONTROLLER_PORT };
       await this.world.finish(serveCbor(runtime, address, (req) => controller.handle(req)));
     }
     return this;
   }
 
   /** A worker that knows the first so many controllers. */
-  async worker(speed = 1, knows = 1): Promise<Worker> {
+  async startWorker(speed = 1, controllerCount = 1): Promise<Worker> {
     const number = ++this.started;
     const host = `10.1.0.${number}`;
     const facts = { name: `n-${number}`, sound: true, type: STD, zone: 'a', spot: false };
@@ -82,9 +82,9 @@
       traits,
       {
         times: TIMES,
-        controllers: NAMES.slice(0, knows).map((name, index) => ({
+        controllers: CONTROLLER_NAMES.slice(0, controllerCount).map((name, index) => ({
           name,
-          address: `10.0.0.${index + 1}:${PORT}`,
+          address: `10.0.0.${index + 1}:${CONTROLLER_PORT}`,
         })),
         storage: this.storage,
         gangs: this.gangs,
@@ -109,20 +109,20 @@
   }
 
   /** Sends commands to a worker directly; the tasks of its answer. */
-  async order(worker: Worker, orders: Order[], fencingToken = 5, agentEpoch = 1) {
-    return this.world.finish(this.post(worker, orders, fencingToken, agentEpoch));
+  async sendOrders(worker: Worker, orders: Order[], fencingToken = 5, agentEpoch = 1) {
+    return this.world.finish(this.postOrders(worker, orders, fencingToken, agentEpoch));
   }
 
   /** As `order`, but leaves it to the caller to run the world. */
-  async post(worker: Worker, orders: Order[], fencingToken = 5, agentEpoch = 1) {
+  async postOrders(worker: Worker, orders: Order[], fencingToken = 5, agentEpoch = 1) {
     const body = commandToWire(fencingToken, agentEpoch, orders);
-    const http = new CborClient(this.commander, worker.facts.address);
+    const http = new CborClient(this.commandRuntime, worker.facts.address);
     const answer = await http.call('POST', '/orders', { timeoutMs: 5000, body });
     return { status: answer.status, tasks: parseHeartbeat(answer.body).tasks };
   }
 
   /** Causes with which tasks have left their machines, as `index:cause`. */
-  leaves(): string[] {
+  leaveCauses(): string[] {
     return this.world.events.flatMap((event) =>
       event.kind === 'task-left' ? [`${event.task.index}:${event.cause}`] : [],
     );
@@ -130,16 +130,16 @@
 }
 
 /** A command to start a task of the sample job. */
-export function start(index = 0, attempt = 1): Order {
+export function startOrder(index = 0, attempt = 1): Order {
   return { op: 'start', job: 'j-000001', index, attempt };
 }
 
 /** A command to stop a task of the sample job within the grace period, in seconds. */
-export function stop(graceS: number, index = 0, attempt = 1): Order {
+export function stopOrder(graceS: number, index = 0, attempt = 1): Order {
   return { op: 'stop', job: 'j-000001', index, attempt, graceS };
 }
 
 /** A command to forget a task of the sample job. */
-export function forget(index = 0, attempt = 1): Order {
+export function forgetOrder(index = 0, attempt = 1): Order {
   return { op: 'forget', job: 'j-000001', index, attempt };
 }
--- a/packages/testing/stand-ins/worker/solo-run.ts
+++ b/packages/testing/stand-ins/worker/solo-run.ts
@@ -1,5 +1,5 @@
 /** How a task runs that does not belong to a gang. */
-import { atLastCheckpoint, type ProgressUnit } from '../job-storage.js';
+import { progressAtLastCheckpoint, type ProgressUnit } from '../job-storage.js';
 import { Execution } from './execution.js';
 import type { RunningTask, TaskRun } from './task-host.js';
 
@@ -16,11 +16,11 @@
     this.execution = new Execution(host.clock, goalS, startS, host.speed, () => {
       this.complete();
     });
-    task.enter('running');
+    task.setState('running');
     this.execution.run();
     const failsAfterS = host.failsAfterS(program);
     if (failsAfterS !== null)
-      task.after(failsAfterS, () => {
+      task.setTimer(failsAfterS, () => {
         task.exit('error');
       });
   }
@@ -31,22 +31,22 @@
       if (graceS === 0) this.task.exit('stopped');
     } else if (checkpointS > 0 && graceS >= saveS) {
       this.execution.pause();
-      this.task.enter('saving');
-      this.task.after(saveS, () => {
+      this.task.setState('saving');
+      this.task.setTimer(saveS, () => {
         this.checkpointWritten();
       });
     } else this.task.exit('stopped');
   }
 
   /** Progress since the last checkpoint is lost. */
-  ended(): void {
+  taskLeft(): void {
     this.execution.pause();
     const { checkpointS } = this.task.program.job;
-    const keptS = atLastCheckpoint(this.execution.progress(), checkpointS);
-    this.task.host.storage.save(this.unit, keptS);
+    const keptS = progressAtLastCheckpoint(this.execution.progress(), checkpointS);
+    this.task.host.storage.saveProgress(this.unit, keptS);
   }
 
-  hangs(hanging: boolean): void {
+  setHanging(hanging: boolean): void {
     if (this.task.state !== 'running') return;
     if (hanging) this.execution.pause();
     else this.execution.run();
@@ -63,7 +63,7 @@
   }
 
   private checkpointWritten(): void {
-    this.task.host.storage.save(this.unit, this.execution.progress());
+    this.task.host.storage.saveProgress(this.unit, this.execution.progress());
     this.task.exit('stopped', true);
   }
 }
--- a/packages/testing/stand-ins/worker/task-host.ts
+++ b/packages/testing/stand-ins/worker/task-host.ts
@@ -42,11 +42,11 @@
   readonly program: JobProgram;
   readonly host: TaskHost;
   readonly state: TaskState;
-  enter(state: TaskState): void;
+  setState(state: TaskState): void;
   /** The task leaves its machine; `checkpointed` if its progress was written just before. */
   exit(cause: Cause, checkpointed?: boolean): void;
   /** Calls back after so many seconds of the machine's clock unless the task has left by then. */
-  after(seconds: number, callback: () => void): void;
+  setTimer(seconds: number, callback: () => void): void;
 }
 
 /** How a task runs once it has its image. */
@@ -54,8 +54,8 @@
   /** Carries out a stop command. */
   stop(graceS: number): void;
   /** The task has left its machine, in whatever way. */
-  ended(): void;
+  taskLeft(): void;
   /** The machine hangs, or goes on. */
-  hangs(hanging: boolean): void;
+  setHanging(hanging: boolean): void;
   speedChanged(): void;
 }
--- a/packages/testing/stand-ins/worker/task-table.ts
+++ b/packages/testing/stand-ins/worker/task-table.ts
@@ -20,8 +20,8 @@
     return [...this.tasks.values()];
   }
 
-  heartbeats(): TaskStatus[] {
-    return [...this.all().map((task) => task.heartbeat()), ...this.refusals.values()];
+  statuses(): TaskStatus[] {
+    return [...this.all().map((task) => task.status()), ...this.refusals.values()];
   }
 
   /** Carries out commands in their order. */
@@ -47,7 +47,7 @@
     if (this.tasks.has(key) || this.refusals.has(key)) return;
     const program = this.host.storage.get(job);
     if (!program || index >= program.job.tasks) this.refuse(ref, 'unknown');
-    else if (this.isPresent(ref)) this.refuse(ref, 'busy');
+    else if (this.hasActiveAttempt(ref)) this.refuse(ref, 'busy');
     else if (!this.hasCapacityFor(program)) this.refuse(ref, 'no_room');
     else {
       const task = new HostedTask(ref, program, this.host);
@@ -67,17 +67,17 @@
     if (this.refusals.delete(key) || exited) this.host.taskChanged();
   }
 
-  private present(): HostedTask[] {
+  private activeTasks(): HostedTask[] {
     return this.all().filter((task) => !task.exited);
   }
 
   /** The task is here with whatever attempt. */
-  private isPresent({ job, index }: TaskRef): boolean {
-    return this.present().some(({ ref }) => ref.job === job && ref.index === index);
+  private hasActiveAttempt({ job, index }: TaskRef): boolean {
+    return this.activeTasks().some(({ ref }) => ref.job === job && ref.index === index);
   }
 
   private hasCapacityFor(wanted: JobProgram): boolean {
-    const programs = [...this.present().map((task) => task.program), wanted];
+    const programs = [...this.activeTasks().map((task) => task.program), wanted];
     return (['cpus', 'gpus', 'memory'] as const).every((resource) => {
       const used = programs.reduce((sum, { job }) => sum + job[resource], 0);
       return used <= this.type[resource];
--- a/packages/testing/stand-ins/worker/worker.test.ts
+++ b/packages/testing/stand-ins/worker/worker.test.ts
@@ -1,19 +1,19 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { answerToWire, type Order } from '#wire';
-import { forget, SampleFleet, start, stop, TIMES } from './sample-workers.js';
+import { forgetOrder, SampleFleet, startOrder, stopOrder, TIMES } from './sample-workers.js';
 
 const IMAGE_S = 5;
 
-async function aFleet(jobs: Parameters<SampleFleet['upload']> = [{}]) {
-  const fleet = await new SampleFleet().begin();
+async function startFleet(jobs: Parameters<SampleFleet['upload']> = [{}]) {
+  const fleet = await new SampleFleet().startControllers();
   fleet.upload(...jobs);
-  const worker = await fleet.worker();
+  const worker = await fleet.startWorker();
   const [controller] = fleet.controllers;
   return { fleet, worker, controller, world: fleet.world };
 }
 
-function outcome(
+function describeOutcomes(
   tasks: { state: string; cause: string | null; checkpointed: boolean }[],
 ): string[] {
   return tasks.map(
@@ -22,7 +22,7 @@
 }
 
 test('a worker sends heartbeats by its interval, and sooner when something changes', async () => {
-  const { world, controller, worker } = await aFleet();
+  const { world, controller, worker } = await startFleet();
   await world.run(60);
   const spacings = controller.heartbeats
     .slice(2)
@@ -36,118 +36,136 @@
     worker.giveNotice(100 + i);
     await world.run(0.25);
   }
-  const more = controller.heartbeats.length - before;
-  assert.ok(more >= 4 && more <= 5, `${more} heartbeats in 2 s`);
+  const sentCount = controller.heartbeats.length - before;
+  assert.ok(sentCount >= 4 && sentCount <= 5, `${sentCount} heartbeats in 2 s`);
   assert.ok(Math.abs((controller.heartbeats.at(-1)!.noticeS ?? 0) - 106) < 2);
 });
 
 test('a task fetches its image once, runs, and its result is kept', async () => {
-  const { fleet, world, controller } = await aFleet([{ tasks: 2 }]);
-  controller.orders = [start(0), start(1)];
+  const { fleet, world, controller } = await startFleet([{ tasks: 2 }]);
+  controller.orders = [startOrder(0), startOrder(1)];
   await world.run(IMAGE_S - 1);
-  assert.deepEqual(outcome([controller.task(0)!, controller.task(1)!]), ['fetching ', 'fetching ']);
+  assert.deepEqual(describeOutcomes([controller.findTask(0)!, controller.findTask(1)!]), [
+    'fetching ',
+    'fetching ',
+  ]);
   await world.run(4);
-  assert.equal(controller.task()!.state, 'running');
+  assert.equal(controller.findTask()!.state, 'running');
   await world.run(10);
-  assert.equal(controller.task()!.cause, 'done');
+  assert.equal(controller.findTask()!.cause, 'done');
   assert.ok(fleet.storage.isComplete('j-000001'));
-  controller.orders = [start(0, 2)];
+  controller.orders = [startOrder(0, 2)];
   await world.run(1.5);
-  const again = controller.heartbeats.at(-1)!.tasks.find((task) => task.attempt === 2);
-  assert.deepEqual(outcome([again!]), ['exited done']);
+  const secondAttempt = controller.heartbeats.at(-1)!.tasks.find((task) => task.attempt === 2);
+  assert.deepEqual(describeOutcomes([secondAttempt!]), ['exited done']);
 });
 
 /** Orders one after the other, and what the heartbeat after the last one says. */
 const COMMANDS: [name: string, jobs: Parameters<SampleFleet['upload']>, Order[], string[]][] = [
-  ['an unknown task is refused', [{}], [start(1)], ['exited unknown']],
-  ['a task that is there is refused', [{}], [start(), start(0, 2)], ['fetching ', 'exited busy']],
-  ['a repeated start does nothing', [{}], [start(), start()], ['fetching ']],
+  ['an unknown task is refused', [{}], [startOrder(1)], ['exited unknown']],
+  [
+    'a task that is there is refused',
+    [{}],
+    [startOrder(), startOrder(0, 2)],
+    ['fetching ', 'exited busy'],
+  ],
+  ['a repeated start does nothing', [{}], [startOrder(), startOrder()], ['fetching ']],
   [
     'fetching tasks take room',
     [{ tasks: 2, memory: 33 }],
-    [start(0), start(1)],
+    [startOrder(0), startOrder(1)],
     ['fetching ', 'exited no_room'],
   ],
-  ['a fetching task stops at once', [{}], [start(), stop(60)], ['exited stopped']],
-  ['an exited task can be forgotten', [{}], [start(), stop(0), forget()], []],
-  ['a forgotten attempt starts anew', [{}], [start(), stop(0), forget(), start()], ['fetching ']],
-  ['no other task is forgotten', [{}], [start(), forget()], ['fetching ']],
-  ['an exited attempt does not start', [{}], [start(), stop(0), start()], ['exited stopped']],
+  ['a fetching task stops at once', [{}], [startOrder(), stopOrder(60)], ['exited stopped']],
+  ['an exited task can be forgotten', [{}], [startOrder(), stopOrder(0), forgetOrder()], []],
+  [
+    'a forgotten attempt starts anew',
+    [{}],
+    [startOrder(), stopOrder(0), forgetOrder(), startOrder()],
+    ['fetching '],
+  ],
+  ['no other task is forgotten', [{}], [startOrder(), forgetOrder()], ['fetching ']],
+  [
+    'an exited attempt does not start',
+    [{}],
+    [startOrder(), stopOrder(0), startOrder()],
+    ['exited stopped'],
+  ],
 ];
 
 for (const [name, jobs, orders, expected] of COMMANDS) {
   test(`commands: ${name}`, async () => {
-    const { fleet, worker } = await aFleet(jobs);
-    const { tasks } = await fleet.order(worker, orders);
-    assert.deepEqual(outcome(tasks), expected);
+    const { fleet, worker } = await startFleet(jobs);
+    const { tasks } = await fleet.sendOrders(worker, orders);
+    assert.deepEqual(describeOutcomes(tasks), expected);
   });
 }
 
 test('a running task writes a checkpoint if it can and has the time, and a second stop ends that', async () => {
   const job = { checkpointS: 4, saveS: 3 };
-  const { fleet, world, worker, controller } = await aFleet([job, { runS: [1000] }]);
+  const { fleet, world, worker, controller } = await startFleet([job, { runS: [1000] }]);
   const runAttempt = async (attempt: number, stops: Order[]) => {
-    await fleet.order(worker, [start(0, attempt)]);
+    await fleet.sendOrders(worker, [startOrder(0, attempt)]);
     await world.run(IMAGE_S + 7);
-    for (const order of stops) await fleet.order(worker, [order]);
+    for (const order of stops) await fleet.sendOrders(worker, [order]);
     await world.run(4.5);
     const heartbeat = controller.heartbeats.at(-1)!.tasks.find((task) => task.attempt === attempt);
-    return outcome([heartbeat!])[0];
+    return describeOutcomes([heartbeat!])[0];
   };
   const progress = () => fleet.storage.checkpointedProgress({ job: 'j-000001', index: 0 });
-  assert.equal(await runAttempt(1, [stop(2, 0, 1)]), 'exited stopped');
+  assert.equal(await runAttempt(1, [stopOrder(2, 0, 1)]), 'exited stopped');
   assert.equal(progress(), 4);
-  assert.equal(await runAttempt(2, [stop(3, 0, 2)]), 'exited stopped saved');
+  assert.equal(await runAttempt(2, [stopOrder(3, 0, 2)]), 'exited stopped saved');
   assert.ok(progress() > 10 && progress() % 4 !== 0);
   const before = progress();
-  assert.equal(await runAttempt(3, [stop(3, 0, 3), stop(0, 0, 3)]), 'exited stopped');
+  assert.equal(await runAttempt(3, [stopOrder(3, 0, 3), stopOrder(0, 0, 3)]), 'exited stopped');
   assert.ok(progress() > before && progress() % 4 === 0);
 });
 
 test('answers with a lower fencing token or none are dropped and do not renew the lease', async () => {
-  const { fleet, world, controller, worker } = await aFleet();
-  controller.orders = [start()];
+  const { fleet, world, controller, worker } = await startFleet();
+  controller.orders = [startOrder()];
   await world.run(3);
   assert.equal(controller.heartbeats.at(-1)!.fencingToken, 5);
-  controller.reply = () => ({ status: 200, body: answerToWire(4, [stop(0)]) });
+  controller.reply = () => ({ status: 200, body: answerToWire(4, [stopOrder(0)]) });
   await world.run(4);
   assert.equal(controller.heartbeats.at(-1)!.tasks.length, 1);
   controller.reply = () => ({ status: 200, body: { orders: [] } });
   await world.run(TIMES.leaseS - 3);
   const last = controller.heartbeats.at(-1)!;
   assert.deepEqual([last.agentEpoch, last.tasks.length], [2, 0]);
-  assert.deepEqual(fleet.leaves(), ['0:killed']);
-  const refused = async (fencingToken: number, agentEpoch: number) =>
-    (await fleet.order(worker, [start()], fencingToken, agentEpoch)).status;
+  assert.deepEqual(fleet.leaveCauses(), ['0:killed']);
+  const sendStart = async (fencingToken: number, agentEpoch: number) =>
+    (await fleet.sendOrders(worker, [startOrder()], fencingToken, agentEpoch)).status;
   assert.deepEqual(
-    [await refused(4, 2), await refused(5, 1), await refused(5, 2)],
+    [await sendStart(4, 2), await sendStart(5, 1), await sendStart(5, 2)],
     [409, 409, 200],
   );
 });
 
 test('a redirection is followed within half a second, other failures lead to the next node', async () => {
-  const { fleet, world } = await aFleet();
+  const { fleet, world } = await startFleet();
   const [first, second] = fleet.controllers;
   const redirect = (overseer?: string) => () => ({ status: 421, body: { overseer } });
   first.reply = redirect('c-1');
-  const worker = await fleet.worker(1, 2);
-  const from = (controller: typeof first) =>
+  const worker = await fleet.startWorker(1, 2);
+  const heartbeatsTo = (controller: typeof first) =>
     controller.heartbeats.filter((heartbeat) => heartbeat.machine === worker.facts.name);
   await world.run(3);
-  assert.ok(from(second).length > 1);
+  assert.ok(heartbeatsTo(second).length > 1);
   second.reply = redirect('c-0');
   first.reply = null;
   await world.run(4);
-  const [last, next] = [from(second).at(-1)!, from(first).at(-1)!];
-  assert.ok(from(second).length < 6 && next.atS > last.atS);
+  const [last, next] = [heartbeatsTo(second).at(-1)!, heartbeatsTo(first).at(-1)!];
+  assert.ok(heartbeatsTo(second).length < 6 && next.atS > last.atS);
   for (const reply of [redirect(), redirect('c-0'), () => ({ status: 503 })]) {
-    const seen = from(second).length;
+    const seen = heartbeatsTo(second).length;
     second.reply = null;
     first.reply = reply;
     await world.run(2.5);
-    assert.ok(from(second).length > seen);
-    const lastAtFirst = from(first).at(-1)!.atS;
-    assert.ok(from(second)[seen].atS - lastAtFirst > 0.99);
+    assert.ok(heartbeatsTo(second).length > seen);
+    const lastAtFirst = heartbeatsTo(first).at(-1)!.atS;
+    assert.ok(heartbeatsTo(second)[seen].atS - lastAtFirst > 0.99);
     first.reply = null;
     second.reply = redirect('c-0');
     await world.run(2.5);
@@ -155,31 +173,31 @@
 });
 
 test('a hanging worker goes on within its lease, and what waited runs then', async () => {
-  const { fleet, world, worker } = await aFleet([{}, { runS: [20] }]);
-  await fleet.order(worker, [start()]);
+  const { fleet, world, worker } = await startFleet([{}, { runS: [20] }]);
+  await fleet.sendOrders(worker, [startOrder()]);
   await world.run(IMAGE_S + 2);
   worker.hang();
-  const late = fleet.post(worker, [stop(0)]).catch(() => null);
+  const late = fleet.postOrders(worker, [stopOrder(0)]).catch(() => null);
   await world.run(3);
-  assert.deepEqual(fleet.leaves(), []);
+  assert.deepEqual(fleet.leaveCauses(), []);
   worker.resume();
   await world.run(0.1);
-  assert.deepEqual(fleet.leaves(), ['0:stopped']);
+  assert.deepEqual(fleet.leaveCauses(), ['0:stopped']);
   await fleet.world.finish(late);
-  await fleet.order(worker, [start(0, 2)]);
+  await fleet.sendOrders(worker, [startOrder(0, 2)]);
   worker.hang();
   await world.run(TIMES.leaseS + 2);
-  assert.deepEqual(fleet.leaves(), ['0:stopped', '0:killed']);
+  assert.deepEqual(fleet.leaveCauses(), ['0:stopped', '0:killed']);
   worker.resume();
-  assert.equal((await fleet.order(worker, [start()], 5, 1)).status, 409);
+  assert.equal((await fleet.sendOrders(worker, [startOrder()], 5, 1)).status, 409);
 });
 
 test('a deaf worker sends heartbeats and gets no answers or commands, a mute one gets commands only', async () => {
-  const { fleet, world, controller, worker } = await aFleet();
+  const { fleet, world, controller, worker } = await startFleet();
   worker.setDeaf(true);
-  await assert.rejects(fleet.order(worker, [start()]));
+  await assert.rejects(fleet.sendOrders(worker, [startOrder()]));
   const heartbeatsBefore = controller.heartbeats.length;
-  controller.orders = [start()];
+  controller.orders = [startOrder()];
   await world.run(TIMES.leaseS);
   assert.ok(controller.heartbeats.length > heartbeatsBefore);
   assert.equal(controller.heartbeats.at(-1)!.tasks.length, 0);
@@ -187,20 +205,20 @@
   await world.run(6);
   worker.setMute(true);
   const before = controller.heartbeats.length;
-  assert.equal((await fleet.order(worker, [start()], 5, 2)).status, 200);
+  assert.equal((await fleet.sendOrders(worker, [startOrder()], 5, 2)).status, 200);
   await world.run(6);
   assert.equal(controller.heartbeats.length, before);
 });
 
 test('copies of heartbeats arrive late, or when a new leader has answered', async () => {
-  const { fleet, world, controller, worker } = await aFleet();
+  const { fleet, world, controller, worker } = await startFleet();
   fleet.lateHeartbeats.begin({ share: 1, delayS: [20, 20] });
   await world.run(1);
   fleet.lateHeartbeats.end();
-  const copied = controller.heartbeats.at(-1)!.sequence;
+  const lastCopiedSequence = controller.heartbeats.at(-1)!.sequence;
   await world.run(21);
   assert.equal(
-    controller.heartbeats.filter((heartbeat) => heartbeat.sequence === copied).length,
+    controller.heartbeats.filter((heartbeat) => heartbeat.sequence === lastCopiedSequence).length,
     2,
   );
   fleet.lateHeartbeats.begin({ share: 1, forNextLeader: true });
@@ -211,36 +229,36 @@
   await world.run(10);
   const [, nextLeader] = fleet.controllers;
   controller.reply = () => ({ status: 421, body: { overseer: 'c-1' } });
-  await fleet.worker(1, 2);
+  await fleet.startWorker(1, 2);
   await world.run(3);
   const late = nextLeader.heartbeats.filter((heartbeat) => heartbeat.machine === worker.facts.name);
-  assert.ok(late.length >= 2 && late.every((heartbeat) => heartbeat.sequence > copied));
+  assert.ok(late.length >= 2 && late.every((heartbeat) => heartbeat.sequence > lastCopiedSequence));
 });
 
 test('a command that is held up runs once, if fencing token and agent epoch still match', async () => {
-  const { fleet, world, controller, worker } = await aFleet([{ tasks: 2 }]);
+  const { fleet, world, controller, worker } = await startFleet([{ tasks: 2 }]);
   fleet.lateCommands.begin({ share: 1, delayS: [8, 8] });
-  await assert.rejects(fleet.order(worker, [start(0)]));
+  await assert.rejects(fleet.sendOrders(worker, [startOrder(0)]));
   await world.run(5);
   assert.equal(worker.nextHeartbeat().tasks.length, 1);
-  const superseded = assert.rejects(fleet.post(worker, [start(1)]));
+  const superseded = assert.rejects(fleet.postOrders(worker, [startOrder(1)]));
   await world.run(0.1);
   fleet.lateCommands.end();
   controller.fencingToken = 6;
-  await fleet.order(worker, [], 6);
+  await fleet.sendOrders(worker, [], 6);
   await world.finish(superseded);
   await world.run(10);
   assert.equal(worker.nextHeartbeat().tasks.length, 1);
 });
 
 test('a faulty job or machine fails its tasks, a slow machine takes longer', async () => {
-  const { fleet, world, controller, worker } = await aFleet([{}, { failsAfterS: 2 }]);
-  await fleet.order(worker, [start()]);
+  const { fleet, world, controller, worker } = await startFleet([{}, { failsAfterS: 2 }]);
+  await fleet.sendOrders(worker, [startOrder()]);
   await world.run(IMAGE_S + 3.5);
-  assert.equal(controller.task()!.cause, 'error');
+  assert.equal(controller.findTask()!.cause, 'error');
   fleet.upload({ id: 'j-000002' });
   worker.setSpeed(0.5);
-  await fleet.order(worker, [{ ...start(), job: 'j-000002' }]);
+  await fleet.sendOrders(worker, [{ ...startOrder(), job: 'j-000002' }]);
   await world.run(19);
   assert.ok(!fleet.storage.isComplete('j-000002'));
   await world.run(2);
--- a/packages/testing/stand-ins/worker/worker.ts
+++ b/packages/testing/stand-ins/worker/worker.ts
@@ -23,22 +23,26 @@
   private readonly heartbeatSender: HeartbeatSender;
   private readonly server: CommandServer;
   private address: string;
-  private reclaimedAt: number | null = null;
+  private reclaimAt: number | null = null;
   /** When a higher fencing token last counted as a change. */
-  private fencingTokenRecordedAt = -Infinity;
+  private fencingTokenChangeAt = -Infinity;
   /** Agent epoch of the heartbeat that is under way. */
   private sentAgentEpoch = 0;
-  private off = false;
+  private poweredOff = false;
 
   constructor(
     runtime: Runtime,
     readonly facts: MachineFacts,
     private readonly traits: MachineTraits,
-    private readonly surroundings: WorkerSurroundings,
+    private readonly environment: WorkerSurroundings,
   ) {
     this.clock = new FreezableClock(runtime.clock);
-    const frozen: Runtime = { ...runtime, clock: this.clock, random: () => runtime.random() };
-    const { times, controllers, lateCommands } = surroundings;
+    const freezableRuntime: Runtime = {
+      ...runtime,
+      clock: this.clock,
+      random: () => runtime.random(),
+    };
+    const { times, controllers, lateCommands } = environment;
     this.address = facts.address;
     this.images = new ImageCache(this.clock, facts.type.cacheGb, traits.fetchGbPerS);
     this.tasks = new TaskTable(facts.type, this);
@@ -46,15 +50,15 @@
       runtime.clock,
       times.leaseS,
       () => {
-        this.leaseEnded();
+        this.handleLeaseExpiry();
       },
       () => {
-        this.fencingTokenRose();
+        this.handleHigherFencingToken();
       },
     );
     const source = this.heartbeatSource();
     this.heartbeatSender = new HeartbeatSender(
-      frozen,
+      freezableRuntime,
       times.heartbeatIntervalS,
       controllers,
       source,
@@ -66,16 +70,16 @@
     return this.facts.name;
   }
   get times(): WorkerTimes {
-    return this.surroundings.times;
+    return this.environment.times;
   }
   get storage(): JobStorage {
-    return this.surroundings.storage;
+    return this.environment.storage;
   }
   get gangs(): GangNetwork {
-    return this.surroundings.gangs;
+    return this.environment.gangs;
   }
   get observer(): Observer {
-    return this.surroundings.observer;
+    return this.environment.observer;
   }
   get speed(): number {
     return this.traits.speed;
@@ -91,8 +95,8 @@
 
   /** The machine is gone, and everything on it. */
   powerOff(): void {
-    if (this.off) return;
-    this.off = true;
+    if (this.poweredOff) return;
+    this.poweredOff = true;
     this.heartbeatSender.stop();
     this.server.close();
     this.agentEpoch.close();
@@ -114,14 +118,14 @@
   }
 
   /** Its heartbeats arrive; answers and commands do not. */
-  setDeaf(deaf: boolean): void {
-    this.heartbeatSender.deaf = deaf;
-    this.server.deaf = deaf;
+  setDeaf(blocked: boolean): void {
+    this.heartbeatSender.answersBlocked = blocked;
+    this.server.commandsBlocked = blocked;
   }
 
   /** It reaches no controller; commands still reach it. */
-  setMute(mute: boolean): void {
-    this.heartbeatSender.mute = mute;
+  setMute(blocked: boolean): void {
+    this.heartbeatSender.heartbeatsBlocked = blocked;
   }
 
   setSpeed(speed: number): void {
@@ -136,7 +140,7 @@
 
   /** The cloud will take the machine in about so many seconds. */
   giveNotice(noticeS: number): void {
-    this.reclaimedAt = this.clock.now() + noticeS;
+    this.reclaimAt = this.clock.now() + noticeS;
     this.observer({ kind: 'machine-noticed', machine: this.machine });
     this.heartbeatSender.recordChange();
   }
@@ -153,8 +157,8 @@
     return this.clock.whenRunning();
   }
 
-  command(command: DirectCommand): boolean {
-    if (this.off || !this.agentEpoch.admitCommand(command)) return false;
+  executeCommand(command: DirectCommand): boolean {
+    if (this.poweredOff || !this.agentEpoch.admitCommand(command)) return false;
     this.tasks.execute(command.orders);
     return true;
   }
@@ -170,8 +174,8 @@
       agentEpoch: this.agentEpoch.current,
       sequence: this.agentEpoch.nextSequence(),
       fencingToken: this.agentEpoch.highestFencingToken,
-      noticeS: this.reclaimedAt === null ? null : Math.max(0, this.reclaimedAt - this.clock.now()),
-      tasks: this.tasks.heartbeats(),
+      noticeS: this.reclaimAt === null ? null : Math.max(0, this.reclaimAt - this.clock.now()),
+      tasks: this.tasks.statuses(),
     };
   }
 
@@ -182,52 +186,52 @@
         return heartbeatToWire(this.nextHeartbeat());
       },
       answered: (body, sentAt, node) => {
-        this.answered(body, sentAt, node);
+        this.handleAnswer(body, sentAt, node);
       },
       sent: (body, node) => {
-        this.surroundings.lateHeartbeats.heartbeatSent(this.machine, body, node);
+        this.environment.lateHeartbeats.heartbeatSent(this.machine, body, node);
       },
       exchanged: (status, sentAtS, { name: controller }) => {
         const endedAtS = this.clock.now();
         const exchange = { machine: this.machine, controller, status, sentAtS, endedAtS };
-        this.surroundings.heartbeatObserver?.exchanged(exchange);
+        this.environment.heartbeatObserver?.exchanged(exchange);
       },
       whenRunning: () => this.clock.whenRunning(),
     };
   }
 
-  private answered(body: unknown, sentAt: number, node: ControllerAddress): void {
+  private handleAnswer(body: unknown, sentAt: number, node: ControllerAddress): void {
     const answer = readAnswer(body);
     const heartbeat = { agentEpoch: this.sentAgentEpoch, sentAt };
     if (answer === null || !this.agentEpoch.admitAnswer(answer.fencingToken, heartbeat)) return;
     const { highestFencingToken } = this.agentEpoch;
-    this.surroundings.heartbeatObserver?.obeyed?.(this.machine, node.name, highestFencingToken);
+    this.environment.heartbeatObserver?.obeyed?.(this.machine, node.name, highestFencingToken);
     this.tasks.execute(answer.orders);
-    this.surroundings.lateHeartbeats.obeyed(node);
+    this.environment.lateHeartbeats.answerAccepted(node);
   }
 
-  private leaseEnded(): void {
-    this.surroundings.heartbeatObserver?.leaseEnded(this.machine);
+  private handleLeaseExpiry(): void {
+    this.environment.heartbeatObserver?.leaseEnded(this.machine);
     this.tasks.killAll();
     this.heartbeatSender.recordChange();
   }
 
   /** A higher fencing token counts as a change at most once in half of a lease. */
-  private fencingTokenRose(): void {
+  private handleHigherFencingToken(): void {
     const now = this.clock.now();
-    if (now - this.fencingTokenRecordedAt < this.times.leaseS / 2) return;
-    this.fencingTokenRecordedAt = now;
+    if (now - this.fencingTokenChangeAt < this.times.leaseS / 2) return;
+    this.fencingTokenChangeAt = now;
     this.heartbeatSender.recordChange();
   }
 
   private setHanging(hanging: boolean): void {
-    if (this.off || hanging === this.hanging) return;
+    if (this.poweredOff || hanging === this.hanging) return;
     this.observer({ kind: 'machine-hangs', machine: this.machine, hanging });
     if (hanging) {
       this.clock.freeze();
       this.images.pause();
     } else this.images.resume();
-    for (const task of this.tasks.all()) task.hangs(hanging);
+    for (const task of this.tasks.all()) task.setHanging(hanging);
     if (!hanging) this.clock.thaw();
   }
 }
--- a/packages/testing/stand-ins/world-state.ts
+++ b/packages/testing/stand-ins/world-state.ts
@@ -3,7 +3,7 @@
 import type { MachineFacts, WorldEvent } from './events.js';
 
 /** One attempt of a task on a machine. */
-export interface PlacedTask {
+export interface TaskPlacement {
   machine: string;
   task: TaskRef;
   /** It has its image: it counts as being on the machine. */
@@ -16,13 +16,13 @@
   hanging: boolean;
   /** The cloud has announced that it will take the machine. */
   noticed: boolean;
-  tasks: Map<string, PlacedTask>;
+  tasks: Map<string, TaskPlacement>;
 }
 
 /** The true state of all machines and results, kept current by the events of the stand-ins. */
 export class WorldState {
   readonly machines = new Map<string, MachineState>();
-  private readonly placesOfJob = new Map<string, Set<PlacedTask>>();
+  private readonly placementsByJob = new Map<string, Set<TaskPlacement>>();
   private readonly completed = new Map<string, Set<number>>();
 
   /** Applies an event. */
@@ -44,13 +44,13 @@
         this.machine(event.machine).hanging = event.hanging;
         break;
       case 'task-assigned':
-        this.place({ machine: event.machine, task: event.task, started: false });
+        this.addPlacement({ machine: event.machine, task: event.task, started: false });
         break;
       case 'task-started':
         this.markStarted(event.machine, event.task);
         break;
       case 'task-left':
-        this.remove(event.machine, event.task);
+        this.removePlacement(event.machine, event.task);
         break;
       case 'task-completed':
         this.completed.set(event.job, this.completedTasks(event.job).add(event.index));
@@ -66,45 +66,45 @@
   }
 
   /** Where tasks of the job are, or wait for their images. */
-  places(job: string): PlacedTask[] {
-    return [...(this.placesOfJob.get(job) ?? [])];
+  places(job: string): TaskPlacement[] {
+    return [...(this.placementsByJob.get(job) ?? [])];
   }
 
   /** The tasks of the job that are on machines. */
-  started(job: string): PlacedTask[] {
+  started(job: string): TaskPlacement[] {
     return this.places(job).filter((place) => place.started);
   }
 
   /** Jobs that have a task on a machine. */
   startedJobs(): string[] {
-    return [...this.placesOfJob.keys()].filter((job) => this.started(job).length > 0);
+    return [...this.placementsByJob.keys()].filter((job) => this.started(job).length > 0);
   }
 
   completedTasks(job: string): Set<number> {
     return this.completed.get(job) ?? new Set();
   }
 
-  private place(place: PlacedTask): void {
+  private addPlacement(place: TaskPlacement): void {
     const { machine, task } = place;
     this.machine(machine).tasks.set(attemptKey(task), place);
-    const places = this.placesOfJob.get(task.job) ?? new Set();
-    this.placesOfJob.set(task.job, places.add(place));
+    const places = this.placementsByJob.get(task.job) ?? new Set();
+    this.placementsByJob.set(task.job, places.add(place));
   }
 
   private markStarted(machine: string, task: TaskRef): void {
     const place = this.machines.get(machine)?.tasks.get(attemptKey(task));
     if (place) place.started = true;
-    else this.place({ machine, task, started: true });
+    else this.addPlacement({ machine, task, started: true });
   }
 
-  private remove(machine: string, task: TaskRef): void {
+  private removePlacement(machine: string, task: TaskRef): void {
     const tasks = this.machine(machine).tasks;
     const place = tasks.get(attemptKey(task));
     if (!place) return;
     tasks.delete(attemptKey(task));
-    const places = this.placesOfJob.get(task.job);
+    const places = this.placementsByJob.get(task.job);
     places?.delete(place);
-    if (places?.size === 0) this.placesOfJob.delete(task.job);
+    if (places?.size === 0) this.placementsByJob.delete(task.job);
   }
 }
 
