--- a/packages/testing/stand-ins/events.ts
+++ b/packages/testing/stand-ins/events.ts
@@ -1,77 +1,77 @@
 /**
- * What happens in the world of the stand-ins, as nobody inside it can see it: the true state of all
- * machines, all that users ask and are told, and the transactions of the state service. The rule checker
- * reads these events.
+ * Events that the stand-ins report: changes of the actual state of machines and tasks, requests of users
+ * and their answers, and transactions of the state service. The scheduler under test never sees these
+ * events; the rule checker does.
  */
 import type { Cause, Change, Job, MachineType, Phase, TaskRef } from '#wire';
 
-/** What is known of a machine from its start on. */
+/** Properties of a machine that are fixed when it starts. */
 export interface MachineFacts {
   name: string;
-  /** Tasks neither fail on it nor run much slower than on others of its type. */
+  /** True unless tasks fail on the machine or run much slower than on other machines of its type. */
   sound: boolean;
-  /** `host:port` where the worker takes commands. */
+  /** `host:port` where the worker accepts commands. */
   address: string;
   type: MachineType;
   zone: string;
   spot: boolean;
 }
 
-/** Why a task is on its machine no more; `killed`: its lease ended or the machine is gone. */
+/** Why a task left its machine. `killed`: the worker's lease expired or the machine is gone. */
 export type LeaveCause = Cause | 'killed';
 
-/** Something that happens to a machine or to a task on it. */
+/** An event that concerns a machine or a task on a machine. */
 export type MachineEvent =
   | { kind: 'machine-up'; machine: MachineFacts }
   | { kind: 'machine-gone'; machine: string }
-  /** The cloud has announced that it will take the machine. */
+  /** The cloud has announced that it will reclaim the machine. */
   | { kind: 'machine-noticed'; machine: string }
-  /** The worker hangs or goes on. */
+  /** The worker starts to hang, or resumes. */
   | { kind: 'machine-hangs'; machine: string; hanging: boolean }
-  /** A start command was carried out: the task waits for its image. */
+  /** The worker has executed a start command; the task waits for its image. */
   | { kind: 'task-assigned'; machine: string; task: TaskRef }
-  /** The task has its image: from now on it is on the machine. */
+  /** The image of the task is complete. From now on the task counts as being on the machine. */
   | { kind: 'task-started'; machine: string; task: TaskRef }
-  /** The task is gone, also if it still waited for its image. */
+  /** The task has left the machine. Also reported for a task that still waited for its image. */
   | { kind: 'task-left'; machine: string; task: TaskRef; cause: LeaveCause }
-  /** The result of the task exists, for good. */
+  /** The result of the task is stored permanently. */
   | { kind: 'task-completed'; job: string; index: number };
 
-/** Kinds of requests; `abort` is the word of the protocol for a cancellation. */
+/** Kinds of user requests; the protocol calls a cancellation `abort`. */
 export type RequestKind = 'submit' | 'poll' | 'abort';
 
-/** One request of a user; all events about it hold the same object. */
+/** One request of a user. All events about the request refer to the same object. */
 export interface UserRequest {
   kind: RequestKind;
   job: string;
 }
 
-/** Something that a user does or is told. */
+/** An action of a user, or an answer to a user. */
 export type UserEvent =
-  /** A job is about to be submitted for the first time; it must be refused unless it is runnable. */
+  /** A job is about to be submitted for the first time. A job that is not runnable must be refused. */
   | { kind: 'job-submitted'; id: string; job: Job; runnable: boolean }
-  /** A user is about to ask for the first time that a job be cancelled. */
+  /** A user is about to send the first cancellation request for a job. */
   | { kind: 'cancel-asked'; job: string }
   | { kind: 'asked'; request: UserRequest }
   | { kind: 'answered'; request: UserRequest; status: number; phase: Phase | null }
-  /** No response came in time, or the connection failed. */
+  /** No response arrived before the timeout, or the connection failed. */
   | { kind: 'unanswered'; request: UserRequest };
 
-/** The state service has carried a transaction out, or refused it because a condition failed. */
+/** The state service has applied a transaction, or refused it because a condition failed. */
 export interface TransactionEvent {
   kind: 'transaction';
-  /** Address of the host that sent it. */
+  /** Address of the host that sent the transaction. */
   clientHost: string;
   changes: Change[];
   applied: boolean;
-  /** Whether its client gets an answer. */
+  /** Whether the client gets an answer. */
   answered: boolean;
-  /** Seconds since it arrived. */
+  /** Seconds between the arrival of the transaction and this event. */
   heldS: number;
 }
 
-/** Any event of the world. */
+/** Any event that a stand-in reports. */
 export type WorldEvent = MachineEvent | UserEvent | TransactionEvent;
 
-/** Takes each event at the moment at which it happens. */
+/** Receives each event at the moment at which it happens. */
 export type Observer = (event: WorldEvent) => void;
--- a/packages/testing/stand-ins/fleet.ts
+++ b/packages/testing/stand-ins/fleet.ts
@@ -1,41 +1,41 @@
-/** The workers of a run, one on each machine that is up. */
+/** The workers of a simulation or test, one on each machine that is up. */
 import type { HostPort, Runtime } from '#wire';
 import type { MachineHosting, ProvisionedMachine } from './cloud/index.js';
 import { uniform, type Span } from './distributions.js';
 import { Worker, type MachineTraits, type WorkerSurroundings } from './worker/index.js';
 
-/** Where the worker of one machine runs. */
+/** The host of one machine, on which its worker runs. */
 export interface MachineHost {
   runtime: Runtime;
-  /** The host is gone; the network falls silent. */
+  /** Takes the host down. Messages to and from the host are lost without an error. */
   powerOff(): void;
 }
 
-/** Where workers run and how many of them are faulty or slow. */
+/** Where workers run, and what share of the machines is faulty or slow. */
 export interface FleetOptions {
   surroundings: WorkerSurroundings;
-  /** Where the worker of the machine with this number, counted from 1, will serve. */
+  /** Address on which the worker of the machine will listen; machine numbers start at 1. */
   addressOf(machineNumber: number): HostPort;
   hostFor(machine: ProvisionedMachine): MachineHost;
   /** Share of machines on which tasks fail. */
   faultyShare?: number;
-  /** Share of machines that are much slower than their type. */
+  /** Share of machines that are much slower than others of their type. */
   slowShare?: number;
 }
 
 const NORMAL_SPEED: Span = [0.9, 1.1];
 const SLOW_SPEED: Span = [0.2, 0.5];
-/** Actual rate of image fetches as a multiple of the type's. */
+/** Actual image fetch rate of a machine as a multiple of its type's nominal rate. */
 const FETCH_RATE: Span = [2 / 3, 4 / 3];
 const TASK_FAILURE_DELAY_S: Span = [0.5, 15];
 
-/** Starts a worker on each machine that the cloud has up, and ends it with the machine. */
+/** Starts a worker on each machine that the cloud starts, and stops the worker with the machine. */
 export class Fleet implements MachineHosting {
   private readonly machines = new Map<string, { worker: Worker; host: MachineHost }>();
 
   constructor(private readonly options: FleetOptions) {}
 
-  /** Workers on machines that are up. */
+  /** Returns the workers on machines that are up. */
   workers(): Worker[] {
     return [...this.machines.values()].map(({ worker }) => worker);
   }
--- a/packages/testing/stand-ins/http-server.ts
+++ b/packages/testing/stand-ins/http-server.ts
@@ -1,45 +1,48 @@
-/** The HTTP side that all stand-ins share: CBOR in, CBOR out, over a Runtime's network. */
+/** The HTTP server that all stand-ins use: CBOR requests and responses over a Runtime's network. */
 import http from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { decode, encode, Listener, MalformedBody, type HostPort, type Runtime } from '#wire';
 import { MALFORMED, type WireReply, type WireRequest } from '#wire/serving';
 
-/** A request as the handler of a server gets it. */
+/** A request as passed to the request handler. */
 export interface ServedRequest extends WireRequest {
-  /** Address of the host that opened the connection; empty if the network does not tell. */
+  /** Address of the host that opened the connection; empty if the network does not report it. */
   clientHost: string;
 }
 
 /**
- * Answers one request. `NO_REPLY` leaves it unanswered for ever: the connection stays open until the
- * client gives up. Errors other than MalformedBody are faults of the stand-in and end the connection.
+ * Answers one request. With `NO_REPLY` the request is never answered: the connection stays open until the
+ * client gives up. An error other than MalformedBody is a bug in the stand-in and closes the connection.
  */
 export type RequestHandler = (
   request: ServedRequest,
 ) => WireReply | typeof NO_REPLY | Promise<WireReply | typeof NO_REPLY>;
 
-/** The result of a handler that leaves its request unanswered. */
+/** The result of a handler that never answers its request. */
 export const NO_REPLY = Symbol('no reply');
 
-/** What an accepted connection may tell of its other end; net.Socket does. */
+/** The address of the peer, which an accepted connection may report as net.Socket does. */
 interface ConnectionOrigin {
   remoteAddress?: string;
 }
 
-/** Any free port of this machine's loopback. */
+/** Any free port of the loopback interface. */
 export const FREE_LOOPBACK_PORT: HostPort = { host: '127.0.0.1', port: 0 };
 
-/** A server that listens. */
+/** A listening server. */
 export interface CborServer {
-  /** Where it listens; on a real machine port 0 has been replaced by the port that was free. */
+  /** The address on which the server listens. On a real network, port 0 is replaced by the port chosen. */
   readonly address: HostPort;
-  /** The same as `host:port`. */
+  /** The address as `host:port`. */
   readonly target: string;
-  /** Ends all connections and listens no more. */
+  /** Closes all connections and stops listening. */
   close(): void;
 }
 
-/** Serves CBOR at the address until closed. Node's own timeouts are off: they know one clock only. */
+/**
+ * Serves CBOR at the address until closed. The timeouts of Node's HTTP server are disabled because they
+ * use the system clock, not the clock of the runtime.
+ */
 export async function serveCbor(
   runtime: Runtime,
   address: HostPort,
@@ -92,7 +95,7 @@
   try {
     return decodeURIComponent(path);
   } catch {
-    throw new MalformedBody('the path is badly escaped');
+    throw new MalformedBody('the path contains an invalid percent-encoding');
   }
 }
 
--- a/packages/testing/stand-ins/index.ts
+++ b/packages/testing/stand-ins/index.ts
@@ -1,5 +1,5 @@
 /**
- * Stand-ins for everything around the controllers: users, workers, cloud, state service and load
+ * Stand-ins for the systems around the controllers: users, workers, cloud, state service and load
  * balancer.
  */
 export * from './balancer/index.js';
--- a/packages/testing/stand-ins/job-storage.ts
+++ b/packages/testing/stand-ins/job-storage.ts
@@ -4,18 +4,18 @@
 import type { Job } from '#wire';
 import type { Observer } from './events.js';
 
-/** A job with what only its program knows. */
+/** A job and the behaviour of its program, which the controllers don't know. */
 export interface JobProgram {
   job: Job;
-  /** True run times of the tasks in seconds on a machine of nominal speed; of a gang, one for all. */
+  /** Actual run time of each task in seconds at nominal speed; a gang has a single entry for all tasks. */
   runS: number[];
-  /** Each task fails after so many seconds, on every machine; null: the program is right. */
+  /** Seconds after which each task fails on every machine; null: the program does not fail. */
   failsAfterS: number | null;
 }
 
 /**
- * The storage outside the machines to which users upload their jobs, and where tasks keep their
- * checkpoints and results. Workers read it without the controllers.
+ * The storage outside the machines to which users upload their jobs, and to which tasks write their
+ * checkpoints and results. Workers access the storage directly, not through the controllers.
  */
 export class JobStorage {
   private readonly programs = new Map<string, JobProgram>();
@@ -26,7 +26,7 @@
 
   constructor(private readonly observer: Observer) {}
 
-  /** Calls back at the moment at which the last task of a job has completed. */
+  /** Registers a listener that is called when the last task of a job completes. */
   onJobComplete(listener: (jobId: string) => void): void {
     this.completionListeners.push(listener);
   }
@@ -43,7 +43,7 @@
     return this.results.get(jobId)?.has(index) ?? false;
   }
 
-  /** All tasks of the job have completed. */
+  /** Whether all tasks of the job have completed. */
   isComplete(jobId: string): boolean {
     const job = this.programs.get(jobId)?.job;
     return job !== undefined && (this.results.get(jobId)?.size ?? 0) >= job.tasks;
@@ -58,7 +58,7 @@
     if (this.isComplete(jobId)) for (const listener of this.completionListeners) listener(jobId);
   }
 
-  /** Checkpointed progress in seconds of run time; `unit` is the task, or the whole gang. */
+  /** Returns the checkpointed progress of a task or gang in seconds of run time. */
   checkpointedProgress(unit: ProgressUnit): number {
     return this.progress.get(unitKey(unit)) ?? 0;
   }
@@ -69,7 +69,7 @@
   }
 }
 
-/** What has a progress of its own: one task, or a gang as a whole. */
+/** The unit whose progress is recorded: one task, or a gang as a whole. */
 export interface ProgressUnit {
   job: string;
   index: number | 'gang';
@@ -79,7 +79,7 @@
   return `${job}/${index}`;
 }
 
-/** The progress that is left when a task is lost: that of its last checkpoint. */
+/** Returns the progress in the last periodic checkpoint, which survives the loss of the task. */
 export function progressAtLastCheckpoint(progressS: number, checkpointS: number): number {
   return checkpointS > 0 ? Math.floor(progressS / checkpointS) * checkpointS : 0;
 }
--- a/packages/testing/stand-ins/latency.ts
+++ b/packages/testing/stand-ins/latency.ts
@@ -1,19 +1,19 @@
-/** Response times of the services. */
+/** Simulated response times of the cloud and the state service. */
 import { sleep, type Runtime } from '#wire';
 import { uniform, type Span } from './distributions.js';
 
-/** How long a service takes: a usual span, and now and then a longer one. Milliseconds. */
+/** Response times in milliseconds: a usual range, and a longer range for some requests. */
 export interface LatencyProfile {
   usualMs: Span;
-  /** Share of requests that take the longer span. */
+  /** Share of requests whose response time is drawn from `slowMs`. */
   slowShare: number;
   slowMs: Span;
 }
 
-/** The usual response times. */
+/** Response times of a service that is not slowed down by a fault. */
 export const PROMPT: LatencyProfile = { usualMs: [1, 9], slowShare: 0.002, slowMs: [100, 400] };
 
-/** Delays requests; some of each delay passes before the request is executed, the rest after it. */
+/** Delays requests. A random part of each delay passes before the request is executed, the rest after. */
 export class Latency {
   profile: LatencyProfile = PROMPT;
 
--- a/packages/testing/stand-ins/lost-replies.ts
+++ b/packages/testing/stand-ins/lost-replies.ts
@@ -1,16 +1,16 @@
-/** The fault that requests are carried out, at once or late, and never answered. */
+/** A fault in which requests are executed, at once or late, but never answered. */
 import { sleep, type Runtime } from '#wire';
 import { uniform, type Span } from './distributions.js';
 
-/** Requests that get no answer, and when they are carried out all the same. */
+/** Share of requests that get no answer, and when these requests are executed. */
 export interface LostReplies {
   /** Fraction of the requests, from 0 to 1. */
   share: number;
-  /** Seconds until one is carried out; null: at once. */
+  /** Seconds until such a request is executed; null: at once. */
   delayS: Span | null;
 }
 
-/** Decides which requests lose their answer and waits out their delays. */
+/** Selects the requests that lose their answer, and delays their execution. */
 export class ReplyLoss {
   private fault: LostReplies | null = null;
 
@@ -24,13 +24,13 @@
     this.fault = null;
   }
 
-  /** The fault that hits the next request, or null. */
+  /** Decides whether the next request is affected: returns the fault, or null. */
   draw(): LostReplies | null {
     const { fault } = this;
     return fault && this.runtime.random() < fault.share ? fault : null;
   }
 
-  /** Resolves when the request that was hit is to be carried out. */
+  /** Resolves when an affected request is to be executed. */
   async due({ delayS }: LostReplies): Promise<void> {
     if (delayS === null) return;
     const waitS = uniform(() => this.runtime.random(), delayS);
--- a/packages/testing/stand-ins/rate-limit.ts
+++ b/packages/testing/stand-ins/rate-limit.ts
@@ -1,7 +1,7 @@
 /** The rate limit of a service. */
 import type { Clock } from '#wire';
 
-/** A token bucket: so many units a second, with bursts of so many seconds' worth. */
+/** A token bucket that refills at `perSecond` units and holds up to `burstS` seconds of refill. */
 export class RateLimit {
   private available: number;
   private refilledAt: number;
@@ -15,7 +15,7 @@
     this.refilledAt = clock.now();
   }
 
-  /** Takes the units and says true, or takes nothing and says false. */
+  /** Takes the units and returns true, or takes nothing and returns false if too few are available. */
   take(units: number): boolean {
     this.refill();
     if (units > this.available) return false;
--- a/packages/testing/stand-ins/sample-world.ts
+++ b/packages/testing/stand-ins/sample-world.ts
@@ -16,7 +16,7 @@
 export class SampleWorld {
   readonly world: World;
   readonly network: SimulatedNetwork;
-  /** What the stand-ins told so far. */
+  /** The events that the stand-ins have reported so far. */
   readonly events: (WorldEvent & { atS: number })[] = [];
   readonly observer: Observer = (event) => this.events.push({ ...event, atS: this.world.now });
 
@@ -25,7 +25,7 @@
     this.network = new SimulatedNetwork(this.world);
   }
 
-  /** The runtime of a process on a host of its own. */
+  /** Starts a process on a new host and returns its runtime. */
   runtime(address: string, role: HostRole = 'users'): Runtime {
     return this.startHost(address, role).runtime;
   }
@@ -47,11 +47,11 @@
       host.powered = false;
     };
     const { incarnation } = process;
-    if (incarnation === null) throw new Error(`the process on ${address} does not run`);
+    if (incarnation === null) throw new Error(`the process on ${address} is not running`);
     return { runtime: incarnation.runtime, powerOff };
   }
 
-  /** A client on a host of its own; calls are answered within its time or reject. */
+  /** Creates a client on a new host. A call runs the world until the call is answered or times out. */
   client(
     from: string,
     to: string,
--- a/packages/testing/stand-ins/worker/agent-epoch.ts
+++ b/packages/testing/stand-ins/worker/agent-epoch.ts
@@ -2,23 +2,23 @@
 import type { Clock, Timer } from '#wire';
 
 /**
- * Whom a worker obeys and for how long: its agent epoch, the highest fencing token it has seen and its
- * lease. The lease runs on while the machine hangs.
+ * Decides which answers and commands a worker accepts, by its agent epoch, its lease and the highest
+ * fencing token that it has seen. The lease keeps running while the machine hangs.
  */
 export class AgentEpochState {
   private epoch = 1;
   private sequence = 0;
   private fencingToken = 0;
-  /** When the last answered heartbeat was sent, or the agent epoch began. */
+  /** When the latest answered heartbeat was sent, or the agent epoch began, whichever is later. */
   private renewedAt: number;
   private expiryTimer: Timer | null = null;
 
   constructor(
     private readonly clock: Clock,
     private readonly leaseS: number,
-    /** The lease has expired and the next agent epoch has begun. */
+    /** Called when the lease has expired and the next agent epoch has begun. */
     private readonly onExpired: () => void,
-    /** A higher fencing token was seen. */
+    /** Called when a message carries a higher fencing token than all before. */
     private readonly onFencingToken: () => void,
   ) {
     this.renewedAt = clock.now();
@@ -37,7 +37,7 @@
     return ++this.sequence;
   }
 
-  /** Whether the answer to a heartbeat is to be carried out; if so, it renews the lease. */
+  /** Returns whether the worker accepts the answer to a heartbeat. An accepted answer renews the lease. */
   admitAnswer(
     fencingToken: number | null,
     heartbeat: { agentEpoch: number; sentAt: number },
@@ -47,7 +47,7 @@
     return true;
   }
 
-  /** Whether a direct command is to be carried out. */
+  /** Returns whether the worker accepts a direct command. */
   admitCommand(command: { fencingToken: number; agentEpoch: number }): boolean {
     return command.agentEpoch === this.epoch && this.admitFencingToken(command.fencingToken);
   }
@@ -64,7 +64,10 @@
     return true;
   }
 
-  /** Checks again when the lease would expire, since answers only move that time. */
+  /**
+   * Sets a timer for the current expiry time. A renewal of the lease does not move the timer, so the expiry
+   * time is checked again when the timer fires.
+   */
   private scheduleExpiryCheck(): void {
     const leftS = this.renewedAt + this.leaseS - this.clock.now();
     this.expiryTimer = this.clock.setTimer(
--- a/packages/testing/stand-ins/worker/command-server.ts
+++ b/packages/testing/stand-ins/worker/command-server.ts
@@ -1,23 +1,23 @@
-/** The endpoint of a worker for commands that controllers send directly. */
+/** The HTTP endpoint of a worker for commands that controllers send directly. */
 import type { HostPort, Heartbeat, Runtime } from '#wire';
 import { heartbeatToWire } from '#wire';
 import { parseDirectCommand, type DirectCommand, type WireReply } from '#wire/serving';
 import { NO_REPLY, serveCbor, type CborServer, type ServedRequest } from '../http-server.js';
 import type { ReplyLoss } from '../lost-replies.js';
 
-/** The worker as its server for direct commands sees it. */
+/** The part of a worker that the command server uses. */
 export interface CommandTarget {
-  /** Carries the command out, or says false if fencing token or agent epoch do not match. */
+  /** Executes the command, or returns false if its fencing token or agent epoch does not match. */
   executeCommand(command: DirectCommand): boolean;
-  /** The heartbeat that the answer holds. */
+  /** Returns the heartbeat to send as the body of an answer. */
   nextHeartbeat(): Heartbeat;
-  /** Resolves once the machine does not hang. */
+  /** Resolves when the machine does not hang. */
   whenRunning(): Promise<void>;
 }
 
-/** Serves the commands that controllers send to a worker directly. */
+/** Accepts direct commands over HTTP, and simulates commands that are lost or delayed. */
 export class CommandServer {
-  /** Commands arrive, but are neither carried out nor answered. */
+  /** Whether commands that arrive are neither executed nor answered. */
   commandsBlocked = false;
   private server: CborServer | null = null;
   private closed = false;
@@ -25,7 +25,7 @@
   constructor(
     private readonly runtime: Runtime,
     private readonly target: CommandTarget,
-    /** Commands that are held up on their way and carried out unanswered. */
+    /** The fault in which commands are delayed and get no answer. */
     private readonly lateCommands: ReplyLoss,
   ) {}
 
--- a/packages/testing/stand-ins/worker/execution.ts
+++ b/packages/testing/stand-ins/worker/execution.ts
@@ -1,16 +1,16 @@
-/** The progress of running tasks. */
+/** Progress of running tasks over time. */
 import type { Clock, Timer } from '#wire';
 
 /** Progress of a running task or gang, in seconds of run time at nominal speed. */
 export class Execution {
   private progressS: number;
-  /** When the progress was last brought up to date; null: it stands still. */
+  /** When `progressS` was last updated; null while paused. */
   private runningSince: number | null = null;
   private completion: Timer | null = null;
 
   constructor(
     private readonly clock: Clock,
-    /** Infinity: it never completes. */
+    /** Run time until completion; Infinity if the task never completes. */
     private readonly totalS: number,
     startS: number,
     private speed: number,
@@ -37,7 +37,7 @@
     }, leftS * 1000);
   }
 
-  /** Stands still until run(). */
+  /** Stops the progress until run() is called. */
   pause(): void {
     this.progressS = this.progress();
     this.runningSince = null;
--- a/packages/testing/stand-ins/worker/freezable-clock.ts
+++ b/packages/testing/stand-ins/worker/freezable-clock.ts
@@ -1,7 +1,7 @@
-/** A clock whose timers can be held up. */
+/** A clock whose timer callbacks can be deferred. */
 import type { Clock, Timer } from '#wire';
 
-/** The clock of a machine that may hang: it runs on, but what its timers call waits meanwhile. */
+/** The clock of a machine that may hang. Time goes on while frozen, but timer callbacks wait for thaw(). */
 export class FreezableClock implements Clock {
   private frozen = false;
   private deferredCallbacks: (() => void)[] = [];
@@ -41,7 +41,7 @@
     this.frozen = true;
   }
 
-  /** Goes on: what came due meanwhile is called now, in its order. */
+  /** Calls the callbacks of all timers that fired while frozen, in order. */
   thaw(): void {
     if (!this.frozen) return;
     this.frozen = false;
@@ -49,7 +49,7 @@
     for (const callback of this.deferredCallbacks.splice(0)) callback();
   }
 
-  /** Resolves once the machine does not hang. */
+  /** Resolves when the clock is not frozen. */
   async whenRunning(): Promise<void> {
     while (this.frozen) await new Promise<void>((resolve) => this.thawListeners.push(resolve));
   }
--- a/packages/testing/stand-ins/worker/gang-attempt.ts
+++ b/packages/testing/stand-ins/worker/gang-attempt.ts
@@ -6,21 +6,21 @@
 import type { RunningTask, WorkerTimes } from './task-host.js';
 
 type GangPhase =
-  /** Not all tasks are there yet. */
+  /** Not all tasks have joined yet. */
   | 'gathering'
   | 'running'
-  /** A first task was told to stop and write a checkpoint. */
+  /** At least one task was told to stop and is writing a checkpoint. */
   | 'stopping'
-  /** All were told in time, and the checkpoint is written. */
+  /** All tasks were told to stop in time, and the checkpoint is written. */
   | 'checkpointed'
-  /** A task was lost; the others are about to notice. */
+  /** The gang cannot go on; its other tasks have not all exited yet. */
   | 'broken'
   | 'done';
 
-/** Earliest time at which a task notices a loss, as a share of the longest. */
+/** Shortest time until a task detects the loss of another task, as a share of `gangPeerS`. */
 const MIN_DETECTION_SHARE = 0.3;
 
-/** All tasks of one attempt of a gang: they start, progress, complete and write checkpoints together. */
+/** The tasks of one attempt of a gang, which start, progress, checkpoint and complete together. */
 export class GangAttempt implements GangCoordinator {
   private phase: GangPhase = 'gathering';
   private readonly members = new Map<number, GangMember>();
@@ -40,7 +40,10 @@
     this.times = first.host.times;
   }
 
-  /** A task that comes when the gang has started, or when its place is taken, waits in vain. */
+  /**
+   * Adds a task to the gang. A task that joins after the gang has started, or whose index has already
+   * joined, is not added: it waits for `gangWaitS` and exits.
+   */
   join(task: RunningTask): GangMember {
     const member = new GangMember(task, this);
     task.setState('waiting');
@@ -72,7 +75,7 @@
     this.execution?.setSpeed(this.speed());
   }
 
-  /** A task that is not waiting was told to stop. */
+  /** Executes a stop command for a task that is not waiting. */
   stopMember(member: GangMember, graceS: number): void {
     const { checkpointS, saveS } = this.program.job;
     const { task } = member;
@@ -130,7 +133,7 @@
     this.scheduleLossDetection();
   }
 
-  /** Each task that still sees a loss some time from now exits. */
+  /** After a random delay, each task exits if the gang is broken or another task of it hangs. */
   private scheduleLossDetection(): void {
     for (const member of this.members.values()) {
       const share = MIN_DETECTION_SHARE + (1 - MIN_DETECTION_SHARE) * this.runtime.random();
@@ -147,7 +150,7 @@
     this.scheduleLossDetection();
   }
 
-  /** Progress since the last checkpoint is lost. */
+  /** Stores the progress of the last periodic checkpoint; later progress is lost. */
   private rollBackToCheckpoint(): void {
     this.execution?.pause();
     const progressS = this.execution?.progress() ?? 0;
@@ -167,7 +170,7 @@
     }, delayMs);
   }
 
-  /** Not all tasks were told to stop in time: the checkpoint fails. */
+  /** Ends the stop without a checkpoint if not all tasks were told to stop within `gangPeerS`. */
   private handleStopTimeout(): void {
     if (this.phase !== 'stopping') return;
     if (this.allSaving()) return;
@@ -181,7 +184,7 @@
     }
   }
 
-  /** Tasks that have written their checkpoint exit once all have been told. */
+  /** Lets tasks that have written their checkpoint exit, once all tasks have been told to stop. */
   private exitCheckpointed(): void {
     const checkpointing = this.phase === 'stopping' || this.phase === 'checkpointed';
     if (!checkpointing || !this.allSaving()) return;
--- a/packages/testing/stand-ins/worker/gang-member.ts
+++ b/packages/testing/stand-ins/worker/gang-member.ts
@@ -1,9 +1,9 @@
-/** One task of a gang and its link to the others. */
+/** One task of a gang and its connection to the other tasks. */
 import type { RunningTask, TaskRun } from './task-host.js';
 
-/** What a task of a gang tells the others, and asks of them. */
+/** Receives the commands and state changes of the tasks of a gang. */
 export interface GangCoordinator {
-  /** A task that is not waiting was told to stop. */
+  /** Executes a stop command for a task that is not waiting. */
   stopMember(member: GangMember, graceS: number): void;
   memberLeft(member: GangMember): void;
   memberHangChanged(member: GangMember): void;
--- a/packages/testing/stand-ins/worker/gang-network.ts
+++ b/packages/testing/stand-ins/worker/gang-network.ts
@@ -1,15 +1,15 @@
-/** How the tasks of gangs on different machines find each other. */
+/** Lets the tasks of a gang on different machines find each other. */
 import type { Runtime } from '#wire';
 import { GangAttempt } from './gang-attempt.js';
 import type { GangRendezvous, RunningTask, TaskRun } from './task-host.js';
 
-/** Where the tasks of gangs find each other, by job and attempt number. */
+/** Gang attempts by job and attempt number. */
 export class GangNetwork implements GangRendezvous {
   private readonly attempts = new Map<string, GangAttempt>();
 
   constructor(private readonly runtime: Runtime) {}
 
-  /** The task has its image and waits for the others of its attempt. */
+  /** Adds a task that has its image to its attempt, which is created if the task is the first. */
   join(task: RunningTask): TaskRun {
     const key = `${task.ref.job} ${task.ref.attempt}`;
     const known = this.attempts.get(key);
--- a/packages/testing/stand-ins/worker/gang.test.ts
+++ b/packages/testing/stand-ins/worker/gang.test.ts
@@ -7,7 +7,7 @@
 const IMAGE_S = 5;
 const GANG = { job: 'j-000001', index: 'gang' as const };
 
-/** A gang of three on three machines. */
+/** Starts three workers, the second at half speed, and uploads a gang of three tasks. */
 async function startGang(overrides: Partial<Job> = {}, runS = 30) {
   const fleet = await new SampleFleet().startControllers();
   fleet.upload(
@@ -32,7 +32,7 @@
   return { fleet, world: fleet.world, workers, states, startAll, stopTask, checkpointedS };
 }
 
-test('a gang starts together, takes the speed of its slowest machine and completes together', async () => {
+test('the tasks of a gang start together, run at the speed of the slowest machine and complete together', async () => {
   const { fleet, world, workers, states, startAll } = await startGang();
   await fleet.sendOrders(workers[0], [startOrder(0)]);
   await world.run(IMAGE_S + 20);
@@ -46,7 +46,7 @@
   assert.ok(fleet.storage.isComplete('j-000001'));
 });
 
-test('tasks that wait too long exit, and a replacement completes a gang', async () => {
+test('a task exits if its gang is incomplete for too long, and a replacement for a lost task joins its gang', async () => {
   const { fleet, world, workers, states, startAll } = await startGang();
   await fleet.sendOrders(workers[0], [startOrder(0)]);
   await world.run(IMAGE_S + TIMES.gangWaitS + 1);
@@ -66,11 +66,11 @@
 });
 
 const LOSSES: [name: string, lose: (worker: Worker) => void][] = [
-  ['is gone', (worker) => worker.powerOff()],
+  ['is lost', (worker) => worker.powerOff()],
   ['hangs', (worker) => worker.hang()],
 ];
 for (const [name, lose] of LOSSES) {
-  test(`when a machine ${name}, the others notice and only checkpoints are kept`, async () => {
+  test(`when a machine ${name}, the other tasks exit and only checkpointed progress is kept`, async () => {
     const { fleet, world, workers, startAll, checkpointedS } = await startGang();
     await startAll();
     await world.run(10);
@@ -84,7 +84,7 @@
   });
 }
 
-test('a short hang goes unnoticed and costs only its time', async () => {
+test('a short hang of a machine delays a gang by its duration, and no task exits', async () => {
   const { fleet, world, workers, startAll } = await startGang();
   await startAll();
   workers[0].hang();
@@ -96,7 +96,7 @@
   assert.equal(fleet.leaveCauses().length, 3);
 });
 
-test('a gang whose tasks are all told to stop in time writes a checkpoint', async () => {
+test('a gang writes a checkpoint if all tasks are told to stop in time', async () => {
   const { fleet, world, states, startAll, stopTask, checkpointedS } = await startGang();
   await startAll();
   await world.run(10);
@@ -114,7 +114,7 @@
   assert.equal(fleet.leaveCauses().filter((leave) => leave.endsWith('done')).length, 3);
 });
 
-test('the checkpoint fails if a task is told to stop too late, or with too little time', async () => {
+test('a gang writes no checkpoint if a task is told to stop too late or with too short a grace period', async () => {
   const late = await startGang();
   await late.startAll();
   await late.world.run(10);
@@ -133,7 +133,7 @@
   assert.equal(short.checkpointedS(), 4);
 });
 
-test('a gang that never writes checkpoints loses its work when it is stopped', async () => {
+test('a gang without checkpoints loses its progress when it is stopped', async () => {
   const { fleet, world, startAll, stopTask, checkpointedS } = await startGang({ checkpointS: 0 });
   await startAll();
   await world.run(10);
--- a/packages/testing/stand-ins/worker/heartbeat-schedule.ts
+++ b/packages/testing/stand-ins/worker/heartbeat-schedule.ts
@@ -1,17 +1,17 @@
-/** When a worker sends heartbeats. */
+/** Timing of the heartbeats of a worker. */
 import type { Runtime } from '#wire';
 
 const MIN_SPACING_S = 0.5;
-/** A period is shorter or longer by up to this share. */
+/** Largest random change of the heartbeat interval, as a share of the interval. */
 const PERIOD_JITTER = 0.25;
 const NEXT_NODE_DELAY_S = 1;
 const REDIRECT_DELAY_S = 0.5;
 
-/** When a worker sends its next heartbeat; seconds of the runtime's clock. */
+/** Computes when a worker sends its next heartbeat, in seconds of the monotonic clock. */
 export class HeartbeatSchedule {
   private lastSentAt = -Infinity;
   private nextPeriodicAt: number;
-  /** After a failure or a redirection nothing else counts. */
+  /** When to retry after a failure or a redirect; overrides the other times. */
   private retryAt: number | null = null;
   private changed = false;
 
@@ -28,12 +28,12 @@
     return Math.min(this.nextPeriodicAt, this.lastSentAt + MIN_SPACING_S);
   }
 
-  /** The next heartbeat shows something new. */
+  /** Makes the next heartbeat due early, because its content has changed. */
   recordChange(): void {
     this.changed = true;
   }
 
-  /** A heartbeat goes out now. */
+  /** Schedules the next periodic heartbeat, after one was sent. */
   recordSent(): void {
     const factor = 1 + PERIOD_JITTER * (2 * this.runtime.random() - 1);
     this.lastSentAt = this.runtime.clock.now();
@@ -42,12 +42,12 @@
     this.changed = false;
   }
 
-  /** The node gave no answer to go by: the next one is tried later. */
+  /** Schedules a retry at the next node, after a node gave no usable answer. */
   afterFailure(): void {
     this.retryAt = this.runtime.clock.now() + NEXT_NODE_DELAY_S;
   }
 
-  /** Another node was named. */
+  /** Schedules a retry at the node that a redirect named. */
   afterRedirect(): void {
     this.retryAt = this.runtime.clock.now() + REDIRECT_DELAY_S * this.runtime.random();
   }
--- a/packages/testing/stand-ins/worker/heartbeat-sender.ts
+++ b/packages/testing/stand-ins/worker/heartbeat-sender.ts
@@ -4,29 +4,34 @@
 import { ControllerSelector, type ControllerAddress } from './node-choice.js';
 import { HeartbeatSchedule } from './heartbeat-schedule.js';
 
-/** How long a worker waits for the answer to a heartbeat, in seconds. */
 const ANSWER_TIMEOUT_S = 4;
 const MAX_ANSWER_BYTES = 64 * 1024;
 
-/** The worker as the sender of its heartbeats sees it. */
+/** The part of a worker that its heartbeat sender uses. */
 export interface HeartbeatSource {
-  /** The body of the next heartbeat. */
+  /** Returns the body of the next heartbeat. */
   nextHeartbeat(): unknown;
-  /** A controller has answered the heartbeat with 200, `sentAt` of the runtime's clock. */
+  /** Called when a heartbeat was answered with status 200; `sentAt` in seconds of the monotonic clock. */
   answered(body: unknown, sentAt: number, node: ControllerAddress): void;
-  /** A heartbeat went out to that node. */
+  /** Called when a heartbeat is sent to the node. */
   sent(body: unknown, node: ControllerAddress): void;
-  /** A heartbeat was answered with that status, or with none in time, `sentAt` of the runtime's clock. */
+  /**
+   * Called after each heartbeat with the status of the answer, or null if none came before the timeout;
+   * `sentAt` in seconds of the monotonic clock.
+   */
   exchanged(status: number | null, sentAt: number, node: ControllerAddress): void;
-  /** Resolves once the machine does not hang. */
+  /** Resolves when the machine does not hang. */
   whenRunning(): Promise<void>;
 }
 
-/** Sends the heartbeats of one worker, one at a time, to the controller that answers them. */
+/**
+ * Sends the heartbeats of one worker, one at a time. After a redirect it changes to the controller named,
+ * and after a failure to the next controller.
+ */
 export class HeartbeatSender {
-  /** Its heartbeats reach no controller. */
+  /** Simulates a fault in which no heartbeat reaches a controller. */
   heartbeatsBlocked = false;
-  /** No answer reaches it. */
+  /** Simulates a fault in which no answer reaches the worker. */
   answersBlocked = false;
   private readonly schedule: HeartbeatSchedule;
   private readonly selector: ControllerSelector;
@@ -45,7 +50,7 @@
     this.wakeableWait = new WakeableWait(runtime.clock);
   }
 
-  /** Sends heartbeats until stop(). */
+  /** Sends heartbeats until stop() is called. */
   async run(): Promise<void> {
     const { signal } = this.stopping;
     while (!signal.aborted) {
@@ -81,7 +86,7 @@
     else this.tryNextNode();
   }
 
-  /** The answer, or null if none came within its time. */
+  /** Sends a heartbeat and returns its answer, or null if no answer came before the timeout. */
   private async send(
     body: unknown,
     node: ControllerAddress,
--- a/packages/testing/stand-ins/worker/hosted-task.ts
+++ b/packages/testing/stand-ins/worker/hosted-task.ts
@@ -6,7 +6,7 @@
 import { SoloRun } from './solo-run.js';
 import type { RunningTask, TaskHost, TaskRun } from './task-host.js';
 
-/** One attempt of a task on one machine, from its start command until it is forgotten. */
+/** One attempt of a task on one machine, from its start command until a forget command removes it. */
 export class HostedTask implements RunningTask {
   state: TaskState = 'fetching';
   private cause: Cause | null = null;
@@ -30,7 +30,7 @@
     return { ...this.ref, state, cause, checkpointed };
   }
 
-  /** Waits for its image, then runs. */
+  /** Fetches the image of the task, then runs the task. */
   begin(): void {
     const { image, imageGb } = this.program.job;
     this.host.observer({ kind: 'task-assigned', machine: this.host.machine, task: this.ref });
@@ -41,14 +41,14 @@
     if (this.imageClaim.ready) this.start();
   }
 
-  /** Carries out a stop command. */
+  /** Executes a stop command. */
   stop(graceS: number): void {
     if (this.exited) return;
     if (this.run === null) this.exit('stopped');
     else this.run.stop(graceS);
   }
 
-  /** The lease has ended or the machine is gone. */
+  /** Ends the task because the worker's lease has expired or the machine is gone. */
   kill(): void {
     if (!this.exited) this.cleanUp('killed');
   }
@@ -74,7 +74,7 @@
     if (!this.exited) this.run?.speedChanged();
   }
 
-  /** Calls back after so many seconds of the machine's clock unless the task has left by then. */
+  /** Calls back after the given seconds of the machine's clock, unless the task has exited by then. */
   setTimer(seconds: number, callback: () => void): void {
     const timer = this.host.clock.setTimer(() => {
       this.timers.delete(timer);
--- a/packages/testing/stand-ins/worker/image-cache.ts
+++ b/packages/testing/stand-ins/worker/image-cache.ts
@@ -1,27 +1,27 @@
-/** The images of one machine and their fetches. */
+/** The image cache of one machine and its fetches. */
 import type { Clock, Timer } from '#wire';
 
-/** A task's claim on an image, from its start command until it has left the machine. */
+/** A task's claim on an image, from the start command until the task has left the machine. */
 export interface ImageClaim {
-  /** The image was there already; there will be no callback. */
+  /** Whether the image was in the cache already, so that there is no callback. */
   readonly ready: boolean;
-  /** Gives the image up; its fetch ends if nobody else waits for it. */
+  /** Releases the claim. The fetch of an image without claims is cancelled. */
   release(): void;
 }
 
-/** What is lost in rounding. */
+/** A missing amount up to this size is a rounding error: the image counts as complete. */
 const ROUNDING_TOLERANCE_GB = 1e-9;
 
 interface Image {
   name: string;
   sizeGb: number;
-  /** What is still to be fetched. */
+  /** Amount that is still to be fetched. */
   missingGb: number;
   claims: Set<() => void>;
   lastUsedAt: number;
 }
 
-/** The images of one machine: fetched once for all tasks, the most recently used ones kept. */
+/** Fetches each image once for all tasks of a machine, and evicts the least recently used images. */
 export class ImageCache {
   private readonly images = new Map<string, Image>();
   private updatedAt: number;
@@ -31,13 +31,13 @@
   constructor(
     private readonly clock: Clock,
     private readonly capacityGb: number,
-    /** Shared by all fetches under way. */
+    /** Total fetch rate, shared by all fetches in progress. */
     private readonly fetchGbPerS: number,
   ) {
     this.updatedAt = clock.now();
   }
 
-  /** Calls back once the image has arrived, unless it is there already. */
+  /** Claims an image. Calls back when the image is fetched, unless it is in the cache already. */
   claim(name: string, sizeGb: number, onReady: () => void): ImageClaim {
     this.updateFetched();
     const image = this.images.get(name) ?? this.add(name, sizeGb);
@@ -52,7 +52,7 @@
     };
   }
 
-  /** Nothing arrives until resume(). */
+  /** Stops all fetches until resume() is called. */
   pause(): void {
     this.updateFetched();
     this.paused = true;
@@ -83,7 +83,7 @@
     return [...this.images.values()].filter((image) => image.missingGb > 0);
   }
 
-  /** Adds what has arrived since the last count; the fetches share the rate evenly. */
+  /** Updates the missing amounts of all fetches, which share the rate equally. */
   private updateFetched(): void {
     const now = this.clock.now();
     const fetching = this.fetching();
@@ -121,7 +121,7 @@
     }
   }
 
-  /** Drops the images that were unused for longest until the rest fits. */
+  /** Removes unclaimed images, least recently used first, until the rest fits into the capacity. */
   private evict(): void {
     const unused = [...this.images.values()]
       .filter((image) => image.claims.size === 0)
--- a/packages/testing/stand-ins/worker/index.ts
+++ b/packages/testing/stand-ins/worker/index.ts
@@ -1,4 +1,4 @@
-/** The workers of the fleet. */
+/** Stand-ins for the workers of a fleet. */
 export { GangNetwork } from './gang-network.js';
 export * from './late-heartbeats.js';
 export type { ControllerAddress } from './node-choice.js';
--- a/packages/testing/stand-ins/worker/late-heartbeats.ts
+++ b/packages/testing/stand-ins/worker/late-heartbeats.ts
@@ -1,38 +1,38 @@
-/** The fault that heartbeats are delivered a second time, late. */
+/** A fault in which heartbeats are delivered a second time, late. */
 import { CborClient, type Runtime } from '#wire';
 import { uniform, type Span } from '../distributions.js';
 import type { ControllerAddress } from './node-choice.js';
 
-/** Which heartbeats have copies that arrive again, and when. */
+/** Share of heartbeats that are delivered again, and when: after a delay, or to the next leader. */
 export type LateHeartbeatFault =
   { share: number; delayS: Span } | { share: number; forNextLeader: true };
 
-/** Copies that are kept of one machine's heartbeats for the next leader. */
+/** Number of heartbeats of one machine that are kept for the next leader; older ones are dropped. */
 const MAX_KEPT_PER_MACHINE = 3;
 const SEND_TIMEOUT_MS = 4000;
 
 /**
- * Late copies of the workers' heartbeats. The network delivers them: they arrive also if their machine
- * is gone by then, and nobody sees the answers to them.
+ * Delivers late copies of the workers' heartbeats, as a network might. A copy arrives even if its machine
+ * is gone by then, and the answer to a copy is dropped.
  */
 export class LateHeartbeats {
   private fault: LateHeartbeatFault | null = null;
   private leader: string | null = null;
   private readonly keptBodies = new Map<string, unknown[]>();
 
-  /** The runtime is that of a host that outlives all machines. */
+  /** The runtime must belong to a host that outlives all machines. */
   constructor(private readonly runtime: Runtime) {}
 
   begin(fault: LateHeartbeatFault): void {
     this.fault = fault;
   }
 
-  /** Copies that are on their way or kept still arrive. */
+  /** Ends the fault. Copies that are delayed or kept are still delivered. */
   end(): void {
     this.fault = null;
   }
 
-  /** A machine's heartbeat went out to that node; a copy of it may arrive again. */
+  /** Called when a machine sends a heartbeat; schedules or keeps a copy if the fault affects it. */
   heartbeatSent(machine: string, body: unknown, node: ControllerAddress): void {
     const { fault } = this;
     if (fault === null || this.runtime.random() >= fault.share) return;
@@ -45,7 +45,7 @@
     this.runtime.clock.setTimer(() => void this.deliver(body, node), delayS * 1000);
   }
 
-  /** A worker obeys that node; if it has just become leader, what was kept arrives there. */
+  /** Called when a worker has accepted an answer of the node. Kept copies are sent to a new leader. */
   answerAccepted(node: ControllerAddress): void {
     if (node.name === this.leader) return;
     this.leader = node.name;
@@ -57,7 +57,7 @@
   private async deliver(body: unknown, node: ControllerAddress): Promise<void> {
     const client = new CborClient(this.runtime, node.address, 1);
     const call = client.call('POST', '/hello', { timeoutMs: SEND_TIMEOUT_MS, body });
-    // The answer to a copy reaches nobody, so neither does the failure to get one.
+    // The worker never sees the answer to a copy, so a missing answer is ignored, too.
     await call.catch(() => undefined);
     client.close();
   }
--- a/packages/testing/stand-ins/worker/node-choice.ts
+++ b/packages/testing/stand-ins/worker/node-choice.ts
@@ -1,12 +1,12 @@
-/** Which controller a worker sends its heartbeats to. */
-/** A controller as workers know it. */
+/** Selects the controller to which a worker sends its heartbeats. */
+/** Name and address of a controller, as configured for the workers. */
 export interface ControllerAddress {
   name: string;
   /** `host:port` */
   address: string;
 }
 
-/** The controller that a worker sends its heartbeats to, and the next one to try. */
+/** The controller to which a worker sends its heartbeats; the first is chosen at random. */
 export class ControllerSelector {
   private index: number;
 
@@ -25,7 +25,7 @@
     this.index = (this.index + 1) % this.controllers.length;
   }
 
-  /** Goes to the named node; false if there is none but the present one. */
+  /** Selects the named controller. Returns false if it is unknown or already selected. */
   select(name: string | null): boolean {
     const index = this.controllers.findIndex((node) => node.name === name);
     if (index < 0 || index === this.index) return false;
--- a/packages/testing/stand-ins/worker/sample-workers.ts
+++ b/packages/testing/stand-ins/worker/sample-workers.ts
@@ -1,4 +1,4 @@
-/** Workers of a simulated world and a scripted controller, for the tests of the worker. */
+/** Simulated workers and scripted controllers for the tests of the worker stand-in. */
 import {
   answerToWire,
   CborClient,
@@ -25,12 +25,12 @@
 const CONTROLLER_NAMES = ['c-0', 'c-1'];
 const CONTROLLER_PORT = 8080;
 
-/** A controller that answers heartbeats as a test tells it. */
+/** A controller whose answers to heartbeats are set by the test. */
 class ScriptedController {
   fencingToken = 5;
-  /** Orders for the next answer. */
+  /** Commands to include in the next answer. */
   orders: Order[] = [];
-  /** Answers in place of the usual one, if set; null for none at all. */
+  /** Makes the answers instead of the default ones, if set. */
   reply: ((heartbeat: Heartbeat) => WireReply) | null = null;
   readonly heartbeats: (Heartbeat & { atS: number })[] = [];
 
@@ -43,7 +43,7 @@
     return { status: 200, body: answerToWire(this.fencingToken, this.orders.splice(0)) };
   }
 
-  /** The task in the newest heartbeat. */
+  /** Finds a task in the latest heartbeat. */
   findTask(index = 0): TaskStatus | undefined {
     return this.heartbeats.at(-1)?.tasks.find((task) => task.index === index);
   }
@@ -70,7 +70,7 @@
     return this;
   }
 
-  /** A worker that knows the first so many controllers. */
+  /** Starts a worker that knows the first `controllerCount` controllers. */
   async startWorker(speed = 1, controllerCount = 1): Promise<Worker> {
     const number = ++this.started;
     const host = `10.1.0.${number}`;
@@ -108,12 +108,12 @@
     return job;
   }
 
-  /** Sends commands to a worker directly; the tasks of its answer. */
+  /** Sends direct commands to a worker; returns the status and the tasks of its answer. */
   async sendOrders(worker: Worker, orders: Order[], fencingToken = 5, agentEpoch = 1) {
     return this.world.finish(this.postOrders(worker, orders, fencingToken, agentEpoch));
   }
 
-  /** As `order`, but leaves it to the caller to run the world. */
+  /** Like `sendOrders`, but the caller runs the world. */
   async postOrders(worker: Worker, orders: Order[], fencingToken = 5, agentEpoch = 1) {
     const body = commandToWire(fencingToken, agentEpoch, orders);
     const http = new CborClient(this.commandRuntime, worker.facts.address);
@@ -121,7 +121,7 @@
     return { status: answer.status, tasks: parseHeartbeat(answer.body).tasks };
   }
 
-  /** Causes with which tasks have left their machines, as `index:cause`. */
+  /** Returns why tasks have left their machines, as `index:cause`. */
   leaveCauses(): string[] {
     return this.world.events.flatMap((event) =>
       event.kind === 'task-left' ? [`${event.task.index}:${event.cause}`] : [],
@@ -129,17 +129,17 @@
   }
 }
 
-/** A command to start a task of the sample job. */
+/** Makes a command to start a task of the sample job. */
 export function startOrder(index = 0, attempt = 1): Order {
   return { op: 'start', job: 'j-000001', index, attempt };
 }
 
-/** A command to stop a task of the sample job within the grace period, in seconds. */
+/** Makes a command to stop a task of the sample job within the grace period, in seconds. */
 export function stopOrder(graceS: number, index = 0, attempt = 1): Order {
   return { op: 'stop', job: 'j-000001', index, attempt, graceS };
 }
 
-/** A command to forget a task of the sample job. */
+/** Makes a command to forget a task of the sample job. */
 export function forgetOrder(index = 0, attempt = 1): Order {
   return { op: 'forget', job: 'j-000001', index, attempt };
 }
--- a/packages/testing/stand-ins/worker/solo-run.ts
+++ b/packages/testing/stand-ins/worker/solo-run.ts
@@ -1,9 +1,9 @@
-/** How a task runs that does not belong to a gang. */
+/** Execution of a task that does not belong to a gang. */
 import { progressAtLastCheckpoint, type ProgressUnit } from '../job-storage.js';
 import { Execution } from './execution.js';
 import type { RunningTask, TaskRun } from './task-host.js';
 
-/** A task of an array, or a replica of a service. */
+/** Runs a task of an array, or a replica of a service. */
 export class SoloRun implements TaskRun {
   private readonly execution: Execution;
   private readonly unit: ProgressUnit;
@@ -38,7 +38,7 @@
     } else this.task.exit('stopped');
   }
 
-  /** Progress since the last checkpoint is lost. */
+  /** Stores the progress of the last periodic checkpoint; later progress is lost. */
   taskLeft(): void {
     this.execution.pause();
     const { checkpointS } = this.task.program.job;
--- a/packages/testing/stand-ins/worker/task-host.ts
+++ b/packages/testing/stand-ins/worker/task-host.ts
@@ -1,10 +1,10 @@
-/** The interfaces between a task, the machine that hosts it and the way it runs. */
+/** Interfaces between a task, the machine that hosts the task and the run of the task. */
 import type { Cause, Clock, TaskRef, TaskState } from '#wire';
 import type { Observer } from '../events.js';
 import type { JobProgram, JobStorage } from '../job-storage.js';
 import type { ImageCache } from './image-cache.js';
 
-/** Times that the platform's settings give all workers, in seconds. */
+/** Times of the platform settings that apply to all workers, in seconds. */
 export interface WorkerTimes {
   heartbeatIntervalS: number;
   leaseS: number;
@@ -12,50 +12,50 @@
   gangPeerS: number;
 }
 
-/** What a task takes from the machine that it is on. */
+/** The part of a machine that its tasks use. */
 export interface TaskHost {
   readonly machine: string;
-  /** Its timers wait while the machine hangs. */
+  /** The clock of the machine; its timer callbacks wait while the machine hangs. */
   readonly clock: Clock;
   readonly times: WorkerTimes;
   readonly images: ImageCache;
   readonly storage: JobStorage;
   readonly gangs: GangRendezvous;
   readonly observer: Observer;
-  /** Run time that passes in a second. */
+  /** Seconds of nominal run time that a task completes in one second. */
   readonly speed: number;
-  /** Seconds after which a task of this program fails on this machine; null: it does not. */
+  /** Returns the seconds after which a task of the program fails on this machine; null: never. */
   failsAfterS(program: JobProgram): number | null;
-  /** Something changed that the next heartbeat shows. */
+  /** Called when the state of a task has changed, so that a heartbeat is sent soon. */
   taskChanged(): void;
 }
 
-/** Where the tasks of gangs find each other. */
+/** Lets the tasks of a gang find each other. */
 export interface GangRendezvous {
-  /** The task has its image and waits for the others of its attempt. */
+  /** Adds a task that has its image to the other tasks of its attempt. */
   join(task: RunningTask): TaskRun;
 }
 
-/** A task as that which runs it sees it. */
+/** The part of a task that its run uses. */
 export interface RunningTask {
   readonly ref: TaskRef;
   readonly program: JobProgram;
   readonly host: TaskHost;
   readonly state: TaskState;
   setState(state: TaskState): void;
-  /** The task leaves its machine; `checkpointed` if its progress was written just before. */
+  /** Ends the task. `checkpointed`: its progress was stored immediately before. */
   exit(cause: Cause, checkpointed?: boolean): void;
-  /** Calls back after so many seconds of the machine's clock unless the task has left by then. */
+  /** Calls back after the given seconds of the machine's clock, unless the task has exited by then. */
   setTimer(seconds: number, callback: () => void): void;
 }
 
-/** How a task runs once it has its image. */
+/** The run of a task that has its image. */
 export interface TaskRun {
-  /** Carries out a stop command. */
+  /** Executes a stop command. */
   stop(graceS: number): void;
-  /** The task has left its machine, in whatever way. */
+  /** Called when the task has left its machine, for any reason. */
   taskLeft(): void;
-  /** The machine hangs, or goes on. */
+  /** Called when the machine starts to hang, or resumes. */
   setHanging(hanging: boolean): void;
   speedChanged(): void;
 }
--- a/packages/testing/stand-ins/worker/task-table.ts
+++ b/packages/testing/stand-ins/worker/task-table.ts
@@ -1,14 +1,14 @@
-/** The tasks of one worker, and the commands about them. */
+/** The tasks of one worker, and the execution of commands for these tasks. */
 import type { Cause, MachineType, Order, TaskRef, TaskStatus } from '#wire';
 import type { JobProgram } from '../job-storage.js';
 import { attemptKey } from '../world-state.js';
 import { HostedTask } from './hosted-task.js';
 import type { TaskHost } from './task-host.js';
 
-/** The tasks that the heartbeats of a worker list, and what commands do to them. */
+/** Holds the tasks that a worker lists in its heartbeats, and executes start, stop and forget commands. */
 export class TaskTable {
   private readonly tasks = new Map<string, HostedTask>();
-  /** Starts that were refused, until they are forgotten. */
+  /** Refused start commands, kept until a forget command removes them. */
   private readonly refusals = new Map<string, TaskStatus>();
 
   constructor(
@@ -24,7 +24,7 @@
     return [...this.all().map((task) => task.status()), ...this.refusals.values()];
   }
 
-  /** Carries out commands in their order. */
+  /** Executes commands in the given order. */
   execute(orders: Order[]): void {
     for (const order of orders) {
       const task = this.tasks.get(attemptKey(order));
@@ -34,7 +34,7 @@
     }
   }
 
-  /** Ends and forgets all tasks. */
+  /** Kills and removes all tasks. */
   killAll(): void {
     for (const task of this.all()) task.kill();
     this.tasks.clear();
@@ -71,7 +71,7 @@
     return this.all().filter((task) => !task.exited);
   }
 
-  /** The task is here with whatever attempt. */
+  /** Whether any attempt of the task has not exited yet. */
   private hasActiveAttempt({ job, index }: TaskRef): boolean {
     return this.activeTasks().some(({ ref }) => ref.job === job && ref.index === index);
   }
--- a/packages/testing/stand-ins/worker/worker-setup.ts
+++ b/packages/testing/stand-ins/worker/worker-setup.ts
@@ -1,4 +1,4 @@
-/** What a worker is given: what the fleet shares and the traits of its machine. */
+/** Options of a worker: what all workers of a fleet share, and the traits of one machine. */
 import type { Observer } from '../events.js';
 import type { JobStorage } from '../job-storage.js';
 import type { ReplyLoss } from '../lost-replies.js';
@@ -7,23 +7,23 @@
 import type { ControllerAddress } from './node-choice.js';
 import type { WorkerTimes } from './task-host.js';
 
-/** One heartbeat and what became of it; seconds of the worker's clock. */
+/** One heartbeat and the status of its answer; times in seconds of the worker's monotonic clock. */
 export interface HeartbeatExchange {
   machine: string;
-  /** Name of the controller that it was sent to. */
+  /** Name of the controller to which the heartbeat was sent. */
   controller: string;
-  /** Null if no answer came in time. */
+  /** HTTP status of the answer; null if none came before the timeout. */
   status: number | null;
   sentAtS: number;
   endedAtS: number;
 }
 
-/** Is told how workers fare with their heartbeats, for measurements. */
+/** Receives the outcomes of heartbeats, for measurements. */
 export interface HeartbeatObserver {
   exchanged(exchange: HeartbeatExchange): void;
-  /** The worker obeys the answer of a controller that carried this fencing token. */
+  /** Called when the worker accepts an answer of the controller with the given fencing token. */
   obeyed?(machine: string, controller: string, fencingToken: number): void;
-  /** The machine's worker lease has expired. */
+  /** Called when the lease of the machine's worker has expired. */
   leaseEnded(machine: string): void;
 }
 
@@ -41,10 +41,10 @@
 
 /** How one machine differs from others of its type. */
 export interface MachineTraits {
-  /** Run time that passes in a second. */
+  /** Seconds of nominal run time that a task completes in one second. */
   speed: number;
   /** Actual rate of image fetches. */
   fetchGbPerS: number;
-  /** Tasks fail after so many seconds; null: the machine is sound. */
+  /** Seconds after which tasks fail on the machine; null: tasks don't fail because of the machine. */
   tasksFailAfterS: number | null;
 }
--- a/packages/testing/stand-ins/worker/worker.test.ts
+++ b/packages/testing/stand-ins/worker/worker.test.ts
@@ -21,7 +21,7 @@
   );
 }
 
-test('a worker sends heartbeats by its interval, and sooner when something changes', async () => {
+test('a worker sends heartbeats at the configured interval, and sooner after a change', async () => {
   const { world, controller, worker } = await startFleet();
   await world.run(60);
   const spacings = controller.heartbeats
@@ -41,7 +41,7 @@
   assert.ok(Math.abs((controller.heartbeats.at(-1)!.noticeS ?? 0) - 106) < 2);
 });
 
-test('a task fetches its image once, runs, and its result is kept', async () => {
+test('tasks wait for their image and run; a task with a stored result exits at once when started again', async () => {
   const { fleet, world, controller } = await startFleet([{ tasks: 2 }]);
   controller.orders = [startOrder(0), startOrder(1)];
   await world.run(IMAGE_S - 1);
@@ -60,33 +60,43 @@
   assert.deepEqual(describeOutcomes([secondAttempt!]), ['exited done']);
 });
 
-/** Orders one after the other, and what the heartbeat after the last one says. */
+/** Commands sent in one request, and the task states expected in its answer. */
 const COMMANDS: [name: string, jobs: Parameters<SampleFleet['upload']>, Order[], string[]][] = [
   ['an unknown task is refused', [{}], [startOrder(1)], ['exited unknown']],
   [
-    'a task that is there is refused',
+    'a task with an attempt that has not exited is refused',
     [{}],
     [startOrder(), startOrder(0, 2)],
     ['fetching ', 'exited busy'],
   ],
   ['a repeated start does nothing', [{}], [startOrder(), startOrder()], ['fetching ']],
   [
-    'fetching tasks take room',
+    'a task that fetches its image occupies capacity',
     [{ tasks: 2, memory: 33 }],
     [startOrder(0), startOrder(1)],
     ['fetching ', 'exited no_room'],
   ],
-  ['a fetching task stops at once', [{}], [startOrder(), stopOrder(60)], ['exited stopped']],
+  [
+    'a task that fetches its image stops at once',
+    [{}],
+    [startOrder(), stopOrder(60)],
+    ['exited stopped'],
+  ],
   ['an exited task can be forgotten', [{}], [startOrder(), stopOrder(0), forgetOrder()], []],
   [
-    'a forgotten attempt starts anew',
+    'a forgotten attempt can be started again',
     [{}],
     [startOrder(), stopOrder(0), forgetOrder(), startOrder()],
     ['fetching '],
   ],
-  ['no other task is forgotten', [{}], [startOrder(), forgetOrder()], ['fetching ']],
   [
-    'an exited attempt does not start',
+    'a task that has not exited is not forgotten',
+    [{}],
+    [startOrder(), forgetOrder()],
+    ['fetching '],
+  ],
+  [
+    'an exited attempt does not start again',
     [{}],
     [startOrder(), stopOrder(0), startOrder()],
     ['exited stopped'],
@@ -101,7 +111,7 @@
   });
 }
 
-test('a running task writes a checkpoint if it can and has the time, and a second stop ends that', async () => {
+test('a stopped task writes a checkpoint if the grace period allows, and a second stop interrupts it', async () => {
   const job = { checkpointS: 4, saveS: 3 };
   const { fleet, world, worker, controller } = await startFleet([job, { runS: [1000] }]);
   const runAttempt = async (attempt: number, stops: Order[]) => {
@@ -122,7 +132,7 @@
   assert.ok(progress() > before && progress() % 4 === 0);
 });
 
-test('answers with a lower fencing token or none are dropped and do not renew the lease', async () => {
+test('answers with a lower fencing token or none are ignored and do not renew the lease', async () => {
   const { fleet, world, controller, worker } = await startFleet();
   controller.orders = [startOrder()];
   await world.run(3);
@@ -143,7 +153,7 @@
   );
 });
 
-test('a redirection is followed within half a second, other failures lead to the next node', async () => {
+test('a worker follows a redirect within half a second, and tries the next node after other failures', async () => {
   const { fleet, world } = await startFleet();
   const [first, second] = fleet.controllers;
   const redirect = (overseer?: string) => () => ({ status: 421, body: { overseer } });
@@ -172,7 +182,7 @@
   }
 });
 
-test('a hanging worker goes on within its lease, and what waited runs then', async () => {
+test('a worker that resumes within its lease executes delayed commands; after its lease, tasks are killed', async () => {
   const { fleet, world, worker } = await startFleet([{}, { runS: [20] }]);
   await fleet.sendOrders(worker, [startOrder()]);
   await world.run(IMAGE_S + 2);
@@ -192,7 +202,7 @@
   assert.equal((await fleet.sendOrders(worker, [startOrder()], 5, 1)).status, 409);
 });
 
-test('a deaf worker sends heartbeats and gets no answers or commands, a mute one gets commands only', async () => {
+test('a worker blocked inbound still sends heartbeats; one with blocked heartbeats still gets commands', async () => {
   const { fleet, world, controller, worker } = await startFleet();
   worker.setDeaf(true);
   await assert.rejects(fleet.sendOrders(worker, [startOrder()]));
@@ -210,7 +220,7 @@
   assert.equal(controller.heartbeats.length, before);
 });
 
-test('copies of heartbeats arrive late, or when a new leader has answered', async () => {
+test('copies of heartbeats arrive after a delay, or once a worker has accepted an answer of a new leader', async () => {
   const { fleet, world, controller, worker } = await startFleet();
   fleet.lateHeartbeats.begin({ share: 1, delayS: [20, 20] });
   await world.run(1);
@@ -224,7 +234,7 @@
   fleet.lateHeartbeats.begin({ share: 1, forNextLeader: true });
   await world.run(2);
   fleet.lateHeartbeats.end();
-  // The copies arrive although their machine is gone.
+  // The copies still arrive after their machine is gone.
   worker.powerOff();
   await world.run(10);
   const [, nextLeader] = fleet.controllers;
@@ -235,7 +245,7 @@
   assert.ok(late.length >= 2 && late.every((heartbeat) => heartbeat.sequence > lastCopiedSequence));
 });
 
-test('a command that is held up runs once, if fencing token and agent epoch still match', async () => {
+test('a delayed command runs once if its fencing token and agent epoch still match', async () => {
   const { fleet, world, controller, worker } = await startFleet([{ tasks: 2 }]);
   fleet.lateCommands.begin({ share: 1, delayS: [8, 8] });
   await assert.rejects(fleet.sendOrders(worker, [startOrder(0)]));
@@ -251,7 +261,7 @@
   assert.equal(worker.nextHeartbeat().tasks.length, 1);
 });
 
-test('a faulty job or machine fails its tasks, a slow machine takes longer', async () => {
+test('tasks of a faulty job fail, and tasks on a slow machine take longer', async () => {
   const { fleet, world, controller, worker } = await startFleet([{}, { failsAfterS: 2 }]);
   await fleet.sendOrders(worker, [startOrder()]);
   await world.run(IMAGE_S + 3.5);
--- a/packages/testing/stand-ins/worker/worker.ts
+++ b/packages/testing/stand-ins/worker/worker.ts
@@ -1,4 +1,4 @@
-/** A worker as the protocol describes it: the program that runs on each provisioned machine. */
+/** Stand-in for the worker, the program that runs on each provisioned machine. */
 import { MalformedBody, parseHostPort, heartbeatToWire, type Heartbeat, type Runtime } from '#wire';
 import { parseHeartbeatAnswer, type DirectCommand, type HeartbeatAnswer } from '#wire/serving';
 import type { MachineFacts, Observer } from '../events.js';
@@ -14,7 +14,7 @@
 import { AgentEpochState } from './agent-epoch.js';
 import type { MachineTraits, WorkerSurroundings } from './worker-setup.js';
 
-/** Hosts tasks, sends heartbeats and carries out the commands of the leader. */
+/** Hosts tasks, sends heartbeats and executes the commands of the leader. */
 export class Worker implements TaskHost {
   readonly clock: FreezableClock;
   readonly images: ImageCache;
@@ -24,9 +24,9 @@
   private readonly server: CommandServer;
   private address: string;
   private reclaimAt: number | null = null;
-  /** When a higher fencing token last counted as a change. */
+  /** When a higher fencing token last triggered an early heartbeat. */
   private fencingTokenChangeAt = -Infinity;
-  /** Agent epoch of the heartbeat that is under way. */
+  /** Agent epoch of the heartbeat in flight. */
   private sentAgentEpoch = 0;
   private poweredOff = false;
 
@@ -85,7 +85,7 @@
     return this.traits.speed;
   }
 
-  /** Accepts commands and sends heartbeats from now on. */
+  /** Starts to accept commands and to send heartbeats. */
   async start(): Promise<void> {
     this.observer({ kind: 'machine-up', machine: this.facts });
     const bound = await this.server.listen(parseHostPort(this.facts.address));
@@ -93,7 +93,7 @@
     void this.heartbeatSender.run();
   }
 
-  /** The machine is gone, and everything on it. */
+  /** Ends the worker and kills all of its tasks, since the machine is gone. */
   powerOff(): void {
     if (this.poweredOff) return;
     this.poweredOff = true;
@@ -104,7 +104,7 @@
     this.observer({ kind: 'machine-gone', machine: this.machine });
   }
 
-  /** Nothing on the machine goes on until resume(); its lease does. */
+  /** Suspends everything on the machine until resume(), except that the lease keeps running. */
   hang(): void {
     this.setHanging(true);
   }
@@ -117,13 +117,13 @@
     return this.clock.isFrozen;
   }
 
-  /** Its heartbeats arrive; answers and commands do not. */
+  /** Blocks answers and commands; heartbeats still reach the controllers. */
   setDeaf(blocked: boolean): void {
     this.heartbeatSender.answersBlocked = blocked;
     this.server.commandsBlocked = blocked;
   }
 
-  /** It reaches no controller; commands still reach it. */
+  /** Blocks heartbeats; commands of controllers still reach the worker. */
   setMute(blocked: boolean): void {
     this.heartbeatSender.heartbeatsBlocked = blocked;
   }
@@ -133,12 +133,12 @@
     for (const task of this.tasks.all()) task.speedChanged();
   }
 
-  /** Tasks that start from now on fail after so many seconds. */
+  /** Makes tasks that start from now on fail after the given seconds; null: they don't fail. */
   failTasksAfter(seconds: number | null): void {
     this.traits.tasksFailAfterS = seconds;
   }
 
-  /** The cloud will take the machine in about so many seconds. */
+  /** Announces that the cloud will reclaim the machine in about `noticeS` seconds. */
   giveNotice(noticeS: number): void {
     this.reclaimAt = this.clock.now() + noticeS;
     this.observer({ kind: 'machine-noticed', machine: this.machine });
@@ -216,7 +216,7 @@
     this.heartbeatSender.recordChange();
   }
 
-  /** A higher fencing token counts as a change at most once in half of a lease. */
+  /** Sends an early heartbeat for a higher fencing token, at most once per half lease. */
   private handleHigherFencingToken(): void {
     const now = this.clock.now();
     if (now - this.fencingTokenChangeAt < this.times.leaseS / 2) return;
@@ -236,7 +236,7 @@
   }
 }
 
-/** An answer that cannot be read is dropped. */
+/** Parses the answer to a heartbeat; returns null if it is malformed. */
 function readAnswer(body: unknown): HeartbeatAnswer | null {
   try {
     return parseHeartbeatAnswer(body);
--- a/packages/testing/stand-ins/world-state.ts
+++ b/packages/testing/stand-ins/world-state.ts
@@ -1,4 +1,4 @@
-/** The true state of the machines and tasks of a run. */
+/** The actual state of the machines and tasks of a simulation. */
 import { taskName, type TaskRef } from '#wire';
 import type { MachineFacts, WorldEvent } from './events.js';
 
@@ -6,26 +6,25 @@
 export interface TaskPlacement {
   machine: string;
   task: TaskRef;
-  /** It has its image: it counts as being on the machine. */
+  /** Whether the image of the task is complete, so that the task counts as being on the machine. */
   started: boolean;
 }
 
-/** A machine that is up, and the tasks on it. */
+/** A machine that is up, and its tasks by attempt key. */
 export interface MachineState {
   facts: MachineFacts;
   hanging: boolean;
-  /** The cloud has announced that it will take the machine. */
+  /** Whether the cloud has announced that it will reclaim the machine. */
   noticed: boolean;
   tasks: Map<string, TaskPlacement>;
 }
 
-/** The true state of all machines and results, kept current by the events of the stand-ins. */
+/** The actual state of all machines and results, updated by the events of the stand-ins. */
 export class WorldState {
   readonly machines = new Map<string, MachineState>();
   private readonly placementsByJob = new Map<string, Set<TaskPlacement>>();
   private readonly completed = new Map<string, Set<number>>();
 
-  /** Applies an event. */
   apply(event: WorldEvent): void {
     switch (event.kind) {
       case 'machine-up': {
@@ -58,24 +57,24 @@
     }
   }
 
-  /** A machine that is up; throws if it is not. */
+  /** Returns a machine that is up; throws if the machine is not up. */
   machine(name: string): MachineState {
     const machine = this.machines.get(name);
     if (!machine) throw new Error(`machine ${name} is not up`);
     return machine;
   }
 
-  /** Where tasks of the job are, or wait for their images. */
+  /** Returns the tasks of the job on all machines, including tasks that wait for their images. */
   places(job: string): TaskPlacement[] {
     return [...(this.placementsByJob.get(job) ?? [])];
   }
 
-  /** The tasks of the job that are on machines. */
+  /** Returns the tasks of the job whose images are complete. */
   started(job: string): TaskPlacement[] {
     return this.places(job).filter((place) => place.started);
   }
 
-  /** Jobs that have a task on a machine. */
+  /** Returns the jobs of which at least one task has its image. */
   startedJobs(): string[] {
     return [...this.placementsByJob.keys()].filter((job) => this.started(job).length > 0);
   }
@@ -108,7 +107,7 @@
   }
 }
 
-/** A key of one attempt of a task; attempts on several machines may share it. */
+/** Returns the key of one attempt of a task. Attempts on different machines may have the same key. */
 export function attemptKey({ job, index, attempt }: TaskRef): string {
   return `${taskName(job, index)} ${attempt}`;
 }
