--- a/packages/testing/stand-ins/worker/gang-attempt.ts
+++ b/packages/testing/stand-ins/worker/gang-attempt.ts
@@ -133,7 +133,7 @@
     this.scheduleLossDetection();
   }
 
-  /** After a random delay, each task exits if the gang is broken or another task of it hangs. */
+  /** After a random delay, each task exits if the gang is broken or the machine of another task hangs. */
   private scheduleLossDetection(): void {
     for (const member of this.members.values()) {
       const share = MIN_DETECTION_SHARE + (1 - MIN_DETECTION_SHARE) * this.runtime.random();
--- a/packages/testing/stand-ins/worker/heartbeat-sender.ts
+++ b/packages/testing/stand-ins/worker/heartbeat-sender.ts
@@ -25,8 +25,8 @@
 }
 
 /**
- * Sends the heartbeats of one worker, one at a time. After a redirect it changes to the controller named,
- * and after a failure to the next controller.
+ * Sends the heartbeats of one worker, one at a time. After a redirect the sender changes to the
+ * controller named, and after a failure to the next controller.
  */
 export class HeartbeatSender {
   /** Simulates a fault in which no heartbeat reaches a controller. */
--- a/packages/testing/stand-ins/worker/late-heartbeats.ts
+++ b/packages/testing/stand-ins/worker/late-heartbeats.ts
@@ -45,7 +45,7 @@
     this.runtime.clock.setTimer(() => void this.deliver(body, node), delayS * 1000);
   }
 
-  /** Called when a worker has accepted an answer of the node. Kept copies are sent to a new leader. */
+  /** Called when a worker has accepted an answer of the node. Sends the kept copies if the leader is new. */
   answerAccepted(node: ControllerAddress): void {
     if (node.name === this.leader) return;
     this.leader = node.name;
--- a/packages/testing/stand-ins/worker/node-choice.ts
+++ b/packages/testing/stand-ins/worker/node-choice.ts
@@ -25,7 +25,7 @@
     this.index = (this.index + 1) % this.controllers.length;
   }
 
-  /** Selects the named controller. Returns false if it is unknown or already selected. */
+  /** Selects the named controller. Returns false if the name is unknown or already selected. */
   select(name: string | null): boolean {
     const index = this.controllers.findIndex((node) => node.name === name);
     if (index < 0 || index === this.index) return false;
--- a/packages/testing/stand-ins/worker/task-host.ts
+++ b/packages/testing/stand-ins/worker/task-host.ts
@@ -1,4 +1,4 @@
-/** Interfaces between a task, the machine that hosts the task and the run of the task. */
+/** Interfaces between a task, the machine that hosts the task and the TaskRun that executes the task. */
 import type { Cause, Clock, TaskRef, TaskState } from '#wire';
 import type { Observer } from '../events.js';
 import type { JobProgram, JobStorage } from '../job-storage.js';
@@ -36,7 +36,7 @@
   join(task: RunningTask): TaskRun;
 }
 
-/** The part of a task that its run uses. */
+/** The part of a task that a TaskRun uses. */
 export interface RunningTask {
   readonly ref: TaskRef;
   readonly program: JobProgram;
@@ -49,7 +49,7 @@
   setTimer(seconds: number, callback: () => void): void;
 }
 
-/** The run of a task that has its image. */
+/** Executes a task that has its image. */
 export interface TaskRun {
   /** Executes a stop command. */
   stop(graceS: number): void;
--- a/packages/testing/stand-ins/worker/worker.test.ts
+++ b/packages/testing/stand-ins/worker/worker.test.ts
@@ -41,7 +41,7 @@
   assert.ok(Math.abs((controller.heartbeats.at(-1)!.noticeS ?? 0) - 106) < 2);
 });
 
-test('tasks wait for their image and run; a task with a stored result exits at once when started again', async () => {
+test('two tasks share one image fetch and run; a task with a stored result exits at once if started again', async () => {
   const { fleet, world, controller } = await startFleet([{ tasks: 2 }]);
   controller.orders = [startOrder(0), startOrder(1)];
   await world.run(IMAGE_S - 1);
--- a/packages/testing/stand-ins/world-state.ts
+++ b/packages/testing/stand-ins/world-state.ts
@@ -71,7 +71,7 @@
 
   /** Returns the tasks of the job whose images are complete. */
   started(job: string): TaskPlacement[] {
-    return this.places(job).filter((place) => place.started);
+    return this.places(job).filter((placement) => placement.started);
   }
 
   /** Returns the jobs of which at least one task has its image. */
@@ -83,27 +83,27 @@
     return this.completed.get(job) ?? new Set();
   }
 
-  private addPlacement(place: TaskPlacement): void {
-    const { machine, task } = place;
-    this.machine(machine).tasks.set(attemptKey(task), place);
-    const places = this.placementsByJob.get(task.job) ?? new Set();
-    this.placementsByJob.set(task.job, places.add(place));
+  private addPlacement(placement: TaskPlacement): void {
+    const { machine, task } = placement;
+    this.machine(machine).tasks.set(attemptKey(task), placement);
+    const jobPlacements = this.placementsByJob.get(task.job) ?? new Set();
+    this.placementsByJob.set(task.job, jobPlacements.add(placement));
   }
 
   private markStarted(machine: string, task: TaskRef): void {
-    const place = this.machines.get(machine)?.tasks.get(attemptKey(task));
-    if (place) place.started = true;
+    const placement = this.machines.get(machine)?.tasks.get(attemptKey(task));
+    if (placement) placement.started = true;
     else this.addPlacement({ machine, task, started: true });
   }
 
   private removePlacement(machine: string, task: TaskRef): void {
     const tasks = this.machine(machine).tasks;
-    const place = tasks.get(attemptKey(task));
-    if (!place) return;
+    const placement = tasks.get(attemptKey(task));
+    if (!placement) return;
     tasks.delete(attemptKey(task));
-    const places = this.placementsByJob.get(task.job);
-    places?.delete(place);
-    if (places?.size === 0) this.placementsByJob.delete(task.job);
+    const jobPlacements = this.placementsByJob.get(task.job);
+    jobPlacements?.delete(placement);
+    if (jobPlacements?.size === 0) this.placementsByJob.delete(task.job);
   }
 }
 
