--- a/packages/testing/stand-ins/fleet.ts
+++ b/packages/testing/stand-ins/fleet.ts
@@ -1,41 +1,41 @@
-/** The workers of a run, one on each machine that is up. */
+/** The workers of a simulation or test, one on each machine that is up. */
 import type { HostPort, Runtime } from '#wire';
 import type { MachineHosting, ProvisionedMachine } from './cloud/index.js';
 import { uniform, type Span } from './distributions.js';
 import { Worker, type MachineTraits, type WorkerSurroundings } from './worker/index.js';
 
-/** Where the worker of one machine runs. */
+/** The host of one machine, on which its worker runs. */
 export interface MachineHost {
   runtime: Runtime;
-  /** The host is gone; the network falls silent. */
+  /** Takes the host down. Messages to and from the host are lost without an error. */
   powerOff(): void;
 }
 
-/** Where workers run and how many of them are faulty or slow. */
+/** Where workers run, and what share of the machines is faulty or slow. */
 export interface FleetOptions {
   surroundings: WorkerSurroundings;
-  /** Where the worker of the machine with this number, counted from 1, will serve. */
+  /** Address on which the worker of the machine will listen; machine numbers start at 1. */
   addressOf(machineNumber: number): HostPort;
   hostFor(machine: ProvisionedMachine): MachineHost;
   /** Share of machines on which tasks fail. */
   faultyShare?: number;
-  /** Share of machines that are much slower than their type. */
+  /** Share of machines that are much slower than others of their type. */
   slowShare?: number;
 }
 
-const USUAL_SPEED: Span = [0.9, 1.1];
+const NORMAL_SPEED: Span = [0.9, 1.1];
 const SLOW_SPEED: Span = [0.2, 0.5];
-/** Actual rate of image fetches as a multiple of the type's. */
+/** Actual image fetch rate of a machine as a multiple of its type's nominal rate. */
 const FETCH_RATE: Span = [2 / 3, 4 / 3];
-const FAULTY_AFTER_S: Span = [0.5, 15];
+const TASK_FAILURE_DELAY_S: Span = [0.5, 15];
 
-/** Starts a worker on each machine that the cloud has up, and ends it with the machine. */
+/** Starts a worker on each machine that the cloud starts, and stops the worker with the machine. */
 export class Fleet implements MachineHosting {
   private readonly machines = new Map<string, { worker: Worker; host: MachineHost }>();
 
   constructor(private readonly options: FleetOptions) {}
 
-  /** Workers on machines that are up. */
+  /** Returns the workers on machines that are up. */
   workers(): Worker[] {
     return [...this.machines.values()].map(({ worker }) => worker);
   }
@@ -53,7 +53,7 @@
     const { name, type, zone, spot } = machine;
     const address = `${machine.address.host}:${machine.address.port}`;
     const traits = this.drawTraits(host.runtime, machine);
-    const sound = traits.tasksFailAfterS === null && traits.speed >= USUAL_SPEED[0];
+    const sound = traits.tasksFailAfterS === null && traits.speed >= NORMAL_SPEED[0];
     const facts = { name, sound, address, type, zone, spot };
     const worker = new Worker(host.runtime, facts, traits, this.options.surroundings);
     this.machines.set(name, { worker, host });
@@ -78,9 +78,9 @@
     const slow = runtime.random() < slowShare;
     const faulty = runtime.random() < faultyShare;
     return {
-      speed: span(slow ? SLOW_SPEED : USUAL_SPEED),
+      speed: span(slow ? SLOW_SPEED : NORMAL_SPEED),
       fetchGbPerS: type.fetchGbPerS * span(FETCH_RATE),
-      tasksFailAfterS: faulty ? span(FAULTY_AFTER_S) : null,
+      tasksFailAfterS: faulty ? span(TASK_FAILURE_DELAY_S) : null,
     };
   }
 }
--- a/packages/testing/stand-ins/worker/command-server.ts
+++ b/packages/testing/stand-ins/worker/command-server.ts
@@ -1,31 +1,31 @@
-/** The endpoint of a worker for commands that controllers send directly. */
+/** The HTTP endpoint of a worker for commands that controllers send directly. */
 import type { HostPort, Heartbeat, Runtime } from '#wire';
 import { heartbeatToWire } from '#wire';
 import { parseDirectCommand, type DirectCommand, type WireReply } from '#wire/serving';
 import { NO_REPLY, serveCbor, type CborServer, type ServedRequest } from '../http-server.js';
 import type { ReplyLoss } from '../lost-replies.js';
 
-/** The worker as its server for direct commands sees it. */
+/** The part of a worker that the command server uses. */
 export interface CommandTarget {
-  /** Carries the command out, or says false if fencing token or agent epoch do not match. */
-  command(command: DirectCommand): boolean;
-  /** The heartbeat that the answer holds. */
+  /** Executes the command, or returns false if its fencing token or agent epoch does not match. */
+  executeCommand(command: DirectCommand): boolean;
+  /** Returns the heartbeat to send as the body of an answer. */
   nextHeartbeat(): Heartbeat;
-  /** Resolves once the machine does not hang. */
+  /** Resolves when the machine does not hang. */
   whenRunning(): Promise<void>;
 }
 
-/** Serves the commands that controllers send to a worker directly. */
+/** Accepts direct commands over HTTP, and simulates commands that are lost or delayed. */
 export class CommandServer {
-  /** Commands arrive, but are neither carried out nor answered. */
-  deaf = false;
+  /** Whether commands that arrive are neither executed nor answered. */
+  commandsBlocked = false;
   private server: CborServer | null = null;
   private closed = false;
 
   constructor(
     private readonly runtime: Runtime,
     private readonly target: CommandTarget,
-    /** Commands that are held up on their way and carried out unanswered. */
+    /** The fault in which commands are delayed and get no answer. */
     private readonly lateCommands: ReplyLoss,
   ) {}
 
@@ -41,7 +41,7 @@
 
   private async handle(request: ServedRequest): Promise<WireReply | typeof NO_REPLY> {
     await this.target.whenRunning();
-    if (this.deaf || this.closed) return NO_REPLY;
+    if (this.commandsBlocked || this.closed) return NO_REPLY;
     const route = `${request.method} ${request.path}`;
     if (route === 'GET /show') return this.reply(200);
     if (route !== 'POST /orders') return { status: 404 };
@@ -50,10 +50,10 @@
 
   private async acceptCommand(command: DirectCommand): Promise<WireReply | typeof NO_REPLY> {
     const loss = this.lateCommands.draw();
-    if (loss === null) return this.reply(this.target.command(command) ? 200 : 409);
+    if (loss === null) return this.reply(this.target.executeCommand(command) ? 200 : 409);
     await this.lateCommands.due(loss);
     await this.target.whenRunning();
-    if (!this.closed) this.target.command(command);
+    if (!this.closed) this.target.executeCommand(command);
     return NO_REPLY;
   }
 
--- a/packages/testing/stand-ins/worker/heartbeat-schedule.ts
+++ b/packages/testing/stand-ins/worker/heartbeat-schedule.ts
@@ -1,17 +1,17 @@
-/** When a worker sends heartbeats. */
+/** Timing of the heartbeats of a worker. */
 import type { Runtime } from '#wire';
 
-const LEAST_SPACING_S = 0.5;
-/** A period is shorter or longer by up to this share. */
-const PERIOD_SPREAD = 0.25;
+const MIN_SPACING_S = 0.5;
+/** Largest random change of the heartbeat interval, as a share of the interval. */
+const PERIOD_JITTER = 0.25;
 const NEXT_NODE_DELAY_S = 1;
 const REDIRECT_DELAY_S = 0.5;
 
-/** When a worker sends its next heartbeat; seconds of the runtime's clock. */
+/** Computes when a worker sends its next heartbeat, in seconds of the monotonic clock. */
 export class HeartbeatSchedule {
   private lastSentAt = -Infinity;
-  private periodicAt: number;
-  /** After a failure or a redirection nothing else counts. */
+  private nextPeriodicAt: number;
+  /** When to retry after a failure or a redirect; overrides the other times. */
   private retryAt: number | null = null;
   private changed = false;
 
@@ -19,35 +19,35 @@
     private readonly runtime: Runtime,
     private readonly heartbeatIntervalS: number,
   ) {
-    this.periodicAt = runtime.clock.now();
+    this.nextPeriodicAt = runtime.clock.now();
   }
 
   dueAt(): number {
     if (this.retryAt !== null) return this.retryAt;
-    if (!this.changed) return this.periodicAt;
-    return Math.min(this.periodicAt, this.lastSentAt + LEAST_SPACING_S);
+    if (!this.changed) return this.nextPeriodicAt;
+    return Math.min(this.nextPeriodicAt, this.lastSentAt + MIN_SPACING_S);
   }
 
-  /** The next heartbeat shows something new. */
+  /** Makes the next heartbeat due early, because its content has changed. */
   recordChange(): void {
     this.changed = true;
   }
 
-  /** A heartbeat goes out now. */
+  /** Schedules the next periodic heartbeat, after one was sent. */
   recordSent(): void {
-    const spread = 1 + PERIOD_SPREAD * (2 * this.runtime.random() - 1);
+    const factor = 1 + PERIOD_JITTER * (2 * this.runtime.random() - 1);
     this.lastSentAt = this.runtime.clock.now();
-    this.periodicAt = this.lastSentAt + this.heartbeatIntervalS * spread;
+    this.nextPeriodicAt = this.lastSentAt + this.heartbeatIntervalS * factor;
     this.retryAt = null;
     this.changed = false;
   }
 
-  /** The node gave no answer to go by: the next one is tried later. */
+  /** Schedules a retry at the next node, after a node gave no usable answer. */
   afterFailure(): void {
     this.retryAt = this.runtime.clock.now() + NEXT_NODE_DELAY_S;
   }
 
-  /** Another node was named. */
+  /** Schedules a retry at the node that a redirect named. */
   afterRedirect(): void {
     this.retryAt = this.runtime.clock.now() + REDIRECT_DELAY_S * this.runtime.random();
   }
--- a/packages/testing/stand-ins/worker/hosted-task.ts
+++ b/packages/testing/stand-ins/worker/hosted-task.ts
@@ -6,12 +6,12 @@
 import { SoloRun } from './solo-run.js';
 import type { RunningTask, TaskHost, TaskRun } from './task-host.js';
 
-/** One attempt of a task on one machine, from its start command until it is forgotten. */
+/** One attempt of a task on one machine, from its start command until a forget command removes it. */
 export class HostedTask implements RunningTask {
   state: TaskState = 'fetching';
   private cause: Cause | null = null;
   private checkpointed = false;
-  private claim: ImageClaim | null = null;
+  private imageClaim: ImageClaim | null = null;
   private run: TaskRun | null = null;
   private readonly timers = new Set<Timer>();
 
@@ -25,57 +25,57 @@
     return this.state === 'exited';
   }
 
-  heartbeat(): TaskStatus {
+  status(): TaskStatus {
     const { state, cause, checkpointed } = this;
     return { ...this.ref, state, cause, checkpointed };
   }
 
-  /** Waits for its image, then runs. */
+  /** Fetches the image of the task, then runs the task. */
   begin(): void {
     const { image, imageGb } = this.program.job;
     this.host.observer({ kind: 'task-assigned', machine: this.host.machine, task: this.ref });
     this.host.taskChanged();
-    this.claim = this.host.images.claim(image, imageGb, () => {
+    this.imageClaim = this.host.images.claim(image, imageGb, () => {
       this.start();
     });
-    if (this.claim.ready) this.start();
+    if (this.imageClaim.ready) this.start();
   }
 
-  /** Carries out a stop command. */
+  /** Executes a stop command. */
   stop(graceS: number): void {
     if (this.exited) return;
     if (this.run === null) this.exit('stopped');
     else this.run.stop(graceS);
   }
 
-  /** The lease has ended or the machine is gone. */
+  /** Ends the task because the worker's lease has expired or the machine is gone. */
   kill(): void {
-    if (!this.exited) this.leave('killed');
+    if (!this.exited) this.cleanUp('killed');
   }
 
   exit(cause: Cause, checkpointed = false): void {
     if (this.exited) return;
     this.cause = cause;
     this.checkpointed = checkpointed;
-    this.leave(cause);
+    this.cleanUp(cause);
     this.host.taskChanged();
   }
 
-  enter(state: TaskState): void {
+  setState(state: TaskState): void {
     this.state = state;
     this.host.taskChanged();
   }
 
-  hangs(hanging: boolean): void {
-    if (!this.exited) this.run?.hangs(hanging);
+  setHanging(hanging: boolean): void {
+    if (!this.exited) this.run?.setHanging(hanging);
   }
 
   speedChanged(): void {
     if (!this.exited) this.run?.speedChanged();
   }
 
-  /** Calls back after so many seconds of the machine's clock unless the task has left by then. */
-  after(seconds: number, callback: () => void): void {
+  /** Calls back after the given seconds of the machine's clock, unless the task has exited by then. */
+  setTimer(seconds: number, callback: () => void): void {
     const timer = this.host.clock.setTimer(() => {
       this.timers.delete(timer);
       callback();
@@ -94,12 +94,12 @@
     this.run = isGang ? host.gangs.join(this) : new SoloRun(this);
   }
 
-  private leave(cause: LeaveCause): void {
+  private cleanUp(cause: LeaveCause): void {
     this.state = 'exited';
     for (const timer of this.timers) timer.cancel();
     this.timers.clear();
-    this.claim?.release();
-    this.run?.ended();
+    this.imageClaim?.release();
+    this.run?.taskLeft();
     const { machine, observer } = this.host;
     observer({ kind: 'task-left', machine, task: this.ref, cause });
   }
--- a/packages/testing/stand-ins/worker/image-cache.ts
+++ b/packages/testing/stand-ins/worker/image-cache.ts
@@ -1,49 +1,49 @@
-/** The images of one machine and their fetches. */
+/** The image cache of one machine and its fetches. */
 import type { Clock, Timer } from '#wire';
 
-/** A task's claim on an image, from its start command until it has left the machine. */
+/** A task's claim on an image, from the start command until the task has left the machine. */
 export interface ImageClaim {
-  /** The image was there already; there will be no callback. */
+  /** Whether the image was in the cache already, so that there is no callback. */
   readonly ready: boolean;
-  /** Gives the image up; its fetch ends if nobody else waits for it. */
+  /** Releases the claim. The fetch of an image without claims is cancelled. */
   release(): void;
 }
 
-/** What is lost in rounding. */
-const NEGLIGIBLE_GB = 1e-9;
+/** A missing amount up to this size is a rounding error: the image counts as complete. */
+const ROUNDING_TOLERANCE_GB = 1e-9;
 
 interface Image {
   name: string;
   sizeGb: number;
-  /** What is still to be fetched. */
+  /** Amount that is still to be fetched. */
   missingGb: number;
   claims: Set<() => void>;
   lastUsedAt: number;
 }
 
-/** The images of one machine: fetched once for all tasks, the most recently used ones kept. */
+/** Fetches each image once for all tasks of a machine, and evicts the least recently used images. */
 export class ImageCache {
   private readonly images = new Map<string, Image>();
-  private countedAt: number;
-  private nextArrival: Timer | null = null;
+  private updatedAt: number;
+  private arrivalTimer: Timer | null = null;
   private paused = false;
 
   constructor(
     private readonly clock: Clock,
     private readonly capacityGb: number,
-    /** Shared by all fetches under way. */
+    /** Total fetch rate, shared by all fetches in progress. */
     private readonly fetchGbPerS: number,
   ) {
-    this.countedAt = clock.now();
+    this.updatedAt = clock.now();
   }
 
-  /** Calls back once the image has arrived, unless it is there already. */
+  /** Claims an image. Calls back when the image is fetched, unless it is in the cache already. */
   claim(name: string, sizeGb: number, onReady: () => void): ImageClaim {
-    this.countFetched();
+    this.updateFetched();
     const image = this.images.get(name) ?? this.add(name, sizeGb);
     image.claims.add(onReady);
     image.lastUsedAt = this.clock.now();
-    this.planNextArrival();
+    this.scheduleNextArrival();
     return {
       ready: image.missingGb === 0,
       release: () => {
@@ -52,17 +52,17 @@
     };
   }
 
-  /** Nothing arrives until resume(). */
+  /** Stops all fetches until resume() is called. */
   pause(): void {
-    this.countFetched();
+    this.updateFetched();
     this.paused = true;
-    this.planNextArrival();
+    this.scheduleNextArrival();
   }
 
   resume(): void {
-    this.countedAt = this.clock.now();
+    this.updatedAt = this.clock.now();
     this.paused = false;
-    this.planNextArrival();
+    this.scheduleNextArrival();
   }
 
   private add(name: string, sizeGb: number): Image {
@@ -72,48 +72,48 @@
   }
 
   private release(image: Image, onReady: () => void): void {
-    this.countFetched();
+    this.updateFetched();
     image.claims.delete(onReady);
     image.lastUsedAt = this.clock.now();
     if (image.claims.size === 0 && image.missingGb > 0) this.images.delete(image.name);
-    this.planNextArrival();
+    this.scheduleNextArrival();
   }
 
   private fetching(): Image[] {
     return [...this.images.values()].filter((image) => image.missingGb > 0);
   }
 
-  /** Adds what has arrived since the last count; the fetches share the rate evenly. */
-  private countFetched(): void {
+  /** Updates the missing amounts of all fetches, which share the rate equally. */
+  private updateFetched(): void {
     const now = this.clock.now();
     const fetching = this.fetching();
     if (!this.paused && fetching.length > 0) {
-      const eachGb = ((now - this.countedAt) * this.fetchGbPerS) / fetching.length;
+      const eachGb = ((now - this.updatedAt) * this.fetchGbPerS) / fetching.length;
       for (const image of fetching) {
         const leftGb = image.missingGb - eachGb;
-        image.missingGb = leftGb > NEGLIGIBLE_GB ? leftGb : 0;
+        image.missingGb = leftGb > ROUNDING_TOLERANCE_GB ? leftGb : 0;
       }
     }
-    this.countedAt = now;
+    this.updatedAt = now;
   }
 
-  private planNextArrival(): void {
-    this.nextArrival?.cancel();
-    this.nextArrival = null;
+  private scheduleNextArrival(): void {
+    this.arrivalTimer?.cancel();
+    this.arrivalTimer = null;
     const fetching = this.fetching();
     if (this.paused || fetching.length === 0) return;
     const leastGb = Math.min(...fetching.map((image) => image.missingGb));
     const waitS = (leastGb * fetching.length) / this.fetchGbPerS;
-    this.nextArrival = this.clock.setTimer(() => {
-      this.deliver(fetching);
+    this.arrivalTimer = this.clock.setTimer(() => {
+      this.finishFetches(fetching);
     }, waitS * 1000);
   }
 
-  private deliver(fetching: Image[]): void {
-    this.countFetched();
+  private finishFetches(fetching: Image[]): void {
+    this.updateFetched();
     const arrived = fetching.filter((image) => image.missingGb === 0);
     this.evict();
-    this.planNextArrival();
+    this.scheduleNextArrival();
     for (const image of arrived) {
       for (const onReady of [...image.claims]) {
         if (image.claims.has(onReady)) onReady();
@@ -121,7 +121,7 @@
     }
   }
 
-  /** Drops the images that were unused for longest until the rest fits. */
+  /** Removes unclaimed images, least recently used first, until the rest fits into the capacity. */
   private evict(): void {
     const unused = [...this.images.values()]
       .filter((image) => image.claims.size === 0)
--- a/packages/testing/stand-ins/worker/node-choice.ts
+++ b/packages/testing/stand-ins/worker/node-choice.ts
@@ -1,33 +1,33 @@
-/** Which controller a worker sends its heartbeats to. */
-/** A controller as workers know it. */
+/** Selects the controller to which a worker sends its heartbeats. */
+/** Name and address of a controller, as configured for the workers. */
 export interface ControllerAddress {
   name: string;
   /** `host:port` */
   address: string;
 }
 
-/** The controller that a worker sends its heartbeats to, and the next one to try. */
-export class NodeChoice {
+/** The controller to which a worker sends its heartbeats; the first is chosen at random. */
+export class ControllerSelector {
   private index: number;
 
   constructor(
-    private readonly nodes: ControllerAddress[],
+    private readonly controllers: ControllerAddress[],
     random: () => number,
   ) {
-    this.index = Math.floor(random() * nodes.length);
+    this.index = Math.floor(random() * controllers.length);
   }
 
   get current(): ControllerAddress {
-    return this.nodes[this.index];
+    return this.controllers[this.index];
   }
 
-  moveToNext(): void {
-    this.index = (this.index + 1) % this.nodes.length;
+  selectNext(): void {
+    this.index = (this.index + 1) % this.controllers.length;
   }
 
-  /** Goes to the named node; false if there is none but the present one. */
-  moveTo(name: string | null): boolean {
-    const index = this.nodes.findIndex((node) => node.name === name);
+  /** Selects the named controller. Returns false if the name is unknown or already selected. */
+  select(name: string | null): boolean {
+    const index = this.controllers.findIndex((node) => node.name === name);
     if (index < 0 || index === this.index) return false;
     this.index = index;
     return true;
--- a/packages/testing/stand-ins/worker/worker.ts
+++ b/packages/testing/stand-ins/worker/worker.ts
@@ -1,4 +1,4 @@
-/** A worker as the protocol describes it: the program that runs on each provisioned machine. */
+/** Stand-in for the worker, the program that runs on each provisioned machine. */
 import { MalformedBody, parseHostPort, heartbeatToWire, type Heartbeat, type Runtime } from '#wire';
 import { parseHeartbeatAnswer, type DirectCommand, type HeartbeatAnswer } from '#wire/serving';
 import type { MachineFacts, Observer } from '../events.js';
@@ -14,7 +14,7 @@
 import { AgentEpochState } from './agent-epoch.js';
 import type { MachineTraits, WorkerSurroundings } from './worker-setup.js';
 
-/** Hosts tasks, sends heartbeats and carries out the commands of the leader. */
+/** Hosts tasks, sends heartbeats and executes the commands of the leader. */
 export class Worker implements TaskHost {
   readonly clock: FreezableClock;
   readonly images: ImageCache;
@@ -23,22 +23,26 @@
   private readonly heartbeatSender: HeartbeatSender;
   private readonly server: CommandServer;
   private address: string;
-  private reclaimedAt: number | null = null;
-  /** When a higher fencing token last counted as a change. */
-  private fencingTokenRecordedAt = -Infinity;
-  /** Agent epoch of the heartbeat that is under way. */
+  private reclaimAt: number | null = null;
+  /** When a higher fencing token last triggered an early heartbeat. */
+  private fencingTokenChangeAt = -Infinity;
+  /** Agent epoch of the heartbeat in flight. */
   private sentAgentEpoch = 0;
-  private off = false;
+  private poweredOff = false;
 
   constructor(
     runtime: Runtime,
     readonly facts: MachineFacts,
     private readonly traits: MachineTraits,
-    private readonly surroundings: WorkerSurroundings,
+    private readonly environment: WorkerSurroundings,
   ) {
     this.clock = new FreezableClock(runtime.clock);
-    const frozen: Runtime = { ...runtime, clock: this.clock, random: () => runtime.random() };
-    const { times, controllers, lateCommands } = surroundings;
+    const freezableRuntime: Runtime = {
+      ...runtime,
+      clock: this.clock,
+      random: () => runtime.random(),
+    };
+    const { times, controllers, lateCommands } = environment;
     this.address = facts.address;
     this.images = new ImageCache(this.clock, facts.type.cacheGb, traits.fetchGbPerS);
     this.tasks = new TaskTable(facts.type, this);
@@ -46,15 +50,15 @@
       runtime.clock,
       times.leaseS,
       () => {
-        this.leaseEnded();
+        this.handleLeaseExpiry();
       },
       () => {
-        this.fencingTokenRose();
+        this.handleHigherFencingToken();
       },
     );
     const source = this.heartbeatSource();
     this.heartbeatSender = new HeartbeatSender(
-      frozen,
+      freezableRuntime,
       times.heartbeatIntervalS,
       controllers,
       source,
@@ -66,22 +70,22 @@
     return this.facts.name;
   }
   get times(): WorkerTimes {
-    return this.surroundings.times;
+    return this.environment.times;
   }
   get storage(): JobStorage {
-    return this.surroundings.storage;
+    return this.environment.storage;
   }
   get gangs(): GangNetwork {
-    return this.surroundings.gangs;
+    return this.environment.gangs;
   }
   get observer(): Observer {
-    return this.surroundings.observer;
+    return this.environment.observer;
   }
   get speed(): number {
     return this.traits.speed;
   }
 
-  /** Accepts commands and sends heartbeats from now on. */
+  /** Starts to accept commands and to send heartbeats. */
   async start(): Promise<void> {
     this.observer({ kind: 'machine-up', machine: this.facts });
     const bound = await this.server.listen(parseHostPort(this.facts.address));
@@ -89,10 +93,10 @@
     void this.heartbeatSender.run();
   }
 
-  /** The machine is gone, and everything on it. */
+  /** Ends the worker and kills all of its tasks, since the machine is gone. */
   powerOff(): void {
-    if (this.off) return;
-    this.off = true;
+    if (this.poweredOff) return;
+    this.poweredOff = true;
     this.heartbeatSender.stop();
     this.server.close();
     this.agentEpoch.close();
@@ -100,7 +104,7 @@
     this.observer({ kind: 'machine-gone', machine: this.machine });
   }
 
-  /** Nothing on the machine goes on until resume(); its lease does. */
+  /** Suspends everything on the machine until resume(), except that the lease keeps running. */
   hang(): void {
     this.setHanging(true);
   }
@@ -113,15 +117,15 @@
     return this.clock.isFrozen;
   }
 
-  /** Its heartbeats arrive; answers and commands do not. */
-  setDeaf(deaf: boolean): void {
-    this.heartbeatSender.deaf = deaf;
-    this.server.deaf = deaf;
+  /** Blocks answers and commands; heartbeats still reach the controllers. */
+  setDeaf(blocked: boolean): void {
+    this.heartbeatSender.answersBlocked = blocked;
+    this.server.commandsBlocked = blocked;
   }
 
-  /** It reaches no controller; commands still reach it. */
-  setMute(mute: boolean): void {
-    this.heartbeatSender.mute = mute;
+  /** Blocks heartbeats; commands of controllers still reach the worker. */
+  setMute(blocked: boolean): void {
+    this.heartbeatSender.heartbeatsBlocked = blocked;
   }
 
   setSpeed(speed: number): void {
@@ -129,14 +133,14 @@
     for (const task of this.tasks.all()) task.speedChanged();
   }
 
-  /** Tasks that start from now on fail after so many seconds. */
+  /** Makes tasks that start from now on fail after the given seconds; null: they don't fail. */
   failTasksAfter(seconds: number | null): void {
     this.traits.tasksFailAfterS = seconds;
   }
 
-  /** The cloud will take the machine in about so many seconds. */
+  /** Announces that the cloud will reclaim the machine in about `noticeS` seconds. */
   giveNotice(noticeS: number): void {
-    this.reclaimedAt = this.clock.now() + noticeS;
+    this.reclaimAt = this.clock.now() + noticeS;
     this.observer({ kind: 'machine-noticed', machine: this.machine });
     this.heartbeatSender.recordChange();
   }
@@ -153,8 +157,8 @@
     return this.clock.whenRunning();
   }
 
-  command(command: DirectCommand): boolean {
-    if (this.off || !this.agentEpoch.admitCommand(command)) return false;
+  executeCommand(command: DirectCommand): boolean {
+    if (this.poweredOff || !this.agentEpoch.admitCommand(command)) return false;
     this.tasks.execute(command.orders);
     return true;
   }
@@ -170,8 +174,8 @@
       agentEpoch: this.agentEpoch.current,
       sequence: this.agentEpoch.nextSequence(),
       fencingToken: this.agentEpoch.highestFencingToken,
-      noticeS: this.reclaimedAt === null ? null : Math.max(0, this.reclaimedAt - this.clock.now()),
-      tasks: this.tasks.heartbeats(),
+      noticeS: this.reclaimAt === null ? null : Math.max(0, this.reclaimAt - this.clock.now()),
+      tasks: this.tasks.statuses(),
     };
   }
 
@@ -182,57 +186,57 @@
         return heartbeatToWire(this.nextHeartbeat());
       },
       answered: (body, sentAt, node) => {
-        this.answered(body, sentAt, node);
+        this.handleAnswer(body, sentAt, node);
       },
       sent: (body, node) => {
-        this.surroundings.lateHeartbeats.heartbeatSent(this.machine, body, node);
+        this.environment.lateHeartbeats.heartbeatSent(this.machine, body, node);
       },
       exchanged: (status, sentAtS, { name: controller }) => {
         const endedAtS = this.clock.now();
         const exchange = { machine: this.machine, controller, status, sentAtS, endedAtS };
-        this.surroundings.heartbeatObserver?.exchanged(exchange);
+        this.environment.heartbeatObserver?.exchanged(exchange);
       },
       whenRunning: () => this.clock.whenRunning(),
     };
   }
 
-  private answered(body: unknown, sentAt: number, node: ControllerAddress): void {
+  private handleAnswer(body: unknown, sentAt: number, node: ControllerAddress): void {
     const answer = readAnswer(body);
     const heartbeat = { agentEpoch: this.sentAgentEpoch, sentAt };
     if (answer === null || !this.agentEpoch.admitAnswer(answer.fencingToken, heartbeat)) return;
     const { highestFencingToken } = this.agentEpoch;
-    this.surroundings.heartbeatObserver?.obeyed?.(this.machine, node.name, highestFencingToken);
+    this.environment.heartbeatObserver?.obeyed?.(this.machine, node.name, highestFencingToken);
     this.tasks.execute(answer.orders);
-    this.surroundings.lateHeartbeats.obeyed(node);
+    this.environment.lateHeartbeats.answerAccepted(node);
   }
 
-  private leaseEnded(): void {
-    this.surroundings.heartbeatObserver?.leaseEnded(this.machine);
+  private handleLeaseExpiry(): void {
+    this.environment.heartbeatObserver?.leaseEnded(this.machine);
     this.tasks.killAll();
     this.heartbeatSender.recordChange();
   }
 
-  /** A higher fencing token counts as a change at most once in half of a lease. */
-  private fencingTokenRose(): void {
+  /** Sends an early heartbeat for a higher fencing token, at most once per half lease. */
+  private handleHigherFencingToken(): void {
     const now = this.clock.now();
-    if (now - this.fencingTokenRecordedAt < this.times.leaseS / 2) return;
-    this.fencingTokenRecordedAt = now;
+    if (now - this.fencingTokenChangeAt < this.times.leaseS / 2) return;
+    this.fencingTokenChangeAt = now;
     this.heartbeatSender.recordChange();
   }
 
   private setHanging(hanging: boolean): void {
-    if (this.off || hanging === this.hanging) return;
+    if (this.poweredOff || hanging === this.hanging) return;
     this.observer({ kind: 'machine-hangs', machine: this.machine, hanging });
     if (hanging) {
       this.clock.freeze();
       this.images.pause();
     } else this.images.resume();
-    for (const task of this.tasks.all()) task.hangs(hanging);
+    for (const task of this.tasks.all()) task.setHanging(hanging);
     if (!hanging) this.clock.thaw();
   }
 }
 
-/** An answer that cannot be read is dropped. */
+/** Parses the answer to a heartbeat; returns null if it is malformed. */
 function readAnswer(body: unknown): HeartbeatAnswer | null {
   try {
     return parseHeartbeatAnswer(body);
--- a/packages/testing/stand-ins/world-state.ts
+++ b/packages/testing/stand-ins/world-state.ts
@@ -1,31 +1,30 @@
-/** The true state of the machines and tasks of a run. */
+/** The actual state of the machines and tasks of a simulation. */
 import { taskName, type TaskRef } from '#wire';
 import type { MachineFacts, WorldEvent } from './events.js';
 
 /** One attempt of a task on a machine. */
-export interface PlacedTask {
+export interface TaskPlacement {
   machine: string;
   task: TaskRef;
-  /** It has its image: it counts as being on the machine. */
+  /** Whether the image of the task is complete, so that the task counts as being on the machine. */
   started: boolean;
 }
 
-/** A machine that is up, and the tasks on it. */
+/** A machine that is up, and its tasks by attempt key. */
 export interface MachineState {
   facts: MachineFacts;
   hanging: boolean;
-  /** The cloud has announced that it will take the machine. */
+  /** Whether the cloud has announced that it will reclaim the machine. */
   noticed: boolean;
-  tasks: Map<string, PlacedTask>;
+  tasks: Map<string, TaskPlacement>;
 }
 
-/** The true state of all machines and results, kept current by the events of the stand-ins. */
+/** The actual state of all machines and results, updated by the events of the stand-ins. */
 export class WorldState {
   readonly machines = new Map<string, MachineState>();
-  private readonly placesOfJob = new Map<string, Set<PlacedTask>>();
+  private readonly placementsByJob = new Map<string, Set<TaskPlacement>>();
   private readonly completed = new Map<string, Set<number>>();
 
-  /** Applies an event. */
   apply(event: WorldEvent): void {
     switch (event.kind) {
       case 'machine-up': {
@@ -44,13 +43,13 @@
         this.machine(event.machine).hanging = event.hanging;
         break;
       case 'task-assigned':
-        this.place({ machine: event.machine, task: event.task, started: false });
+        this.addPlacement({ machine: event.machine, task: event.task, started: false });
         break;
       case 'task-started':
         this.markStarted(event.machine, event.task);
         break;
       case 'task-left':
-        this.remove(event.machine, event.task);
+        this.removePlacement(event.machine, event.task);
         break;
       case 'task-completed':
         this.completed.set(event.job, this.completedTasks(event.job).add(event.index));
@@ -58,57 +57,57 @@
     }
   }
 
-  /** A machine that is up; throws if it is not. */
+  /** Returns a machine that is up; throws if the machine is not up. */
   machine(name: string): MachineState {
     const machine = this.machines.get(name);
     if (!machine) throw new Error(`machine ${name} is not up`);
     return machine;
   }
 
-  /** Where tasks of the job are, or wait for their images. */
-  places(job: string): PlacedTask[] {
-    return [...(this.placesOfJob.get(job) ?? [])];
+  /** Returns the tasks of the job on all machines, including tasks that wait for their images. */
+  places(job: string): TaskPlacement[] {
+    return [...(this.placementsByJob.get(job) ?? [])];
   }
 
-  /** The tasks of the job that are on machines. */
-  started(job: string): PlacedTask[] {
-    return this.places(job).filter((place) => place.started);
+  /** Returns the tasks of the job whose images are complete. */
+  started(job: string): TaskPlacement[] {
+    return this.places(job).filter((placement) => placement.started);
   }
 
-  /** Jobs that have a task on a machine. */
+  /** Returns the jobs of which at least one task has its image. */
   startedJobs(): string[] {
-    return [...this.placesOfJob.keys()].filter((job) => this.started(job).length > 0);
+    return [...this.placementsByJob.keys()].filter((job) => this.started(job).length > 0);
   }
 
   completedTasks(job: string): Set<number> {
     return this.completed.get(job) ?? new Set();
   }
 
-  private place(place: PlacedTask): void {
-    const { machine, task } = place;
-    this.machine(machine).tasks.set(attemptKey(task), place);
-    const places = this.placesOfJob.get(task.job) ?? new Set();
-    this.placesOfJob.set(task.job, places.add(place));
+  private addPlacement(placement: TaskPlacement): void {
+    const { machine, task } = placement;
+    this.machine(machine).tasks.set(attemptKey(task), placement);
+    const jobPlacements = this.placementsByJob.get(task.job) ?? new Set();
+    this.placementsByJob.set(task.job, jobPlacements.add(placement));
   }
 
   private markStarted(machine: string, task: TaskRef): void {
-    const place = this.machines.get(machine)?.tasks.get(attemptKey(task));
-    if (place) place.started = true;
-    else this.place({ machine, task, started: true });
+    const placement = this.machines.get(machine)?.tasks.get(attemptKey(task));
+    if (placement) placement.started = true;
+    else this.addPlacement({ machine, task, started: true });
   }
 
-  private remove(machine: string, task: TaskRef): void {
+  private removePlacement(machine: string, task: TaskRef): void {
     const tasks = this.machine(machine).tasks;
-    const place = tasks.get(attemptKey(task));
-    if (!place) return;
+    const placement = tasks.get(attemptKey(task));
+    if (!placement) return;
     tasks.delete(attemptKey(task));
-    const places = this.placesOfJob.get(task.job);
-    places?.delete(place);
-    if (places?.size === 0) this.placesOfJob.delete(task.job);
+    const jobPlacements = this.placementsByJob.get(task.job);
+    jobPlacements?.delete(placement);
+    if (jobPlacements?.size === 0) this.placementsByJob.delete(task.job);
   }
 }
 
-/** A key of one attempt of a task; attempts on several machines may share it. */
+/** Returns the key of one attempt of a task. Attempts on different machines may have the same key. */
 export function attemptKey({ job, index, attempt }: TaskRef): string {
   return `${taskName(job, index)} ${attempt}`;
 }
