--- a/packages/testing/stand-ins/checker/answer-checks.ts
+++ b/packages/testing/stand-ins/checker/answer-checks.ts
@@ -17,7 +17,7 @@
 
   onEvent(event: WorldEvent): void {
     if (event.kind !== 'answered') return;
-    const record = this.context.ledger.get(event.request.job);
+    const record = this.context.jobRecords.get(event.request.job);
     if (event.status >= 300) this.checkRefusal(event, record);
     else if (!record)
       this.recordViolation('invented', event, `nobody submitted it, and it is called known`);
@@ -28,23 +28,24 @@
   /** A 404, 400 or 422 for a job whose acceptance the user knew when asking. */
   private checkRefusal(answer: Answer, record: JobRecord | undefined): void {
     const { request, status } = answer;
-    const isFinal = request.kind === 'submit' && (status === 400 || status === 422);
-    const knownAt = record?.acceptedAt ?? Infinity;
-    if (knownAt > this.context.ledger.sent(request)) {
-      const isWrong = isFinal && record?.runnable && this.areDependenciesAccepted(record, request);
+    const isPermanent = request.kind === 'submit' && (status === 400 || status === 422);
+    const acceptedAt = record?.acceptedAt ?? Infinity;
+    if (acceptedAt > this.context.jobRecords.sendTime(request)) {
+      const isWrong =
+        isPermanent && record?.runnable && this.areDependenciesAccepted(record, request);
       if (isWrong) this.recordViolation('refused_fit', answer, 'it can run');
       return;
     }
-    if (status === 404 || isFinal) {
-      this.recordViolation('forgotten', answer, `accepted at ${knownAt.toFixed(3)} s`);
+    if (status === 404 || isPermanent) {
+      this.recordViolation('forgotten', answer, `accepted at ${acceptedAt.toFixed(3)} s`);
     }
   }
 
   /** The user knew that all dependencies of the job were accepted when the request was sent. */
   private areDependenciesAccepted({ job }: JobRecord, request: UserRequest): boolean {
-    const { ledger } = this.context;
-    const acceptedAt = job.awaits.map((id) => ledger.get(id)?.acceptedAt ?? Infinity);
-    return acceptedAt.every((atS) => atS <= ledger.sent(request));
+    const { jobRecords } = this.context;
+    const acceptedAt = job.awaits.map((id) => jobRecords.get(id)?.acceptedAt ?? Infinity);
+    return acceptedAt.every((atS) => atS <= jobRecords.sendTime(request));
   }
 
   private checkPhase(answer: Answer, record: JobRecord): void {
@@ -53,19 +54,21 @@
     if (phase === 'aborted' && !this.wasCancelled(record)) {
       this.recordViolation('went_back', answer, 'its user did not cancel it');
     }
-    const { final } = record;
-    if (final === null || phase === final.phase) return;
+    const { finalAnswer } = record;
+    if (finalAnswer === null || phase === finalAnswer.phase) return;
     const contradicts = phase === 'done' || phase === 'aborted';
-    if (contradicts || final.toldAt <= this.context.ledger.sent(answer.request)) {
-      const before = `${final.phase} at ${final.toldAt.toFixed(3)} s`;
+    if (contradicts || finalAnswer.answeredAt <= this.context.jobRecords.sendTime(answer.request)) {
+      const before = `${finalAnswer.phase} at ${finalAnswer.answeredAt.toFixed(3)} s`;
       this.recordViolation('went_back', answer, `it was called ${before}`);
     }
   }
 
   /** Its user, or that of one of its dependencies, has asked for it. */
-  private wasCancelled({ job, cancelAskedAt }: JobRecord): boolean {
-    const needed = this.context.ledger.neededBy(job.id);
-    return cancelAskedAt !== null || needed.some((each) => each.cancelAskedAt !== null);
+  private wasCancelled({ job, cancelRequestedAt }: JobRecord): boolean {
+    const dependencies = this.context.jobRecords.dependenciesOf(job.id);
+    return (
+      cancelRequestedAt !== null || dependencies.some((each) => each.cancelRequestedAt !== null)
+    );
   }
 
   private checkDone(answer: Answer, { job }: JobRecord): void {
@@ -75,7 +78,7 @@
   }
 
   private recordViolation(rule: Rule, { request, status, phase }: Answer, reason: string): void {
-    const sentAt = this.context.ledger.sent(request).toFixed(3);
+    const sentAt = this.context.jobRecords.sendTime(request).toFixed(3);
     const answer = phase === null ? `${status}` : `${status} ${phase}`;
     const explanation = `${request.kind} sent at ${sentAt} s is answered ${answer}: ${reason}`;
     this.context.recordViolation({ rule, job: request.job, explanation });
--- a/packages/testing/stand-ins/checker/cancel-checks.ts
+++ b/packages/testing/stand-ins/checker/cancel-checks.ts
@@ -6,7 +6,7 @@
 /** Checks that the tasks of a cancelled job stop in time and do not start again. */
 export class CancelChecks implements Check {
   /** Jobs whose cancellation was confirmed, and when. */
-  private readonly confirmed = new Map<string, number>();
+  private readonly confirmationTimes = new Map<string, number>();
 
   constructor(
     private readonly context: CheckContext,
@@ -17,18 +17,18 @@
     if (event.kind === 'task-started') this.checkStart(event.machine, event.task);
     if (event.kind !== 'answered' || event.phase !== 'aborted') return;
     const { job } = event.request;
-    if (this.confirmed.has(job)) return;
-    this.confirmed.set(job, this.context.now());
+    if (this.confirmationTimes.has(job)) return;
+    this.confirmationTimes.set(job, this.context.now());
     this.clock.setTimer(
       () => {
-        this.checkGone(job);
+        this.checkTasksStopped(job);
       },
       this.context.settings.cancelS * 1000 + 1,
     );
   }
 
   private checkStart(machine: string, task: TaskRef): void {
-    const confirmedAt = this.confirmed.get(task.job);
+    const confirmedAt = this.confirmationTimes.get(task.job);
     if (confirmedAt === undefined) return;
     const agoS = this.context.now() - confirmedAt;
     this.context.recordViolation({
@@ -40,7 +40,7 @@
     });
   }
 
-  private checkGone(job: string): void {
+  private checkTasksStopped(job: string): void {
     for (const { machine, task } of this.context.state.started(job)) {
       this.context.recordViolation({
         rule: 'ran_cancelled',
--- a/packages/testing/stand-ins/checker/check.ts
+++ b/packages/testing/stand-ins/checker/check.ts
@@ -2,7 +2,7 @@
 import type { Job } from '#wire';
 import type { WorldEvent } from '../events.js';
 import type { WorldState } from '../world-state.js';
-import type { JobLedger } from './job-ledger.js';
+import type { JobRecords } from './job-ledger.js';
 import type { Finding } from './violation.js';
 
 /** What a team's tasks may use at any moment; 0 means no limit. */
@@ -23,7 +23,7 @@
 export interface CheckContext {
   readonly settings: CheckerSettings;
   readonly state: WorldState;
-  readonly ledger: JobLedger;
+  readonly jobRecords: JobRecords;
   /** Seconds. */
   now(): number;
   /** When all faults had ended; null: some go on. */
@@ -39,7 +39,7 @@
 }
 
 /** Cores and accelerators that one task takes, as far as teams are limited. */
-export function teamUse(jobs: Iterable<{ job: Job; tasks: number }>): {
+export function totalResources(jobs: Iterable<{ job: Job; tasks: number }>): {
   cpus: number;
   gpus: number;
 } {
@@ -51,12 +51,12 @@
   return used;
 }
 
-const ROUNDING = 1e-6;
+const ROUNDING_TOLERANCE = 1e-6;
 
 /** Whether the resources in use are above a limit of the team. */
 export function exceedsLimit(used: { cpus: number; gpus: number }, limit: TeamLimit): boolean {
   return (
-    (limit.cpus > 0 && used.cpus > limit.cpus + ROUNDING) ||
-    (limit.gpus > 0 && used.gpus > limit.gpus + ROUNDING)
+    (limit.cpus > 0 && used.cpus > limit.cpus + ROUNDING_TOLERANCE) ||
+    (limit.gpus > 0 && used.gpus > limit.gpus + ROUNDING_TOLERANCE)
   );
 }
--- a/packages/testing/stand-ins/checker/dependency-checks.ts
+++ b/packages/testing/stand-ins/checker/dependency-checks.ts
@@ -11,12 +11,12 @@
     if (event.kind === 'task-started') this.checkStart(event.machine, event.task);
     if (event.kind !== 'answered' || event.status >= 300) return;
     if (event.phase === 'pending' || event.phase === 'running') {
-      this.checkOpen(event.request.job, event.phase);
+      this.checkUnfinished(event.request.job, event.phase);
     }
   }
 
   private checkStart(machine: string, task: TaskRef): void {
-    for (const { job } of this.context.ledger.neededBy(task.job)) {
+    for (const { job } of this.context.jobRecords.dependenciesOf(task.job)) {
       const completed = this.context.state.completedTasks(job.id).size;
       if (completed >= job.tasks) continue;
       this.context.recordViolation({
@@ -29,13 +29,14 @@
     }
   }
 
-  private checkOpen(job: string, phase: string): void {
-    const { ledger, settings } = this.context;
+  private checkUnfinished(job: string, phase: string): void {
+    const { jobRecords, settings } = this.context;
     const now = this.context.now();
-    for (const { job: needed, final } of ledger.neededBy(job)) {
-      if (final?.phase !== 'aborted' || now - final.toldAt <= settings.cancelS) continue;
-      const agoS = (now - final.toldAt).toFixed(1);
-      const explanation = `called ${phase} ${agoS} s after ${needed.id}, which it needs, was cancelled`;
+    for (const { job: dependency, finalAnswer } of jobRecords.dependenciesOf(job)) {
+      if (finalAnswer?.phase !== 'aborted' || now - finalAnswer.answeredAt <= settings.cancelS)
+        continue;
+      const agoS = (now - finalAnswer.answeredAt).toFixed(1);
+      const explanation = `called ${phase} ${agoS} s after ${dependency.id}, which it needs, was cancelled`;
       this.context.recordViolation({ rule: 'orphaned', job, explanation });
     }
   }
--- a/packages/testing/stand-ins/checker/rule-checker.ts
+++ b/packages/testing/stand-ins/checker/rule-checker.ts
@@ -9,8 +9,8 @@
 import { CancelChecks } from './cancel-checks.js';
 import type { Check, CheckContext, CheckerSettings } from './check.js';
 import { DependencyChecks } from './dependency-checks.js';
-import { JobLedger } from './job-ledger.js';
-import { SilenceCheck } from './silence-check.js';
+import { JobRecords } from './job-ledger.js';
+import { UnansweredCheck } from './silence-check.js';
 import { StartChecks } from './start-checks.js';
 import { breaksRule, ViolationLog, type Violation } from './violation.js';
 import { WaitingCheck } from './waiting-check.js';
@@ -24,28 +24,28 @@
   readonly observe: Observer = (event) => {
     this.apply(event);
   };
-  private readonly ledger: JobLedger;
-  private readonly log: ViolationLog;
+  private readonly jobRecords: JobRecords;
+  private readonly violationLog: ViolationLog;
   private readonly checks: Check[];
-  private readonly ticks: Timer;
+  private readonly tickTimer: Timer;
   private faultFreeSince: number | null = null;
-  private anyStart = false;
+  private anyTaskStarted = false;
 
   constructor(
     private readonly clock: Clock,
     settings: CheckerSettings,
   ) {
     const now = () => clock.now();
-    this.ledger = new JobLedger(now);
-    this.log = new ViolationLog(now);
+    this.jobRecords = new JobRecords(now);
+    this.violationLog = new ViolationLog(now);
     const context: CheckContext = {
       settings,
       state: this.state,
-      ledger: this.ledger,
+      jobRecords: this.jobRecords,
       now,
       faultFreeSince: () => this.faultFreeSince,
       recordViolation: (finding) => {
-        this.log.add(finding);
+        this.violationLog.add(finding);
       },
     };
     this.checks = [
@@ -53,10 +53,10 @@
       new CancelChecks(context, clock),
       new DependencyChecks(context),
       new AnswerChecks(context),
-      new SilenceCheck(context),
+      new UnansweredCheck(context),
       new WaitingCheck(context),
     ];
-    this.ticks = every(clock, TICK_MS, () => {
+    this.tickTimer = every(clock, TICK_MS, () => {
       this.tick();
     });
   }
@@ -71,30 +71,30 @@
   }
 
   /** All that was found so far. */
-  get findings(): readonly Violation[] {
-    return this.log.all;
+  get allViolations(): readonly Violation[] {
+    return this.violationLog.all;
   }
 
   /** Violations of rules, without what is only counted. */
   get violations(): Violation[] {
-    return this.log.all.filter(breaksRule);
+    return this.violationLog.all.filter(breaksRule);
   }
 
   /** Ends the run: checks what can only be known then, and returns all violations of rules. */
   finish(): Violation[] {
-    this.ticks.cancel();
-    if (!this.anyStart) {
-      this.log.add({ rule: 'nothing_ran', job: null, explanation: 'no task was started' });
+    this.tickTimer.cancel();
+    if (!this.anyTaskStarted) {
+      this.violationLog.add({ rule: 'nothing_ran', job: null, explanation: 'no task was started' });
     }
     return this.violations;
   }
 
   private apply(event: WorldEvent): void {
-    if (event.kind === 'task-started') this.anyStart = true;
+    if (event.kind === 'task-started') this.anyTaskStarted = true;
     this.state.apply(event);
-    this.ledger.recordRequest(event);
+    this.jobRecords.recordRequest(event);
     for (const check of this.checks) check.onEvent?.(event);
-    this.ledger.recordAnswer(event);
+    this.jobRecords.recordAnswer(event);
   }
 
   private tick(): void {
--- a/packages/testing/stand-ins/checker/sample-script.ts
+++ b/packages/testing/stand-ins/checker/sample-script.ts
@@ -7,13 +7,13 @@
 
 /** Seconds within which the tasks of a cancelled job must be gone in these tests. */
 export const CANCEL_S = 35;
-const JOB = 'j-000001';
+const JOB_ID = 'j-000001';
 
 /** What a test plays to the checker. */
-export type Play = (script: Script) => void | Promise<void>;
+export type ScriptSteps = (script: EventScript) => void | Promise<void>;
 
 /** Events and waits, played to a checker one after the other. */
-export class Script {
+export class EventScript {
   private readonly world = new SampleWorld();
   private readonly clock = this.world.runtime('10.9.0.1').clock;
   readonly checker = new RuleChecker(this.clock, {
@@ -25,73 +25,78 @@
     return this.world.run(seconds);
   }
 
-  say(...events: WorldEvent[]): void {
+  observe(...events: WorldEvent[]): void {
     for (const event of events) this.checker.observe(event);
   }
 
-  submitted(overrides: Partial<Job> = {}, runnable = true): void {
+  submitJob(overrides: Partial<Job> = {}, runnable = true): void {
     const job = aJob({ tasks: 2, ...overrides });
-    this.say({ kind: 'job-submitted', id: job.id, job, runnable });
+    this.observe({ kind: 'job-submitted', id: job.id, job, runnable });
   }
 
   /** Submits another job, which is accepted. */
-  async accepted(overrides: Partial<Job> & { id: string }): Promise<void> {
-    this.submitted(overrides);
-    await this.told('submit', 201, 'pending', overrides.id);
+  async submitAcceptedJob(overrides: Partial<Job> & { id: string }): Promise<void> {
+    this.submitJob(overrides);
+    await this.requestAndAnswer('submit', 201, 'pending', overrides.id);
   }
 
-  machine(name: string, zone = 'a', spot = false): void {
+  startMachine(name: string, zone = 'a', spot = false): void {
     const machine = { name, sound: true, address: '', type: STD, zone, spot };
-    this.say({ kind: 'machine-up', machine });
+    this.observe({ kind: 'machine-up', machine });
   }
 
-  start(machine: string, index = 0, attempt = 1, job = JOB): void {
+  startTask(machine: string, index = 0, attempt = 1, job = JOB_ID): void {
     const task = { job, index, attempt };
-    this.say({ kind: 'task-assigned', machine, task }, { kind: 'task-started', machine, task });
+    this.observe({ kind: 'task-assigned', machine, task }, { kind: 'task-started', machine, task });
   }
 
-  leave(machine: string, index = 0, attempt = 1, job = JOB): void {
+  endTask(machine: string, index = 0, attempt = 1, job = JOB_ID): void {
     const task = { job, index, attempt };
-    this.say({ kind: 'task-left', machine, task, cause: 'stopped' });
+    this.observe({ kind: 'task-left', machine, task, cause: 'stopped' });
   }
 
-  asked(kind: RequestKind, job = JOB): UserRequest {
+  sendRequest(kind: RequestKind, job = JOB_ID): UserRequest {
     const request = { kind, job };
-    this.say({ kind: 'asked', request });
+    this.observe({ kind: 'asked', request });
     return request;
   }
 
-  answered(request: UserRequest, status: number, phase: Phase | null = null): void {
-    this.say({ kind: 'answered', request, status, phase });
+  answerRequest(request: UserRequest, status: number, phase: Phase | null = null): void {
+    this.observe({ kind: 'answered', request, status, phase });
   }
 
   /** A request that is answered a little later. */
-  async told(kind: RequestKind, status: number, phase: Phase | null = null, job = JOB) {
-    const request = this.asked(kind, job);
+  async requestAndAnswer(
+    kind: RequestKind,
+    status: number,
+    phase: Phase | null = null,
+    job = JOB_ID,
+  ) {
+    const request = this.sendRequest(kind, job);
     await this.wait(0.01);
-    this.answered(request, status, phase);
+    this.answerRequest(request, status, phase);
   }
 
-  async cancelled(): Promise<void> {
-    this.say({ kind: 'cancel-asked', job: JOB });
-    await this.told('abort', 200, 'aborted');
+  async cancelJob(): Promise<void> {
+    this.observe({ kind: 'cancel-asked', job: JOB_ID });
+    await this.requestAndAnswer('abort', 200, 'aborted');
   }
 
-  completed(index: number, job = JOB): void {
-    this.say({ kind: 'task-completed', job, index });
+  completeTask(index: number, job = JOB_ID): void {
+    this.observe({ kind: 'task-completed', job, index });
   }
 
   /** An accepted job of two tasks, two machines in zone a and one in zone b. */
-  async begin(overrides: Partial<Job> = {}): Promise<void> {
-    for (const [name, zone] of ['a', 'a', 'b'].entries()) this.machine(`m-${name}`, zone);
-    this.machine('m-spot', 'a', true);
-    this.submitted(overrides);
-    await this.told('submit', 201, 'pending');
+  async setUp(overrides: Partial<Job> = {}): Promise<void> {
+    for (const [name, zone] of ['a', 'a', 'b'].entries()) this.startMachine(`m-${name}`, zone);
+    this.startMachine('m-spot', 'a', true);
+    this.submitJob(overrides);
+    await this.requestAndAnswer('submit', 201, 'pending');
   }
 
   /** The rules that were found broken, counted ones among them. */
-  rules(): string[] {
+  brokenRules(): string[] {
     this.checker.finish();
-    return this.checker.findings.map(({ rule }) => rule);
+    return this.checker.allViolations.map(({ rule }) => rule);
   }
 }
--- a/packages/testing/stand-ins/checker/silence-check.ts
+++ b/packages/testing/stand-ins/checker/silence-check.ts
@@ -3,16 +3,16 @@
 import type { Check, CheckContext } from './check.js';
 
 /** All questions about one job fail for so long while most others are answered. */
-const SILENCE_AMONG_ANSWERS_S = 90;
+const UNANSWERED_WHILE_OTHERS_ANSWERED_S = 90;
 /** No question about a job is answered for so long once all faults have ended. */
-const SILENCE_WITHOUT_FAULTS_S = 75;
+const UNANSWERED_WITHOUT_FAULTS_S = 75;
 
 /** Checks that no job is left without answers while others get them. */
-export class SilenceCheck implements Check {
+export class UnansweredCheck implements Check {
   /** When the first question was sent that failed since the last answer, by job. */
   private readonly failingSince = new Map<string, number>();
   /** Whether the polls that ended lately were answered. */
-  private recent: { atS: number; answered: boolean }[] = [];
+  private recentPolls: { atS: number; answered: boolean }[] = [];
 
   constructor(private readonly context: CheckContext) {}
 
@@ -20,34 +20,37 @@
     if (event.kind !== 'answered' && event.kind !== 'unanswered') return;
     const { request } = event;
     const answered = event.kind === 'answered' && (event.status < 300 || event.status === 404);
-    if (request.kind === 'poll') this.recent.push({ atS: this.context.now(), answered });
+    if (request.kind === 'poll') this.recentPolls.push({ atS: this.context.now(), answered });
     if (answered) this.failingSince.delete(request.job);
     else if (request.kind === 'poll' && !this.failingSince.has(request.job)) {
-      this.failingSince.set(request.job, this.context.ledger.sent(request));
+      this.failingSince.set(request.job, this.context.jobRecords.sendTime(request));
     }
   }
 
   onTick(): void {
     const now = this.context.now();
-    this.recent = this.recent.filter(({ atS }) => atS > now - SILENCE_AMONG_ANSWERS_S);
+    this.recentPolls = this.recentPolls.filter(
+      ({ atS }) => atS > now - UNANSWERED_WHILE_OTHERS_ANSWERED_S,
+    );
     for (const [job, since] of this.failingSince) {
-      const record = this.context.ledger.get(job);
-      if (typeof record?.acceptedAt !== 'number' || record.final !== null) continue;
-      this.checkSilence(job, since, now);
+      const record = this.context.jobRecords.get(job);
+      if (typeof record?.acceptedAt !== 'number' || record.finalAnswer !== null) continue;
+      this.checkUnanswered(job, since, now);
     }
   }
 
-  private checkSilence(job: string, since: number, now: number): void {
+  private checkUnanswered(job: string, since: number, now: number): void {
     const faultFreeSince = this.context.faultFreeSince() ?? Infinity;
-    const withoutFaults = now - Math.max(since, faultFreeSince) >= SILENCE_WITHOUT_FAULTS_S;
-    const amongAnswers = now - since >= SILENCE_AMONG_ANSWERS_S && this.mostAreAnswered();
-    if (!withoutFaults && !amongAnswers) return;
+    const withoutFaults = now - Math.max(since, faultFreeSince) >= UNANSWERED_WITHOUT_FAULTS_S;
+    const whileOthersAnswered =
+      now - since >= UNANSWERED_WHILE_OTHERS_ANSWERED_S && this.mostPollsAnswered();
+    if (!withoutFaults && !whileOthersAnswered) return;
     const explanation = `no question was answered since ${since.toFixed(3)} s`;
     this.context.recordViolation({ rule: 'forgotten', job, explanation });
   }
 
-  private mostAreAnswered(): boolean {
-    const answered = this.recent.filter((poll) => poll.answered).length;
-    return answered > this.recent.length / 2;
+  private mostPollsAnswered(): boolean {
+    const answered = this.recentPolls.filter((poll) => poll.answered).length;
+    return answered > this.recentPolls.length / 2;
   }
 }
--- a/packages/testing/stand-ins/checker/start-checks.ts
+++ b/packages/testing/stand-ins/checker/start-checks.ts
@@ -2,7 +2,7 @@
 import { taskName, type Job, type TaskRef } from '#wire';
 import type { WorldEvent } from '../events.js';
 import type { MachineState } from '../world-state.js';
-import { exceedsLimit, teamUse, type Check, type CheckContext } from './check.js';
+import { exceedsLimit, totalResources, type Check, type CheckContext } from './check.js';
 
 /** Checks each start of a task against the true state of all machines. */
 export class StartChecks implements Check {
@@ -10,15 +10,15 @@
 
   onEvent(event: WorldEvent): void {
     if (event.kind !== 'task-started') return;
-    this.checkOnce(event.machine, event.task);
+    this.checkNotElsewhere(event.machine, event.task);
     const machine = this.context.state.machines.get(event.machine);
-    const job = this.context.ledger.get(event.task.job)?.job;
+    const job = this.context.jobRecords.get(event.task.job)?.job;
     if (!machine || !job) return;
-    this.checkPlace(machine, event.task, job);
+    this.checkPlacement(machine, event.task, job);
     this.checkQuota(machine, event.task, job);
   }
 
-  private checkOnce(machine: string, task: TaskRef): void {
+  private checkNotElsewhere(machine: string, task: TaskRef): void {
     const others = this.context.state
       .started(task.job)
       .filter((place) => place.task.index === task.index && place.machine !== machine)
@@ -33,9 +33,9 @@
     });
   }
 
-  private checkPlace(machine: MachineState, task: TaskRef, job: Job): void {
+  private checkPlacement(machine: MachineState, task: TaskRef, job: Job): void {
     const { facts } = machine;
-    const reason = this.misplacement(machine, job);
+    const reason = this.placementError(machine, job);
     if (reason === null) return;
     const explanation = `${reason} (type ${facts.type.name}, zone ${facts.zone}, spot ${String(facts.spot)})`;
     this.context.recordViolation({
@@ -47,23 +47,25 @@
     });
   }
 
-  private misplacement({ facts }: MachineState, job: Job): string | null {
+  private placementError({ facts }: MachineState, job: Job): string | null {
     if (job.types && !job.types.includes(facts.type.name)) return 'the type is not allowed';
     if (job.zone !== null && job.zone !== facts.zone) return `only zone ${job.zone} is allowed`;
     if (facts.spot && !job.spot) return 'spot machines are not allowed';
     const zones = this.context.state
       .started(job.id)
       .map((place) => this.context.state.machine(place.machine).facts.zone);
-    const here = zones.filter((zone) => zone === facts.zone).length;
-    if (job.oneZone && here < zones.length) return 'other tasks of the job are in another zone';
-    if (job.spread && here > Math.ceil(job.tasks / 2)) return 'more than half are in this zone';
+    const inSameZone = zones.filter((zone) => zone === facts.zone).length;
+    if (job.oneZone && inSameZone < zones.length)
+      return 'other tasks of the job are in another zone';
+    if (job.spread && inSameZone > Math.ceil(job.tasks / 2))
+      return 'more than half are in this zone';
     return null;
   }
 
   private checkQuota(machine: MachineState, task: TaskRef, job: Job): void {
     const limit = this.context.settings.teams.find(({ name }) => name === job.team);
     if (!limit) return;
-    const used = teamUse(this.startedOfTeam(job.team));
+    const used = totalResources(this.startedTasksOfTeam(job.team));
     if (!exceedsLimit(used, limit)) return;
     this.context.recordViolation({
       rule: 'quota',
@@ -76,9 +78,9 @@
     });
   }
 
-  private *startedOfTeam(team: string): Generator<{ job: Job; tasks: number }> {
+  private *startedTasksOfTeam(team: string): Generator<{ job: Job; tasks: number }> {
     for (const id of this.context.state.startedJobs()) {
-      const job = this.context.ledger.get(id)?.job;
+      const job = this.context.jobRecords.get(id)?.job;
       if (job?.team === team) yield { job, tasks: this.context.state.started(id).length };
     }
   }
--- a/packages/testing/stand-ins/checker/violation.ts
+++ b/packages/testing/stand-ins/checker/violation.ts
@@ -64,15 +64,15 @@
 /** Collects violations; of the same rule about the same task or job only the first. */
 export class ViolationLog {
   readonly all: Violation[] = [];
-  private readonly known = new Set<string>();
+  private readonly recordedKeys = new Set<string>();
 
   constructor(private readonly now: () => number) {}
 
   add({ rule, explanation, job, task, machines = [] }: Finding): void {
     const name = task ? taskName(task.job, task.index) : null;
     const key = [rule, name ?? job].join(' ');
-    if (this.known.has(key)) return;
-    this.known.add(key);
+    if (this.recordedKeys.has(key)) return;
+    this.recordedKeys.add(key);
     this.all.push({ rule, atS: this.now(), job, task: name, machines, explanation });
   }
 }
--- a/packages/testing/stand-ins/checker/waiting-check.ts
+++ b/packages/testing/stand-ins/checker/waiting-check.ts
@@ -2,10 +2,10 @@
 import type { Job } from '#wire';
 import type { MachineFacts } from '../events.js';
 import type { MachineState } from '../world-state.js';
-import { exceedsLimit, teamUse, type Check, type CheckContext } from './check.js';
+import { exceedsLimit, totalResources, type Check, type CheckContext } from './check.js';
 import type { JobRecord } from './job-ledger.js';
 
-const LONGEST_WAIT_S = 90;
+const MAX_WAIT_S = 90;
 const RESOURCES = ['cpus', 'gpus', 'memory'] as const;
 
 /** What is free on a machine. */
@@ -29,7 +29,7 @@
     const machines = [...this.context.state.machines.values()]
       .filter(({ facts, hanging, noticed }) => facts.sound && !hanging && !noticed)
       .map((machine) => this.freeCapacityOn(machine));
-    for (const record of this.context.ledger.all()) {
+    for (const record of this.context.jobRecords.all()) {
       const { id } = record.job;
       if (!this.isWaiting(record) || !this.hasCapacity(record.job, machines))
         this.capacitySince.delete(id);
@@ -41,54 +41,63 @@
     const now = this.context.now();
     const since = this.capacitySince.get(job) ?? now;
     this.capacitySince.set(job, since);
-    if (now - since < LONGEST_WAIT_S) return;
+    if (now - since < MAX_WAIT_S) return;
     const explanation = `none of its tasks has a machine, and there is capacity since ${since.toFixed(1)} s`;
     this.context.recordViolation({ rule: 'unserved', job, explanation });
   }
 
-  private isWaiting({ job, runnable, acceptedAt, cancelAskedAt, final }: JobRecord): boolean {
-    const open = runnable && acceptedAt !== null && cancelAskedAt === null && final === null;
-    if (!open || this.context.state.places(job.id).length > 0) return false;
+  private isWaiting({
+    job,
+    runnable,
+    acceptedAt,
+    cancelRequestedAt,
+    finalAnswer,
+  }: JobRecord): boolean {
+    const isOpen =
+      runnable && acceptedAt !== null && cancelRequestedAt === null && finalAnswer === null;
+    if (!isOpen || this.context.state.places(job.id).length > 0) return false;
     if (this.hasOpenDependencies(job)) return false;
     return this.context.state.completedTasks(job.id).size < job.tasks;
   }
 
   private hasOpenDependencies({ id }: Job): boolean {
-    const { ledger, state } = this.context;
-    return ledger.neededBy(id).some(({ job }) => state.completedTasks(job.id).size < job.tasks);
+    const { jobRecords, state } = this.context;
+    return jobRecords
+      .dependenciesOf(id)
+      .some(({ job }) => state.completedTasks(job.id).size < job.tasks);
   }
 
   /** There is capacity, in the team's limit and on sound machines, for what has to start together. */
   private hasCapacity(job: Job, machines: FreeCapacity[]): boolean {
     const needed = job.kind === 'gang' ? job.tasks : 1;
     const limit = this.context.settings.teams.find(({ name }) => name === job.team);
-    const used = teamUse([...this.assignedOfTeam(job.team), { job, tasks: needed }]);
+    const used = totalResources([...this.assignedTasksOfTeam(job.team), { job, tasks: needed }]);
     if (limit && exceedsLimit(used, limit)) return false;
-    const places = placesByZone(job, machines);
-    if (job.oneZone) return Math.max(0, ...places) >= needed;
+    const capacities = taskCapacityByZone(job, machines);
+    if (job.oneZone) return Math.max(0, ...capacities) >= needed;
     const perZone = job.spread ? Math.ceil(job.tasks / 2) : Infinity;
-    return places.reduce((sum, count) => sum + Math.min(count, perZone), 0) >= needed;
+    return capacities.reduce((sum, count) => sum + Math.min(count, perZone), 0) >= needed;
   }
 
   private freeCapacityOn({ facts, tasks }: MachineState): FreeCapacity {
     const { cpus, gpus, memory } = facts.type;
     const free = { cpus, gpus, memory };
     for (const { task } of tasks.values()) {
-      const job = this.context.ledger.get(task.job)?.job;
+      const job = this.context.jobRecords.get(task.job)?.job;
       for (const resource of RESOURCES) free[resource] -= job?.[resource] ?? 0;
     }
     return { facts, free };
   }
 
-  private *assignedOfTeam(team: string): Generator<{ job: Job; tasks: number }> {
-    for (const { job } of this.context.ledger.all()) {
+  private *assignedTasksOfTeam(team: string): Generator<{ job: Job; tasks: number }> {
+    for (const { job } of this.context.jobRecords.all()) {
       if (job.team === team) yield { job, tasks: this.context.state.places(job.id).length };
     }
   }
 }
 
 /** For how many tasks of the job there is capacity in each zone. */
-function placesByZone(job: Job, machines: FreeCapacity[]): number[] {
+function taskCapacityByZone(job: Job, machines: FreeCapacity[]): number[] {
   const zones = new Map<string, number>();
   for (const machine of machines) {
     if (!isAllowed(machine, job)) continue;
--- a/packages/testing/stand-ins/users/job-conduct.ts
+++ b/packages/testing/stand-ins/users/job-conduct.ts
@@ -5,40 +5,40 @@
 import type { PlannedJob } from './planned-job.js';
 import { isAcceptance, isFinal, type UserResponse, type UserRequests } from './requests.js';
 
-const RETRY_DELAY_S = 1;
+const MIN_RETRY_DELAY_S = 1;
 /** A user heeds Retry-After up to this. */
-const LONGEST_RETRY_DELAY_S = 30;
-const SUBMIT_FOR_S = 60;
+const MAX_RETRY_DELAY_S = 30;
+const SUBMIT_RETRY_LIMIT_S = 60;
 const POLL_PERIOD_S = 5;
 /** A period is shorter or longer by up to this share. */
-const POLL_SPREAD = 0.1;
+const POLL_JITTER = 0.1;
 /** Share of jobs that their users ask about once more when they are over, and how much later. */
 const LATE_POLL_SHARE = 0.3;
 const LATE_POLL_AFTER_S: Span = [5, 60];
 
 /** News about a job that others may act on at once. */
-export type JobNews = 'accepted' | 'ended' | 'cancelled';
+export type JobEvent = 'accepted' | 'ended' | 'cancelled';
 
 /** What the user of a job needs from the run. */
-export interface JobConductContext {
+export interface JobUserContext {
   runtime: Runtime;
   requests: UserRequests;
   observer: Observer;
-  onNews: (job: string, news: JobNews) => void;
+  onJobEvent: (job: string, event: JobEvent) => void;
   signal: AbortSignal;
 }
 
 /** What one user does about one job, from its first submission to the last question. */
-export class JobConduct {
+export class JobUser {
   private readonly milestones = new Milestones();
   accepted = false;
   /** The user was told that the job is done or cancelled. */
-  over = false;
-  cancelling = false;
+  ended = false;
+  cancelRequested = false;
 
   constructor(
     readonly plan: PlannedJob,
-    private readonly context: JobConductContext,
+    private readonly context: JobUserContext,
   ) {}
 
   get id(): string {
@@ -50,8 +50,8 @@
     return this.milestones.accepted.promise;
   }
 
-  whenOver(): Promise<void> {
-    return this.milestones.over.promise;
+  whenEnded(): Promise<void> {
+    return this.milestones.ended.promise;
   }
 
   /** Submits the job, then asks about it until it is over. */
@@ -60,26 +60,28 @@
     this.context.observer({ kind: 'job-submitted', id: job.id, job, runnable: true });
     if (!(await this.submit())) return;
     this.accepted = true;
-    this.milestones.accepted.reach();
-    this.context.onNews(this.id, 'accepted');
+    this.milestones.accepted.resolve();
+    this.context.onJobEvent(this.id, 'accepted');
     const { cancelAfterS, repeatAfterS } = this.plan;
-    if (cancelAfterS !== null) void this.after(cancelAfterS, () => this.cancel());
-    if (repeatAfterS !== null) void this.after(repeatAfterS, () => this.submitOnce());
-    await this.pollUntilOver();
+    if (cancelAfterS !== null) void this.runAfter(cancelAfterS, () => this.cancel());
+    if (repeatAfterS !== null) void this.runAfter(repeatAfterS, () => this.resubmit());
+    await this.pollUntilEnded();
     if (this.context.runtime.random() < LATE_POLL_SHARE) {
-      await this.after(this.draw(LATE_POLL_AFTER_S), () => this.context.requests.poll(this.id));
+      await this.runAfter(this.drawUniform(LATE_POLL_AFTER_S), () =>
+        this.context.requests.poll(this.id),
+      );
     }
   }
 
   /** Asks for the job's cancellation until that is answered; does nothing the second time. */
   async cancel(): Promise<void> {
-    if (this.cancelling) return;
-    this.cancelling = true;
+    if (this.cancelRequested) return;
+    this.cancelRequested = true;
     this.context.observer({ kind: 'cancel-asked', job: this.id });
     while (!this.stopped) {
       const response = await this.context.requests.cancel(this.id);
       if (isFinal(response)) {
-        this.endWith(response);
+        this.recordEnd(response);
         return;
       }
       await this.sleep(retryDelayS(response));
@@ -87,14 +89,14 @@
   }
 
   /** Submits the job once more, whatever has become of it. */
-  async submitOnce(): Promise<void> {
+  async resubmit(): Promise<void> {
     await this.context.requests.submit(this.id, jobToWire(this.plan.program.job));
   }
 
   private async submit(): Promise<boolean> {
     const { runtime, requests } = this.context;
     const body = jobToWire(this.plan.program.job);
-    const untilS = runtime.clock.now() + SUBMIT_FOR_S;
+    const untilS = runtime.clock.now() + SUBMIT_RETRY_LIMIT_S;
     while (!this.stopped) {
       const response = await requests.submit(this.id, body);
       if (isAcceptance(response)) return true;
@@ -105,56 +107,56 @@
     return false;
   }
 
-  private async pollUntilOver(): Promise<void> {
-    while (!this.isFinished()) {
-      const spread = 1 + POLL_SPREAD * (2 * this.context.runtime.random() - 1);
-      await this.sleep(POLL_PERIOD_S * spread);
-      if (this.isFinished()) return;
+  private async pollUntilEnded(): Promise<void> {
+    while (!this.hasEndedOrStopped()) {
+      const jitter = 1 + POLL_JITTER * (2 * this.context.runtime.random() - 1);
+      await this.sleep(POLL_PERIOD_S * jitter);
+      if (this.hasEndedOrStopped()) return;
       const response = await this.context.requests.poll(this.id);
-      if (isFinal(response)) this.endWith(response);
+      if (isFinal(response)) this.recordEnd(response);
     }
   }
 
-  private endWith(response: UserResponse | null): void {
-    if (this.over) return;
-    this.over = true;
-    this.milestones.over.reach();
-    this.context.onNews(this.id, response?.phase === 'aborted' ? 'cancelled' : 'ended');
+  private recordEnd(response: UserResponse | null): void {
+    if (this.ended) return;
+    this.ended = true;
+    this.milestones.ended.resolve();
+    this.context.onJobEvent(this.id, response?.phase === 'aborted' ? 'cancelled' : 'ended');
   }
 
-  private isFinished(): boolean {
-    return this.over || this.stopped;
+  private hasEndedOrStopped(): boolean {
+    return this.ended || this.stopped;
   }
 
   private get stopped(): boolean {
     return this.context.signal.aborted;
   }
 
-  private async after(seconds: number, act: () => Promise<unknown>): Promise<void> {
+  private async runAfter(seconds: number, action: () => Promise<unknown>): Promise<void> {
     await this.sleep(seconds);
-    if (!this.stopped) await act();
+    if (!this.stopped) await action();
   }
 
   private sleep(seconds: number): Promise<void> {
     return pause(this.context.runtime.clock, seconds * 1000, this.context.signal);
   }
 
-  private draw(span: Span): number {
+  private drawUniform(span: Span): number {
     return uniform(() => this.context.runtime.random(), span);
   }
 }
 
 /** A moment that others may wait for. */
-class Milestone {
-  reach!: () => void;
-  readonly promise = new Promise<void>((resolve) => (this.reach = resolve));
+class Deferred {
+  resolve!: () => void;
+  readonly promise = new Promise<void>((resolve) => (this.resolve = resolve));
 }
 
 class Milestones {
-  readonly accepted = new Milestone();
-  readonly over = new Milestone();
+  readonly accepted = new Deferred();
+  readonly ended = new Deferred();
 }
 
 function retryDelayS(response: UserResponse | null): number {
-  return Math.max(RETRY_DELAY_S, Math.min(LONGEST_RETRY_DELAY_S, response?.retryAfterS ?? 0));
+  return Math.max(MIN_RETRY_DELAY_S, Math.min(MAX_RETRY_DELAY_S, response?.retryAfterS ?? 0));
 }
--- a/packages/testing/stand-ins/users/odd-requests.ts
+++ b/packages/testing/stand-ins/users/odd-requests.ts
@@ -1,18 +1,18 @@
 /** Requests that are unusual, invalid or about unknown jobs. */
 import { jobToWire, REQUIRED_JOB_FIELDS, type Job, type Runtime } from '#wire';
 import type { Observer } from '../events.js';
-import type { JobConduct } from './job-conduct.js';
+import type { JobUser } from './job-conduct.js';
 import type { UserRequests } from './requests.js';
 
 /** Ids that no workload gives to its jobs. */
 const FIRST_ODD_ID = 900_000;
-const HUGE = 1_000_000;
+const EXCESSIVE_AMOUNT = 1_000_000;
 
 /** Jobs that fit no machine or no team. */
-const IMPOSSIBLE: ((job: Job) => Job)[] = [
-  (job) => ({ ...job, cpus: HUGE }),
-  (job) => ({ ...job, gpus: HUGE }),
-  (job) => ({ ...job, memory: HUGE }),
+const UNSCHEDULABLE_VARIANTS: ((job: Job) => Job)[] = [
+  (job) => ({ ...job, cpus: EXCESSIVE_AMOUNT }),
+  (job) => ({ ...job, gpus: EXCESSIVE_AMOUNT }),
+  (job) => ({ ...job, memory: EXCESSIVE_AMOUNT }),
   (job) => ({ ...job, types: ['no-such-type'] }),
   (job) => ({ ...job, team: 'no-such-team' }),
 ];
@@ -28,28 +28,28 @@
   ) {}
 
   /** One odd request, by chance, about one of those jobs or a new one. */
-  async makeOne(jobs: JobConduct[]): Promise<void> {
-    const live = this.pick(jobs.filter((job) => job.accepted && !job.over));
-    const over = this.pick(jobs.filter((job) => job.over));
+  async sendOne(jobs: JobUser[]): Promise<void> {
+    const active = this.pick(jobs.filter((job) => job.accepted && !job.ended));
+    const ended = this.pick(jobs.filter((job) => job.ended));
     const sample = this.pick(jobs)?.plan.program.job;
-    const choices: (() => Promise<unknown>)[] = [() => this.askAboutNothing()];
-    if (live) choices.push(() => live.submitOnce());
-    if (over) choices.push(() => this.requests.cancel(over.id));
+    const choices: (() => Promise<unknown>)[] = [() => this.pollUnknownJob()];
+    if (active) choices.push(() => active.resubmit());
+    if (ended) choices.push(() => this.requests.cancel(ended.id));
     if (sample)
       choices.push(
-        () => this.submitImpossible(sample),
+        () => this.submitUnschedulable(sample),
         () => this.submitIncomplete(sample),
       );
     await this.pickFrom(choices)();
   }
 
   /** A question about a job that nobody has submitted. */
-  askAboutNothing(): Promise<unknown> {
+  pollUnknownJob(): Promise<unknown> {
     return this.requests.poll(this.newId());
   }
 
-  private async submitImpossible(sample: Job): Promise<void> {
-    const job = { ...this.pickFrom(IMPOSSIBLE)(sample), id: this.newId() };
+  private async submitUnschedulable(sample: Job): Promise<void> {
+    const job = { ...this.pickFrom(UNSCHEDULABLE_VARIANTS)(sample), id: this.newId() };
     this.observer({ kind: 'job-submitted', id: job.id, job, runnable: false });
     await this.requests.submit(job.id, jobToWire(job));
   }
--- a/packages/testing/stand-ins/users/planned-job.ts
+++ b/packages/testing/stand-ins/users/planned-job.ts
@@ -10,7 +10,7 @@
    */
   submitAtS: number;
   /** It is submitted only once all its dependencies are over; not if it is left out. */
-  isSubmittedLate?: boolean;
+  submittedAfterDependenciesEnd?: boolean;
   /** Seconds after the acceptance until the user cancels the job; null: never. */
   cancelAfterS: number | null;
   /** Seconds after the acceptance until the user submits it once more; null: never. */
--- a/packages/testing/stand-ins/users/poll-bursts.ts
+++ b/packages/testing/stand-ins/users/poll-bursts.ts
@@ -18,16 +18,16 @@
     for (const node of this.nodes) {
       const repeatAt = Math.floor(this.runtime.random() * POLL_DELAYS_MS.length);
       for (const [index, delayMs] of POLL_DELAYS_MS.entries()) {
-        void this.later(delayMs, () => node.poll(job.id));
+        void this.sendAfter(delayMs, () => node.poll(job.id));
         if (index === repeatAt) {
-          void this.later(delayMs, () => node.submit(job.id, jobToWire(job)));
+          void this.sendAfter(delayMs, () => node.submit(job.id, jobToWire(job)));
         }
       }
     }
   }
 
-  private async later(delayMs: number, ask: () => Promise<unknown>): Promise<void> {
+  private async sendAfter(delayMs: number, send: () => Promise<unknown>): Promise<void> {
     if (delayMs > 0) await sleep(this.runtime.clock, delayMs);
-    await ask();
+    await send();
   }
 }
--- a/packages/testing/stand-ins/users/requests.ts
+++ b/packages/testing/stand-ins/users/requests.ts
@@ -36,22 +36,22 @@
 
   /** The body is in the protocol's words. */
   submit(job: string, body: unknown): Promise<UserResponse | null> {
-    return this.ask('submit', job, () => this.client.submitRaw(body));
+    return this.sendObserved('submit', job, () => this.client.submitRaw(body));
   }
 
   poll(job: string): Promise<UserResponse | null> {
-    return this.ask('poll', job, () => this.client.status(job, POLL_TIMEOUT_MS));
+    return this.sendObserved('poll', job, () => this.client.status(job, POLL_TIMEOUT_MS));
   }
 
   cancel(job: string): Promise<UserResponse | null> {
-    return this.ask('abort', job, () => this.client.abort(job));
+    return this.sendObserved('abort', job, () => this.client.abort(job));
   }
 
   close(): void {
     this.client.close();
   }
 
-  private async ask(
+  private async sendObserved(
     kind: RequestKind,
     job: string,
     send: () => Promise<UserAnswer>,
--- a/packages/testing/stand-ins/users/users.test.ts
+++ b/packages/testing/stand-ins/users/users.test.ts
@@ -13,21 +13,21 @@
 
 const NODES = ['10.0.0.1:80', '10.0.0.2:80'];
 
-function aPlan(own: Partial<Job> = {}, plan: Partial<PlannedJob> = {}): PlannedJob {
-  const program = { job: aJob(own), runS: [100], failsAfterS: null };
+function makePlan(overrides: Partial<Job> = {}, plan: Partial<PlannedJob> = {}): PlannedJob {
+  const program = { job: aJob(overrides), runS: [100], failsAfterS: null };
   return { program, submitAtS: 0, cancelAfterS: null, repeatAfterS: null, ...plan };
 }
 
 /** Users before two nodes that answer as the test says; the first is in the balancer's place. */
-async function someUsers(reply: (request: ServedRequest) => WireReply | null) {
+async function startUsers(reply: (request: ServedRequest) => WireReply | null) {
   const world = new SampleWorld();
-  const asked: { node: number; atS: number; path: string; method: string; body: unknown }[] = [];
+  const requests: { node: number; atS: number; path: string; method: string; body: unknown }[] = [];
   for (const node of NODES.keys()) {
     const address = { host: `10.0.0.${node + 1}`, port: 80 };
     const runtime = world.runtime(address.host, 'controller');
     const server = serveCbor(runtime, address, (request) => {
       const { path, method, body } = request;
-      asked.push({ node, atS: world.world.now, path, method, body });
+      requests.push({ node, atS: world.world.now, path, method, body });
       return reply(request) ?? new Promise(() => {});
     });
     await world.finish(server);
@@ -40,102 +40,98 @@
     storage,
     observer: world.observer,
   });
-  const response = (kind: UserEvent['kind']) => world.events.filter((event) => event.kind === kind);
-  const times = (path: string) =>
-    asked.filter((request) => request.path === path).map(({ atS }) => atS);
-  return { world, users, storage, asked, told: response, times };
+  const eventsOfKind = (kind: UserEvent['kind']) =>
+    world.events.filter((event) => event.kind === kind);
+  const requestTimes = (path: string) =>
+    requests.filter((request) => request.path === path).map(({ atS }) => atS);
+  return { world, users, storage, requests, eventsOfKind, requestTimes };
 }
 
-function view(status: number, phase: Phase): WireReply {
+function jobReply(status: number, phase: Phase): WireReply {
   return { status, body: { id: 'j-000001', phase } };
 }
 
 test('a submission is repeated by the rules, and polls follow until the job is over', async () => {
-  const replies: (WireReply | null)[] = [{ status: 503 }, null, view(201, 'pending')];
+  const replies: (WireReply | null)[] = [{ status: 503 }, null, jobReply(201, 'pending')];
   let phase: Phase = 'running';
-  const { world, users, asked, times } = await someUsers(({ path }) =>
-    path === '/submissions' ? replies.shift()! : view(200, phase),
+  const { world, users, requests, requestTimes } = await startUsers(({ path }) =>
+    path === '/submissions' ? replies.shift()! : jobReply(200, phase),
   );
-  users.submit(aPlan());
+  users.submit(makePlan());
   await world.run(30);
-  const [first, second, third] = times('/submissions');
+  const [first, second, third] = requestTimes('/submissions');
   assert.ok(second - first >= 1 && second - first < 1.1);
   assert.ok(third - second >= 6 && third - second < 6.1);
-  const polls = times('/submissions/j-000001');
+  const polls = requestTimes('/submissions/j-000001');
   assert.equal(polls.length, 4);
   assert.ok(polls.every((atS, i) => i === 0 || (atS - polls[i - 1] > 4 && atS - polls[i - 1] < 6)));
   phase = 'done';
   await world.run(70);
-  assert.ok(asked.length <= 3 + 6);
+  assert.ok(requests.length <= 3 + 6);
 });
 
 test('a refusal is final, and after a minute without an answer a user gives up', async () => {
-  const { world, users, times } = await someUsers(() => ({ status: 422 }));
-  users.submit(aPlan());
+  const { world, users, requestTimes } = await startUsers(() => ({ status: 422 }));
+  users.submit(makePlan());
   await world.run(80);
-  assert.equal(times('/submissions').length, 1);
-  const slow = await someUsers(() => ({ status: 500 }));
-  slow.users.submit(aPlan());
+  assert.equal(requestTimes('/submissions').length, 1);
+  const slow = await startUsers(() => ({ status: 500 }));
+  slow.users.submit(makePlan());
   await slow.world.run(80);
-  const count = slow.times('/submissions').length;
+  const count = slow.requestTimes('/submissions').length;
   assert.ok(count >= 55 && count <= 61, `${count}`);
 });
 
 test('a cancellation is repeated until it is answered, and ends the polls', async () => {
-  const replies: WireReply[] = [{ status: 503 }, { status: 404 }, view(200, 'aborted')];
-  const {
-    world,
-    users,
-    times,
-    told: response,
-  } = await someUsers(({ path }) => {
+  const replies: WireReply[] = [{ status: 503 }, { status: 404 }, jobReply(200, 'aborted')];
+  const { world, users, requestTimes, eventsOfKind } = await startUsers(({ path }) => {
     if (path.endsWith('/abort')) return replies.shift()!;
-    return view(200, 'running');
+    return jobReply(200, 'running');
   });
-  users.submit(aPlan({}, { cancelAfterS: 7, repeatAfterS: 20 }));
+  users.submit(makePlan({}, { cancelAfterS: 7, repeatAfterS: 20 }));
   await world.run(12);
-  assert.equal(times('/submissions/j-000001/abort').length, 3);
-  assert.equal(response('cancel-asked').length, 1);
-  const polls = times('/submissions/j-000001').length;
+  assert.equal(requestTimes('/submissions/j-000001/abort').length, 3);
+  assert.equal(eventsOfKind('cancel-asked').length, 1);
+  const polls = requestTimes('/submissions/j-000001').length;
   // Another five seconds later the user may poll once more.
   await world.run(2.5);
-  assert.equal(times('/submissions/j-000001').length, polls);
+  assert.equal(requestTimes('/submissions/j-000001').length, polls);
   await world.run(10);
-  assert.equal(times('/submissions').length, 2);
+  assert.equal(requestTimes('/submissions').length, 2);
 });
 
 test('the observer learns of requests that get no answer', async () => {
-  const { world, users, told: response } = await someUsers(() => null);
-  users.submit(aPlan());
+  const { world, users, eventsOfKind } = await startUsers(() => null);
+  users.submit(makePlan());
   await world.run(4.9);
-  assert.deepEqual([response('asked').length, response('unanswered').length], [1, 0]);
+  assert.deepEqual([eventsOfKind('asked').length, eventsOfKind('unanswered').length], [1, 0]);
   await world.run(0.2);
-  assert.equal(response('unanswered').length, 1);
+  assert.equal(eventsOfKind('unanswered').length, 1);
 });
 
 test('a burst of polls reaches all nodes within milliseconds after a job is accepted, ended or cancelled', async () => {
-  const { world, users, storage, asked } = await someUsers(() => view(200, 'running'));
+  const { world, users, storage, requests } = await startUsers(() => jobReply(200, 'running'));
   users.setPollBursts(true);
-  users.submit(aPlan());
+  users.submit(makePlan());
   await world.run(1);
-  const looksAt = (node: number, method: string) =>
-    asked.filter((r) => r.node === node && r.method === method && r.atS < 0.4).length;
-  assert.ok(looksAt(0, 'GET') >= 7 && looksAt(1, 'GET') === 7);
-  assert.ok(looksAt(0, 'POST') >= 2 && looksAt(1, 'POST') === 1);
-  const before = asked.length;
+  const countRequests = (node: number, method: string) =>
+    requests.filter((r) => r.node === node && r.method === method && r.atS < 0.4).length;
+  assert.ok(countRequests(0, 'GET') >= 7 && countRequests(1, 'GET') === 7);
+  assert.ok(countRequests(0, 'POST') >= 2 && countRequests(1, 'POST') === 1);
+  const before = requests.length;
   storage.complete('j-000001', 0);
   await world.run(0.4);
-  assert.ok(asked.length - before >= 16);
+  assert.ok(requests.length - before >= 16);
 });
 
 test('some jobs are cancelled at their end, or many at once', async () => {
-  const { world, users, storage, told: response } = await someUsers(() => view(200, 'running'));
+  const { world, users, storage, eventsOfKind } = await startUsers(() => jobReply(200, 'running'));
   const state = new WorldState();
-  for (let i = 1; i <= 5; i++) users.submit(aPlan({ id: `j-00000${i}`, tasks: 1 }));
+  for (let i = 1; i <= 5; i++) users.submit(makePlan({ id: `j-00000${i}`, tasks: 1 }));
   await world.run(1);
   users.setCancelAtEnd(1);
   storage.complete('j-000001', 0);
-  assert.equal(response('cancel-asked').length, 1);
+  assert.equal(eventsOfKind('cancel-asked').length, 1);
   const type = { ...aJob(), name: 'm', cpus: 9 } as never;
   state.apply({
     kind: 'machine-up',
@@ -147,25 +143,27 @@
   }
   assert.deepEqual(users.cancelNow(2, state), ['m', 'm']);
   await world.run(0.21);
-  assert.equal(response('cancel-asked').length, 3);
+  assert.equal(eventsOfKind('cancel-asked').length, 3);
 });
 
 test('odd requests are of all kinds, and jobs that lack a field or can run nowhere are marked as not runnable', async () => {
   let phase: Phase = 'running';
-  const { world, users, asked, told: response } = await someUsers(() => view(200, phase));
-  users.submit(aPlan({ gpus: 0 }));
-  users.submit(aPlan({ id: 'j-000002' }, { cancelAfterS: 2 }));
+  const { world, users, requests, eventsOfKind } = await startUsers(() => jobReply(200, phase));
+  users.submit(makePlan({ gpus: 0 }));
+  users.submit(makePlan({ id: 'j-000002' }, { cancelAfterS: 2 }));
   users.setOddRequests(true);
   users.start([]);
   await world.run(5);
   phase = 'aborted';
   await world.run(100);
-  const unfit = response('job-submitted').filter((e) => e.kind === 'job-submitted' && !e.runnable);
-  const bodies = asked.flatMap((request) => {
+  const notRunnable = eventsOfKind('job-submitted').filter(
+    (e) => e.kind === 'job-submitted' && !e.runnable,
+  );
+  const bodies = requests.flatMap((request) => {
     const id = (request.body as { id?: string } | null)?.id;
-    return unfit.some((e) => e.kind === 'job-submitted' && e.id === id) ? [request.body] : [];
+    return notRunnable.some((e) => e.kind === 'job-submitted' && e.id === id) ? [request.body] : [];
   });
-  assert.ok(bodies.length > 10 && bodies.length === unfit.length);
+  assert.ok(bodies.length > 10 && bodies.length === notRunnable.length);
   const malformed = bodies.filter((body) => {
     try {
       parseJob(body);
@@ -175,6 +173,6 @@
     }
   });
   assert.ok(malformed.length > 3 && malformed.length < bodies.length - 3);
-  const cancellations = asked.filter(({ path }) => path.endsWith('/abort'));
+  const cancellations = requests.filter(({ path }) => path.endsWith('/abort'));
   assert.ok(cancellations.length > 3);
 });
--- a/packages/testing/stand-ins/users/users.ts
+++ b/packages/testing/stand-ins/users/users.ts
@@ -6,7 +6,7 @@
 import type { ControllerAddress } from '../worker/index.js';
 import type { WorldState } from '../world-state.js';
 import { PollBursts } from './poll-bursts.js';
-import { JobConduct, type JobNews } from './job-conduct.js';
+import { JobUser, type JobEvent } from './job-conduct.js';
 import { OddRequests } from './odd-requests.js';
 import type { PlannedJob } from './planned-job.js';
 import { UserRequests } from './requests.js';
@@ -22,36 +22,36 @@
   observer: Observer;
 }
 
-const STRAY_QUESTION_PERIOD_S = 20;
+const UNKNOWN_JOB_POLL_PERIOD_S = 20;
 const ODD_REQUEST_PERIOD_S = 1;
-const CANCEL_NOW_WITHIN_S = 0.2;
+const CANCEL_WITHIN_S = 0.2;
 /** A job with a task of such a run time has long to go, in seconds. */
-const LONG_RUN_S = 30;
+const LONG_REMAINING_RUN_S = 30;
 /** Of the jobs that are polled in bursts, this share is cancelled right after its acceptance. */
-const CANCEL_AT_ONCE_SHARE = 0.1;
+const CANCEL_ON_ACCEPTANCE_SHARE = 0.1;
 
 /** Starts the users of all jobs, and makes their requests follow the faults of the run. */
 export class Users {
-  private readonly jobs = new Map<string, JobConduct>();
+  private readonly jobUsers = new Map<string, JobUser>();
   private readonly requests: UserRequests;
-  private readonly nodes: UserRequests[];
+  private readonly nodeRequests: UserRequests[];
   private readonly pollBursts: PollBursts;
   private readonly oddRequests: OddRequests;
-  private readonly stopping = new AbortController();
-  private pollsInBursts = false;
-  private odd = false;
+  private readonly stopController = new AbortController();
+  private pollBurstsEnabled = false;
+  private oddRequestsEnabled = false;
   private cancelAtEndShare = 0;
 
   constructor(private readonly options: UsersOptions) {
     const { runtime, balancer, nodes, storage, observer } = options;
     this.requests = new UserRequests(runtime, balancer, observer);
-    this.nodes = nodes.map(({ address }) => new UserRequests(runtime, address, observer));
-    this.pollBursts = new PollBursts(runtime, this.nodes);
+    this.nodeRequests = nodes.map(({ address }) => new UserRequests(runtime, address, observer));
+    this.pollBursts = new PollBursts(runtime, this.nodeRequests);
     this.oddRequests = new OddRequests(runtime, this.requests, observer);
     // Each job under way listens to it.
-    setMaxListeners(0, this.stopping.signal);
+    setMaxListeners(0, this.stopController.signal);
     storage.onJobComplete((job) => {
-      this.jobEnded(job);
+      this.handleJobCompletion(job);
     });
   }
 
@@ -62,7 +62,7 @@
         this.submit(job);
       }, job.submitAtS * 1000);
     }
-    void this.repeat(STRAY_QUESTION_PERIOD_S, () => this.oddRequests.askAboutNothing());
+    void this.repeat(UNKNOWN_JOB_POLL_PERIOD_S, () => this.oddRequests.pollUnknownJob());
     void this.repeat(ODD_REQUEST_PERIOD_S, () => this.makeOddRequest());
   }
 
@@ -70,39 +70,39 @@
   submit(plan: PlannedJob): void {
     if (this.isStopped()) return;
     this.options.storage.upload(plan.program);
-    const conduct = new JobConduct(plan, {
+    const jobUser = new JobUser(plan, {
       runtime: this.options.runtime,
       requests: this.requests,
       observer: this.options.observer,
-      onNews: (job, news) => {
-        this.received(job, news);
+      onJobEvent: (job, event) => {
+        this.handleJobEvent(job, event);
       },
-      signal: this.stopping.signal,
+      signal: this.stopController.signal,
     });
-    this.jobs.set(conduct.id, conduct);
-    void this.runInTurn(conduct);
+    this.jobUsers.set(jobUser.id, jobUser);
+    void this.runAfterDependencies(jobUser);
   }
 
   /** A job with dependencies is submitted once these are accepted, or once they are over. */
-  private async runInTurn(conduct: JobConduct): Promise<void> {
-    const { isSubmittedLate, program } = conduct.plan;
-    const dependencies = program.job.awaits.map((id) => this.jobs.get(id));
+  private async runAfterDependencies(jobUser: JobUser): Promise<void> {
+    const { submittedAfterDependenciesEnd, program } = jobUser.plan;
+    const dependencies = program.job.awaits.map((id) => this.jobUsers.get(id));
     const known = dependencies.filter((each) => each !== undefined);
     await Promise.all(
-      known.map((each) => (isSubmittedLate ? each.whenOver() : each.whenAccepted())),
+      known.map((each) => (submittedAfterDependenciesEnd ? each.whenEnded() : each.whenAccepted())),
     );
-    if (!this.isStopped()) await conduct.run();
+    if (!this.isStopped()) await jobUser.run();
   }
 
   /** Asks and submits no more. */
   stop(): void {
-    this.stopping.abort();
-    for (const requests of [this.requests, ...this.nodes]) requests.close();
+    this.stopController.abort();
+    for (const requests of [this.requests, ...this.nodeRequests]) requests.close();
   }
 
   /** The user of the job cancels it now. */
   cancel(job: string): void {
-    void this.jobs.get(job)?.cancel();
+    void this.jobUsers.get(job)?.cancel();
   }
 
   /**
@@ -110,15 +110,15 @@
    * machines that they are on.
    */
   cancelNow(count: number, state: WorldState): string[] {
-    const chosen = [...this.jobs.values()]
-      .filter((job) => job.accepted && !job.over && !job.cancelling)
-      .filter((job) => state.started(job.id).length > 0 && hasLongToGo(job, state))
+    const chosen = [...this.jobUsers.values()]
+      .filter((job) => job.accepted && !job.ended && !job.cancelRequested)
+      .filter((job) => state.started(job.id).length > 0 && hasLongRemainingRun(job, state))
       .map((job) => ({ job, order: this.options.runtime.random() }))
       .sort((first, second) => first.order - second.order)
       .slice(0, count)
       .map(({ job }) => job);
     for (const job of chosen) {
-      const delayMs = this.options.runtime.random() * CANCEL_NOW_WITHIN_S * 1000;
+      const delayMs = this.options.runtime.random() * CANCEL_WITHIN_S * 1000;
       this.options.runtime.clock.setTimer(() => void job.cancel(), delayMs);
     }
     return chosen.flatMap((job) => state.started(job.id).map((place) => place.machine));
@@ -130,53 +130,53 @@
   }
 
   /** Requests that no program would make, each second. */
-  setOddRequests(odd: boolean): void {
-    this.odd = odd;
+  setOddRequests(enabled: boolean): void {
+    this.oddRequestsEnabled = enabled;
   }
 
   /** All nodes are asked within milliseconds after a job was accepted, ended or cancelled. */
-  setPollBursts(pollsInBursts: boolean): void {
-    this.pollsInBursts = pollsInBursts;
+  setPollBursts(enabled: boolean): void {
+    this.pollBurstsEnabled = enabled;
   }
 
-  private received(job: string, news: JobNews): void {
-    if (!this.pollsInBursts) return;
+  private handleJobEvent(job: string, event: JobEvent): void {
+    if (!this.pollBurstsEnabled) return;
     this.pollInBurst(job);
-    const cancelAtOnce = this.options.runtime.random() < CANCEL_AT_ONCE_SHARE;
-    if (news === 'accepted' && cancelAtOnce) this.cancel(job);
+    const cancelOnAcceptance = this.options.runtime.random() < CANCEL_ON_ACCEPTANCE_SHARE;
+    if (event === 'accepted' && cancelOnAcceptance) this.cancel(job);
   }
 
-  private jobEnded(job: string): void {
-    if (this.pollsInBursts) this.pollInBurst(job);
+  private handleJobCompletion(job: string): void {
+    if (this.pollBurstsEnabled) this.pollInBurst(job);
     if (this.options.runtime.random() < this.cancelAtEndShare) this.cancel(job);
   }
 
   private pollInBurst(job: string): void {
-    const conduct = this.jobs.get(job);
-    if (conduct) this.pollBursts.poll(conduct.plan.program.job);
+    const jobUser = this.jobUsers.get(job);
+    if (jobUser) this.pollBursts.poll(jobUser.plan.program.job);
   }
 
   private async makeOddRequest(): Promise<void> {
-    if (this.odd) await this.oddRequests.makeOne([...this.jobs.values()]);
+    if (this.oddRequestsEnabled) await this.oddRequests.sendOne([...this.jobUsers.values()]);
   }
 
-  private async repeat(periodS: number, act: () => Promise<unknown>): Promise<void> {
+  private async repeat(periodS: number, action: () => Promise<unknown>): Promise<void> {
     const { clock } = this.options.runtime;
     while (!this.isStopped()) {
-      await pause(clock, periodS * 1000, this.stopping.signal);
-      if (!this.isStopped()) await act();
+      await pause(clock, periodS * 1000, this.stopController.signal);
+      if (!this.isStopped()) await action();
     }
   }
 
   private isStopped(): boolean {
-    return this.stopping.signal.aborted;
+    return this.stopController.signal.aborted;
   }
 }
 
 /** Some task of the job would still run for a while. */
-function hasLongToGo({ plan, id }: JobConduct, state: WorldState): boolean {
+function hasLongRemainingRun({ plan, id }: JobUser, state: WorldState): boolean {
   const { job, runS } = plan.program;
   const completed = state.completedTasks(id);
-  const leftS = runS.filter((_, index) => !completed.has(index));
-  return job.kind === 'service' || leftS.some((seconds) => seconds >= LONG_RUN_S);
+  const remainingRunS = runS.filter((_, index) => !completed.has(index));
+  return job.kind === 'service' || remainingRunS.some((seconds) => seconds >= LONG_REMAINING_RUN_S);
 }
--- a/packages/testing/stand-ins/workload/job-class.ts
+++ b/packages/testing/stand-ins/workload/job-class.ts
@@ -98,7 +98,7 @@
 };
 
 /** Small urgent replicas that come several at a time and go soon. */
-const RUSH: JobClass = {
+const URGENT_REPLICAS: JobClass = {
   template: jobTemplate({
     class: 'rush-replica',
     kind: 'service',
@@ -140,4 +140,4 @@
 };
 
 /** A mix for a fleet of a dozen machines with eight accelerators each. */
-export const USUAL_CLASSES: JobClass[] = [REPLICAS, BATCHES, RUSH, GANGS];
+export const USUAL_CLASSES: JobClass[] = [REPLICAS, BATCHES, URGENT_REPLICAS, GANGS];
--- a/packages/testing/stand-ins/workload/workload.test.ts
+++ b/packages/testing/stand-ins/workload/workload.test.ts
@@ -8,19 +8,19 @@
 const TEAMS = ['red', 'blue'];
 const LENGTH_S = 6000;
 
-function aWorkload(seed: number, intensity = 1) {
+function makeTestWorkload(seed: number, intensity = 1) {
   const chance = new Chance(seed);
   const options = { classes: USUAL_CLASSES, teams: TEAMS, lengthS: LENGTH_S, intensity };
   return makeWorkload(() => chance.next(), options);
 }
 
 test('the same seed gives the same workload, another seed another', () => {
-  assert.deepEqual(aWorkload(1), aWorkload(1));
-  assert.notDeepEqual(aWorkload(1), aWorkload(2));
+  assert.deepEqual(makeTestWorkload(1), makeTestWorkload(1));
+  assert.notDeepEqual(makeTestWorkload(1), makeTestWorkload(2));
 });
 
 test('all jobs are well formed, have ids of their own and come in order', () => {
-  const plan = aWorkload(3);
+  const plan = makeTestWorkload(3);
   const ids = plan.map(({ program }) => program.job.id);
   assert.equal(new Set(ids).size, ids.length);
   assert.notDeepEqual(ids, [...ids].sort());
@@ -34,7 +34,7 @@
 for (const jobClass of USUAL_CLASSES) {
   const name = jobClass.template.class;
   test(`${name}: rates, sizes, run times and cancellations are those of the class`, () => {
-    const plan = aWorkload(4, 2).filter(({ program }) => program.job.class === name);
+    const plan = makeTestWorkload(4, 2).filter(({ program }) => program.job.class === name);
     const { arrivals, run, tasks, cancelledShare } = jobClass;
     const expected =
       (arrivals.perMinute * 2 * LENGTH_S * (arrivals.together[0] + arrivals.together[1])) / 120;
--- a/packages/testing/stand-ins/workload/workload.ts
+++ b/packages/testing/stand-ins/workload/workload.ts
@@ -31,17 +31,17 @@
 const ID_STEP = 410_647;
 const ID_DIGITS = 6;
 /** An estimate as a multiple of the true run time. */
-const ESTIMATE_ERROR: Span = [0.5, 1.8];
+const ESTIMATE_FACTOR: Span = [0.5, 1.8];
 /** A deadline as a multiple of the estimate, and what comes on top. */
 const DEADLINE_FACTOR = 3;
 const DEADLINE_EXTRA_S = 60;
 /** A cancelled job is cancelled at this fraction of its estimate. */
-const CANCEL_AT: Span = [0, 1.2];
-const REPEATED_SHARE = 0.05;
-const REPEATED_AFTER_S: Span = [1, 120];
+const CANCEL_AT_FRACTION: Span = [0, 1.2];
+const RESUBMITTED_SHARE = 0.05;
+const RESUBMITTED_AFTER_S: Span = [1, 120];
 const FAILS_AFTER_S: Span = [1, 10];
 /** The user of a job that always fails cancels it after this time. */
-const MISTAKE_SEEN_AFTER_S: Span = [30, 120];
+const FAILING_JOB_CANCEL_AFTER_S: Span = [30, 120];
 
 /** All jobs of a run, in the order in which they come. */
 export function makeWorkload(random: Random, options: WorkloadOptions): PlannedJob[] {
@@ -49,7 +49,7 @@
   const maker = new JobMaker(random, teams);
   const plan = classes.flatMap((jobClass) => {
     const times = arrivalTimes(random, jobClass.arrivals, intensity, lengthS);
-    return times.map((submitAtS) => maker.make(jobClass, submitAtS));
+    return times.map((submitAtS) => maker.makeJob(jobClass, submitAtS));
   });
   for (const pipeline of options.pipelines ?? []) {
     const { arrivals, fromS = 0 } = pipeline;
@@ -89,14 +89,14 @@
     this.nextId = Math.floor(random() * ID_RANGE);
   }
 
-  make(jobClass: JobClass, submitAtS: number): PlannedJob {
+  makeJob(jobClass: JobClass, submitAtS: number): PlannedJob {
     const program = this.makeProgram(jobClass);
-    const repeated = this.random() < REPEATED_SHARE;
+    const resubmitted = this.random() < RESUBMITTED_SHARE;
     return {
       program,
       submitAtS,
       cancelAfterS: this.drawCancellation(jobClass, program),
-      repeatAfterS: repeated ? uniform(this.random, REPEATED_AFTER_S) : null,
+      repeatAfterS: resubmitted ? uniform(this.random, RESUBMITTED_AFTER_S) : null,
     };
   }
 
@@ -109,11 +109,11 @@
       const isLast = number === stages.length - 1;
       const dependencies = stage.awaits.flatMap((each) => jobsOfStages[each].map(jobIdOf));
       const jobs = Array.from({ length: uniformInteger(this.random, stage.jobs) }, () => {
-        const planned = this.make(stage.jobClass, submitAtS);
+        const planned = this.makeJob(stage.jobClass, submitAtS);
         const { job } = planned.program;
         if (!mixesTeams) job.team = team;
         Object.assign(job, { awaits: dependencies, deadlineS: isLast ? deadlineS : null });
-        return { ...planned, isSubmittedLate: isLast && this.random() < lateShare };
+        return { ...planned, submittedAfterDependenciesEnd: isLast && this.random() < lateShare };
       });
       jobsOfStages.push(jobs);
     }
@@ -130,7 +130,7 @@
     const tasks = uniformInteger(this.random, jobClass.tasks);
     const isService = template.kind === 'service';
     const runS = Array.from({ length: tasks }, () => logNormal(this.random, run));
-    const estimateS = isService ? 0 : Math.max(...runS) * uniform(this.random, ESTIMATE_ERROR);
+    const estimateS = isService ? 0 : Math.max(...runS) * uniform(this.random, ESTIMATE_FACTOR);
     const job: Job = {
       ...template,
       id: this.drawId(),
@@ -141,16 +141,16 @@
       deadlineS: isService ? null : estimateS * DEADLINE_FACTOR + DEADLINE_EXTRA_S,
       awaits: [],
     };
-    const mistaken = this.random() < jobClass.mistakenShare;
-    return { job, runS, failsAfterS: mistaken ? uniform(this.random, FAILS_AFTER_S) : null };
+    const alwaysFails = this.random() < jobClass.mistakenShare;
+    return { job, runS, failsAfterS: alwaysFails ? uniform(this.random, FAILS_AFTER_S) : null };
   }
 
   private drawCancellation({ run, cancelledShare }: JobClass, program: JobProgram): number | null {
     const { job, failsAfterS } = program;
-    if (failsAfterS !== null) return uniform(this.random, MISTAKE_SEEN_AFTER_S);
+    if (failsAfterS !== null) return uniform(this.random, FAILING_JOB_CANCEL_AFTER_S);
     if (job.kind === 'service') return logNormal(this.random, run);
     if (this.random() >= cancelledShare) return null;
-    return job.estimateS * uniform(this.random, CANCEL_AT);
+    return job.estimateS * uniform(this.random, CANCEL_AT_FRACTION);
   }
 
   private drawId(): string {
