--- a/packages/testing/stand-ins/checker/answer-checks.ts
+++ b/packages/testing/stand-ins/checker/answer-checks.ts
@@ -1,4 +1,4 @@
-/** Rules about what users are told. */
+/** Checks of the rules about the answers that users get. */
 import type { Phase } from '#wire';
 import type { UserRequest, WorldEvent } from '../events.js';
 import type { Check, CheckContext } from './check.js';
@@ -11,7 +11,7 @@
   phase: Phase | null;
 }
 
-/** Compares each answer with what is true and with what the user was told before. */
+/** Compares each answer with the true state and with earlier answers about the same job. */
 export class AnswerChecks implements Check {
   constructor(private readonly context: CheckContext) {}
 
@@ -20,12 +20,20 @@
     const record = this.context.jobRecords.get(event.request.job);
     if (event.status >= 300) this.checkRefusal(event, record);
     else if (!record)
-      this.recordViolation('invented', event, `nobody submitted it, and it is called known`);
-    else if (!record.runnable) this.recordViolation('accepted_unfit', event, 'it must be refused');
+      this.recordViolation(
+        'invented',
+        event,
+        `the service knows the job, although nobody submitted it`,
+      );
+    else if (!record.runnable)
+      this.recordViolation('accepted_unfit', event, 'the job cannot run and must be refused');
     else this.checkPhase(event, record);
   }
 
-  /** A 404, 400 or 422 for a job whose acceptance the user knew when asking. */
+  /**
+   * Reports a 404, 400 or 422 about a job that the user knew to be accepted when sending the request,
+   * and a permanent refusal of a job that can run.
+   */
   private checkRefusal(answer: Answer, record: JobRecord | undefined): void {
     const { request, status } = answer;
     const isPermanent = request.kind === 'submit' && (status === 400 || status === 422);
@@ -33,7 +41,7 @@
     if (acceptedAt > this.context.jobRecords.sendTime(request)) {
       const isWrong =
         isPermanent && record?.runnable && this.areDependenciesAccepted(record, request);
-      if (isWrong) this.recordViolation('refused_fit', answer, 'it can run');
+      if (isWrong) this.recordViolation('refused_fit', answer, 'the job can run');
       return;
     }
     if (status === 404 || isPermanent) {
@@ -41,7 +49,7 @@
     }
   }
 
-  /** The user knew that all dependencies of the job were accepted when the request was sent. */
+  /** Whether the user knew, when sending the request, that all dependencies were accepted. */
   private areDependenciesAccepted({ job }: JobRecord, request: UserRequest): boolean {
     const { jobRecords } = this.context;
     const acceptedAt = job.awaits.map((id) => jobRecords.get(id)?.acceptedAt ?? Infinity);
@@ -52,18 +60,22 @@
     const { phase } = answer;
     if (phase === 'done') this.checkDone(answer, record);
     if (phase === 'aborted' && !this.wasCancelled(record)) {
-      this.recordViolation('went_back', answer, 'its user did not cancel it');
+      this.recordViolation(
+        'went_back',
+        answer,
+        'no user cancelled the job or one of its dependencies',
+      );
     }
     const { finalAnswer } = record;
     if (finalAnswer === null || phase === finalAnswer.phase) return;
     const contradicts = phase === 'done' || phase === 'aborted';
     if (contradicts || finalAnswer.answeredAt <= this.context.jobRecords.sendTime(answer.request)) {
       const before = `${finalAnswer.phase} at ${finalAnswer.answeredAt.toFixed(3)} s`;
-      this.recordViolation('went_back', answer, `it was called ${before}`);
+      this.recordViolation('went_back', answer, `an earlier answer was ${before}`);
     }
   }
 
-  /** Its user, or that of one of its dependencies, has asked for it. */
+  /** Whether a user has requested the cancellation of the job or of one of its dependencies. */
   private wasCancelled({ job, cancelRequestedAt }: JobRecord): boolean {
     const dependencies = this.context.jobRecords.dependenciesOf(job.id);
     return (
--- a/packages/testing/stand-ins/checker/cancel-checks.ts
+++ b/packages/testing/stand-ins/checker/cancel-checks.ts
@@ -1,11 +1,11 @@
-/** Rules about what a job's tasks do after its user was told that it is cancelled. */
+/** Checks of the rules about tasks of a job whose cancellation was confirmed to its user. */
 import type { Clock, TaskRef } from '#wire';
 import type { WorldEvent } from '../events.js';
 import type { Check, CheckContext } from './check.js';
 
-/** Checks that the tasks of a cancelled job stop in time and do not start again. */
+/** Checks that the tasks of a cancelled job stop within `cancel_s` and do not start again. */
 export class CancelChecks implements Check {
-  /** Jobs whose cancellation was confirmed, and when. */
+  /** When the cancellation was first confirmed, by job. */
   private readonly confirmationTimes = new Map<string, number>();
 
   constructor(
@@ -47,7 +47,7 @@
         job,
         task,
         machines: [machine],
-        explanation: `still there ${this.context.settings.cancelS} s after the confirmation`,
+        explanation: `still on the machine ${this.context.settings.cancelS} s after the confirmation`,
       });
     }
   }
--- a/packages/testing/stand-ins/checker/check.ts
+++ b/packages/testing/stand-ins/checker/check.ts
@@ -1,11 +1,11 @@
-/** What the checks of the rules have in common: their context, and the limits of teams. */
+/** The interface and the context of the checks, and the resource limits of teams. */
 import type { Job } from '#wire';
 import type { WorldEvent } from '../events.js';
 import type { WorldState } from '../world-state.js';
 import type { JobRecords } from './job-ledger.js';
 import type { Finding } from './violation.js';
 
-/** What a team's tasks may use at any moment; 0 means no limit. */
+/** Resources that the tasks of a team may use at the same time; 0 means no limit. */
 export interface TeamLimit {
   name: string;
   cpus: number;
@@ -15,30 +15,33 @@
 /** The settings of the platform that the rules refer to. */
 export interface CheckerSettings {
   teams: TeamLimit[];
-  /** After the confirmation of a cancellation, seconds until all tasks must be gone. */
+  /** Seconds after the confirmation of a cancellation until all tasks of the job must have stopped. */
   cancelS: number;
 }
 
-/** What all checks share. The state and the ledger hold each event before the checks see it. */
+/**
+ * What all checks share. An event is applied to `state`, and a user's request to `jobRecords`, before
+ * the checks see it; an answer is applied to `jobRecords` afterwards.
+ */
 export interface CheckContext {
   readonly settings: CheckerSettings;
   readonly state: WorldState;
   readonly jobRecords: JobRecords;
-  /** Seconds. */
+  /** Seconds of the checker's clock. */
   now(): number;
-  /** When all faults had ended; null: some go on. */
+  /** Time at which the last fault ended; null while a fault is active. */
   faultFreeSince(): number | null;
   recordViolation(finding: Finding): void;
 }
 
-/** One rule, or several that are checked by the same events. */
+/** Checks one rule, or several rules that depend on the same events. */
 export interface Check {
   onEvent?(event: WorldEvent): void;
   /** Called each second. */
   onTick?(): void;
 }
 
-/** Cores and accelerators that one task takes, as far as teams are limited. */
+/** The resources for which teams have limits, summed over all tasks of the jobs. */
 export function totalResources(jobs: Iterable<{ job: Job; tasks: number }>): {
   cpus: number;
   gpus: number;
@@ -53,7 +56,7 @@
 
 const ROUNDING_TOLERANCE = 1e-6;
 
-/** Whether the resources in use are above a limit of the team. */
+/** Whether the resources in use exceed a limit of the team. */
 export function exceedsLimit(used: { cpus: number; gpus: number }, limit: TeamLimit): boolean {
   return (
     (limit.cpus > 0 && used.cpus > limit.cpus + ROUNDING_TOLERANCE) ||
--- a/packages/testing/stand-ins/checker/dependency-checks.ts
+++ b/packages/testing/stand-ins/checker/dependency-checks.ts
@@ -1,9 +1,12 @@
-/** Rules about jobs that have dependencies. */
+/** Checks of the rules about jobs that have dependencies. */
 import type { TaskRef } from '#wire';
 import type { WorldEvent } from '../events.js';
 import type { Check, CheckContext } from './check.js';
 
-/** Checks that a job starts after its dependencies and is cancelled with them. */
+/**
+ * Checks that no task starts before all dependencies of its job are done, and that a job is cancelled
+ * within `cancel_s` after the cancellation of one of its dependencies was confirmed.
+ */
 export class DependencyChecks implements Check {
   constructor(private readonly context: CheckContext) {}
 
@@ -24,7 +27,7 @@
         job: task.job,
         task,
         machines: [machine],
-        explanation: `of ${job.id}, which it needs, ${completed} of ${job.tasks} tasks have completed`,
+        explanation: `of its dependency ${job.id}, ${completed} of ${job.tasks} tasks have completed`,
       });
     }
   }
@@ -36,7 +39,7 @@
       if (finalAnswer?.phase !== 'aborted' || now - finalAnswer.answeredAt <= settings.cancelS)
         continue;
       const agoS = (now - finalAnswer.answeredAt).toFixed(1);
-      const explanation = `called ${phase} ${agoS} s after ${dependency.id}, which it needs, was cancelled`;
+      const explanation = `still ${phase} ${agoS} s after its dependency ${dependency.id} was cancelled`;
       this.context.recordViolation({ rule: 'orphaned', job, explanation });
     }
   }
--- a/packages/testing/stand-ins/checker/index.ts
+++ b/packages/testing/stand-ins/checker/index.ts
@@ -1,3 +1,3 @@
-/** The checker of the rules of the protocol. */
+/** Checks that the service keeps the rules of the protocol. */
 export * from './rule-checker.js';
 export { describeViolation, type Violation } from './violation.js';
--- a/packages/testing/stand-ins/checker/job-ledger.ts
+++ b/packages/testing/stand-ins/checker/job-ledger.ts
@@ -1,19 +1,19 @@
-/** What users asked about their jobs and what they were told. */
+/** Records of the requests of users about their jobs, and of the answers. */
 import type { Job } from '#wire';
 import type { UserRequest, WorldEvent } from '../events.js';
 
-/** What a user did about a job and was told of it; times in seconds of the checker's clock. */
+/** What a user requested for a job, and how it was answered; times in seconds of the checker's clock. */
 export interface JobRecord {
   readonly job: Job;
   readonly runnable: boolean;
-  /** When the user was first told that it is accepted. */
+  /** Time of the first answer that the job is accepted. */
   acceptedAt: number | null;
   cancelRequestedAt: number | null;
-  /** The first final state that the user was told, and when. */
+  /** The first answer that the job is done or cancelled. */
   finalAnswer: { phase: 'done' | 'aborted'; answeredAt: number } | null;
 }
 
-/** All jobs that users have submitted, and when each open request was sent. */
+/** All jobs that users have submitted, and the send times of requests in flight. */
 export class JobRecords {
   private readonly records = new Map<string, JobRecord>();
   private readonly sendTimes = new Map<UserRequest, number>();
@@ -28,21 +28,21 @@
     return this.records.values();
   }
 
-  /** All dependencies of the job, direct and indirect ones. */
+  /** All direct and indirect dependencies of the job. */
   dependenciesOf(job: string): JobRecord[] {
     const dependencies = new Set(this.get(job)?.job.awaits);
-    // What is added while the set is gone through is gone through as well.
+    // The iteration of a set also visits elements that are added meanwhile.
     for (const id of dependencies)
       for (const next of this.get(id)?.job.awaits ?? []) dependencies.add(next);
     return [...dependencies].map((id) => this.get(id)).filter((record) => record !== undefined);
   }
 
-  /** When an open request was sent. */
+  /** When a request in flight was sent. */
   sendTime(request: UserRequest): number {
     return this.sendTimes.get(request) ?? this.now();
   }
 
-  /** Records what users do, before any check sees it. */
+  /** Records submissions, requests and cancellations. Called before the checks see the event. */
   recordRequest(event: WorldEvent): void {
     if (event.kind === 'asked') this.sendTimes.set(event.request, this.now());
     else if (event.kind === 'job-submitted') {
@@ -55,7 +55,7 @@
     }
   }
 
-  /** Records what users were told, after all checks have compared it with what was known. */
+  /** Records an answer. Called after all checks have compared it with the earlier answers. */
   recordAnswer(event: WorldEvent): void {
     if (event.kind !== 'answered' && event.kind !== 'unanswered') return;
     this.sendTimes.delete(event.request);
--- a/packages/testing/stand-ins/checker/mistakes.test.ts
+++ b/packages/testing/stand-ins/checker/mistakes.test.ts
@@ -3,11 +3,11 @@
 import type { Job } from '#wire';
 import { CANCEL_S, EventScript, type ScriptSteps } from './sample-script.js';
 
-/** One mistake each, and the rules that it breaks. */
+/** Sequences of events that each break one rule, or are counted. */
 const VIOLATIONS: [rules: string, name: string, overrides: Partial<Job>, steps: ScriptSteps][] = [
   [
     'ran_twice',
-    'a task starts while it is elsewhere',
+    'a task starts while it is on another machine',
     {},
     (script) => {
       script.startTask('m-0');
@@ -25,15 +25,25 @@
   ],
   [
     'wrong_place',
-    'the type is not allowed',
+    'a task starts on a machine of a type that its job does not allow',
     { types: ['big'] },
     (script) => script.startTask('m-0'),
   ],
-  ['wrong_place', 'the zone is not allowed', { zone: 'b' }, (script) => script.startTask('m-0')],
-  ['wrong_place', 'no spot machine is allowed', {}, (script) => script.startTask('m-spot')],
   [
     'wrong_place',
-    'a job of one zone starts in two',
+    'a task starts in a zone that its job does not allow',
+    { zone: 'b' },
+    (script) => script.startTask('m-0'),
+  ],
+  [
+    'wrong_place',
+    'a task starts on a spot machine that its job does not allow',
+    {},
+    (script) => script.startTask('m-spot'),
+  ],
+  [
+    'wrong_place',
+    'a one-zone job starts in two zones',
     { oneZone: true },
     (script) => {
       script.startTask('m-0', 0);
@@ -51,7 +61,7 @@
   ],
   [
     'ran_cancelled',
-    'a task is there long after the confirmation',
+    'a task is still on its machine later than cancel_s after the confirmation',
     {},
     async (script) => {
       script.startTask('m-0');
@@ -61,7 +71,7 @@
   ],
   [
     'ran_cancelled',
-    'a task starts long after the confirmation',
+    'a task starts later than cancel_s after the confirmation',
     {},
     async (script) => {
       await script.cancelJob();
@@ -71,7 +81,7 @@
   ],
   [
     'started_after_cancel',
-    'a task starts soon after the confirmation',
+    'a task starts within cancel_s after the confirmation',
     {},
     async (script) => {
       await script.cancelJob();
@@ -81,7 +91,7 @@
   ],
   [
     'forgotten',
-    'an accepted job is unknown',
+    'a poll about an accepted job gets 404',
     {},
     async (script) => {
       script.startTask('m-0');
@@ -90,7 +100,7 @@
   ],
   [
     'forgotten',
-    'a repeated submission is refused',
+    'a repeated submission of an accepted job gets 422',
     {},
     async (script) => {
       script.startTask('m-0');
@@ -99,7 +109,7 @@
   ],
   [
     'forgotten',
-    'nobody answers about a job once all faults have ended',
+    'polls about a job get no answer although all faults have ended',
     {},
     async (script) => {
       script.startTask('m-0');
@@ -110,7 +120,7 @@
   ],
   [
     'forgotten',
-    'nobody answers about a job while others are answered',
+    'polls about a job fail while polls about another job are answered',
     {},
     async (script) => {
       script.startTask('m-0');
@@ -124,7 +134,7 @@
   ],
   [
     'invented',
-    'a job that nobody submitted is known',
+    'a poll about a job that nobody submitted gets 200',
     {},
     async (script) => {
       script.startTask('m-0');
@@ -133,7 +143,7 @@
   ],
   [
     'not_done',
-    'a job is called done too early',
+    'a poll gets done before all tasks have completed',
     {},
     async (script) => {
       script.startTask('m-0');
@@ -143,7 +153,7 @@
   ],
   [
     'went_back',
-    'a job that was done runs',
+    'a repeated submission gets running after a poll got done',
     {},
     async (script) => {
       script.startTask('m-0');
@@ -155,7 +165,7 @@
   ],
   [
     'went_back',
-    'a job is called cancelled and done',
+    'a poll gets done after the cancellation was confirmed',
     {},
     async (script) => {
       script.startTask('m-0');
@@ -169,7 +179,7 @@
   ],
   [
     'went_back',
-    'a job is called cancelled that nobody cancelled',
+    'a poll gets aborted for a job that nobody cancelled',
     {},
     async (script) => {
       script.startTask('m-0');
@@ -179,7 +189,7 @@
   ],
   [
     'refused_fit',
-    'a job is refused for good though all that it awaits was accepted',
+    'a job gets 422 although its dependency was accepted',
     {},
     async (script) => {
       script.startTask('m-0');
@@ -189,7 +199,7 @@
   ],
   [
     'too_early',
-    'a task starts before a job that it awaits is done',
+    'a task starts before a dependency of its job is done',
     {},
     async (script) => {
       script.completeTask(0);
@@ -199,7 +209,7 @@
   ],
   [
     'too_early',
-    'a task starts before a job is done that it needs through another',
+    'a task starts before an indirect dependency of its job is done',
     {},
     async (script) => {
       await script.submitAcceptedJob({ id: 'j-2', awaits: ['j-000001'] });
@@ -210,7 +220,7 @@
   ],
   [
     'orphaned',
-    'a job is called pending long after one that it needs is cancelled',
+    'a poll gets pending later than cancel_s after an indirect dependency was cancelled',
     {},
     async (script) => {
       script.startTask('m-0');
@@ -225,7 +235,7 @@
   ],
   [
     'went_back',
-    'a job is called pending after it was called aborted with one that it needs',
+    'a poll gets pending after the job was aborted with its dependency',
     {},
     async (script) => {
       script.startTask('m-0');
@@ -239,7 +249,7 @@
   ['nothing_ran', 'no task starts', {}, async () => {}],
   [
     'unserved',
-    'a job waits while there is capacity',
+    'a job waits although there is capacity',
     {},
     async (script) => {
       script.startTask('m-0');
@@ -250,7 +260,7 @@
   ],
   [
     'unserved',
-    'a gang of one zone waits while a zone has room for it',
+    'a one-zone gang waits although a zone has capacity for it',
     { kind: 'gang', oneZone: true, tasks: 2, gpus: 3 },
     async (script) => {
       script.startTask('m-2', 0, 1);
@@ -261,7 +271,7 @@
   ],
   [
     'accepted_unfit',
-    'a job that fits nothing is accepted',
+    'a job that cannot run is accepted',
     {},
     async (script) => {
       script.startTask('m-0');
@@ -272,7 +282,7 @@
 ];
 
 for (const [rules, name, overrides, steps] of VIOLATIONS) {
-  test(`${rules} is noticed: ${name}`, async () => {
+  test(`${rules} is reported when ${name}`, async () => {
     const script = new EventScript();
     await script.setUp(overrides);
     await steps(script);
--- a/packages/testing/stand-ins/checker/rule-checker.test.ts
+++ b/packages/testing/stand-ins/checker/rule-checker.test.ts
@@ -3,10 +3,10 @@
 import { CANCEL_S, EventScript, type ScriptSteps } from './sample-script.js';
 import { describeViolation } from './violation.js';
 
-/** What is allowed: no rule may be found broken. */
+/** Sequences of events that break no rule. */
 const ALLOWED: [name: string, steps: ScriptSteps][] = [
   [
-    'a job starts once all that it awaits is done, and is not said to wait in vain before',
+    'a job waits for its dependency despite free capacity and starts once the dependency is done',
     async (script) => {
       script.startTask('m-0');
       await script.submitAcceptedJob({ id: 'j-2', awaits: ['j-000001'] });
@@ -18,7 +18,7 @@
     },
   ],
   [
-    'a job is aborted with one that it needs',
+    'a job is cancelled with its dependency',
     async (script) => {
       script.startTask('m-0');
       await script.submitAcceptedJob({ id: 'j-2', awaits: ['j-000001'] });
@@ -29,7 +29,7 @@
     },
   ],
   [
-    'a task starts again after it has left',
+    'a task starts on another machine after it has left the first',
     (script) => {
       script.startTask('m-0');
       script.endTask('m-0');
@@ -37,7 +37,7 @@
     },
   ],
   [
-    'a task ends in time after a cancellation',
+    'a task stops within the time limit after a cancellation',
     async (script) => {
       script.startTask('m-0');
       await script.cancelJob();
@@ -47,7 +47,7 @@
     },
   ],
   [
-    'answers that were under way may be older',
+    'a request that was sent before the final answer gets an older phase',
     async (script) => {
       script.startTask('m-0');
       const early = script.sendRequest('poll');
@@ -60,7 +60,7 @@
     },
   ],
   [
-    'a question before the acceptance gets 404, a bad job 400',
+    'a poll from before the acceptance gets 404, and a job that cannot run gets 400',
     async (script) => {
       script.startTask('m-0');
       script.submitJob({ id: 'j-2' });
@@ -73,7 +73,7 @@
     },
   ],
   [
-    'a job waits while its team is at its limit or nothing has room',
+    'a job waits while its team is at its limit',
     async (script) => {
       script.submitJob({ id: 'j-2', gpus: 2, tasks: 3 });
       for (const index of [0, 1, 2]) script.startTask('m-0', index, 1, 'j-2');
@@ -82,7 +82,7 @@
     },
   ],
   [
-    'a silent job during faults, or one that is asked about in vain for a while',
+    'a poll gets no answer during faults and until 70 s after them',
     async (script) => {
       script.startTask('m-0');
       script.observe({ kind: 'unanswered', request: script.sendRequest('poll') });
@@ -104,7 +104,7 @@
   });
 }
 
-test('a violation says what, when and where', async () => {
+test('describeViolation states time, rule, task, machines and explanation', async () => {
   const script = new EventScript();
   await script.setUp();
   script.startTask('m-0');
--- a/packages/testing/stand-ins/checker/rule-checker.ts
+++ b/packages/testing/stand-ins/checker/rule-checker.ts
@@ -1,6 +1,6 @@
 /**
- * Checks the rules of the protocol all the time, as the operators do: it sees the true state of all
- * workers and what every user is told, and nothing of the controllers.
+ * Checks the rules of the protocol at each event and each second. Like the operators, it sees the true
+ * state of all workers and every answer to a user, but nothing of the controllers.
  */
 import { every, type Clock, type Timer } from '#wire';
 import type { Observer, WorldEvent } from '../events.js';
@@ -19,7 +19,7 @@
 
 /** Passes each event to all checks and collects the violations that they find. */
 export class RuleChecker {
-  /** The true state of the world, also for faults that choose by it. */
+  /** The true state of machines and tasks; faults use it to choose their targets. */
   readonly state = new WorldState();
   readonly observe: Observer = (event) => {
     this.apply(event);
@@ -61,7 +61,7 @@
     });
   }
 
-  /** All faults have ended: stricter rules hold until faultsBegan(). */
+  /** Must be called when the last fault has ended: stricter rules apply until faultsBegan(). */
   faultsEnded(): void {
     this.faultFreeSince ??= this.clock.now();
   }
@@ -70,17 +70,17 @@
     this.faultFreeSince = null;
   }
 
-  /** All that was found so far. */
+  /** All violations so far, including events that are only counted. */
   get allViolations(): readonly Violation[] {
     return this.violationLog.all;
   }
 
-  /** Violations of rules, without what is only counted. */
+  /** The violations so far that break a rule, without events that are only counted. */
   get violations(): Violation[] {
     return this.violationLog.all.filter(breaksRule);
   }
 
-  /** Ends the run: checks what can only be known then, and returns all violations of rules. */
+  /** Ends the run: checks that some task was started, and returns all violations that break a rule. */
   finish(): Violation[] {
     this.tickTimer.cancel();
     if (!this.anyTaskStarted) {
--- a/packages/testing/stand-ins/checker/sample-script.ts
+++ b/packages/testing/stand-ins/checker/sample-script.ts
@@ -1,18 +1,21 @@
-/** Plays events to a rule checker, for the tests of the checks. */
+/** Feeds events to a rule checker, for the tests of the checks. */
 import type { Job, Phase } from '#wire';
 import { aJob, STD } from '../../samples.js';
 import type { RequestKind, UserRequest, WorldEvent } from '../events.js';
 import { SampleWorld } from '../sample-world.js';
 import { RuleChecker } from './rule-checker.js';
 
-/** Seconds within which the tasks of a cancelled job must be gone in these tests. */
+/** Seconds within which the tasks of a cancelled job must have stopped in these tests. */
 export const CANCEL_S = 35;
 const JOB_ID = 'j-000001';
 
-/** What a test plays to the checker. */
+/** The steps of a test: events and waits. */
 export type ScriptSteps = (script: EventScript) => void | Promise<void>;
 
-/** Events and waits, played to a checker one after the other. */
+/**
+ * Feeds events to a rule checker and advances its clock. Methods without a job refer to the job that
+ * `setUp` submits.
+ */
 export class EventScript {
   private readonly world = new SampleWorld();
   private readonly clock = this.world.runtime('10.9.0.1').clock;
@@ -34,7 +37,7 @@
     this.observe({ kind: 'job-submitted', id: job.id, job, runnable });
   }
 
-  /** Submits another job, which is accepted. */
+  /** Submits another job and answers that it is accepted. */
   async submitAcceptedJob(overrides: Partial<Job> & { id: string }): Promise<void> {
     this.submitJob(overrides);
     await this.requestAndAnswer('submit', 201, 'pending', overrides.id);
@@ -65,7 +68,7 @@
     this.observe({ kind: 'answered', request, status, phase });
   }
 
-  /** A request that is answered a little later. */
+  /** Sends a request and answers it 10 ms later. */
   async requestAndAnswer(
     kind: RequestKind,
     status: number,
@@ -86,7 +89,10 @@
     this.observe({ kind: 'task-completed', job, index });
   }
 
-  /** An accepted job of two tasks, two machines in zone a and one in zone b. */
+  /**
+   * Starts two machines in zone a, one in zone b and a spot machine in zone a, and submits a job of two
+   * tasks, which is accepted.
+   */
   async setUp(overrides: Partial<Job> = {}): Promise<void> {
     for (const [name, zone] of ['a', 'a', 'b'].entries()) this.startMachine(`m-${name}`, zone);
     this.startMachine('m-spot', 'a', true);
@@ -94,7 +100,7 @@
     await this.requestAndAnswer('submit', 201, 'pending');
   }
 
-  /** The rules that were found broken, counted ones among them. */
+  /** Ends the run and returns the rules of all violations, including events that are only counted. */
   brokenRules(): string[] {
     this.checker.finish();
     return this.checker.allViolations.map(({ rule }) => rule);
--- a/packages/testing/stand-ins/checker/silence-check.ts
+++ b/packages/testing/stand-ins/checker/silence-check.ts
@@ -1,17 +1,17 @@
-/** The rule that an accepted job stays known: questions about it are answered. */
+/** Checks the rule that the service does not forget an accepted job: polls about it are answered. */
 import type { WorldEvent } from '../events.js';
 import type { Check, CheckContext } from './check.js';
 
-/** All questions about one job fail for so long while most others are answered. */
+/** A job is forgotten if its polls fail for this long while most polls of all jobs are answered. */
 const UNANSWERED_WHILE_OTHERS_ANSWERED_S = 90;
-/** No question about a job is answered for so long once all faults have ended. */
+/** A job is forgotten if its polls fail for this long after all faults have ended. */
 const UNANSWERED_WITHOUT_FAULTS_S = 75;
 
-/** Checks that no job is left without answers while others get them. */
+/** Checks that the polls about each accepted job do not fail for long. */
 export class UnansweredCheck implements Check {
-  /** When the first question was sent that failed since the last answer, by job. */
+  /** Send time of the first poll that failed since the last answer about the job, by job. */
   private readonly failingSince = new Map<string, number>();
-  /** Whether the polls that ended lately were answered. */
+  /** Recent polls of all jobs, and whether they were answered. */
   private recentPolls: { atS: number; answered: boolean }[] = [];
 
   constructor(private readonly context: CheckContext) {}
@@ -45,7 +45,7 @@
     const whileOthersAnswered =
       now - since >= UNANSWERED_WHILE_OTHERS_ANSWERED_S && this.mostPollsAnswered();
     if (!withoutFaults && !whileOthersAnswered) return;
-    const explanation = `no question was answered since ${since.toFixed(3)} s`;
+    const explanation = `no poll was answered since ${since.toFixed(3)} s`;
     this.context.recordViolation({ rule: 'forgotten', job, explanation });
   }
 
--- a/packages/testing/stand-ins/checker/start-checks.ts
+++ b/packages/testing/stand-ins/checker/start-checks.ts
@@ -1,4 +1,7 @@
-/** Rules about where a task starts: once, within its team's limit, and where its job allows. */
+/**
+ * Checks of the rules about the start of a task: on one machine at a time, on a machine that its job
+ * allows, and within the limit of its team.
+ */
 import { taskName, type Job, type TaskRef } from '#wire';
 import type { WorldEvent } from '../events.js';
 import type { MachineState } from '../world-state.js';
@@ -29,7 +32,7 @@
       job: task.job,
       task,
       machines: [machine, ...others],
-      explanation: `attempt ${task.attempt} starts while the task is elsewhere`,
+      explanation: `attempt ${task.attempt} starts while the task is on another machine`,
     });
   }
 
@@ -56,9 +59,9 @@
       .map((place) => this.context.state.machine(place.machine).facts.zone);
     const inSameZone = zones.filter((zone) => zone === facts.zone).length;
     if (job.oneZone && inSameZone < zones.length)
-      return 'other tasks of the job are in another zone';
+      return 'other tasks of the one-zone job are in another zone';
     if (job.spread && inSameZone > Math.ceil(job.tasks / 2))
-      return 'more than half are in this zone';
+      return 'more than half of the tasks are in this zone';
     return null;
   }
 
@@ -74,7 +77,7 @@
       machines: [machine.facts.name],
       explanation:
         `with ${taskName(task.job, task.index)} team ${job.team} uses ${used.cpus} cores and ` +
-        `${used.gpus} accelerators of ${limit.cpus} and ${limit.gpus}`,
+        `${used.gpus} accelerators; its limits are ${limit.cpus} and ${limit.gpus} (0: none)`,
     });
   }
 
--- a/packages/testing/stand-ins/checker/violation.ts
+++ b/packages/testing/stand-ins/checker/violation.ts
@@ -1,7 +1,7 @@
-/** The rules of the protocol and the record of their violations. */
+/** The rules of the protocol, and the log of their violations. */
 import { taskName, type TaskRef } from '#wire';
 
-/** The rules of the protocol, and what else the operators count. */
+/** The rules of the protocol, and other events that the operators count. */
 export type Rule =
   | 'ran_twice'
   | 'quota'
@@ -16,17 +16,17 @@
   | 'orphaned'
   /** A job waits although there is capacity for it. */
   | 'unserved'
-  /** A job that can run was refused for good. */
+  /** A job that can run was refused permanently. */
   | 'refused_fit'
   /** A job was accepted that cannot run or lacks a field. */
   | 'accepted_unfit'
-  /** A task started after its user was told of the cancellation, though within `cancel_s`. */
+  /** A task started within `cancel_s` after the cancellation of its job was confirmed to its user. */
   | 'started_after_cancel';
 
-/** Rules that are counted, but break nothing by themselves. */
+/** Events that are only counted: they break no rule. */
 const COUNTED_ONLY: ReadonlySet<Rule> = new Set(['started_after_cancel']);
 
-/** A rule that was broken, or an event that is only counted. */
+/** A violation of a rule, or an event that is only counted. */
 export interface Violation {
   rule: Rule;
   /** Seconds of the checker's clock. */
@@ -38,22 +38,22 @@
   explanation: string;
 }
 
-/** What a check says of a violation; the rest is filled in. */
+/** What a check reports about a violation; the log adds the time. */
 export interface Finding {
   rule: Rule;
   explanation: string;
-  /** Null: about no job. */
+  /** Null if the violation concerns no single job. */
   job: string | null;
   task?: TaskRef;
   machines?: string[];
 }
 
-/** Whether the violation breaks a rule, in contrast to events that are only counted. */
+/** Whether the violation breaks a rule; false for events that are only counted. */
 export function breaksRule({ rule }: Violation): boolean {
   return !COUNTED_ONLY.has(rule);
 }
 
-/** One line with all that is known of a violation. */
+/** Formats a violation with all its fields in one line. */
 export function describeViolation(violation: Violation): string {
   const { rule, atS, job, task, machines, explanation } = violation;
   const subject = task ?? job ?? 'the whole run';
@@ -61,7 +61,7 @@
   return `${atS.toFixed(3)} s ${rule}: ${subject}${where}: ${explanation}`;
 }
 
-/** Collects violations; of the same rule about the same task or job only the first. */
+/** Collects violations, of each rule only the first about the same task or job. */
 export class ViolationLog {
   readonly all: Violation[] = [];
   private readonly recordedKeys = new Set<string>();
--- a/packages/testing/stand-ins/checker/waiting-check.ts
+++ b/packages/testing/stand-ins/checker/waiting-check.ts
@@ -1,4 +1,4 @@
-/** The rule that no job is left waiting while there is capacity for it. */
+/** Checks the rule that no job waits long while there is capacity for it. */
 import type { Job } from '#wire';
 import type { MachineFacts } from '../events.js';
 import type { MachineState } from '../world-state.js';
@@ -8,15 +8,15 @@
 const MAX_WAIT_S = 90;
 const RESOURCES = ['cpus', 'gpus', 'memory'] as const;
 
-/** What is free on a machine. */
+/** A machine with its free resources. */
 interface FreeCapacity {
   facts: MachineFacts;
   free: Record<(typeof RESOURCES)[number], number>;
 }
 
-/** Checks, once all faults have ended, that each job that could run gets machines. */
+/** Checks, once all faults have ended, that each job for which sound machines have capacity gets one. */
 export class WaitingCheck implements Check {
-  /** Since when there has been capacity for each waiting job. */
+  /** Time since which there has been capacity for a waiting job, by job. */
   private readonly capacitySince = new Map<string, number>();
 
   constructor(private readonly context: CheckContext) {}
@@ -42,7 +42,7 @@
     const since = this.capacitySince.get(job) ?? now;
     this.capacitySince.set(job, since);
     if (now - since < MAX_WAIT_S) return;
-    const explanation = `none of its tasks has a machine, and there is capacity since ${since.toFixed(1)} s`;
+    const explanation = `none of its tasks has a machine, although there is capacity since ${since.toFixed(1)} s`;
     this.context.recordViolation({ rule: 'unserved', job, explanation });
   }
 
@@ -67,7 +67,10 @@
       .some(({ job }) => state.completedTasks(job.id).size < job.tasks);
   }
 
-  /** There is capacity, in the team's limit and on sound machines, for what has to start together. */
+  /**
+   * Whether the team's limit and the free resources of machines allow the job to start: all tasks of a
+   * gang, one task of any other job.
+   */
   private hasCapacity(job: Job, machines: FreeCapacity[]): boolean {
     const needed = job.kind === 'gang' ? job.tasks : 1;
     const limit = this.context.settings.teams.find(({ name }) => name === job.team);
@@ -96,7 +99,7 @@
   }
 }
 
-/** For how many tasks of the job there is capacity in each zone. */
+/** The number of the job's tasks for which there is capacity, for each zone. */
 function taskCapacityByZone(job: Job, machines: FreeCapacity[]): number[] {
   const zones = new Map<string, number>();
   for (const machine of machines) {
