--- a/packages/testing/stand-ins/users/job-conduct.ts
+++ b/packages/testing/stand-ins/users/job-conduct.ts
@@ -1,4 +1,4 @@
-/** What the user of one job does: submits it, polls it and may cancel it. */
+/** The user of one job, who submits it, polls it and may cancel it. */
 import { jobToWire, pause, type Runtime } from '#wire';
 import { uniform, type Span } from '../distributions.js';
 import type { Observer } from '../events.js';
@@ -6,17 +6,17 @@
 import { isAcceptance, isFinal, type UserResponse, type UserRequests } from './requests.js';
 
 const MIN_RETRY_DELAY_S = 1;
-/** A user heeds Retry-After up to this. */
+/** A longer Retry-After is cut to this. */
 const MAX_RETRY_DELAY_S = 30;
 const SUBMIT_RETRY_LIMIT_S = 60;
 const POLL_PERIOD_S = 5;
-/** A period is shorter or longer by up to this share. */
+/** The time between two polls is shorter or longer than the period by up to this share. */
 const POLL_JITTER = 0.1;
-/** Share of jobs that their users ask about once more when they are over, and how much later. */
+/** Share of jobs that are polled once more after their end, and the delay of this poll. */
 const LATE_POLL_SHARE = 0.3;
 const LATE_POLL_AFTER_S: Span = [5, 60];
 
-/** News about a job that others may act on at once. */
+/** What the user has learnt of the job from an answer. */
 export type JobEvent = 'accepted' | 'ended' | 'cancelled';
 
 /** What the user of a job needs from the run. */
@@ -28,7 +28,7 @@
   signal: AbortSignal;
 }
 
-/** What one user does about one job, from its first submission to the last question. */
+/** Makes all requests about one job, from its first submission to the last poll. */
 export class JobUser {
   private readonly milestones = new Milestones();
   accepted = false;
@@ -45,16 +45,17 @@
     return this.plan.program.job.id;
   }
 
-  /** Resolves once the job is accepted, and once its user was told that it is over. */
+  /** Resolves once the user is told that the job is accepted. */
   whenAccepted(): Promise<void> {
     return this.milestones.accepted.promise;
   }
 
+  /** Resolves once the user is told that the job is done or cancelled. */
   whenEnded(): Promise<void> {
     return this.milestones.ended.promise;
   }
 
-  /** Submits the job, then asks about it until it is over. */
+  /** Submits the job, then polls it until it has ended. */
   async run(): Promise<void> {
     const { job } = this.plan.program;
     this.context.observer({ kind: 'job-submitted', id: job.id, job, runnable: true });
@@ -73,7 +74,10 @@
     }
   }
 
-  /** Asks for the job's cancellation until that is answered; does nothing the second time. */
+  /**
+   * Requests the cancellation and repeats the request until an answer says that the job has ended.
+   * Further calls do nothing.
+   */
   async cancel(): Promise<void> {
     if (this.cancelRequested) return;
     this.cancelRequested = true;
@@ -88,7 +92,7 @@
     }
   }
 
-  /** Submits the job once more, whatever has become of it. */
+  /** Submits the job once more, in whatever phase it is. */
   async resubmit(): Promise<void> {
     await this.context.requests.submit(this.id, jobToWire(this.plan.program.job));
   }
@@ -146,7 +150,7 @@
   }
 }
 
-/** A moment that others may wait for. */
+/** A promise that is resolved from outside. */
 class Deferred {
   resolve!: () => void;
   readonly promise = new Promise<void>((resolve) => (this.resolve = resolve));
--- a/packages/testing/stand-ins/users/odd-requests.ts
+++ b/packages/testing/stand-ins/users/odd-requests.ts
@@ -4,11 +4,11 @@
 import type { JobUser } from './job-conduct.js';
 import type { UserRequests } from './requests.js';
 
-/** Ids that no workload gives to its jobs. */
+/** The first of the ids that no workload gives to its jobs. */
 const FIRST_ODD_ID = 900_000;
 const EXCESSIVE_AMOUNT = 1_000_000;
 
-/** Jobs that fit no machine or no team. */
+/** Changes that make a job unschedulable: no machine or no team fits it. */
 const UNSCHEDULABLE_VARIANTS: ((job: Job) => Job)[] = [
   (job) => ({ ...job, cpus: EXCESSIVE_AMOUNT }),
   (job) => ({ ...job, gpus: EXCESSIVE_AMOUNT }),
@@ -17,7 +17,7 @@
   (job) => ({ ...job, team: 'no-such-team' }),
 ];
 
-/** Requests that no program would make: the service must answer them by the rules all the same. */
+/** Sends requests that no sound client sends; the service must still keep the rules of the protocol. */
 export class OddRequests {
   private nextId = FIRST_ODD_ID;
 
@@ -27,7 +27,7 @@
     private readonly observer: Observer,
   ) {}
 
-  /** One odd request, by chance, about one of those jobs or a new one. */
+  /** Sends one odd request, chosen at random, about one of the jobs or a new one. */
   async sendOne(jobs: JobUser[]): Promise<void> {
     const active = this.pick(jobs.filter((job) => job.accepted && !job.ended));
     const ended = this.pick(jobs.filter((job) => job.ended));
@@ -43,7 +43,7 @@
     await this.pickFrom(choices)();
   }
 
-  /** A question about a job that nobody has submitted. */
+  /** Polls a job that nobody has submitted. */
   pollUnknownJob(): Promise<unknown> {
     return this.requests.poll(this.newId());
   }
@@ -56,7 +56,7 @@
 
   private async submitIncomplete(sample: Job): Promise<void> {
     const job = { ...sample, id: this.newId() };
-    // Without its id it would be nobody's job.
+    // The id stays, as the rule checker needs it to find the job of the request.
     const missing = this.pickFrom(REQUIRED_JOB_FIELDS.filter((field) => field !== 'id'));
     const fields = Object.entries(jobToWire(job)).filter(([field]) => field !== missing);
     const body = Object.fromEntries(fields);
@@ -70,7 +70,7 @@
 
   private pickFrom<T>(items: T[]): T {
     const picked = this.pick(items);
-    if (picked === undefined) throw new Error('there is nothing to pick from');
+    if (picked === undefined) throw new Error('cannot pick from an empty list');
     return picked;
   }
 
--- a/packages/testing/stand-ins/users/planned-job.ts
+++ b/packages/testing/stand-ins/users/planned-job.ts
@@ -1,18 +1,18 @@
-/** The plan of one job and its user. */
+/** The plan for one job and its user. */
 import type { JobProgram } from '../job-storage.js';
 
-/** A job and what its user will do with it. */
+/** A job and when its user submits, cancels and resubmits it. */
 export interface PlannedJob {
   program: JobProgram;
   /**
-   * Seconds after the start of the plan; a job with dependencies is submitted later if these are not
-   * accepted yet.
+   * Seconds from the start of the plan to the submission. A job with dependencies is submitted later
+   * if these are not accepted by then.
    */
   submitAtS: number;
-  /** It is submitted only once all its dependencies are over; not if it is left out. */
+  /** Whether the job is submitted only once all its dependencies have ended; false by default. */
   submittedAfterDependenciesEnd?: boolean;
-  /** Seconds after the acceptance until the user cancels the job; null: never. */
+  /** Seconds from the acceptance until the user cancels the job; null: never. */
   cancelAfterS: number | null;
-  /** Seconds after the acceptance until the user submits it once more; null: never. */
+  /** Seconds from the acceptance until the user submits the job once more; null: never. */
   repeatAfterS: number | null;
 }
--- a/packages/testing/stand-ins/users/poll-bursts.ts
+++ b/packages/testing/stand-ins/users/poll-bursts.ts
@@ -1,19 +1,19 @@
-/** Bursts of requests to all nodes right after something happened to a job. */
+/** Bursts of requests to all nodes right after a job was accepted or has ended. */
 import { jobToWire, sleep, type Job, type Runtime } from '#wire';
 import type { UserRequests } from './requests.js';
 
-/** When all nodes are asked after news about a job, in milliseconds. */
+/** Delays of the polls of a burst, in milliseconds. */
 const POLL_DELAYS_MS = [0, 2, 5, 12, 30, 80, 250];
 
-/** Questions at all nodes within milliseconds after news about a job, and repeated submissions. */
+/** Sends bursts of polls to all nodes, with one repeated submission to each. */
 export class PollBursts {
   constructor(
     private readonly runtime: Runtime,
-    /** One for each node, past the load balancer. */
+    /** One for each node, without the load balancer. */
     private readonly nodes: UserRequests[],
   ) {}
 
-  /** Asks all nodes again and again; each gets one repeated submission in between. */
+  /** Polls the job at all nodes several times and resubmits it once at each node. */
   poll(job: Job): void {
     for (const node of this.nodes) {
       const repeatAt = Math.floor(this.runtime.random() * POLL_DELAYS_MS.length);
--- a/packages/testing/stand-ins/users/requests.ts
+++ b/packages/testing/stand-ins/users/requests.ts
@@ -1,4 +1,4 @@
-/** The HTTP requests of users, observed one by one. */
+/** The HTTP requests of users. */
 import {
   NoAnswer,
   UserClient,
@@ -9,20 +9,20 @@
 } from '#wire';
 import type { Observer, RequestKind, UserRequest } from '../events.js';
 
-/** How long users wait for responses, in milliseconds. */
+/** How long users wait for a response, in milliseconds. */
 const SUBMIT_TIMEOUT_MS = 5000;
 const POLL_TIMEOUT_MS = 2000;
-/** Requests never wait for a connection of their own client. */
+/** So high that no request waits for a free connection of its client. */
 const MAX_SOCKETS = 1000;
 
-/** What a user was told; null in place of it if no response came. */
+/** The response to a request; functions use null if no response came. */
 export interface UserResponse {
   status: number;
   phase: Phase | null;
   retryAfterS: number;
 }
 
-/** Sends the requests of users to one address and tells the observer of each and of its answer. */
+/** Sends the requests of users to one address and reports each request and its outcome to the observer. */
 export class UserRequests {
   private readonly client: UserClient;
 
@@ -34,7 +34,7 @@
     this.client = new UserClient(address, SUBMIT_TIMEOUT_MS, runtime, MAX_SOCKETS);
   }
 
-  /** The body is in the protocol's words. */
+  /** Submits a job; `body` is in the form of the wire. */
   submit(job: string, body: unknown): Promise<UserResponse | null> {
     return this.sendObserved('submit', job, () => this.client.submitRaw(body));
   }
@@ -71,12 +71,12 @@
   }
 }
 
-/** The user was told that the job is accepted. */
+/** Whether the response says that the job is accepted. */
 export function isAcceptance(response: UserResponse | null): boolean {
   return response?.status === 200 || response?.status === 201;
 }
 
-/** The job is over, by what the user was told. */
+/** Whether the response says that the job is done or cancelled. */
 export function isFinal(response: UserResponse | null): boolean {
   return response?.status === 200 && (response.phase === 'done' || response.phase === 'aborted');
 }
--- a/packages/testing/stand-ins/users/users.test.ts
+++ b/packages/testing/stand-ins/users/users.test.ts
@@ -18,7 +18,7 @@
   return { program, submitAtS: 0, cancelAfterS: null, repeatAfterS: null, ...plan };
 }
 
-/** Users before two nodes that answer as the test says; the first is in the balancer's place. */
+/** Starts users and two nodes that answer with `reply`; the first node also stands in for the balancer. */
 async function startUsers(reply: (request: ServedRequest) => WireReply | null) {
   const world = new SampleWorld();
   const requests: { node: number; atS: number; path: string; method: string; body: unknown }[] = [];
@@ -51,7 +51,7 @@
   return { status, body: { id: 'j-000001', phase } };
 }
 
-test('a submission is repeated by the rules, and polls follow until the job is over', async () => {
+test('a submission is repeated until it is accepted, and polls follow until the job has ended', async () => {
   const replies: (WireReply | null)[] = [{ status: 503 }, null, jobReply(201, 'pending')];
   let phase: Phase = 'running';
   const { world, users, requests, requestTimes } = await startUsers(({ path }) =>
@@ -70,7 +70,7 @@
   assert.ok(requests.length <= 3 + 6);
 });
 
-test('a refusal is final, and after a minute without an answer a user gives up', async () => {
+test('a submission is not repeated after a refusal, and is given up after a minute without acceptance', async () => {
   const { world, users, requestTimes } = await startUsers(() => ({ status: 422 }));
   users.submit(makePlan());
   await world.run(80);
@@ -82,7 +82,7 @@
   assert.ok(count >= 55 && count <= 61, `${count}`);
 });
 
-test('a cancellation is repeated until it is answered, and ends the polls', async () => {
+test('a cancellation is repeated until it is confirmed, and ends the polls', async () => {
   const replies: WireReply[] = [{ status: 503 }, { status: 404 }, jobReply(200, 'aborted')];
   const { world, users, requestTimes, eventsOfKind } = await startUsers(({ path }) => {
     if (path.endsWith('/abort')) return replies.shift()!;
@@ -93,14 +93,14 @@
   assert.equal(requestTimes('/submissions/j-000001/abort').length, 3);
   assert.equal(eventsOfKind('cancel-asked').length, 1);
   const polls = requestTimes('/submissions/j-000001').length;
-  // Another five seconds later the user may poll once more.
+  // Five seconds after the end of the job the user may poll it once more.
   await world.run(2.5);
   assert.equal(requestTimes('/submissions/j-000001').length, polls);
   await world.run(10);
   assert.equal(requestTimes('/submissions').length, 2);
 });
 
-test('the observer learns of requests that get no answer', async () => {
+test('the observer is told of a request that gets no answer within the timeout', async () => {
   const { world, users, eventsOfKind } = await startUsers(() => null);
   users.submit(makePlan());
   await world.run(4.9);
@@ -124,7 +124,7 @@
   assert.ok(requests.length - before >= 16);
 });
 
-test('some jobs are cancelled at their end, or many at once', async () => {
+test('jobs are cancelled at their completion with setCancelAtEnd, and several at once with cancelNow', async () => {
   const { world, users, storage, eventsOfKind } = await startUsers(() => jobReply(200, 'running'));
   const state = new WorldState();
   for (let i = 1; i <= 5; i++) users.submit(makePlan({ id: `j-00000${i}`, tasks: 1 }));
@@ -146,7 +146,7 @@
   assert.equal(eventsOfKind('cancel-asked').length, 3);
 });
 
-test('odd requests are of all kinds, and jobs that lack a field or can run nowhere are marked as not runnable', async () => {
+test('odd requests cover all kinds; jobs that lack a field or can run nowhere are reported as not runnable', async () => {
   let phase: Phase = 'running';
   const { world, users, requests, eventsOfKind } = await startUsers(() => jobReply(200, phase));
   users.submit(makePlan({ gpus: 0 }));
--- a/packages/testing/stand-ins/users/users.ts
+++ b/packages/testing/stand-ins/users/users.ts
@@ -1,4 +1,4 @@
-/** All users: they submit jobs through the load balancer, ask about them and cancel some. */
+/** All users, who submit jobs through the load balancer, poll them and cancel some. */
 import { setMaxListeners } from 'node:events';
 import { pause, type Runtime } from '#wire';
 import type { Observer } from '../events.js';
@@ -16,7 +16,7 @@
   runtime: Runtime;
   /** Address of the load balancer. */
   balancer: string;
-  /** The nodes themselves, for bursts of polls. */
+  /** Addresses of the nodes, for bursts of polls without the load balancer. */
   nodes: ControllerAddress[];
   storage: JobStorage;
   observer: Observer;
@@ -25,12 +25,12 @@
 const UNKNOWN_JOB_POLL_PERIOD_S = 20;
 const ODD_REQUEST_PERIOD_S = 1;
 const CANCEL_WITHIN_S = 0.2;
-/** A job with a task of such a run time has long to go, in seconds. */
+/** A job has a long remaining run if an unfinished task of it runs at least this long. */
 const LONG_REMAINING_RUN_S = 30;
-/** Of the jobs that are polled in bursts, this share is cancelled right after its acceptance. */
+/** Share of jobs that are cancelled right after their acceptance while poll bursts are enabled. */
 const CANCEL_ON_ACCEPTANCE_SHARE = 0.1;
 
-/** Starts the users of all jobs, and makes their requests follow the faults of the run. */
+/** Starts the users of all jobs; faults of the run switch unusual behaviour of users on and off. */
 export class Users {
   private readonly jobUsers = new Map<string, JobUser>();
   private readonly requests: UserRequests;
@@ -48,14 +48,14 @@
     this.nodeRequests = nodes.map(({ address }) => new UserRequests(runtime, address, observer));
     this.pollBursts = new PollBursts(runtime, this.nodeRequests);
     this.oddRequests = new OddRequests(runtime, this.requests, observer);
-    // Each job under way listens to it.
+    // Each job that has not ended adds a listener.
     setMaxListeners(0, this.stopController.signal);
     storage.onJobComplete((job) => {
       this.handleJobCompletion(job);
     });
   }
 
-  /** Begins with the plan; its times count from now. */
+  /** Starts the plan; its times are relative to this call. */
   start(plan: PlannedJob[]): void {
     for (const job of plan) {
       this.options.runtime.clock.setTimer(() => {
@@ -66,7 +66,7 @@
     void this.repeat(ODD_REQUEST_PERIOD_S, () => this.makeOddRequest());
   }
 
-  /** A user submits the job now and goes on by the plan. */
+  /** Submits the job now and follows its plan from there. */
   submit(plan: PlannedJob): void {
     if (this.isStopped()) return;
     this.options.storage.upload(plan.program);
@@ -83,7 +83,7 @@
     void this.runAfterDependencies(jobUser);
   }
 
-  /** A job with dependencies is submitted once these are accepted, or once they are over. */
+  /** Submits a job once its dependencies are accepted, or, if planned so, once they have ended. */
   private async runAfterDependencies(jobUser: JobUser): Promise<void> {
     const { submittedAfterDependenciesEnd, program } = jobUser.plan;
     const dependencies = program.job.awaits.map((id) => this.jobUsers.get(id));
@@ -94,20 +94,20 @@
     if (!this.isStopped()) await jobUser.run();
   }
 
-  /** Asks and submits no more. */
+  /** Stops all requests. */
   stop(): void {
     this.stopController.abort();
     for (const requests of [this.requests, ...this.nodeRequests]) requests.close();
   }
 
-  /** The user of the job cancels it now. */
+  /** Lets the user of the job cancel it now. */
   cancel(job: string): void {
     void this.jobUsers.get(job)?.cancel();
   }
 
   /**
-   * Cancels up to so many jobs that run and have long to go, within a fifth of a second; returns the
-   * machines that they are on.
+   * Cancels up to `count` running jobs with a long remaining run, all within 0.2 s. Returns the
+   * machines with tasks of these jobs.
    */
   cancelNow(count: number, state: WorldState): string[] {
     const chosen = [...this.jobUsers.values()]
@@ -124,17 +124,17 @@
     return chosen.flatMap((job) => state.started(job.id).map((place) => place.machine));
   }
 
-  /** That share of the jobs that end is cancelled at the moment of the end; 0 ends it. */
+  /** Sets the share of jobs that are cancelled at the moment of their completion; 0 by default. */
   setCancelAtEnd(share: number): void {
     this.cancelAtEndShare = share;
   }
 
-  /** Requests that no program would make, each second. */
+  /** Switches on or off one odd request each second. */
   setOddRequests(enabled: boolean): void {
     this.oddRequestsEnabled = enabled;
   }
 
-  /** All nodes are asked within milliseconds after a job was accepted, ended or cancelled. */
+  /** Switches on or off polls to all nodes right after a job was accepted, ended or cancelled. */
   setPollBursts(enabled: boolean): void {
     this.pollBurstsEnabled = enabled;
   }
@@ -173,7 +173,7 @@
   }
 }
 
-/** Some task of the job would still run for a while. */
+/** Whether the job is a service, or an unfinished task of it has a long run time. */
 function hasLongRemainingRun({ plan, id }: JobUser, state: WorldState): boolean {
   const { job, runS } = plan.program;
   const completed = state.completedTasks(id);
--- a/packages/testing/stand-ins/workload/index.ts
+++ b/packages/testing/stand-ins/workload/index.ts
@@ -1,4 +1,4 @@
-/** The jobs of a run. */
+/** Generates the jobs of a run. */
 export * from './job-class.js';
 export type { Pipeline } from './pipeline.js';
 export * from './workload.js';
--- a/packages/testing/stand-ins/workload/job-class.ts
+++ b/packages/testing/stand-ins/workload/job-class.ts
@@ -2,28 +2,28 @@
 import type { Job } from '#wire';
 import type { Span, TimeDistribution } from '../distributions.js';
 
-/** When the jobs of a class come. */
+/** When the jobs of a class are submitted. */
 export interface Arrivals {
-  /** Occasions on which jobs come, on average and independently of each other. */
+  /** Mean rate of arrivals, which are independent of each other. */
   perMinute: number;
-  /** Jobs that come together on one occasion. */
+  /** Jobs of one arrival, submitted at the same time. */
   together: Span;
-  /** Jobs that come at the very start, beside the others; none if it is left out. */
+  /** Further jobs that are submitted at the start of the run; 0 by default. */
   atStart?: number;
 }
 
-/** What a job needs, the same for all jobs of a class. */
+/** The fields of a job that are the same for all jobs of a class. */
 export type JobTemplate = Omit<
   Job,
   'id' | 'team' | 'tasks' | 'image' | 'estimateS' | 'deadlineS' | 'awaits'
 >;
 
-/** What has no usual value. */
+/** Fields of a template that have no default. */
 type RequiredNeeds = 'class' | 'kind' | 'rank' | 'cpus' | 'gpus' | 'memory' | 'imageGb';
 
 /**
- * A template of jobs that may run on any on-demand machine and write no checkpoints, unless `needs`
- * says otherwise.
+ * Makes a template from `needs`. By default its jobs may run on any on-demand machine and write no
+ * checkpoints.
  */
 export function jobTemplate(
   needs: Pick<JobTemplate, RequiredNeeds> & Partial<JobTemplate>,
@@ -40,22 +40,22 @@
   };
 }
 
-/** One class of jobs: what they need, when they come and how long they run. */
+/** A class of jobs: their resources, arrivals, run times and cancellations. */
 export interface JobClass {
   template: JobTemplate;
   arrivals: Arrivals;
   tasks: Span;
-  /** Run time of a task; of a service, time until its user cancels it. */
+  /** Run time of a task, or of a service until its user cancels it. */
   run: TimeDistribution;
-  /** Share of jobs that are cancelled before they end; not for services. */
+  /** Share of jobs that are cancelled; not for services, which always are. */
   cancelledShare: number;
   /** Share of jobs whose tasks fail on every machine. */
   mistakenShare: number;
-  /** Different images that the jobs of the class use. */
+  /** Number of different images that the jobs of the class use. */
   images: number;
 }
 
-/** Replicas that stand for minutes, spread over the zones. */
+/** Service replicas that run for minutes, spread over the zones. */
 const REPLICAS: JobClass = {
   template: jobTemplate({
     class: 'chat-replica',
@@ -75,7 +75,7 @@
   images: 3,
 };
 
-/** Batches of independent tasks that write checkpoints and run on spot machines too. */
+/** Batches of independent tasks that write checkpoints and may run on spot machines. */
 const BATCHES: JobClass = {
   template: jobTemplate({
     class: 'embedding-batch',
@@ -97,7 +97,7 @@
   images: 4,
 };
 
-/** Small urgent replicas that come several at a time and go soon. */
+/** Small urgent service replicas that arrive several at a time and run for a short time. */
 const URGENT_REPLICAS: JobClass = {
   template: jobTemplate({
     class: 'rush-replica',
@@ -116,7 +116,7 @@
   images: 1,
 };
 
-/** Gangs on whole machines of one zone. */
+/** Gangs whose tasks each take a whole machine, all in one zone. */
 const GANGS: JobClass = {
   template: jobTemplate({
     class: 'tuning-gang',
@@ -139,5 +139,5 @@
   images: 2,
 };
 
-/** A mix for a fleet of a dozen machines with eight accelerators each. */
+/** The default mix of classes, for a fleet of a dozen machines with eight accelerators each. */
 export const USUAL_CLASSES: JobClass[] = [REPLICAS, BATCHES, URGENT_REPLICAS, GANGS];
--- a/packages/testing/stand-ins/workload/pipeline.ts
+++ b/packages/testing/stand-ins/workload/pipeline.ts
@@ -2,27 +2,27 @@
 import type { Span } from '../distributions.js';
 import type { Arrivals, JobClass } from './job-class.js';
 
-/** Jobs that begin when the same others are done. */
+/** A stage of a pipeline: jobs with the same dependencies. */
 export interface Stage {
   jobClass: JobClass;
   jobs: Span;
-  /** Numbers of the stages whose jobs its jobs depend on. */
+  /** Indexes of the stages on whose jobs the jobs of this stage depend. */
 
   // eslint-disable-next-line local/retired-words -- the protocol's word
   awaits: number[];
 }
 
-/** Jobs, usually of one team, stage after stage, of which the last has a deadline. */
+/** A pipeline of stages, usually of one team. Only the jobs of the last stage have a deadline. */
 export interface Pipeline {
   stages: Stage[];
   arrivals: Arrivals;
-  /** None comes before; the start if it is left out. */
+  /** Seconds from the start of the run before which no pipeline is submitted; 0 by default. */
   fromS?: number;
-  /** Share of pipelines whose last stage is submitted only when the others are over. */
+  /** Share of the last stage's jobs that are submitted only once their dependencies have ended. */
   lateShare: number;
-  /** Share of pipelines of which one job is cancelled. */
+  /** Share of pipelines in which one job is cancelled. */
   cancelledShare: number;
   deadlineS: number;
-  /** Each job is of a team of its own. */
+  /** Whether the team is chosen for each job instead of for the pipeline. */
   mixesTeams?: boolean;
 }
--- a/packages/testing/stand-ins/workload/workload.test.ts
+++ b/packages/testing/stand-ins/workload/workload.test.ts
@@ -14,12 +14,12 @@
   return makeWorkload(() => chance.next(), options);
 }
 
-test('the same seed gives the same workload, another seed another', () => {
+test('the same seed gives the same workload, and another seed a different one', () => {
   assert.deepEqual(makeTestWorkload(1), makeTestWorkload(1));
   assert.notDeepEqual(makeTestWorkload(1), makeTestWorkload(2));
 });
 
-test('all jobs are well formed, have ids of their own and come in order', () => {
+test('all jobs are well formed, have unique ids and are sorted by submission time', () => {
   const plan = makeTestWorkload(3);
   const ids = plan.map(({ program }) => program.job.id);
   assert.equal(new Set(ids).size, ids.length);
@@ -33,7 +33,7 @@
 
 for (const jobClass of USUAL_CLASSES) {
   const name = jobClass.template.class;
-  test(`${name}: rates, sizes, run times and cancellations are those of the class`, () => {
+  test(`${name}: rates, sizes, run times and cancellations match the class`, () => {
     const plan = makeTestWorkload(4, 2).filter(({ program }) => program.job.class === name);
     const { arrivals, run, tasks, cancelledShare } = jobClass;
     const expected =
--- a/packages/testing/stand-ins/workload/workload.ts
+++ b/packages/testing/stand-ins/workload/workload.ts
@@ -1,4 +1,4 @@
-/** Generates the jobs of a run from the random numbers that it is given. */
+/** Generates the jobs of a run from given random numbers. */
 import type { Job } from '#wire';
 import type { JobProgram } from '../job-storage.js';
 import type { PlannedJob } from '../users/index.js';
@@ -13,26 +13,26 @@
 import type { Arrivals, JobClass } from './job-class.js';
 import type { Pipeline } from './pipeline.js';
 
-/** Which jobs come during a run, and how many. */
+/** Which jobs are submitted during a run, and how many. */
 export interface WorkloadOptions {
   classes: JobClass[];
-  /** Names of the teams; each job is one's at random. */
+  /** Names of the teams; the team of a job is chosen at random. */
   teams: string[];
-  /** Jobs come during this time. */
+  /** Jobs are submitted from the start of the run until this time. */
   lengthS: number;
-  /** Multiplies the rates of arrival, and the jobs at the start. */
+  /** Multiplies the rates of arrivals, and the number of jobs at the start; 1 by default. */
   intensity?: number;
   pipelines?: Pipeline[];
 }
 
-/** Ids are chosen from this many numbers, in no order; higher ones belong to odd requests. */
+/** Ids are the numbers below this, in mixed order; odd requests use higher ones. */
 const ID_RANGE = 900_000;
-/** Coprime to the range, so that no id comes twice. */
+/** Coprime to the range, so that no id repeats before all are used. */
 const ID_STEP = 410_647;
 const ID_DIGITS = 6;
 /** An estimate as a multiple of the true run time. */
 const ESTIMATE_FACTOR: Span = [0.5, 1.8];
-/** A deadline as a multiple of the estimate, and what comes on top. */
+/** A deadline is the estimate times the factor, plus the extra seconds. */
 const DEADLINE_FACTOR = 3;
 const DEADLINE_EXTRA_S = 60;
 /** A cancelled job is cancelled at this fraction of its estimate. */
@@ -40,10 +40,10 @@
 const RESUBMITTED_SHARE = 0.05;
 const RESUBMITTED_AFTER_S: Span = [1, 120];
 const FAILS_AFTER_S: Span = [1, 10];
-/** The user of a job that always fails cancels it after this time. */
+/** Time from the acceptance until the user of a job that always fails cancels it. */
 const FAILING_JOB_CANCEL_AFTER_S: Span = [30, 120];
 
-/** All jobs of a run, in the order in which they come. */
+/** Returns all jobs of a run in the order of their submission. */
 export function makeWorkload(random: Random, options: WorkloadOptions): PlannedJob[] {
   const { classes, teams, lengthS, intensity = 1 } = options;
   const maker = new JobMaker(random, teams);
@@ -100,7 +100,7 @@
     };
   }
 
-  /** The jobs of one pipeline: only the last stage's have a deadline, and one of all may be cancelled. */
+  /** Makes the jobs of one pipeline, of which one may be cancelled. Only the last stage has a deadline. */
   makePipeline(pipeline: Pipeline, submitAtS: number): PlannedJob[] {
     const { stages, lateShare, cancelledShare, deadlineS, mixesTeams } = pipeline;
     const team = this.teams[Math.floor(this.random() * this.teams.length)];
