--- a/packages/testing/stand-ins/checker/mistakes.test.ts
+++ b/packages/testing/stand-ins/checker/mistakes.test.ts
@@ -91,7 +91,7 @@
   ],
   [
     'forgotten',
-    'a poll about an accepted job gets 404',
+    'a poll about an accepted job is answered with 404',
     {},
     async (script) => {
       script.startTask('m-0');
@@ -100,7 +100,7 @@
   ],
   [
     'forgotten',
-    'a repeated submission of an accepted job gets 422',
+    'a repeated submission of an accepted job is answered with 422',
     {},
     async (script) => {
       script.startTask('m-0');
@@ -134,7 +134,7 @@
   ],
   [
     'invented',
-    'a poll about a job that nobody submitted gets 200',
+    'a poll about a job that nobody submitted is answered with 200',
     {},
     async (script) => {
       script.startTask('m-0');
@@ -143,7 +143,7 @@
   ],
   [
     'not_done',
-    'a poll gets done before all tasks have completed',
+    'a poll is answered with done before all tasks have completed',
     {},
     async (script) => {
       script.startTask('m-0');
@@ -153,7 +153,7 @@
   ],
   [
     'went_back',
-    'a repeated submission gets running after a poll got done',
+    'a repeated submission is answered with running after a poll was answered with done',
     {},
     async (script) => {
       script.startTask('m-0');
@@ -165,7 +165,7 @@
   ],
   [
     'went_back',
-    'a poll gets done after the cancellation was confirmed',
+    'a poll is answered with done after the cancellation was confirmed',
     {},
     async (script) => {
       script.startTask('m-0');
@@ -179,7 +179,7 @@
   ],
   [
     'went_back',
-    'a poll gets aborted for a job that nobody cancelled',
+    'a poll is answered with aborted for a job that nobody cancelled',
     {},
     async (script) => {
       script.startTask('m-0');
@@ -189,7 +189,7 @@
   ],
   [
     'refused_fit',
-    'a job gets 422 although its dependency was accepted',
+    'a job is answered with 422 although its dependency was accepted',
     {},
     async (script) => {
       script.startTask('m-0');
@@ -220,7 +220,7 @@
   ],
   [
     'orphaned',
-    'a poll gets pending later than cancel_s after an indirect dependency was cancelled',
+    'a poll is answered with pending later than cancel_s after an indirect dependency was cancelled',
     {},
     async (script) => {
       script.startTask('m-0');
@@ -235,7 +235,7 @@
   ],
   [
     'went_back',
-    'a poll gets pending after the job was aborted with its dependency',
+    'a poll is answered with pending after the job was aborted with its dependency',
     {},
     async (script) => {
       script.startTask('m-0');
--- a/packages/testing/stand-ins/checker/rule-checker.test.ts
+++ b/packages/testing/stand-ins/checker/rule-checker.test.ts
@@ -47,7 +47,7 @@
     },
   ],
   [
-    'a request that was sent before the final answer gets an older phase',
+    'a request that was sent before the final answer is answered with an older phase',
     async (script) => {
       script.startTask('m-0');
       const early = script.sendRequest('poll');
@@ -60,7 +60,7 @@
     },
   ],
   [
-    'a poll from before the acceptance gets 404, and a job that cannot run gets 400',
+    'a poll from before the acceptance is answered with 404, and a job that cannot run with 400',
     async (script) => {
       script.startTask('m-0');
       script.submitJob({ id: 'j-2' });
--- a/packages/testing/stand-ins/users/job-conduct.ts
+++ b/packages/testing/stand-ins/users/job-conduct.ts
@@ -16,7 +16,7 @@
 const LATE_POLL_SHARE = 0.3;
 const LATE_POLL_AFTER_S: Span = [5, 60];
 
-/** What the user has learnt of the job from an answer. */
+/** What an answer told the user of a job; bursts of polls and cancellations follow it at once. */
 export type JobEvent = 'accepted' | 'ended' | 'cancelled';
 
 /** What the user of a job needs from the run. */
--- a/packages/testing/stand-ins/users/users.test.ts
+++ b/packages/testing/stand-ins/users/users.test.ts
@@ -124,7 +124,7 @@
   assert.ok(requests.length - before >= 16);
 });
 
-test('jobs are cancelled at their completion with setCancelAtEnd, and several at once with cancelNow', async () => {
+test('a share of jobs is cancelled at completion, and a number of running jobs at once', async () => {
   const { world, users, storage, eventsOfKind } = await startUsers(() => jobReply(200, 'running'));
   const state = new WorldState();
   for (let i = 1; i <= 5; i++) users.submit(makePlan({ id: `j-00000${i}`, tasks: 1 }));
--- a/packages/testing/stand-ins/users/users.ts
+++ b/packages/testing/stand-ins/users/users.ts
@@ -129,12 +129,12 @@
     this.cancelAtEndShare = share;
   }
 
-  /** Switches on or off one odd request each second. */
+  /** Switches odd requests on or off, one each second. */
   setOddRequests(enabled: boolean): void {
     this.oddRequestsEnabled = enabled;
   }
 
-  /** Switches on or off polls to all nodes right after a job was accepted, ended or cancelled. */
+  /** Switches on or off bursts of polls to all nodes when a job is accepted, ends or is cancelled. */
   setPollBursts(enabled: boolean): void {
     this.pollBurstsEnabled = enabled;
   }
