--- a/packages/testing/stand-ins/checker/rule-checker.ts
+++ b/packages/testing/stand-ins/checker/rule-checker.ts
@@ -1,6 +1,6 @@
 /**
- * Checks the rules of the protocol all the time, as the operators do: it sees the true state of all
- * workers and what every user is told, and nothing of the controllers.
+ * Checks the rules of the protocol at each event and each second. Like the operators, it sees the true
+ * state of all workers and every answer to a user, but nothing of the controllers.
  */
 import { every, type Clock, type Timer } from '#wire';
 import type { Observer, WorldEvent } from '../events.js';
@@ -9,8 +9,8 @@
 import { CancelChecks } from './cancel-checks.js';
 import type { Check, CheckContext, CheckerSettings } from './check.js';
 import { DependencyChecks } from './dependency-checks.js';
-import { JobLedger } from './job-ledger.js';
-import { SilenceCheck } from './silence-check.js';
+import { JobRecords } from './job-ledger.js';
+import { UnansweredCheck } from './silence-check.js';
 import { StartChecks } from './start-checks.js';
 import { breaksRule, ViolationLog, type Violation } from './violation.js';
 import { WaitingCheck } from './waiting-check.js';
@@ -19,33 +19,33 @@
 
 /** Passes each event to all checks and collects the violations that they find. */
 export class RuleChecker {
-  /** The true state of the world, also for faults that choose by it. */
+  /** The true state of machines and tasks; faults use it to choose their targets. */
   readonly state = new WorldState();
   readonly observe: Observer = (event) => {
     this.apply(event);
   };
-  private readonly ledger: JobLedger;
-  private readonly log: ViolationLog;
+  private readonly jobRecords: JobRecords;
+  private readonly violationLog: ViolationLog;
   private readonly checks: Check[];
-  private readonly ticks: Timer;
+  private readonly tickTimer: Timer;
   private faultFreeSince: number | null = null;
-  private anyStart = false;
+  private anyTaskStarted = false;
 
   constructor(
     private readonly clock: Clock,
     settings: CheckerSettings,
   ) {
     const now = () => clock.now();
-    this.ledger = new JobLedger(now);
-    this.log = new ViolationLog(now);
+    this.jobRecords = new JobRecords(now);
+    this.violationLog = new ViolationLog(now);
     const context: CheckContext = {
       settings,
       state: this.state,
-      ledger: this.ledger,
+      jobRecords: this.jobRecords,
       now,
       faultFreeSince: () => this.faultFreeSince,
       recordViolation: (finding) => {
-        this.log.add(finding);
+        this.violationLog.add(finding);
       },
     };
     this.checks = [
@@ -53,15 +53,15 @@
       new CancelChecks(context, clock),
       new DependencyChecks(context),
       new AnswerChecks(context),
-      new SilenceCheck(context),
+      new UnansweredCheck(context),
       new WaitingCheck(context),
     ];
-    this.ticks = every(clock, TICK_MS, () => {
+    this.tickTimer = every(clock, TICK_MS, () => {
       this.tick();
     });
   }
 
-  /** All faults have ended: stricter rules hold until faultsBegan(). */
+  /** Must be called when the last fault has ended: stricter rules apply until faultsBegan(). */
   faultsEnded(): void {
     this.faultFreeSince ??= this.clock.now();
   }
@@ -70,31 +70,31 @@
     this.faultFreeSince = null;
   }
 
-  /** All that was found so far. */
-  get findings(): readonly Violation[] {
-    return this.log.all;
+  /** All violations so far, including events that are only counted. */
+  get allViolations(): readonly Violation[] {
+    return this.violationLog.all;
   }
 
-  /** Violations of rules, without what is only counted. */
+  /** The violations so far that break a rule, without events that are only counted. */
   get violations(): Violation[] {
-    return this.log.all.filter(breaksRule);
+    return this.violationLog.all.filter(breaksRule);
   }
 
-  /** Ends the run: checks what can only be known then, and returns all violations of rules. */
+  /** Ends the run: checks that some task was started, and returns all violations that break a rule. */
   finish(): Violation[] {
-    this.ticks.cancel();
-    if (!this.anyStart) {
-      this.log.add({ rule: 'nothing_ran', job: null, explanation: 'no task was started' });
+    this.tickTimer.cancel();
+    if (!this.anyTaskStarted) {
+      this.violationLog.add({ rule: 'nothing_ran', job: null, explanation: 'no task was started' });
     }
     return this.violations;
   }
 
   private apply(event: WorldEvent): void {
-    if (event.kind === 'task-started') this.anyStart = true;
+    if (event.kind === 'task-started') this.anyTaskStarted = true;
     this.state.apply(event);
-    this.ledger.recordRequest(event);
+    this.jobRecords.recordRequest(event);
     for (const check of this.checks) check.onEvent?.(event);
-    this.ledger.recordAnswer(event);
+    this.jobRecords.recordAnswer(event);
   }
 
   private tick(): void {
