--- a/packages/testing/leader-load/figures.ts
+++ b/packages/testing/leader-load/figures.ts
@@ -11,25 +11,25 @@
 import { RecordBatch } from '../../controller/records/record-batch.js';
 import { RemovalMarker } from '../../controller/records/removal-marker.js';
 import { unusableMachines } from '../../controller/cloud/unusable-machines.js';
-import type { StandingFleet } from './standing-fleet.js';
+import type { FleetFixture } from './standing-fleet.js';
 
 /** One duty: `prepare` is not timed, and is called anew before each run. */
-export interface Figure {
+export interface Benchmark {
   /** What waits or changes; tasks and jobs are given for 100 machines. */
-  prepare(standing: StandingFleet, now: number): void;
-  run(standing: StandingFleet, now: number): void;
+  prepare(fixture: FleetFixture, now: number): void;
+  run(fixture: FleetFixture, now: number): void;
 }
 
 const LEASE_S = 10;
 const TERM = { shard: 0, term: 100, leaseId: 1, electedAt: 0 };
 const LIMITS: StateLimits = { rps: 150, writeRps: 50, valueBytes: 8192, txnOps: 24 };
 /** Machines whose records change together. */
-const RECORDED_TOGETHER = 8;
+const MACHINES_PER_BATCH = 8;
 
-const nothing = () => {};
+const noPreparation = () => {};
 
 /** What an owner does in a round, the order and sending of commands apart. */
-function round({ fleet, scheduler }: StandingFleet, now: number): void {
+function runRound({ fleet, scheduler }: FleetFixture, now: number): void {
   fleet.leases.expire(now);
   fleet.machines.updateTotals();
   evictOnReclaimNotices(fleet, now);
@@ -38,32 +38,32 @@
 }
 
 /** So many tasks end, and what they leave is recorded. */
-function endTasks(standing: StandingFleet, count: number, now: number): void {
-  const { fleet } = standing;
-  const ending = standing.drawEnding(count);
+function endTasks(fixture: FleetFixture, count: number, now: number): void {
+  const { fleet } = fixture;
+  const ending = fixture.drawEndingTasks(count);
   for (const machine of new Set(ending.map((task) => task.machine))) {
-    fleet.heartbeats.handle(standing.heartbeatOf(machine, new Set(ending)), now);
+    fleet.heartbeats.handle(fixture.heartbeatOf(machine, new Set(ending)), now);
   }
-  standing.settle(now);
+  fixture.settle(now);
 }
 
 /** Keeps so many array tasks waiting. */
-function keepWaiting(standing: StandingFleet, tasks: number, now: number): void {
-  const { jobs } = standing.fleet;
+function keepWaiting(fixture: FleetFixture, tasks: number, now: number): void {
+  const { jobs } = fixture.fleet;
   let waiting = 0;
   for (const job of jobs.waiting) waiting += jobs.waitingCount(job);
-  for (; waiting < tasks; waiting += 10) standing.submit(now, { kind: 'array', tasks: 10 });
+  for (; waiting < tasks; waiting += 10) fixture.submit(now, { kind: 'array', tasks: 10 });
 }
 
 /** Waiting work of all kinds that finds no room. */
-function crowd(standing: StandingFleet, jobs: number, now: number): void {
-  for (let missing = jobs - standing.fleet.jobs.waiting.size; missing > 0; missing--) {
-    standing.submit(now);
+function fillQueue(fixture: FleetFixture, jobs: number, now: number): void {
+  for (let missing = jobs - fixture.fleet.jobs.waiting.size; missing > 0; missing--) {
+    fixture.submit(now);
   }
 }
 
-function aRecordBatch(standing: StandingFleet): Uint8Array {
-  const { fleet } = standing;
+function encodeRecordBatch(fixture: FleetFixture): Uint8Array {
+  const { fleet } = fixture;
   const jobs = { get: () => ({ version: 1 }) } as unknown as JobTable;
   const records = new MachineRecords({
     clock: { now: () => 0 },
@@ -71,9 +71,9 @@
     jobs,
     limits: LIMITS,
   });
-  const batch = new RecordBatch(TERM, new RemovalMarker(TERM), LIMITS, RECORDED_TOGETHER);
+  const batch = new RecordBatch(TERM, new RemovalMarker(TERM), LIMITS, MACHINES_PER_BATCH);
   const machines = [...fleet.machines.values()].filter(({ tasks }) => tasks.size > 0);
-  for (const { name } of machines.slice(0, RECORDED_TOGETHER)) {
+  for (const { name } of machines.slice(0, MACHINES_PER_BATCH)) {
     batch.add(records.changeOf(name)!);
   }
   const conditions = batch.allConditions().map(({ key, version }) => ({ k: key, stamp: version }));
@@ -81,90 +81,99 @@
   return encode({ if: conditions, apply: changes });
 }
 
-function directCommand(standing: StandingFleet, machine: Machine, now: number): void {
-  const { fleet } = standing;
+function runDirectCommand(fixture: FleetFixture, machine: Machine, now: number): void {
+  const { fleet } = fixture;
   const orders = fleet.directOrders.nextOrders(machine, now);
   encode(commandToWire(machine.fencingToken, machine.agentEpoch, orders));
-  const heartbeat = parseHeartbeat(heartbeatToWire(standing.heartbeatOf(machine)));
+  const heartbeat = parseHeartbeat(heartbeatToWire(fixture.heartbeatOf(machine)));
   fleet.directOrders.applyOutcome(machine, orders, { kind: 'executed', heartbeat }, now);
 }
 
-function anyMachine(standing: StandingFleet): Machine {
-  const machines = [...standing.fleet.machines.values()].filter(({ tasks }) => tasks.size > 0);
-  return machines[standing.chance.int(0, machines.length - 1)];
+function pickMachine(fixture: FleetFixture): Machine {
+  const machines = [...fixture.fleet.machines.values()].filter(({ tasks }) => tasks.size > 0);
+  return machines[fixture.chance.int(0, machines.length - 1)];
 }
 
 /** The tasks of a machine are placed but not started. */
-function unstart(task: Assignment): void {
+function markUnstarted(task: Assignment): void {
   Object.assign(task, { startSent: false, reportedState: null, recorded: true });
 }
 
-let chosen: Machine;
-const perHundred = (standing: StandingFleet, count: number) =>
-  Math.ceil((standing.fleet.machines.size * count) / 100);
+let chosenMachine: Machine;
+const perHundredMachines = (fixture: FleetFixture, count: number) =>
+  Math.ceil((fixture.fleet.machines.size * count) / 100);
 
-export const FIGURES: Record<string, Figure> = {
-  'round, nothing to do': { prepare: nothing, run: round },
+export const BENCHMARKS: Record<string, Benchmark> = {
+  'round, nothing to do': { prepare: noPreparation, run: runRound },
   'round, a few changes': {
-    prepare: (standing, now) => {
-      endTasks(standing, perHundred(standing, 1), now);
-      keepWaiting(standing, perHundred(standing, 1), now);
+    prepare: (fixture, now) => {
+      endTasks(fixture, perHundredMachines(fixture, 1), now);
+      keepWaiting(fixture, perHundredMachines(fixture, 1), now);
     },
-    run: round,
+    run: runRound,
   },
   'round, a burst': {
-    prepare: (standing, now) => {
-      endTasks(standing, perHundred(standing, 100), now);
-      keepWaiting(standing, perHundred(standing, 150), now);
+    prepare: (fixture, now) => {
+      endTasks(fixture, perHundredMachines(fixture, 100), now);
+      keepWaiting(fixture, perHundredMachines(fixture, 150), now);
     },
-    run: round,
+    run: runRound,
   },
   'round, work that finds no room': {
-    prepare: (standing, now) => crowd(standing, perHundred(standing, 100), now),
-    run: round,
+    prepare: (fixture, now) => fillQueue(fixture, perHundredMachines(fixture, 100), now),
+    run: runRound,
+  },
+  'plan, nothing waits': {
+    prepare: noPreparation,
+    run: ({ planner }, now) => void planner.plan(now),
   },
-  'plan, nothing waits': { prepare: nothing, run: ({ planner }, now) => void planner.plan(now) },
   'plan, work that finds no room': {
-    prepare: (standing, now) => crowd(standing, perHundred(standing, 100), now),
+    prepare: (fixture, now) => fillQueue(fixture, perHundredMachines(fixture, 100), now),
     run: ({ planner }, now) => void planner.plan(now),
   },
-  'leases expire': { prepare: nothing, run: ({ fleet }, now) => void fleet.leases.expire(now) },
-  totals: { prepare: nothing, run: ({ fleet }) => fleet.machines.updateTotals() },
-  notices: { prepare: nothing, run: ({ fleet }, now) => evictOnReclaimNotices(fleet, now) },
+  'leases expire': {
+    prepare: noPreparation,
+    run: ({ fleet }, now) => void fleet.leases.expire(now),
+  },
+  totals: { prepare: noPreparation, run: ({ fleet }) => fleet.machines.updateTotals() },
+  notices: { prepare: noPreparation, run: ({ fleet }, now) => evictOnReclaimNotices(fleet, now) },
   'useless machines': {
-    prepare: nothing,
+    prepare: noPreparation,
     run: ({ fleet }, now) => void unusableMachines(fleet, now, LEASE_S),
   },
   'reservations, none wait': {
-    prepare: nothing,
+    prepare: noPreparation,
     run: ({ scheduler }, now) => scheduler.reservations.update(now),
   },
   summary: {
-    prepare: nothing,
+    prepare: noPreparation,
     run: ({ fleet, scheduler }, now) => void summariseFleet(fleet, scheduler, ['red'], now),
   },
   'peers, all counts': {
-    prepare: nothing,
+    prepare: noPreparation,
     run: ({ fleet }) => void encodeFrame({ kind: 'counts', jobs: countAllTasks(fleet) }),
   },
   'peers, changed counts': {
-    prepare: nothing,
+    prepare: noPreparation,
     run: ({ fleet }) => void encodeFrame({ kind: 'counts', jobs: countChangedTasks(fleet) }),
   },
-  'records of 8 machines': { prepare: nothing, run: (standing) => void aRecordBatch(standing) },
+  'records of 8 machines': {
+    prepare: noPreparation,
+    run: (fixture) => void encodeRecordBatch(fixture),
+  },
   'direct command': {
-    prepare: (standing) => {
-      chosen = anyMachine(standing);
-      for (const task of chosen.tasks.values()) unstart(task);
-      standing.fleet.machinesWithCommands.add(chosen);
+    prepare: (fixture) => {
+      chosenMachine = pickMachine(fixture);
+      for (const task of chosenMachine.tasks.values()) markUnstarted(task);
+      fixture.fleet.machinesWithCommands.add(chosenMachine);
     },
-    run: (standing, now) => directCommand(standing, chosen, now),
+    run: (fixture, now) => runDirectCommand(fixture, chosenMachine, now),
   },
   'report without news': {
-    prepare: (standing) => {
-      chosen = anyMachine(standing);
+    prepare: (fixture) => {
+      chosenMachine = pickMachine(fixture);
     },
-    run: (standing, now) =>
-      void standing.fleet.heartbeats.handle(standing.heartbeatOf(chosen), now),
+    run: (fixture, now) =>
+      void fixture.fleet.heartbeats.handle(fixture.heartbeatOf(chosenMachine), now),
   },
 };
--- a/packages/testing/leader-load/fleet-records.ts
+++ b/packages/testing/leader-load/fleet-records.ts
@@ -28,10 +28,14 @@
 }
 
 function machineEntry({ name, addr, type, zone, spot, tasks }: Machine): Entry {
-  const named = [...tasks.values()].map(({ job, index, attempt }) => [job.spec.id, index, attempt]);
+  const taskRefs = [...tasks.values()].map(({ job, index, attempt }) => [
+    job.spec.id,
+    index,
+    attempt,
+  ]);
   return {
     key: MACHINES + name,
-    value: { addr, type, zone, spot, tasks: named },
+    value: { addr, type, zone, spot, tasks: taskRefs },
     version: VERSION,
   };
 }
--- a/packages/testing/leader-load/job-source.ts
+++ b/packages/testing/leader-load/job-source.ts
@@ -5,10 +5,10 @@
 
 const ID_PREFIX = 'j-';
 /** Images of a class. */
-const IMAGES = 12;
+const IMAGES_PER_CLASS = 12;
 
 /** Kinds of jobs in the proportions of a fleet that serves models, and the share of draws of each. */
-const KINDS: { share: number; draw: (chance: Chance) => Partial<Job> }[] = [
+const JOB_KINDS: { share: number; draw: (chance: Chance) => Partial<Job> }[] = [
   {
     share: 0.12,
     draw: (chance) => ({
@@ -78,16 +78,16 @@
   constructor(private readonly chance: Chance) {}
 
   /** The id is in use. */
-  skip(id: string): void {
+  skipId(id: string): void {
     this.count = Math.max(this.count, Number(id.slice(ID_PREFIX.length)));
   }
 
-  next(own: Partial<Job> = {}): Job {
+  next(overrides: Partial<Job> = {}): Job {
     let left = this.chance.next();
-    const kind = KINDS.find(({ share }) => (left -= share) < 0) ?? KINDS[1];
+    const kind = JOB_KINDS.find(({ share }) => (left -= share) < 0) ?? JOB_KINDS[1];
     const drawn = kind.draw(this.chance);
-    const image = `${drawn.class}-${this.chance.int(1, IMAGES)}`;
+    const image = `${drawn.class}-${this.chance.int(1, IMAGES_PER_CLASS)}`;
     const id = ID_PREFIX + String(++this.count).padStart(6, '0');
-    return aJob({ image, ...drawn, ...own, id });
+    return aJob({ image, ...drawn, ...overrides, id });
   }
 }
--- a/packages/testing/leader-load/random-steps.ts
+++ b/packages/testing/leader-load/random-steps.ts
@@ -1,56 +1,60 @@
 /** Random events of a fleet, for tests that compare what is kept with a look at everything. */
 import type { Machine } from '#core';
 import type { Chance } from '../random.js';
-import { LARGE, StandingFleet, STEADY_AT } from './standing-fleet.js';
+import { LARGE_MACHINE, FleetFixture, SETTLED_AT } from './standing-fleet.js';
 
 const MACHINES = 8;
 /** Longest time from one event to the next, in seconds; a lease is ten. */
-const LONGEST_PAUSE_S = 2;
+const MAX_STEP_S = 2;
 
 /** A small fleet to which one thing after another happens. */
 export class RandomFleet {
-  readonly standing: StandingFleet;
-  now = STEADY_AT;
-  private registered = MACHINES;
+  readonly fixture: FleetFixture;
+  now = SETTLED_AT;
+  private registeredCount = MACHINES;
   private readonly events: (() => void)[] = [
-    () => this.standing.submit(this.now),
+    () => this.fixture.submit(this.now),
     () => this.round(),
     () => this.round(),
     () => this.heartbeats(),
     () => this.heartbeats(),
     () => this.heartbeats(),
-    () => this.standing.fleet.leases.expire(this.now),
+    () => this.fixture.fleet.leases.expire(this.now),
     () => this.provision(),
     () => this.endJob(),
     () => this.stopTask(),
-    () => this.fleet.machines.drain(this.anyMachine()),
-    () => this.fleet.machines.markFailed(this.anyMachine()),
-    () => this.fleet.removeMachine(this.anyMachine().name, this.now),
-    () => this.fleet.machines.setType({ ...LARGE, cpus: LARGE.cpus + this.chance.int(0, 3) }),
+    () => this.fleet.machines.drain(this.pickMachine()),
+    () => this.fleet.machines.markFailed(this.pickMachine()),
+    () => this.fleet.removeMachine(this.pickMachine().name, this.now),
+    () =>
+      this.fleet.machines.setType({
+        ...LARGE_MACHINE,
+        cpus: LARGE_MACHINE.cpus + this.chance.int(0, 3),
+      }),
   ];
 
   constructor(private readonly chance: Chance) {
-    this.standing = StandingFleet.ofMachines(MACHINES, chance);
+    this.fixture = FleetFixture.withMachines(MACHINES, chance);
   }
 
   get fleet() {
-    return this.standing.fleet;
+    return this.fixture.fleet;
   }
 
   /** One more thing happens. */
   step(): void {
-    this.now += this.chance.next() * LONGEST_PAUSE_S;
+    this.now += this.chance.next() * MAX_STEP_S;
     if (this.fleet.machines.size < MACHINES / 2) this.provision();
     this.events[this.chance.int(0, this.events.length - 1)]();
   }
 
-  private anyMachine(): Machine {
+  private pickMachine(): Machine {
     const machines = [...this.fleet.machines.values()];
     return machines[this.chance.int(0, machines.length - 1)];
   }
 
   private round(): void {
-    const { scheduler, fleet } = this.standing;
+    const { scheduler, fleet } = this.fixture;
     fleet.machines.updateTotals();
     scheduler.reservations.update(this.now);
     scheduler.round(this.now);
@@ -63,13 +67,13 @@
       const tasks = [...machine.tasks.values()];
       const ended = tasks.filter(({ stop }) => this.chance.hit(stop === null ? 0.05 : 0.5));
       const noticeS = this.chance.hit(0.05) ? 30 : null;
-      const heartbeat = { ...this.standing.heartbeatOf(machine, new Set(ended)), noticeS };
+      const heartbeat = { ...this.fixture.heartbeatOf(machine, new Set(ended)), noticeS };
       this.fleet.heartbeats.handle(heartbeat, this.now);
     }
   }
 
   private provision(): void {
-    this.standing.addMachineNumber(this.registered++, 'booting', this.now);
+    this.fixture.addMachineNumber(this.registeredCount++, 'booting', this.now);
   }
 
   private endJob(): void {
@@ -81,7 +85,7 @@
   }
 
   private stopTask(): void {
-    const [task] = this.anyMachine().tasks.values();
+    const [task] = this.pickMachine().tasks.values();
     if (task) this.fleet.assignments.stopGracefully(task, this.now);
   }
 }
--- a/packages/testing/leader-load/standing-fleet.ts
+++ b/packages/testing/leader-load/standing-fleet.ts
@@ -21,7 +21,7 @@
 import { JobSource } from './job-source.js';
 
 /** A large machine: 8 accelerators. */
-export const LARGE: MachineType = {
+export const LARGE_MACHINE: MachineType = {
   name: 'large',
   cpus: 96,
   gpus: 8,
@@ -40,26 +40,26 @@
   { class: 'large', kind: 'wait', withinS: 15 },
   { class: 'gang', kind: 'wait', withinS: 12 },
 ];
-const SCHEDULE: ScheduleSettings = {
+const SCHEDULER_SETTINGS: ScheduleSettings = {
   floorWeight: 0.05,
   preemptAfterS: 2,
   gangLeaseS: 120,
   stopThreshold: 0.5,
   decisionsPerRound: 200,
 };
-const CAPACITY = { reserveSigmas: 2, idleHoldS: 60, memoryS: 120 };
+const PLANNER_SETTINGS = { reserveSigmas: 2, idleHoldS: 60, memoryS: 120 };
 /** Share of the machines that are spot machines. */
 const SPOT_SHARE = 0.2;
 /** Draws until a fleet is taken to be as full as it gets. */
-const MOST_DRAWS = 10_000;
+const MAX_DRAWS = 10_000;
 
 /** When the fleet was filled; steady seconds. */
 const FILLED_AT = 100;
 /** When everything runs and has settled. */
-export const STEADY_AT = 200;
+export const SETTLED_AT = 200;
 
 /** A fleet and what an owner drives it with. */
-export class StandingFleet {
+export class FleetFixture {
   readonly fleet: FleetState;
   readonly scheduler: Scheduler;
   readonly planner: CapacityPlanner;
@@ -73,11 +73,11 @@
   ) {
     const isOnSpareCapacity: BestEffortTest = (job) => isBestEffort(job, TEAMS.get(job.team));
     this.fleet = aFleet({ isBestEffort: isOnSpareCapacity, makeReplicas });
-    this.fleet.machines.setType(LARGE);
-    this.scheduler = new Scheduler(this.fleet, TEAMS, { ...SCHEDULE, ...schedule });
+    this.fleet.machines.setType(LARGE_MACHINE);
+    this.scheduler = new Scheduler(this.fleet, TEAMS, { ...SCHEDULER_SETTINGS, ...schedule });
     this.planner = new CapacityPlanner({
       fleet: this.fleet,
-      settings: CAPACITY,
+      settings: PLANNER_SETTINGS,
       objectives: OBJECTIVES,
       teams: TEAMS,
     });
@@ -85,57 +85,57 @@
   }
 
   /** So many empty machines. */
-  static ofMachines(
+  static withMachines(
     machines: number,
     chance: Chance,
     schedule: Partial<ScheduleSettings> = {},
     makeReplicas?: MakeReplicas,
-  ): StandingFleet {
-    const standing = new StandingFleet(chance, schedule, makeReplicas);
-    for (let i = 0; i < machines; i++) standing.addMachineNumber(i, 'up', 0);
-    standing.fleet.machines.updateTotals();
-    return standing;
+  ): FleetFixture {
+    const fixture = new FleetFixture(chance, schedule, makeReplicas);
+    for (let i = 0; i < machines; i++) fixture.addMachineNumber(i, 'up', 0);
+    fixture.fleet.machines.updateTotals();
+    return fixture;
   }
 
   /** The fleet that a new owner reads from the records of another one, once every worker has reported. */
-  static ofRecords({ jobs, machines }: FleetRecords, chance: Chance): StandingFleet {
-    const standing = new StandingFleet(chance, {});
-    const { fleet } = standing;
+  static fromRecords({ jobs, machines }: FleetRecords, chance: Chance): FleetFixture {
+    const fixture = new FleetFixture(chance, {});
+    const { fleet } = fixture;
     for (const { value, version } of jobs) {
       const { job, phase } = decodeJob(value, version);
       fleet.addJob(job, FILLED_AT, phase, FILLED_AT);
-      standing.jobs.skip(job.id);
+      fixture.jobs.skipId(job.id);
     }
     for (const { key, value } of machines) {
       const { tasks, ...facts } = value as MachineRecord;
-      const machine = standing.addMachine({ name: key.slice(MACHINES.length), ...facts });
+      const machine = fixture.addMachine({ name: key.slice(MACHINES.length), ...facts });
       for (const [id, index, attempt] of tasks) {
         fleet.assignments.inherit(fleet.jobs.get(id)!, index, machine, attempt, FILLED_AT);
       }
     }
     fleet.machines.updateTotals();
-    standing.settle(STEADY_AT);
-    return standing;
+    fixture.settle(SETTLED_AT);
+    return fixture;
   }
 
   /** A machine of its own name, zone and kind; one that is up has been heard. */
   addMachineNumber(number: number, state: 'booting' | 'up', provisionedAt: number): Machine {
     const name = `n-${String(number).padStart(6, '0')}`;
-    const zone = LARGE.zones[number % LARGE.zones.length];
+    const zone = LARGE_MACHINE.zones[number % LARGE_MACHINE.zones.length];
     const spot = this.chance.hit(SPOT_SHARE);
-    const facts = { name, addr: `10.1.0.${number}:9000`, type: LARGE.name, zone, spot };
+    const facts = { name, addr: `10.1.0.${number}:9000`, type: LARGE_MACHINE.name, zone, spot };
     if (state === 'up') return this.addMachine(facts);
     return this.fleet.machines.register(facts, state, provisionedAt);
   }
 
   private addMachine(facts: MachineFacts): Machine {
     const machine = this.fleet.machines.register(facts, 'up', 0);
-    return Object.assign(machine, { agentEpoch: 1, termConfirmed: true, answeredAt: STEADY_AT });
+    return Object.assign(machine, { agentEpoch: 1, termConfirmed: true, answeredAt: SETTLED_AT });
   }
 
   /** A user submits a job. */
-  submit(now: number, own: Partial<Job> = {}): JobState {
-    const job = this.jobs.next(own);
+  submit(now: number, overrides: Partial<Job> = {}): JobState {
+    const job = this.jobs.next(overrides);
     const state = this.fleet.addJob(job, now, 'accepted', now);
     this.planner.jobArrived(job, now);
     return state;
@@ -144,7 +144,7 @@
   /** Submits jobs and places them until less than so much of the accelerators is free. */
   fill(freeShare: number): void {
     const { machines, usage } = this.fleet;
-    for (let draws = 0; draws < MOST_DRAWS; draws++) {
+    for (let draws = 0; draws < MAX_DRAWS; draws++) {
       if (usage.ofTeam('red').gpus >= machines.totals.gpus * (1 - freeShare)) break;
       const state = this.submit(FILLED_AT);
       this.scheduler.place(FILLED_AT);
@@ -181,7 +181,7 @@
   }
 
   /** So many tasks that end by themselves, drawn over the whole fleet. */
-  drawEnding(count: number): Assignment[] {
+  drawEndingTasks(count: number): Assignment[] {
     const ending: Assignment[] = [];
     const running = [...this.fleet.machines.values()]
       .flatMap(({ tasks }) => [...tasks.values()])
--- a/packages/testing/measurement/leader-measurement.ts
+++ b/packages/testing/measurement/leader-measurement.ts
@@ -6,24 +6,24 @@
 import { fork } from 'node:child_process';
 import { once } from 'node:events';
 import { fileURLToPath } from 'node:url';
-import { FIGURES } from '../leader-load/figures.js';
+import { BENCHMARKS } from '../leader-load/figures.js';
 import { recordsOf } from '../leader-load/fleet-records.js';
-import { StandingFleet } from '../leader-load/standing-fleet.js';
+import { FleetFixture } from '../leader-load/standing-fleet.js';
 import { Chance } from '../random.js';
-import type { Given, Measured } from './leader-worker.js';
+import type { BenchmarkRequest, BenchmarkResult } from './leader-worker.js';
 
 /** Share of the accelerators that is free. */
-const FREE = 0.03;
+const FREE_SHARE = 0.03;
 const WORKER = fileURLToPath(new URL('./leader-worker.js', import.meta.url));
 /** Used if no number is given. */
 const DEFAULT_MACHINES = 200;
 /** As the controllers run. */
 const NODE_OPTIONS = ['--max-old-space-size=56', '--max-semi-space-size=2'];
 
-async function inOwnProcess(given: Given): Promise<Measured> {
+async function runInOwnProcess(request: BenchmarkRequest): Promise<BenchmarkResult> {
   const child = fork(WORKER, [], { execArgv: NODE_OPTIONS });
-  child.send(given);
-  const [measured] = (await once(child, 'message')) as [Measured];
+  child.send(request);
+  const [measured] = (await once(child, 'message')) as [BenchmarkResult];
   child.disconnect();
   return measured;
 }
@@ -31,15 +31,15 @@
 /** Prints one line for each figure, with as many machines as the argument says; resolves with the exit code. */
 export async function run([count]: string[]): Promise<number> {
   const machines = Number(count ?? DEFAULT_MACHINES);
-  const standing = StandingFleet.ofMachines(machines, new Chance(1));
-  standing.fill(FREE);
-  const records = recordsOf(standing.fleet);
-  const tasks = [...standing.fleet.machines.values()].reduce((sum, m) => sum + m.tasks.size, 0);
+  const fixture = FleetFixture.withMachines(machines, new Chance(1));
+  fixture.fill(FREE_SHARE);
+  const records = recordsOf(fixture.fleet);
+  const tasks = [...fixture.fleet.machines.values()].reduce((sum, m) => sum + m.tasks.size, 0);
   process.stdout.write(`${machines} machines, ${records.jobs.length} jobs, ${tasks} tasks\n`);
-  for (const figure of Object.keys(FIGURES)) {
-    const { firstMs, earlyMs, lateMs } = await inOwnProcess({ machines, records, figure });
+  for (const benchmark of Object.keys(BENCHMARKS)) {
+    const { firstMs, earlyMs, lateMs } = await runInOwnProcess({ machines, records, benchmark });
     const texts = [firstMs, earlyMs, lateMs].map((ms) => ms.toFixed(3).padStart(9));
-    process.stdout.write(`${texts.join('')}  ${figure}\n`);
+    process.stdout.write(`${texts.join('')}  ${benchmark}\n`);
   }
   return 0;
 }
--- a/packages/testing/measurement/leader-worker.ts
+++ b/packages/testing/measurement/leader-worker.ts
@@ -1,7 +1,7 @@
 /** Measures one figure of a leader in a process of its own, which the measurement `leader` starts. */
-import { FIGURES } from '../leader-load/figures.js';
+import { BENCHMARKS } from '../leader-load/figures.js';
 import { type FleetRecords } from '../leader-load/fleet-records.js';
-import { StandingFleet, STEADY_AT } from '../leader-load/standing-fleet.js';
+import { FleetFixture, SETTLED_AT } from '../leader-load/standing-fleet.js';
 import { Chance } from '../random.js';
 
 const EARLY_RUNS = 20;
@@ -9,33 +9,33 @@
 /** The last runs, of which the median is taken. */
 const MEDIAN_RUNS = 100;
 /** From one run to the next. */
-const RUN_S = 1 / 4;
+const RUN_INTERVAL_S = 1 / 4;
 /** What to measure; a message from the parent process. */
-export interface Given {
+export interface BenchmarkRequest {
   machines: number;
   records: FleetRecords;
-  figure: string;
+  benchmark: string;
 }
 
 /** Milliseconds of processor time; the message back. */
-export interface Measured {
+export interface BenchmarkResult {
   firstMs: number;
   earlyMs: number;
   lateMs: number;
 }
 
-function measure({ records, figure }: Given): Measured {
-  const standing = StandingFleet.ofRecords(records, new Chance(2));
-  const { prepare, run } = FIGURES[figure];
+function measure({ records, benchmark }: BenchmarkRequest): BenchmarkResult {
+  const fixture = FleetFixture.fromRecords(records, new Chance(2));
+  const { prepare, run } = BENCHMARKS[benchmark];
   const times: number[] = [];
   for (let i = 0; i < LATE_RUNS; i++) {
-    const now = STEADY_AT + i * RUN_S;
-    prepare(standing, now);
+    const now = SETTLED_AT + i * RUN_INTERVAL_S;
+    prepare(fixture, now);
     const startedAt = process.cpuUsage();
-    run(standing, now);
+    run(fixture, now);
     const { user, system } = process.cpuUsage(startedAt);
     times.push((user + system) / 1000);
-    standing.settle(now);
+    fixture.settle(now);
   }
   const early = times.slice(1, EARLY_RUNS);
   const late = times.slice(-MEDIAN_RUNS).sort((a, b) => a - b);
@@ -46,4 +46,4 @@
   };
 }
 
-process.once('message', (given) => process.send?.(measure(given as Given)));
+process.once('message', (request) => process.send?.(measure(request as BenchmarkRequest)));
--- a/packages/testing/measurement/replica-groups-measurement.ts
+++ b/packages/testing/measurement/replica-groups-measurement.ts
@@ -15,7 +15,7 @@
 } from '../loopback/replica-groups/loopback-run.js';
 import { readOptions } from '../loopback/sizing/options.js';
 
-const SHOWN = 5;
+const MAX_SHOWN = 5;
 
 interface Arguments {
   mode: ReplicaMode;
@@ -28,7 +28,7 @@
   leaseS: string;
 }
 
-function describe({ broken, violations, repairs, ...counts }: ReplicaRunResult): string {
+function formatResult({ broken, violations, repairs, ...counts }: ReplicaRunResult): string {
   const rows = [false, true].flatMap((withController) => {
     const own = repairs.filter((each) => each.withController === withController);
     const name = withController ? 'with a failing controller' : 'machines only';
@@ -46,8 +46,8 @@
   });
   const summary = { ...counts, broken: broken.length, violations: violations.length };
   const shown = [
-    ...broken.slice(0, SHOWN).map(describeAnswer),
-    ...violations.slice(0, SHOWN).map((each) => JSON.stringify(each)),
+    ...broken.slice(0, MAX_SHOWN).map(describeAnswer),
+    ...violations.slice(0, MAX_SHOWN).map((each) => JSON.stringify(each)),
   ];
   return [textTable(DISTRIBUTION_COLUMNS, rows), JSON.stringify(summary), ...shown, ''].join('\n');
 }
@@ -92,6 +92,6 @@
   const result = await runReplicas(readArguments(args), (done) => {
     if (done % 10 === 0) process.stderr.write(`${done} faults\n`);
   });
-  process.stdout.write(describe(result));
+  process.stdout.write(formatResult(result));
   return result.broken.length + result.violations.length > 0 ? 1 : 0;
 }
--- a/packages/testing/measurement/scale-measurement.ts
+++ b/packages/testing/measurement/scale-measurement.ts
@@ -13,10 +13,10 @@
 const MACHINES = 48;
 const RUNS = 30;
 /** Jobs whose memory is taken. */
-const JOBS_WEIGHED = 1_000;
+const MEMORY_SAMPLE_JOBS = 1_000;
 const TEAMS = new Map([['red', NO_QUOTA]]);
 /** When rounds, plans and reports happen; seconds after the jobs came. */
-const LATER_S = 10;
+const MEASURED_AT_S = 10;
 const SCHEDULER_SETTINGS = {
   floorWeight: 0.05,
   preemptAfterS: 2,
@@ -57,12 +57,12 @@
 ];
 
 /** Job number i of a load; their needs differ a little. */
-function jobOf(i: number, { tasks }: Load): Job {
+function createJob(i: number, { tasks }: Load): Job {
   const cpus = 0.25 * (0.7 + 0.6 * ((i * 0.618) % 1));
   return aJob({ id: `j-${i}`, rank: 3, tasks, cpus, gpus: 0, memory: 0.5, imageGb: 0.5 });
 }
 
-function aBusyFleet({ full }: Load): FleetState {
+function createBusyFleet({ full }: Load): FleetState {
   const fleet = aFleet();
   for (let i = 0; i < MACHINES; i++) {
     const machine = aMachine(fleet, `n-${i}`, { zone: i % 2 ? 'a' : 'b' });
@@ -74,8 +74,8 @@
   return fleet;
 }
 
-function fleetWith(load: Load, fleet = aBusyFleet(load)): FleetState {
-  for (let i = 0; i < load.jobs; i++) fleet.addJob(jobOf(i, load), 0, 'accepted', 0);
+function createFleetWithLoad(load: Load, fleet = createBusyFleet(load)): FleetState {
+  for (let i = 0; i < load.jobs; i++) fleet.addJob(createJob(i, load), 0, 'accepted', 0);
   return fleet;
 }
 
@@ -93,14 +93,14 @@
 function timeTakeOver(load: Load): number {
   return medianMs(
     () => load,
-    (each) => void fleetWith(each),
+    (each) => void createFleetWithLoad(each),
   );
 }
 
 function timeRound(load: Load): number {
   return medianMs(
-    () => new Scheduler(fleetWith(load), TEAMS, SCHEDULER_SETTINGS),
-    (scheduler) => void scheduler.round(LATER_S),
+    () => new Scheduler(createFleetWithLoad(load), TEAMS, SCHEDULER_SETTINGS),
+    (scheduler) => void scheduler.round(MEASURED_AT_S),
   );
 }
 
@@ -108,7 +108,7 @@
   const options = { fleet, settings: PLANNER_SETTINGS, objectives: [], teams: TEAMS };
   return medianMs(
     () => new CapacityPlanner(options),
-    (planner) => void planner.plan(LATER_S),
+    (planner) => void planner.plan(MEASURED_AT_S),
   );
 }
 
@@ -118,15 +118,18 @@
   const tasks = [{ job: 's-1', index: 0, attempt: 6553601, ...running }];
   const nextHeartbeat = (): Heartbeat =>
     aHeartbeat({ machine: 'n-1', sequence: ++sequence, tasks });
-  return medianMs(nextHeartbeat, (heartbeat) => void fleet.heartbeats.handle(heartbeat, LATER_S));
+  return medianMs(
+    nextHeartbeat,
+    (heartbeat) => void fleet.heartbeats.handle(heartbeat, MEASURED_AT_S),
+  );
 }
 
 /** Bytes that a fleet takes for each waiting job of the load. */
 function bytesPerJob(load: Load): number {
-  const fleet = aBusyFleet(load);
+  const fleet = createBusyFleet(load);
   const before = memoryUsed();
-  fleetWith({ ...load, jobs: JOBS_WEIGHED }, fleet);
-  const bytes = (memoryUsed() - before) / JOBS_WEIGHED;
+  createFleetWithLoad({ ...load, jobs: MEMORY_SAMPLE_JOBS }, fleet);
+  const bytes = (memoryUsed() - before) / MEMORY_SAMPLE_JOBS;
   // Kept alive until here.
   return fleet.jobs.waiting.size > 0 ? bytes : 0;
 }
@@ -140,9 +143,14 @@
 /** One line of the table. */
 function measure(load: Load): string[] {
   const { jobs, tasks, full } = load;
-  const held = fleetWith(load);
+  const loadedFleet = createFleetWithLoad(load);
   const bytes = bytesPerJob(load);
-  const times = [timeTakeOver(load), timeRound(load), timePlan(held), timeHeartbeat(held)];
+  const times = [
+    timeTakeOver(load),
+    timeRound(load),
+    timePlan(loadedFleet),
+    timeHeartbeat(loadedFleet),
+  ];
   const waiting = `${jobs} ${jobs === 1 ? 'job' : 'jobs'} of ${tasks} ${tasks === 1 ? 'task' : 'tasks'}`;
   return [waiting, full ? 'full' : 'with room', ...times.map(formatNumber), bytes.toFixed(0)];
 }
--- a/packages/testing/measurement/shard-migrations-measurement.ts
+++ b/packages/testing/measurement/shard-migrations-measurement.ts
@@ -16,7 +16,7 @@
   controllers: string;
 }
 
-function describe(result: MoveRunResult): string {
+function formatResult(result: MoveRunResult): string {
   const { moveMs, undecidedMs, breaches, violations, ...counts } = result;
   const rows = [
     distributionRow('from the request to the new owner', moveMs),
@@ -46,6 +46,6 @@
   const result = await runMoves(options, (done) => {
     if (done % 20 === 0) process.stderr.write(`${done} moves\n`);
   });
-  process.stdout.write(describe(result));
+  process.stdout.write(formatResult(result));
   return result.breaches.length + result.violations.length > 0 ? 1 : 0;
 }
--- a/packages/testing/measurement/sizing-measurement.ts
+++ b/packages/testing/measurement/sizing-measurement.ts
@@ -46,9 +46,9 @@
   } catch (err) {
     // Commander has written its own message, or the help that was asked for.
     if (err instanceof CommanderError) return err.exitCode === 0 ? 0 : ExitCode.badArguments;
-    const arguments_ = err instanceof BadArguments || err instanceof NotBuilt;
-    const known = arguments_ || err instanceof TooLate || err instanceof NotRunning;
-    process.stderr.write(`${known ? err.message : String((err as Error).stack)}\n`);
-    return arguments_ ? ExitCode.badArguments : ExitCode.notMeasured;
+    const badArguments = err instanceof BadArguments || err instanceof NotBuilt;
+    const isExpected = badArguments || err instanceof TooLate || err instanceof NotRunning;
+    process.stderr.write(`${isExpected ? err.message : String((err as Error).stack)}\n`);
+    return badArguments ? ExitCode.badArguments : ExitCode.notMeasured;
   }
 }
--- a/packages/testing/measurement/text-table.ts
+++ b/packages/testing/measurement/text-table.ts
@@ -6,8 +6,8 @@
   isNumber?: boolean;
 }
 
-const DIGITS = 3;
-const MOST_DECIMALS = 4;
+const SIGNIFICANT_DIGITS = 3;
+const MAX_DECIMALS = 4;
 
 /** Lines of a table, the last one ended as well. */
 export function textTable(columns: Column[], rows: string[][]): string {
@@ -27,6 +27,6 @@
 /** With three significant digits, but no more than four after the point. */
 export function formatNumber(value: number): string {
   if (!Number.isFinite(value)) return '-';
-  if (Math.abs(value) >= 10 ** (DIGITS - 1)) return value.toFixed(0);
-  return String(Number(Number(value.toPrecision(DIGITS)).toFixed(MOST_DECIMALS)));
+  if (Math.abs(value) >= 10 ** (SIGNIFICANT_DIGITS - 1)) return value.toFixed(0);
+  return String(Number(Number(value.toPrecision(SIGNIFICANT_DIGITS)).toFixed(MAX_DECIMALS)));
 }
--- a/packages/testing/stand-ins/balancer/balancer.test.ts
+++ b/packages/testing/stand-ins/balancer/balancer.test.ts
@@ -31,7 +31,7 @@
   });
 }
 
-async function aBalancer(nodes: number) {
+async function startBalancer(nodes: number) {
   const world = new SampleWorld();
   const served = Array<number>(nodes).fill(0);
   const healthy = Array<boolean>(nodes).fill(true);
@@ -61,7 +61,7 @@
 }
 
 test('new connections go to the nodes with fewer of them, and stay there', async () => {
-  const { served, connect } = await aBalancer(3);
+  const { served, connect } = await startBalancer(3);
   const users = Array.from({ length: 6 }, connect);
   for (const ask of users) await ask();
   assert.deepEqual(served, [2, 2, 2]);
@@ -70,7 +70,7 @@
 });
 
 test('a node that refuses connections is passed over for another', async () => {
-  const { world, served, servers, connect } = await aBalancer(2);
+  const { world, served, servers, connect } = await startBalancer(2);
   servers[0].close();
   await world.run(0.1);
   for (let i = 0; i < 5; i++) await connect()();
@@ -78,7 +78,7 @@
 });
 
 test('an unhealthy node gets no new connections and loses the open ones after 5 s', async () => {
-  const { world, balancer, served, healthy, connect } = await aBalancer(2);
+  const { world, balancer, served, healthy, connect } = await startBalancer(2);
   const users = [connect(), connect()];
   for (const ask of users) await ask();
   healthy[0] = false;
--- a/packages/testing/stand-ins/balancer/load-balancer.ts
+++ b/packages/testing/stand-ins/balancer/load-balancer.ts
@@ -49,7 +49,7 @@
       tried.add(backend);
       const upstream = await backend.connect();
       if (upstream !== null) {
-        join(client, upstream);
+        pipeBothWays(client, upstream);
         return;
       }
     }
@@ -70,7 +70,7 @@
 }
 
 /** Passes bytes both ways; the end of one side is the end of both. */
-function join(client: Duplex, upstream: Duplex): void {
+function pipeBothWays(client: Duplex, upstream: Duplex): void {
   upstream.on('error', () => upstream.destroy());
   client.once('close', () => upstream.destroy());
   // What the node sent before it closed still reaches the user.
--- a/packages/testing/stand-ins/balancer/node-health.ts
+++ b/packages/testing/stand-ins/balancer/node-health.ts
@@ -1,30 +1,30 @@
 /** When the load balancer removes a node and admits it again. */
 import type { Clock } from '#wire';
 
-const FAILURES_IN_A_ROW = 2;
-const PROBES_REMEMBERED = 6;
-const FAILURES_AMONG_REMEMBERED = 3;
+const CONSECUTIVE_FAILURES_TO_REMOVE = 2;
+const PROBE_WINDOW = 6;
+const FAILURES_IN_WINDOW_TO_REMOVE = 3;
 const SUCCESSES_TO_RETURN = 2;
 const FIRST_PAUSE_S = 3;
-const LONGEST_PAUSE_S = 60;
+const MAX_PAUSE_S = 60;
 /** A removal so soon after the one before doubles the pause. */
-const REPEATED_WITHIN_S = 120;
+const REPEATED_REMOVAL_S = 120;
 /** A node that has just become healthy is brought up to its share over this time. */
-const RAMP_S = 10;
-const LEAST_SHARE = 0.1;
-const FAILED_CONNECTIONS = 3;
-const PASSED_OVER_S = 3;
+const SLOW_START_S = 10;
+const MIN_SHARE = 0.1;
+const FAILED_CONNECTIONS_TO_SKIP = 3;
+const SKIP_S = 3;
 
 /** The health of one node as the load balancer sees it. */
 export class NodeHealth {
   private healthy = false;
   private everHealthy = false;
-  private readonly recent: boolean[] = [];
+  private readonly recentProbes: boolean[] = [];
   private pauseS = FIRST_PAUSE_S;
   private removedAt = -Infinity;
   private healthySince = -Infinity;
   private failedConnections = 0;
-  private passedOverUntil = -Infinity;
+  private skippedUntil = -Infinity;
 
   constructor(private readonly clock: Clock) {}
 
@@ -34,19 +34,19 @@
 
   /** Healthy, and its connections did not fail lately. */
   get isEligible(): boolean {
-    return this.healthy && this.clock.now() >= this.passedOverUntil;
+    return this.healthy && this.clock.now() >= this.skippedUntil;
   }
 
   /** Fraction of its full share of new connections, from 0.1 to 1. */
   get share(): number {
-    return Math.min(1, Math.max(LEAST_SHARE, (this.clock.now() - this.healthySince) / RAMP_S));
+    return Math.min(1, Math.max(MIN_SHARE, (this.clock.now() - this.healthySince) / SLOW_START_S));
   }
 
   /** Records the outcome of a probe; true if the node has become unhealthy by it. */
   recordProbe(success: boolean): boolean {
-    this.recent.push(success);
-    if (this.recent.length > PROBES_REMEMBERED) this.recent.shift();
-    if (this.healthy && this.failsNow()) {
+    this.recentProbes.push(success);
+    if (this.recentProbes.length > PROBE_WINDOW) this.recentProbes.shift();
+    if (this.healthy && this.isFailing()) {
       this.remove();
       return true;
     }
@@ -57,29 +57,29 @@
   /** Records whether the node accepted a connection. */
   recordConnection(accepted: boolean): void {
     this.failedConnections = accepted ? 0 : this.failedConnections + 1;
-    if (this.failedConnections < FAILED_CONNECTIONS) return;
+    if (this.failedConnections < FAILED_CONNECTIONS_TO_SKIP) return;
     this.failedConnections = 0;
-    this.passedOverUntil = this.clock.now() + PASSED_OVER_S;
+    this.skippedUntil = this.clock.now() + SKIP_S;
   }
 
-  private failsNow(): boolean {
-    const failures = this.recent.filter((success) => !success).length;
-    const latest = this.recent.slice(-FAILURES_IN_A_ROW);
-    const inARow = latest.length === FAILURES_IN_A_ROW && !latest.includes(true);
-    return inARow || failures >= FAILURES_AMONG_REMEMBERED;
+  private isFailing(): boolean {
+    const failures = this.recentProbes.filter((success) => !success).length;
+    const latest = this.recentProbes.slice(-CONSECUTIVE_FAILURES_TO_REMOVE);
+    const consecutive = latest.length === CONSECUTIVE_FAILURES_TO_REMOVE && !latest.includes(true);
+    return consecutive || failures >= FAILURES_IN_WINDOW_TO_REMOVE;
   }
 
   private remove(): void {
     const now = this.clock.now();
-    const repeated = now - this.removedAt <= REPEATED_WITHIN_S;
-    this.pauseS = repeated ? Math.min(LONGEST_PAUSE_S, this.pauseS * 2) : FIRST_PAUSE_S;
+    const repeated = now - this.removedAt <= REPEATED_REMOVAL_S;
+    this.pauseS = repeated ? Math.min(MAX_PAUSE_S, this.pauseS * 2) : FIRST_PAUSE_S;
     this.removedAt = now;
     this.healthy = false;
   }
 
   private mayReturn(): boolean {
-    if (!this.everHealthy) return this.recent.at(-1) === true;
-    const latest = this.recent.slice(-SUCCESSES_TO_RETURN);
+    if (!this.everHealthy) return this.recentProbes.at(-1) === true;
+    const latest = this.recentProbes.slice(-SUCCESSES_TO_RETURN);
     const succeeds = latest.length === SUCCESSES_TO_RETURN && !latest.includes(false);
     return succeeds && this.clock.now() >= this.removedAt + this.pauseS;
   }
@@ -89,6 +89,6 @@
     this.healthy = true;
     this.everHealthy = true;
     this.healthySince = this.clock.now();
-    this.recent.length = 0;
+    this.recentProbes.length = 0;
   }
 }
--- a/packages/testing/stand-ins/cloud/boot-times.ts
+++ b/packages/testing/stand-ins/cloud/boot-times.ts
@@ -12,7 +12,7 @@
   /** Share of machines that never come up. */
   neverShare: number;
   /** Seconds in place of all multiples, if set. */
-  quickS: Span | null;
+  overrideS: Span | null;
 }
 
 /** Boot times around the nominal one; a few machines are slow and a few never come up. */
@@ -21,16 +21,16 @@
   slowShare: 0.03,
   slow: [2, 5],
   neverShare: 0.01,
-  quickS: null,
+  overrideS: null,
 };
 
 /** Machines are up within two seconds. */
-export const QUICK_BOOTS: BootProfile = { ...USUAL_BOOTS, quickS: [0.2, 2] };
+export const QUICK_BOOTS: BootProfile = { ...USUAL_BOOTS, overrideS: [0.2, 2] };
 
 /** Seconds until a machine is up, or null if it never will be. */
 export function drawBootS(runtime: Runtime, profile: BootProfile, nominalS: number): number | null {
   const span = (range: Span) => uniform(() => runtime.random(), range);
-  if (profile.quickS !== null) return span(profile.quickS);
+  if (profile.overrideS !== null) return span(profile.overrideS);
   if (runtime.random() < profile.neverShare) return null;
   const slow = runtime.random() < profile.slowShare;
   return nominalS * span(slow ? profile.slow : profile.usual);
--- a/packages/testing/stand-ins/cloud/capacity.ts
+++ b/packages/testing/stand-ins/cloud/capacity.ts
@@ -18,17 +18,19 @@
 export class Capacity {
   constructor(private limits: CapacityLimit[]) {}
 
-  change(limits: CapacityLimit[]): void {
+  setLimits(limits: CapacityLimit[]): void {
     this.limits = limits;
   }
 
   /** Machines of that kind that may still be provisioned, given those that are. */
-  left(wanted: MachineKind, provisioned: Iterable<MachineKind>): number {
-    const held = [...provisioned];
-    const lefts = this.limits
+  remaining(wanted: MachineKind, provisioned: Iterable<MachineKind>): number {
+    const existing = [...provisioned];
+    const remainders = this.limits
       .filter((limit) => matches(limit, wanted))
-      .map((limit) => limit.machines - held.filter((machine) => matches(limit, machine)).length);
-    return Math.max(0, Math.min(Infinity, ...lefts));
+      .map(
+        (limit) => limit.machines - existing.filter((machine) => matches(limit, machine)).length,
+      );
+    return Math.max(0, Math.min(Infinity, ...remainders));
   }
 }
 
--- a/packages/testing/stand-ins/cloud/cloud-service.test.ts
+++ b/packages/testing/stand-ins/cloud/cloud-service.test.ts
@@ -10,15 +10,15 @@
 const SERVICE = { host: '10.2.0.2', port: 8443 };
 const LAG_S = 4;
 
-async function aCloud(capacity: CapacityLimit[] = []) {
+async function startCloud(capacity: CapacityLimit[] = []) {
   const world = new SampleWorld();
-  const told: string[] = [];
+  const hostingCalls: string[] = [];
   const hosting = {
     addressOf: (number: number) => ({ host: `10.1.0.${number}`, port: 9000 }),
-    powerOn: ({ name }: { name: string }) => told.push(`on ${name}`),
-    powerOff: ({ name }: { name: string }) => told.push(`off ${name}`),
+    powerOn: ({ name }: { name: string }) => hostingCalls.push(`on ${name}`),
+    powerOff: ({ name }: { name: string }) => hostingCalls.push(`off ${name}`),
     giveNotice: ({ name }: { name: string }, noticeS: number) =>
-      told.push(`notice ${name} ${noticeS}`),
+      hostingCalls.push(`notice ${name} ${noticeS}`),
   };
   const options = { types: [STD], capacity, rps: 20, listLagS: LAG_S };
   const cloud = new CloudService(world.runtime(SERVICE.host, 'cloud'), options, hosting);
@@ -31,7 +31,7 @@
   const provision = (request: string, count: number, spot = false) =>
     world.finish(client.provision(request, { type: 'std', zone: 'a', spot, count }));
   const list = async () => (await world.finish(client.list(null))).machines;
-  return { world, cloud, client, told, provision, list };
+  return { world, cloud, client, hostingCalls, provision, list };
 }
 
 function provisioned(outcome: ProvisionOutcome): string[] {
@@ -40,7 +40,7 @@
 }
 
 test('a scale-out is filled as far as there is capacity, and its repeat provisions nothing', async () => {
-  const { provision } = await aCloud([{ zone: 'a', spot: false, machines: 3 }]);
+  const { provision } = await startCloud([{ zone: 'a', spot: false, machines: 3 }]);
   const first = provisioned(await provision('r-1', 2));
   assert.deepEqual(first, ['n-000001', 'n-000002']);
   assert.deepEqual(provisioned(await provision('r-1', 2)), first);
@@ -50,7 +50,7 @@
 });
 
 test('prices of spot machines move by up to a third, others do not', async () => {
-  const { world, client } = await aCloud();
+  const { world, client } = await startCloud();
   for (let i = 0; i < 20; i++) {
     const [type] = await world.finish(client.catalog());
     assert.ok(Math.abs(type.spotPrice / STD.spotPrice - 1) <= 1 / 3);
@@ -60,26 +60,26 @@
 });
 
 test('machines boot by their profile, and some never', async () => {
-  const { world, cloud, told, provision, client } = await aCloud();
+  const { world, cloud, hostingCalls, provision, client } = await startCloud();
   cloud.setBootProfile(QUICK_BOOTS);
   const [quick] = provisioned(await provision('r-1', 1));
   await world.run(2.1);
-  assert.deepEqual(told.splice(0), [`on ${quick}`]);
+  assert.deepEqual(hostingCalls.splice(0), [`on ${quick}`]);
   cloud.setBootProfile({ ...USUAL_BOOTS, neverShare: 0, slowShare: 0 });
   const [usual] = provisioned(await provision('r-2', 1));
   await world.run(STD.bootS * 0.59);
-  assert.deepEqual(told, []);
+  assert.deepEqual(hostingCalls, []);
   await world.run(STD.bootS);
-  assert.deepEqual(told.splice(0), [`on ${usual}`]);
+  assert.deepEqual(hostingCalls.splice(0), [`on ${usual}`]);
   cloud.setBootProfile({ ...USUAL_BOOTS, neverShare: 1 });
   const never = provisioned(await provision('r-3', 1));
   await world.run(3600);
   await world.finish(client.release([...never, 'unknown', quick]));
-  assert.deepEqual(told, [`off ${quick}`]);
+  assert.deepEqual(hostingCalls, [`off ${quick}`]);
 });
 
 test('the list lags, and shows a machine until it is gone', async () => {
-  const { world, cloud, provision, list, client } = await aCloud();
+  const { world, cloud, provision, list, client } = await startCloud();
   cloud.setBootProfile(QUICK_BOOTS);
   const [name] = provisioned(await provision('r-1', 1));
   await world.run(LAG_S - 0.5);
@@ -99,12 +99,12 @@
 });
 
 test('a dead machine is listed as running for a while, then as failed until deleted', async () => {
-  const { world, cloud, told, provision, list } = await aCloud();
+  const { world, cloud, hostingCalls, provision, list } = await startCloud();
   cloud.setBootProfile(QUICK_BOOTS);
   const [name] = provisioned(await provision('r-1', 1));
   await world.run(15);
   cloud.kill(name);
-  assert.equal(told.at(-1), `off ${name}`);
+  assert.equal(hostingCalls.at(-1), `off ${name}`);
   await world.run(29);
   assert.equal((await list())[0].state, 'running');
   await world.run(1 + 2 * LAG_S);
@@ -112,22 +112,22 @@
 });
 
 test('spot machines are taken back after a reclaim notice, or without one', async () => {
-  const { world, cloud, told, provision } = await aCloud();
+  const { world, cloud, hostingCalls, provision } = await startCloud();
   cloud.setBootProfile(QUICK_BOOTS);
   const [noticed, taken] = provisioned(await provision('r-1', 2, true));
   await world.run(3);
-  told.length = 0;
+  hostingCalls.length = 0;
   cloud.takeBack(noticed, 20);
   cloud.takeBack(taken, null);
-  assert.deepEqual(told.splice(0), [`notice ${noticed} 20`, `off ${taken}`]);
+  assert.deepEqual(hostingCalls.splice(0), [`notice ${noticed} 20`, `off ${taken}`]);
   await world.run(9.9);
-  assert.deepEqual(told, []);
+  assert.deepEqual(hostingCalls, []);
   await world.run(20.2);
-  assert.deepEqual(told, [`off ${noticed}`]);
+  assert.deepEqual(hostingCalls, [`off ${noticed}`]);
 });
 
 test('an outage and a rate above the limit refuse requests, and late scale-outs get no answer', async () => {
-  const { world, cloud, provision, list, client } = await aCloud();
+  const { world, cloud, provision, list, client } = await startCloud();
   cloud.beginOutage();
   assert.equal(await provision('r-1', 1), 'trouble');
   cloud.endOutage();
--- a/packages/testing/stand-ins/cloud/cloud-service.ts
+++ b/packages/testing/stand-ins/cloud/cloud-service.ts
@@ -8,7 +8,7 @@
 import { USUAL_BOOTS, type BootProfile } from './boot-times.js';
 import type { CapacityLimit } from './capacity.js';
 import { MachineList } from './machine-list.js';
-import { MachinePark } from './machine-park.js';
+import { MachinePool } from './machine-park.js';
 import { isRunning, type MachineHosting, type ProvisionedMachine } from './provisioned-machine.js';
 import { SpotPrices } from './spot-prices.js';
 
@@ -22,11 +22,11 @@
 }
 
 const BURST_S = 2;
-const LATE_REQUEST_S: [number, number] = [2, 12];
+const LATE_REQUEST_DELAY_S: [number, number] = [2, 12];
 
 /** Serves the API of the cloud: provisions, deletes and lists machines. */
 export class CloudService {
-  private readonly park: MachinePark;
+  private readonly pool: MachinePool;
   private readonly list: MachineList;
   private readonly prices: SpotPrices;
   private readonly latency: Latency;
@@ -42,7 +42,7 @@
     private readonly options: CloudOptions,
     hosting: MachineHosting,
   ) {
-    this.park = new MachinePark(runtime, hosting, options.capacity);
+    this.pool = new MachinePool(runtime, hosting, options.capacity);
     this.list = new MachineList(runtime, options.listLagS);
     this.prices = new SpotPrices(runtime);
     this.latency = new Latency(runtime);
@@ -61,7 +61,7 @@
 
   /** Machines that are up now, for faults to choose from. */
   running(): ProvisionedMachine[] {
-    return this.park.all().filter(isRunning);
+    return this.pool.all().filter(isRunning);
   }
 
   beginOutage(): void {
@@ -77,7 +77,7 @@
   }
 
   /** That share of scale-outs and deletions gets no answer and is carried out late. */
-  beginLateRequests(share: number, delayS = LATE_REQUEST_S): void {
+  beginLateRequests(share: number, delayS = LATE_REQUEST_DELAY_S): void {
     this.lostReplies.begin({ share, delayS });
   }
 
@@ -87,25 +87,25 @@
 
   /** How long machines provisioned from now on take to boot. */
   setBootProfile(profile: BootProfile = USUAL_BOOTS): void {
-    this.park.bootProfile = profile;
+    this.pool.bootProfile = profile;
   }
 
   setCapacity(limits: CapacityLimit[]): void {
-    this.park.capacity.change(limits);
+    this.pool.capacity.setLimits(limits);
   }
 
   /** Takes a machine back, after a notice of about so many seconds or without one. */
   takeBack(name: string, noticeS: number | null): void {
-    const machine = this.park.get(name);
+    const machine = this.pool.get(name);
     if (!machine) return;
-    if (noticeS === null) this.park.remove(machine);
-    else this.park.giveNotice(machine, noticeS);
+    if (noticeS === null) this.pool.remove(machine);
+    else this.pool.giveNotice(machine, noticeS);
   }
 
   /** The machine stops by itself; the list shows it as running for a while. */
   kill(name: string): void {
-    const machine = this.park.get(name);
-    if (machine) this.park.die(machine);
+    const machine = this.pool.get(name);
+    if (machine) this.pool.fail(machine);
   }
 
   private async handle(request: ServedRequest): Promise<serving.WireReply | typeof NO_REPLY> {
@@ -131,7 +131,7 @@
       case 'release':
         return this.release(request.machines);
       case 'list': {
-        const page = this.list.page(this.park.all(), request.after, request.limit);
+        const page = this.list.page(this.pool.all(), request.after, request.limit);
         return serving.machineListReply(page.machines, page.more);
       }
     }
@@ -143,17 +143,17 @@
     const type = this.options.types.find(({ name }) => name === request.type);
     if (!type?.zones.includes(request.zone)) throw new MalformedBody('no such type or zone');
     const { zone, spot, count } = request;
-    const names = this.park.provision({ type, zone, spot, count }).map((machine) => machine.name);
+    const names = this.pool.provision({ type, zone, spot, count }).map((machine) => machine.name);
     if (names.length > 0) this.machinesOfRequest.set(request.request, names);
     return serving.provisionReply(names);
   }
 
   private release(names: string[]): serving.WireReply {
     for (const name of names) {
-      const machine = this.park.get(name);
-      if (machine) this.park.remove(machine);
+      const machine = this.pool.get(name);
+      if (machine) this.pool.remove(machine);
     }
-    this.park.forget((machine) => this.list.isForgotten(machine));
+    this.pool.prune((machine) => this.list.isGoneFromLists(machine));
     return serving.releaseReply();
   }
 }
--- a/packages/testing/stand-ins/cloud/machine-park.ts
+++ b/packages/testing/stand-ins/cloud/machine-park.ts
@@ -6,7 +6,7 @@
 import { isRunning, type MachineHosting, type ProvisionedMachine } from './provisioned-machine.js';
 
 /** A request for machines of one kind. */
-export interface MachineOrder {
+export interface MachineRequest {
   type: MachineType;
   zone: string;
   spot: boolean;
@@ -18,11 +18,11 @@
 const NOTICE_SPREAD: Span = [0.5, 1.5];
 
 /** Boots machines, and takes them back on request, on a reclaim notice or when they fail. */
-export class MachinePark {
+export class MachinePool {
   bootProfile = USUAL_BOOTS;
   readonly capacity: Capacity;
   private readonly machines = new Map<string, ProvisionedMachine>();
-  private provisionedSoFar = 0;
+  private provisionedCount = 0;
 
   constructor(
     private readonly runtime: Runtime,
@@ -42,35 +42,35 @@
   }
 
   /** Provisions up to so many machines. */
-  provision(order: MachineOrder): ProvisionedMachine[] {
-    const kept = this.all().filter((machine) => machine.goneAt === null);
+  provision(request: MachineRequest): ProvisionedMachine[] {
+    const kept = this.all().filter((machine) => machine.removedAt === null);
     const kinds = kept.map(({ type, zone, spot }) => ({ type: type.name, zone, spot }));
-    const left = this.capacity.left({ ...order, type: order.type.name }, kinds);
+    const left = this.capacity.remaining({ ...request, type: request.type.name }, kinds);
     const provisioned: ProvisionedMachine[] = [];
-    while (provisioned.length < Math.min(order.count, left))
-      provisioned.push(this.provisionOne(order));
+    while (provisioned.length < Math.min(request.count, left))
+      provisioned.push(this.provisionOne(request));
     return provisioned;
   }
 
   /** Deletes the machine or takes it back; all on it is gone at once. */
   remove(machine: ProvisionedMachine): void {
-    if (machine.goneAt !== null) return;
+    if (machine.removedAt !== null) return;
     const ran = isRunning(machine);
-    machine.goneAt = this.runtime.clock.now();
+    machine.removedAt = this.runtime.clock.now();
     if (ran) this.hosting.powerOff(machine);
   }
 
   /** The machine stops by itself. */
-  die(machine: ProvisionedMachine): void {
+  fail(machine: ProvisionedMachine): void {
     if (!isRunning(machine)) return;
-    machine.diedAt = this.runtime.clock.now();
+    machine.failedAt = this.runtime.clock.now();
     this.hosting.powerOff(machine);
   }
 
   /** Takes the machine back after a notice of about so many seconds. */
   giveNotice(machine: ProvisionedMachine, noticeS: number): void {
-    if (!isRunning(machine) || machine.noticed) return;
-    machine.noticed = true;
+    if (!isRunning(machine) || machine.noticeGiven) return;
+    machine.noticeGiven = true;
     this.hosting.giveNotice(machine, noticeS);
     const spread = uniform(() => this.runtime.random(), NOTICE_SPREAD);
     this.runtime.clock.setTimer(
@@ -82,14 +82,14 @@
   }
 
   /** Drops what no list shows any more. */
-  forget(isForgotten: (machine: ProvisionedMachine) => boolean): void {
+  prune(isForgotten: (machine: ProvisionedMachine) => boolean): void {
     for (const machine of this.machines.values()) {
       if (isForgotten(machine)) this.machines.delete(machine.name);
     }
   }
 
-  private provisionOne({ type, zone, spot }: MachineOrder): ProvisionedMachine {
-    const number = ++this.provisionedSoFar;
+  private provisionOne({ type, zone, spot }: MachineRequest): ProvisionedMachine {
+    const number = ++this.provisionedCount;
     const machine: ProvisionedMachine = {
       name: `n-${String(number).padStart(NAME_DIGITS, '0')}`,
       address: this.hosting.addressOf(number),
@@ -98,10 +98,10 @@
       spot,
       provisionedAt: this.runtime.clock.now(),
       upAt: null,
-      diedAt: null,
-      goneAt: null,
-      listed: false,
-      noticed: false,
+      failedAt: null,
+      removedAt: null,
+      everListed: false,
+      noticeGiven: false,
     };
     this.machines.set(machine.name, machine);
     const bootS = drawBootS(this.runtime, this.bootProfile, type.bootS);
@@ -113,7 +113,7 @@
   }
 
   private boot(machine: ProvisionedMachine): void {
-    if (machine.goneAt !== null) return;
+    if (machine.removedAt !== null) return;
     machine.upAt = this.runtime.clock.now();
     this.hosting.powerOn(machine);
   }
--- a/packages/testing/stand-ins/cloud/provisioned-machine.ts
+++ b/packages/testing/stand-ins/cloud/provisioned-machine.ts
@@ -11,12 +11,12 @@
   readonly provisionedAt: number;
   upAt: number | null;
   /** It stopped by itself; it stays listed until it is deleted. */
-  diedAt: number | null;
+  failedAt: number | null;
   /** It was deleted or taken back. */
-  goneAt: number | null;
+  removedAt: number | null;
   /** It has been in a list, and stays in all lists until it is gone. */
-  listed: boolean;
-  noticed: boolean;
+  everListed: boolean;
+  noticeGiven: boolean;
 }
 
 /** Where provisioned machines run: told by the cloud when each comes up and goes. */
@@ -33,5 +33,5 @@
 
 /** Up, and neither dead nor gone. */
 export function isRunning(machine: ProvisionedMachine): boolean {
-  return machine.upAt !== null && machine.diedAt === null && machine.goneAt === null;
+  return machine.upAt !== null && machine.failedAt === null && machine.removedAt === null;
 }
--- a/packages/testing/stand-ins/cloud/spot-prices.ts
+++ b/packages/testing/stand-ins/cloud/spot-prices.ts
@@ -1,7 +1,7 @@
 /** Spot prices that change with time. */
 import type { MachineType, Runtime } from '#wire';
 
-const LARGEST_SWING = 1 / 3;
+const MAX_DEVIATION = 1 / 3;
 const PRICE_PERIOD_S = 60;
 
 /** Spot prices that move by up to a third around their nominal values. */
@@ -19,7 +19,7 @@
     const now = this.runtime.clock.now();
     const known = this.factors.get(type);
     if (known && now - known.drawnAt < PRICE_PERIOD_S) return known.factor;
-    const factor = 1 + (this.runtime.random() * 2 - 1) * LARGEST_SWING;
+    const factor = 1 + (this.runtime.random() * 2 - 1) * MAX_DEVIATION;
     this.factors.set(type, { factor, drawnAt: now });
     return factor;
   }
--- a/packages/testing/stand-ins/state/availability.ts
+++ b/packages/testing/stand-ins/state/availability.ts
@@ -2,15 +2,15 @@
 /** Whom the service serves: nobody during an outage, and never a client that it refuses. */
 export class Availability {
   private outage = false;
-  private readonly refusedHosts = new Set<string>();
-  private readonly waiting = new Set<() => void>();
+  private readonly refusedClients = new Set<string>();
+  private readonly waiters = new Set<() => void>();
 
   get inOutage(): boolean {
     return this.outage;
   }
 
   serves(clientHost: string): boolean {
-    return !this.outage && !this.refusedHosts.has(clientHost);
+    return !this.outage && !this.refusedClients.has(clientHost);
   }
 
   setOutage(outage: boolean): void {
@@ -19,11 +19,11 @@
   }
 
   refuse(clientHost: string): void {
-    this.refusedHosts.add(clientHost);
+    this.refusedClients.add(clientHost);
   }
 
   readmit(clientHost: string): void {
-    this.refusedHosts.delete(clientHost);
+    this.refusedClients.delete(clientHost);
     this.wakeAll();
   }
 
@@ -38,12 +38,12 @@
   }
 
   private nextChange(): Promise<void> {
-    return new Promise((resolve) => this.waiting.add(resolve));
+    return new Promise((resolve) => this.waiters.add(resolve));
   }
 
   private wakeAll(): void {
-    const woken = [...this.waiting];
-    this.waiting.clear();
-    for (const wake of woken) wake();
+    const waiters = [...this.waiters];
+    this.waiters.clear();
+    for (const wake of waiters) wake();
   }
 }
--- a/packages/testing/stand-ins/state/key-store.ts
+++ b/packages/testing/stand-ins/state/key-store.ts
@@ -1,11 +1,11 @@
 /** The contents of the state service: keys with versions, one revision, and the latest changes. */
 import type { Change, Condition, Entry, WatchEvent, WatchOutcome } from '#wire';
 import { entryToWire, wireSize } from '#wire/serving';
-import { firstIndexNotBefore } from './binary-search.js';
+import { lowerBound } from './binary-search.js';
 import { SortedKeys } from './sorted-keys.js';
 
 /** Number of past changes that a watch can read. */
-export const KEPT_CHANGES = 10_000;
+export const RETAINED_CHANGES = 10_000;
 const MAX_PAGE_BYTES = 512 * 1024;
 
 /** An entry with the lease that it is bound to; null: none. */
@@ -18,7 +18,7 @@
   private readonly entries = new Map<string, StoredEntry>();
   private readonly order = new SortedKeys();
   private readonly keysOfLease = new Map<number, Set<string>>();
-  private log: WatchEvent[] = [];
+  private changeLog: WatchEvent[] = [];
   /** Revision of the newest change that was cut off the log. */
   private trimmedRevision = 0;
   private currentRevision = 0;
@@ -78,10 +78,10 @@
 
   /** All changes of keys with the prefix after a revision. */
   changesAfter(prefix: string, after: number): WatchOutcome {
-    if (after < this.forgottenRevision()) return 'too-old';
+    if (after < this.newestUnreadableRevision()) return 'too-old';
     const events: WatchEvent[] = [];
-    for (let index = this.firstAfter(after); index < this.log.length; index++) {
-      if (this.log[index].key.startsWith(prefix)) events.push(this.log[index]);
+    for (let index = this.firstLogIndexAfter(after); index < this.changeLog.length; index++) {
+      if (this.changeLog[index].key.startsWith(prefix)) events.push(this.changeLog[index]);
     }
     return { revision: this.currentRevision, events };
   }
@@ -92,7 +92,7 @@
     else this.order.add(key);
     this.entries.set(key, { key, value, version: this.currentRevision, lease });
     if (lease !== null) this.attach(key, lease);
-    this.log.push({ key, value, version: this.currentRevision });
+    this.changeLog.push({ key, value, version: this.currentRevision });
   }
 
   private remove(key: string): void {
@@ -101,7 +101,7 @@
     this.detach(known);
     this.order.remove(key);
     this.entries.delete(key);
-    this.log.push({ key, version: this.currentRevision });
+    this.changeLog.push({ key, version: this.currentRevision });
   }
 
   private attach(key: string, lease: number): void {
@@ -117,19 +117,19 @@
   }
 
   /** Revision of the newest change that a watch can no longer read. */
-  private forgottenRevision(): number {
-    const index = this.log.length - KEPT_CHANGES - 1;
-    return index < 0 ? this.trimmedRevision : this.log[index].version;
+  private newestUnreadableRevision(): number {
+    const index = this.changeLog.length - RETAINED_CHANGES - 1;
+    return index < 0 ? this.trimmedRevision : this.changeLog[index].version;
   }
 
   /** Cuts off old changes, a good many at once since each time copies the rest. */
   private trimLog(): void {
-    if (this.log.length < KEPT_CHANGES * 1.5) return;
-    this.trimmedRevision = this.forgottenRevision();
-    this.log = this.log.slice(-KEPT_CHANGES);
+    if (this.changeLog.length < RETAINED_CHANGES * 1.5) return;
+    this.trimmedRevision = this.newestUnreadableRevision();
+    this.changeLog = this.changeLog.slice(-RETAINED_CHANGES);
   }
 
-  private firstAfter(revision: number): number {
-    return firstIndexNotBefore(this.log.length, (index) => this.log[index].version <= revision);
+  private firstLogIndexAfter(revision: number): number {
+    return lowerBound(this.changeLog.length, (index) => this.changeLog[index].version <= revision);
   }
 }
--- a/packages/testing/stand-ins/state/leases.ts
+++ b/packages/testing/stand-ins/state/leases.ts
@@ -2,7 +2,7 @@
 import type { Runtime, Timer } from '#wire';
 
 /** How much later than its time a lease may end, in seconds. */
-const MAX_LATE_S = 0.1;
+const MAX_EXPIRY_DELAY_S = 0.1;
 
 interface Lease {
   ttlMs: number;
@@ -36,10 +36,10 @@
     const lease = this.leases.get(id);
     if (!lease) return false;
     lease.expiry?.cancel();
-    const lateMs = this.runtime.random() * MAX_LATE_S * 1000;
+    const delayMs = this.runtime.random() * MAX_EXPIRY_DELAY_S * 1000;
     lease.expiry = this.suspended
       ? null
-      : this.runtime.clock.setTimer(() => this.end(id), lease.ttlMs + lateMs);
+      : this.runtime.clock.setTimer(() => this.end(id), lease.ttlMs + delayMs);
     return true;
   }
 
--- a/packages/testing/stand-ins/state/sorted-keys.ts
+++ b/packages/testing/stand-ins/state/sorted-keys.ts
@@ -1,5 +1,5 @@
 /** The order of the keys in the state service. */
-import { firstIndexNotBefore } from './binary-search.js';
+import { lowerBound } from './binary-search.js';
 
 /** The keys of the store in their order, so that a page is found without sorting. */
 export class SortedKeys {
@@ -7,19 +7,19 @@
 
   /** Adds a key that is not there yet. */
   add(key: string): void {
-    this.keys.splice(this.firstNotBelow(key), 0, key);
+    this.keys.splice(this.lowerBoundOf(key), 0, key);
   }
 
   /** Removes a key that is there. */
   remove(key: string): void {
-    this.keys.splice(this.firstNotBelow(key), 1);
+    this.keys.splice(this.lowerBoundOf(key), 1);
   }
 
   /** The keys with the prefix that come after another key, one by one. */
   *after(prefix: string, after: string | null): Generator<string> {
-    let index = this.firstNotBelow(prefix);
+    let index = this.lowerBoundOf(prefix);
     if (after !== null && after >= prefix) {
-      index = this.firstNotBelow(after);
+      index = this.lowerBoundOf(after);
       if (this.keys[index] === after) index++;
     }
     for (; index < this.keys.length && this.keys[index].startsWith(prefix); index++) {
@@ -27,7 +27,7 @@
     }
   }
 
-  private firstNotBelow(key: string): number {
-    return firstIndexNotBefore(this.keys.length, (index) => this.keys[index] < key);
+  private lowerBoundOf(key: string): number {
+    return lowerBound(this.keys.length, (index) => this.keys[index] < key);
   }
 }
--- a/packages/testing/stand-ins/state/state-service.test.ts
+++ b/packages/testing/stand-ins/state/state-service.test.ts
@@ -3,7 +3,7 @@
 import { nodeRuntime, NoAnswer, StateApi, StateRefused, type Change } from '#wire';
 import { FREE_LOOPBACK_PORT } from '../http-server.js';
 import { SampleWorld } from '../sample-world.js';
-import { KEPT_CHANGES, KeyStore } from './key-store.js';
+import { RETAINED_CHANGES, KeyStore } from './key-store.js';
 import { StateService } from './state-service.js';
 import type { StateServiceLimits } from './txn-limits.js';
 
@@ -12,7 +12,7 @@
 const TARGET = `${SERVICE.host}:${SERVICE.port}`;
 const LIMITS: StateServiceLimits = { rps: 500, writeRps: 500, valueKb: 1, txnOps: 4 };
 
-async function aService(limits: Partial<StateServiceLimits> = {}) {
+async function startService(limits: Partial<StateServiceLimits> = {}) {
   const world = new SampleWorld();
   const runtime = world.runtime(SERVICE.host, 'state');
   const service = new StateService(runtime, { ...LIMITS, ...limits }, world.observer);
@@ -29,7 +29,7 @@
 }
 
 test('transactions are atomic and share one revision', async () => {
-  const { world, api, commit } = await aService();
+  const { world, api, commit } = await startService();
   assert.deepEqual(await commit([put('a/1', 'x'), put('a/2')]), { ok: true, revision: 1 });
   const stale = api.txn([{ key: 'a/1', version: 0 }], [{ delete: 'a/2' }]);
   assert.deepEqual(await world.finish(stale), { ok: false, failed: ['a/1'], revision: 1 });
@@ -43,7 +43,7 @@
 });
 
 test('lists come in key order, page by page, within their size', async () => {
-  const { call, service } = await aService();
+  const { call, service } = await startService();
   for (const key of ['b/2', 'a/9', 'b/1', 'b/3', 'c/1']) service.store.apply([put(key)]);
   const list = async (query: string) => {
     const answer = await call('GET', `/store?${query}`);
@@ -57,7 +57,7 @@
 });
 
 test('what is malformed or over a limit gets 400 and changes nothing', async () => {
-  const { call, service } = await aService();
+  const { call, service } = await startService();
   const bodies = [
     null,
     { if: 1 },
@@ -82,7 +82,7 @@
 });
 
 test('a lease ends up to 100 ms late, with its keys, and an outage gives it its full time', async () => {
-  const { world, api, service, commit } = await aService();
+  const { world, api, service, commit } = await startService();
   const lease = await world.finish(api.grantLease(2000));
   await commit([put('l/1', 1, lease), put('l/2', 1, lease)]);
   await commit([put('l/2')]);
@@ -103,7 +103,7 @@
 });
 
 test('a watch waits for its prefix, also through an outage', async () => {
-  const { world, api, service, commit } = await aService();
+  const { world, api, service, commit } = await startService();
   const outcome = api.changes('w/', 0, 5000);
   await world.run(0.1);
   service.beginOutage();
@@ -121,17 +121,17 @@
 
 test('a watch can read 10,000 past changes and no more', () => {
   const store = new KeyStore();
-  for (let i = 1; i <= KEPT_CHANGES * 1.6; i++) {
+  for (let i = 1; i <= RETAINED_CHANGES * 1.6; i++) {
     store.apply([put('k', i)]);
-    if (i <= KEPT_CHANGES || i % 100 !== 0) continue;
-    assert.equal(store.changesAfter('', i - KEPT_CHANGES - 1), 'too-old');
-    const kept = store.changesAfter('', i - KEPT_CHANGES);
-    assert.ok(kept !== 'too-old' && kept.events.length === KEPT_CHANGES);
+    if (i <= RETAINED_CHANGES || i % 100 !== 0) continue;
+    assert.equal(store.changesAfter('', i - RETAINED_CHANGES - 1), 'too-old');
+    const kept = store.changesAfter('', i - RETAINED_CHANGES);
+    assert.ok(kept !== 'too-old' && kept.events.length === RETAINED_CHANGES);
   }
 });
 
 test('more than a second of requests or changes gets 429, failed conditions too', async () => {
-  const { world, api } = await aService({ rps: 20, writeRps: 10 });
+  const { world, api } = await startService({ rps: 20, writeRps: 10 });
   const failing = [{ key: 'none', version: 5 }];
   const statuses = async (calls: Promise<unknown>[]) => {
     const outcomes = await world.finish(Promise.allSettled(calls));
@@ -146,7 +146,7 @@
 });
 
 test('one client can be refused while others are served and its watch waits', async () => {
-  const { world, api, call, service } = await aService();
+  const { world, api, call, service } = await startService();
   const watch = api.changes('r/', 0, 60_000);
   const lease = await world.finish(api.grantLease(1000));
   service.refuse(CLIENT);
@@ -160,7 +160,7 @@
 });
 
 test('a transaction without an answer is carried out late, after newer ones, or at once', async () => {
-  const { world, service, api, commit, transactions } = await aService();
+  const { world, service, api, commit, transactions } = await startService();
   service.beginLateWrites(1);
   const late = api.txn([], [put('t', 'late')]);
   await world.run(0.1);
@@ -187,7 +187,7 @@
 });
 
 test('slow answers come within their profile', async () => {
-  const { world, service, commit } = await aService();
+  const { world, service, commit } = await startService();
   service.setLatency({ usualMs: [800, 900], slowShare: 0, slowMs: [0, 0] });
   await commit([put('s')]);
   assert.ok(world.world.now > 0.8 && world.world.now < 1.1);
--- a/packages/testing/stand-ins/state/state-service.ts
+++ b/packages/testing/stand-ins/state/state-service.ts
@@ -14,7 +14,7 @@
 
 const BURST_S = 1;
 /** When a transaction without an answer is carried out, in seconds, unless told otherwise. */
-const LATE_WRITE_S: [number, number] = [2, 12];
+const LATE_TXN_DELAY_S: [number, number] = [2, 12];
 
 /** When a transaction came, from whom, and whether it gets an answer. */
 interface TxnArrival {
@@ -46,7 +46,7 @@
     private readonly observer: Observer = () => undefined,
   ) {
     this.leases = new Leases(runtime, (id) => {
-      this.removeKeysOf(id);
+      this.deleteKeysOfLease(id);
     });
     this.watchers = new Watchers(runtime.clock);
     this.latency = new Latency(runtime);
@@ -104,7 +104,7 @@
   }
 
   /** That share of transactions gets no answer and is carried out late, after newer ones. */
-  beginLateWrites(share: number, delayS: LostReplies['delayS'] = LATE_WRITE_S): void {
+  beginLateWrites(share: number, delayS: LostReplies['delayS'] = LATE_TXN_DELAY_S): void {
     this.lostReplies.begin({ share, delayS });
   }
 
@@ -192,7 +192,7 @@
     return { ok: true, revision: this.store.revision };
   }
 
-  private removeKeysOf(lease: number): void {
+  private deleteKeysOfLease(lease: number): void {
     const keys = this.store.keysWithLease(lease);
     if (keys.length > 0) this.store.apply(keys.map((key) => ({ delete: key })));
   }
