--- a/packages/testing/stand-ins/state/availability.ts
+++ b/packages/testing/stand-ins/state/availability.ts
@@ -1,5 +1,5 @@
 /** Outages of the state service, for all clients or for one. */
-/** Whom the service serves: nobody during an outage, and never a client that it refuses. */
+/** Decides which clients are served: none during an outage, and never a refused client. */
 export class Availability {
   private outage = false;
   private readonly refusedClients = new Set<string>();
@@ -27,12 +27,12 @@
     this.wakeAll();
   }
 
-  /** Resolves when the client is served, for watches that stay open meanwhile. */
+  /** Resolves when the client is served. Open watches wait for this instead of failing. */
   async whenServed(clientHost: string): Promise<void> {
     while (!this.serves(clientHost)) await this.nextChange();
   }
 
-  /** Resolves when there is no outage. */
+  /** Resolves when no outage is in progress. */
   async whenUp(): Promise<void> {
     while (this.outage) await this.nextChange();
   }
--- a/packages/testing/stand-ins/state/binary-search.ts
+++ b/packages/testing/stand-ins/state/binary-search.ts
@@ -1,6 +1,9 @@
-/** Binary search in a sorted sequence that is read by its index. */
+/** Binary search over the indexes of a sorted sequence. */
 
-/** The first index from 0 to `length` for which `isBefore` is false; it must be true for all lower ones. */
+/**
+ * Returns the first index for which `isBefore` is false, or `length` if there is none. `isBefore` must be true for all
+ * lower indexes and false for all higher ones.
+ */
 export function lowerBound(length: number, isBefore: (index: number) => boolean): number {
   let low = 0;
   let high = length;
--- a/packages/testing/stand-ins/state/key-store.ts
+++ b/packages/testing/stand-ins/state/key-store.ts
@@ -1,29 +1,30 @@
-/** The contents of the state service: keys with versions, one revision, and the latest changes. */
+/** The data of the state service: versioned keys, the store revision and a history of recent changes. */
 import type { Change, Condition, Entry, WatchEvent, WatchOutcome } from '#wire';
 import { entryToWire, wireSize } from '#wire/serving';
 import { lowerBound } from './binary-search.js';
 import { SortedKeys } from './sorted-keys.js';
 
-/** Number of past changes that a watch can read. */
+/** Number of past changes that a watch can read. Older ones are answered with "too old". */
 export const RETAINED_CHANGES = 10_000;
 const MAX_PAGE_BYTES = 512 * 1024;
 
-/** An entry with the lease that it is bound to; null: none. */
+/** An entry and the lease that its key is attached to. */
 export interface StoredEntry extends Entry {
+  /** Null: the key is attached to no lease. */
   lease: number | null;
 }
 
-/** Keys with values and versions, changed by transactions and read by pages and watches. */
+/** Versioned keys that transactions change, and that lists and watches read. */
 export class KeyStore {
   private readonly entries = new Map<string, StoredEntry>();
   private readonly order = new SortedKeys();
   private readonly keysOfLease = new Map<number, Set<string>>();
   private changeLog: WatchEvent[] = [];
-  /** Revision of the newest change that was cut off the log. */
+  /** Revision of the newest change that was dropped from the change log. */
   private trimmedRevision = 0;
   private currentRevision = 0;
 
-  /** The callback learns of the keys that each transaction put or deleted. */
+  /** `onChange` receives the keys that each transaction put or deleted. */
   constructor(private readonly onChange: (keys: string[]) => void = () => undefined) {}
 
   get revision(): number {
@@ -34,7 +35,7 @@
     return this.entries.get(key);
   }
 
-  /** A page of at most so many entries and 512 KiB, and whether more follow. */
+  /** Returns a page of at most `limit` entries and 512 KiB, and whether more entries follow. */
   list(
     prefix: string,
     after: string | null,
@@ -44,7 +45,7 @@
     let bytes = 0;
     for (const key of this.order.after(prefix, after)) {
       const entry = this.entries.get(key);
-      if (!entry) throw new Error(`the order of the keys holds ${key}, which has no entry`);
+      if (!entry) throw new Error(`key ${key} is in the key order but has no entry`);
       bytes += wireSize(entryToWire(entry));
       const full = page.length === limit || (bytes > MAX_PAGE_BYTES && page.length > 0);
       if (full) return { entries: page, more: true };
@@ -53,14 +54,14 @@
     return { entries: page, more: false };
   }
 
-  /** Keys whose versions are not the given ones. */
+  /** Returns the keys whose version differs from the one that the condition requires; 0 means absent. */
   failedConditions(conditions: Condition[]): string[] {
     return conditions
       .filter(({ key, version }) => (this.entries.get(key)?.version ?? 0) !== version)
       .map(({ key }) => key);
   }
 
-  /** Carries out the changes under one new revision, and returns it. */
+  /** Applies the changes under one new revision and returns that revision. */
   apply(changes: Change[]): number {
     this.currentRevision++;
     for (const change of changes) {
@@ -76,7 +77,7 @@
     return [...(this.keysOfLease.get(lease) ?? [])];
   }
 
-  /** All changes of keys with the prefix after a revision. */
+  /** Returns all changes of keys with the prefix after a revision, unless some of them were dropped. */
   changesAfter(prefix: string, after: number): WatchOutcome {
     if (after < this.newestUnreadableRevision()) return 'too-old';
     const events: WatchEvent[] = [];
@@ -116,13 +117,13 @@
     if (keys?.size === 0) this.keysOfLease.delete(lease);
   }
 
-  /** Revision of the newest change that a watch can no longer read. */
+  /** Revision of the newest change that watches can no longer read. */
   private newestUnreadableRevision(): number {
     const index = this.changeLog.length - RETAINED_CHANGES - 1;
     return index < 0 ? this.trimmedRevision : this.changeLog[index].version;
   }
 
-  /** Cuts off old changes, a good many at once since each time copies the rest. */
+  /** Drops old changes, many at a time because each trim copies the remaining ones. */
   private trimLog(): void {
     if (this.changeLog.length < RETAINED_CHANGES * 1.5) return;
     this.trimmedRevision = this.newestUnreadableRevision();
--- a/packages/testing/stand-ins/state/leases.ts
+++ b/packages/testing/stand-ins/state/leases.ts
@@ -1,7 +1,7 @@
-/** The leases of the state service. */
+/** Leases of the state service, which clients renew and which keys are attached to. */
 import type { Runtime, Timer } from '#wire';
 
-/** How much later than its time a lease may end, in seconds. */
+/** Longest delay between the expiry time of a lease and its end, in seconds. */
 const MAX_EXPIRY_DELAY_S = 0.1;
 
 interface Lease {
@@ -9,7 +9,7 @@
   expiry: Timer | null;
 }
 
-/** Leases that end if they are not renewed in time: never early, and up to 100 ms late. */
+/** Leases that end unless renewed within their time to live. A lease never ends early, but up to 100 ms late. */
 export class Leases {
   private readonly leases = new Map<number, Lease>();
   private nextId = 1;
@@ -31,7 +31,7 @@
     return id;
   }
 
-  /** False if the lease has ended. */
+  /** Restarts the time to live of the lease. Returns false if the lease has ended. */
   renew(id: number): boolean {
     const lease = this.leases.get(id);
     if (!lease) return false;
@@ -43,7 +43,7 @@
     return true;
   }
 
-  /** Ends a lease at once; false if it has ended before. */
+  /** Ends a lease at once. Returns false if it had already ended. */
   end(id: number): boolean {
     const lease = this.leases.get(id);
     if (!lease) return false;
@@ -53,13 +53,13 @@
     return true;
   }
 
-  /** No lease ends until resume(). */
+  /** Stops the expiry of all leases until `resume` is called. */
   suspend(): void {
     this.suspended = true;
     for (const lease of this.leases.values()) lease.expiry?.cancel();
   }
 
-  /** All leases have their full time again. */
+  /** Restarts expiry. Every lease gets its full time to live again. */
   resume(): void {
     this.suspended = false;
     for (const id of [...this.leases.keys()]) this.renew(id);
--- a/packages/testing/stand-ins/state/sorted-keys.ts
+++ b/packages/testing/stand-ins/state/sorted-keys.ts
@@ -1,21 +1,21 @@
-/** The order of the keys in the state service. */
+/** The sorted keys of the state service. */
 import { lowerBound } from './binary-search.js';
 
-/** The keys of the store in their order, so that a page is found without sorting. */
+/** Keeps the keys of the store sorted, so that listing a page needs no sort. */
 export class SortedKeys {
   private readonly keys: string[] = [];
 
-  /** Adds a key that is not there yet. */
+  /** Adds a key, which must be absent. */
   add(key: string): void {
     this.keys.splice(this.lowerBoundOf(key), 0, key);
   }
 
-  /** Removes a key that is there. */
+  /** Removes a key, which must be present. */
   remove(key: string): void {
     this.keys.splice(this.lowerBoundOf(key), 1);
   }
 
-  /** The keys with the prefix that come after another key, one by one. */
+  /** Yields the keys with the prefix in order, starting after the key `after` if it is given. */
   *after(prefix: string, after: string | null): Generator<string> {
     let index = this.lowerBoundOf(prefix);
     if (after !== null && after >= prefix) {
--- a/packages/testing/stand-ins/state/state-service.test.ts
+++ b/packages/testing/stand-ins/state/state-service.test.ts
@@ -28,7 +28,7 @@
   return { put: key, value, lease };
 }
 
-test('transactions are atomic and share one revision', async () => {
+test('the changes of a transaction are applied together under one revision, or not at all', async () => {
   const { world, api, commit } = await startService();
   assert.deepEqual(await commit([put('a/1', 'x'), put('a/2')]), { ok: true, revision: 1 });
   const stale = api.txn([{ key: 'a/1', version: 0 }], [{ delete: 'a/2' }]);
@@ -42,7 +42,7 @@
   assert.deepEqual(await world.finish(compare), { ok: true, revision: 2 });
 });
 
-test('lists come in key order, page by page, within their size', async () => {
+test('lists are sorted by key and split into pages by number and by size', async () => {
   const { call, service } = await startService();
   for (const key of ['b/2', 'a/9', 'b/1', 'b/3', 'c/1']) service.store.apply([put(key)]);
   const list = async (query: string) => {
@@ -56,7 +56,7 @@
   assert.equal((await list('prefix=d/'))[1], true);
 });
 
-test('what is malformed or over a limit gets 400 and changes nothing', async () => {
+test('a request that is malformed or exceeds a limit gets 400 and changes nothing', async () => {
   const { call, service } = await startService();
   const bodies = [
     null,
@@ -81,7 +81,7 @@
   assert.equal(service.store.revision, 0);
 });
 
-test('a lease ends up to 100 ms late, with its keys, and an outage gives it its full time', async () => {
+test('a lease ends up to 100 ms late and deletes its keys, and has its full time after an outage', async () => {
   const { world, api, service, commit } = await startService();
   const lease = await world.finish(api.grantLease(2000));
   await commit([put('l/1', 1, lease), put('l/2', 1, lease)]);
@@ -102,7 +102,7 @@
   assert.deepEqual(await commit([put('l/3', 1, lease)]), { ok: false, leaseGone: true });
 });
 
-test('a watch waits for its prefix, also through an outage', async () => {
+test('a watch answers when a key with its prefix changes, after an outage if one is in progress', async () => {
   const { world, api, service, commit } = await startService();
   const outcome = api.changes('w/', 0, 5000);
   await world.run(0.1);
@@ -119,7 +119,7 @@
   assert.ok(world.world.now - startedAt >= 0.5);
 });
 
-test('a watch can read 10,000 past changes and no more', () => {
+test('a watch can read the last 10,000 changes, and gets "too old" for older ones', () => {
   const store = new KeyStore();
   for (let i = 1; i <= RETAINED_CHANGES * 1.6; i++) {
     store.apply([put('k', i)]);
@@ -130,7 +130,7 @@
   }
 });
 
-test('more than a second of requests or changes gets 429, failed conditions too', async () => {
+test('requests or changes beyond one second of the limit get 429, also if conditions fail', async () => {
   const { world, api } = await startService({ rps: 20, writeRps: 10 });
   const failing = [{ key: 'none', version: 5 }];
   const statuses = async (calls: Promise<unknown>[]) => {
@@ -145,7 +145,7 @@
   assert.equal(reads.filter((status) => status === 429).length, 2);
 });
 
-test('one client can be refused while others are served and its watch waits', async () => {
+test('the watch of a refused client waits and its lease expires, while others are served', async () => {
   const { world, api, call, service } = await startService();
   const watch = api.changes('r/', 0, 60_000);
   const lease = await world.finish(api.grantLease(1000));
@@ -159,7 +159,7 @@
   assert.equal(await world.finish(api.renewLease(lease)), false);
 });
 
-test('a transaction without an answer is carried out late, after newer ones, or at once', async () => {
+test('a transaction without an answer is applied late, after newer ones, or at once', async () => {
   const { world, service, api, commit, transactions } = await startService();
   service.beginLateWrites(1);
   const late = api.txn([], [put('t', 'late')]);
@@ -186,14 +186,14 @@
   ]);
 });
 
-test('slow answers come within their profile', async () => {
+test('response times stay within the latency profile', async () => {
   const { world, service, commit } = await startService();
   service.setLatency({ usualMs: [800, 900], slowShare: 0, slowMs: [0, 0] });
   await commit([put('s')]);
   assert.ok(world.world.now > 0.8 && world.world.now < 1.1);
 });
 
-test('the service runs on loopback as well', async () => {
+test('the service also runs on the loopback interface', async () => {
   const service = new StateService(nodeRuntime, LIMITS);
   const { target } = await service.listen(FREE_LOOPBACK_PORT);
   const api = new StateApi(nodeRuntime, target, 2000);
--- a/packages/testing/stand-ins/state/state-service.ts
+++ b/packages/testing/stand-ins/state/state-service.ts
@@ -1,4 +1,4 @@
-/** The state service as the protocol describes it, with its limits and its faults. */
+/** Stand-in of the state service: its protocol, its limits and faults that tests can inject. */
 import type { Change, Condition, HostPort, Runtime, TxnOutcome } from '#wire';
 import * as serving from '#wire/serving';
 import type { Observer } from '../events.js';
@@ -13,12 +13,12 @@
 import { Watchers } from './watchers.js';
 
 const BURST_S = 1;
-/** When a transaction without an answer is carried out, in seconds, unless told otherwise. */
+/** Default delay after which a transaction without an answer is applied, in seconds. */
 const LATE_TXN_DELAY_S: [number, number] = [2, 12];
 
-/** When a transaction came, from whom, and whether it gets an answer. */
+/** When a transaction arrived, which client sent it and whether it gets an answer. */
 interface TxnArrival {
-  /** Seconds of the service's clock. */
+  /** Time on the service's clock, in seconds. */
   atS: number;
   clientHost: string;
   answered: boolean;
@@ -42,7 +42,7 @@
   constructor(
     private readonly runtime: Runtime,
     private limits: StateServiceLimits,
-    /** Told of each transaction. */
+    /** Receives an event for each transaction. */
     private readonly observer: Observer = () => undefined,
   ) {
     this.leases = new Leases(runtime, (id) => {
@@ -55,7 +55,7 @@
     this.changeRate = new RateLimit(runtime.clock, limits.writeRps, BURST_S);
   }
 
-  /** May be called for several addresses. */
+  /** Starts a server on the address. May be called for several addresses. */
   async listen(address: HostPort): Promise<CborServer> {
     const server = await serveCbor(this.runtime, address, (request) => this.handle(request));
     this.servers.push(server);
@@ -69,7 +69,7 @@
     for (const server of this.servers) server.close();
   }
 
-  /** Other limits from now on; what is stored stays readable. */
+  /** Changes the limits. Entries that exceed the new limits stay readable. */
   changeLimits(changed: Partial<StateServiceLimits>): void {
     const { clock } = this.runtime;
     this.limits = { ...this.limits, ...changed };
@@ -77,19 +77,19 @@
     this.changeRate = new RateLimit(clock, this.limits.writeRps, BURST_S);
   }
 
-  /** Nobody is served; watches stay open and wait, and no lease ends. */
+  /** Refuses all requests. Watches stay open and wait, and no lease ends. */
   beginOutage(): void {
     this.availability.setOutage(true);
     this.leases.suspend();
   }
 
-  /** All are served again, and all leases have their full time again. */
+  /** Ends the outage. Every lease gets its full time to live again. */
   endOutage(): void {
     this.availability.setOutage(false);
     this.leases.resume();
   }
 
-  /** One client is refused while all others are served; its leases run out. */
+  /** Refuses the requests of one client, so that its leases expire, while all others are served. */
   refuse(clientHost: string): void {
     this.availability.refuse(clientHost);
   }
@@ -98,22 +98,22 @@
     this.availability.readmit(clientHost);
   }
 
-  /** Answers take longer, or again the usual time if no profile is given. */
+  /** Sets the response times; without a profile, the usual ones. */
   setLatency(profile: LatencyProfile = PROMPT): void {
     this.latency.profile = profile;
   }
 
-  /** That share of transactions gets no answer and is carried out late, after newer ones. */
+  /** Lets this share of transactions go unanswered and be applied late, after newer transactions. */
   beginLateWrites(share: number, delayS: LostReplies['delayS'] = LATE_TXN_DELAY_S): void {
     this.lostReplies.begin({ share, delayS });
   }
 
-  /** That share of transactions is carried out at once, and only the answer is lost. */
+  /** Lets this share of transactions go unanswered although they are applied at once. */
   beginLostAnswers(share: number): void {
     this.lostReplies.begin({ share, delayS: null });
   }
 
-  /** Transactions are answered again; those held back are still carried out. */
+  /** Ends late writes and lost answers. Transactions that were delayed before are still applied. */
   endLateWrites(): void {
     this.lostReplies.end();
   }
--- a/packages/testing/stand-ins/state/txn-limits.ts
+++ b/packages/testing/stand-ins/state/txn-limits.ts
@@ -2,19 +2,19 @@
 import { MalformedBody, type Change, type Condition } from '#wire';
 import { wireSize } from '#wire/serving';
 
-/** Limits of the state service, as the platform's settings give them. */
+/** Limits of the state service, which the platform's settings define. */
 export interface StateServiceLimits {
-  /** Requests a second, renewals and opened watches among them. */
+  /** Requests per second, including lease renewals and new watches. */
   rps: number;
-  /** Puts and deletes a second, also of transactions whose conditions fail. */
+  /** Puts and deletes per second, including those of transactions whose conditions fail. */
   writeRps: number;
-  /** Largest value in KiB. */
+  /** Maximum size of a value in KiB. */
   valueKb: number;
-  /** Puts and deletes of one transaction. */
+  /** Maximum number of puts and deletes in one transaction. */
   txnOps: number;
 }
 
-/** Changes that are carried out together if all conditions hold. */
+/** Changes that are applied together if all conditions hold. */
 export interface Transaction {
   conditions: Condition[];
   changes: Change[];
@@ -23,7 +23,7 @@
 const CONDITIONS_PER_CHANGE = 4;
 const MAX_TXN_BYTES = 64 * 1024;
 
-/** Throws MalformedBody for a transaction over a limit; the body is the one that it was read from. */
+/** Throws MalformedBody if the transaction exceeds a limit. `body` is the request body that `txn` was parsed from. */
 export function checkTxn(txn: Transaction, body: unknown, limits: StateServiceLimits): void {
   if (txn.changes.length > limits.txnOps) throw new MalformedBody('too many changes');
   if (txn.conditions.length > limits.txnOps * CONDITIONS_PER_CHANGE) {
--- a/packages/testing/stand-ins/state/watchers.ts
+++ b/packages/testing/stand-ins/state/watchers.ts
@@ -6,13 +6,13 @@
   wake: () => void;
 }
 
-/** Those who wait until a key with their prefix changes. */
+/** Watches that wait until a key with their prefix changes. */
 export class Watchers {
   private readonly watchers = new Set<Watcher>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** Resolves when a key with the prefix changes or the time (of the clock, in seconds) comes. */
+  /** Resolves when a key with the prefix changes, or at the time `until` (seconds of the clock). */
   wait(prefix: string, until: number): Promise<void> {
     return new Promise((resolve) => {
       const delayMs = Math.max(0, (until - this.clock.now()) * 1000);
