--- a/packages/testing/stand-ins/cloud/capacity.ts
+++ b/packages/testing/stand-ins/cloud/capacity.ts
@@ -1,7 +1,6 @@
 /** Limits on the machines that the cloud can provision. */
-/** How many machines of one type, zone and kind the cloud has in all. */
+/** Maximum number of machines of a type, in a zone, spot or on demand. An absent field matches any value. */
 export interface CapacityLimit {
-  /** Absent: any. */
   type?: string;
   zone?: string;
   spot?: boolean;
@@ -14,7 +13,7 @@
   spot: boolean;
 }
 
-/** What the cloud can still provision; a kind of machine that no limit covers is unlimited. */
+/** How many more machines the cloud can provision. Machines that no limit covers are unlimited. */
 export class Capacity {
   constructor(private limits: CapacityLimit[]) {}
 
@@ -22,7 +21,7 @@
     this.limits = limits;
   }
 
-  /** Machines of that kind that may still be provisioned, given those that are. */
+  /** Number of machines of the wanted kind that may still be provisioned, beside those already provisioned. */
   remaining(wanted: MachineKind, provisioned: Iterable<MachineKind>): number {
     const existing = [...provisioned];
     const remainders = this.limits
--- a/packages/testing/stand-ins/cloud/cloud-service.test.ts
+++ b/packages/testing/stand-ins/cloud/cloud-service.test.ts
@@ -39,7 +39,7 @@
   return outcome.machines;
 }
 
-test('a scale-out is filled as far as there is capacity, and its repeat provisions nothing', async () => {
+test('a scale-out is filled up to the capacity, and repeating it provisions nothing more', async () => {
   const { provision } = await startCloud([{ zone: 'a', spot: false, machines: 3 }]);
   const first = provisioned(await provision('r-1', 2));
   assert.deepEqual(first, ['n-000001', 'n-000002']);
@@ -49,7 +49,7 @@
   assert.equal(provisioned(await provision('r-3', 1, true)).length, 1);
 });
 
-test('prices of spot machines move by up to a third, others do not', async () => {
+test('spot prices vary by up to a third, and nothing else of a machine type changes', async () => {
   const { world, client } = await startCloud();
   for (let i = 0; i < 20; i++) {
     const [type] = await world.finish(client.catalog());
@@ -59,7 +59,7 @@
   }
 });
 
-test('machines boot by their profile, and some never', async () => {
+test('machines boot as the boot profile says, and some never come up', async () => {
   const { world, cloud, hostingCalls, provision, client } = await startCloud();
   cloud.setBootProfile(QUICK_BOOTS);
   const [quick] = provisioned(await provision('r-1', 1));
@@ -78,7 +78,7 @@
   assert.deepEqual(hostingCalls, [`off ${quick}`]);
 });
 
-test('the list lags, and shows a machine until it is gone', async () => {
+test('the list lags, and shows a listed machine until its removal', async () => {
   const { world, cloud, provision, list, client } = await startCloud();
   cloud.setBootProfile(QUICK_BOOTS);
   const [name] = provisioned(await provision('r-1', 1));
@@ -98,7 +98,7 @@
   assert.deepEqual(await list(), []);
 });
 
-test('a dead machine is listed as running for a while, then as failed until deleted', async () => {
+test('a failed machine is listed as running for a while, then as failed', async () => {
   const { world, cloud, hostingCalls, provision, list } = await startCloud();
   cloud.setBootProfile(QUICK_BOOTS);
   const [name] = provisioned(await provision('r-1', 1));
@@ -111,22 +111,22 @@
   assert.equal((await list())[0].state, 'failed');
 });
 
-test('spot machines are taken back after a reclaim notice, or without one', async () => {
+test('spot machines are reclaimed after a notice, or without one', async () => {
   const { world, cloud, hostingCalls, provision } = await startCloud();
   cloud.setBootProfile(QUICK_BOOTS);
-  const [noticed, taken] = provisioned(await provision('r-1', 2, true));
+  const [withNotice, withoutNotice] = provisioned(await provision('r-1', 2, true));
   await world.run(3);
   hostingCalls.length = 0;
-  cloud.takeBack(noticed, 20);
-  cloud.takeBack(taken, null);
-  assert.deepEqual(hostingCalls.splice(0), [`notice ${noticed} 20`, `off ${taken}`]);
+  cloud.takeBack(withNotice, 20);
+  cloud.takeBack(withoutNotice, null);
+  assert.deepEqual(hostingCalls.splice(0), [`notice ${withNotice} 20`, `off ${withoutNotice}`]);
   await world.run(9.9);
   assert.deepEqual(hostingCalls, []);
   await world.run(20.2);
-  assert.deepEqual(hostingCalls, [`off ${noticed}`]);
+  assert.deepEqual(hostingCalls, [`off ${withNotice}`]);
 });
 
-test('an outage and a rate above the limit refuse requests, and late scale-outs get no answer', async () => {
+test('requests are refused in an outage and above the rate limit, and late scale-outs get no answer', async () => {
   const { world, cloud, provision, list, client } = await startCloud();
   cloud.beginOutage();
   assert.equal(await provision('r-1', 1), 'trouble');
--- a/packages/testing/stand-ins/cloud/cloud-service.ts
+++ b/packages/testing/stand-ins/cloud/cloud-service.ts
@@ -1,4 +1,4 @@
-/** The cloud's interface as the protocol describes it, with its limits and its faults. */
+/** Stand-in of the cloud's API: its protocol, its limits and faults that tests can inject. */
 import { MalformedBody, type HostPort, type MachineType, type Runtime } from '#wire';
 import * as serving from '#wire/serving';
 import { NO_REPLY, serveCbor, type CborServer, type ServedRequest } from '../http-server.js';
@@ -12,16 +12,18 @@
 import { isRunning, type MachineHosting, type ProvisionedMachine } from './provisioned-machine.js';
 import { SpotPrices } from './spot-prices.js';
 
-/** The settings of the cloud. */
+/** Settings of the cloud. */
 export interface CloudOptions {
   types: MachineType[];
   capacity: CapacityLimit[];
-  /** Requests a second. */
+  /** Maximum requests per second. */
   rps: number;
+  /** Nominal lag of the machine list, in seconds. */
   listLagS: number;
 }
 
 const BURST_S = 2;
+/** Default delay after which a request without an answer is executed, in seconds. */
 const LATE_REQUEST_DELAY_S: [number, number] = [2, 12];
 
 /** Serves the API of the cloud: provisions, deletes and lists machines. */
@@ -32,7 +34,7 @@
   private readonly latency: Latency;
   private readonly lostReplies: ReplyLoss;
   private readonly rate: RateLimit;
-  /** Names of machines by the name of the request that provisioned them. */
+  /** Names of machines by the request that provisioned them, so that a repeated request provisions none. */
   private readonly machinesOfRequest = new Map<string, string[]>();
   private outage = false;
   private server: CborServer | null = null;
@@ -59,7 +61,7 @@
     this.server?.close();
   }
 
-  /** Machines that are up now, for faults to choose from. */
+  /** Machines that are up now. Injected faults choose among them. */
   running(): ProvisionedMachine[] {
     return this.pool.all().filter(isRunning);
   }
@@ -76,7 +78,7 @@
     this.latency.profile = profile;
   }
 
-  /** That share of scale-outs and deletions gets no answer and is carried out late. */
+  /** Lets this share of scale-outs and deletions go unanswered and be executed late. */
   beginLateRequests(share: number, delayS = LATE_REQUEST_DELAY_S): void {
     this.lostReplies.begin({ share, delayS });
   }
@@ -85,7 +87,7 @@
     this.lostReplies.end();
   }
 
-  /** How long machines provisioned from now on take to boot. */
+  /** Sets the boot times of machines that are provisioned from now on. */
   setBootProfile(profile: BootProfile = USUAL_BOOTS): void {
     this.pool.bootProfile = profile;
   }
@@ -94,7 +96,7 @@
     this.pool.capacity.setLimits(limits);
   }
 
-  /** Takes a machine back, after a notice of about so many seconds or without one. */
+  /** Reclaims a machine, after a notice of about `noticeS` seconds, or without one if null. */
   takeBack(name: string, noticeS: number | null): void {
     const machine = this.pool.get(name);
     if (!machine) return;
@@ -102,7 +104,7 @@
     else this.pool.giveNotice(machine, noticeS);
   }
 
-  /** The machine stops by itself; the list shows it as running for a while. */
+  /** Lets the machine fail. The list shows it as running for a while. */
   kill(name: string): void {
     const machine = this.pool.get(name);
     if (machine) this.pool.fail(machine);
--- a/packages/testing/stand-ins/cloud/machine-list.ts
+++ b/packages/testing/stand-ins/cloud/machine-list.ts
@@ -1,20 +1,20 @@
-/** The list of machines as the cloud shows it, which is out of date. */
+/** The list of machines as the cloud reports it, which lags behind the real state. */
 import type { ListedMachine, Runtime } from '#wire';
 import type { ProvisionedMachine } from './provisioned-machine.js';
 
-/** How long a machine that has died is still listed as running, in seconds. */
+/** Seconds for which a failed machine is still listed as running. */
 const FAILURE_DETECTION_S = 30;
-/** Share of lists that lag by more than the nominal time, up to twice as much. */
+/** Share of lists that lag by more than the nominal time, at most twice as much. */
 const EXTRA_LAG_SHARE = 0.25;
 
-/** The cloud's list as its users see it: late, and at times older than the one before. */
+/** The list that clients of the cloud receive. It lags, and may be older than the list before it. */
 export class MachineList {
   constructor(
     private readonly runtime: Runtime,
     private readonly lagS: number,
   ) {}
 
-  /** A page of those machines, which come in the order of their names. */
+  /** Returns a page of the machines, which must be sorted by name. */
   page(
     machines: Iterable<ProvisionedMachine>,
     after: string | null,
@@ -32,7 +32,7 @@
     return { machines: page, more: false };
   }
 
-  /** The machine is in no list any more. */
+  /** Whether no list can show the machine any more. */
   isGoneFromLists(machine: ProvisionedMachine): boolean {
     return (
       machine.removedAt !== null && machine.removedAt < this.runtime.clock.now() - 2 * this.lagS
--- a/packages/testing/stand-ins/cloud/machine-park.ts
+++ b/packages/testing/stand-ins/cloud/machine-park.ts
@@ -1,4 +1,4 @@
-/** The machines of the cloud, from their provisioning until they are gone. */
+/** The machines of the cloud, from provisioning to removal. */
 import type { MachineType, Runtime } from '#wire';
 import { uniform, type Span } from '../distributions.js';
 import { USUAL_BOOTS, drawBootS } from './boot-times.js';
@@ -14,10 +14,10 @@
 }
 
 const NAME_DIGITS = 6;
-/** A notice runs from half to one and a half times as long as it says. */
+/** Actual time from a reclaim notice to the removal, as a multiple of the announced time. */
 const NOTICE_SPREAD: Span = [0.5, 1.5];
 
-/** Boots machines, and takes them back on request, on a reclaim notice or when they fail. */
+/** Provisions and boots machines, and removes, reclaims or fails them. */
 export class MachinePool {
   bootProfile = USUAL_BOOTS;
   readonly capacity: Capacity;
@@ -32,7 +32,7 @@
     this.capacity = new Capacity(limits);
   }
 
-  /** All machines that are or were provisioned, in the order of their names. */
+  /** All machines that were provisioned and not pruned, sorted by name. */
   all(): ProvisionedMachine[] {
     return [...this.machines.values()];
   }
@@ -41,7 +41,7 @@
     return this.machines.get(name);
   }
 
-  /** Provisions up to so many machines. */
+  /** Provisions the requested number of machines, or as many as the capacity allows. */
   provision(request: MachineRequest): ProvisionedMachine[] {
     const kept = this.all().filter((machine) => machine.removedAt === null);
     const kinds = kept.map(({ type, zone, spot }) => ({ type: type.name, zone, spot }));
@@ -52,7 +52,7 @@
     return provisioned;
   }
 
-  /** Deletes the machine or takes it back; all on it is gone at once. */
+  /** Removes a machine that is released or reclaimed. Everything on it stops at once. */
   remove(machine: ProvisionedMachine): void {
     if (machine.removedAt !== null) return;
     const ran = isRunning(machine);
@@ -60,14 +60,14 @@
     if (ran) this.hosting.powerOff(machine);
   }
 
-  /** The machine stops by itself. */
+  /** Lets a running machine fail. It stays listed until it is released. */
   fail(machine: ProvisionedMachine): void {
     if (!isRunning(machine)) return;
     machine.failedAt = this.runtime.clock.now();
     this.hosting.powerOff(machine);
   }
 
-  /** Takes the machine back after a notice of about so many seconds. */
+  /** Announces that the machine is reclaimed, and removes it about `noticeS` seconds later. */
   giveNotice(machine: ProvisionedMachine, noticeS: number): void {
     if (!isRunning(machine) || machine.noticeGiven) return;
     machine.noticeGiven = true;
@@ -81,10 +81,10 @@
     );
   }
 
-  /** Drops what no list shows any more. */
-  prune(isForgotten: (machine: ProvisionedMachine) => boolean): void {
+  /** Drops the machines that no list can show any more. */
+  prune(isObsolete: (machine: ProvisionedMachine) => boolean): void {
     for (const machine of this.machines.values()) {
-      if (isForgotten(machine)) this.machines.delete(machine.name);
+      if (isObsolete(machine)) this.machines.delete(machine.name);
     }
   }
 
--- a/packages/testing/stand-ins/cloud/provisioned-machine.ts
+++ b/packages/testing/stand-ins/cloud/provisioned-machine.ts
@@ -1,7 +1,7 @@
-/** One machine of the cloud, and what hosts it. */
+/** A machine of the cloud and the interface of its host. */
 import type { HostPort, MachineType } from '#wire';
 
-/** A machine from its provisioning on, with the times (of the cloud's clock) at which things happened. */
+/** A machine that was provisioned. Times are seconds of the cloud's clock, or null before the event. */
 export interface ProvisionedMachine {
   readonly name: string;
   readonly address: HostPort;
@@ -10,28 +10,29 @@
   readonly spot: boolean;
   readonly provisionedAt: number;
   upAt: number | null;
-  /** It stopped by itself; it stays listed until it is deleted. */
+  /** When the machine failed. A failed machine stays listed until it is released. */
   failedAt: number | null;
-  /** It was deleted or taken back. */
+  /** When the machine was released or reclaimed. */
   removedAt: number | null;
-  /** It has been in a list, and stays in all lists until it is gone. */
+  /** Whether a list has shown the machine. Later lists then show it until it is removed. */
   everListed: boolean;
+  /** Whether a reclaim notice was given. */
   noticeGiven: boolean;
 }
 
-/** Where provisioned machines run: told by the cloud when each comes up and goes. */
+/** Runs the workers of provisioned machines. The cloud calls it when a machine starts and stops. */
 export interface MachineHosting {
-  /** Where the worker of the machine with this number, counted from 1, will serve. */
+  /** Address of the worker on the machine with this number, counted from 1. */
   addressOf(machineNumber: number): HostPort;
-  /** The machine is up and its worker begins. */
+  /** The machine is up and its worker starts. */
   powerOn(machine: ProvisionedMachine): void;
-  /** The machine and everything on it are gone, without a word. */
+  /** The machine and everything on it stop without notice. */
   powerOff(machine: ProvisionedMachine): void;
-  /** The cloud will take the machine in about so many seconds. */
+  /** The cloud will reclaim the machine in about `noticeS` seconds. */
   giveNotice(machine: ProvisionedMachine, noticeS: number): void;
 }
 
-/** Up, and neither dead nor gone. */
+/** Whether the machine is up, and neither failed nor removed. */
 export function isRunning(machine: ProvisionedMachine): boolean {
   return machine.upAt !== null && machine.failedAt === null && machine.removedAt === null;
 }
--- a/packages/testing/stand-ins/cloud/spot-prices.ts
+++ b/packages/testing/stand-ins/cloud/spot-prices.ts
@@ -1,16 +1,17 @@
-/** Spot prices that change with time. */
+/** Spot prices that change over time. */
 import type { MachineType, Runtime } from '#wire';
 
+/** Largest deviation from the nominal price, as a share of it. */
 const MAX_DEVIATION = 1 / 3;
 const PRICE_PERIOD_S = 60;
 
-/** Spot prices that move by up to a third around their nominal values. */
+/** Draws the spot price of each machine type anew every minute, within a third of its nominal price. */
 export class SpotPrices {
   private readonly factors = new Map<string, { factor: number; drawnAt: number }>();
 
   constructor(private readonly runtime: Runtime) {}
 
-  /** The type with its present spot price. */
+  /** Returns the machine type with its current spot price. */
   current(type: MachineType): MachineType {
     return { ...type, spotPrice: type.spotPrice * this.factorOf(type.name) };
   }
