--- a/packages/testing/stand-ins/balancer/backend.ts
+++ b/packages/testing/stand-ins/balancer/backend.ts
@@ -1,4 +1,4 @@
-/** One node behind the load balancer: its health probes and its open connections. */
+/** A controller node behind the load balancer: its health probes and its open connections. */
 import type { Duplex } from 'node:stream';
 import { CborClient, NoAnswer, parseHostPort, sleep, type HostPort, type Runtime } from '#wire';
 import { NodeHealth } from './node-health.js';
@@ -6,10 +6,10 @@
 const PROBE_PERIOD_S = 1;
 const PROBE_TIMEOUT_MS = 1000;
 const ACCEPT_TIMEOUT_MS = 500;
-/** An unhealthy node keeps its open connections for so long. */
+/** Seconds after which the open connections to an unhealthy node are reset. */
 const RESET_AFTER_S = 5;
 
-/** One node behind the load balancer, with its health and its open connections. */
+/** Probes one node and opens connections to it. */
 export class Backend {
   readonly health: NodeHealth;
   private readonly address: HostPort;
@@ -26,12 +26,12 @@
     this.probes = new CborClient(runtime, address, 1);
   }
 
-  /** The more, the less it should get of new connections. */
+  /** Open connections in relation to the share of the node. The node with the least load gets the next connection. */
   get load(): number {
     return (this.connections.size + 1) / this.health.share;
   }
 
-  /** Probes the node until stop(). */
+  /** Probes the node until `stop` is called. */
   async run(): Promise<void> {
     while (!this.stopped) {
       const startedAt = this.runtime.clock.now();
@@ -47,7 +47,7 @@
     this.reset();
   }
 
-  /** An open connection to the node, or null if it refuses or does not accept in time. */
+  /** Opens a connection to the node; null if the node refuses it or does not accept it in time. */
   async connect(): Promise<Duplex | null> {
     const connection = await this.open();
     this.health.recordConnection(connection !== null);
--- a/packages/testing/stand-ins/balancer/balancer.test.ts
+++ b/packages/testing/stand-ins/balancer/balancer.test.ts
@@ -8,13 +8,13 @@
 
 const BALANCER = { host: '10.2.0.3', port: 80 };
 
-/** Probes a second apart (1: success, 0: failure), and the health after each. */
+/** Outcomes of probes one second apart (1: success, 0: failure) and the health after each (1: healthy). */
 const PROBES: [name: string, probes: string, health: string][] = [
-  ['a new node needs one success', '0010', '0011'],
-  ['two failures in a row remove it', '11001', '11100'],
-  ['three failures among six remove it', '1101010', '1111110'],
-  ['it returns after two successes and a pause', '10011111', '11000111'],
-  ['each further removal doubles the pause', '1001110011111111', '1100011000000111'],
+  ['a new node becomes healthy with its first successful probe', '0010', '0011'],
+  ['two consecutive failures remove a node', '11001', '11100'],
+  ['three failures among six probes remove a node', '1101010', '1111110'],
+  ['a removed node returns after two successes and a pause', '10011111', '11000111'],
+  ['a repeated removal doubles the pause', '1001110011111111', '1100011000000111'],
 ];
 
 for (const [name, probes, expected] of PROBES) {
@@ -52,7 +52,7 @@
   await world.finish(balancer.listen(BALANCER));
   await world.run(15);
   const user = world.runtime('10.7.0.1', 'users');
-  /** A user with a connection of its own. */
+  /** Returns a function that sends a request on a connection of its own. */
   const connect = () => {
     const client = new CborClient(user, `${BALANCER.host}:${BALANCER.port}`, 1);
     return () => world.finish(client.call('GET', '/any', { timeoutMs: 5000 }));
@@ -60,7 +60,7 @@
   return { world, balancer, served, healthy, servers, connect };
 }
 
-test('new connections go to the nodes with fewer of them, and stay there', async () => {
+test('new connections go to the nodes with the fewest connections, and stay on their node', async () => {
   const { served, connect } = await startBalancer(3);
   const users = Array.from({ length: 6 }, connect);
   for (const ask of users) await ask();
@@ -69,7 +69,7 @@
   assert.equal(Math.max(...served), 3);
 });
 
-test('a node that refuses connections is passed over for another', async () => {
+test('when a node refuses connections, another node serves them', async () => {
   const { world, served, servers, connect } = await startBalancer(2);
   servers[0].close();
   await world.run(0.1);
@@ -77,7 +77,7 @@
   assert.deepEqual(served, [0, 5]);
 });
 
-test('an unhealthy node gets no new connections and loses the open ones after 5 s', async () => {
+test('an unhealthy node gets no new connections, and its open connections are reset after 5 s', async () => {
   const { world, balancer, served, healthy, connect } = await startBalancer(2);
   const users = [connect(), connect()];
   for (const ask of users) await ask();
--- a/packages/testing/stand-ins/balancer/index.ts
+++ b/packages/testing/stand-ins/balancer/index.ts
@@ -1,2 +1,2 @@
-/** The load balancer that stands between users and controllers. */
+/** Stand-in of the load balancer between users and controllers. */
 export * from './load-balancer.js';
--- a/packages/testing/stand-ins/balancer/load-balancer.ts
+++ b/packages/testing/stand-ins/balancer/load-balancer.ts
@@ -1,11 +1,11 @@
-/** The load balancer between users and controllers; it works at the level of connections. */
+/** The load balancer between users and controllers. It balances TCP connections, not requests. */
 import net, { type AddressInfo } from 'node:net';
 import type { Duplex } from 'node:stream';
 import { Listener, type HostPort, type Runtime } from '#wire';
 import type { ControllerAddress } from '../worker/index.js';
 import { Backend } from './backend.js';
 
-/** Nodes that are tried for one connection. */
+/** Maximum number of nodes that are tried for one connection. */
 const MAX_TRIES = 3;
 
 /** Forwards the connections of users to healthy nodes, the least loaded first. */
@@ -20,7 +20,7 @@
     this.backends = controllers.map(({ address }) => new Backend(runtime, address));
   }
 
-  /** Serves users at the address; resolves to where it listens. */
+  /** Starts to accept connections of users. Resolves with the address that is bound. */
   async listen(address: HostPort): Promise<HostPort> {
     const server = net.createServer((client) => void this.accept(client));
     this.listener = new Listener(this.runtime.network, server);
@@ -35,7 +35,7 @@
     for (const backend of this.backends) backend.stop();
   }
 
-  /** Which nodes are healthy, in the order given. */
+  /** Whether each node is healthy, in the order of the controllers given to the constructor. */
   health(): boolean[] {
     return this.backends.map((backend) => backend.health.isHealthy);
   }
@@ -56,11 +56,11 @@
     client.destroy();
   }
 
-  /** The healthy node with the least load for its share; the first of several equals at random. */
+  /** Chooses the eligible node with the least load for its share, at random among equals. */
   private pick(tried: Set<Backend>): Backend | null {
     const eligible = this.backends
       .filter((backend) => backend.health.isEligible && !tried.has(backend))
-      // Each is asked once: its share changes with time.
+      // The load is read once per node, because the share of a node changes over time.
       .map((backend) => ({ backend, load: backend.load }));
     if (eligible.length === 0) return null;
     const leastLoad = Math.min(...eligible.map(({ load }) => load));
@@ -69,11 +69,11 @@
   }
 }
 
-/** Passes bytes both ways; the end of one side is the end of both. */
+/** Forwards bytes in both directions. When one side closes, the other is closed too. */
 function pipeBothWays(client: Duplex, upstream: Duplex): void {
   upstream.on('error', () => upstream.destroy());
   client.once('close', () => upstream.destroy());
-  // What the node sent before it closed still reaches the user.
+  // `end` flushes what the node sent before it closed.
   upstream.once('close', () => client.end(() => client.destroy()));
   client.pipe(upstream);
   upstream.pipe(client);
--- a/packages/testing/stand-ins/balancer/node-health.ts
+++ b/packages/testing/stand-ins/balancer/node-health.ts
@@ -1,4 +1,4 @@
-/** When the load balancer removes a node and admits it again. */
+/** Decides when the load balancer removes a node and readmits it. */
 import type { Clock } from '#wire';
 
 const CONSECUTIVE_FAILURES_TO_REMOVE = 2;
@@ -7,15 +7,15 @@
 const SUCCESSES_TO_RETURN = 2;
 const FIRST_PAUSE_S = 3;
 const MAX_PAUSE_S = 60;
-/** A removal so soon after the one before doubles the pause. */
+/** A removal within this time after the previous one doubles the pause before the node may return. */
 const REPEATED_REMOVAL_S = 120;
-/** A node that has just become healthy is brought up to its share over this time. */
+/** Slow start: time over which the share of a node that became healthy grows to its full value. */
 const SLOW_START_S = 10;
 const MIN_SHARE = 0.1;
 const FAILED_CONNECTIONS_TO_SKIP = 3;
 const SKIP_S = 3;
 
-/** The health of one node as the load balancer sees it. */
+/** Health of one node as the load balancer sees it. Times are seconds of the clock. */
 export class NodeHealth {
   private healthy = false;
   private everHealthy = false;
@@ -32,17 +32,17 @@
     return this.healthy;
   }
 
-  /** Healthy, and its connections did not fail lately. */
+  /** Whether the node is healthy and not skipped because of recent failed connections. */
   get isEligible(): boolean {
     return this.healthy && this.clock.now() >= this.skippedUntil;
   }
 
-  /** Fraction of its full share of new connections, from 0.1 to 1. */
+  /** Share of new connections, as a fraction of the full share, from 0.1 to 1. */
   get share(): number {
     return Math.min(1, Math.max(MIN_SHARE, (this.clock.now() - this.healthySince) / SLOW_START_S));
   }
 
-  /** Records the outcome of a probe; true if the node has become unhealthy by it. */
+  /** Records the outcome of a probe. Returns true if the node became unhealthy with it. */
   recordProbe(success: boolean): boolean {
     this.recentProbes.push(success);
     if (this.recentProbes.length > PROBE_WINDOW) this.recentProbes.shift();
@@ -84,7 +84,7 @@
     return succeeds && this.clock.now() >= this.removedAt + this.pauseS;
   }
 
-  /** Earlier failures no longer count, or it would be removed again at once. */
+  /** Makes the node healthy. Earlier probes are cleared, or their failures would remove the node again at once. */
   private readmit(): void {
     this.healthy = true;
     this.everHealthy = true;
