--- a/packages/testing/leader-load/figures.ts
+++ b/packages/testing/leader-load/figures.ts
@@ -1,4 +1,4 @@
-/** What a leader does that the measurement `leader` times, one at a time on a fleet of its own. */
+/** Benchmarks of the work of a leader. The measurement `leader` runs each of them on a fleet of its own. */
 import type { Assignment, Machine } from '#core';
 import { encodeFrame } from '#peer';
 import type { StateLimits } from '#store';
@@ -13,9 +13,9 @@
 import { unusableMachines } from '../../controller/cloud/unusable-machines.js';
 import type { FleetFixture } from './standing-fleet.js';
 
-/** One duty: `prepare` is not timed, and is called anew before each run. */
+/** One kind of work of a leader. `prepare` is called before each run and is not timed. */
 export interface Benchmark {
-  /** What waits or changes; tasks and jobs are given for 100 machines. */
+  /** Adds the jobs and changes that `run` works on. Their numbers are relative to 100 machines. */
   prepare(fixture: FleetFixture, now: number): void;
   run(fixture: FleetFixture, now: number): void;
 }
@@ -23,12 +23,12 @@
 const LEASE_S = 10;
 const TERM = { shard: 0, term: 100, leaseId: 1, electedAt: 0 };
 const LIMITS: StateLimits = { rps: 150, writeRps: 50, valueBytes: 8192, txnOps: 24 };
-/** Machines whose records change together. */
+/** Machines whose records are changed in one transaction. */
 const MACHINES_PER_BATCH = 8;
 
 const noPreparation = () => {};
 
-/** What an owner does in a round, the order and sending of commands apart. */
+/** A scheduling round of a leader without the ordering and sending of commands. */
 function runRound({ fleet, scheduler }: FleetFixture, now: number): void {
   fleet.leases.expire(now);
   fleet.machines.updateTotals();
@@ -37,7 +37,7 @@
   scheduler.round(now);
 }
 
-/** So many tasks end, and what they leave is recorded. */
+/** Ends this number of tasks and marks the results as recorded. */
 function endTasks(fixture: FleetFixture, count: number, now: number): void {
   const { fleet } = fixture;
   const ending = fixture.drawEndingTasks(count);
@@ -47,7 +47,7 @@
   fixture.settle(now);
 }
 
-/** Keeps so many array tasks waiting. */
+/** Submits array jobs until at least this number of tasks waits. */
 function keepWaiting(fixture: FleetFixture, tasks: number, now: number): void {
   const { jobs } = fixture.fleet;
   let waiting = 0;
@@ -55,7 +55,7 @@
   for (; waiting < tasks; waiting += 10) fixture.submit(now, { kind: 'array', tasks: 10 });
 }
 
-/** Waiting work of all kinds that finds no room. */
+/** Submits jobs of all kinds until this number of jobs waits, more than there is capacity for. */
 function fillQueue(fixture: FleetFixture, jobs: number, now: number): void {
   for (let missing = jobs - fixture.fleet.jobs.waiting.size; missing > 0; missing--) {
     fixture.submit(now);
@@ -94,7 +94,7 @@
   return machines[fixture.chance.int(0, machines.length - 1)];
 }
 
-/** The tasks of a machine are placed but not started. */
+/** Sets a task back to one that is recorded but not started. */
 function markUnstarted(task: Assignment): void {
   Object.assign(task, { startSent: false, reportedState: null, recorded: true });
 }
@@ -119,29 +119,29 @@
     },
     run: runRound,
   },
-  'round, work that finds no room': {
+  'round, jobs without capacity': {
     prepare: (fixture, now) => fillQueue(fixture, perHundredMachines(fixture, 100), now),
     run: runRound,
   },
-  'plan, nothing waits': {
+  'plan, no waiting jobs': {
     prepare: noPreparation,
     run: ({ planner }, now) => void planner.plan(now),
   },
-  'plan, work that finds no room': {
+  'plan, jobs without capacity': {
     prepare: (fixture, now) => fillQueue(fixture, perHundredMachines(fixture, 100), now),
     run: ({ planner }, now) => void planner.plan(now),
   },
-  'leases expire': {
+  'lease expiry': {
     prepare: noPreparation,
     run: ({ fleet }, now) => void fleet.leases.expire(now),
   },
   totals: { prepare: noPreparation, run: ({ fleet }) => fleet.machines.updateTotals() },
   notices: { prepare: noPreparation, run: ({ fleet }, now) => evictOnReclaimNotices(fleet, now) },
-  'useless machines': {
+  'unusable machines': {
     prepare: noPreparation,
     run: ({ fleet }, now) => void unusableMachines(fleet, now, LEASE_S),
   },
-  'reservations, none wait': {
+  'reservations, no waiting jobs': {
     prepare: noPreparation,
     run: ({ scheduler }, now) => scheduler.reservations.update(now),
   },
@@ -149,15 +149,15 @@
     prepare: noPreparation,
     run: ({ fleet, scheduler }, now) => void summariseFleet(fleet, scheduler, ['red'], now),
   },
-  'peers, all counts': {
+  'peer frame, all task counts': {
     prepare: noPreparation,
     run: ({ fleet }) => void encodeFrame({ kind: 'counts', jobs: countAllTasks(fleet) }),
   },
-  'peers, changed counts': {
+  'peer frame, changed task counts': {
     prepare: noPreparation,
     run: ({ fleet }) => void encodeFrame({ kind: 'counts', jobs: countChangedTasks(fleet) }),
   },
-  'records of 8 machines': {
+  'record batch of 8 machines': {
     prepare: noPreparation,
     run: (fixture) => void encodeRecordBatch(fixture),
   },
@@ -169,7 +169,7 @@
     },
     run: (fixture, now) => runDirectCommand(fixture, chosenMachine, now),
   },
-  'report without news': {
+  'heartbeat without changes': {
     prepare: (fixture) => {
       chosenMachine = pickMachine(fixture);
     },
--- a/packages/testing/leader-load/fleet-records.ts
+++ b/packages/testing/leader-load/fleet-records.ts
@@ -1,9 +1,9 @@
-/** What a state service holds of a fleet, as an owner reads it when it takes over. */
+/** The records of a fleet in the state service, as a new leader reads them. */
 import type { FleetState, JobState, Machine } from '#core';
 import { encodeJob, jobKey, MACHINES, progressKey } from '#store';
 import type { Entry } from '#wire';
 
-/** All records, by kind. */
+/** Records of a fleet by kind. */
 export interface FleetRecords {
   jobs: Entry[];
   machines: Entry[];
@@ -12,7 +12,7 @@
 
 const VERSION = 1;
 
-/** The records of a fleet of which everything is recorded. */
+/** Returns the records of a fleet whose jobs and assignments are all recorded. */
 export function recordsOf(fleet: FleetState): FleetRecords {
   const jobs = [...fleet.jobs.values()];
   return {
--- a/packages/testing/leader-load/job-source.ts
+++ b/packages/testing/leader-load/job-source.ts
@@ -1,13 +1,13 @@
-/** Jobs in the proportions of a fleet that serves models. */
+/** Random jobs in the proportions of a fleet that serves models. */
 import type { Job } from '#wire';
 import type { Chance } from '../random.js';
 import { aJob } from '../samples.js';
 
 const ID_PREFIX = 'j-';
-/** Images of a class. */
+/** Number of images of each job class. */
 const IMAGES_PER_CLASS = 12;
 
-/** Kinds of jobs in the proportions of a fleet that serves models, and the share of draws of each. */
+/** Kinds of jobs, and the share of each among the drawn jobs. */
 const JOB_KINDS: { share: number; draw: (chance: Chance) => Partial<Job> }[] = [
   {
     share: 0.12,
@@ -71,17 +71,18 @@
   },
 ];
 
-/** Draws jobs in the usual proportions, each with an id of its own. */
+/** Draws random jobs, each with a unique id. */
 export class JobSource {
   private count = 0;
 
   constructor(private readonly chance: Chance) {}
 
-  /** The id is in use. */
+  /** Excludes an id that is in use: later ids are higher. */
   skipId(id: string): void {
     this.count = Math.max(this.count, Number(id.slice(ID_PREFIX.length)));
   }
 
+  /** Draws a job; `overrides` replaces fields of it. */
   next(overrides: Partial<Job> = {}): Job {
     let left = this.chance.next();
     const kind = JOB_KINDS.find(({ share }) => (left -= share) < 0) ?? JOB_KINDS[1];
--- a/packages/testing/leader-load/large-fleet.test.ts
+++ b/packages/testing/leader-load/large-fleet.test.ts
@@ -17,7 +17,7 @@
   return fixture;
 }
 
-/** Places of all tasks, as `machine job/index#attempt`. */
+/** Lists the tasks of all machines as `machine job/index#attempt`, sorted. */
 function placementsOf(fleet: FleetState): string[] {
   const places = [...fleet.machines.values()].flatMap(({ name, tasks }) =>
     [...tasks.values()].map(({ job, index, attempt }) => {
@@ -27,20 +27,20 @@
   return places.sort();
 }
 
-test('an owner of 4,000 machines takes over, hears all of them, places a burst and loses a zone', () => {
+test('a leader of 4,000 machines takes over, handles heartbeats of all, places a burst and loses a zone', () => {
   const before = createFullFleet();
   const places = placementsOf(before.fleet);
   assert.ok(places.length > 3 * MACHINES, `${places.length} tasks`);
 
   const fixture = FleetFixture.fromRecords(recordsOf(before.fleet), new Chance(2));
   const { fleet, scheduler } = fixture;
-  assert.deepEqual(placementsOf(fleet), places, 'the records name every task');
+  assert.deepEqual(placementsOf(fleet), places, 'the records contain every task');
 
   for (const machine of fleet.machines.values()) {
     const outcome = fleet.heartbeats.handle(fixture.heartbeatOf(machine), SETTLED_AT);
     assert.deepEqual(outcome, { kind: 'answer', orders: [] }, machine.name);
   }
-  assert.deepEqual(placementsOf(fleet), places, 'reports change nothing');
+  assert.deepEqual(placementsOf(fleet), places, 'heartbeats move no task');
 
   for (let i = 0; i < BURST; i++)
     fixture.submit(SETTLED_AT, {
@@ -65,7 +65,7 @@
   assertOnlyZoneLost(fixture, 'a');
 });
 
-/** The zone's machines fall silent, all others report once a lease has run out. */
+/** Lets the leases of the zone's machines expire while all others report, and checks that only the zone's tasks end. */
 function assertOnlyZoneLost({ fleet }: FleetFixture, lost: string): void {
   const machines = [...fleet.machines.values()];
   const others = machines.filter(({ zone }) => zone !== lost);
@@ -82,6 +82,6 @@
   assert.equal(
     others.reduce((sum, { tasks }) => sum + tasks.size, 0),
     tasksElsewhere,
-    'nothing else has lost its place',
+    'all tasks outside the zone keep their machines',
   );
 }
--- a/packages/testing/leader-load/random-steps.ts
+++ b/packages/testing/leader-load/random-steps.ts
@@ -1,13 +1,13 @@
-/** Random events of a fleet, for tests that compare what is kept with a look at everything. */
+/** A fleet under random events, for tests that compare incremental data with a full recomputation. */
 import type { Machine } from '#core';
 import type { Chance } from '../random.js';
 import { LARGE_MACHINE, FleetFixture, SETTLED_AT } from './standing-fleet.js';
 
 const MACHINES = 8;
-/** Longest time from one event to the next, in seconds; a lease is ten. */
+/** Longest time from one event to the next, in seconds. A lease lasts 10 s. */
 const MAX_STEP_S = 2;
 
-/** A small fleet to which one thing after another happens. */
+/** A small fleet that random events change one after the other. */
 export class RandomFleet {
   readonly fixture: FleetFixture;
   now = SETTLED_AT;
@@ -41,7 +41,7 @@
     return this.fixture.fleet;
   }
 
-  /** One more thing happens. */
+  /** Advances the time and runs one random event. */
   step(): void {
     this.now += this.chance.next() * MAX_STEP_S;
     if (this.fleet.machines.size < MACHINES / 2) this.provision();
@@ -60,7 +60,7 @@
     scheduler.round(this.now);
   }
 
-  /** Most machines report; some tasks have ended, and now and then the cloud takes a machine back. */
+  /** Lets most machines report. Some tasks have ended, and a few machines report a reclaim notice. */
   private heartbeats(): void {
     for (const machine of [...this.fleet.machines.values()]) {
       if (this.chance.hit(0.1)) continue;
--- a/packages/testing/leader-load/resting-replicas.test.ts
+++ b/packages/testing/leader-load/resting-replicas.test.ts
@@ -9,7 +9,7 @@
 const GROUPS = 600;
 const MEMBERS = 3;
 
-/** Counts the events that groups take in. */
+/** Counts the events that are applied to replica groups. */
 class CountingGroups extends ReplicaGroups {
   events = 0;
 
@@ -43,7 +43,7 @@
   return { fixture, groups };
 }
 
-test('on 4,000 machines, work per report and per round does not grow with replica groups that rest', () => {
+test('on 4,000 machines, idle replica groups add no work to heartbeats and rounds', () => {
   const { fixture, groups } = createFleetWithGroups();
   const { fleet, scheduler } = fixture;
   assert.equal(groups.countByPhase().whole, GROUPS);
@@ -58,10 +58,10 @@
     const outcome = fleet.heartbeats.handle(fixture.heartbeatOf(machine), SETTLED_AT);
     assert.deepEqual(outcome, { kind: 'answer', orders: [] }, machine.name);
   }
-  assert.equal(groups.events, 0, 'reports of members that run are no events');
-  assert.equal(reads.machines, 0, 'no report looks at other machines');
+  assert.equal(groups.events, 0, 'heartbeats of running members apply no events');
+  assert.equal(reads.machines, 0, 'no heartbeat iterates over the machines');
   groups.expireStarts(SETTLED_AT + 1);
   assert.equal(scheduler.round(SETTLED_AT + 1), 0);
   assert.equal(groups.events, 0);
-  assert.equal(reads.machines, 0, 'no round walks the machines for them');
+  assert.equal(reads.machines, 0, 'no round iterates over the machines');
 });
--- a/packages/testing/leader-load/standing-fleet.ts
+++ b/packages/testing/leader-load/standing-fleet.ts
@@ -1,4 +1,4 @@
-/** Fleets in the middle of their work, for measurements and for tests that compare decisions. */
+/** Fleets with running jobs, for benchmarks and tests. */
 import {
   Assignment,
   CapacityPlanner,
@@ -20,7 +20,7 @@
 import type { FleetRecords } from './fleet-records.js';
 import { JobSource } from './job-source.js';
 
-/** A large machine: 8 accelerators. */
+/** The type of all machines of the fleet, with 8 accelerators each. */
 export const LARGE_MACHINE: MachineType = {
   name: 'large',
   cpus: 96,
@@ -50,15 +50,15 @@
 const PLANNER_SETTINGS = { reserveSigmas: 2, idleHoldS: 60, memoryS: 120 };
 /** Share of the machines that are spot machines. */
 const SPOT_SHARE = 0.2;
-/** Draws until a fleet is taken to be as full as it gets. */
+/** Maximum number of jobs that are submitted to fill a fleet. */
 const MAX_DRAWS = 10_000;
 
-/** When the fleet was filled; steady seconds. */
+/** When the fleet was filled, in seconds of the monotonic clock. */
 const FILLED_AT = 100;
-/** When everything runs and has settled. */
+/** When all tasks run and everything is recorded, in seconds of the monotonic clock. */
 export const SETTLED_AT = 200;
 
-/** A fleet and what an owner drives it with. */
+/** A fleet with the scheduler and the capacity planner of its leader. */
 export class FleetFixture {
   readonly fleet: FleetState;
   readonly scheduler: Scheduler;
@@ -84,7 +84,7 @@
     this.jobs = new JobSource(chance);
   }
 
-  /** So many empty machines. */
+  /** Creates a fleet of this number of empty machines. */
   static withMachines(
     machines: number,
     chance: Chance,
@@ -97,7 +97,7 @@
     return fixture;
   }
 
-  /** The fleet that a new owner reads from the records of another one, once every worker has reported. */
+  /** Creates the fleet of a new leader from the records of another leader, as it is once every worker has reported. */
   static fromRecords({ jobs, machines }: FleetRecords, chance: Chance): FleetFixture {
     const fixture = new FleetFixture(chance, {});
     const { fleet } = fixture;
@@ -118,7 +118,7 @@
     return fixture;
   }
 
-  /** A machine of its own name, zone and kind; one that is up has been heard. */
+  /** Adds a machine whose name and zone follow from the number. If it is `up`, its worker has answered this leader. */
   addMachineNumber(number: number, state: 'booting' | 'up', provisionedAt: number): Machine {
     const name = `n-${String(number).padStart(6, '0')}`;
     const zone = LARGE_MACHINE.zones[number % LARGE_MACHINE.zones.length];
@@ -133,7 +133,7 @@
     return Object.assign(machine, { agentEpoch: 1, termConfirmed: true, answeredAt: SETTLED_AT });
   }
 
-  /** A user submits a job. */
+  /** Submits a random job; `overrides` replaces fields of it. */
   submit(now: number, overrides: Partial<Job> = {}): JobState {
     const job = this.jobs.next(overrides);
     const state = this.fleet.addJob(job, now, 'accepted', now);
@@ -141,7 +141,7 @@
     return state;
   }
 
-  /** Submits jobs and places them until less than so much of the accelerators is free. */
+  /** Submits and places jobs until at most this share of the accelerators is free. */
   fill(freeShare: number): void {
     const { machines, usage } = this.fleet;
     for (let draws = 0; draws < MAX_DRAWS; draws++) {
@@ -154,7 +154,7 @@
     this.settle(FILLED_AT);
   }
 
-  /** All is recorded and every order was carried out. */
+  /** Marks everything as recorded, every command as executed and every machine as having reported. */
   settle(now: number): void {
     const { machines, unrecorded, machinesWithCommands, jobs } = this.fleet;
     for (const machine of machines.values()) {
@@ -170,7 +170,7 @@
     jobs.drainChangedCounts();
   }
 
-  /** The next report of a machine; tasks that `exits` names have ended. */
+  /** Creates the next heartbeat of a machine, in which the tasks in `exits` have ended. */
   heartbeatOf(machine: Machine, exits: ReadonlySet<Assignment> = new Set()): Heartbeat {
     const sequence = (this.sequences.get(machine.name) ?? 0) + 1;
     this.sequences.set(machine.name, sequence);
@@ -180,7 +180,7 @@
     return { ...facts, sequence, noticeS: null, tasks: listed };
   }
 
-  /** So many tasks that end by themselves, drawn over the whole fleet. */
+  /** Draws this number of array tasks, or all if there are fewer, from the whole fleet. */
   drawEndingTasks(count: number): Assignment[] {
     const ending: Assignment[] = [];
     const running = [...this.fleet.machines.values()]
@@ -199,7 +199,7 @@
   return { ...ref, state: 'running', cause: null, checkpointed: false };
 }
 
-/** The task was recorded, started and is seen to run. */
+/** Marks the task as recorded, started and reported as running. */
 function markRunning(task: Assignment, now: number): void {
   Object.assign(task, { recorded: true, startSent: true, reportedState: 'running' });
   task.runningSince ??= now;
