--- a/packages/testing/measurement/costs-measurement.ts
+++ b/packages/testing/measurement/costs-measurement.ts
@@ -1,6 +1,6 @@
 /**
- * Counts what the controllers of a quiet simulated cluster do. Prints a table for each seed: requests, records,
- * frames, timers and the like, by minute, heartbeat and job.
+ * Counts the requests, records, frames, timers and connections of the controllers of an idle simulated cluster. Prints
+ * a table for each seed: counts per minute, per heartbeat and per job.
  */
 import { type Column, textTable } from './text-table.js';
 import type { Costs } from '../simulation/costs.js';
@@ -11,10 +11,10 @@
 const SEEDS = [1, 2, 3];
 const COLUMNS: Column[] = [
   { heading: '' },
-  { heading: 'owner, minute', isNumber: true },
-  { heading: 'owner, report', isNumber: true },
-  { heading: 'other, minute', isNumber: true },
-  { heading: 'one job, all', isNumber: true },
+  { heading: 'leader, minute', isNumber: true },
+  { heading: 'leader, heartbeat', isNumber: true },
+  { heading: 'standby, minute', isNumber: true },
+  { heading: 'all, one job', isNumber: true },
 ];
 
 function formatRun({ leaderMinute, standbyMinute, job }: CostRun): string {
--- a/packages/testing/measurement/costs/cost-run.ts
+++ b/packages/testing/measurement/costs/cost-run.ts
@@ -1,4 +1,4 @@
-/** Plays a quiet cluster whose machines are all in use, and counts what its controllers do. */
+/** Simulates an idle cluster whose machines are all in use, and counts the operations of its controllers. */
 import { aJob } from '../../samples.js';
 import { Cluster } from '../../simulation/cluster.js';
 import { SMALL_CLUSTER, type ClusterSettings } from '../../simulation/cluster-settings.js';
@@ -13,36 +13,36 @@
   seed: number;
 }
 
-/** What the controllers of a quiet cluster did. */
+/** Operations of the controllers of an idle cluster. */
 export interface CostRun {
-  /** Of the owner over a minute in which no user asks for anything. */
+  /** Costs of the leader over a minute without user requests. */
   leaderMinute: Costs;
-  /** Of the others over that minute, on average. */
+  /** Average costs of a standby over the same minute. */
   standbyMinute: Costs;
   /**
-   * Of all controllers together for one job of one task, from its submission until its user knows that it is
-   * done, beside what they do anyway.
+   * Costs of all controllers together for one job of one task, from its submission until its user knows that it is
+   * done. The costs of the idle cluster are subtracted.
    */
   job: Costs;
 }
 
-/** Costs of the owner and of the others over a span of time. */
+/** Costs of the leader and of each standby over a period. */
 interface Observed {
   leader: Costs;
   standbys: Costs[];
 }
 
-/** Until all machines are up and hold their tasks. */
+/** Time until all machines are up and run their tasks. */
 const FILL_S = 45;
 const MINUTE_S = 60;
 const JOBS = 10;
 const JOB_EVERY_S = 2;
 const JOB_RUN_S = 3;
-/** From the last submission until the user of that job knows of its end. */
+/** Time from the last submission until the user of that job knows that it is done. */
 const LAST_JOB_S = 20;
 const BUSY_S = JOBS * JOB_EVERY_S + LAST_JOB_S;
 
-/** Plays it; the same seed gives the same counts. */
+/** Simulates the cluster and counts. The same seed gives the same counts. */
 export async function runForCosts(options: CostRunOptions): Promise<CostRun> {
   const cluster = new Cluster(clusterSettings(options), options.seed);
   cluster.cloud.setBootProfile(QUICK_BOOTS);
@@ -68,7 +68,7 @@
   return sumCosts([leader, ...standbys]);
 }
 
-/** One team without limits, and machines of one type. */
+/** Settings with one team without limits and machines of one type. */
 function clusterSettings({ controllers, machines }: CostRunOptions): ClusterSettings {
   const { deployment } = SMALL_CLUSTER;
   const team = { name: 'red', cpus: 0, cpus_max: 0, gpus: 0, gpus_max: 0 };
@@ -81,14 +81,14 @@
   };
 }
 
-/** Lets so many seconds pass; throws if the owner changes meanwhile. */
+/** Simulates this number of seconds and returns the costs. Throws if the leader changes meanwhile. */
 async function observe(cluster: Cluster, seconds: number): Promise<Observed> {
   const { world, controllers, costs, leadership: leadership } = cluster;
   const currentLeader = leadership.current();
   const before = controllers.map(({ host }) => costs.costsOf(host.address));
   await world.runUntil(world.now + seconds);
   if (currentLeader === null || leadership.current()?.term !== currentLeader.term) {
-    throw new Error('the part has changed hands');
+    throw new Error('the leader of the shard changed during the measurement');
   }
   const spent = controllers.map(({ host }, index) =>
     costsBetween(costs.costsOf(host.address), before[index]),
@@ -98,7 +98,7 @@
   return { leader, standbys: spent };
 }
 
-/** Small jobs, one after the other, of users of their own. */
+/** Submits small jobs, one after the other, from separate users. */
 function submitJobs(cluster: Cluster, team: string): void {
   const users = cluster.makeUsers();
   for (let index = 0; index < JOBS; index++) {
--- a/packages/testing/measurement/costs/costs.test.ts
+++ b/packages/testing/measurement/costs/costs.test.ts
@@ -10,7 +10,7 @@
   seed: 1,
 });
 
-/** The most that each may come to: what it comes to at present, and a little for what differs by seed. */
+/** Checks upper bounds of costs. A bound is the present cost with a small margin for differences between seeds. */
 function assertAtMost(costs: Costs, bounds: Partial<Costs>): void {
   const beyond = Object.entries(bounds).flatMap(([name, bound]) => {
     const count = costs[name as keyof Costs];
@@ -19,10 +19,10 @@
   assert.deepEqual(beyond, []);
 }
 
-test('an owner whose workers report nothing new records nothing and opens no connection', () => {
+test('a leader whose workers report no changes records nothing and opens no connection', () => {
   assert.ok(
     Math.abs(leaderMinute.heartbeats / (MACHINES * 60) - 1) < 0.05,
-    'all workers report to it',
+    'all workers send heartbeats to the leader',
   );
   assertAtMost(leaderMinute, {
     stateRequests: 200,
@@ -36,11 +36,11 @@
   });
 });
 
-test('a report costs an owner less than one timer', () => {
+test('a heartbeat costs the leader at most 0.75 timers', () => {
   assert.ok(leaderMinute.timers / leaderMinute.heartbeats <= 0.75, String(leaderMinute.timers));
 });
 
-test('a controller that owns nothing only watches, renews and greets', () => {
+test('a standby only watches, renews its lease and sends frames to its peers', () => {
   assertAtMost(standbyMinute, {
     heartbeats: 0,
     stateRequests: 85,
@@ -54,8 +54,8 @@
   });
 });
 
-test('a job of one task costs three transactions with four changes, and one direct command', () => {
-  assert.equal(job.directCommands, 1, 'it was started');
+test('a job of one task costs at most three transactions with four changes, and one direct command', () => {
+  assert.equal(job.directCommands, 1, 'a direct command starts the task');
   assertAtMost(job, {
     stateRequests: 9,
     transactions: 3,
--- a/packages/testing/measurement/distribution.ts
+++ b/packages/testing/measurement/distribution.ts
@@ -1,15 +1,15 @@
-/** Rows of tables that say how milliseconds are distributed. */
+/** Table rows that describe distributions of times in milliseconds. */
 import type { Column } from './text-table.js';
 
 export const DISTRIBUTION_COLUMNS: Column[] = [
   { heading: 'milliseconds' },
-  ...['number', 'median', '99th percentile', 'most'].map((heading) => ({
+  ...['number', 'median', '99th percentile', 'maximum'].map((heading) => ({
     heading,
     isNumber: true,
   })),
 ];
 
-/** A name, how many there are, median, 99th percentile and the most. */
+/** Returns a row: name, number of values, median, 99th percentile and maximum. */
 export function distributionRow(name: string, values: number[]): string[] {
   const sorted = [...values].sort((one, other) => one - other);
   const percentile = (share: number) =>
--- a/packages/testing/measurement/leader-measurement.ts
+++ b/packages/testing/measurement/leader-measurement.ts
@@ -1,7 +1,8 @@
 /**
- * Measures what a leader's work costs with a number of machines, 200 unless given. Each kind of work runs in a
- * process of its own, which reads the fleet from its records as a new leader does. Milliseconds of processor time: the first run, the mean of the next ones while the code is new, and the
- * median once it is compiled.
+ * Measures the processor time of the work of a leader, for 200 machines unless another number is given. Each benchmark
+ * runs in a process of its own, which reads the fleet from its records as a new leader does. Prints milliseconds of
+ * processor time: the first run, the mean of the next runs, before the code is optimised, and the median of the last
+ * runs, once it is compiled.
  */
 import { fork } from 'node:child_process';
 import { once } from 'node:events';
@@ -12,12 +13,11 @@
 import { Chance } from '../random.js';
 import type { BenchmarkRequest, BenchmarkResult } from './leader-worker.js';
 
-/** Share of the accelerators that is free. */
+/** Share of the accelerators that stays free. */
 const FREE_SHARE = 0.03;
 const WORKER = fileURLToPath(new URL('./leader-worker.js', import.meta.url));
-/** Used if no number is given. */
 const DEFAULT_MACHINES = 200;
-/** As the controllers run. */
+/** Heap limits that controllers run with. */
 const NODE_OPTIONS = ['--max-old-space-size=56', '--max-semi-space-size=2'];
 
 async function runInOwnProcess(request: BenchmarkRequest): Promise<BenchmarkResult> {
@@ -28,7 +28,7 @@
   return measured;
 }
 
-/** Prints one line for each figure, with as many machines as the argument says; resolves with the exit code. */
+/** Runs all benchmarks with the given number of machines and prints a line for each. Resolves with the exit code. */
 export async function run([count]: string[]): Promise<number> {
   const machines = Number(count ?? DEFAULT_MACHINES);
   const fixture = FleetFixture.withMachines(machines, new Chance(1));
--- a/packages/testing/measurement/leader-worker.ts
+++ b/packages/testing/measurement/leader-worker.ts
@@ -1,4 +1,4 @@
-/** Measures one figure of a leader in a process of its own, which the measurement `leader` starts. */
+/** Entry point of the process in which the measurement `leader` runs one benchmark. */
 import { BENCHMARKS } from '../leader-load/figures.js';
 import { type FleetRecords } from '../leader-load/fleet-records.js';
 import { FleetFixture, SETTLED_AT } from '../leader-load/standing-fleet.js';
@@ -6,18 +6,18 @@
 
 const EARLY_RUNS = 20;
 const LATE_RUNS = 400;
-/** The last runs, of which the median is taken. */
+/** Number of last runs from which the median is taken. */
 const MEDIAN_RUNS = 100;
-/** From one run to the next. */
+/** Simulated time from one run to the next, in seconds. */
 const RUN_INTERVAL_S = 1 / 4;
-/** What to measure; a message from the parent process. */
+/** Message from the parent process: the benchmark to run. */
 export interface BenchmarkRequest {
   machines: number;
   records: FleetRecords;
   benchmark: string;
 }
 
-/** Milliseconds of processor time; the message back. */
+/** Message to the parent process: milliseconds of processor time. */
 export interface BenchmarkResult {
   firstMs: number;
   earlyMs: number;
--- a/packages/testing/measurement/machine-speed.ts
+++ b/packages/testing/measurement/machine-speed.ts
@@ -1,21 +1,21 @@
-/** How fast this machine is, so that figures of different machines can be compared. */
+/** Speed of this machine, so that results of different machines can be compared. */
 import { availableParallelism, cpus, loadavg } from 'node:os';
 
-/** The machine that measures. */
+/** The machine on which a measurement runs. */
 export interface MachineSpeed {
   model: string;
   cores: number;
   node: string;
-  /** Processor time of a fixed piece of work, least of several runs; ms. */
+  /** Processor time of a fixed calibration workload in milliseconds, the minimum of several runs. */
   calibrationMs: number;
 }
 
-/** Processes that ran or waited for a processor, over the last minute. */
+/** Average number of processes that ran or waited for a processor over the last minute. */
 export function currentLoad(): number {
   return loadavg()[0];
 }
 
-/** One line. */
+/** Describes the machine in one line. */
 export function describeMachine({ cores, model, node, calibrationMs }: MachineSpeed): string {
   return `${cores} cores, ${model}, Node ${node}; calibration ${calibrationMs.toFixed(0)} ms`;
 }
@@ -39,7 +39,7 @@
   return (user + system) / 1000;
 }
 
-/** Objects, text, maps and numbers, as a controller handles them. */
+/** Calibration workload: JSON, strings, maps and numbers, as a controller handles them. */
 function work(): number {
   const counts = new Map<string, number>();
   let total = 0;
--- a/packages/testing/measurement/median.ts
+++ b/packages/testing/measurement/median.ts
@@ -1,4 +1,4 @@
-/** The middle value, or the mean of the middle two; NaN if there is none. */
+/** Returns the middle value, or the mean of the middle two; NaN if there are no values. */
 export function median(values: number[]): number {
   const sorted = [...values].sort((first, second) => first - second);
   const half = sorted.length >> 1;
--- a/packages/testing/measurement/replica-groups-measurement.ts
+++ b/packages/testing/measurement/replica-groups-measurement.ts
@@ -1,7 +1,7 @@
 /**
- * Replicas of several members between real controllers on the loopback, whose machines are killed, frozen and cut off
- * at random, and now and then a controller with them, while requests come. Exit code 1 if an answer or a rule was
- * broken.
+ * Runs replicas of several members under request traffic with real controllers on the loopback. Machines are killed,
+ * frozen and cut off at random, some of them together with a controller. The exit code is 1 if a request was answered
+ * wrongly or a rule was violated.
  */
 import { Command, Option } from 'commander';
 import { distributionRow, DISTRIBUTION_COLUMNS } from './distribution.js';
@@ -57,20 +57,20 @@
 function readArguments(args: string[]): ReplicaRunOptions {
   const program = new Command('replica-groups')
     .addOption(
-      new Option('--mode <mode>', 'how replicas are kept together')
+      new Option('--mode <mode>', 'how the members of a replica are managed')
         .choices(MODES)
         .default('groups'),
     )
-    .option('--faults <number>', 'machines that fail, one after the other', '100')
+    .option('--faults <number>', 'number of machine failures, one after the other', '100')
     .option(
       '--controller-every <number>',
-      'one fault in so many comes with a controller; 0: none',
+      'every n-th fault also hits a controller; 0: no controller fails',
       '5',
     )
-    .option('--machines <number>', 'machines, each of which reports', '40')
-    .option('--replicas <number>', 'replicas of three members', '24')
-    .option('--controllers <number>', 'controllers', '3')
-    .option('--report-s <seconds>', "workers' report period", '0.5')
+    .option('--machines <number>', 'machines, each of which sends heartbeats', '40')
+    .option('--replicas <number>', 'number of replicas of three members', '24')
+    .option('--controllers <number>', 'number of controllers', '3')
+    .option('--report-s <seconds>', "workers' heartbeat interval", '0.5')
     .option('--lease-s <seconds>', "workers' lease", '5')
     .parse(args, { from: 'user' });
   const { mode, faults, controllerEvery, replicas, ...cluster } = program.opts<Arguments>();
@@ -87,7 +87,7 @@
   };
 }
 
-/** Plays the faults that the arguments say; resolves with the exit code, 1 if a rule was broken. */
+/** Injects the faults that the arguments ask for. Resolves with the exit code: 1 if a rule was violated. */
 export async function run(args: string[]): Promise<number> {
   const result = await runReplicas(readArguments(args), (done) => {
     if (done % 10 === 0) process.stderr.write(`${done} faults\n`);
--- a/packages/testing/measurement/scale-measurement.ts
+++ b/packages/testing/measurement/scale-measurement.ts
@@ -1,6 +1,6 @@
 /**
- * Measures what one scheduling round, one plan, one heartbeat and one failover cost with few and with many
- * waiting tasks and jobs. Times are medians in milliseconds on one core; bytes are of the heap, and need
+ * Measures one scheduling round, one capacity plan, one heartbeat and one failover with few and with many waiting tasks
+ * and jobs. Times are medians in milliseconds on one core. Bytes are those of the heap and of array buffers, and need
  * `node --expose-gc`.
  */
 import { CapacityPlanner, FleetState, NO_QUOTA, Scheduler } from '#core';
@@ -12,10 +12,10 @@
 
 const MACHINES = 48;
 const RUNS = 30;
-/** Jobs whose memory is taken. */
+/** Number of jobs over which memory use is averaged. */
 const MEMORY_SAMPLE_JOBS = 1_000;
 const TEAMS = new Map([['red', NO_QUOTA]]);
-/** When rounds, plans and reports happen; seconds after the jobs came. */
+/** When rounds, plans and heartbeats run, in seconds after the submission of the jobs. */
 const MEASURED_AT_S = 10;
 const SCHEDULER_SETTINGS = {
   floorWeight: 0.05,
@@ -26,12 +26,12 @@
 };
 const PLANNER_SETTINGS = { reserveSigmas: 2, idleHoldS: 60, memoryS: 120 };
 
-/** What waits. */
+/** Waiting jobs, and whether machines have capacity for them. */
 interface Load {
   jobs: number;
-  /** Of each job. */
+  /** Number of tasks of each job. */
   tasks: number;
-  /** Nothing more has room. */
+  /** Whether all machines are full. */
   full: boolean;
 }
 
@@ -49,14 +49,14 @@
 const COLUMNS: Column[] = [
   { heading: 'waiting' },
   { heading: 'machines' },
-  { heading: 'take-over', isNumber: true },
+  { heading: 'failover', isNumber: true },
   { heading: 'round', isNumber: true },
   { heading: 'plan', isNumber: true },
-  { heading: 'report', isNumber: true },
-  { heading: 'bytes a job', isNumber: true },
+  { heading: 'heartbeat', isNumber: true },
+  { heading: 'bytes per job', isNumber: true },
 ];
 
-/** Job number i of a load; their needs differ a little. */
+/** Creates job number `i` of a load. The CPU requests of the jobs differ slightly. */
 function createJob(i: number, { tasks }: Load): Job {
   const cpus = 0.25 * (0.7 + 0.6 * ((i * 0.618) % 1));
   return aJob({ id: `j-${i}`, rank: 3, tasks, cpus, gpus: 0, memory: 0.5, imageGb: 0.5 });
@@ -79,7 +79,7 @@
   return fleet;
 }
 
-/** Median time of a piece of work in milliseconds; what `prepare` does is not counted. */
+/** Returns the median time of `work` in milliseconds. The time of `prepare` is not included. */
 function medianMs<T>(prepare: () => T, work: (prepared: T) => void): number {
   const prepared = Array.from({ length: RUNS }, prepare);
   const times = prepared.map((each) => {
@@ -124,13 +124,13 @@
   );
 }
 
-/** Bytes that a fleet takes for each waiting job of the load. */
+/** Returns the memory that a fleet uses for each waiting job of the load, in bytes. */
 function bytesPerJob(load: Load): number {
   const fleet = createBusyFleet(load);
   const before = memoryUsed();
   createFleetWithLoad({ ...load, jobs: MEMORY_SAMPLE_JOBS }, fleet);
   const bytes = (memoryUsed() - before) / MEMORY_SAMPLE_JOBS;
-  // Kept alive until here.
+  // Reads the fleet, so that it is not garbage-collected before the memory is measured.
   return fleet.jobs.waiting.size > 0 ? bytes : 0;
 }
 
@@ -140,7 +140,7 @@
   return heapUsed + arrayBuffers;
 }
 
-/** One line of the table. */
+/** Measures one load and returns its row of the table. */
 function measure(load: Load): string[] {
   const { jobs, tasks, full } = load;
   const loadedFleet = createFleetWithLoad(load);
@@ -152,7 +152,7 @@
     timeHeartbeat(loadedFleet),
   ];
   const waiting = `${jobs} ${jobs === 1 ? 'job' : 'jobs'} of ${tasks} ${tasks === 1 ? 'task' : 'tasks'}`;
-  return [waiting, full ? 'full' : 'with room', ...times.map(formatNumber), bytes.toFixed(0)];
+  return [waiting, full ? 'full' : 'with capacity', ...times.map(formatNumber), bytes.toFixed(0)];
 }
 
 /** Prints one line for each load; resolves with the exit code. */
--- a/packages/testing/measurement/simulation-measurement.ts
+++ b/packages/testing/measurement/simulation-measurement.ts
@@ -1,6 +1,6 @@
 /**
- * Measures how fast the simulated cluster plays: simulated seconds per second, for a small and a large
- * cluster on a day without faults.
+ * Measures the speed of the simulation in simulated seconds per second, for a small and a large cluster without
+ * faults.
  */
 import { currentLoad, describeMachine, measureSpeed } from './machine-speed.js';
 import { type Column, formatNumber, textTable } from './text-table.js';
@@ -17,14 +17,14 @@
 
 const COLUMNS: Column[] = [
   { heading: 'cluster' },
-  { heading: 'simulated seconds a second', isNumber: true },
-  { heading: 'a second of processor time', isNumber: true },
+  { heading: 'simulated seconds per second', isNumber: true },
+  { heading: 'per second of processor time', isNumber: true },
   { heading: 'events', isNumber: true },
   { heading: 'jobs', isNumber: true },
   { heading: 'tasks started', isNumber: true },
 ];
 
-/** One line of the table. */
+/** Simulates one cluster and returns its row of the table. */
 async function measure(cluster: ClusterSettings, intensity: number): Promise<string[]> {
   const name = `${cluster.controllers} controllers, ${cluster.capacity[0].machines} machines`;
   const workload = { classes: USUAL_CLASSES, intensity, untilS: LENGTH_S };
@@ -39,7 +39,7 @@
   return [name, ...[...figures, counts.jobsSubmitted, counts.tasksStarted].map(formatNumber)];
 }
 
-/** Prints one line for each cluster; resolves with the exit code. */
+/** Prints one line for each cluster. Resolves with the exit code. */
 export async function run(): Promise<number> {
   const rows = [await measure(SMALL_CLUSTER, 2), await measure(LARGE_CLUSTER, 8)];
   const load = currentLoad().toFixed(1);
--- a/packages/testing/measurement/sizing-measurement.ts
+++ b/packages/testing/measurement/sizing-measurement.ts
@@ -1,6 +1,7 @@
 /**
- * Measures what controllers need at a given size, for operators who size their own machines. Starts real controllers as processes on the loopback, with
- * stand-ins for the state service, the cloud, workers and users in this process.
+ * Measures the resources that controllers need at a given cluster size, for operators who choose machine sizes. Starts
+ * real controllers as processes on the loopback, with stand-ins of the state service, the cloud, workers and users in
+ * this process.
  */
 import { appendFileSync } from 'node:fs';
 import { CommanderError } from 'commander';
@@ -13,10 +14,10 @@
 import { TooLate } from '../loopback/sizing/wait.js';
 
 const ExitCode = { done: 0, notMeasured: 1, badArguments: 2 } as const;
-/** In place of a file: standard output. */
+/** File name that stands for standard output. */
 const STANDARD_OUTPUT = '-';
 
-/** Measures and prints each result as JSON as soon as it is there, and all of them as a table. */
+/** Prints each result as JSON as soon as it is measured, and a table of all results at the end. */
 async function measureAndPrint(options: SizingOptions): Promise<void> {
   const context = resultContext(options);
   const results: Result[] = [];
@@ -38,13 +39,13 @@
   else if (file !== null) appendFileSync(file, line);
 }
 
-/** Resolves with the exit code once all is written. */
+/** Measures and prints the results. Resolves with the exit code once everything is written. */
 export async function run(args: string[]): Promise<number> {
   try {
     await measureAndPrint(readOptions(args));
     return ExitCode.done;
   } catch (err) {
-    // Commander has written its own message, or the help that was asked for.
+    // Commander has already printed its message or the requested help.
     if (err instanceof CommanderError) return err.exitCode === 0 ? 0 : ExitCode.badArguments;
     const badArguments = err instanceof BadArguments || err instanceof NotBuilt;
     const isExpected = badArguments || err instanceof TooLate || err instanceof NotRunning;
--- a/packages/testing/measurement/text-table.ts
+++ b/packages/testing/measurement/text-table.ts
@@ -1,6 +1,6 @@
-/** Tables in Markdown, aligned for people who read them as they are. */
+/** Markdown tables whose columns are aligned in plain text. */
 
-/** A column; numbers end at the same place. */
+/** A column of a table. Columns of numbers are aligned to the right. */
 export interface Column {
   heading: string;
   isNumber?: boolean;
@@ -9,7 +9,7 @@
 const SIGNIFICANT_DIGITS = 3;
 const MAX_DECIMALS = 4;
 
-/** Lines of a table, the last one ended as well. */
+/** Formats a table. Every line, including the last, ends with a line break. */
 export function textTable(columns: Column[], rows: string[][]): string {
   const headings = columns.map(({ heading }) => heading);
   const widths = headings.map((_, at) =>
@@ -24,7 +24,7 @@
   return [headings.map(pad), rule, ...rows.map((row) => row.map(pad))].map(line).join('');
 }
 
-/** With three significant digits, but no more than four after the point. */
+/** Formats a number with three significant digits, and at most four after the decimal point. */
 export function formatNumber(value: number): string {
   if (!Number.isFinite(value)) return '-';
   if (Math.abs(value) >= 10 ** (SIGNIFICANT_DIGITS - 1)) return value.toFixed(0);
