--- a/packages/testing/leader-load/job-source.ts
+++ b/packages/testing/leader-load/job-source.ts
@@ -1,14 +1,14 @@
-/** Jobs in the proportions of a fleet that serves models. */
+/** Random jobs in the proportions of a fleet that serves models. */
 import type { Job } from '#wire';
 import type { Chance } from '../random.js';
 import { aJob } from '../samples.js';
 
 const ID_PREFIX = 'j-';
-/** Images of a class. */
-const IMAGES = 12;
+/** Number of images of each job class. */
+const IMAGES_PER_CLASS = 12;
 
-/** Kinds of jobs in the proportions of a fleet that serves models, and the share of draws of each. */
-const KINDS: { share: number; draw: (chance: Chance) => Partial<Job> }[] = [
+/** Kinds of jobs, and the share of each among the drawn jobs. */
+const JOB_KINDS: { share: number; draw: (chance: Chance) => Partial<Job> }[] = [
   {
     share: 0.12,
     draw: (chance) => ({
@@ -71,23 +71,24 @@
   },
 ];
 
-/** Draws jobs in the usual proportions, each with an id of its own. */
+/** Draws random jobs, each with a unique id. */
 export class JobSource {
   private count = 0;
 
   constructor(private readonly chance: Chance) {}
 
-  /** The id is in use. */
-  skip(id: string): void {
+  /** Excludes an id that is in use: later ids are higher. */
+  skipId(id: string): void {
     this.count = Math.max(this.count, Number(id.slice(ID_PREFIX.length)));
   }
 
-  next(own: Partial<Job> = {}): Job {
+  /** Draws a job; `overrides` replaces fields of it. */
+  next(overrides: Partial<Job> = {}): Job {
     let left = this.chance.next();
-    const kind = KINDS.find(({ share }) => (left -= share) < 0) ?? KINDS[1];
+    const kind = JOB_KINDS.find(({ share }) => (left -= share) < 0) ?? JOB_KINDS[1];
     const drawn = kind.draw(this.chance);
-    const image = `${drawn.class}-${this.chance.int(1, IMAGES)}`;
+    const image = `${drawn.class}-${this.chance.int(1, IMAGES_PER_CLASS)}`;
     const id = ID_PREFIX + String(++this.count).padStart(6, '0');
-    return aJob({ image, ...drawn, ...own, id });
+    return aJob({ image, ...drawn, ...overrides, id });
   }
 }
--- a/packages/testing/stand-ins/cloud/capacity.ts
+++ b/packages/testing/stand-ins/cloud/capacity.ts
@@ -1,7 +1,6 @@
 /** Limits on the machines that the cloud can provision. */
-/** How many machines of one type, zone and kind the cloud has in all. */
+/** Maximum number of machines of a type, in a zone, spot or on demand. An absent field matches any value. */
 export interface CapacityLimit {
-  /** Absent: any. */
   type?: string;
   zone?: string;
   spot?: boolean;
@@ -14,21 +13,23 @@
   spot: boolean;
 }
 
-/** What the cloud can still provision; a kind of machine that no limit covers is unlimited. */
+/** How many more machines the cloud can provision. Machines that no limit covers are unlimited. */
 export class Capacity {
   constructor(private limits: CapacityLimit[]) {}
 
-  change(limits: CapacityLimit[]): void {
+  setLimits(limits: CapacityLimit[]): void {
     this.limits = limits;
   }
 
-  /** Machines of that kind that may still be provisioned, given those that are. */
-  left(wanted: MachineKind, provisioned: Iterable<MachineKind>): number {
-    const held = [...provisioned];
-    const lefts = this.limits
+  /** Number of machines of the wanted kind that may still be provisioned, beside those already provisioned. */
+  remaining(wanted: MachineKind, provisioned: Iterable<MachineKind>): number {
+    const existing = [...provisioned];
+    const remainders = this.limits
       .filter((limit) => matches(limit, wanted))
-      .map((limit) => limit.machines - held.filter((machine) => matches(limit, machine)).length);
-    return Math.max(0, Math.min(Infinity, ...lefts));
+      .map(
+        (limit) => limit.machines - existing.filter((machine) => matches(limit, machine)).length,
+      );
+    return Math.max(0, Math.min(Infinity, ...remainders));
   }
 }
 
--- a/packages/testing/stand-ins/cloud/cloud-service.test.ts
+++ b/packages/testing/stand-ins/cloud/cloud-service.test.ts
@@ -10,15 +10,15 @@
 const SERVICE = { host: '10.2.0.2', port: 8443 };
 const LAG_S = 4;
 
-async function aCloud(capacity: CapacityLimit[] = []) {
+async function startCloud(capacity: CapacityLimit[] = []) {
   const world = new SampleWorld();
-  const told: string[] = [];
+  const hostingCalls: string[] = [];
   const hosting = {
     addressOf: (number: number) => ({ host: `10.1.0.${number}`, port: 9000 }),
-    powerOn: ({ name }: { name: string }) => told.push(`on ${name}`),
-    powerOff: ({ name }: { name: string }) => told.push(`off ${name}`),
+    powerOn: ({ name }: { name: string }) => hostingCalls.push(`on ${name}`),
+    powerOff: ({ name }: { name: string }) => hostingCalls.push(`off ${name}`),
     giveNotice: ({ name }: { name: string }, noticeS: number) =>
-      told.push(`notice ${name} ${noticeS}`),
+      hostingCalls.push(`notice ${name} ${noticeS}`),
   };
   const options = { types: [STD], capacity, rps: 20, listLagS: LAG_S };
   const cloud = new CloudService(world.runtime(SERVICE.host, 'cloud'), options, hosting);
@@ -31,7 +31,7 @@
   const provision = (request: string, count: number, spot = false) =>
     world.finish(client.provision(request, { type: 'std', zone: 'a', spot, count }));
   const list = async () => (await world.finish(client.list(null))).machines;
-  return { world, cloud, client, told, provision, list };
+  return { world, cloud, client, hostingCalls, provision, list };
 }
 
 function provisioned(outcome: ProvisionOutcome): string[] {
@@ -39,8 +39,8 @@
   return outcome.machines;
 }
 
-test('a scale-out is filled as far as there is capacity, and its repeat provisions nothing', async () => {
-  const { provision } = await aCloud([{ zone: 'a', spot: false, machines: 3 }]);
+test('a scale-out is filled up to the capacity, and repeating it provisions nothing more', async () => {
+  const { provision } = await startCloud([{ zone: 'a', spot: false, machines: 3 }]);
   const first = provisioned(await provision('r-1', 2));
   assert.deepEqual(first, ['n-000001', 'n-000002']);
   assert.deepEqual(provisioned(await provision('r-1', 2)), first);
@@ -49,8 +49,8 @@
   assert.equal(provisioned(await provision('r-3', 1, true)).length, 1);
 });
 
-test('prices of spot machines move by up to a third, others do not', async () => {
-  const { world, client } = await aCloud();
+test('spot prices vary by up to a third, and nothing else of a machine type changes', async () => {
+  const { world, client } = await startCloud();
   for (let i = 0; i < 20; i++) {
     const [type] = await world.finish(client.catalog());
     assert.ok(Math.abs(type.spotPrice / STD.spotPrice - 1) <= 1 / 3);
@@ -59,27 +59,27 @@
   }
 });
 
-test('machines boot by their profile, and some never', async () => {
-  const { world, cloud, told, provision, client } = await aCloud();
+test('machines boot as the boot profile says, and some never come up', async () => {
+  const { world, cloud, hostingCalls, provision, client } = await startCloud();
   cloud.setBootProfile(QUICK_BOOTS);
   const [quick] = provisioned(await provision('r-1', 1));
   await world.run(2.1);
-  assert.deepEqual(told.splice(0), [`on ${quick}`]);
+  assert.deepEqual(hostingCalls.splice(0), [`on ${quick}`]);
   cloud.setBootProfile({ ...USUAL_BOOTS, neverShare: 0, slowShare: 0 });
   const [usual] = provisioned(await provision('r-2', 1));
   await world.run(STD.bootS * 0.59);
-  assert.deepEqual(told, []);
+  assert.deepEqual(hostingCalls, []);
   await world.run(STD.bootS);
-  assert.deepEqual(told.splice(0), [`on ${usual}`]);
+  assert.deepEqual(hostingCalls.splice(0), [`on ${usual}`]);
   cloud.setBootProfile({ ...USUAL_BOOTS, neverShare: 1 });
   const never = provisioned(await provision('r-3', 1));
   await world.run(3600);
   await world.finish(client.release([...never, 'unknown', quick]));
-  assert.deepEqual(told, [`off ${quick}`]);
+  assert.deepEqual(hostingCalls, [`off ${quick}`]);
 });
 
-test('the list lags, and shows a machine until it is gone', async () => {
-  const { world, cloud, provision, list, client } = await aCloud();
+test('the list lags, and shows a listed machine until its removal', async () => {
+  const { world, cloud, provision, list, client } = await startCloud();
   cloud.setBootProfile(QUICK_BOOTS);
   const [name] = provisioned(await provision('r-1', 1));
   await world.run(LAG_S - 0.5);
@@ -98,36 +98,36 @@
   assert.deepEqual(await list(), []);
 });
 
-test('a dead machine is listed as running for a while, then as failed until deleted', async () => {
-  const { world, cloud, told, provision, list } = await aCloud();
+test('a failed machine is listed as running for a while, then as failed', async () => {
+  const { world, cloud, hostingCalls, provision, list } = await startCloud();
   cloud.setBootProfile(QUICK_BOOTS);
   const [name] = provisioned(await provision('r-1', 1));
   await world.run(15);
   cloud.kill(name);
-  assert.equal(told.at(-1), `off ${name}`);
+  assert.equal(hostingCalls.at(-1), `off ${name}`);
   await world.run(29);
   assert.equal((await list())[0].state, 'running');
   await world.run(1 + 2 * LAG_S);
   assert.equal((await list())[0].state, 'failed');
 });
 
-test('spot machines are taken back after a reclaim notice, or without one', async () => {
-  const { world, cloud, told, provision } = await aCloud();
+test('spot machines are reclaimed after a notice, or without one', async () => {
+  const { world, cloud, hostingCalls, provision } = await startCloud();
   cloud.setBootProfile(QUICK_BOOTS);
-  const [noticed, taken] = provisioned(await provision('r-1', 2, true));
+  const [withNotice, withoutNotice] = provisioned(await provision('r-1', 2, true));
   await world.run(3);
-  told.length = 0;
-  cloud.takeBack(noticed, 20);
-  cloud.takeBack(taken, null);
-  assert.deepEqual(told.splice(0), [`notice ${noticed} 20`, `off ${taken}`]);
+  hostingCalls.length = 0;
+  cloud.takeBack(withNotice, 20);
+  cloud.takeBack(withoutNotice, null);
+  assert.deepEqual(hostingCalls.splice(0), [`notice ${withNotice} 20`, `off ${withoutNotice}`]);
   await world.run(9.9);
-  assert.deepEqual(told, []);
+  assert.deepEqual(hostingCalls, []);
   await world.run(20.2);
-  assert.deepEqual(told, [`off ${noticed}`]);
+  assert.deepEqual(hostingCalls, [`off ${withNotice}`]);
 });
 
-test('an outage and a rate above the limit refuse requests, and late scale-outs get no answer', async () => {
-  const { world, cloud, provision, list, client } = await aCloud();
+test('requests are refused in an outage and above the rate limit, and late scale-outs get no answer', async () => {
+  const { world, cloud, provision, list, client } = await startCloud();
   cloud.beginOutage();
   assert.equal(await provision('r-1', 1), 'trouble');
   cloud.endOutage();
--- a/packages/testing/stand-ins/cloud/cloud-service.ts
+++ b/packages/testing/stand-ins/cloud/cloud-service.ts
@@ -1,4 +1,4 @@
-/** The cloud's interface as the protocol describes it, with its limits and its faults. */
+/** Stand-in of the cloud's API: its protocol, its limits and faults that tests can inject. */
 import { MalformedBody, type HostPort, type MachineType, type Runtime } from '#wire';
 import * as serving from '#wire/serving';
 import { NO_REPLY, serveCbor, type CborServer, type ServedRequest } from '../http-server.js';
@@ -8,31 +8,33 @@
 import { USUAL_BOOTS, type BootProfile } from './boot-times.js';
 import type { CapacityLimit } from './capacity.js';
 import { MachineList } from './machine-list.js';
-import { MachinePark } from './machine-park.js';
+import { MachinePool } from './machine-park.js';
 import { isRunning, type MachineHosting, type ProvisionedMachine } from './provisioned-machine.js';
 import { SpotPrices } from './spot-prices.js';
 
-/** The settings of the cloud. */
+/** Settings of the cloud. */
 export interface CloudOptions {
   types: MachineType[];
   capacity: CapacityLimit[];
-  /** Requests a second. */
+  /** Maximum requests per second. */
   rps: number;
+  /** Nominal lag of the machine list, in seconds. */
   listLagS: number;
 }
 
 const BURST_S = 2;
-const LATE_REQUEST_S: [number, number] = [2, 12];
+/** Default delay after which a request without an answer is executed, in seconds. */
+const LATE_REQUEST_DELAY_S: [number, number] = [2, 12];
 
 /** Serves the API of the cloud: provisions, deletes and lists machines. */
 export class CloudService {
-  private readonly park: MachinePark;
+  private readonly pool: MachinePool;
   private readonly list: MachineList;
   private readonly prices: SpotPrices;
   private readonly latency: Latency;
   private readonly lostReplies: ReplyLoss;
   private readonly rate: RateLimit;
-  /** Names of machines by the name of the request that provisioned them. */
+  /** Names of machines by the request that provisioned them, so that a repeated request provisions none. */
   private readonly machinesOfRequest = new Map<string, string[]>();
   private outage = false;
   private server: CborServer | null = null;
@@ -42,7 +44,7 @@
     private readonly options: CloudOptions,
     hosting: MachineHosting,
   ) {
-    this.park = new MachinePark(runtime, hosting, options.capacity);
+    this.pool = new MachinePool(runtime, hosting, options.capacity);
     this.list = new MachineList(runtime, options.listLagS);
     this.prices = new SpotPrices(runtime);
     this.latency = new Latency(runtime);
@@ -59,9 +61,9 @@
     this.server?.close();
   }
 
-  /** Machines that are up now, for faults to choose from. */
+  /** Machines that are up now. Injected faults choose among them. */
   running(): ProvisionedMachine[] {
-    return this.park.all().filter(isRunning);
+    return this.pool.all().filter(isRunning);
   }
 
   beginOutage(): void {
@@ -76,8 +78,8 @@
     this.latency.profile = profile;
   }
 
-  /** That share of scale-outs and deletions gets no answer and is carried out late. */
-  beginLateRequests(share: number, delayS = LATE_REQUEST_S): void {
+  /** Lets this share of scale-outs and deletions go unanswered and be executed late. */
+  beginLateRequests(share: number, delayS = LATE_REQUEST_DELAY_S): void {
     this.lostReplies.begin({ share, delayS });
   }
 
@@ -85,27 +87,27 @@
     this.lostReplies.end();
   }
 
-  /** How long machines provisioned from now on take to boot. */
+  /** Sets the boot times of machines that are provisioned from now on. */
   setBootProfile(profile: BootProfile = USUAL_BOOTS): void {
-    this.park.bootProfile = profile;
+    this.pool.bootProfile = profile;
   }
 
   setCapacity(limits: CapacityLimit[]): void {
-    this.park.capacity.change(limits);
+    this.pool.capacity.setLimits(limits);
   }
 
-  /** Takes a machine back, after a notice of about so many seconds or without one. */
+  /** Reclaims a machine, after a notice of about `noticeS` seconds, or without one if null. */
   takeBack(name: string, noticeS: number | null): void {
-    const machine = this.park.get(name);
+    const machine = this.pool.get(name);
     if (!machine) return;
-    if (noticeS === null) this.park.remove(machine);
-    else this.park.giveNotice(machine, noticeS);
+    if (noticeS === null) this.pool.remove(machine);
+    else this.pool.giveNotice(machine, noticeS);
   }
 
-  /** The machine stops by itself; the list shows it as running for a while. */
+  /** Lets the machine fail. The list shows it as running for a while. */
   kill(name: string): void {
-    const machine = this.park.get(name);
-    if (machine) this.park.die(machine);
+    const machine = this.pool.get(name);
+    if (machine) this.pool.fail(machine);
   }
 
   private async handle(request: ServedRequest): Promise<serving.WireReply | typeof NO_REPLY> {
@@ -131,7 +133,7 @@
       case 'release':
         return this.release(request.machines);
       case 'list': {
-        const page = this.list.page(this.park.all(), request.after, request.limit);
+        const page = this.list.page(this.pool.all(), request.after, request.limit);
         return serving.machineListReply(page.machines, page.more);
       }
     }
@@ -143,17 +145,17 @@
     const type = this.options.types.find(({ name }) => name === request.type);
     if (!type?.zones.includes(request.zone)) throw new MalformedBody('no such type or zone');
     const { zone, spot, count } = request;
-    const names = this.park.provision({ type, zone, spot, count }).map((machine) => machine.name);
+    const names = this.pool.provision({ type, zone, spot, count }).map((machine) => machine.name);
     if (names.length > 0) this.machinesOfRequest.set(request.request, names);
     return serving.provisionReply(names);
   }
 
   private release(names: string[]): serving.WireReply {
     for (const name of names) {
-      const machine = this.park.get(name);
-      if (machine) this.park.remove(machine);
+      const machine = this.pool.get(name);
+      if (machine) this.pool.remove(machine);
     }
-    this.park.forget((machine) => this.list.isForgotten(machine));
+    this.pool.prune((machine) => this.list.isGoneFromLists(machine));
     return serving.releaseReply();
   }
 }
--- a/packages/testing/stand-ins/state/availability.ts
+++ b/packages/testing/stand-ins/state/availability.ts
@@ -1,16 +1,16 @@
 /** Outages of the state service, for all clients or for one. */
-/** Whom the service serves: nobody during an outage, and never a client that it refuses. */
+/** Decides which clients are served: none during an outage, and never a refused client. */
 export class Availability {
   private outage = false;
-  private readonly refusedHosts = new Set<string>();
-  private readonly waiting = new Set<() => void>();
+  private readonly refusedClients = new Set<string>();
+  private readonly waiters = new Set<() => void>();
 
   get inOutage(): boolean {
     return this.outage;
   }
 
   serves(clientHost: string): boolean {
-    return !this.outage && !this.refusedHosts.has(clientHost);
+    return !this.outage && !this.refusedClients.has(clientHost);
   }
 
   setOutage(outage: boolean): void {
@@ -19,31 +19,31 @@
   }
 
   refuse(clientHost: string): void {
-    this.refusedHosts.add(clientHost);
+    this.refusedClients.add(clientHost);
   }
 
   readmit(clientHost: string): void {
-    this.refusedHosts.delete(clientHost);
+    this.refusedClients.delete(clientHost);
     this.wakeAll();
   }
 
-  /** Resolves when the client is served, for watches that stay open meanwhile. */
+  /** Resolves when the client is served. Open watches wait for this instead of failing. */
   async whenServed(clientHost: string): Promise<void> {
     while (!this.serves(clientHost)) await this.nextChange();
   }
 
-  /** Resolves when there is no outage. */
+  /** Resolves when no outage is in progress. */
   async whenUp(): Promise<void> {
     while (this.outage) await this.nextChange();
   }
 
   private nextChange(): Promise<void> {
-    return new Promise((resolve) => this.waiting.add(resolve));
+    return new Promise((resolve) => this.waiters.add(resolve));
   }
 
   private wakeAll(): void {
-    const woken = [...this.waiting];
-    this.waiting.clear();
-    for (const wake of woken) wake();
+    const waiters = [...this.waiters];
+    this.waiters.clear();
+    for (const wake of waiters) wake();
   }
 }
