--- a/packages/testing/simulation/clock.ts
+++ b/packages/testing/simulation/clock.ts
@@ -17,7 +17,7 @@
 const MAX_DELAY_MS = 2 ** 31 - 1;
 /** Largest drift of a steady clock that the protocol allows. */
 const MAX_DRIFT = 0.0005;
-const MAX_ZERO_S = 1e5;
+const MAX_INITIAL_S = 1e5;
 
 /** How the clocks of one process differ from the simulated time. */
 export interface ClockSkew {
@@ -64,12 +64,12 @@
   }
 }
 
-/** Clocks within the bounds of the protocol; `wallOffMs` bounds the time of day. */
-export function drawSkew(world: World, processName: string, wallOffMs: number): ClockSkew {
-  const chance = world.chance(`clock ${processName}`);
+/** Clocks within the bounds of the protocol; `maxWallOffsetMs` bounds the time of day. */
+export function drawSkew(world: World, processName: string, maxWallOffsetMs: number): ClockSkew {
+  const chance = world.randomStream(`clock ${processName}`);
   return {
-    zeroS: chance.next() * MAX_ZERO_S,
+    zeroS: chance.next() * MAX_INITIAL_S,
     drift: chance.next() * MAX_DRIFT,
-    wallOffsetMs: (2 * chance.next() - 1) * wallOffMs,
+    wallOffsetMs: (2 * chance.next() - 1) * maxWallOffsetMs,
   };
 }
--- a/packages/testing/simulation/cluster.ts
+++ b/packages/testing/simulation/cluster.ts
@@ -23,7 +23,7 @@
 import {
   type ControllerMaker,
   makeControllers,
-  makeOwnController,
+  makeControllerOfThisBuild,
   type SimulatedController,
 } from './controllers.js';
 import { Machines } from './machines.js';
@@ -65,7 +65,7 @@
   constructor(
     readonly settings: ClusterSettings,
     seed: number,
-    make: ControllerMaker = makeOwnController,
+    make: ControllerMaker = makeControllerOfThisBuild,
   ) {
     this.world = new World(seed);
     this.network = new SimulatedNetwork(this.world);
--- a/packages/testing/simulation/compare-runs.ts
+++ b/packages/testing/simulation/compare-runs.ts
@@ -26,14 +26,14 @@
 /** Plays all runs with this build, compares each with what is known of it, and prints it; the exit code. */
 async function compare(runs: ExpectedRun[], playHere: Play, playThere: Play): Promise<number> {
   const played = runs.map((run) => ({ run, here: playHere(run), there: playThere(run) }));
-  let same = 0;
+  let sameCount = 0;
   for (const { run, here, there } of played) {
     const [ours, theirs] = [await here, await there];
-    if (agree(ours, theirs)) same++;
+    if (agree(ours, theirs)) sameCount++;
     process.stdout.write(describeComparison(run, ours, theirs));
   }
-  process.stdout.write(`${same} of ${runs.length} runs are the same\n`);
-  return same === runs.length ? ExitCode.same : ExitCode.different;
+  process.stdout.write(`${sameCount} of ${runs.length} runs are the same\n`);
+  return sameCount === runs.length ? ExitCode.same : ExitCode.different;
 }
 
 /** Plays all runs and writes them to the file unless one failed; the exit code. */
--- a/packages/testing/simulation/connection.ts
+++ b/packages/testing/simulation/connection.ts
@@ -16,11 +16,11 @@
   readonly world: World;
   readonly rules: LinkRules;
   /** Ends whose packets wait for the end of a rule. */
-  readonly holding: Set<ConnectionEnd>;
+  readonly endsWithHeldPackets: Set<ConnectionEnd>;
   /** One-way delay of the next packet, in seconds. */
   drawLatencyS(): number;
   /** Drops a connection that both sides have closed. */
-  forgetIfClosed(connection: Connection): void;
+  removeIfClosed(connection: Connection): void;
 }
 
 /** What one side of a connection sends to the other. */
@@ -86,11 +86,11 @@
   closed = false;
   /** A packet was lost: what follows can't be delivered either. */
   private broken = false;
-  private ended = false;
-  private readonly held: Packet[] = [];
+  private endSent = false;
+  private readonly heldPackets: Packet[] = [];
   private lastArrivalS = 0;
-  private bytesUnderWay = 0;
-  private afterDelivery: (() => void) | null = null;
+  private bytesInFlight = 0;
+  private blockedWriteDone: (() => void) | null = null;
 
   constructor(
     private readonly network: ConnectionNetwork,
@@ -102,37 +102,37 @@
     return this.incarnation.host;
   }
 
-  get other(): ConnectionEnd {
+  get otherEnd(): ConnectionEnd {
     const { opener, acceptor } = this.connection;
     return this === opener ? acceptor : opener;
   }
 
   send(bytes: Buffer, done: () => void): void {
     if (this.closed) return;
-    this.bytesUnderWay += bytes.length;
+    this.bytesInFlight += bytes.length;
     this.transmit({ kind: 'data', bytes });
-    if (this.bytesUnderWay <= SEND_BUFFER_BYTES) done();
-    else this.afterDelivery = done;
+    if (this.bytesInFlight <= SEND_BUFFER_BYTES) done();
+    else this.blockedWriteDone = done;
   }
 
   finish(): void {
-    if (this.ended || this.closed) return;
-    this.ended = true;
+    if (this.endSent || this.closed) return;
+    this.endSent = true;
     this.transmit({ kind: 'end' });
   }
 
   close(): void {
     this.finish();
     this.closed = true;
-    this.network.forgetIfClosed(this.connection);
+    this.network.removeIfClosed(this.connection);
   }
 
   /** The program has ended: the other side is told by its host, or not at all. */
-  abandon(tellOther: boolean): void {
+  abort(sendReset: boolean): void {
     if (this.closed) return;
     this.closed = true;
-    if (tellOther) this.transmit({ kind: 'reset' });
-    this.network.forgetIfClosed(this.connection);
+    if (sendReset) this.transmit({ kind: 'reset' });
+    this.network.removeIfClosed(this.connection);
   }
 
   transmit(packet: Packet): void {
@@ -140,15 +140,15 @@
     const effect = this.connection.currentEffect();
     if (this.isLost(effect, packet)) {
       this.broken = true;
-    } else if (effect === 'hold' || this.held.length > 0) {
-      this.held.push(packet);
-      this.network.holding.add(this);
-    } else this.sendOff(packet);
+    } else if (effect === 'hold' || this.heldPackets.length > 0) {
+      this.heldPackets.push(packet);
+      this.network.endsWithHeldPackets.add(this);
+    } else this.scheduleArrival(packet);
   }
 
   /** The rules have changed: what was held is sent again, in order. */
   release(): void {
-    for (const packet of this.held.splice(0)) this.transmit(packet);
+    for (const packet of this.heldPackets.splice(0)) this.transmit(packet);
   }
 
   private isLost(effect: LinkEffect | null, packet: Packet): boolean {
@@ -158,17 +158,17 @@
     return effect === 'drop-answers' && isAnswer;
   }
 
-  private sendOff(packet: Packet): void {
+  private scheduleArrival(packet: Packet): void {
     const { world } = this.network;
     const arrivalS = Math.max(this.lastArrivalS, world.now + this.network.drawLatencyS());
     this.lastArrivalS = arrivalS;
     world.schedule(arrivalS - world.now, () => {
-      this.other.arrive(packet);
+      this.otherEnd.arrive(packet);
     });
   }
 
   private arrive(packet: Packet): void {
-    const sender = this.other;
+    const sender = this.otherEnd;
     if (this.connection.severed) return;
     if (!this.host.powered) {
       sender.broken = true;
@@ -196,15 +196,15 @@
     else {
       this.closed = true;
       socket.failed('ECONNRESET');
-      this.network.forgetIfClosed(this.connection);
+      this.network.removeIfClosed(this.connection);
     }
   }
 
   private acknowledge(bytes: number): void {
-    this.bytesUnderWay -= bytes;
-    const done = this.afterDelivery;
-    if (done === null || this.bytesUnderWay > SEND_BUFFER_BYTES) return;
-    this.afterDelivery = null;
+    this.bytesInFlight -= bytes;
+    const done = this.blockedWriteDone;
+    if (done === null || this.bytesInFlight > SEND_BUFFER_BYTES) return;
+    this.blockedWriteDone = null;
     this.incarnation.deliver(done);
   }
 }
--- a/packages/testing/simulation/controller-log.ts
+++ b/packages/testing/simulation/controller-log.ts
@@ -33,9 +33,9 @@
 
   /** The entries with this message, or all. */
   entries(msg?: string): LogEntry[] {
-    const mark = msg === undefined ? '' : `"msg":${JSON.stringify(msg)}`;
+    const msgField = msg === undefined ? '' : `"msg":${JSON.stringify(msg)}`;
     return this.lines
-      .filter((line) => line.text.includes(mark))
+      .filter((line) => line.text.includes(msgField))
       .map((line) => ({ ...(JSON.parse(line.text) as LogEntry), atS: line.atS }));
   }
 }
--- a/packages/testing/simulation/controllers.ts
+++ b/packages/testing/simulation/controllers.ts
@@ -29,7 +29,7 @@
 ) => Pick<Controller, 'run'>;
 
 /** Makes controllers of this build. */
-export const makeOwnController: ControllerMaker = (runtime, settings, log) =>
+export const makeControllerOfThisBuild: ControllerMaker = (runtime, settings, log) =>
   new Controller(runtime, settings, log);
 
 /** What all controllers of a cluster share. */
@@ -62,10 +62,10 @@
   const log = new ControllerLog(world, cluster.logLevel, onLogLine);
   const settings = controllerSettings(cluster, index);
   const program = (runtime: Runtime) => {
-    const forever = new AbortController().signal;
+    const neverAborted = new AbortController().signal;
     const watched = requests.watch(name, costs.watchController(host.address, runtime));
     const controller = make(watched, settings, log.logger());
-    controller.run(forever).catch((error: unknown) => {
+    controller.run(neverAborted).catch((error: unknown) => {
       world.uncaught.push({ atS: world.now, where: name, error });
     });
   };
--- a/packages/testing/simulation/costs.ts
+++ b/packages/testing/simulation/costs.ts
@@ -34,7 +34,7 @@
 /** Outside systems whose servers count what controllers ask of them. */
 export type CountedServer = 'stateRequests' | 'cloudRequests' | 'directCommands';
 
-const NOTHING: Costs = {
+const ZERO_COSTS: Costs = {
   heartbeats: 0,
   questions: 0,
   probes: 0,
@@ -62,7 +62,7 @@
   watchController(host: string, runtime: Runtime): Runtime {
     const costs = this.counts(host);
     const watched = watchRequests(runtime, (req) => {
-      costs[answeredAs(req)]++;
+      costs[requestCategory(req)]++;
     });
     return {
       clock: countTimers(costs, watched.clock),
@@ -89,7 +89,7 @@
   }
 
   private counts(host: string): Costs {
-    const known = this.byHost.get(host) ?? { ...NOTHING };
+    const known = this.byHost.get(host) ?? { ...ZERO_COSTS };
     this.byHost.set(host, known);
     return known;
   }
@@ -111,7 +111,7 @@
 }
 
 function mapCosts(value: (name: keyof Costs) => number): Costs {
-  const names = Object.keys(NOTHING) as (keyof Costs)[];
+  const names = Object.keys(ZERO_COSTS) as (keyof Costs)[];
   return Object.fromEntries(names.map((name) => [name, value(name)])) as unknown as Costs;
 }
 
@@ -136,7 +136,7 @@
   return { connect, listen: (server, address) => network.listen(server, address) };
 }
 
-function answeredAs({ method, url }: IncomingMessage): 'heartbeats' | 'probes' | 'questions' {
+function requestCategory({ method, url }: IncomingMessage): 'heartbeats' | 'probes' | 'questions' {
   if (method === 'POST' && url === '/hello') return 'heartbeats';
   return url === '/healthz' ? 'probes' : 'questions';
 }
--- a/packages/testing/simulation/digest.ts
+++ b/packages/testing/simulation/digest.ts
@@ -13,21 +13,21 @@
   private readonly float = new Float64Array(1);
   private readonly words = new Uint32Array(this.float.buffer);
 
-  number(value: number): void {
+  addNumber(value: number): void {
     this.float[0] = value;
-    this.word(this.words[0]);
-    this.word(this.words[1]);
+    this.addWord(this.words[0]);
+    this.addWord(this.words[1]);
   }
 
-  text(value: string): void {
-    for (let i = 0; i < value.length; i++) this.word(value.charCodeAt(i));
+  addText(value: string): void {
+    for (let i = 0; i < value.length; i++) this.addWord(value.charCodeAt(i));
   }
 
   hex(): string {
     return hexWord(this.high) + hexWord(this.low);
   }
 
-  private word(value: number): void {
+  private addWord(value: number): void {
     this.low = Math.imul(this.low ^ value, FNV_PRIME);
     const mixed = Math.imul(this.high ^ value, SECOND_PRIME);
     this.high = mixed ^ (mixed >>> 15);
--- a/packages/testing/simulation/fault-injector.ts
+++ b/packages/testing/simulation/fault-injector.ts
@@ -36,22 +36,22 @@
       network,
       machines,
       cloud,
-      world.chance('machine faults'),
+      world.randomStream('machine faults'),
       () => cluster.replicaMoments.machines,
     );
   }
 
-  /** `onAllOver` is called once all faults and their direct effects have ended. */
-  schedule(faults: Fault[], onAllOver: () => void): void {
+  /** `onAllEnded` is called once all faults and their direct effects have ended. */
+  schedule(faults: Fault[], onAllEnded: () => void): void {
     const { world, controllers } = this.cluster;
-    let open = faults.length;
-    if (open === 0) onAllOver();
+    let remaining = faults.length;
+    if (remaining === 0) onAllEnded();
     for (const fault of faults) {
       const begin = () => {
         this.begin(fault);
         world.schedule(faultLengthS(fault, controllers.length), () => {
-          open--;
-          if (open === 0) onAllOver();
+          remaining--;
+          if (remaining === 0) onAllEnded();
         });
       };
       world.schedule(fault.atS - world.now, () => {
@@ -62,7 +62,7 @@
 
   private beginWhenDue(fault: Fault, begin: () => void): void {
     const { afterTakeoverS, atMovePhase, atReplicaPhase } = fault;
-    const { world, leadership: leadership, moves, replicaMoments } = this.cluster;
+    const { world, leadership, moves, replicaMoments } = this.cluster;
     if (atReplicaPhase !== undefined) replicaMoments.onNext(atReplicaPhase, begin);
     else if (atMovePhase !== undefined) moves.onNext(atMovePhase, begin);
     else if (afterTakeoverS === undefined) begin();
@@ -70,23 +70,23 @@
   }
 
   private begin(fault: Fault): void {
-    const { world, leadership: leadership } = this.cluster;
+    const { world, leadership } = this.cluster;
     const leader = leadership.current();
     const roles = { leaderName: leader?.leader ?? null, moves: this.cluster.moves };
     const effect = this.beginByKind(fault, roles);
-    this.journal.begun(fault, effect, leader, world.now);
+    this.journal.recordStart(fault, effect, leader, world.now);
     const { end } = effect;
     if ('forS' in fault && end !== null) world.schedule(fault.forS, end);
   }
 
   private beginByKind(fault: Fault, roles: Roles): FaultEffect {
-    if (isOf<StateFault>(fault, STATE_KINDS)) return this.stateFaults.begin(fault, roles);
-    if (isOf<CloudFault>(fault, CLOUD_KINDS)) return this.cloudFaults.begin(fault);
-    if (isOf<MachineFault>(fault, MACHINE_KINDS)) return this.machineFaults.begin(fault);
-    if (isOf<MessageFault>(fault, MESSAGE_KINDS)) {
+    if (isKindOf<StateFault>(fault, STATE_KINDS)) return this.stateFaults.begin(fault, roles);
+    if (isKindOf<CloudFault>(fault, CLOUD_KINDS)) return this.cloudFaults.begin(fault);
+    if (isKindOf<MachineFault>(fault, MACHINE_KINDS)) return this.machineFaults.begin(fault);
+    if (isKindOf<MessageFault>(fault, MESSAGE_KINDS)) {
       return beginMessageFault(this.cluster.machines, fault);
     }
-    if (isOf<UserFault>(fault, USER_KINDS)) return this.beginUserFault(fault);
+    if (isKindOf<UserFault>(fault, USER_KINDS)) return this.beginUserFault(fault);
     if (fault.kind === 'part-moves') return beginOperatorRequests(this.cluster, fault);
     const { world, network, controllers } = this.cluster;
     return beginControllerFault({ world, network, controllers, roles }, fault);
@@ -94,7 +94,7 @@
 
   private beginUserFault(fault: UserFault): FaultEffect {
     const { world, users, machines, checker } = this.cluster;
-    const hang = (hit: SimulatedMachine[]) => this.machineFaults.hang(hit);
+    const hang = (targets: SimulatedMachine[]) => this.machineFaults.hang(targets);
     return beginUserFault({ world, users, machines, worldState: checker.state, hang }, fault);
   }
 }
@@ -131,6 +131,6 @@
   'close-looks': true,
 };
 
-function isOf<F extends Fault>(fault: Fault, kinds: Kinds<F>): fault is F {
+function isKindOf<F extends Fault>(fault: Fault, kinds: Kinds<F>): fault is F {
   return fault.kind in kinds;
 }
--- a/packages/testing/simulation/fault-journal.ts
+++ b/packages/testing/simulation/fault-journal.ts
@@ -20,7 +20,7 @@
 export class FaultJournal {
   readonly records: FaultRecord[] = [];
 
-  begun(
+  recordStart(
     fault: Fault,
     { controllers, machines, jobs }: FaultEffect,
     leader: LeadershipChange | null,
--- a/packages/testing/simulation/host.ts
+++ b/packages/testing/simulation/host.ts
@@ -25,7 +25,7 @@
   }
 
   /** Counts a socket of the running process until it closes. */
-  count(socket: SimulatedSocket): void {
+  countSocket(socket: SimulatedSocket): void {
     this.openSockets++;
     socket.once('close', () => this.openSockets--);
   }
--- a/packages/testing/simulation/incarnation.ts
+++ b/packages/testing/simulation/incarnation.ts
@@ -5,7 +5,7 @@
 import type { SimulatedHost } from './host.js';
 import type { World } from './world.js';
 
-interface WaitingCallback {
+interface DeferredCallback {
   callback: () => void;
   source: CallbackSource;
 }
@@ -16,7 +16,7 @@
   readonly runtime: Runtime;
   private frozenUntilS = -Infinity;
   private frozen = false;
-  private readonly waiting: WaitingCallback[] = [];
+  private readonly deferred: DeferredCallback[] = [];
   private readonly chance: Chance;
 
   constructor(
@@ -26,7 +26,7 @@
     readonly name: string,
     skew: ClockSkew,
   ) {
-    this.chance = world.chance(`process ${name} ${world.now}`);
+    this.chance = world.randomStream(`process ${name} ${world.now}`);
     this.runtime = {
       clock: new SimulatedClock(world, this, skew),
       network: makeNetwork(this),
@@ -38,7 +38,7 @@
   deliver(callback: () => void, source: CallbackSource = 'network'): void {
     if (!this.alive) return;
     if (this.frozen) {
-      this.waiting.push({ callback, source });
+      this.deferred.push({ callback, source });
       return;
     }
     try {
@@ -53,7 +53,7 @@
     this.frozen = true;
     this.frozenUntilS = Math.max(this.frozenUntilS, this.world.now + forS);
     this.world.schedule(forS, () => {
-      this.wake();
+      this.resume();
     });
   }
 
@@ -61,11 +61,11 @@
    * All that came in the meantime is delivered: in its order, or what came from the network before the
    * timers or after them, since an event loop may do either first.
    */
-  private wake(): void {
+  private resume(): void {
     if (!this.frozen || this.world.now < this.frozenUntilS) return;
     this.frozen = false;
-    const waiting = this.waiting.splice(0);
-    for (const { callback, source } of inWakingOrder(waiting, this.chance)) {
+    const waiting = this.deferred.splice(0);
+    for (const { callback, source } of orderAfterFreeze(waiting, this.chance)) {
       this.world.schedule(0, () => {
         this.deliver(callback, source);
       });
@@ -74,12 +74,12 @@
 
   end(): void {
     this.alive = false;
-    this.waiting.length = 0;
+    this.deferred.length = 0;
   }
 }
 
 /** Three orders, each as likely as the others. */
-function inWakingOrder(waiting: WaitingCallback[], chance: Chance): WaitingCallback[] {
+function orderAfterFreeze(waiting: DeferredCallback[], chance: Chance): DeferredCallback[] {
   const first = [null, 'timer', 'network'][chance.int(0, 2)];
   if (first === null) return waiting;
   const before = waiting.filter(({ source }) => source === first);
--- a/packages/testing/simulation/leadership-history.ts
+++ b/packages/testing/simulation/leadership-history.ts
@@ -2,7 +2,7 @@
 import { decodeLeader, shardKey } from '#store';
 import type { World } from './world.js';
 
-const SAMPLE_S = 0.05;
+const SAMPLE_INTERVAL_S = 0.05;
 
 /** The leader of a term, and since when. */
 export interface LeadershipChange {
@@ -20,7 +20,7 @@
 export class LeadershipHistory {
   readonly changes: LeadershipChange[] = [];
   private leader: LeadershipChange | null = null;
-  private readonly waiting: (() => void)[] = [];
+  private readonly changeCallbacks: (() => void)[] = [];
 
   constructor(
     private readonly world: World,
@@ -38,12 +38,12 @@
   /** Calls back once another term has begun. */
   onNextChange(callback: () => void): void {
     this.refresh();
-    this.waiting.push(callback);
+    this.changeCallbacks.push(callback);
   }
 
   private sample(): void {
     this.refresh();
-    this.world.scheduleInternal(SAMPLE_S, () => {
+    this.world.scheduleInternal(SAMPLE_INTERVAL_S, () => {
       this.sample();
     });
   }
@@ -58,6 +58,6 @@
     const { leader } = decodeLeader(entry.value);
     this.leader = { atS: this.world.now, leader, term: entry.version };
     this.changes.push(this.leader);
-    for (const callback of this.waiting.splice(0)) callback();
+    for (const callback of this.changeCallbacks.splice(0)) callback();
   }
 }
--- a/packages/testing/simulation/migration-phases.ts
+++ b/packages/testing/simulation/migration-phases.ts
@@ -23,8 +23,8 @@
   };
   private waiting: { phase: MigrationPhase; callback: () => void }[] = [];
 
-  /** `leaderNow` tells the present leader of the shard. */
-  constructor(private readonly leaderNow: () => string | null) {}
+  /** `currentLeader` tells the present leader of the shard. */
+  constructor(private readonly currentLeader: () => string | null) {}
 
   observe(event: WorldEvent): void {
     if (event.kind !== 'transaction' || !event.applied) return;
@@ -36,23 +36,23 @@
     this.waiting.push({ phase, callback });
   }
 
-  private apply(change: Change, together: Change[]): void {
+  private apply(change: Change, allChanges: Change[]): void {
     if ('delete' in change) return;
     if (change.put === migrationKey(SHARD)) {
       const { phase, to } = change.value as StoredMigration;
-      this.source = this.leaderNow();
+      this.source = this.currentLeader();
       this.target = to;
-      this.reached(phase);
+      this.recordPhase(phase);
     }
-    const endsMove = together.some(
+    const endsMove = allChanges.some(
       (each) => 'delete' in each && each.delete === migrationKey(SHARD),
     );
     if (change.put !== shardKey(SHARD) || !endsMove) return;
     this.target = decodeLeader(change.value).leader;
-    this.reached('switched');
+    this.recordPhase('switched');
   }
 
-  private reached(phase: MigrationPhase): void {
+  private recordPhase(phase: MigrationPhase): void {
     this.counts[phase]++;
     const due = this.waiting.filter((each) => each.phase === phase);
     this.waiting = this.waiting.filter((each) => each.phase !== phase);
--- a/packages/testing/simulation/network.test.ts
+++ b/packages/testing/simulation/network.test.ts
@@ -62,7 +62,7 @@
   });
 }
 
-function aWorld(seed: number) {
+function makeWorld(seed: number) {
   const world = new World(seed);
   const network = new SimulatedNetwork(world);
   const skew = { zeroS: 5, drift: 0.0003, wallOffsetMs: 20 };
@@ -79,12 +79,12 @@
     clientHost,
     'c',
     (runtime) => {
-      const own = new SimulatedAgent(runtime);
-      agent = own;
+      const newAgent = new SimulatedAgent(runtime);
+      agent = newAgent;
       void (async () => {
         for (let i = 0; ; i++) {
           const sentAt = runtime.clock.now();
-          const result = await post(runtime, own, `${i}`);
+          const result = await post(runtime, newAgent, `${i}`);
           const tookMs = Math.round((runtime.clock.now() - sentAt) * 1000);
           results.push(tookMs > 500 ? `${result} after ${Math.round(tookMs / 1000)} s` : result);
           await pause(runtime.clock, 1000);
@@ -113,7 +113,7 @@
 }
 
 test('keep-alive HTTP runs over simulated connections', async () => {
-  const { world, results, opened } = aWorld(1);
+  const { world, results, opened } = makeWorld(1);
   await world.runUntil(9.5);
   assert.deepEqual(results, [
     '1:0',
@@ -132,7 +132,7 @@
 });
 
 test('a crashed process leaves nothing behind and serves again after its restart', async () => {
-  const { world, server, client, results } = aWorld(2);
+  const { world, server, client, results } = makeWorld(2);
   await world.runUntil(2.5);
   server.restart(0.2);
   await world.runUntil(3.5);
@@ -147,7 +147,7 @@
 });
 
 test('a silent crash shows only when the other side writes', async () => {
-  const { world, server, results } = aWorld(3);
+  const { world, server, results } = makeWorld(3);
   await world.runUntil(0.5);
   server.crash('silent');
   server.start();
@@ -156,7 +156,7 @@
 });
 
 test('a frozen process serves what came meanwhile once it wakes', async () => {
-  const { world, server, results } = aWorld(4);
+  const { world, server, results } = makeWorld(4);
   await world.runUntil(0.5);
   server.freeze(3);
   await world.runUntil(4);
@@ -176,7 +176,7 @@
 ];
 for (const [effect, expected] of effects) {
   test(`connections under the rule ${effect}`, async () => {
-    const { world, network, rule, results } = aWorld(5);
+    const { world, network, rule, results } = makeWorld(5);
     await world.runUntil(0.5);
     const lift = network.apply(rule(effect));
     await world.runUntil(effect === 'refuse' ? 3.5 : 6.5);
@@ -187,7 +187,7 @@
 }
 
 test('a connection attempt that was given up under a rule does not complete later', async () => {
-  const { world, network, rule, opened, accepted, client } = aWorld(6);
+  const { world, network, rule, opened, accepted, client } = makeWorld(6);
   const lift = network.apply(rule('hold'));
   await world.runUntil(5.5);
   assert.equal(opened(), 2);
@@ -198,7 +198,7 @@
 });
 
 test('connections beyond the limit of a server are closed at once', async () => {
-  const { world, network, client, results } = aWorld(7);
+  const { world, network, client, results } = makeWorld(7);
   const hold = new SimulatedHost('holder', 'worker', '10.1.0.2', 'a');
   network.addHost(hold);
   client.crash();
@@ -214,7 +214,7 @@
 });
 
 test('a host without free sockets opens no connection and refuses those of others', async () => {
-  const { world, server, client, results } = aWorld(8);
+  const { world, server, client, results } = makeWorld(8);
   await world.runUntil(0.5);
   server.host.socketLimit = 1;
   client.restart(0.1);
@@ -232,7 +232,7 @@
 test('the same seed gives the same run, another seed another one', async () => {
   const digests = [];
   for (const seed of [7, 7, 8]) {
-    const { world, server } = aWorld(seed);
+    const { world, server } = makeWorld(seed);
     await world.runUntil(3);
     server.restart(0.3);
     await world.runUntil(30);
--- a/packages/testing/simulation/network.ts
+++ b/packages/testing/simulation/network.ts
@@ -15,23 +15,23 @@
 
 /** One-way delays between any two hosts. */
 export interface LatencyModel {
-  leastMs: number;
+  minMs: number;
   /** Mean of what comes on top, distributed exponentially. */
   meanExtraMs: number;
   /** Share of packets that are lost once and sent again. */
-  resentShare: number;
-  resentAfterMs: number;
+  retransmittedShare: number;
+  retransmitAfterMs: number;
 }
 
 const DEFAULT_LATENCY: LatencyModel = {
-  leastMs: 0.3,
+  minMs: 0.3,
   meanExtraMs: 0.4,
-  resentShare: 0.0005,
-  resentAfterMs: 200,
+  retransmittedShare: 0.0005,
+  retransmitAfterMs: 200,
 };
 
 /** A connection that is being opened. */
-interface Attempt {
+interface ConnectionAttempt {
   incarnation: Incarnation;
   socket: SimulatedSocket;
   to: HostPort;
@@ -49,7 +49,7 @@
 interface Listener {
   server: net.Server;
   incarnation: Incarnation;
-  open: number;
+  openConnections: number;
 }
 
 type ConnectError = 'ECONNREFUSED' | 'ETIMEDOUT' | 'EMFILE';
@@ -58,19 +58,19 @@
 export class SimulatedNetwork implements ConnectionNetwork {
   readonly rules = new LinkRules();
   /** Ends whose packets wait for the end of a rule. */
-  readonly holding = new Set<ConnectionEnd>();
+  readonly endsWithHeldPackets = new Set<ConnectionEnd>();
   private readonly hosts = new Map<string, SimulatedHost>();
   /** By host and port. */
   private readonly listeners = new Map<SimulatedHost, Map<number, Listener>>();
   private readonly connections = new Set<Connection>();
-  private readonly heldAttempts = new Set<Attempt>();
+  private readonly heldAttempts = new Set<ConnectionAttempt>();
   private readonly chance: Chance;
 
   constructor(
     readonly world: World,
     private readonly latency: LatencyModel = DEFAULT_LATENCY,
   ) {
-    this.chance = world.chance('network');
+    this.chance = world.randomStream('network');
   }
 
   addHost(host: SimulatedHost): SimulatedHost {
@@ -103,10 +103,10 @@
   }
 
   drawLatencyS(): number {
-    const { leastMs, meanExtraMs, resentShare, resentAfterMs } = this.latency;
+    const { minMs, meanExtraMs, retransmittedShare, retransmitAfterMs } = this.latency;
     const extraMs = -Math.log(1 - this.chance.next()) * meanExtraMs;
-    const resentMs = this.chance.hit(resentShare) ? resentAfterMs : 0;
-    return (leastMs + extraMs + resentMs) / 1000;
+    const resentMs = this.chance.hit(retransmittedShare) ? retransmitAfterMs : 0;
+    return (minMs + extraMs + resentMs) / 1000;
   }
 
   listen(incarnation: Incarnation, server: net.Server, port: number): Promise<void> {
@@ -115,7 +115,7 @@
       const error = new Error(`port ${port} is in use`);
       return Promise.reject(Object.assign(error, { code: 'EADDRINUSE' }));
     }
-    const listener = { server, incarnation, open: 0 };
+    const listener = { server, incarnation, openConnections: 0 };
     listeners.set(port, listener);
     server.once('close', () => {
       if (listeners.get(port) === listener) listeners.delete(port);
@@ -125,19 +125,19 @@
 
   connect(incarnation: Incarnation, to: HostPort): SimulatedSocket {
     const socket = new SimulatedSocket(incarnation.runtime.clock, null, false, to.host);
-    const attempt: Attempt = { incarnation, socket, to, tries: 0 };
+    const attempt: ConnectionAttempt = { incarnation, socket, to, tries: 0 };
     const { host } = incarnation;
     if (!host.hasFreeSocket) this.fail(attempt, 'EMFILE');
     else
       this.world.scheduleInternal(this.drawLatencyS(), () => {
         this.tryToOpen(attempt);
       });
-    host.count(socket);
+    host.countSocket(socket);
     return socket;
   }
 
   /** An incarnation has ended: its listeners and connections go with it. */
-  closeAllOf(incarnation: Incarnation, visibility: CrashVisibility): void {
+  closeSocketsOf(incarnation: Incarnation, visibility: CrashVisibility): void {
     const { host } = incarnation;
     const listeners = this.listenersOf(host);
     host.openSockets = 0;
@@ -145,7 +145,7 @@
       if (listener.incarnation === incarnation) listeners.delete(port);
     }
     for (const connection of [...this.connections]) {
-      connection.endOf(incarnation)?.abandon(visibility === 'reset');
+      connection.endOf(incarnation)?.abort(visibility === 'reset');
     }
   }
 
@@ -155,26 +155,26 @@
     return listeners;
   }
 
-  forgetIfClosed(connection: Connection): void {
+  removeIfClosed(connection: Connection): void {
     if (!connection.open) this.connections.delete(connection);
   }
 
   private release(): void {
-    const ends = [...this.holding];
-    this.holding.clear();
+    const ends = [...this.endsWithHeldPackets];
+    this.endsWithHeldPackets.clear();
     for (const end of ends) end.release();
     const attempts = [...this.heldAttempts];
     this.heldAttempts.clear();
     for (const attempt of attempts) this.tryToOpen(attempt);
   }
 
-  private tryToOpen(attempt: Attempt): void {
+  private tryToOpen(attempt: ConnectionAttempt): void {
     const { incarnation, socket, to } = attempt;
     if (!incarnation.alive || socket.destroyed) return;
     const target = this.hosts.get(to.host);
     const effect = target ? this.rules.effectOn(incarnation.host, target) : null;
     if (target === undefined || !target.powered || !incarnation.host.powered || effect === 'drop') {
-      this.tryLater(attempt);
+      this.scheduleRetry(attempt);
     } else if (effect === 'hold') this.heldAttempts.add(attempt);
     else {
       const listener = this.listenersOf(target).get(to.port);
@@ -184,7 +184,7 @@
     }
   }
 
-  private tryLater(attempt: Attempt): void {
+  private scheduleRetry(attempt: ConnectionAttempt): void {
     const delayS = CONNECT_RETRIES_S.at(attempt.tries++);
     if (delayS === undefined) this.fail(attempt, 'ETIMEDOUT');
     else
@@ -193,7 +193,7 @@
       });
   }
 
-  private fail(attempt: Attempt, code: ConnectError): void {
+  private fail(attempt: ConnectionAttempt, code: ConnectError): void {
     this.world.schedule(this.drawLatencyS(), () => {
       attempt.incarnation.deliver(() => {
         attempt.socket.failed(code);
@@ -201,17 +201,17 @@
     });
   }
 
-  private open(attempt: Attempt, listener: Listener): void {
+  private open(attempt: ConnectionAttempt, listener: Listener): void {
     const connection = new Connection(this, attempt.incarnation, listener.incarnation);
     this.connections.add(connection);
     connection.opener.socket = attempt.socket;
     connection.acceptor.transmit({ kind: 'accept' });
     const { maxConnections } = listener.server;
-    if (maxConnections > 0 && listener.open >= maxConnections) {
+    if (maxConnections > 0 && listener.openConnections >= maxConnections) {
       connection.acceptor.close();
       return;
     }
-    listener.open++;
+    listener.openConnections++;
     this.world.schedule(0, () => {
       listener.incarnation.deliver(() => {
         accept(connection, listener);
@@ -227,8 +227,8 @@
   const { allowHalfOpen } = listener.server as net.Server & { allowHalfOpen?: boolean };
   const socket = new SimulatedSocket(clock, acceptor, allowHalfOpen === true, opener.host.address);
   acceptor.socket = socket;
-  acceptor.host.count(socket);
-  socket.once('close', () => listener.open--);
+  acceptor.host.countSocket(socket);
+  socket.once('close', () => listener.openConnections--);
   listener.server.emit('connection', socket);
 }
 
--- a/packages/testing/simulation/process.ts
+++ b/packages/testing/simulation/process.ts
@@ -49,7 +49,7 @@
     if (incarnation === null) return;
     this.incarnation = null;
     incarnation.end();
-    this.network.closeAllOf(incarnation, visibility);
+    this.network.closeSocketsOf(incarnation, visibility);
   }
 
   /** Crashes and starts again after so many seconds. */
--- a/packages/testing/simulation/random-scenario.ts
+++ b/packages/testing/simulation/random-scenario.ts
@@ -13,13 +13,13 @@
 
 /** Faults begin after the fleet has come up and end well before the scenario does. */
 const FIRST_FAULT_S = 60;
-const QUIET_END_S = 120;
+const FAULT_FREE_END_S = 120;
 /** Faults come in clusters within so many seconds, so that they combine. */
-const CLUSTER_SPAN_S = 20;
-const FAULTS_IN_CLUSTER: [number, number] = [2, 4];
-const CLUSTER_PERIOD_S: [number, number] = [50, 90];
+const BURST_SPAN_S = 20;
+const FAULTS_PER_BURST: [number, number] = [2, 4];
+const BURST_INTERVAL_S: [number, number] = [50, 90];
 
-type MakeFault = (chance: Chance, atS: number) => Fault;
+type FaultGenerator = (chance: Chance, atS: number) => Fault;
 
 /**
  * Draws the faults of a scenario of that length.
@@ -32,23 +32,23 @@
   lengthS: number,
 ): Scenario {
   const faults: Fault[] = [];
-  const lastS = lengthS - QUIET_END_S - CLUSTER_SPAN_S;
-  let clusterS = FIRST_FAULT_S;
-  while (clusterS < lastS) {
-    const count = chance.int(...FAULTS_IN_CLUSTER);
+  const lastBurstS = lengthS - FAULT_FREE_END_S - BURST_SPAN_S;
+  let burstS = FIRST_FAULT_S;
+  while (burstS < lastBurstS) {
+    const count = chance.int(...FAULTS_PER_BURST);
     for (let i = 0; i < count; i++) {
-      const make = pick(chance, MAKERS);
-      faults.push(make(chance, clusterS + drawSpan(chance, [0, CLUSTER_SPAN_S])));
+      const generate = pick(chance, FAULT_GENERATORS);
+      faults.push(generate(chance, burstS + drawUniform(chance, [0, BURST_SPAN_S])));
     }
-    clusterS += drawSpan(chance, CLUSTER_PERIOD_S);
+    burstS += drawUniform(chance, BURST_INTERVAL_S);
   }
   faults.sort((first, second) => first.atS - second.atS);
-  const workload = { classes: USUAL_CLASSES, untilS: lengthS - QUIET_END_S / 2 };
+  const workload = { classes: USUAL_CLASSES, untilS: lengthS - FAULT_FREE_END_S / 2 };
   return { name: 'random', cluster, workload, faults, lengthS };
 }
 
-const MAKERS: MakeFault[] = [
-  (chance, atS) => ({ kind: 'state-outage', atS, forS: drawSpan(chance, [3, 60]) }),
+const FAULT_GENERATORS: FaultGenerator[] = [
+  (chance, atS) => ({ kind: 'state-outage', atS, forS: drawUniform(chance, [3, 60]) }),
   (chance, atS) => ({
     kind: 'state-refuses',
     atS,
@@ -83,14 +83,14 @@
   (chance, atS) => ({
     kind: 'controller-freeze',
     atS,
-    forS: drawSpan(chance, [1, 15]),
+    forS: drawUniform(chance, [1, 15]),
     controllers: drawControllers(chance),
   }),
   (chance, atS) => ({
     kind: 'controller-roll',
     atS,
-    downS: drawSpan(chance, [0.2, 4]),
-    intervalS: drawSpan(chance, [0.5, 6]),
+    downS: drawUniform(chance, [0.2, 4]),
+    intervalS: drawUniform(chance, [0.5, 6]),
   }),
   (chance, atS) => ({ kind: 'machine-death', atS, machines: drawMachines(chance) }),
   (chance, atS) => ({
@@ -167,13 +167,13 @@
 }
 
 function drawCrash(chance: Chance, atS: number): Fault {
-  const downS = chance.hit(0.5) ? drawSpan(chance, [0.05, 1]) : drawSpan(chance, [1, 15]);
+  const downS = chance.hit(0.5) ? drawUniform(chance, [0.05, 1]) : drawUniform(chance, [1, 15]);
   const controllers = drawControllers(chance);
   return { kind: 'controller-crash', atS, controllers, downS, silent: chance.hit(0.3) };
 }
 
 function drawCancelNow(chance: Chance, atS: number): Fault {
-  const hangS = chance.hit(0.4) ? { hangS: drawSpan(chance, [5, 30]) } : {};
+  const hangS = chance.hit(0.4) ? { hangS: drawUniform(chance, [5, 30]) } : {};
   return { kind: 'cancel-now', atS, count: chance.int(2, 12), ...hangS };
 }
 
@@ -182,7 +182,7 @@
 }
 
 function drawMachines(chance: Chance): MachineTarget {
-  return { share: drawSpan(chance, [0.1, 0.7]) };
+  return { share: drawUniform(chance, [0.1, 0.7]) };
 }
 
 function drawMode(chance: Chance): CutMode {
@@ -191,14 +191,14 @@
 
 /** From a few seconds to beyond a lease, seldom beyond what a cancellation has. */
 function drawLengthS(chance: Chance): number {
-  return drawSpan(chance, chance.hit(0.2) ? [20, 60] : [2, 20]);
+  return drawUniform(chance, chance.hit(0.2) ? [20, 60] : [2, 20]);
 }
 
 function drawShare(chance: Chance): number {
-  return drawSpan(chance, [0.05, 0.6]);
+  return drawUniform(chance, [0.05, 0.6]);
 }
 
-function drawSpan(chance: Chance, [least, most]: [number, number]): number {
+function drawUniform(chance: Chance, [least, most]: [number, number]): number {
   return Math.round((least + (most - least) * chance.next()) * 100) / 100;
 }
 
--- a/packages/testing/simulation/replica-moments.ts
+++ b/packages/testing/simulation/replica-moments.ts
@@ -14,7 +14,7 @@
 }
 
 /** Messages of the log that tell of a change of phase. */
-const MESSAGES = ['replica phase changed', 'replica repair started'];
+const PHASE_MESSAGES = ['replica phase changed', 'replica repair started'];
 
 /** Follows the phases of replica groups by the controllers' logs. */
 export class ReplicaMoments {
@@ -22,31 +22,31 @@
   readonly counts = new Map<ReplicaMoment, number>();
   /** Machines of the group that reached a phase last, and of the one that a fault waited for last. */
   machines: string[] = [];
-  private waiting: { moment: ReplicaMoment; callback: () => void }[] = [];
+  private waiting: { phase: ReplicaMoment; callback: () => void }[] = [];
 
   constructor(private readonly world: World) {}
 
   /** Calls back right after a group has reached the phase. */
-  onNext(moment: ReplicaMoment, callback: () => void): void {
-    this.waiting.push({ moment, callback });
+  onNext(phase: ReplicaMoment, callback: () => void): void {
+    this.waiting.push({ phase, callback });
   }
 
   /** Reads a line of a controller's log. */
   observe(line: string): void {
     if (!line.includes('"replica')) return;
     const { msg, to, reason, machines } = JSON.parse(line) as PhaseLine;
-    if (!MESSAGES.includes(msg)) return;
+    if (!PHASE_MESSAGES.includes(msg)) return;
     if (to === 'whole') this.machines = machines;
-    this.reached(to, machines);
+    this.recordPhase(to, machines);
     if (reason !== null && ['reserved', 'starting', 'whole'].includes(to)) {
-      this.reached(`${to}-again` as ReplicaMoment, machines);
+      this.recordPhase(`${to}-again` as ReplicaMoment, machines);
     }
   }
 
-  private reached(moment: ReplicaMoment, machines: string[]): void {
-    this.counts.set(moment, (this.counts.get(moment) ?? 0) + 1);
-    const due = this.waiting.filter((each) => each.moment === moment);
-    this.waiting = this.waiting.filter((each) => each.moment !== moment);
+  private recordPhase(phase: ReplicaMoment, machines: string[]): void {
+    this.counts.set(phase, (this.counts.get(phase) ?? 0) + 1);
+    const due = this.waiting.filter((each) => each.phase === phase);
+    this.waiting = this.waiting.filter((each) => each.phase !== phase);
     for (const { callback } of due) {
       // The leader is in the middle of an event; the fault begins right after it.
       this.world.schedule(0, () => {
--- a/packages/testing/simulation/replica-service.ts
+++ b/packages/testing/simulation/replica-service.ts
@@ -11,7 +11,7 @@
 import type { World } from './world.js';
 
 /** Seconds from one request to a replica to the next. */
-const REQUEST_EVERY_S = 0.5;
+const REQUEST_INTERVAL_S = 0.5;
 
 /** The cluster, as far as replicas need it. */
 export interface ReplicaServiceOptions {
@@ -34,11 +34,11 @@
     this.members = new Members((job) => this.membersOf(job));
     this.traffic = new RequestTraffic({
       members: this.members,
-      chance: world.chance('requests to replicas'),
+      chance: world.randomStream('requests to replicas'),
       now: () => world.now,
       schedule: (delayS, run) => void world.scheduleInternal(delayS, run),
       reaches: (from, to) => this.reaches(from, to),
-      everyS: REQUEST_EVERY_S,
+      everyS: REQUEST_INTERVAL_S,
       isFenced: true,
     });
   }
--- a/packages/testing/simulation/request-log.ts
+++ b/packages/testing/simulation/request-log.ts
@@ -40,7 +40,7 @@
   /** The runtime of a controller whose answers are to be recorded. */
   watch(controller: string, runtime: Runtime): Runtime {
     return watchRequests(runtime, (req, res) => {
-      this.follow(controller, req, res);
+      this.recordAnswer(controller, req, res);
     });
   }
 
@@ -49,7 +49,7 @@
     return this.answered.filter((request) => matches(request, filter));
   }
 
-  private follow(controller: string, req: IncomingMessage, res: ServerResponse): void {
+  private recordAnswer(controller: string, req: IncomingMessage, res: ServerResponse): void {
     const { method = 'GET', url: path = '/' } = req;
     const clientHost = req.socket.remoteAddress ?? '';
     res.once('finish', () => {
--- a/packages/testing/simulation/run-scenario.ts
+++ b/packages/testing/simulation/run-scenario.ts
@@ -49,9 +49,9 @@
   make?: ControllerMaker,
 ): Promise<ScenarioResult> {
   const cluster = new Cluster(scenario.cluster, seed, make);
-  const { world, checker, timeline, controllers, leadership: leadership } = cluster;
+  const { world, checker, timeline, controllers, leadership } = cluster;
   const injector = new FaultInjector(cluster);
-  const stopWatching = collectRejections(world);
+  const stopCollecting = collectRejections(world);
   try {
     await cluster.start();
     injector.schedule(scenario.faults, () => {
@@ -60,7 +60,7 @@
     cluster.users.start(planJobs(cluster, scenario));
     await world.runUntil(scenario.lengthS);
   } finally {
-    stopWatching();
+    stopCollecting();
   }
   return {
     scenario,
@@ -91,7 +91,7 @@
 }
 
 function planJobs({ world, settings }: Cluster, { workload }: Scenario) {
-  const chance = world.chance('workload');
+  const chance = world.randomStream('workload');
   return makeWorkload(() => chance.next(), {
     classes: workload.classes,
     pipelines: workload.pipelines,
--- a/packages/testing/simulation/world.ts
+++ b/packages/testing/simulation/world.ts
@@ -36,16 +36,16 @@
   }
 
   /** A source of chance for one purpose, independent of how much others draw from theirs. */
-  chance(purpose: string): Chance {
+  randomStream(purpose: string): Chance {
     const mixed = new Digest();
-    mixed.number(this.seed);
-    mixed.text(purpose);
+    mixed.addNumber(this.seed);
+    mixed.addText(purpose);
     return new Chance(Number.parseInt(mixed.hex().slice(8), 16) | 0);
   }
 
   /** Adds a number to the digest of the run. */
   record(value: number): void {
-    this.hash.number(value);
+    this.hash.addNumber(value);
   }
 
   /** Calls back after so many seconds; the callback may run program code. */
@@ -81,16 +81,16 @@
       if (event === undefined || event.atS > untilS) return false;
       this.queue.pop();
       if (event.run === null) continue;
-      this.carryOut(event, event.run);
+      this.execute(event, event.run);
       if (event.runsProgram) return true;
     }
   }
 
-  private carryOut(event: QueuedEvent, run: () => void): void {
+  private execute(event: QueuedEvent, run: () => void): void {
     this.time = event.atS;
     this.eventCount++;
-    this.hash.number(event.atS);
-    this.hash.number(event.sequence);
+    this.hash.addNumber(event.atS);
+    this.hash.addNumber(event.sequence);
     try {
       run();
     } catch (error) {
