--- a/packages/testing/simulation/addresses.ts
+++ b/packages/testing/simulation/addresses.ts
@@ -1,50 +1,53 @@
 /** Names and addresses of the simulated hosts. */
 import type { HostPort } from '#wire';
 
-/** Where the state service listens. */
+/** Address on which the state service listens. */
 export const STATE_ADDRESS: HostPort = { host: '10.2.0.1', port: 2379 };
-/** Where the cloud listens. */
+/** Address on which the API of the cloud listens. */
 export const CLOUD_ADDRESS: HostPort = { host: '10.2.0.2', port: 8443 };
-/** Where the load balancer listens. */
+/** Address on which the load balancer listens. */
 export const BALANCER_ADDRESS: HostPort = { host: '10.2.0.3', port: 8080 };
-/** The host of all users. */
+/** Host from which all simulated users connect. */
 export const USERS_HOST = '10.3.0.1';
-/** Host of what machines share without the network: gangs and messages that are held up. */
+/**
+ * Host of the runtime behind what machines share outside the simulated network: the traffic of gangs, and
+ * heartbeats and commands that a fault delays.
+ */
 export const SHARED_SERVICES_HOST = '10.4.0.1';
-/** The host of the rule checker, which opens no connections. */
+/** Host of the rule checker, which opens no connections. */
 export const CHECKER_HOST = '10.4.0.2';
 const WORKER_PORT = 9000;
 const SERVICE_PORT = 8080;
 const PEER_PORT = 8081;
 const MACHINES_PER_SUBNET = 250;
 
-/** Where the controllers of a cluster listen, and where they reach the outside systems. */
+/** Addresses on which controllers listen, and of the outside systems that they call. */
 export interface AddressBook {
-  /** Where the controller with this index, counted from 0, serves workers and users. */
+  /** Address on which the controller with this index, counted from 0, serves workers and users. */
   service(index: number): HostPort;
-  /** Where it serves its peers. */
+  /** Address on which the controller with this index serves its peers. */
   peer(index: number): HostPort;
-  /** Where it reaches the state service. */
+  /** Address at which the controller with this index reaches the state service. */
   state(index: number): HostPort;
   cloud: HostPort;
 }
 
-/** The name of the controller with this index, counted from 0. */
+/** Name of the controller with this index, counted from 0. */
 export function controllerName(index: number): string {
   return `controller-${index}`;
 }
 
-/** Where a controller serves workers and users. */
+/** Address on which a controller serves workers and users. */
 export function serviceAddress(index: number): HostPort {
   return { host: `10.0.0.${index + 1}`, port: SERVICE_PORT };
 }
 
-/** Where a controller serves its peers. */
+/** Address on which a controller serves its peers. */
 function peerAddress(index: number): HostPort {
   return { host: `10.0.0.${index + 1}`, port: PEER_PORT };
 }
 
-/** Whether controllers serve their peers there. */
+/** Whether the port is the one on which controllers serve their peers. */
 export function isPeerAddress({ port }: HostPort): boolean {
   return port === PEER_PORT;
 }
@@ -63,7 +66,7 @@
   cloud: CLOUD_ADDRESS,
 };
 
-/** The address as `host:port`. */
+/** Formats an address as `host:port`. */
 export function formatAddress({ host, port }: HostPort): string {
   return `${host}:${port}`;
 }
--- a/packages/testing/simulation/clock.ts
+++ b/packages/testing/simulation/clock.ts
@@ -1,35 +1,36 @@
-/** The clocks of simulated processes, which drift and start at times of their own. */
+/** Clocks of simulated processes. Each has its own drift and its own reading at the start of the world. */
 import type { Clock, Timer } from '#wire';
 import type { World } from './world.js';
 
-/** Where a callback of a process comes from. */
+/** What triggered a callback of a process. */
 export type CallbackSource = 'timer' | 'network';
 
 /** Runs the callbacks of a process. */
 export interface CallbackTarget {
-  /** Runs the callback now, once the process wakes if it is frozen, never if it has ended. */
+  /** Runs the callback at once; after the freeze if the process is frozen, and never if it has ended. */
   deliver(callback: () => void, source: CallbackSource): void;
 }
 
 /** Time of day at the start of every simulated world, in milliseconds since 1970. */
 const WORLD_START_MS = Date.UTC(2026, 0, 1);
-/** Longest delay that Node's timers take; a longer one, or none, counts as one millisecond. */
+/** Longest delay that Node's timers accept. A longer delay, or one below 1 ms, becomes 1 ms. */
 const MAX_DELAY_MS = 2 ** 31 - 1;
-/** Largest drift of a steady clock that the protocol allows. */
+/** Largest drift of a monotonic clock that the protocol allows, as a fraction. */
 const MAX_DRIFT = 0.0005;
+/** Upper bound of a monotonic clock's reading at the start of the world, in seconds. */
 const MAX_INITIAL_S = 1e5;
 
 /** How the clocks of one process differ from the simulated time. */
 export interface ClockSkew {
-  /** Reading of the steady clock at the start of the world, in seconds. */
+  /** Reading of the monotonic clock at the start of the world, in seconds. */
   zeroS: number;
-  /** Share by which the steady clock runs fast. */
+  /** Fraction by which the monotonic clock runs fast. */
   drift: number;
-  /** Milliseconds by which the time of day is ahead. */
+  /** Milliseconds by which the wall clock is ahead. */
   wallOffsetMs: number;
 }
 
-/** Clock and timers of one incarnation of a process; they are dead once the incarnation has ended. */
+/** Clock and timers of one incarnation of a process. No timer fires once the incarnation has ended. */
 export class SimulatedClock implements Clock {
   constructor(
     private readonly world: World,
@@ -64,7 +65,7 @@
   }
 }
 
-/** Clocks within the bounds of the protocol; `maxWallOffsetMs` bounds the time of day. */
+/** Draws a clock skew within the bounds of the protocol; `maxWallOffsetMs` bounds the offset of the wall clock. */
 export function drawSkew(world: World, processName: string, maxWallOffsetMs: number): ClockSkew {
   const chance = world.randomStream(`clock ${processName}`);
   return {
--- a/packages/testing/simulation/cluster-settings.ts
+++ b/packages/testing/simulation/cluster-settings.ts
@@ -1,4 +1,4 @@
-/** What a simulated cluster consists of, and the settings files of its controllers. */
+/** Composition of a simulated cluster, and the settings files of its controllers. */
 import type { MachineType } from '#wire';
 import { withDefaults, type OperatorFile, type PlatformSettings, type Settings } from '#controller';
 import type { CapacityLimit, ControllerAddress } from '../stand-ins/index.js';
@@ -11,21 +11,21 @@
 
 type Deployment = PlatformSettings['deployment'];
 
-/** What a simulated cluster consists of. */
+/** Composition of a simulated cluster. */
 export interface ClusterSettings {
   controllers: number;
   /** The part of the platform's settings that all controllers share. */
   deployment: Omit<Deployment, 'nodes'>;
   operator: OperatorFile;
   machineTypes: MachineType[];
-  /** How many machines the cloud has. */
+  /** Limits on the machines that the cloud has. */
   capacity: CapacityLimit[];
-  /** Shares of machines on which tasks fail, and that are much slower than their type. */
+  /** Fraction of machines on which tasks fail, and fraction that runs much slower than its machine type. */
   faultyMachines: { faultyShare: number; slowShare: number };
   logLevel: 'error' | 'info' | 'debug';
 }
 
-/** What settles the platform's files of all controllers of a cluster. */
+/** The settings from which the platform's settings files of all controllers are made. */
 export type SharedSettings = Pick<ClusterSettings, 'controllers' | 'deployment'>;
 
 /** The settings of one simulated controller. */
@@ -34,7 +34,7 @@
   return { ...platform, operator: withDefaults(cluster.operator, platform) };
 }
 
-/** What the platform's file of one controller holds. */
+/** Content of the platform's settings file of one controller. */
 export function platformSettings(
   shared: SharedSettings,
   index: number,
@@ -60,7 +60,7 @@
   };
 }
 
-/** Where workers and users reach the controllers. */
+/** Names and addresses at which workers and users reach the controllers. */
 export function controllerAddresses(
   { controllers }: Pick<ClusterSettings, 'controllers'>,
   addresses: AddressBook = SIMULATED_ADDRESSES,
@@ -71,7 +71,7 @@
   }));
 }
 
-/** The zone of the controller with this index: all zones in turn. */
+/** Zone of the controller with this index; controllers are spread over the zones in turn. */
 export function zoneOfController({ deployment }: SharedSettings, index: number): string {
   return deployment.zones[index % deployment.zones.length];
 }
@@ -102,7 +102,7 @@
   zones: ['a', 'b', 'c'],
 };
 
-/** Three controllers in three zones, with room for twelve machines; others are made from it. */
+/** Three controllers in three zones, with a cloud of up to twelve machines; base of other cluster settings. */
 export const SMALL_CLUSTER: ClusterSettings = {
   controllers: 3,
   deployment: {
@@ -125,7 +125,7 @@
   logLevel: 'info',
 };
 
-/** Seven controllers in three zones, with room for sixty machines. */
+/** Seven controllers in three zones, with a cloud of up to sixty machines. */
 export const LARGE_CLUSTER: ClusterSettings = {
   ...SMALL_CLUSTER,
   controllers: 7,
--- a/packages/testing/simulation/cluster.test.ts
+++ b/packages/testing/simulation/cluster.test.ts
@@ -14,7 +14,7 @@
   return { name, cluster: SMALL_CLUSTER, workload, faults, lengthS };
 }
 
-test('without faults all work is served, and the same seed gives the same run', async () => {
+test('without faults all jobs are accepted and no task is killed; the same seed gives the same run', async () => {
   const quiet = scenario('quiet', 240, []);
   const [first, second, other] = [
     await runScenario(quiet, 1),
@@ -31,7 +31,7 @@
   assert.notEqual(first.digest, other.digest);
 });
 
-test('another controller becomes leader when the leader crashes, is refused, cut off or frozen', async () => {
+test('another controller leads within 12 s after the leader crashes, freezes or loses the state service', async () => {
   const cutFromState: Omit<Fault & { kind: 'controller-cut' }, 'atS' | 'forS'> = {
     kind: 'controller-cut',
     controllers: 'leader',
--- a/packages/testing/simulation/cluster.ts
+++ b/packages/testing/simulation/cluster.ts
@@ -38,7 +38,10 @@
 import { Timeline } from './timeline.js';
 import { World } from './world.js';
 
-/** Controllers and all that they deal with in one simulated world, and the checker of its rules. */
+/**
+ * Controllers, the services that they use and the users in one simulated world, with a checker of the rules of
+ * the protocol.
+ */
 export class Cluster {
   readonly world: World;
   readonly network: SimulatedNetwork;
@@ -49,16 +52,16 @@
   readonly cloud: CloudService;
   readonly machines: Machines;
   readonly controllers: SimulatedController[];
-  /** What the controllers have answered. */
+  /** Requests that the controllers have answered. */
   readonly requests: RequestLog;
-  /** What the controllers have cost, by the address of their hosts. */
+  /** Counts of requests, frames and timers of each controller, by the address of its host. */
   readonly costs = new CostCounter();
   readonly balancer: LoadBalancer;
   readonly users: Users;
   readonly leadership: LeadershipHistory;
   readonly moves: MigrationPhases;
   readonly replicaMoments: ReplicaMoments;
-  /** Requests to replicas of several members, and what members answer. */
+  /** Simulated requests to replicas of several members, and their answers. */
   readonly replicas: ReplicaService;
   private readonly observer: Observer;
 
@@ -106,7 +109,7 @@
     this.replicas.start();
   }
 
-  /** The runtime of a process that is always up, on a host of its own. */
+  /** Starts a process that is always up, on a new host with an exact clock, and returns its runtime. */
   serviceRuntime(name: string, role: HostRole, address: string): Runtime {
     const host = this.network.addHost(new SimulatedHost(name, role, address, null));
     const skew = { zeroS: 0, drift: 0, wallOffsetMs: 0 };
@@ -155,7 +158,7 @@
     return new LoadBalancer(runtime, controllerAddresses(this.settings));
   }
 
-  /** Users of their own, beside those of the cluster. */
+  /** Makes a group of users that submits jobs independently of other groups. */
   makeUsers(): Users {
     return new Users({
       runtime: this.serviceRuntime('users', 'users', USERS_HOST),
--- a/packages/testing/simulation/compare-runs.test.ts
+++ b/packages/testing/simulation/compare-runs.test.ts
@@ -17,13 +17,13 @@
 const [RUN] = randomRuns([7]);
 const FAILED: RunOutcome = { kind: 'failed', reason: 'the process ended early (1)' };
 
-test('seeds are one or a range, ends included', () => {
+test('--seeds takes one seed or a range that includes both ends; the default is ten seeds', () => {
   assert.deepEqual(readOptions(['--save', 'x', '--seeds', '7']).seeds, [7]);
   assert.deepEqual(readOptions(['--save', 'x', '--seeds', '9-11']).seeds, [9, 10, 11]);
   assert.equal(planRuns(readOptions(['--save', 'x'])).length, 10);
 });
 
-test('another checkout is told by its simulation module', () => {
+test('--sources resolves to the simulation module of the other checkout', () => {
   const { mode, jobs } = readOptions(['--sources', OWN_SOURCES, '--jobs', '2']);
   assert.ok(mode.kind === 'sources' && mode.simulation.endsWith('simulation/index.js'));
   assert.equal(jobs, 2);
@@ -44,7 +44,7 @@
 ];
 
 for (const [args, message] of REFUSED) {
-  test(`refused: ${args}`, (t) => {
+  test(`arguments are refused: ${args}`, (t) => {
     t.mock.method(process.stderr, 'write', () => true);
     assert.throws(
       () => readOptions(args.split(' ')),
@@ -54,7 +54,7 @@
   });
 }
 
-test('runs agree if both were played and had the same events', () => {
+test('runs agree only if both completed with the same digest and event count', () => {
   assert.ok(agree(PLAYED, { ...PLAYED }));
   assert.ok(!agree(PLAYED, { ...PLAYED, digest: 'ab13' }));
   assert.ok(!agree(PLAYED, { ...PLAYED, eventCount: 81 }));
@@ -62,7 +62,7 @@
   assert.ok(!agree(FAILED, FAILED));
 });
 
-test('a comparison is one line, and one more for each broken rule', () => {
+test('a comparison prints one line, and one more for each broken rule', () => {
   assert.equal(
     describeComparison(RUN, PLAYED, PLAYED),
     'random, seed 7: same, 80 events, digest ab12\n',
@@ -79,14 +79,14 @@
   );
 });
 
-/** A file in a directory that is gone after the test. */
+/** Path of a file in a temporary directory that is deleted after the test. */
 function temporaryFile(t: TestContext): string {
   const directory = mkdtempSync(path.join(tmpdir(), 'compare-runs-'));
   t.after(() => rmSync(directory, { recursive: true }));
   return path.join(directory, 'runs.json');
 }
 
-test('saved runs come back with scenario and outcome, those of the chosen seeds or all', (t) => {
+test('saved runs are loaded with scenario and outcome, filtered by seed if seeds are given', (t) => {
   const file = temporaryFile(t);
   const [first, second] = randomRuns([1, 2]).map((run) => ({ ...run, outcome: PLAYED }));
   saveRuns(file, [first]);
@@ -98,7 +98,7 @@
   assert.throws(() => planRuns(readOptions(['--against', file, '--seeds', '3'])), BadArguments);
 });
 
-test('files that hold no runs are refused', (t) => {
+test('files that are empty, malformed or missing are refused', (t) => {
   const file = temporaryFile(t);
   for (const text of ['', 'no JSON']) {
     writeFileSync(file, text);
--- a/packages/testing/simulation/compare-runs.ts
+++ b/packages/testing/simulation/compare-runs.ts
@@ -1,7 +1,7 @@
 /**
- * Compares runs of the simulated cluster between this build and another one, to see whether a change leaves
- * behaviour as it was: `node target/testing/simulation/compare-runs.js --help`. Each run is played in a process
- * of its own.
+ * Compares runs of the simulated cluster between this build and another one, to check that a change keeps
+ * behaviour as it was: `node target/testing/simulation/compare-runs.js --help`. Each run executes in a separate
+ * process.
  */
 import { fileURLToPath } from 'node:url';
 import { CommanderError } from 'commander';
@@ -18,12 +18,15 @@
 import { WorkerPool } from './comparison/worker-pool.js';
 
 const ExitCode = { same: 0, different: 1, badArguments: 2 } as const;
-/** The checkout that this program belongs to. */
+/** Root of the checkout that contains this program. */
 const OWN_SOURCES = fileURLToPath(new URL('../../..', import.meta.url));
 
 type Play = (run: ExpectedRun) => Promise<RunOutcome>;
 
-/** Plays all runs with this build, compares each with what is known of it, and prints it; the exit code. */
+/**
+ * Executes all runs with this build (`playHere`), compares each with the outcome that `playThere`
+ * returns, and prints the results. Returns the exit code.
+ */
 async function compare(runs: ExpectedRun[], playHere: Play, playThere: Play): Promise<number> {
   const played = runs.map((run) => ({ run, here: playHere(run), there: playThere(run) }));
   let sameCount = 0;
@@ -36,7 +39,7 @@
   return sameCount === runs.length ? ExitCode.same : ExitCode.different;
 }
 
-/** Plays all runs and writes them to the file unless one failed; the exit code. */
+/** Executes all runs and saves them to the file unless one failed. Returns the exit code. */
 async function save(runs: PlannedRun[], play: Play, file: string): Promise<number> {
   const finished: RecordedRun[] = [];
   for (const { run, played } of runs.map((run) => ({ run, played: play(run) }))) {
@@ -54,7 +57,7 @@
   return ExitCode.same;
 }
 
-/** The outcome that the file of the run holds. */
+/** Outcome of the run as recorded in the file from which the run was loaded. */
 function expectedOutcome({ outcome, seed }: ExpectedRun): Promise<RunOutcome> {
   if (outcome !== undefined) return Promise.resolve(outcome);
   return Promise.reject(new Error(`the run with seed ${seed} has no outcome to compare with`));
@@ -80,7 +83,7 @@
   try {
     return await run(readOptions(args));
   } catch (error) {
-    // Commander has written its own message, or the help that was asked for.
+    // Commander has already printed its error message or the requested help.
     if (error instanceof CommanderError) {
       return error.exitCode === 0 ? ExitCode.same : ExitCode.badArguments;
     }
--- a/packages/testing/simulation/connection.ts
+++ b/packages/testing/simulation/connection.ts
@@ -1,6 +1,6 @@
 /**
- * Connections of the simulated network. Each direction delivers its packets in order; what becomes of
- * a packet is decided by the rules in force when it is sent.
+ * Connections of the simulated network. Each direction delivers its packets in order. The link rules in force when
+ * a packet is sent decide whether the packet is delivered, held or dropped.
  */
 import type { LinkEffect, LinkRules } from './link-rules.js';
 import type { SimulatedHost } from './host.js';
@@ -8,31 +8,31 @@
 import type { SimulatedSocket, Transport } from './socket.js';
 import type { World } from './world.js';
 
-/** Bytes under way in one direction beyond which the sender has to wait. */
+/** Bytes in flight in one direction above which the sender has to wait. */
 const SEND_BUFFER_BYTES = 256 * 1024;
 
-/** What a connection needs of the network that it belongs to. */
+/** The part of the simulated network that connections use. */
 export interface ConnectionNetwork {
   readonly world: World;
   readonly rules: LinkRules;
-  /** Ends whose packets wait for the end of a rule. */
+  /** Connection ends with packets that are held until a link rule is removed. */
   readonly endsWithHeldPackets: Set<ConnectionEnd>;
-  /** One-way delay of the next packet, in seconds. */
+  /** Draws the one-way delay of the next packet, in seconds. */
   drawLatencyS(): number;
-  /** Drops a connection that both sides have closed. */
+  /** Removes a connection from the network if it is severed or both sides have closed it. */
   removeIfClosed(connection: Connection): void;
 }
 
-/** What one side of a connection sends to the other. */
+/** A packet from one side of a connection to the other. */
 export type Packet =
-  /** The answer to a connection attempt. */
+  /** Accepts a connection attempt. */
   { kind: 'accept' } | { kind: 'data'; bytes: Buffer } | { kind: 'end' } | { kind: 'reset' };
 
-/** A connection between two incarnations. */
+/** A connection between two incarnations of processes. */
 export class Connection {
   readonly opener: ConnectionEnd;
   readonly acceptor: ConnectionEnd;
-  /** Severed by a rule: nothing under way arrives any more. */
+  /** Whether the network has reset the connection; packets in flight are then lost. */
   severed = false;
   private effect: LinkEffect | null = null;
   private effectVersion = -1;
@@ -50,7 +50,7 @@
     return !this.severed && !(this.opener.closed && this.acceptor.closed);
   }
 
-  /** What the rules do to this connection now. */
+  /** Effect of the current link rules on this connection, cached until the rules change. */
   currentEffect(): LinkEffect | null {
     const { rules } = this.network;
     if (this.effectVersion !== rules.version) {
@@ -65,7 +65,7 @@
     return this.acceptor.incarnation === incarnation ? this.acceptor : null;
   }
 
-  /** Both sides see a reset at once. */
+  /** Resets the connection: both sides see an ECONNRESET without latency. */
   sever(): void {
     if (this.severed) return;
     this.severed = true;
@@ -78,13 +78,13 @@
   }
 }
 
-/** One side of a connection and the direction from it to the other. */
+/** One side of a connection, with the packets that this side sends. */
 export class ConnectionEnd implements Transport {
-  /** Null at the acceptor until its program has taken the connection. */
+  /** Null on the accepting side until its server has received the connection. */
   socket: SimulatedSocket | null = null;
-  /** Its program has closed it or ended. */
+  /** Whether the program on this side has closed the connection or has ended, or the connection was reset. */
   closed = false;
-  /** A packet was lost: what follows can't be delivered either. */
+  /** Whether a packet of this side was lost; later packets can't be delivered either. */
   private broken = false;
   private endSent = false;
   private readonly heldPackets: Packet[] = [];
@@ -127,8 +127,8 @@
     this.network.removeIfClosed(this.connection);
   }
 
-  /** The program has ended: the other side is told by its host, or not at all. */
-  abort(sendReset: boolean): void {
+  /** Closes this side after its program has crashed; with `sendReset`, its host resets the connection. */
+  closeAfterCrash(sendReset: boolean): void {
     if (this.closed) return;
     this.closed = true;
     if (sendReset) this.transmit({ kind: 'reset' });
@@ -146,7 +146,7 @@
     } else this.scheduleArrival(packet);
   }
 
-  /** The rules have changed: what was held is sent again, in order. */
+  /** Sends all held packets in order, under the rules now in force. */
   release(): void {
     for (const packet of this.heldPackets.splice(0)) this.transmit(packet);
   }
--- a/packages/testing/simulation/controller-log.ts
+++ b/packages/testing/simulation/controller-log.ts
@@ -1,18 +1,18 @@
-/** The logs of simulated controllers. */
+/** Logs of simulated controllers. */
 import { pino } from 'pino';
 import type { World } from './world.js';
 
-/** One line of a controller's log. */
+/** One parsed line of a controller's log. */
 export interface LogEntry {
   /** Simulated seconds. */
   atS: number;
-  /** pino's number: 20 debug, 30 info, 50 error. */
+  /** Numeric level of pino: 20 debug, 30 info, 50 error. */
   level: number;
   msg: string;
   [field: string]: unknown;
 }
 
-/** The log of one controller over all its incarnations, in memory. */
+/** In-memory log of one controller over all its incarnations. */
 export class ControllerLog {
   private readonly lines: { atS: number; text: string }[] = [];
 
@@ -22,7 +22,7 @@
     private readonly onLine: (text: string) => void = () => undefined,
   ) {}
 
-  /** A logger that writes here. */
+  /** Makes a logger that writes to this log. */
   logger(): pino.Logger {
     const write = (text: string) => {
       this.lines.push({ atS: this.world.now, text });
@@ -31,7 +31,7 @@
     return pino({ level: this.level, base: undefined, timestamp: false }, { write });
   }
 
-  /** The entries with this message, or all. */
+  /** Entries with this message; all entries if no message is given. */
   entries(msg?: string): LogEntry[] {
     const msgField = msg === undefined ? '' : `"msg":${JSON.stringify(msg)}`;
     return this.lines
--- a/packages/testing/simulation/controllers.ts
+++ b/packages/testing/simulation/controllers.ts
@@ -1,4 +1,4 @@
-/** The simulated controllers, each a process on a host of its own. */
+/** Simulated controllers, each a process on a separate host. */
 import { Controller, type Log, type Settings } from '#controller';
 import type { Runtime } from '#wire';
 import { controllerName, serviceAddress } from './addresses.js';
@@ -12,7 +12,7 @@
 import type { RequestLog } from './request-log.js';
 import type { World } from './world.js';
 
-/** A controller of the simulated cluster: its process and what it has logged. */
+/** A controller of the simulated cluster, with its process and its log. */
 export interface SimulatedController {
   index: number;
   name: string;
@@ -21,32 +21,32 @@
   log: ControllerLog;
 }
 
-/** Makes one controller, to be run by a simulated process. */
+/** Makes one controller for a simulated process to run. */
 export type ControllerMaker = (
   runtime: Runtime,
   settings: Settings,
   log: Log,
 ) => Pick<Controller, 'run'>;
 
-/** Makes controllers of this build. */
+/** Makes a controller of this build. */
 export const makeControllerOfThisBuild: ControllerMaker = (runtime, settings, log) =>
   new Controller(runtime, settings, log);
 
-/** What all controllers of a cluster share. */
+/** Objects that all controllers of a cluster share. */
 export interface ControllerServices {
   world: World;
   network: SimulatedNetwork;
   cluster: ClusterSettings;
-  /** Records what the controllers answer. */
+  /** Records the requests that the controllers answer. */
   requests: RequestLog;
-  /** Counts what they do. */
+  /** Counts requests, frames and timers of the controllers. */
   costs: CostCounter;
   make: ControllerMaker;
-  /** Told of each line of their logs. */
+  /** Called with each line that a controller logs. */
   onLogLine: (text: string) => void;
 }
 
-/** Makes the controllers of a cluster; none is started yet. */
+/** Makes the controllers of a cluster without starting them. */
 export function makeControllers(services: ControllerServices): SimulatedController[] {
   const indexes = Array.from({ length: services.cluster.controllers }, (_, index) => index);
   return indexes.map((index) => makeController(services, index));
@@ -62,10 +62,10 @@
   const log = new ControllerLog(world, cluster.logLevel, onLogLine);
   const settings = controllerSettings(cluster, index);
   const program = (runtime: Runtime) => {
-    const neverAborted = new AbortController().signal;
+    const neverCancelled = new AbortController().signal;
     const watched = requests.watch(name, costs.watchController(host.address, runtime));
     const controller = make(watched, settings, log.logger());
-    controller.run(neverAborted).catch((error: unknown) => {
+    controller.run(neverCancelled).catch((error: unknown) => {
       world.uncaught.push({ atS: world.now, where: name, error });
     });
   };
--- a/packages/testing/simulation/costs.ts
+++ b/packages/testing/simulation/costs.ts
@@ -1,6 +1,6 @@
 /**
- * Counts what controllers cost their surroundings, whatever the speed of the machine: requests, frames, timers
- * and the like. Tests of costs compare these counts, since times are never the same twice.
+ * Counts the operations of controllers: requests, peer frames, timers and connections. Tests of costs compare
+ * these counts, because measured times differ between runs and depend on the speed of the machine.
  */
 import type { IncomingMessage } from 'node:http';
 import type { Duplex } from 'node:stream';
@@ -10,28 +10,28 @@
 import { watchRequests } from '../watch-requests.js';
 import { isPeerAddress } from './addresses.js';
 
-/** What one controller did; counts since the start of its host. */
+/** Operation counts of one controller since its host was created, over all incarnations. */
 export interface Costs {
-  /** Requests that it answered. */
+  /** Requests that the controller received, by category; `questions` are neither heartbeats nor probes. */
   heartbeats: number;
   questions: number;
   probes: number;
-  /** Requests to the state service, transactions and the changes in them among these. */
+  /** Requests to the state service, the transactions among them, and the changes in these transactions. */
   stateRequests: number;
   transactions: number;
   changes: number;
   cloudRequests: number;
-  /** Commands and questions to workers, outside the answers to their heartbeats. */
+  /** Requests that the controller sends to workers directly, not in answers to heartbeats. */
   directCommands: number;
-  /** Frames to its peers, and their bytes. */
+  /** Frames and bytes sent to peers on connections that the controller opened. */
   peerFrames: number;
   peerBytes: number;
   timers: number;
-  /** Connections that it began to open. */
+  /** Connection attempts of the controller. */
   connections: number;
 }
 
-/** Outside systems whose servers count what controllers ask of them. */
+/** Counts that are taken at the servers of outside systems. */
 export type CountedServer = 'stateRequests' | 'cloudRequests' | 'directCommands';
 
 const ZERO_COSTS: Costs = {
@@ -49,16 +49,16 @@
   connections: 0,
 };
 
-/** What controllers of a cluster have cost so far, by the address of their hosts. */
+/** Operation counts of the controllers of a cluster, by the address of their hosts. */
 export class CostCounter {
   private readonly byHost = new Map<string, Costs>();
 
-  /** A copy of the counts of the controller at that host. */
+  /** Copies the current counts of the controller on this host. */
   costsOf(host: string): Costs {
     return { ...this.counts(host) };
   }
 
-  /** The runtime of a controller whose use of it is counted. */
+  /** Wraps the runtime of a controller so that its operations are counted. */
   watchController(host: string, runtime: Runtime): Runtime {
     const costs = this.counts(host);
     const watched = watchRequests(runtime, (req) => {
@@ -71,7 +71,7 @@
     };
   }
 
-  /** The runtime of an outside system whose servers count the requests of controllers. */
+  /** Wraps the runtime of an outside system so that requests from controllers to its servers are counted. */
   watchServer(cost: CountedServer, runtime: Runtime): Runtime {
     return watchRequests(runtime, (req) => {
       const costs = this.byHost.get(req.socket.remoteAddress ?? '');
@@ -79,7 +79,7 @@
     });
   }
 
-  /** Counts the transactions of the state service. */
+  /** Counts the transactions that the state service reports, and their changes. */
   observe(event: WorldEvent): void {
     if (event.kind !== 'transaction') return;
     const costs = this.byHost.get(event.clientHost);
@@ -95,17 +95,17 @@
   }
 }
 
-/** Each count of the first less that of the second. */
+/** Subtracts each count of `before` from that of `after`. */
 export function costsBetween(after: Costs, before: Costs): Costs {
   return mapCosts((name) => after[name] - before[name]);
 }
 
-/** The sum of each count. */
+/** Sums each count over all given costs. */
 export function sumCosts(all: Costs[]): Costs {
   return mapCosts((name) => all.reduce((sum, costs) => sum + costs[name], 0));
 }
 
-/** Each count times the factor. */
+/** Multiplies each count by the factor. */
 export function scaleCosts(costs: Costs, factor: number): Costs {
   return mapCosts((name) => costs[name] * factor);
 }
@@ -141,7 +141,7 @@
   return url === '/healthz' ? 'probes' : 'questions';
 }
 
-/** Counts what is written to a connection with a peer. */
+/** Counts the bytes and frames that are written to a connection to a peer. */
 function countFrames(costs: Costs, connection: Duplex): void {
   const reader = new FrameReader();
   const write = connection.write.bind(connection) as (...args: unknown[]) => boolean;
--- a/packages/testing/simulation/counts.ts
+++ b/packages/testing/simulation/counts.ts
@@ -1,22 +1,22 @@
-/** The figures of one run. */
+/** Counts of jobs, tasks and requests in one run. */
 import type { Timeline } from './timeline.js';
 
-/** What a run came to, in numbers. */
+/** Counts of one run. */
 export interface RunCounts {
   jobsSubmitted: number;
   jobsAccepted: number;
-  /** Jobs whose users were told that they are done, or cancelled. */
+  /** Jobs that an answer to a user reported as done, or as cancelled. */
   jobsDone: number;
   jobsCancelled: number;
   tasksStarted: number;
   tasksCompleted: number;
-  /** Tasks that were killed because a lease ended or a machine went. */
+  /** Tasks that were killed because a lease ended or the machine went down. */
   tasksKilled: number;
-  /** Requests of users by the status of the answer; `none` if there was none. */
+  /** Number of user requests by HTTP status of the answer; `none` counts requests without an answer. */
   answers: Record<string, number>;
 }
 
-/** Counts the events of a run. */
+/** Derives the counts of a run from its timeline. */
 export function countRun(timeline: Timeline): RunCounts {
   const accepted = new Set<string>();
   const done = new Set<string>();
--- a/packages/testing/simulation/digest.ts
+++ b/packages/testing/simulation/digest.ts
@@ -1,12 +1,12 @@
-/** A hash that tells runs apart. */
+/** A hash for comparing runs. */
 
-/** The constants of the 32-bit FNV-1a hash, and of a second hash beside it. */
+/** Constants of the 32-bit FNV-1a hash (low half), and of a second 32-bit hash (high half). */
 const FNV_OFFSET = 0x811c9dc5;
 const FNV_PRIME = 0x01000193;
 const SECOND_OFFSET = 0x9747b28c;
 const SECOND_PRIME = 0x85ebca6b;
 
-/** A running 64-bit hash of numbers and texts, to compare two runs; not cryptographic. */
+/** Incremental 64-bit hash of numbers and texts; not cryptographic. */
 export class Digest {
   private low = FNV_OFFSET;
   private high = SECOND_OFFSET;
--- a/packages/testing/simulation/event-queue.ts
+++ b/packages/testing/simulation/event-queue.ts
@@ -1,17 +1,17 @@
-/** The queue of the events of a simulated world. */
-/** A callback that waits in the queue for its time. */
+/** The event queue of a simulated world. */
+/** A callback that is scheduled for a simulated time. */
 export interface QueuedEvent {
   /** Simulated time in seconds. */
   readonly atS: number;
-  /** Order among events of the same time. */
+  /** Orders events of the same time. */
   readonly sequence: number;
   /** Null once the event was cancelled. */
   run: (() => void) | null;
-  /** Program code may have run, so microtasks must be drained before the next event. */
+  /** Whether the callback may run program code; microtasks must then be drained before the next event. */
   readonly runsProgram: boolean;
 }
 
-/** Events ordered by time and, within one time, by the order in which they were added (a binary heap). */
+/** Binary heap of events, ordered by time and then by the order in which they were added. */
 export class EventQueue {
   private readonly heap: QueuedEvent[] = [];
   private nextSequence = 0;
@@ -31,7 +31,7 @@
     return this.heap[0];
   }
 
-  /** Removes the earliest event. */
+  /** Removes and returns the earliest event. */
   pop(): QueuedEvent | undefined {
     const first = this.heap.at(0);
     const last = this.heap.pop();
--- a/packages/testing/simulation/fault-injector.ts
+++ b/packages/testing/simulation/fault-injector.ts
@@ -21,7 +21,7 @@
   UserFault,
 } from './scenario.js';
 
-/** Begins and ends the faults of a scenario at their times and keeps a journal of them. */
+/** Starts and ends the faults of a scenario at their times and records them in a journal. */
 export class FaultInjector {
   readonly journal = new FaultJournal();
   private readonly stateFaults: StateFaults;
@@ -41,7 +41,7 @@
     );
   }
 
-  /** `onAllEnded` is called once all faults and their direct effects have ended. */
+  /** Schedules all faults; calls `onAllEnded` once all faults and their direct effects have ended. */
   schedule(faults: Fault[], onAllEnded: () => void): void {
     const { world, controllers } = this.cluster;
     let remaining = faults.length;
--- a/packages/testing/simulation/fault-journal.ts
+++ b/packages/testing/simulation/fault-journal.ts
@@ -1,22 +1,22 @@
-/** What the faults of a run have hit. */
+/** Record of the faults of a run and of what each has hit. */
 import type { FaultEffect } from './faults/effect.js';
 import type { LeadershipChange } from './leadership-history.js';
 import type { Fault } from './scenario.js';
 
-/** A fault that began, and what it met. */
+/** A fault that has begun, with the controllers, machines and jobs that it hit. */
 export interface FaultRecord {
   fault: Fault;
   fromS: number;
-  /** Equal to `fromS` for a fault of a single moment. */
+  /** Equal to `fromS` for a fault without a duration. */
   untilS: number;
-  /** The leader of the shard when it began. */
+  /** Leader of the shard when the fault began; null if there was none. */
   leader: LeadershipChange | null;
   controllers: string[];
   machines: string[];
   jobs: string[];
 }
 
-/** All faults that have begun, in their order. */
+/** All faults that have begun, in the order in which they began. */
 export class FaultJournal {
   readonly records: FaultRecord[] = [];
 
@@ -30,7 +30,7 @@
     this.records.push({ fault, fromS: nowS, untilS, leader, controllers, machines, jobs });
   }
 
-  /** The faults of one kind, in the order in which they began. */
+  /** Faults of one kind, in the order in which they began. */
   of<K extends Fault['kind']>(kind: K): (FaultRecord & { fault: Fault & { kind: K } })[] {
     return this.records.filter(
       (record): record is FaultRecord & { fault: Fault & { kind: K } } =>
--- a/packages/testing/simulation/host.ts
+++ b/packages/testing/simulation/host.ts
@@ -1,22 +1,22 @@
-/** The hosts of the simulated network. */
+/** Hosts of the simulated network. */
 import type { SimulatedSocket } from './socket.js';
 
-/** What runs on a host. */
+/** Kind of process that runs on a host. */
 export type HostRole = 'controller' | 'state' | 'cloud' | 'balancer' | 'users' | 'worker';
 
-/** A machine on the network. */
+/** A host on the simulated network. */
 export class SimulatedHost {
   powered = true;
-  /** Connections that its process may have open; beyond it new ones fail. */
+  /** Limit on the open connections of the host's process; further ones fail. */
   socketLimit = Infinity;
   openSockets = 0;
 
   constructor(
     readonly name: string,
     readonly role: HostRole,
-    /** Its only IP address. */
+    /** The host's only IP address. */
     readonly address: string,
-    /** Null: belongs to no zone. */
+    /** Null if the host belongs to no zone. */
     readonly zone: string | null,
   ) {}
 
@@ -24,7 +24,7 @@
     return this.openSockets < this.socketLimit;
   }
 
-  /** Counts a socket of the running process until it closes. */
+  /** Counts a socket as open until it closes. */
   countSocket(socket: SimulatedSocket): void {
     this.openSockets++;
     socket.once('close', () => this.openSockets--);
--- a/packages/testing/simulation/incarnation.ts
+++ b/packages/testing/simulation/incarnation.ts
@@ -1,4 +1,4 @@
-/** One run of a simulated process, with a runtime of its own; nothing of it acts once it has ended. */
+/** One run of a simulated process, with a separate runtime. Its callbacks no longer run once it has ended. */
 import type { Network, Runtime } from '#wire';
 import type { Chance } from '../random.js';
 import { type CallbackSource, type ClockSkew, SimulatedClock } from './clock.js';
@@ -34,7 +34,7 @@
     };
   }
 
-  /** Runs a callback of this process: now, once it wakes if it is frozen, never if it has ended. */
+  /** Runs a callback of this process at once; after the freeze if it is frozen, and never if it has ended. */
   deliver(callback: () => void, source: CallbackSource = 'network'): void {
     if (!this.alive) return;
     if (this.frozen) {
@@ -48,7 +48,7 @@
     }
   }
 
-  /** Stands still for so many seconds while its clocks run on; ends with the latest of several freezes. */
+  /** Runs no callbacks for `forS` seconds while the clocks go on. If freezes overlap, the latest end counts. */
   freeze(forS: number): void {
     this.frozen = true;
     this.frozenUntilS = Math.max(this.frozenUntilS, this.world.now + forS);
@@ -58,8 +58,8 @@
   }
 
   /**
-   * All that came in the meantime is delivered: in its order, or what came from the network before the
-   * timers or after them, since an event loop may do either first.
+   * Delivers all callbacks that were deferred during the freeze: in order of arrival, timers first or network
+   * events first, since a real event loop may process either kind first.
    */
   private resume(): void {
     if (!this.frozen || this.world.now < this.frozenUntilS) return;
@@ -78,7 +78,7 @@
   }
 }
 
-/** Three orders, each as likely as the others. */
+/** Picks one of three orders with equal probability: order of arrival, timers first, or network events first. */
 function orderAfterFreeze(waiting: DeferredCallback[], chance: Chance): DeferredCallback[] {
   const first = [null, 'timer', 'network'][chance.int(0, 2)];
   if (first === null) return waiting;
--- a/packages/testing/simulation/leadership-history.ts
+++ b/packages/testing/simulation/leadership-history.ts
@@ -1,22 +1,23 @@
-/** Which controllers have led the shard. */
+/** History of the leaders of the shard. */
 import { decodeLeader, shardKey } from '#store';
 import type { World } from './world.js';
 
+/** Seconds between two checks of the shard's key. */
 const SAMPLE_INTERVAL_S = 0.05;
 
-/** The leader of a term, and since when. */
+/** The beginning of a leader's term. */
 export interface LeadershipChange {
   atS: number;
   /** Name of the controller. */
   leader: string;
-  /** Version of the shard's key. */
+  /** Version of the shard's key in the state service. */
   term: number;
 }
 
-/** What the state service holds under a key. */
+/** Reads a key of the state service; null if the key doesn't exist. */
 export type KeyReader = (key: string) => { value: unknown; version: number } | null;
 
-/** Follows the shard's key in the state service. */
+/** Records the leaders of the shard by sampling its key in the state service. */
 export class LeadershipHistory {
   readonly changes: LeadershipChange[] = [];
   private leader: LeadershipChange | null = null;
@@ -29,13 +30,13 @@
     this.sample();
   }
 
-  /** The present leader of the shard by its key in the state service; null if there is none. */
+  /** Current leader according to the shard's key in the state service; null if there is none. */
   current(): LeadershipChange | null {
     this.refresh();
     return this.leader;
   }
 
-  /** Calls back once another term has begun. */
+  /** Calls back once, when the next term begins. */
   onNextChange(callback: () => void): void {
     this.refresh();
     this.changeCallbacks.push(callback);
--- a/packages/testing/simulation/link-rules.ts
+++ b/packages/testing/simulation/link-rules.ts
@@ -1,28 +1,28 @@
 /** Rules that hold back, drop or refuse traffic between hosts. */
 import type { SimulatedHost } from './host.js';
 
-/** What happens to connections while a rule is in force. */
+/** Effect of a rule on connections while it is in force. */
 export type LinkEffect =
   /** Open connections are reset, new ones refused. */
   | 'refuse'
-  /** Packets wait and arrive in order once the rule ends. */
+  /** Packets are held, and sent in order once the rule is removed. */
   | 'hold'
-  /** Packets are lost without an error; a connection that has lost one stays silent for good. */
+  /** Packets are lost without an error. A direction that has lost a packet delivers nothing more. */
   | 'drop'
-  /** What the opening side sends arrives, what it should receive is lost. */
+  /** Data from the opening side arrives; data from the accepting side is lost. */
   | 'drop-answers';
 
-/** Whether a rule is about the host. */
+/** Whether a rule applies to the host. */
 export type HostFilter = (host: SimulatedHost) => boolean;
 
-/** Applies to the connections that hosts of one kind open to hosts of another. */
+/** A rule for connections from hosts that match `opener` to hosts that match `acceptor`. */
 export interface LinkRule {
   opener: HostFilter;
   acceptor: HostFilter;
   effect: LinkEffect;
 }
 
-/** The rules in force. `version` changes with each change of them. */
+/** The rules in force. `version` changes whenever a rule is added or removed. */
 export class LinkRules {
   version = 0;
   private readonly rules = new Set<LinkRule>();
@@ -37,7 +37,7 @@
     this.version++;
   }
 
-  /** The strongest effect on connections from one host to another, null if there is none. */
+  /** Strongest effect on connections from one host to another; null if no rule applies. */
   effectOn(opener: SimulatedHost, acceptor: SimulatedHost): LinkEffect | null {
     let strongest: LinkEffect | null = null;
     for (const rule of this.rules) {
--- a/packages/testing/simulation/machines.ts
+++ b/packages/testing/simulation/machines.ts
@@ -1,4 +1,4 @@
-/** The machines of a simulated cluster and their workers. */
+/** Machines of a simulated cluster and their workers. */
 import {
   Fleet,
   GangNetwork,
@@ -30,20 +30,20 @@
   worker: Worker;
 }
 
-/** What the machines of a cluster share. */
+/** Objects that all machines of a cluster share. */
 export interface MachinesOptions {
   world: World;
   network: SimulatedNetwork;
   cluster: ClusterSettings;
   storage: JobStorage;
   observer: Observer;
-  /** Counts what controllers ask of workers directly. */
+  /** Counts the requests that controllers send to workers directly. */
   costs: CostCounter;
-  /** Of a process that outlives all machines. */
+  /** Runtime of a process that outlives all machines. */
   runtime: Runtime;
 }
 
-/** Gives each machine that the cloud has up a host of its own, on which its worker runs. */
+/** Gives each machine that the cloud provisions a simulated host on which its worker runs. */
 export class Machines {
   readonly fleet: Fleet;
   readonly lateHeartbeats: LateHeartbeats;
--- a/packages/testing/simulation/migration-phases.ts
+++ b/packages/testing/simulation/migration-phases.ts
@@ -1,20 +1,20 @@
-/** Follows migrations of the shard, so that faults can begin at a phase. */
+/** Tracks migrations of the shard, so that faults can begin at a given phase. */
 import { migrationKey, type MigrationRecord, type StoredMigration } from '#shards';
 import { decodeLeader, shardKey } from '#store';
 import type { Change } from '#wire';
 import type { WorldEvent } from '../stand-ins/index.js';
 
-/** The phase of a migration by its record; `switched`: the target leads the shard. */
+/** Phase of a migration according to its stored record; `switched` once the target leads the shard. */
 export type MigrationPhase = MigrationRecord['phase'] | 'switched';
 
 const SHARD = 0;
 
-/** Follows the migrations of the shard by the transactions that the state service carries out. */
+/** Tracks migrations of the shard by the transactions that the state service applies. */
 export class MigrationPhases {
-  /** The controllers between which the shard moves, or moved last. */
+  /** Source and target controller of the current migration, or of the last one. */
   source: string | null = null;
   target: string | null = null;
-  /** How often each phase was reached. */
+  /** Number of times that each phase was reached. */
   readonly counts: Record<MigrationPhase, number> = {
     requested: 0,
     prepared: 0,
@@ -23,7 +23,7 @@
   };
   private waiting: { phase: MigrationPhase; callback: () => void }[] = [];
 
-  /** `currentLeader` tells the present leader of the shard. */
+  /** `currentLeader` returns the name of the shard's current leader; null if there is none. */
   constructor(private readonly currentLeader: () => string | null) {}
 
   observe(event: WorldEvent): void {
@@ -31,7 +31,7 @@
     for (const change of event.changes) this.apply(change, event.changes);
   }
 
-  /** Calls back once a migration reaches the phase. */
+  /** Calls back the next time that a migration reaches the phase. */
   onNext(phase: MigrationPhase, callback: () => void): void {
     this.waiting.push({ phase, callback });
   }
--- a/packages/testing/simulation/network.test.ts
+++ b/packages/testing/simulation/network.test.ts
@@ -14,7 +14,7 @@
 
 const SERVER = { host: '10.0.0.1', port: 8080 };
 
-/** Answers with how many requests this incarnation has served and on which connection. */
+/** Answers each request with the number of requests that this incarnation has served and the request's body. */
 function countingServer(runtime: Runtime, onConnection: () => void): void {
   let served = 0;
   const server = http.createServer((req, res) => {
@@ -39,7 +39,7 @@
   }
 }
 
-/** What a request came to: the answer's text or the error's code. */
+/** Posts the body; resolves with the answer's text, the error code, or `timeout`. */
 function post(
   runtime: Runtime,
   agent: http.Agent,
@@ -112,7 +112,7 @@
   };
 }
 
-test('keep-alive HTTP runs over simulated connections', async () => {
+test('HTTP requests with keep-alive share one simulated connection', async () => {
   const { world, results, opened } = makeWorld(1);
   await world.runUntil(9.5);
   assert.deepEqual(results, [
@@ -131,7 +131,7 @@
   assert.deepEqual(world.uncaught, []);
 });
 
-test('a crashed process leaves nothing behind and serves again after its restart', async () => {
+test('a crashed process refuses connections and sends nothing; after its restart it starts afresh', async () => {
   const { world, server, client, results } = makeWorld(2);
   await world.runUntil(2.5);
   server.restart(0.2);
@@ -146,7 +146,7 @@
   assert.equal(results.length, 6);
 });
 
-test('a silent crash shows only when the other side writes', async () => {
+test('the client of a silently crashed server gets a reset only when it sends its next request', async () => {
   const { world, server, results } = makeWorld(3);
   await world.runUntil(0.5);
   server.crash('silent');
@@ -155,7 +155,7 @@
   assert.deepEqual(results, ['1:0', 'ECONNRESET', '1:2']);
 });
 
-test('a frozen process serves what came meanwhile once it wakes', async () => {
+test('a frozen process serves the requests that arrived during the freeze once the freeze ends', async () => {
   const { world, server, results } = makeWorld(4);
   await world.runUntil(0.5);
   server.freeze(3);
@@ -163,57 +163,57 @@
   assert.deepEqual(results, ['1:0', '2:1 after 2 s']);
   server.freeze(6);
   await world.runUntil(11.9);
-  // The third request was given up after 4 s and served all the same.
+  // The client gave up the third request after 4 s; the server served it nevertheless after the freeze.
   assert.deepEqual(results.slice(2), ['timeout after 4 s', '4:3 after 1 s', '5:4']);
 });
 
 const effects: [LinkEffect, string[]][] = [
   ['refuse', ['1:0', 'ECONNREFUSED', 'ECONNREFUSED', 'ECONNREFUSED', '2:4', '3:5']],
-  // The request that was given up arrives after the cut.
+  // The request that the client gave up still arrives once the rule is removed.
   ['hold', ['1:0', 'timeout after 4 s', '3:2 after 1 s']],
   ['drop', ['1:0', 'timeout after 4 s', '2:2 after 1 s']],
   ['drop-answers', ['1:0', 'timeout after 4 s']],
 ];
 for (const [effect, expected] of effects) {
-  test(`connections under the rule ${effect}`, async () => {
+  test(`under the link rule ${effect}, requests end with the expected answers and errors`, async () => {
     const { world, network, rule, results } = makeWorld(5);
     await world.runUntil(0.5);
-    const lift = network.apply(rule(effect));
+    const removeRule = network.apply(rule(effect));
     await world.runUntil(effect === 'refuse' ? 3.5 : 6.5);
-    lift();
+    removeRule();
     await world.runUntil(effect === 'refuse' ? 5.5 : 7.5);
     assert.deepEqual(results, expected);
   });
 }
 
-test('a connection attempt that was given up under a rule does not complete later', async () => {
+test('a connection attempt that the client gave up under a hold rule is not accepted later', async () => {
   const { world, network, rule, opened, accepted, client } = makeWorld(6);
-  const lift = network.apply(rule('hold'));
+  const removeRule = network.apply(rule('hold'));
   await world.runUntil(5.5);
   assert.equal(opened(), 2);
   client.freeze(10);
-  lift();
+  removeRule();
   await world.runUntil(6);
   assert.equal(accepted(), 1);
 });
 
-test('connections beyond the limit of a server are closed at once', async () => {
+test('connections beyond maxConnections of a server are closed at once', async () => {
   const { world, network, client, results } = makeWorld(7);
-  const hold = new SimulatedHost('holder', 'worker', '10.1.0.2', 'a');
-  network.addHost(hold);
+  const holderHost = new SimulatedHost('holder', 'worker', '10.1.0.2', 'a');
+  network.addHost(holderHost);
   client.crash();
   const skew = { zeroS: 0, drift: 0, wallOffsetMs: 0 };
-  const dial = (runtime: Runtime) => {
+  const openTwo = (runtime: Runtime) => {
     for (let i = 0; i < 2; i++) runtime.network.connect(SERVER).on('error', () => {});
   };
-  new SimulatedProcess(world, network, hold, 'holder', dial, skew).start();
+  new SimulatedProcess(world, network, holderHost, 'holder', openTwo, skew).start();
   await world.runUntil(1);
   client.start();
   await world.runUntil(1.5);
   assert.deepEqual(results, ['ECONNRESET']);
 });
 
-test('a host without free sockets opens no connection and refuses those of others', async () => {
+test('a host at its socket limit fails to open connections and refuses incoming ones', async () => {
   const { world, server, client, results } = makeWorld(8);
   await world.runUntil(0.5);
   server.host.socketLimit = 1;
@@ -229,7 +229,7 @@
   assert.deepEqual(results, ['1:0', '2:0', 'EMFILE', 'ECONNREFUSED']);
 });
 
-test('the same seed gives the same run, another seed another one', async () => {
+test('the same seed gives the same digest, another seed a different one', async () => {
   const digests = [];
   for (const seed of [7, 7, 8]) {
     const { world, server } = makeWorld(seed);
--- a/packages/testing/simulation/network.ts
+++ b/packages/testing/simulation/network.ts
@@ -1,4 +1,4 @@
-/** The simulated network: hosts with one address each, listeners, connections and rules of failure. */
+/** The simulated network: hosts with one address each, listeners, connections and link rules. */
 import type net from 'node:net';
 import type { Duplex } from 'node:stream';
 import type { HostPort, Network } from '#wire';
@@ -10,15 +10,15 @@
 import { SimulatedSocket } from './socket.js';
 import type { World } from './world.js';
 
-/** When an unanswered connection attempt is repeated, in seconds after the one before. */
+/** Delays before the retries of an unanswered connection attempt, in seconds. */
 const CONNECT_RETRIES_S = [1, 2, 4, 8, 16, 32];
 
-/** One-way delays between any two hosts. */
+/** Distribution of the one-way delay between any two hosts. */
 export interface LatencyModel {
   minMs: number;
-  /** Mean of what comes on top, distributed exponentially. */
+  /** Mean of the exponentially distributed delay on top of `minMs`. */
   meanExtraMs: number;
-  /** Share of packets that are lost once and sent again. */
+  /** Fraction of packets that are lost once and retransmitted. */
   retransmittedShare: number;
   retransmitAfterMs: number;
 }
@@ -38,11 +38,11 @@
   tries: number;
 }
 
-/** What the others see of a process that has crashed. */
+/** How other hosts notice that a process has crashed. */
 export type CrashVisibility =
-  /** Its host resets its connections. */
+  /** The host of the process resets its connections. */
   | 'reset'
-  /** Nothing, until they write to it again. */
+  /** Other hosts notice nothing until they send to the process again. */
   | 'silent';
 
 /** A server at a port of a host. */
@@ -54,10 +54,10 @@
 
 type ConnectError = 'ECONNREFUSED' | 'ETIMEDOUT' | 'EMFILE';
 
-/** The network that joins all hosts of a simulated world. */
+/** The network that connects all hosts of a simulated world. */
 export class SimulatedNetwork implements ConnectionNetwork {
   readonly rules = new LinkRules();
-  /** Ends whose packets wait for the end of a rule. */
+  /** Connection ends with packets that are held until a link rule is removed. */
   readonly endsWithHeldPackets = new Set<ConnectionEnd>();
   private readonly hosts = new Map<string, SimulatedHost>();
   /** By host and port. */
@@ -82,7 +82,7 @@
     return [...this.hosts.values()];
   }
 
-  /** Puts a rule in force until the returned function is called. */
+  /** Applies a rule until the returned function is called. */
   apply(rule: LinkRule): () => void {
     this.rules.add(rule);
     if (rule.effect === 'refuse') this.reset(rule);
@@ -92,7 +92,7 @@
     };
   }
 
-  /** Resets the open connections that a rule is about. */
+  /** Resets the open connections that match a rule. */
   reset(rule: Pick<LinkRule, 'opener' | 'acceptor'>): void {
     for (const connection of [...this.connections]) {
       const { opener, acceptor } = connection;
@@ -136,7 +136,7 @@
     return socket;
   }
 
-  /** An incarnation has ended: its listeners and connections go with it. */
+  /** Closes the listeners and connections of an incarnation that has ended. */
   closeSocketsOf(incarnation: Incarnation, visibility: CrashVisibility): void {
     const { host } = incarnation;
     const listeners = this.listenersOf(host);
@@ -145,7 +145,7 @@
       if (listener.incarnation === incarnation) listeners.delete(port);
     }
     for (const connection of [...this.connections]) {
-      connection.endOf(incarnation)?.abort(visibility === 'reset');
+      connection.endOf(incarnation)?.closeAfterCrash(visibility === 'reset');
     }
   }
 
@@ -220,7 +220,7 @@
   }
 }
 
-/** Passes a connection to the server's program. */
+/** Passes an accepted connection to the server. */
 function accept(connection: Connection, listener: Listener): void {
   const { opener, acceptor } = connection;
   const { clock } = acceptor.incarnation.runtime;
@@ -232,7 +232,7 @@
   listener.server.emit('connection', socket);
 }
 
-/** The network as one incarnation of a process sees it; dead once the incarnation has ended. */
+/** Network of one incarnation of a process. Once it has ended, no connection opens and no server listens. */
 export class IncarnationNetwork implements Network {
   constructor(
     private readonly network: SimulatedNetwork,
--- a/packages/testing/simulation/process.ts
+++ b/packages/testing/simulation/process.ts
@@ -1,4 +1,4 @@
-/** Processes of the simulated world, each of which may run many times. */
+/** Processes of the simulated world. Each process may run many times, as one incarnation after another. */
 import type { Runtime } from '#wire';
 import type { ClockSkew } from './clock.js';
 import type { SimulatedHost } from './host.js';
@@ -6,14 +6,14 @@
 import { type CrashVisibility, IncarnationNetwork, type SimulatedNetwork } from './network.js';
 import type { World } from './world.js';
 
-/** What a process runs; called again for each incarnation. */
+/** Entry point of a process; called for each incarnation. */
 export type Program = (runtime: Runtime) => void;
 
-/** A process, which may be started, crashed, restarted and frozen. */
+/** A process that tests can start, crash, restart and freeze. */
 export class SimulatedProcess {
-  /** The current run, null while the process is down. */
+  /** Current incarnation; null while the process is down. */
   incarnation: Incarnation | null = null;
-  /** How often the process has started. */
+  /** Number of times that the process has started. */
   starts = 0;
 
   constructor(
@@ -29,7 +29,7 @@
     return this.incarnation !== null;
   }
 
-  /** Starts unless it runs already; returns the current run. */
+  /** Starts the process unless it is running; returns the current incarnation. */
   start(): Incarnation {
     if (this.incarnation !== null) return this.incarnation;
     this.starts++;
@@ -43,7 +43,7 @@
     return incarnation;
   }
 
-  /** Ends the process without any clean-up of its own. */
+  /** Ends the process without giving it a chance to clean up. */
   crash(visibility: CrashVisibility = 'reset'): void {
     const { incarnation } = this;
     if (incarnation === null) return;
@@ -52,13 +52,13 @@
     this.network.closeSocketsOf(incarnation, visibility);
   }
 
-  /** Crashes and starts again after so many seconds. */
+  /** Crashes the process and starts it again after `downS` seconds. */
   restart(downS: number, visibility: CrashVisibility = 'reset'): void {
     this.crash(visibility);
     this.world.schedule(downS, () => this.start());
   }
 
-  /** Stands still for so many seconds. */
+  /** Suspends the process for `forS` seconds; has no effect if it is down. */
   freeze(forS: number): void {
     this.incarnation?.freeze(forS);
   }
--- a/packages/testing/simulation/random-scenario.ts
+++ b/packages/testing/simulation/random-scenario.ts
@@ -1,4 +1,4 @@
-/** Random scenarios, to search for combinations of faults that no test names. */
+/** Random scenarios, to search for combinations of faults that no test lists. */
 import type { Chance } from '../random.js';
 import { USUAL_CLASSES } from '../stand-ins/index.js';
 import type { ClusterSettings } from './cluster-settings.js';
@@ -11,10 +11,10 @@
   Scenario,
 } from './scenario.js';
 
-/** Faults begin after the fleet has come up and end well before the scenario does. */
+/** Faults begin after the fleet is up, and early enough to end well before the scenario does. */
 const FIRST_FAULT_S = 60;
-const FAULT_FREE_END_S = 120;
-/** Faults come in clusters within so many seconds, so that they combine. */
+const LAST_FAULT_BEFORE_END_S = 120;
+/** Faults come in bursts, so that faults overlap: all faults of a burst begin within this time. */
 const BURST_SPAN_S = 20;
 const FAULTS_PER_BURST: [number, number] = [2, 4];
 const BURST_INTERVAL_S: [number, number] = [50, 90];
@@ -22,9 +22,9 @@
 type FaultGenerator = (chance: Chance, atS: number) => Fault;
 
 /**
- * Draws the faults of a scenario of that length.
+ * Draws the faults of a scenario of the given length.
  *
- * @public For hunts (docs/simulation.md).
+ * @public For random searches for faults (docs/simulation.md).
  */
 export function randomScenario(
   chance: Chance,
@@ -32,7 +32,7 @@
   lengthS: number,
 ): Scenario {
   const faults: Fault[] = [];
-  const lastBurstS = lengthS - FAULT_FREE_END_S - BURST_SPAN_S;
+  const lastBurstS = lengthS - LAST_FAULT_BEFORE_END_S - BURST_SPAN_S;
   let burstS = FIRST_FAULT_S;
   while (burstS < lastBurstS) {
     const count = chance.int(...FAULTS_PER_BURST);
@@ -43,7 +43,7 @@
     burstS += drawUniform(chance, BURST_INTERVAL_S);
   }
   faults.sort((first, second) => first.atS - second.atS);
-  const workload = { classes: USUAL_CLASSES, untilS: lengthS - FAULT_FREE_END_S / 2 };
+  const workload = { classes: USUAL_CLASSES, untilS: lengthS - LAST_FAULT_BEFORE_END_S / 2 };
   return { name: 'random', cluster, workload, faults, lengthS };
 }
 
@@ -189,7 +189,7 @@
   return pick<CutMode>(chance, ['refuse', 'hold', 'drop']);
 }
 
-/** From a few seconds to beyond a lease, seldom beyond what a cancellation has. */
+/** Draws a duration from 2 s to longer than a lease; seldom longer than the time limit of a cancellation. */
 function drawLengthS(chance: Chance): number {
   return drawUniform(chance, chance.hit(0.2) ? [20, 60] : [2, 20]);
 }
--- a/packages/testing/simulation/replica-moments.ts
+++ b/packages/testing/simulation/replica-moments.ts
@@ -1,11 +1,14 @@
-/** Follows the phases of replica groups, so that faults can begin at one. */
+/** Tracks the phases of replica groups, so that faults can begin at a given phase. */
 import type { GroupPhase } from '#replicas';
 import type { World } from './world.js';
 
-/** A phase of a replica group; `-again`: after a member was lost, or the replica was moved or stopped. */
+/**
+ * A phase of a replica group. The phases that end in `-again` are reached after a member was lost, or after the
+ * replica was moved or stopped.
+ */
 export type ReplicaMoment = GroupPhase | 'reserved-again' | 'starting-again' | 'whole-again';
 
-/** What a leader's log says of a change of phase. */
+/** Fields of the log line with which a leader reports a change of phase. */
 interface PhaseLine {
   msg: string;
   to: GroupPhase;
@@ -13,25 +16,25 @@
   machines: string[];
 }
 
-/** Messages of the log that tell of a change of phase. */
+/** Messages of the log lines that report a change of phase. */
 const PHASE_MESSAGES = ['replica phase changed', 'replica repair started'];
 
-/** Follows the phases of replica groups by the controllers' logs. */
+/** Tracks the phases of replica groups by the controllers' logs. */
 export class ReplicaMoments {
-  /** How often each phase was reached. */
+  /** Number of times that each phase was reached. */
   readonly counts = new Map<ReplicaMoment, number>();
-  /** Machines of the group that reached a phase last, and of the one that a fault waited for last. */
+  /** Machines of the group that a fault waited for or that became `whole`, whichever came last. */
   machines: string[] = [];
   private waiting: { phase: ReplicaMoment; callback: () => void }[] = [];
 
   constructor(private readonly world: World) {}
 
-  /** Calls back right after a group has reached the phase. */
+  /** Calls back the next time that a group reaches the phase, right after the current event. */
   onNext(phase: ReplicaMoment, callback: () => void): void {
     this.waiting.push({ phase, callback });
   }
 
-  /** Reads a line of a controller's log. */
+  /** Processes a line of a controller's log. */
   observe(line: string): void {
     if (!line.includes('"replica')) return;
     const { msg, to, reason, machines } = JSON.parse(line) as PhaseLine;
@@ -48,7 +51,7 @@
     const due = this.waiting.filter((each) => each.phase === phase);
     this.waiting = this.waiting.filter((each) => each.phase !== phase);
     for (const { callback } of due) {
-      // The leader is in the middle of an event; the fault begins right after it.
+      // The leader is still processing an event; the fault must begin right after that event.
       this.world.schedule(0, () => {
         this.machines = machines;
         callback();
--- a/packages/testing/simulation/replica-service.ts
+++ b/packages/testing/simulation/replica-service.ts
@@ -1,4 +1,4 @@
-/** Replicas of several members, and the requests to them. */
+/** Simulates replicas of several members and the requests to them. */
 import { type ReplicaClasses, replicaShapeOf } from '#replicas';
 import { type Answer, brokenAnswers } from './replica-traffic/answers.js';
 import { Members } from './replica-traffic/members.js';
@@ -10,10 +10,10 @@
 import type { SimulatedNetwork } from './network.js';
 import type { World } from './world.js';
 
-/** Seconds from one request to a replica to the next. */
+/** Seconds between two requests to a replica. */
 const REQUEST_INTERVAL_S = 0.5;
 
-/** The cluster, as far as replicas need it. */
+/** The part of the cluster that the simulated replicas use. */
 export interface ReplicaServiceOptions {
   world: World;
   network: SimulatedNetwork;
@@ -22,7 +22,10 @@
   settings: ClusterSettings;
 }
 
-/** Replicas of several members in the simulated cluster, and requests to them; idle if the operators have none. */
+/**
+ * Replicas of several members in the simulated cluster, and requests to them; idle if the operators' settings
+ * define no replica groups.
+ */
 export class ReplicaService {
   readonly members: Members;
   private readonly traffic: RequestTraffic;
@@ -55,7 +58,7 @@
     return this.traffic.answers;
   }
 
-  /** Answers that were not the work of one whole generation. */
+  /** Answers that were not produced by all members of a single generation of the replica. */
   get broken(): Answer[] {
     return brokenAnswers(this.answers);
   }
--- a/packages/testing/simulation/request-log.ts
+++ b/packages/testing/simulation/request-log.ts
@@ -1,23 +1,23 @@
-/** Which controller answered which request, for tests that ask who told whom. */
+/** Records which controller answered which request, for tests. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Runtime } from '#wire';
 import { watchRequests } from '../watch-requests.js';
 import type { World } from './world.js';
 
-/** A request that a controller has answered. */
+/** A request that a controller has answered, and the status of the answer. */
 export interface AnsweredRequest {
-  /** When the answer was written, in simulated seconds. */
+  /** Time at which the answer was written, in simulated seconds. */
   atS: number;
   /** Name of the controller. */
   controller: string;
   method: string;
   path: string;
   status: number;
-  /** IP address of the host that asked. */
+  /** IP address of the host that sent the request. */
   clientHost: string;
 }
 
-/** Which requests to find; what is left out matches all. */
+/** Conditions on the requests to find; omitted ones match all requests. */
 export type RequestFilter = Partial<
   Pick<AnsweredRequest, 'controller' | 'method' | 'status' | 'clientHost'>
 > & {
@@ -26,9 +26,9 @@
   untilS?: number;
 };
 
-/** What workers post their heartbeats to. */
+/** Path to which workers post their heartbeats. */
 export const HEARTBEAT_PATH = /^\/hello$/;
-/** Where users cancel a job. */
+/** Path at which users cancel a job. */
 export const CANCEL_PATH = /^\/submissions\/[^/]+\/abort$/;
 
 /** Collects the requests that controllers have answered. */
@@ -37,14 +37,14 @@
 
   constructor(private readonly world: World) {}
 
-  /** The runtime of a controller whose answers are to be recorded. */
+  /** Wraps the runtime of a controller so that its answers are recorded. */
   watch(controller: string, runtime: Runtime): Runtime {
     return watchRequests(runtime, (req, res) => {
       this.recordAnswer(controller, req, res);
     });
   }
 
-  /** The answered requests that match, in the order of their answers. */
+  /** Answered requests that match the filter, in the order of their answers. */
   find(filter: RequestFilter): AnsweredRequest[] {
     return this.answered.filter((request) => matches(request, filter));
   }
--- a/packages/testing/simulation/run-scenario.ts
+++ b/packages/testing/simulation/run-scenario.ts
@@ -1,4 +1,4 @@
-/** Plays a scenario and says what came of it. */
+/** Runs a scenario and collects the results. */
 import { describeViolation, makeWorkload, type Violation } from '../stand-ins/index.js';
 import { Cluster } from './cluster.js';
 import type { ControllerMaker, SimulatedController } from './controllers.js';
@@ -14,35 +14,36 @@
 import type { Timeline } from './timeline.js';
 import type { UncaughtError, World } from './world.js';
 
-/** What came of a run. */
+/** Results of a run. */
 export interface ScenarioResult {
   scenario: Scenario;
   seed: number;
   /** Broken rules of the protocol, in the order in which they were found. */
   violations: Violation[];
-  /** Errors that nobody caught, in controllers or stand-ins. */
+  /** Uncaught errors in controllers or stand-ins. */
   uncaught: UncaughtError[];
   counts: RunCounts;
   faults: FaultJournal;
-  /** Who led from when on. */
+  /** Leaders of the shard, with the beginning of each term. */
   leaders: LeadershipChange[];
-  /** How far migrations of the shard came. */
+  /** Phases that migrations of the shard reached. */
   moves: MigrationPhases;
-  /** How far replica groups came, and what was asked of them. */
+  /** Phases that replica groups reached. */
   replicaMoments: ReplicaMoments;
+  /** Simulated requests to replica groups, and their answers. */
   replicas: ReplicaService;
-  /** All that the stand-ins did and saw. */
+  /** All events that the stand-ins reported. */
   timeline: Timeline;
-  /** What the controllers have answered to workers and users. */
+  /** Requests of workers and users that the controllers have answered. */
   requests: RequestLog;
   /** The controllers with their logs. */
   controllers: SimulatedController[];
-  /** The same for two runs exactly if their events were the same. */
+  /** Hash of all events; equal for two runs with the same events. */
   digest: string;
   eventCount: number;
 }
 
-/** Plays the scenario, with other controllers than ours if they are given; the same seed gives the same run. */
+/** Runs the scenario, with controllers of this build unless `make` is given. The same seed gives the same run. */
 export async function runScenario(
   scenario: Scenario,
   seed: number,
@@ -81,7 +82,7 @@
   };
 }
 
-/** Broken rules and uncaught errors, one line each; empty if all went well. */
+/** Describes broken rules and uncaught errors, one string each; empty if there were none. */
 export function describeProblems({ violations, uncaught }: ScenarioResult): string[] {
   const errors = uncaught.map(({ atS, where, error }) => {
     const text = error instanceof Error ? String(error.stack) : String(error);
@@ -101,7 +102,7 @@
   });
 }
 
-/** Takes rejections that nobody handles as errors of the run. */
+/** Records unhandled promise rejections as uncaught errors of the run until the returned function is called. */
 function collectRejections(world: World): () => void {
   const record = (error: unknown) => {
     world.uncaught.push({ atS: world.now, where: 'a promise', error });
--- a/packages/testing/simulation/scenario.ts
+++ b/packages/testing/simulation/scenario.ts
@@ -1,46 +1,46 @@
-/** Scenarios: what a cluster consists of, what its users do and which faults happen when. */
+/** Scenarios: a cluster, the jobs that its users submit, and the faults with their times. */
 import type { JobClass, Pipeline, StateServiceLimits } from '../stand-ins/index.js';
 import type { ClusterSettings } from './cluster-settings.js';
 import type { LinkEffect } from './link-rules.js';
 import type { MigrationPhase } from './migration-phases.js';
 import type { ReplicaMoment } from './replica-moments.js';
 
-/** Which controllers a fault is about, decided at the moment at which it begins. */
+/** Controllers that a fault hits, chosen when the fault begins. */
 export type ControllerTarget =
-  /** The leader of the shard at that moment; the first controller if there is none. */
+  /** The current leader of the shard; the first controller if there is none. */
   | 'leader'
   /** All but the leader. */
   | 'followers'
-  /** The follower with the lowest number. */
+  /** The follower with the lowest index. */
   | 'one-follower'
-  /** The controller that gives the shard up in the present or last migration, or the one that takes it. */
+  /** Source or target of the current migration of the shard, or of the last one. */
   | 'move-source'
   | 'move-target'
   | 'all'
-  /** Numbers of controllers, from 0. */
+  /** Indexes of controllers, counted from 0. */
   | number[];
 
-/** Which machines a fault is about, drawn from the running ones at the moment at which it begins. */
+/** Machines that a fault hits, chosen from the running machines when the fault begins. */
 export type MachineTarget =
   | { count: number }
   /** Fraction of the running machines, from 0 to 1. */
   | { share: number }
   | { zone: string }
-  /** So many machines of the replica that the fault waited for, or else that became whole last. */
+  /** Number of machines of the replica that the fault waited for, or else of the replica that became `whole` last. */
   | { ofReplica: number };
 
-/** How a cut connection behaves; see LinkEffect. */
+/** Effect of a cut on connections; see LinkEffect. */
 export type CutMode = Exclude<LinkEffect, 'drop-answers'>;
 
-/** What a controller can be cut from. */
+/** Processes and services from which a controller can be cut off. */
 export type CutFrom = 'state' | 'cloud' | 'controllers' | 'workers' | 'users';
 
 interface Timed {
   /** Simulated seconds after the start. */
   atS: number;
   /**
-   * If given, the fault waits from `atS` on for the next change of leader and begins so many seconds after
-   * it.
+   * If given, the fault waits from `atS` on for the next change of leader, and begins this many seconds after
+   * the change.
    */
   afterTakeoverS?: number;
   /** If given, the fault waits from `atS` on for the next migration of the shard to reach this phase. */
@@ -55,24 +55,24 @@
 
 /** Faults of the state service. */
 export type StateFault =
-  /** The state service has these limits from now on. */
+  /** Changes the limits of the state service from `atS` on. */
   | (Timed & { kind: 'state-limits'; limits: Partial<StateServiceLimits> })
-  /** The state service refuses everybody; no lease ends meanwhile. */
+  /** The state service refuses all requests; no lease expires during the outage. */
   | (Lasting & { kind: 'state-outage' })
-  /** The state service answers 503 to these controllers alone; their leases run out. */
+  /** The state service answers 503 to these controllers only; their leases expire. */
   | (Lasting & { kind: 'state-refuses'; controllers: ControllerTarget })
   | (Lasting & { kind: 'state-slow'; latencyMs: [least: number, most: number] })
-  /** That share of transactions gets no answer and is carried out `delayS` later. */
+  /** The given fraction of transactions gets no answer and is applied `delayS` later. */
   | (Lasting & { kind: 'late-writes'; share: number; delayS?: [least: number, most: number] })
-  /** That share of transactions is carried out at once and gets no answer. */
+  /** The given fraction of transactions is applied at once but gets no answer. */
   | (Lasting & { kind: 'lost-answers'; share: number });
 
 /** Faults of the cloud. */
 export type CloudFault =
   | (Lasting & { kind: 'cloud-outage' })
-  /** That share of scale-outs and releases gets no answer and is carried out late. */
+  /** The given fraction of requests to provision or release machines gets no answer and is carried out late. */
   | (Lasting & { kind: 'late-rentals'; share: number; delayS?: [least: number, most: number] })
-  /** Machines provisioned meanwhile are up within two seconds. */
+  /** Machines that are provisioned during the fault are up within two seconds. */
   | (Lasting & { kind: 'quick-boots' });
 
 /** Faults of controllers. */
@@ -88,27 +88,27 @@
   | (Timed & {
       kind: 'controller-crash';
       controllers: ControllerTarget;
-      /** Seconds until the next start. */
+      /** Seconds until the controller starts again. */
       downS: number;
-      /** The others see no reset. */
+      /** If true, the host of the controller resets no connections. */
       silent?: boolean;
     })
-  /** The process stands still while its clocks run on. */
+  /** The process is suspended while its clocks go on. */
   | (Lasting & { kind: 'controller-freeze'; controllers: ControllerTarget })
   /** All controllers crash one after another, the leader last. */
   | (Timed & { kind: 'controller-roll'; downS: number; intervalS: number });
 
 /** Faults of machines and zones. */
 export type MachineFault =
-  /** Machines end without notice. */
+  /** Machines fail without notice. */
   | (Timed & { kind: 'machine-death'; machines: MachineTarget })
-  /** The cloud takes spot machines back after a notice; without one if it is null. */
+  /** The cloud reclaims spot machines `noticeS` after a notice; without a notice if `noticeS` is null. */
   | (Timed & { kind: 'machine-taken'; machines: MachineTarget; noticeS: number | null })
-  /** Machines stand still and go on later. */
+  /** Machines hang and resume later. */
   | (Lasting & { kind: 'machine-hang'; machines: MachineTarget })
-  /** No connection with any controller. */
+  /** Machines are cut off from all controllers, in both directions. */
   | (Lasting & { kind: 'machine-cut'; machines: MachineTarget; mode: CutMode })
-  /** Heartbeats arrive; answers and direct commands are lost. */
+  /** Heartbeats arrive at controllers; their answers and direct commands are lost. */
   | (Lasting & { kind: 'machine-deaf'; machines: MachineTarget })
   /** Heartbeats reach no controller; direct commands arrive. */
   | (Lasting & { kind: 'machine-mute'; machines: MachineTarget; mode: CutMode })
@@ -117,28 +117,31 @@
 
 /** Faults of messages between workers and controllers. */
 export type MessageFault =
-  /** Of that share of heartbeats a copy arrives again, or once a new leader has begun. */
+  /**
+   * The given fraction of heartbeats arrives a second time: after `delayS`, or with `forNextLeader` once the next
+   * leader's term has begun.
+   */
   | (Lasting & {
       kind: 'late-reports';
       share: number;
       delayS?: [least: number, most: number];
       forNextLeader?: boolean;
     })
-  /** That share of direct commands is carried out later and gets no answer. */
+  /** The given fraction of direct commands is carried out late and gets no answer. */
   | (Lasting & { kind: 'late-commands'; share: number; delayS?: [least: number, most: number] });
 
-/** What users do beyond submitting and polling. */
+/** Behaviour of users beyond submitting jobs and polling them. */
 export type UserFault =
-  /** Users cancel that many running jobs within a fifth of a second. */
+  /** Users cancel `count` running jobs within 0.2 s. */
   | (Timed & { kind: 'cancel-now'; count: number; hangS?: number })
-  /** That share of the jobs that end is cancelled at the moment of the end. */
+  /** The given fraction of ending jobs is cancelled at the moment at which the job ends. */
   | (Lasting & { kind: 'cancel-at-end'; share: number })
-  /** Repeated submissions, cancellations of what is done, jobs that can't run or lack a field. */
+  /** Users repeat submissions, cancel jobs that are done, and submit jobs that can't run or lack a field. */
   | (Lasting & { kind: 'odd-requests' })
-  /** Users ask all controllers within milliseconds of each news about a job. */
+  /** Users poll all controllers within milliseconds of each reported change of a job. */
   | (Lasting & { kind: 'close-looks' });
 
-/** The operators ask again and again that the shard be moved to the next controller. */
+/** The operators request repeatedly that the shard move to the next controller. */
 export type OperatorRequest = Lasting & { kind: 'part-moves'; everyS: number };
 
 /** Any fault of a scenario. */
@@ -151,22 +154,22 @@
   | UserFault
   | OperatorRequest;
 
-/** What the users of a scenario submit. */
+/** Jobs that the users of a scenario submit. */
 export interface ScenarioWorkload {
   classes: JobClass[];
   pipelines?: Pipeline[];
-  /** Multiplies the rates of arrival; 1 if absent. */
+  /** Factor for the arrival rates of jobs; 1 if absent. */
   intensity?: number;
-  /** Jobs come until then, in simulated seconds. */
+  /** Time until which jobs are submitted, in simulated seconds. */
   untilS: number;
 }
 
-/** A cluster, its users and what goes wrong. */
+/** A cluster, the workload of its users and the faults that are injected. */
 export interface Scenario {
   name: string;
   cluster: ClusterSettings;
   workload: ScenarioWorkload;
   faults: Fault[];
-  /** Simulated seconds in all. */
+  /** Length of the run, in simulated seconds. */
   lengthS: number;
 }
--- a/packages/testing/simulation/socket.ts
+++ b/packages/testing/simulation/socket.ts
@@ -1,23 +1,23 @@
-/** The sockets of simulated connections. */
+/** Sockets of simulated connections. */
 import { Duplex } from 'node:stream';
 import type { Clock, Timer } from '#wire';
 
-/** The connection below a socket. */
+/** The connection that carries the data of a socket. */
 export interface Transport {
-  /** Sends bytes; calls back once more may be sent. */
+  /** Sends bytes; calls `done` once the next bytes may be sent. */
   send(bytes: Buffer, done: () => void): void;
-  /** No more bytes follow. */
+  /** Signals the end of the data to the other side. */
   finish(): void;
-  /** The program has no more use for the connection. */
+  /** Closes the connection on this side. */
   close(): void;
 }
 
 type WriteDone = (error?: Error | null) => void;
 
-/** One end of a simulated connection, with those parts of net.Socket that Node's HTTP uses. */
+/** One end of a simulated connection, with the parts of net.Socket that Node's HTTP modules use. */
 export class SimulatedSocket extends Duplex {
   connecting: boolean;
-  /** Idle time after which `timeout` is emitted, in milliseconds; 0 for never. */
+  /** Idle time in milliseconds after which `timeout` is emitted; 0 disables it. */
   timeout = 0;
   private transport: Transport | null = null;
   private afterConnect: ((transport: Transport) => void)[] = [];
@@ -37,7 +37,7 @@
     this.activeAt = clock.now();
   }
 
-  /** The connection is open: what was written so far goes out. */
+  /** Marks the socket as connected and sends the data that was written so far. */
   connected(transport: Transport): void {
     if (this.destroyed) return;
     this.transport = transport;
@@ -61,7 +61,7 @@
   }
 
   override _read(): void {
-    // Bytes are pushed as they arrive.
+    // Nothing to request: bytes are pushed as they arrive.
   }
 
   override _write(chunk: Buffer, _encoding: BufferEncoding, done: WriteDone): void {
@@ -89,7 +89,7 @@
     done(error);
   }
 
-  /** Emits `timeout` once nothing was sent or received for so long. */
+  /** Emits `timeout` once nothing was sent or received for `timeoutMs`. */
   setTimeout(timeoutMs: number, onTimeout?: () => void): this {
     this.timeout = timeoutMs;
     this.activeAt = this.clock.now();
@@ -125,7 +125,10 @@
     else this.afterConnect.push(run);
   }
 
-  /** A timer that is due earlier stays and checks again, since HTTP sets timeouts at each request. */
+  /**
+   * Starts the idle timer. A running timer that is due earlier is kept and checks again when it fires, because HTTP
+   * sets the timeout anew for each request.
+   */
   private watchIdle(delayMs: number): void {
     const dueAt = this.clock.now() + delayMs / 1000;
     if (this.idleTimer !== null && this.idleDueAt <= dueAt) return;
--- a/packages/testing/simulation/timeline.ts
+++ b/packages/testing/simulation/timeline.ts
@@ -1,16 +1,16 @@
-/** All events of a run. */
+/** Timeline of the events of a run. */
 import type { Observer, WorldEvent } from '../stand-ins/index.js';
 import type { World } from './world.js';
 
-/** An event of the stand-ins and when it happened. */
+/** An event that a stand-in reported, with its time. */
 export type TimedEvent = WorldEvent & {
-  /** Simulated seconds. */
+  /** Time of the event, in simulated seconds. */
   atS: number;
 };
 
 type EventOf<K extends WorldEvent['kind']> = TimedEvent & { kind: K };
 
-/** All that the stand-ins did and saw, in order, for tests to look into. */
+/** All events that the stand-ins reported, in order, for tests to query. */
 export class Timeline {
   readonly events: TimedEvent[] = [];
   readonly observe: Observer;
@@ -19,7 +19,7 @@
     this.observe = (event) => void this.events.push({ ...event, atS: world.now });
   }
 
-  /** The events of one kind within a span of time. */
+  /** Events of one kind between two times, both included. */
   of<K extends WorldEvent['kind']>(kind: K, fromS = 0, untilS = Infinity): EventOf<K>[] {
     return this.events.filter(
       (event): event is EventOf<K> =>
--- a/packages/testing/simulation/world.ts
+++ b/packages/testing/simulation/world.ts
@@ -1,23 +1,23 @@
 /**
- * The simulated world: one clock, one queue of events and one source of chance for everything that
- * takes part in a run. The same seed gives the same sequence of events.
+ * The simulated world: one clock, one event queue and one seed for all random numbers of a run. The same seed gives
+ * the same sequence of events.
  */
 import { Chance } from '../random.js';
 import { Digest } from './digest.js';
 import { EventQueue, QueuedEvent } from './event-queue.js';
 
-/** Something that a callback of the simulated programs threw. */
+/** An error that a callback of the simulation threw, or an unhandled rejection. */
 export interface UncaughtError {
   atS: number;
-  /** Process whose callback threw, or `simulation` for the simulation itself. */
+  /** Process whose callback threw, `simulation` for the simulation itself, or `a promise` for a rejection. */
   where: string;
   error: unknown;
 }
 
-/** Carries out events in the order of their times. */
+/** Executes events in the order of their times. */
 export class World {
   readonly uncaught: UncaughtError[] = [];
-  /** Events carried out so far. */
+  /** Number of events executed so far. */
   eventCount = 0;
   private readonly queue = new EventQueue();
   private readonly hash = new Digest();
@@ -30,12 +30,12 @@
     return this.time;
   }
 
-  /** Differs between two runs as soon as their events do. */
+  /** Hash of all events so far; differs between runs with different events. */
   get digest(): string {
     return this.hash.hex();
   }
 
-  /** A source of chance for one purpose, independent of how much others draw from theirs. */
+  /** Makes a random number generator for one purpose; draws from other generators don't affect it. */
   randomStream(purpose: string): Chance {
     const mixed = new Digest();
     mixed.addNumber(this.seed);
@@ -48,22 +48,22 @@
     this.hash.addNumber(value);
   }
 
-  /** Calls back after so many seconds; the callback may run program code. */
+  /** Schedules a callback after `delayS` seconds; the callback may run program code. */
   schedule(delayS: number, run: () => void): QueuedEvent {
     return this.queue.push(this.time + Math.max(0, delayS), run, true);
   }
 
-  /** As `schedule`, for callbacks that only change the simulation's own state. */
+  /** Like `schedule`, for callbacks that run no program code and only change state of the simulation. */
   scheduleInternal(delayS: number, run: () => void): QueuedEvent {
     return this.queue.push(this.time + Math.max(0, delayS), run, false);
   }
 
-  /** Carries out all events up to and including that time. */
+  /** Executes all events up to and including the given time. */
   runUntil(untilS: number): Promise<void> {
     return new Promise((resolve) => {
       const step = () => {
         if (this.runNext(untilS)) {
-          // By the next turn of the event loop all microtasks and ticks of this event have run.
+          // All microtasks and ticks of this event have run by the next turn of the event loop.
           setImmediate(step);
           return;
         }
@@ -74,7 +74,7 @@
     });
   }
 
-  /** Carries out events until one may have run program code; false if none is left before the time. */
+  /** Executes events until one may have run program code. Returns false if none is due by the given time. */
   private runNext(untilS: number): boolean {
     for (;;) {
       const event = this.queue.peek();
