--- a/packages/testing/simulation/connection.ts
+++ b/packages/testing/simulation/connection.ts
@@ -1,6 +1,6 @@
 /**
- * Connections of the simulated network. Each direction delivers its packets in order; what becomes of
- * a packet is decided by the rules in force when it is sent.
+ * Connections of the simulated network. Each direction delivers its packets in order. The link rules in force when
+ * a packet is sent decide whether the packet is delivered, held or dropped.
  */
 import type { LinkEffect, LinkRules } from './link-rules.js';
 import type { SimulatedHost } from './host.js';
@@ -8,31 +8,31 @@
 import type { SimulatedSocket, Transport } from './socket.js';
 import type { World } from './world.js';
 
-/** Bytes under way in one direction beyond which the sender has to wait. */
+/** Bytes in flight in one direction above which the sender has to wait. */
 const SEND_BUFFER_BYTES = 256 * 1024;
 
-/** What a connection needs of the network that it belongs to. */
+/** The part of the simulated network that connections use. */
 export interface ConnectionNetwork {
   readonly world: World;
   readonly rules: LinkRules;
-  /** Ends whose packets wait for the end of a rule. */
-  readonly holding: Set<ConnectionEnd>;
-  /** One-way delay of the next packet, in seconds. */
+  /** Connection ends with packets that are held until a link rule is removed. */
+  readonly endsWithHeldPackets: Set<ConnectionEnd>;
+  /** Draws the one-way delay of the next packet, in seconds. */
   drawLatencyS(): number;
-  /** Drops a connection that both sides have closed. */
-  forgetIfClosed(connection: Connection): void;
+  /** Removes a connection from the network if it is severed or both sides have closed it. */
+  removeIfClosed(connection: Connection): void;
 }
 
-/** What one side of a connection sends to the other. */
+/** A packet from one side of a connection to the other. */
 export type Packet =
-  /** The answer to a connection attempt. */
+  /** Accepts a connection attempt. */
   { kind: 'accept' } | { kind: 'data'; bytes: Buffer } | { kind: 'end' } | { kind: 'reset' };
 
-/** A connection between two incarnations. */
+/** A connection between two incarnations of processes. */
 export class Connection {
   readonly opener: ConnectionEnd;
   readonly acceptor: ConnectionEnd;
-  /** Severed by a rule: nothing under way arrives any more. */
+  /** Whether the network has reset the connection; packets in flight are then lost. */
   severed = false;
   private effect: LinkEffect | null = null;
   private effectVersion = -1;
@@ -50,7 +50,7 @@
     return !this.severed && !(this.opener.closed && this.acceptor.closed);
   }
 
-  /** What the rules do to this connection now. */
+  /** Effect of the current link rules on this connection, cached until the rules change. */
   currentEffect(): LinkEffect | null {
     const { rules } = this.network;
     if (this.effectVersion !== rules.version) {
@@ -65,7 +65,7 @@
     return this.acceptor.incarnation === incarnation ? this.acceptor : null;
   }
 
-  /** Both sides see a reset at once. */
+  /** Resets the connection: both sides see an ECONNRESET without latency. */
   sever(): void {
     if (this.severed) return;
     this.severed = true;
@@ -78,19 +78,19 @@
   }
 }
 
-/** One side of a connection and the direction from it to the other. */
+/** One side of a connection, with the packets that this side sends. */
 export class ConnectionEnd implements Transport {
-  /** Null at the acceptor until its program has taken the connection. */
+  /** Null on the accepting side until its server has received the connection. */
   socket: SimulatedSocket | null = null;
-  /** Its program has closed it or ended. */
+  /** Whether the program on this side has closed the connection or has ended, or the connection was reset. */
   closed = false;
-  /** A packet was lost: what follows can't be delivered either. */
+  /** Whether a packet of this side was lost; later packets can't be delivered either. */
   private broken = false;
-  private ended = false;
-  private readonly held: Packet[] = [];
+  private endSent = false;
+  private readonly heldPackets: Packet[] = [];
   private lastArrivalS = 0;
-  private bytesUnderWay = 0;
-  private afterDelivery: (() => void) | null = null;
+  private bytesInFlight = 0;
+  private blockedWriteDone: (() => void) | null = null;
 
   constructor(
     private readonly network: ConnectionNetwork,
@@ -102,37 +102,37 @@
     return this.incarnation.host;
   }
 
-  get other(): ConnectionEnd {
+  get otherEnd(): ConnectionEnd {
     const { opener, acceptor } = this.connection;
     return this === opener ? acceptor : opener;
   }
 
   send(bytes: Buffer, done: () => void): void {
     if (this.closed) return;
-    this.bytesUnderWay += bytes.length;
+    this.bytesInFlight += bytes.length;
     this.transmit({ kind: 'data', bytes });
-    if (this.bytesUnderWay <= SEND_BUFFER_BYTES) done();
-    else this.afterDelivery = done;
+    if (this.bytesInFlight <= SEND_BUFFER_BYTES) done();
+    else this.blockedWriteDone = done;
   }
 
   finish(): void {
-    if (this.ended || this.closed) return;
-    this.ended = true;
+    if (this.endSent || this.closed) return;
+    this.endSent = true;
     this.transmit({ kind: 'end' });
   }
 
   close(): void {
     this.finish();
     this.closed = true;
-    this.network.forgetIfClosed(this.connection);
+    this.network.removeIfClosed(this.connection);
   }
 
-  /** The program has ended: the other side is told by its host, or not at all. */
-  abandon(tellOther: boolean): void {
+  /** Closes this side after its program has crashed; with `sendReset`, its host resets the connection. */
+  closeAfterCrash(sendReset: boolean): void {
     if (this.closed) return;
     this.closed = true;
-    if (tellOther) this.transmit({ kind: 'reset' });
-    this.network.forgetIfClosed(this.connection);
+    if (sendReset) this.transmit({ kind: 'reset' });
+    this.network.removeIfClosed(this.connection);
   }
 
   transmit(packet: Packet): void {
@@ -140,15 +140,15 @@
     const effect = this.connection.currentEffect();
     if (this.isLost(effect, packet)) {
       this.broken = true;
-    } else if (effect === 'hold' || this.held.length > 0) {
-      this.held.push(packet);
-      this.network.holding.add(this);
-    } else this.sendOff(packet);
+    } else if (effect === 'hold' || this.heldPackets.length > 0) {
+      this.heldPackets.push(packet);
+      this.network.endsWithHeldPackets.add(this);
+    } else this.scheduleArrival(packet);
   }
 
-  /** The rules have changed: what was held is sent again, in order. */
+  /** Sends all held packets in order, under the rules now in force. */
   release(): void {
-    for (const packet of this.held.splice(0)) this.transmit(packet);
+    for (const packet of this.heldPackets.splice(0)) this.transmit(packet);
   }
 
   private isLost(effect: LinkEffect | null, packet: Packet): boolean {
@@ -158,17 +158,17 @@
     return effect === 'drop-answers' && isAnswer;
   }
 
-  private sendOff(packet: Packet): void {
+  private scheduleArrival(packet: Packet): void {
     const { world } = this.network;
     const arrivalS = Math.max(this.lastArrivalS, world.now + this.network.drawLatencyS());
     this.lastArrivalS = arrivalS;
     world.schedule(arrivalS - world.now, () => {
-      this.other.arrive(packet);
+      this.otherEnd.arrive(packet);
     });
   }
 
   private arrive(packet: Packet): void {
-    const sender = this.other;
+    const sender = this.otherEnd;
     if (this.connection.severed) return;
     if (!this.host.powered) {
       sender.broken = true;
@@ -196,15 +196,15 @@
     else {
       this.closed = true;
       socket.failed('ECONNRESET');
-      this.network.forgetIfClosed(this.connection);
+      this.network.removeIfClosed(this.connection);
     }
   }
 
   private acknowledge(bytes: number): void {
-    this.bytesUnderWay -= bytes;
-    const done = this.afterDelivery;
-    if (done === null || this.bytesUnderWay > SEND_BUFFER_BYTES) return;
-    this.afterDelivery = null;
+    this.bytesInFlight -= bytes;
+    const done = this.blockedWriteDone;
+    if (done === null || this.bytesInFlight > SEND_BUFFER_BYTES) return;
+    this.blockedWriteDone = null;
     this.incarnation.deliver(done);
   }
 }
--- a/packages/testing/simulation/incarnation.ts
+++ b/packages/testing/simulation/incarnation.ts
@@ -1,11 +1,11 @@
-/** One run of a simulated process, with a runtime of its own; nothing of it acts once it has ended. */
+/** One run of a simulated process, with a separate runtime. Its callbacks no longer run once it has ended. */
 import type { Network, Runtime } from '#wire';
 import type { Chance } from '../random.js';
 import { type CallbackSource, type ClockSkew, SimulatedClock } from './clock.js';
 import type { SimulatedHost } from './host.js';
 import type { World } from './world.js';
 
-interface WaitingCallback {
+interface DeferredCallback {
   callback: () => void;
   source: CallbackSource;
 }
@@ -16,7 +16,7 @@
   readonly runtime: Runtime;
   private frozenUntilS = -Infinity;
   private frozen = false;
-  private readonly waiting: WaitingCallback[] = [];
+  private readonly deferred: DeferredCallback[] = [];
   private readonly chance: Chance;
 
   constructor(
@@ -26,7 +26,7 @@
     readonly name: string,
     skew: ClockSkew,
   ) {
-    this.chance = world.chance(`process ${name} ${world.now}`);
+    this.chance = world.randomStream(`process ${name} ${world.now}`);
     this.runtime = {
       clock: new SimulatedClock(world, this, skew),
       network: makeNetwork(this),
@@ -34,11 +34,11 @@
     };
   }
 
-  /** Runs a callback of this process: now, once it wakes if it is frozen, never if it has ended. */
+  /** Runs a callback of this process at once; after the freeze if it is frozen, and never if it has ended. */
   deliver(callback: () => void, source: CallbackSource = 'network'): void {
     if (!this.alive) return;
     if (this.frozen) {
-      this.waiting.push({ callback, source });
+      this.deferred.push({ callback, source });
       return;
     }
     try {
@@ -48,24 +48,24 @@
     }
   }
 
-  /** Stands still for so many seconds while its clocks run on; ends with the latest of several freezes. */
+  /** Runs no callbacks for `forS` seconds while the clocks go on. If freezes overlap, the latest end counts. */
   freeze(forS: number): void {
     this.frozen = true;
     this.frozenUntilS = Math.max(this.frozenUntilS, this.world.now + forS);
     this.world.schedule(forS, () => {
-      this.wake();
+      this.resume();
     });
   }
 
   /**
-   * All that came in the meantime is delivered: in its order, or what came from the network before the
-   * timers or after them, since an event loop may do either first.
+   * Delivers all callbacks that were deferred during the freeze: in order of arrival, timers first or network
+   * events first, since a real event loop may process either kind first.
    */
-  private wake(): void {
+  private resume(): void {
     if (!this.frozen || this.world.now < this.frozenUntilS) return;
     this.frozen = false;
-    const waiting = this.waiting.splice(0);
-    for (const { callback, source } of inWakingOrder(waiting, this.chance)) {
+    const waiting = this.deferred.splice(0);
+    for (const { callback, source } of orderAfterFreeze(waiting, this.chance)) {
       this.world.schedule(0, () => {
         this.deliver(callback, source);
       });
@@ -74,12 +74,12 @@
 
   end(): void {
     this.alive = false;
-    this.waiting.length = 0;
+    this.deferred.length = 0;
   }
 }
 
-/** Three orders, each as likely as the others. */
-function inWakingOrder(waiting: WaitingCallback[], chance: Chance): WaitingCallback[] {
+/** Picks one of three orders with equal probability: order of arrival, timers first, or network events first. */
+function orderAfterFreeze(waiting: DeferredCallback[], chance: Chance): DeferredCallback[] {
   const first = [null, 'timer', 'network'][chance.int(0, 2)];
   if (first === null) return waiting;
   const before = waiting.filter(({ source }) => source === first);
