--- a/packages/testing/loopback/sizing/causes.ts
+++ b/packages/testing/loopback/sizing/causes.ts
@@ -139,11 +139,11 @@
   { cause: 'sockets, streams and timers', libraries: ['node:'] },
 ];
 /** Not counted at all. */
-const IDLE = '(idle)';
+const IDLE_FUNCTION = '(idle)';
 
 /** Null: the processor was idle. */
 export function causeOf(stack: StackFrame[]): Cause | null {
-  if (stack.some(({ functionName }) => functionName === IDLE)) return null;
+  if (stack.some(({ functionName }) => functionName === IDLE_FUNCTION)) return null;
   return RULES.find((rule) => stack.some((frame) => matches(rule, frame)))?.cause ?? 'other';
 }
 
--- a/packages/testing/loopback/sizing/cluster.ts
+++ b/packages/testing/loopback/sizing/cluster.ts
@@ -32,8 +32,8 @@
 import { UserLog } from './user-log.js';
 
 /** What ends this process from outside, and the exit codes that shells give for it. */
-const ENDING_SIGNALS = { SIGINT: 2, SIGTERM: 15 };
-const SIGNAL_EXIT = 128;
+const TERMINATION_SIGNALS = { SIGINT: 2, SIGTERM: 15 };
+const SIGNAL_EXIT_CODE_BASE = 128;
 /** Ids below are those of the workload. */
 const FIRST_JOB_ID = 1_000_000;
 
@@ -65,7 +65,7 @@
   readonly users: Users;
   /** Tasks that were killed since a lease ended. */
   tasksKilled = 0;
-  private jobsMade = 0;
+  private jobIdsIssued = 0;
   readonly state: StateService;
   readonly cloud: CloudService;
   private readonly balancer: LoadBalancer;
@@ -97,9 +97,9 @@
 
   /** Starts the stand-ins; no controller yet. None outlives this process. */
   async listen(): Promise<void> {
-    process.once('exit', () => this.abandon());
-    for (const [signal, number] of Object.entries(ENDING_SIGNALS)) {
-      process.once(signal, () => process.exit(SIGNAL_EXIT + number));
+    process.once('exit', () => this.cleanUpOnExit());
+    for (const [signal, number] of Object.entries(TERMINATION_SIGNALS)) {
+      process.once(signal, () => process.exit(SIGNAL_EXIT_CODE_BASE + number));
     }
     const { addresses, state, cloud, balancer, controllers } = this;
     for (const { index } of controllers) await state.listen(addresses.state(index));
@@ -108,7 +108,7 @@
   }
 
   /** Leaves no process and no file behind; for the end of this process. */
-  private abandon(): void {
+  private cleanUpOnExit(): void {
     for (const controller of this.controllers) controller.killNow();
     rmSync(this.directory, { recursive: true, force: true });
   }
@@ -124,7 +124,7 @@
 
   /** An id that no other job has. */
   newJobId(): string {
-    return `j-${FIRST_JOB_ID + this.jobsMade++}`;
+    return `j-${FIRST_JOB_ID + this.jobIdsIssued++}`;
   }
 
   leadership(): Leadership | null {
--- a/packages/testing/loopback/sizing/controller-process.ts
+++ b/packages/testing/loopback/sizing/controller-process.ts
@@ -40,15 +40,16 @@
     readonly name: string,
     readonly index: number,
     private readonly settingsFile: string,
-    private readonly how: ControllerCommand,
+    private readonly controllerCommand: ControllerCommand,
   ) {}
 
   /** Throws NotRunning. */
   get run(): ControllerRun {
     if (this.current === null) throw new NotRunning(`${this.name} does not run`);
     if (this.alive) return this.current;
-    const lastWords = this.current.log.other.at(-1) ?? this.current.log.lines.at(-1)?.msg ?? '';
-    throw new NotRunning(`${this.name} has ended by itself: ${lastWords}`);
+    const lastOutput =
+      this.current.log.otherOutput.at(-1) ?? this.current.log.lines.at(-1)?.msg ?? '';
+    throw new NotRunning(`${this.name} has ended by itself: ${lastOutput}`);
   }
 
   /** It was started and not ended; it may have ended by itself. */
@@ -61,8 +62,8 @@
   }
 
   /** Starts it by another command than usual if one is given. */
-  start(command: string[] = this.how.command): ControllerRun {
-    const { directory, logLevel } = this.how;
+  start(command: string[] = this.controllerCommand.command): ControllerRun {
+    const { directory, logLevel } = this.controllerCommand;
     const [program, ...args] = command;
     const startedAtMs = performance.now();
     const child = spawn(program, [...args, this.settingsFile], {
--- a/packages/testing/loopback/sizing/full-fleet.ts
+++ b/packages/testing/loopback/sizing/full-fleet.ts
@@ -2,15 +2,15 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import { formatAddress } from '../../simulation/addresses.js';
 import type { LoopbackCluster } from './cluster.js';
-import { untilHealthy } from './health.js';
+import { waitUntilHealthy } from './health.js';
 import type { SizingOptions } from './options.js';
 import { waitFor } from './wait.js';
 import { planSizingWorkload } from './workload.js';
 
 /** For how long jobs come: longer than any run of measurements. */
-const WORKLOAD_S = 3600;
-const START_WITHIN_S = 60;
-const FILL_WITHIN_S = 180;
+const WORKLOAD_LENGTH_S = 3600;
+const START_TIMEOUT_S = 60;
+const FILL_TIMEOUT_S = 180;
 
 /** Starts all controllers and users; resolves once the whole fleet works and has done so for a while. */
 export async function fillFleet(cluster: LoopbackCluster, options: SizingOptions): Promise<void> {
@@ -19,9 +19,9 @@
   await allHealthy(cluster);
   const { machines, jobsPerMinute, settleS } = options;
   const teams = cluster.options.shared.deployment.teams.map(({ name }) => name);
-  const workload = { machines, teams, jobsPerMinute, lengthS: WORKLOAD_S };
+  const workload = { machines, teams, jobsPerMinute, lengthS: WORKLOAD_LENGTH_S };
   cluster.users.start(planSizingWorkload(workload));
-  await waitFor(`${machines} machines that report`, FILL_WITHIN_S, () =>
+  await waitFor(`${machines} machines that report`, FILL_TIMEOUT_S, () =>
     cluster.fleet.workers().length >= machines ? true : null,
   );
   await sleep(settleS * 1000);
@@ -32,6 +32,6 @@
   for (const { running, index, name } of cluster.controllers) {
     if (!running) continue;
     const address = cluster.addresses.service(index);
-    await untilHealthy(address, START_WITHIN_S, `${name} at ${formatAddress(address)}`);
+    await waitUntilHealthy(address, START_TIMEOUT_S, `${name} at ${formatAddress(address)}`);
   }
 }
--- a/packages/testing/loopback/sizing/health.ts
+++ b/packages/testing/loopback/sizing/health.ts
@@ -4,27 +4,27 @@
 import { TooLate } from './wait.js';
 
 /** From one question to the next; each costs the controller a little. */
-const ASK_EVERY_MS = 20;
-const ANSWER_WITHIN_MS = 5000;
+const POLL_INTERVAL_MS = 20;
+const RESPONSE_TIMEOUT_MS = 5000;
 
 /** Resolves once the controller says that it is healthy, with the moment; rejects with TooLate. */
-export async function untilHealthy(
+export async function waitUntilHealthy(
   address: HostPort,
-  withinS: number,
+  timeoutS: number,
   name: string,
 ): Promise<{ atMs: number }> {
-  const untilMs = performance.now() + withinS * 1000;
+  const untilMs = performance.now() + timeoutS * 1000;
   while (performance.now() < untilMs) {
-    if ((await askHealth(address)) === 200) return { atMs: performance.now() };
-    await sleep(ASK_EVERY_MS);
+    if ((await fetchHealthStatus(address)) === 200) return { atMs: performance.now() };
+    await sleep(POLL_INTERVAL_MS);
   }
-  throw new TooLate(`${name}: not healthy within ${withinS} s`);
+  throw new TooLate(`${name}: not healthy within ${timeoutS} s`);
 }
 
 /** The status of /healthz; null if there is no answer. */
-function askHealth({ host, port }: HostPort): Promise<number | null> {
+function fetchHealthStatus({ host, port }: HostPort): Promise<number | null> {
   return new Promise((resolve) => {
-    const options = { host, port, path: '/healthz', agent: false, timeout: ANSWER_WITHIN_MS };
+    const options = { host, port, path: '/healthz', agent: false, timeout: RESPONSE_TIMEOUT_MS };
     const request = http.get(options, (response) => {
       response.resume();
       resolve(response.statusCode ?? null);
--- a/packages/testing/loopback/sizing/heartbeat-log.test.ts
+++ b/packages/testing/loopback/sizing/heartbeat-log.test.ts
@@ -17,6 +17,6 @@
   log.leaseEnded();
   assert.deepEqual(heard, ['n-1', 'n-2']);
   assert.deepEqual([...log.answered], [['c-0', 3]]);
-  assert.deepEqual([...log.turnedAway], [['c-1', 2]]);
+  assert.deepEqual([...log.notRenewed], [['c-1', 2]]);
   assert.equal(log.leasesEnded, 1);
 });
--- a/packages/testing/loopback/sizing/heartbeat-log.ts
+++ b/packages/testing/loopback/sizing/heartbeat-log.ts
@@ -17,7 +17,7 @@
 export class HeartbeatLog implements HeartbeatObserver {
   /** Reports that were answered with 200, and all others, by controller. */
   readonly answered = new Map<string, number>();
-  readonly turnedAway = new Map<string, number>();
+  readonly notRenewed = new Map<string, number>();
   leasesEnded = 0;
   /** Told of each answer that a worker obeys. */
   onObeyed: (machine: string, controller: string, fencingToken: number) => void = () => {};
@@ -25,7 +25,7 @@
 
   exchanged({ machine, controller, status }: HeartbeatExchange): void {
     const renewed = status === RENEWED;
-    const counts = renewed ? this.answered : this.turnedAway;
+    const counts = renewed ? this.answered : this.notRenewed;
     counts.set(controller, (counts.get(controller) ?? 0) + 1);
     if (!renewed) return;
     const heartbeat = { machine, controller, atMs: performance.now() };
--- a/packages/testing/loopback/sizing/measure-all.ts
+++ b/packages/testing/loopback/sizing/measure-all.ts
@@ -1,6 +1,6 @@
 import { LoopbackCluster } from './cluster.js';
 import { fillFleet } from './full-fleet.js';
-import type { Measure, Measured } from './measurement.js';
+import type { Measure, MeasuredFigures } from './measurement.js';
 import type { MeasurementName } from './measurement-names.js';
 import { measureCauses } from './measurements/causes.js';
 import { measureArray, measureBurst, measureLargeJobs } from './measurements/peaks.js';
@@ -16,7 +16,7 @@
 export interface Progress {
   /** Something begins that takes a while. */
   begins(what: string): void;
-  measured(measured: Measured): void;
+  measured(measured: MeasuredFigures): void;
 }
 
 interface Plan {
--- a/packages/testing/loopback/sizing/measurements/causes.ts
+++ b/packages/testing/loopback/sizing/measurements/causes.ts
@@ -10,21 +10,21 @@
 import type { ControllerProcess } from '../controller-process.js';
 import { Figures } from '../figure.js';
 import { allHealthy } from '../full-fleet.js';
-import type { Measured } from '../measurement.js';
-import { Observation, type Observed } from '../observation.js';
+import type { MeasuredFigures } from '../measurement.js';
+import { Observation, type ObservedUsage } from '../observation.js';
 import type { SizingOptions } from '../options.js';
 import { profileClockUs, readProfile, sharesByCause, type TimeSpan } from '../profile.js';
-import { ReturnOfWorkers } from '../return-of-workers.js';
-import { profiledRunLine } from '../sources.js';
+import { WorkerReconnection } from '../return-of-workers.js';
+import { profiledRunCommand } from '../sources.js';
 
-const RETURN_WITHIN_S = 120;
+const RECONNECTION_TIMEOUT_S = 120;
 /** From the start of the last controller to the measurement. */
 const SETTLE_S = 20;
 
-interface ProfiledUse {
+interface ProfiledUsage {
   controller: ControllerProcess;
   directory: string;
-  observed: Observed;
+  observed: ObservedUsage;
   span: TimeSpan;
 }
 
@@ -32,7 +32,7 @@
 export async function measureCauses(
   cluster: LoopbackCluster,
   { seconds }: SizingOptions,
-): Promise<Measured[]> {
+): Promise<MeasuredFigures[]> {
   const [first, second] = cluster.controllers;
   await startProfiled(cluster);
   await sleep(SETTLE_S * 1000);
@@ -41,15 +41,15 @@
   const fromUs = profileClockUs();
   await sleep(seconds * 1000);
   const span = { fromUs, untilUs: profileClockUs() };
-  const uses = observations.map((observation) => ({
+  const usages = observations.map((observation) => ({
     controller: observation.controller,
     directory: profileDirectory(cluster, observation.controller),
     observed: observation.end(),
     span,
   }));
-  const measured: Measured[] = [];
-  for (const use of uses) measured.push(await figuresOf(cluster, use));
-  for (const { controller } of uses) controller.start();
+  const measured: MeasuredFigures[] = [];
+  for (const usage of usages) measured.push(await figuresOf(cluster, usage));
+  for (const { controller } of usages) controller.start();
   await allHealthy(cluster);
   return measured;
 }
@@ -57,9 +57,9 @@
 async function startProfiled(cluster: LoopbackCluster): Promise<void> {
   const [first, second, ...others] = cluster.controllers;
   await Promise.all(cluster.controllers.map((controller) => controller.end('SIGTERM')));
-  const workers = new ReturnOfWorkers(cluster, null);
+  const workers = new WorkerReconnection(cluster, null);
   startWithProfile(cluster, first);
-  await workers.all(RETURN_WITHIN_S);
+  await workers.all(RECONNECTION_TIMEOUT_S);
   if (second !== undefined) startWithProfile(cluster, second);
   for (const controller of others) controller.start();
   await allHealthy(cluster);
@@ -68,7 +68,7 @@
 function startWithProfile(cluster: LoopbackCluster, controller: ControllerProcess): void {
   const directory = profileDirectory(cluster, controller);
   mkdirSync(directory, { recursive: true });
-  controller.start(profiledRunLine(cluster.options.command.command, directory));
+  controller.start(profiledRunCommand(cluster.options.command.command, directory));
 }
 
 function profileDirectory(cluster: LoopbackCluster, { name }: ControllerProcess): string {
@@ -78,8 +78,8 @@
 /** Ends the controller, which writes its profile then. */
 async function figuresOf(
   cluster: LoopbackCluster,
-  { controller, directory, observed, span }: ProfiledUse,
-): Promise<Measured> {
+  { controller, directory, observed, span }: ProfiledUsage,
+): Promise<MeasuredFigures> {
   const measurement = controller === cluster.leader() ? 'causes, owner' : 'causes, standby';
   await controller.end('SIGTERM');
   const shares = sharesByCause(readProfile(directory), span);
--- a/packages/testing/loopback/sizing/measurements/failover.ts
+++ b/packages/testing/loopback/sizing/measurements/failover.ts
@@ -4,24 +4,24 @@
 import type { ControllerProcess } from '../controller-process.js';
 import { Figures } from '../figure.js';
 import { allHealthy } from '../full-fleet.js';
-import type { Measured } from '../measurement.js';
-import { ReturnOfWorkers } from '../return-of-workers.js';
+import type { MeasuredFigures } from '../measurement.js';
+import { WorkerReconnection } from '../return-of-workers.js';
 import { waitFor } from '../wait.js';
 
-const ELECTION_WITHIN_S = 60;
-const RETURN_WITHIN_S = 120;
+const ELECTION_TIMEOUT_S = 60;
+const RECONNECTION_TIMEOUT_S = 120;
 /** How long the successor is watched from its claim on. */
 const WATCH_S = 10;
 /** From one take-over to the next. */
-const REST_S = 10;
+const COOLDOWN_S = 10;
 
 /** Kills the owner and watches its successor. */
-export async function measureTakeOver(cluster: LoopbackCluster): Promise<Measured[]> {
+export async function measureTakeOver(cluster: LoopbackCluster): Promise<MeasuredFigures[]> {
   const former = cluster.requireLeader();
   const figures = new Figures(cluster.options.shared.deployment.limits);
   const { leasesEnded } = cluster.heartbeats;
   const { tasksKilled } = cluster;
-  const workers = new ReturnOfWorkers(cluster, former.name);
+  const workers = new WorkerReconnection(cluster, former.name);
   await former.end('SIGKILL');
   await watchSuccessor(cluster, workers, figures);
   figures
@@ -29,45 +29,48 @@
     .count('tasks killed', cluster.tasksKilled - tasksKilled);
   former.start();
   await allHealthy(cluster);
-  await sleep(REST_S * 1000);
+  await sleep(COOLDOWN_S * 1000);
   return [{ measurement: 'take-over', figures: figures.all }];
 }
 
 async function watchSuccessor(
   cluster: LoopbackCluster,
-  workers: ReturnOfWorkers,
+  workers: WorkerReconnection,
   figures: Figures,
 ): Promise<void> {
-  const leader = await waitFor('a successor', ELECTION_WITHIN_S, () => cluster.leader());
+  const leader = await waitFor('a successor', ELECTION_TIMEOUT_S, () => cluster.leader());
   const electedAtMs = performance.now();
   const processorS = leader.processorS();
   const requests = cluster.stateRequestsOf(leader);
-  figures.seconds('from the end to the claim', (electedAtMs - workers.sinceMs) / 1000);
-  const first = await workers.first(RETURN_WITHIN_S);
+  figures.seconds('from the end to the claim', (electedAtMs - workers.startedAtMs) / 1000);
+  const first = await workers.first(RECONNECTION_TIMEOUT_S);
   figures
-    .seconds('from the end to the first answered report', (first.atMs - workers.sinceMs) / 1000)
+    .seconds('from the end to the first answered report', (first.atMs - workers.startedAtMs) / 1000)
     .processorS('from the claim to the first answered report', first.processorS - processorS)
     .count('requests to the state service from the claim to then', first.stateRequests - requests);
-  await addUse(cluster, leader, { electedAtMs, processorS, workers }, figures);
+  await addUsage(cluster, leader, { electedAtMs, processorS, workers }, figures);
 }
 
-interface Campaign {
+interface Election {
   electedAtMs: number;
   /** Processor time that the successor had used by then. */
   processorS: number;
-  workers: ReturnOfWorkers;
+  workers: WorkerReconnection;
 }
 
-async function addUse(
+async function addUsage(
   cluster: LoopbackCluster,
   leader: ControllerProcess,
-  { electedAtMs, processorS, workers }: Campaign,
+  { electedAtMs, processorS, workers }: Election,
   figures: Figures,
 ): Promise<void> {
   leader.resetPeakMemory();
-  const all = await workers.all(RETURN_WITHIN_S);
+  const all = await workers.all(RECONNECTION_TIMEOUT_S);
   figures
-    .seconds('from the end until all workers were answered', (all.atMs - workers.sinceMs) / 1000)
+    .seconds(
+      'from the end until all workers were answered',
+      (all.atMs - workers.startedAtMs) / 1000,
+    )
     .processorS('from the claim until all workers were answered', all.processorS - processorS);
   const leftMs = electedAtMs + WATCH_S * 1000 - performance.now();
   await sleep(Math.max(0, leftMs));
--- a/packages/testing/loopback/sizing/measurements/peaks.ts
+++ b/packages/testing/loopback/sizing/measurements/peaks.ts
@@ -6,7 +6,7 @@
 import type { LoopbackCluster } from '../cluster.js';
 import { Figures } from '../figure.js';
 import { MACHINE_TYPE } from '../machine-type.js';
-import type { Measured } from '../measurement.js';
+import type { MeasuredFigures } from '../measurement.js';
 import type { MeasurementName } from '../measurement-names.js';
 import type { SizingOptions } from '../options.js';
 import { type Peak, PeakWatch } from '../peak-watch.js';
@@ -14,26 +14,26 @@
 /** How long the controllers are watched from the first submission on. */
 const WATCH_S = 30;
 /** From the cancellation of what is left to the next measurement. */
-const REST_S = 10;
-const ACCEPT_LOOK_MS = 5;
+const COOLDOWN_S = 10;
+const ACCEPTANCE_POLL_MS = 5;
 const ARRAY_TASKS = 25_000;
 const ARRAY_RUN_S = 20;
 const BURST_RUN_S = 10;
 /** Beside the replica that holds each machine, for many at a time. */
-const SMALL: Partial<Job> = { class: 'batch', rank: 3, spot: true, gpus: 0, memory: 2 };
+const SMALL_JOB_FIELDS: Partial<Job> = { class: 'batch', rank: 3, spot: true, gpus: 0, memory: 2 };
 
 /** Many small jobs at once. */
 export async function measureBurst(
   cluster: LoopbackCluster,
   { burst }: SizingOptions,
-): Promise<Measured[]> {
-  const jobs = Array.from({ length: burst }, () => newJob(cluster, SMALL));
+): Promise<MeasuredFigures[]> {
+  const jobs = Array.from({ length: burst }, () => newJob(cluster, SMALL_JOB_FIELDS));
   return watchSubmission(cluster, 'burst', jobs, BURST_RUN_S);
 }
 
 /** One array of very many tasks. */
-export async function measureArray(cluster: LoopbackCluster): Promise<Measured[]> {
-  const job = newJob(cluster, { ...SMALL, cpus: 4, tasks: ARRAY_TASKS });
+export async function measureArray(cluster: LoopbackCluster): Promise<MeasuredFigures[]> {
+  const job = newJob(cluster, { ...SMALL_JOB_FIELDS, cpus: 4, tasks: ARRAY_TASKS });
   return watchSubmission(cluster, 'array', [job], ARRAY_RUN_S);
 }
 
@@ -41,9 +41,11 @@
 export async function measureLargeJobs(
   cluster: LoopbackCluster,
   { burst }: SizingOptions,
-): Promise<Measured[]> {
+): Promise<MeasuredFigures[]> {
   const valueBytes = cluster.options.shared.deployment.state.value_kb * 1024;
-  const jobs = Array.from({ length: burst }, () => fillValue(newJob(cluster, SMALL), valueBytes));
+  const jobs = Array.from({ length: burst }, () =>
+    enlargeToValueLimit(newJob(cluster, SMALL_JOB_FIELDS), valueBytes),
+  );
   return watchSubmission(cluster, 'large-jobs', jobs, BURST_RUN_S);
 }
 
@@ -53,7 +55,7 @@
 }
 
 /** The same job with as many names of machine types as its record has room for. */
-function fillValue(job: Job, valueBytes: number): Job {
+function enlargeToValueLimit(job: Job, valueBytes: number): Job {
   const withTypes = (count: number) => ({ ...job, types: Array<string>(count).fill(MACHINE_TYPE) });
   const bytes = (count: number) => recordBytes(withTypes(count));
   const perType = bytes(2) - bytes(1);
@@ -71,24 +73,24 @@
   measurement: MeasurementName,
   jobs: Job[],
   runS: number,
-): Promise<Measured[]> {
+): Promise<MeasuredFigures[]> {
   const leader = cluster.requireLeader();
   const leaderWatch = new PeakWatch(leader);
   const watches = cluster.standbys().map((controller) => new PeakWatch(controller));
   const refusals = cluster.userLog.refusals;
   const startedAtMs = performance.now();
   submitAll(cluster, jobs, runS);
-  const acceptedS = await untilAccepted(cluster, jobs, startedAtMs);
+  const acceptedS = await waitUntilAccepted(cluster, jobs, startedAtMs);
   await sleep(Math.max(0, startedAtMs + WATCH_S * 1000 - performance.now()));
   const figures = new Figures(cluster.options.shared.deployment.limits);
   addPeak(figures, 'owner', leaderWatch.end());
   const others = watches.map((watch) => watch.end());
-  if (others.length > 0) addPeak(figures, 'others', greatest(others));
+  if (others.length > 0) addPeak(figures, 'others', combinePeaks(others));
   figures
     .seconds('until the last was accepted', acceptedS)
     .count('submissions put off', cluster.userLog.refusals - refusals);
   for (const { id } of jobs) cluster.users.cancel(id);
-  await sleep(REST_S * 1000);
+  await sleep(COOLDOWN_S * 1000);
   return [{ measurement, figures: figures.all }];
 }
 
@@ -100,14 +102,14 @@
 }
 
 /** Seconds until the last was accepted; infinite if some were not while the controllers are watched. */
-async function untilAccepted(
+async function waitUntilAccepted(
   { userLog }: LoopbackCluster,
   jobs: Job[],
   startedAtMs: number,
 ): Promise<number> {
   const isOpen = () => jobs.some(({ id }) => !userLog.accepted.has(id));
   const passedS = () => (performance.now() - startedAtMs) / 1000;
-  while (isOpen() && passedS() < WATCH_S) await sleep(ACCEPT_LOOK_MS);
+  while (isOpen() && passedS() < WATCH_S) await sleep(ACCEPTANCE_POLL_MS);
   return isOpen() ? Infinity : passedS();
 }
 
@@ -117,7 +119,7 @@
     .megabytes(`${role}: greatest memory`, memoryMb);
 }
 
-function greatest(peaks: Peak[]): Peak {
+function combinePeaks(peaks: Peak[]): Peak {
   return {
     cores: Math.max(...peaks.map(({ cores }) => cores)),
     memoryMb: Math.max(...peaks.map(({ memoryMb }) => memoryMb)),
--- a/packages/testing/loopback/sizing/measurements/restart.ts
+++ b/packages/testing/loopback/sizing/measurements/restart.ts
@@ -3,58 +3,58 @@
 import type { LoopbackCluster } from '../cluster.js';
 import { Figures } from '../figure.js';
 import { allHealthy } from '../full-fleet.js';
-import type { Measured } from '../measurement.js';
+import type { MeasuredFigures } from '../measurement.js';
 import type { SizingOptions } from '../options.js';
-import { ReturnOfWorkers } from '../return-of-workers.js';
+import { WorkerReconnection } from '../return-of-workers.js';
 import { waitFor } from '../wait.js';
 
-const ELECTION_WITHIN_S = 60;
-const RETURN_WITHIN_S = 120;
+const ELECTION_TIMEOUT_S = 60;
+const RECONNECTION_TIMEOUT_S = 120;
 /** How long the controllers are watched from their start on. */
 const WATCH_S = 10;
-const REST_S = 10;
+const COOLDOWN_S = 10;
 
 /** Kills all controllers and starts them again together. */
 export async function measureRestart(
   cluster: LoopbackCluster,
   { downS }: SizingOptions,
-): Promise<Measured[]> {
+): Promise<MeasuredFigures[]> {
   const { controllers, heartbeats } = cluster;
   const { leasesEnded } = heartbeats;
   const { tasksKilled } = cluster;
   await Promise.all(controllers.map((controller) => controller.end('SIGKILL')));
   await sleep(downS * 1000);
-  const workers = new ReturnOfWorkers(cluster, null);
+  const workers = new WorkerReconnection(cluster, null);
   for (const controller of controllers) controller.start();
   const figures = new Figures(cluster.options.shared.deployment.limits);
-  await watchReturn(cluster, workers, figures);
+  await watchReconnection(cluster, workers, figures);
   figures
     .count("workers' leases that ran out", heartbeats.leasesEnded - leasesEnded)
     .count('tasks killed', cluster.tasksKilled - tasksKilled);
   await allHealthy(cluster);
-  await sleep(REST_S * 1000);
+  await sleep(COOLDOWN_S * 1000);
   return [{ measurement: 'restart', figures: figures.all }];
 }
 
-async function watchReturn(
+async function watchReconnection(
   cluster: LoopbackCluster,
-  workers: ReturnOfWorkers,
+  workers: WorkerReconnection,
   figures: Figures,
 ): Promise<void> {
-  const sinceStartS = (atMs: number) => (atMs - workers.sinceMs) / 1000;
-  const leader = await waitFor('a new owner', ELECTION_WITHIN_S, () => cluster.leader());
+  const sinceStartS = (atMs: number) => (atMs - workers.startedAtMs) / 1000;
+  const leader = await waitFor('a new owner', ELECTION_TIMEOUT_S, () => cluster.leader());
   figures
     .seconds('from the start to the claim', sinceStartS(performance.now()))
     .processorS('owner: until its claim', leader.processorS());
-  const first = await workers.first(RETURN_WITHIN_S);
+  const first = await workers.first(RECONNECTION_TIMEOUT_S);
   figures
     .seconds('from the start to the first answered report', sinceStartS(first.atMs))
     .processorS('owner: until its first answered report', first.processorS);
-  const all = await workers.all(RETURN_WITHIN_S);
+  const all = await workers.all(RECONNECTION_TIMEOUT_S);
   figures
     .seconds('from the start until all workers were answered', sinceStartS(all.atMs))
     .processorS('owner: until all workers were answered', all.processorS);
-  await sleep(Math.max(0, workers.sinceMs + WATCH_S * 1000 - performance.now()));
+  await sleep(Math.max(0, workers.startedAtMs + WATCH_S * 1000 - performance.now()));
   const others = cluster.standbys().map((controller) => controller.processorS());
   figures
     .processorS(`owner: in its first ${WATCH_S} s`, leader.processorS())
--- a/packages/testing/loopback/sizing/measurements/start.ts
+++ b/packages/testing/loopback/sizing/measurements/start.ts
@@ -3,17 +3,17 @@
 import type { LoopbackCluster } from '../cluster.js';
 import type { ControllerProcess } from '../controller-process.js';
 import { Figures } from '../figure.js';
-import { untilHealthy } from '../health.js';
-import type { Measured } from '../measurement.js';
+import { waitUntilHealthy } from '../health.js';
+import type { MeasuredFigures } from '../measurement.js';
 
-const HEALTHY_WITHIN_S = 60;
+const HEALTHY_TIMEOUT_S = 60;
 /** From the end of a controller to its start, so that its peers notice. */
 const DOWN_S = 2;
 /** How long a controller that has just started is watched. */
 const WATCH_S = 10;
 
 /** Ends one controller that owns nothing and starts it again. */
-export async function measureStart(cluster: LoopbackCluster): Promise<Measured[]> {
+export async function measureStart(cluster: LoopbackCluster): Promise<MeasuredFigures[]> {
   const controller = cluster.standbys().at(-1) ?? cluster.controllers[0];
   await controller.end('SIGKILL');
   await sleep(DOWN_S * 1000);
@@ -30,7 +30,7 @@
   const requestsBefore = cluster.stateRequestsOf(controller);
   const { startedAtMs } = controller.start();
   const address = cluster.addresses.service(controller.index);
-  const { atMs } = await untilHealthy(address, HEALTHY_WITHIN_S, controller.name);
+  const { atMs } = await waitUntilHealthy(address, HEALTHY_TIMEOUT_S, controller.name);
   figures
     .processorS('to the first healthy answer', controller.processorS())
     .seconds('from exec to the first healthy answer', (atMs - startedAtMs) / 1000)
--- a/packages/testing/loopback/sizing/measurements/steady.ts
+++ b/packages/testing/loopback/sizing/measurements/steady.ts
@@ -2,15 +2,15 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { LoopbackCluster } from '../cluster.js';
 import { Figures } from '../figure.js';
-import type { Measured } from '../measurement.js';
-import { Observation, type Observed } from '../observation.js';
+import type { MeasuredFigures } from '../measurement.js';
+import { Observation, type ObservedUsage } from '../observation.js';
 import type { SizingOptions } from '../options.js';
 
 /** Watches the owner for a while. */
 export async function measureLeader(
   cluster: LoopbackCluster,
   { seconds }: SizingOptions,
-): Promise<Measured[]> {
+): Promise<MeasuredFigures[]> {
   const [observed] = await observe([new Observation(cluster, cluster.requireLeader())], seconds);
   const figures = new Figures(cluster.options.shared.deployment.limits);
   figures
@@ -28,7 +28,7 @@
 export async function measureStandby(
   cluster: LoopbackCluster,
   { seconds }: SizingOptions,
-): Promise<Measured[]> {
+): Promise<MeasuredFigures[]> {
   const watched = cluster.standbys().map((each) => new Observation(cluster, each));
   const all = await observe(watched, seconds);
   const figures = new Figures(cluster.options.shared.deployment.limits);
@@ -43,13 +43,13 @@
   return [{ measurement: 'standby', figures: figures.all }];
 }
 
-async function observe(observations: Observation[], seconds: number): Promise<Observed[]> {
+async function observe(observations: Observation[], seconds: number): Promise<ObservedUsage[]> {
   await sleep(seconds * 1000);
   return observations.map((observation) => observation.end());
 }
 
 /** What a controller's own counts say, as far as it has logged them. */
-const VITALS: Record<string, string> = {
+const STATISTICS_LABELS: Record<string, string> = {
   userRequestsPerS: "users' requests",
   // The same in the lines of earlier builds (`--sources`).
   questionsPerS: "users' requests",
@@ -59,21 +59,24 @@
   stateChangesPerS: 'changes at the state service',
 };
 
-function addRates(figures: Figures, { stateRequests, processStatistics }: Observed): void {
+function addRates(figures: Figures, { stateRequests, processStatistics }: ObservedUsage): void {
   figures.rate('requests to the state service', stateRequests);
-  for (const [name, text] of Object.entries(VITALS)) {
+  for (const [name, text] of Object.entries(STATISTICS_LABELS)) {
     if (name in processStatistics) figures.rate(text, processStatistics[name]);
   }
 }
 
-function addMemory(figures: Figures, { residentMb, peakMb, processStatistics }: Observed): void {
+function addMemory(
+  figures: Figures,
+  { residentMb, peakMb, processStatistics }: ObservedUsage,
+): void {
   figures.megabytes('memory', residentMb).megabytes('greatest memory', peakMb);
   if ('heapMb' in processStatistics) figures.megabytes('heap', processStatistics.heapMb);
 }
 
-function meanOf(all: Observed[]): Observed {
+function meanOf(all: ObservedUsage[]): ObservedUsage {
   const mean = (values: number[]) => values.reduce((sum, value) => sum + value, 0) / values.length;
-  const by = (name: Exclude<keyof Observed, 'processStatistics'>) =>
+  const by = (name: Exclude<keyof ObservedUsage, 'processStatistics'>) =>
     mean(all.map((each) => each[name]));
   const names = Object.keys(all[0].processStatistics);
   const processStatistics = names.map((name) => [
@@ -86,7 +89,7 @@
     userCores: by('userCores'),
     mainThreadCores: by('mainThreadCores'),
     answeredHeartbeats: by('answeredHeartbeats'),
-    otherHeartbeats: by('otherHeartbeats'),
+    notRenewedHeartbeats: by('notRenewedHeartbeats'),
     stateRequests: by('stateRequests'),
     residentMb: by('residentMb'),
     peakMb: by('peakMb'),
--- a/packages/testing/loopback/sizing/observation.ts
+++ b/packages/testing/loopback/sizing/observation.ts
@@ -4,7 +4,7 @@
 import type { ProcessorTime } from './process-use.js';
 
 /** What one controller did and used over a span of time; rates are a second. */
-export interface Observed {
+export interface ObservedUsage {
   seconds: number;
   cores: number;
   /** The part of `cores` that the kernel did not use for it, and that of the program's own thread. */
@@ -12,7 +12,7 @@
   mainThreadCores: number;
   /** Reports answered as the owner, and turned away, as their workers saw it. */
   answeredHeartbeats: number;
-  otherHeartbeats: number;
+  notRenewedHeartbeats: number;
   stateRequests: number;
   /** Resident memory at the end, and its peak; MB. */
   residentMb: number;
@@ -26,7 +26,7 @@
   atMs: number;
   processor: ProcessorTime;
   answeredHeartbeats: number;
-  otherHeartbeats: number;
+  notRenewedHeartbeats: number;
   stateRequests: number;
 }
 
@@ -43,7 +43,7 @@
   }
 
   /** What happened since it was made. */
-  end(): Observed {
+  end(): ObservedUsage {
     const { before, controller } = this;
     const after = this.totals();
     const seconds = (after.atMs - before.atMs) / 1000;
@@ -55,7 +55,7 @@
       userCores: rate(({ processor }) => processor.userS),
       mainThreadCores: rate(({ processor }) => processor.mainThreadS),
       answeredHeartbeats: rate(({ answeredHeartbeats }) => answeredHeartbeats),
-      otherHeartbeats: rate(({ otherHeartbeats }) => otherHeartbeats),
+      notRenewedHeartbeats: rate(({ notRenewedHeartbeats }) => notRenewedHeartbeats),
       stateRequests: rate(({ stateRequests }) => stateRequests),
       residentMb: nowMb,
       peakMb,
@@ -70,7 +70,7 @@
       atMs: performance.now(),
       processor: controller.processor(),
       answeredHeartbeats: heartbeats.answered.get(controller.name) ?? 0,
-      otherHeartbeats: heartbeats.turnedAway.get(controller.name) ?? 0,
+      notRenewedHeartbeats: heartbeats.notRenewed.get(controller.name) ?? 0,
       stateRequests: cluster.stateRequestsOf(controller),
     };
   }
--- a/packages/testing/loopback/sizing/options.ts
+++ b/packages/testing/loopback/sizing/options.ts
@@ -82,31 +82,36 @@
 /** Reads the command line; throws CommanderError or BadArguments. */
 export function readOptions(args: string[]): SizingOptions {
   const program = makeProgram().parse(args, { from: 'user' });
-  return fromRaw(program.args, program.opts<RawOptions>());
+  return buildOptions(program.args, program.opts<RawOptions>());
 }
 
 function makeProgram(): Command {
   const program = new Command('sizing')
     .description('Measures what controllers need at a given size, on this machine (Linux).')
-    .argument('[measurements...]', `${MEASUREMENTS.join(', ')}, or ${ALL}`, chosenMeasurement, [])
+    .argument('[measurements...]', `${MEASUREMENTS.join(', ')}, or ${ALL}`, collectMeasurement, [])
     .exitOverride()
     .showSuggestionAfterError(false)
-    .option('--machines <number>', 'machines, each of which reports', atLeast(1), 50)
+    .option('--machines <number>', 'machines, each of which reports', integerParser(1), 50)
     .option(
       '--jobs-per-minute <number>',
       `jobs that come and go (default: ${JOBS_PER_MACHINE_MINUTE} for each machine)`,
-      amount,
+      parseNonNegative,
     )
-    .option('--seconds <number>', 'length of a steady measurement', positive, 30)
-    .option('--settle-s <seconds>', 'how long the full fleet works before', amount, 20)
+    .option('--seconds <number>', 'length of a steady measurement', parsePositive, 30)
+    .option('--settle-s <seconds>', 'how long the full fleet works before', parseNonNegative, 20)
     .option(
       '--repeat <number>',
       'how often starts, take-overs, restarts are measured',
-      atLeast(1),
+      integerParser(1),
       3,
     )
-    .option('--burst <number>', 'jobs that come at once in burst and large-jobs', atLeast(1), 200)
-    .option('--down-s <seconds>', 'how long controllers are down in restart', amount, 6);
+    .option(
+      '--burst <number>',
+      'jobs that come at once in burst and large-jobs',
+      integerParser(1),
+      200,
+    )
+    .option('--down-s <seconds>', 'how long controllers are down in restart', parseNonNegative, 6);
   addClusterOptions(program);
   return addProgramOptions(program);
 }
@@ -114,14 +119,18 @@
 function addClusterOptions(program: Command): void {
   program
     .option('--settings <file>', "the platform's settings to begin with", OWN_SETTINGS)
-    .option('--controllers <number>', 'controllers', atLeast(1))
-    .option('--report-s <seconds>', "workers' report period", positive)
-    .option('--lease-s <seconds>', "workers' lease", positive)
-    .option('--cpu-share <cores>', 'limit of a controller that figures are compared with', positive)
-    .option('--memory-mb <megabytes>', 'limit of a controller', positive)
-    .option('--sockets <number>', 'limit of a controller', positive)
-    .option('--state-rps <number>', "state service's requests a second", positive)
-    .option('--state-write-rps <number>', "state service's changes a second", positive);
+    .option('--controllers <number>', 'controllers', integerParser(1))
+    .option('--report-s <seconds>', "workers' report period", parsePositive)
+    .option('--lease-s <seconds>', "workers' lease", parsePositive)
+    .option(
+      '--cpu-share <cores>',
+      'limit of a controller that figures are compared with',
+      parsePositive,
+    )
+    .option('--memory-mb <megabytes>', 'limit of a controller', parsePositive)
+    .option('--sockets <number>', 'limit of a controller', parsePositive)
+    .option('--state-rps <number>', "state service's requests a second", parsePositive)
+    .option('--state-write-rps <number>', "state service's changes a second", parsePositive);
 }
 
 function addProgramOptions(program: Command): Command {
@@ -132,7 +141,7 @@
     .option(
       '--throttle <cores>',
       'hold controllers to it by stopping and continuing them',
-      positive,
+      parsePositive,
     )
     .option('--json <file>', 'add one JSON object per measurement to the file; - for the output')
     .addHelpText(
@@ -141,8 +150,8 @@
     );
 }
 
-function fromRaw(names: string[], raw: RawOptions): SizingOptions {
-  const cluster = clusterFrom(raw);
+function buildOptions(names: string[], raw: RawOptions): SizingOptions {
+  const cluster = buildSharedSettings(raw);
   const { machines, seconds, settleS, repeat, burst, downS, sources, logLevel } = raw;
   const chosen = names.length > 0 ? names : [...DEFAULT_MEASUREMENTS];
   const measurements = MEASUREMENTS.filter((name) => chosen.includes(name) || chosen.includes(ALL));
@@ -168,7 +177,7 @@
 }
 
 /** The settings file's figures, with those of the command line in their place. */
-function clusterFrom(raw: RawOptions): SharedSettings {
+function buildSharedSettings(raw: RawOptions): SharedSettings {
   const { deployment } = readSettings(raw.settings);
   const { workers, limits, state } = deployment;
   return {
@@ -207,33 +216,33 @@
 
 const DEFAULT_MEASUREMENTS: readonly MeasurementName[] = ['start', 'owner', 'standby', 'take-over'];
 
-function chosenMeasurement(text: string, before: string[]): string[] {
+function collectMeasurement(text: string, previous: string[]): string[] {
   const names: readonly string[] = [...MEASUREMENTS, ALL];
-  if (names.includes(text)) return [...before, text];
+  if (names.includes(text)) return [...previous, text];
   throw new InvalidArgumentError(`It must be one of ${names.join(', ')}.`);
 }
 
 /** Not a number if it is none. */
-function numberIn(text: string): number {
+function parseNumber(text: string): number {
   return text.trim() === '' ? NaN : Number(text);
 }
 
-function amount(text: string): number {
-  const value = numberIn(text);
+function parseNonNegative(text: string): number {
+  const value = parseNumber(text);
   if (value >= 0 && value < Infinity) return value;
   throw new InvalidArgumentError('It must be a number of 0 or more.');
 }
 
-function positive(text: string): number {
-  const value = numberIn(text);
+function parsePositive(text: string): number {
+  const value = parseNumber(text);
   if (value > 0 && value < Infinity) return value;
   throw new InvalidArgumentError('It must be a number above 0.');
 }
 
-function atLeast(least: number): (text: string) => number {
+function integerParser(minimum: number): (text: string) => number {
   return (text) => {
-    const value = numberIn(text);
-    if (Number.isInteger(value) && value >= least) return value;
-    throw new InvalidArgumentError(`It must be a whole number of ${least} or more.`);
+    const value = parseNumber(text);
+    if (Number.isInteger(value) && value >= minimum) return value;
+    throw new InvalidArgumentError(`It must be a whole number of ${minimum} or more.`);
   };
 }
--- a/packages/testing/loopback/sizing/peak-watch.test.ts
+++ b/packages/testing/loopback/sizing/peak-watch.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { greatestUse } from './peak-watch.js';
+import { peakCores } from './peak-watch.js';
 
 /** Samples every 100 ms of a process that uses so many cores in each second. */
 function samplesOf(coresBySecond: number[]) {
@@ -14,11 +14,11 @@
 }
 
 test('the greatest use is that of the busiest second, wherever it begins', () => {
-  assert.ok(Math.abs(greatestUse(samplesOf([0.1, 0.5, 0.2])) - 0.5) < 1e-9);
+  assert.ok(Math.abs(peakCores(samplesOf([0.1, 0.5, 0.2])) - 0.5) < 1e-9);
   const halfAndHalf = samplesOf([0, 1, 0]).filter(({ atMs }) => atMs % 1000 === 500);
-  assert.ok(Math.abs(greatestUse(halfAndHalf) - 0.5) < 1e-9);
+  assert.ok(Math.abs(peakCores(halfAndHalf) - 0.5) < 1e-9);
 });
 
 test('less than a second tells nothing', () => {
-  assert.equal(greatestUse(samplesOf([0.5]).slice(0, 10)), 0);
+  assert.equal(peakCores(samplesOf([0.5]).slice(0, 10)), 0);
 });
--- a/packages/testing/loopback/sizing/peak-watch.ts
+++ b/packages/testing/loopback/sizing/peak-watch.ts
@@ -1,8 +1,8 @@
 import type { ControllerProcess } from './controller-process.js';
 
-const SAMPLE_MS = 100;
+const SAMPLE_INTERVAL_MS = 100;
 /** Span over which the greatest use is taken. */
-const SPAN_MS = 1000;
+const WINDOW_MS = 1000;
 
 interface Sample {
   atMs: number;
@@ -24,13 +24,13 @@
   constructor(private readonly controller: ControllerProcess) {
     controller.resetPeakMemory();
     this.sample();
-    this.timer = setInterval(() => this.sample(), SAMPLE_MS);
+    this.timer = setInterval(() => this.sample(), SAMPLE_INTERVAL_MS);
   }
 
   end(): Peak {
     clearInterval(this.timer);
     this.sample();
-    return { cores: greatestUse(this.samples), memoryMb: this.controller.memory().peakMb };
+    return { cores: peakCores(this.samples), memoryMb: this.controller.memory().peakMb };
   }
 
   private sample(): void {
@@ -40,14 +40,14 @@
 }
 
 /** Greatest number of cores in use over a span of a second; samples may come late. */
-export function greatestUse(samples: Sample[]): number {
+export function peakCores(samples: Sample[]): number {
   let greatest = 0;
   let first = 0;
   for (const { atMs, processorS } of samples) {
-    while (atMs - samples[first + 1]?.atMs >= SPAN_MS) first++;
-    const spanMs = atMs - samples[first].atMs;
-    if (spanMs < SPAN_MS) continue;
-    greatest = Math.max(greatest, ((processorS - samples[first].processorS) / spanMs) * 1000);
+    while (atMs - samples[first + 1]?.atMs >= WINDOW_MS) first++;
+    const windowMs = atMs - samples[first].atMs;
+    if (windowMs < WINDOW_MS) continue;
+    greatest = Math.max(greatest, ((processorS - samples[first].processorS) / windowMs) * 1000);
   }
   return greatest;
 }
--- a/packages/testing/loopback/sizing/process-log.ts
+++ b/packages/testing/loopback/sizing/process-log.ts
@@ -12,10 +12,10 @@
 export class ProcessLog {
   readonly lines: LogLine[] = [];
   /** What was no log line, such as the last words of a process that could not run. */
-  readonly other: string[] = [];
+  readonly otherOutput: string[] = [];
 
   constructor(stream: Readable) {
-    createInterface({ input: stream }).on('line', (text) => this.take(text));
+    createInterface({ input: stream }).on('line', (text) => this.addLine(text));
   }
 
   /** The lines with that message that came from that moment on. */
@@ -23,12 +23,12 @@
     return this.lines.filter((line) => line.msg === msg && line.receivedAtMs >= fromMs);
   }
 
-  private take(text: string): void {
+  private addLine(text: string): void {
     const receivedAtMs = performance.now();
     try {
       this.lines.push({ ...(JSON.parse(text) as { msg: string }), receivedAtMs });
     } catch {
-      this.other.push(text);
+      this.otherOutput.push(text);
     }
   }
 }
--- a/packages/testing/loopback/sizing/process-use.ts
+++ b/packages/testing/loopback/sizing/process-use.ts
@@ -3,10 +3,10 @@
 
 const TICKS_PER_SECOND = 100;
 /** Places of a process's own user and system time after its name in /proc/<pid>/stat. */
-const USER_TIME = 11;
-const SYSTEM_TIME = 12;
+const USER_TIME_FIELD = 11;
+const SYSTEM_TIME_FIELD = 12;
 /** What resets the greatest resident size when it is written to /proc/<pid>/clear_refs. */
-const RESET_PEAK = '5';
+const RESET_PEAK_COMMAND = '5';
 
 /** Resident memory of a process, in MB of 2^20 bytes. */
 export interface ResidentMemory {
@@ -50,21 +50,24 @@
   const stat = readFileSync(file, 'utf8');
   // The name may hold blanks and brackets.
   const fields = stat.slice(stat.lastIndexOf(') ') + 2).split(' ');
-  const seconds = (place: number) => Number(fields[place]) / TICKS_PER_SECOND;
-  return { userS: seconds(USER_TIME), systemS: seconds(SYSTEM_TIME) };
+  const seconds = (index: number) => Number(fields[index]) / TICKS_PER_SECOND;
+  return { userS: seconds(USER_TIME_FIELD), systemS: seconds(SYSTEM_TIME_FIELD) };
 }
 
 export function residentMemory(pid: number): ResidentMemory {
   const status = readFileSync(`/proc/${pid}/status`, 'utf8');
-  return { nowMb: field(status, 'VmRSS') / 1024, peakMb: field(status, 'VmHWM') / 1024 };
+  return {
+    nowMb: readKilobytes(status, 'VmRSS') / 1024,
+    peakMb: readKilobytes(status, 'VmHWM') / 1024,
+  };
 }
 
 /** From now on the peak is that since this moment. */
 export function resetPeak(pid: number): void {
-  writeFileSync(`/proc/${pid}/clear_refs`, RESET_PEAK);
+  writeFileSync(`/proc/${pid}/clear_refs`, RESET_PEAK_COMMAND);
 }
 
 /** A field of /proc/<pid>/status that is in kB. */
-function field(status: string, name: string): number {
+function readKilobytes(status: string, name: string): number {
   return Number(new RegExp(`^${name}:\\s+(\\d+) kB`, 'm').exec(status)?.[1] ?? NaN);
 }
--- a/packages/testing/loopback/sizing/profile.ts
+++ b/packages/testing/loopback/sizing/profile.ts
@@ -32,7 +32,7 @@
 
 /** Part of the busy time within the span that each cause took; all together 1. */
 export function sharesByCause(profile: CpuProfile, span: TimeSpan): Map<Cause, number> {
-  const causes = causesOfNodes(profile);
+  const causes = causesByNode(profile);
   const times = new Map<Cause, number>();
   let atUs = profile.startTime;
   let totalUs = 0;
@@ -47,7 +47,7 @@
   return new Map([...times].map(([cause, timeUs]) => [cause, timeUs / totalUs]));
 }
 
-function causesOfNodes({ nodes }: CpuProfile): Map<number, Cause | null> {
+function causesByNode({ nodes }: CpuProfile): Map<number, Cause | null> {
   const parents = new Map(
     nodes.flatMap(({ id, children = [] }) => children.map((child) => [child, id])),
   );
--- a/packages/testing/loopback/sizing/result.ts
+++ b/packages/testing/loopback/sizing/result.ts
@@ -1,5 +1,5 @@
 import { currentLoad, type MachineSpeed, measureSpeed } from '../../measurement/machine-speed.js';
-import type { Measured } from './measurement.js';
+import type { MeasuredFigures } from './measurement.js';
 import type { SizingOptions } from './options.js';
 import { sourceVersion, type SourceVersion } from './sources.js';
 
@@ -14,7 +14,7 @@
 }
 
 /** One measurement as a JSON object; `load` is that of the machine when it ended. */
-export interface Result extends Measured, ResultContext {
+export interface Result extends MeasuredFigures, ResultContext {
   load: number;
 }
 
@@ -30,7 +30,7 @@
   };
 }
 
-export function makeResult(measured: Measured, context: ResultContext): Result {
+export function makeResult(measured: MeasuredFigures, context: ResultContext): Result {
   return { ...measured, load: currentLoad(), ...context };
 }
 
--- a/packages/testing/loopback/sizing/return-of-workers.ts
+++ b/packages/testing/loopback/sizing/return-of-workers.ts
@@ -12,45 +12,46 @@
 }
 
 /** Watches how the workers of a fleet find a new owner after the former one has ended. */
-export class ReturnOfWorkers {
+export class WorkerReconnection {
   /** Milliseconds of this process's steady clock. */
-  readonly sinceMs = performance.now();
-  private readonly waiting: Set<string>;
-  private readonly stop: () => void;
+  readonly startedAtMs = performance.now();
+  private readonly waitingMachines: Set<string>;
+  private readonly unsubscribe: () => void;
   private firstAnswer: Milestone | null = null;
   private lastAnswer: Milestone | null = null;
 
   /** Answers of the former owner that are still on their way do not count. */
   constructor(
     private readonly cluster: LoopbackCluster,
-    private readonly former: string | null,
+    private readonly formerLeader: string | null,
   ) {
-    this.waiting = new Set(cluster.fleet.workers().map(({ machine }) => machine));
-    this.stop = cluster.heartbeats.onAnswered((heartbeat) => this.take(heartbeat));
+    this.waitingMachines = new Set(cluster.fleet.workers().map(({ machine }) => machine));
+    this.unsubscribe = cluster.heartbeats.onAnswered((heartbeat) => this.recordAnswer(heartbeat));
   }
 
   /** The first answered report; rejects with TooLate. */
-  first(withinS: number): Promise<Milestone> {
-    return waitFor('an answered report', withinS, () => this.firstAnswer);
+  first(timeoutS: number): Promise<Milestone> {
+    return waitFor('an answered report', timeoutS, () => this.firstAnswer);
   }
 
   /** The report by which all workers had been answered; rejects with TooLate. */
-  async all(withinS: number): Promise<Milestone> {
-    await waitFor('answers to all workers', withinS, () => this.complete());
-    this.stop();
+  async all(timeoutS: number): Promise<Milestone> {
+    await waitFor('answers to all workers', timeoutS, () => this.checkComplete());
+    this.unsubscribe();
     return this.lastAnswer!;
   }
 
-  private complete(): true | null {
-    for (const machine of this.waiting) {
-      if (this.cluster.fleet.worker(machine) === undefined) this.waiting.delete(machine);
+  private checkComplete(): true | null {
+    for (const machine of this.waitingMachines) {
+      if (this.cluster.fleet.worker(machine) === undefined) this.waitingMachines.delete(machine);
     }
-    return this.waiting.size === 0 && this.lastAnswer !== null ? true : null;
+    return this.waitingMachines.size === 0 && this.lastAnswer !== null ? true : null;
   }
 
-  private take({ machine, controller: name, atMs }: AnsweredHeartbeat): void {
+  private recordAnswer({ machine, controller: name, atMs }: AnsweredHeartbeat): void {
     const controller = this.cluster.controllers.find((each) => each.name === name);
-    if (name === this.former || !controller?.running || !this.waiting.delete(machine)) return;
+    if (name === this.formerLeader || !controller?.running || !this.waitingMachines.delete(machine))
+      return;
     const processorS = controller.processorS();
     const stateRequests = this.cluster.stateRequestsOf(controller);
     this.lastAnswer = { atMs, processorS, stateRequests };
--- a/packages/testing/loopback/sizing/sources.ts
+++ b/packages/testing/loopback/sizing/sources.ts
@@ -18,7 +18,7 @@
 export class NotBuilt extends Error {}
 
 /** The program of the run line before it was put in one file, so that each function tells its module. */
-const UNBUNDLED = 'target/cli/main.js';
+const UNBUNDLED_PROGRAM = 'target/cli/main.js';
 
 /** The run line of deploy/service.toml in words, with more options of Node; the settings file follows. */
 export function runLine(directory: string, nodeOptions: string[]): string[] {
@@ -35,8 +35,8 @@
 }
 
 /** The same for a controller that is profiled: it leaves its profile in that directory when it ends. */
-export function profiledRunLine(command: string[], profileDirectory: string): string[] {
-  const unbundled = command.map((word) => (word.endsWith('.js') ? UNBUNDLED : word));
+export function profiledRunCommand(command: string[], profileDirectory: string): string[] {
+  const unbundled = command.map((word) => (word.endsWith('.js') ? UNBUNDLED_PROGRAM : word));
   const [node, ...args] = unbundled;
   return [node, '--cpu-prof', `--cpu-prof-dir=${profileDirectory}`, ...args];
 }
--- a/packages/testing/loopback/sizing/table.ts
+++ b/packages/testing/loopback/sizing/table.ts
@@ -3,7 +3,7 @@
 import { median } from '../../measurement/median.js';
 import { type Column, formatNumber, textTable } from '../../measurement/text-table.js';
 import type { Figure, Unit } from './figure.js';
-import type { Measured } from './measurement.js';
+import type { MeasuredFigures } from './measurement.js';
 import type { Result, ResultContext } from './result.js';
 
 /** One line: a figure over all runs of its measurement. */
@@ -50,21 +50,21 @@
 }
 
 /** A table in Markdown; several runs of one measurement share their lines. */
-export function formatTable(measured: Measured[]): string {
+export function formatTable(measured: MeasuredFigures[]): string {
   return textTable(COLUMNS, rowsOf(measured).map(cellsOf));
 }
 
-function rowsOf(measured: Measured[]): Row[] {
-  const found = new Map<string, { measurement: string; figures: Figure[] }>();
+function rowsOf(measured: MeasuredFigures[]): Row[] {
+  const rows = new Map<string, { measurement: string; figures: Figure[] }>();
   for (const { measurement, figures } of measured) {
     for (const figure of figures) {
       const key = `${measurement}/${figure.name}`;
-      const row = found.get(key) ?? { measurement, figures: [] };
+      const row = rows.get(key) ?? { measurement, figures: [] };
       row.figures.push(figure);
-      found.set(key, row);
+      rows.set(key, row);
     }
   }
-  return [...found.values()].map(({ measurement, figures }) => rowOf(measurement, figures));
+  return [...rows.values()].map(({ measurement, figures }) => rowOf(measurement, figures));
 }
 
 function rowOf(measurement: string, figures: Figure[]): Row {
@@ -80,8 +80,8 @@
 
 function cellsOf({ measurement, name, values, unit, ofLimit }: Row): string[] {
   const numbers = [median(values), Math.min(...values), Math.max(...values)].map(formatNumber);
-  const several = values.length > 1 ? numbers : [numbers[0], '', ''];
-  return [measurement, name, ...several, unit, formatShare(unit, ofLimit)];
+  const statistics = values.length > 1 ? numbers : [numbers[0], '', ''];
+  return [measurement, name, ...statistics, unit, formatShare(unit, ofLimit)];
 }
 
 /** What processor time takes at the limit is time; all else is a share. */
--- a/packages/testing/loopback/sizing/throttle.ts
+++ b/packages/testing/loopback/sizing/throttle.ts
@@ -1,26 +1,26 @@
 import type { ControllerProcess } from './controller-process.js';
 
 /** From one look at the processes to the next; a process may go beyond its share by about as much. */
-const LOOK_MS = 2;
+const CHECK_INTERVAL_MS = 2;
 /** Time that a process which did little may use at one go; the usual period of a processor quota. */
-const BURST_S = 0.1;
+const BURST_PERIOD_S = 0.1;
 
 /** What one run of a controller may use, and how long it has used. */
-export class Allowance {
+export class CpuAllowance {
   private grantedS: number;
 
   constructor(
     private readonly cores: number,
     private atS: number,
   ) {
-    this.grantedS = cores * BURST_S;
+    this.grantedS = cores * BURST_PERIOD_S;
   }
 
   /** Whether the process may go on, with so much used since its start. */
-  admits(nowS: number, usedS: number): boolean {
+  allows(nowS: number, usedS: number): boolean {
     this.grantedS += (nowS - this.atS) * this.cores;
     this.atS = nowS;
-    this.grantedS = Math.min(this.grantedS, usedS + this.cores * BURST_S);
+    this.grantedS = Math.min(this.grantedS, usedS + this.cores * BURST_PERIOD_S);
     return usedS <= this.grantedS;
   }
 }
@@ -32,7 +32,7 @@
 export class Throttle {
   private timer: NodeJS.Timeout | null = null;
   /** By process id: each run begins anew. */
-  private readonly allowances = new Map<number, Allowance>();
+  private readonly allowances = new Map<number, CpuAllowance>();
 
   constructor(
     private readonly controllers: ControllerProcess[],
@@ -40,7 +40,7 @@
   ) {}
 
   begin(): void {
-    this.timer ??= setInterval(() => this.look(), LOOK_MS);
+    this.timer ??= setInterval(() => this.check(), CHECK_INTERVAL_MS);
   }
 
   end(): void {
@@ -49,14 +49,15 @@
     for (const controller of this.controllers) controller.setStopped(false);
   }
 
-  private look(): void {
+  private check(): void {
     const nowS = performance.now() / 1000;
     for (const controller of this.controllers) {
       if (!controller.alive) continue;
       const { pid, startedAtMs } = controller.run;
-      const allowance = this.allowances.get(pid) ?? new Allowance(this.cores, startedAtMs / 1000);
+      const allowance =
+        this.allowances.get(pid) ?? new CpuAllowance(this.cores, startedAtMs / 1000);
       this.allowances.set(pid, allowance);
-      controller.setStopped(!allowance.admits(nowS, controller.processorS()));
+      controller.setStopped(!allowance.allows(nowS, controller.processorS()));
     }
   }
 }
--- a/packages/testing/loopback/sizing/workload.ts
+++ b/packages/testing/loopback/sizing/workload.ts
@@ -23,7 +23,7 @@
 
 /** Jobs in a minute for each machine that fill the fleet without a queue. */
 export const JOBS_PER_MACHINE_MINUTE = 0.276;
-const SEED = 1;
+const WORKLOAD_SEED = 1;
 /** Tasks of a job that holds machines, and how many such jobs come in a second. */
 const ANCHOR_TASKS = 2;
 const ANCHORS_PER_SECOND = 20;
@@ -33,7 +33,7 @@
 
 const ANY_MACHINE = { types: null, zone: null, spot: true };
 
-const REPLICAS: JobClass = {
+const REPLICA_CLASS: JobClass = {
   template: jobTemplate({
     class: 'replica',
     kind: 'service',
@@ -52,7 +52,7 @@
   images: 12,
 };
 
-const BATCHES: JobClass = {
+const BATCH_CLASS: JobClass = {
   template: jobTemplate({
     class: 'batch',
     kind: 'array',
@@ -71,7 +71,7 @@
   images: 12,
 };
 
-const GANGS: JobClass = {
+const GANG_CLASS: JobClass = {
   template: jobTemplate({
     class: 'gang',
     kind: 'gang',
@@ -94,19 +94,19 @@
 };
 
 /** Classes whose rates are those of one machine. */
-const CLASSES: JobClass[] = [REPLICAS, BATCHES, GANGS];
+const SHORT_JOB_CLASSES: JobClass[] = [REPLICA_CLASS, BATCH_CLASS, GANG_CLASS];
 
 /** All jobs of a run, in the order in which they come. */
 export function planSizingWorkload(workload: SizingWorkload): PlannedJob[] {
   const { teams, lengthS, jobsPerMinute, machines } = workload;
-  const chance = new Chance(SEED);
-  const churn = makeWorkload(() => chance.next(), {
-    classes: CLASSES,
+  const random = new Chance(WORKLOAD_SEED);
+  const shortJobs = makeWorkload(() => random.next(), {
+    classes: SHORT_JOB_CLASSES,
     teams,
     lengthS,
     intensity: jobsPerMinute / JOBS_PER_MACHINE_MINUTE,
   });
-  return [...planAnchors(machines, teams), ...churn];
+  return [...planAnchors(machines, teams), ...shortJobs];
 }
 
 /** Jobs of which each machine has room for one task only, with as many tasks as there are machines. */
