--- a/packages/testing/loopback/sizing/addresses.ts
+++ b/packages/testing/loopback/sizing/addresses.ts
@@ -6,18 +6,18 @@
 const SERVICE_PORT = 8080;
 const PEER_PORT = 8081;
 const FIRST_MACHINE_PORT = 10_000;
-/** Last parts of the addresses; controllers have those from 1 on. */
+/** Last octets of the addresses; controllers have those from 1 on. */
 const STATE_HOST = 200;
 const CLOUD_HOST = 201;
 const BALANCER_HOST = 202;
 const MACHINES_HOST = 203;
-/** Subnets below this are left to others. */
+/** Subnets below this one are left to other programs. */
 const FIRST_SUBNET = 0x1000;
 const SUBNETS = 0x8000;
 
 /**
- * Addresses of one run: a subnet of the loopback for each process that measures, so that runs beside each
- * other do not meet.
+ * The addresses of one run. Each measuring process has a subnet of the loopback network chosen by its process
+ * id, so that concurrent runs do not use the same addresses.
  */
 export class LoopbackAddresses implements AddressBook {
   private readonly prefix: string;
@@ -35,7 +35,7 @@
     return this.at(1 + index, PEER_PORT);
   }
 
-  /** One for each controller, so that their requests can be told apart. */
+  /** Each controller has its own address of the state service, so that its requests can be counted. */
   state(index: number): HostPort {
     return this.at(STATE_HOST, STATE_PORT + index);
   }
@@ -48,7 +48,7 @@
     return this.at(BALANCER_HOST, SERVICE_PORT);
   }
 
-  /** Of the machine with this number, counted from 1. */
+  /** Address of the machine with this number, counted from 1. */
   machine(number: number): HostPort {
     return this.at(MACHINES_HOST, FIRST_MACHINE_PORT + number);
   }
--- a/packages/testing/loopback/sizing/causes.ts
+++ b/packages/testing/loopback/sizing/causes.ts
@@ -1,4 +1,4 @@
-/** What the samples of a processor profile were taken for, by the modules and functions on their stacks. */
+/** Attributes the samples of a CPU profile to causes, by the modules and functions on their stacks. */
 
 /** What a controller spends processor time on. */
 export const CAUSES = [
@@ -24,24 +24,24 @@
 /** A function on the stack of a sample. */
 export interface StackFrame {
   functionName: string;
-  /** Of its module: a file URL, `node:...`, or empty for V8's own entries. */
+  /** URL of the function's module: a file URL or `node:...`; empty for entries of V8 itself. */
   url: string;
 }
 
-/** Matches a stack if a frame of it is in one of the modules, or has one of the names. */
+/** Matches a stack that has a frame in one of the modules or libraries, or with one of the function names. */
 interface Rule {
   cause: Cause;
-  /** Of the sources: below target/ and without extension; a directory ends with a slash. */
+  /** Modules of this project: paths below target/ without extension; a directory ends with a slash. */
   modules?: string[];
-  /** The same of earlier builds, which can be measured too (`--sources`). */
+  /** Paths that the modules had in earlier builds, which can be measured with `--sources`. */
   formerModules?: string[];
-  /** Names in Node, such as `node:_http_server`, or packages below node_modules. */
+  /** Modules of Node, such as `node:_http_server`, or packages below node_modules. */
   libraries?: string[];
-  /** Functions of any module. */
+  /** Names of functions in any module. */
   functions?: string[];
 }
 
-/** The first that matches counts: what is more special comes first. */
+/** Rules in order of precedence: the first that matches decides, so specific rules precede general ones. */
 export const RULES: readonly Rule[] = [
   { cause: 'garbage collection', functions: ['(garbage collector)'] },
   { cause: 'outside JavaScript', functions: ['(program)'] },
@@ -138,10 +138,10 @@
   },
   { cause: 'sockets, streams and timers', libraries: ['node:'] },
 ];
-/** Not counted at all. */
+/** Function name of V8's idle samples, which are attributed to no cause. */
 const IDLE_FUNCTION = '(idle)';
 
-/** Null: the processor was idle. */
+/** The cause of a sample with this stack; null if the processor was idle. */
 export function causeOf(stack: StackFrame[]): Cause | null {
   if (stack.some(({ functionName }) => functionName === IDLE_FUNCTION)) return null;
   return RULES.find((rule) => stack.some((frame) => matches(rule, frame)))?.cause ?? 'other';
@@ -157,7 +157,7 @@
   return libraries.some((name) => isWithin(library, name) || library.startsWith(`${name}/`));
 }
 
-/** `peer/` and `node:` stand for all that begins with them. */
+/** Whether a name equals the pattern, or starts with it if the pattern ends with a slash or colon. */
 function isWithin(name: string, pattern: string): boolean {
   return /[/:]$/.test(pattern) ? name.startsWith(pattern) : name === pattern;
 }
--- a/packages/testing/loopback/sizing/cluster.ts
+++ b/packages/testing/loopback/sizing/cluster.ts
@@ -31,10 +31,11 @@
 import { RequestCounter } from './request-counter.js';
 import { UserLog } from './user-log.js';
 
-/** What ends this process from outside, and the exit codes that shells give for it. */
+/** Signals that end the measuring process, with their numbers. */
 const TERMINATION_SIGNALS = { SIGINT: 2, SIGTERM: 15 };
+/** The exit code after a signal is this plus its number, as in a shell. */
 const SIGNAL_EXIT_CODE_BASE = 128;
-/** Ids below are those of the workload. */
+/** First number in the ids of `newJobId`; jobs of the workload have lower numbers. */
 const FIRST_JOB_ID = 1_000_000;
 
 /** What a cluster on the loopback consists of. */
@@ -42,19 +43,19 @@
   shared: SharedSettings;
   machines: number;
   command: ControllerCommand;
-  /** The operators' own settings of all controllers. */
+  /** Operators' settings of all controllers. */
   operator?: OperatorFile;
-  /** Is told of all that happens, beside the cluster itself. */
+  /** Receives every event that the cluster itself observes. */
   observe?: Observer;
 }
 
-/** Who holds the part, by the state service's word. */
+/** The leader of the shard and its term, as recorded in the state service. */
 export interface Leadership {
   leader: string;
   term: number;
 }
 
-/** Stand-ins for the outside systems in this process, and controllers as processes of their own. */
+/** A cluster whose stand-ins for outside systems run in this process, and each controller in its own. */
 export class LoopbackCluster {
   readonly addresses = new LoopbackAddresses(process.pid);
   readonly heartbeats = new HeartbeatLog();
@@ -63,14 +64,14 @@
   readonly controllers: ControllerProcess[];
   readonly fleet: Fleet;
   readonly users: Users;
-  /** Tasks that were killed since a lease ended. */
+  /** Number of tasks that were killed because a lease expired. */
   tasksKilled = 0;
   private jobIdsIssued = 0;
   readonly state: StateService;
   readonly cloud: CloudService;
   private readonly balancer: LoadBalancer;
   private readonly storage: JobStorage;
-  /** For the controllers' settings; removed with the cluster. */
+  /** Temporary directory for the controllers' settings; removed when the cluster is closed. */
   readonly directory = mkdtempSync(path.join(tmpdir(), 'sorreldale-sizing-'));
 
   constructor(readonly options: LoopbackClusterOptions) {
@@ -95,7 +96,7 @@
     this.controllers = controllers.map(({ name }, index) => this.makeController(name, index));
   }
 
-  /** Starts the stand-ins; no controller yet. None outlives this process. */
+  /** Starts the stand-ins, but no controller. Controllers are killed when this process exits. */
   async listen(): Promise<void> {
     process.once('exit', () => this.cleanUpOnExit());
     for (const [signal, number] of Object.entries(TERMINATION_SIGNALS)) {
@@ -107,13 +108,13 @@
     await balancer.listen(addresses.balancer);
   }
 
-  /** Leaves no process and no file behind; for the end of this process. */
+  /** Kills the controllers and removes their files; called when this process exits. */
   private cleanUpOnExit(): void {
     for (const controller of this.controllers) controller.killNow();
     rmSync(this.directory, { recursive: true, force: true });
   }
 
-  /** Ends everything that was started. */
+  /** Stops the controllers and stand-ins and removes the temporary directory. */
   async close(): Promise<void> {
     this.users.stop();
     await Promise.all(this.controllers.map((controller) => controller.end('SIGTERM')));
@@ -133,27 +134,27 @@
     return { leader: decodeLeader(entry.value).leader, term: entry.version };
   }
 
-  /** The controller that holds the part and runs, or null. */
+  /** The running controller that leads the shard, or null. */
   leader(): ControllerProcess | null {
     const leadership = this.leadership();
     const leader = this.controllers.find(({ name }) => name === leadership?.leader);
     return leader?.running ? leader : null;
   }
 
-  /** As `owner`; throws if there is none. */
+  /** The running leader; throws NotRunning if there is none. */
   requireLeader(): ControllerProcess {
     const leader = this.leader();
-    if (leader === null) throw new NotRunning('no controller owns the machines');
+    if (leader === null) throw new NotRunning('no running controller leads the shard');
     return leader;
   }
 
-  /** Those that run and do not hold the part. */
+  /** The running controllers that do not lead the shard. */
   standbys(): ControllerProcess[] {
     const leader = this.leader();
     return this.controllers.filter((controller) => controller.running && controller !== leader);
   }
 
-  /** Requests of a controller to the state service so far. */
+  /** Number of requests from the controller to the state service so far. */
   stateRequestsOf({ index }: ControllerProcess): number {
     return this.stateRequests.count(this.addresses.state(index).port);
   }
@@ -165,7 +166,7 @@
     return new ControllerProcess(name, index, file, this.command());
   }
 
-  /** With the operators' settings, if there are any. */
+  /** The command that starts a controller, with the operators' settings file if there are such settings. */
   private command(): ControllerCommand {
     const { command, operator } = this.options;
     if (operator === undefined) return command;
--- a/packages/testing/loopback/sizing/controller-process.ts
+++ b/packages/testing/loopback/sizing/controller-process.ts
@@ -10,27 +10,27 @@
   resetPeak,
 } from './process-use.js';
 
-/** How controllers are started. */
+/** How controller processes are started. */
 export interface ControllerCommand {
-  /** Where it is started from. */
+  /** Working directory of the process. */
   directory: string;
-  /** Program and arguments; the settings file follows. */
+  /** Program and arguments, without the settings file, which is added as the last argument. */
   command: string[];
   logLevel: string;
 }
 
-/** One run of a controller, from its start to its end. */
+/** One run of a controller process, from its start to its exit. */
 export interface ControllerRun {
   pid: number;
-  /** Milliseconds of this process's steady clock. */
+  /** Milliseconds of the measuring process's monotonic clock. */
   startedAtMs: number;
   log: ProcessLog;
 }
 
-/** The controller does not run, or has ended by itself. */
+/** The controller is not running: it was not started, was ended, or exited by itself. */
 export class NotRunning extends Error {}
 
-/** A controller as a process of its own, which this process starts and ends. */
+/** A controller in a child process, which the measuring process starts and ends. */
 export class ControllerProcess {
   private child: ChildProcess | null = null;
   private current: ControllerRun | null = null;
@@ -43,16 +43,16 @@
     private readonly controllerCommand: ControllerCommand,
   ) {}
 
-  /** Throws NotRunning. */
+  /** The current run; throws NotRunning if the process has no run or has exited. */
   get run(): ControllerRun {
-    if (this.current === null) throw new NotRunning(`${this.name} does not run`);
+    if (this.current === null) throw new NotRunning(`${this.name} is not running`);
     if (this.alive) return this.current;
     const lastOutput =
       this.current.log.otherOutput.at(-1) ?? this.current.log.lines.at(-1)?.msg ?? '';
-    throw new NotRunning(`${this.name} has ended by itself: ${lastOutput}`);
+    throw new NotRunning(`${this.name} exited unexpectedly; its last output: ${lastOutput}`);
   }
 
-  /** It was started and not ended; it may have ended by itself. */
+  /** Whether the controller was started and not ended; its process may have exited by itself. */
   get running(): boolean {
     return this.current !== null;
   }
@@ -61,7 +61,7 @@
     return this.child !== null && this.child.exitCode === null && this.child.signalCode === null;
   }
 
-  /** Starts it by another command than usual if one is given. */
+  /** Starts the controller, by default with the command that was given to the constructor. */
   start(command: string[] = this.controllerCommand.command): ControllerRun {
     const { directory, logLevel } = this.controllerCommand;
     const [program, ...args] = command;
@@ -76,7 +76,7 @@
     return this.current;
   }
 
-  /** Sends the signal and resolves once the process has ended. */
+  /** Sends the signal and resolves once the process has exited. */
   async end(signal: 'SIGKILL' | 'SIGTERM'): Promise<void> {
     const { child } = this;
     if (this.current !== null) this.setStopped(false);
@@ -86,19 +86,19 @@
     await once(child, 'exit');
   }
 
-  /** Lets the process stand still, or go on. */
+  /** Stops the process with SIGSTOP, or continues it with SIGCONT. */
   setStopped(stopped: boolean): void {
     if (stopped === this.stopped) return;
     this.stopped = stopped;
     this.child?.kill(stopped ? 'SIGSTOP' : 'SIGCONT');
   }
 
-  /** Without waiting for its end. */
+  /** Kills the process without waiting for its exit. */
   killNow(): void {
     this.child?.kill('SIGKILL');
   }
 
-  /** Since its start; seconds. */
+  /** Processor time of all threads since the start of the process, in seconds. */
   processorS(): number {
     return processorTimeS(this.run.pid);
   }
--- a/packages/testing/loopback/sizing/figure.ts
+++ b/packages/testing/loopback/sizing/figure.ts
@@ -2,7 +2,7 @@
 
 type Limits = PlatformSettings['deployment']['limits'];
 
-/** Units of figures; `processor s` is time that a processor worked, `s` is time that passed. */
+/** Units of figures; `processor s` and `processor ms` are processor time, `s` and `ms` elapsed time. */
 export type Unit = 'cores' | 'processor s' | 'processor ms' | 's' | 'ms' | 'MB' | 'a second' | '';
 
 /** One measured figure. */
@@ -11,13 +11,13 @@
   value: number;
   unit: Unit;
   /**
-   * Cores and MB as a share of the limit; for processor time the seconds that it takes at the limit. Null
-   * if no limit is about it.
+   * The value relative to the controller's limit: cores and MB as a share of the limit, processor time as the
+   * seconds that it takes at the limit. Null if no limit applies.
    */
   ofLimit: number | null;
 }
 
-/** Gathers figures and puts them beside a controller's limits. */
+/** Collects figures and relates them to a controller's limits. */
 export class Figures {
   readonly all: Figure[] = [];
 
--- a/packages/testing/loopback/sizing/full-fleet.ts
+++ b/packages/testing/loopback/sizing/full-fleet.ts
@@ -1,4 +1,4 @@
-/** Brings a cluster to the state that most measurements begin from. */
+/** Starts a cluster and fills its fleet, which is the state that measurements start from. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { formatAddress } from '../../simulation/addresses.js';
 import type { LoopbackCluster } from './cluster.js';
@@ -7,12 +7,12 @@
 import { waitFor } from './wait.js';
 import { planSizingWorkload } from './workload.js';
 
-/** For how long jobs come: longer than any run of measurements. */
+/** How long jobs are submitted: longer than any run of measurements. */
 const WORKLOAD_LENGTH_S = 3600;
 const START_TIMEOUT_S = 60;
 const FILL_TIMEOUT_S = 180;
 
-/** Starts all controllers and users; resolves once the whole fleet works and has done so for a while. */
+/** Starts all controllers and users; resolves when the full fleet has run for the settling time. */
 export async function fillFleet(cluster: LoopbackCluster, options: SizingOptions): Promise<void> {
   await cluster.listen();
   for (const controller of cluster.controllers) controller.start();
@@ -21,13 +21,13 @@
   const teams = cluster.options.shared.deployment.teams.map(({ name }) => name);
   const workload = { machines, teams, jobsPerMinute, lengthS: WORKLOAD_LENGTH_S };
   cluster.users.start(planSizingWorkload(workload));
-  await waitFor(`${machines} machines that report`, FILL_TIMEOUT_S, () =>
+  await waitFor(`${machines} machines with a worker`, FILL_TIMEOUT_S, () =>
     cluster.fleet.workers().length >= machines ? true : null,
   );
   await sleep(settleS * 1000);
 }
 
-/** Resolves once all controllers that run say that they are healthy. */
+/** Resolves once all running controllers answer that they are healthy. */
 export async function allHealthy(cluster: LoopbackCluster): Promise<void> {
   for (const { running, index, name } of cluster.controllers) {
     if (!running) continue;
--- a/packages/testing/loopback/sizing/health.ts
+++ b/packages/testing/loopback/sizing/health.ts
@@ -3,25 +3,28 @@
 import type { HostPort } from '#wire';
 import { TooLate } from './wait.js';
 
-/** From one question to the next; each costs the controller a little. */
+/** Interval of the health requests, each of which costs the controller some processor time. */
 const POLL_INTERVAL_MS = 20;
 const RESPONSE_TIMEOUT_MS = 5000;
 
-/** Resolves once the controller says that it is healthy, with the moment; rejects with TooLate. */
+/**
+ * Resolves once the controller answers that it is healthy, with the time of the answer in milliseconds of the
+ * monotonic clock; rejects with TooLate.
+ */
 export async function waitUntilHealthy(
   address: HostPort,
   timeoutS: number,
   name: string,
 ): Promise<{ atMs: number }> {
-  const untilMs = performance.now() + timeoutS * 1000;
-  while (performance.now() < untilMs) {
+  const deadlineMs = performance.now() + timeoutS * 1000;
+  while (performance.now() < deadlineMs) {
     if ((await fetchHealthStatus(address)) === 200) return { atMs: performance.now() };
     await sleep(POLL_INTERVAL_MS);
   }
   throw new TooLate(`${name}: not healthy within ${timeoutS} s`);
 }
 
-/** The status of /healthz; null if there is no answer. */
+/** The HTTP status of /healthz; null if the controller does not answer. */
 function fetchHealthStatus({ host, port }: HostPort): Promise<number | null> {
   return new Promise((resolve) => {
     const options = { host, port, path: '/healthz', agent: false, timeout: RESPONSE_TIMEOUT_MS };
--- a/packages/testing/loopback/sizing/heartbeat-log.test.ts
+++ b/packages/testing/loopback/sizing/heartbeat-log.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { HeartbeatLog } from './heartbeat-log.js';
 
-test('answers of owners are told apart from all others, by controller', () => {
+test('heartbeats are counted by controller, those answered by the leader apart from all others', () => {
   const log = new HeartbeatLog();
   const heard: string[] = [];
   const stop = log.onAnswered(({ machine }) => heard.push(machine));
--- a/packages/testing/loopback/sizing/heartbeat-log.ts
+++ b/packages/testing/loopback/sizing/heartbeat-log.ts
@@ -1,25 +1,26 @@
 import type { HeartbeatExchange, HeartbeatObserver } from '../../stand-ins/index.js';
 
-/** A report that a controller has answered as the owner. */
+/** A heartbeat that a controller answered as the leader. */
 export interface AnsweredHeartbeat {
   machine: string;
   controller: string;
-  /** When its answer arrived; milliseconds of this process's steady clock. */
+  /** When the answer arrived, in milliseconds of the measuring process's monotonic clock. */
   atMs: number;
 }
 
 type Listener = (heartbeat: AnsweredHeartbeat) => void;
 
-/** Status of the answer that renews a worker's lease. */
+/** HTTP status of the answer that renews a worker's lease. */
 const RENEWED = 200;
 
-/** How all workers of a fleet fare with their reports. */
+/** Counts the answers to the heartbeats of all workers of a fleet, and the worker leases that expired. */
 export class HeartbeatLog implements HeartbeatObserver {
-  /** Reports that were answered with 200, and all others, by controller. */
+  /** Number of heartbeats that were answered with 200, by controller. */
   readonly answered = new Map<string, number>();
+  /** Number of heartbeats with another answer or none, by controller. */
   readonly notRenewed = new Map<string, number>();
   leasesEnded = 0;
-  /** Told of each answer that a worker obeys. */
+  /** Called for each answer that a worker obeys. */
   onObeyed: (machine: string, controller: string, fencingToken: number) => void = () => {};
   private readonly listeners = new Set<Listener>();
 
@@ -40,7 +41,7 @@
     this.leasesEnded++;
   }
 
-  /** Calls back for each answered report until the returned function is called. */
+  /** Calls the listener for each answered heartbeat until the returned function is called. */
   onAnswered(listener: Listener): () => void {
     this.listeners.add(listener);
     return () => void this.listeners.delete(listener);
--- a/packages/testing/loopback/sizing/machine-type.ts
+++ b/packages/testing/loopback/sizing/machine-type.ts
@@ -2,7 +2,7 @@
 
 export const MACHINE_TYPE = 'gpu-8';
 
-/** The only machine type of the fleets that are measured: eight accelerators. */
+/** The only machine type of measured fleets; it has eight GPUs. */
 export function machineType(zones: string[]): MachineType {
   return {
     name: MACHINE_TYPE,
--- a/packages/testing/loopback/sizing/measure-all.ts
+++ b/packages/testing/loopback/sizing/measure-all.ts
@@ -12,16 +12,16 @@
 import { runLine } from './sources.js';
 import { Throttle } from './throttle.js';
 
-/** Is told how a run of measurements goes on. */
+/** Receives the progress of a run of measurements. */
 export interface Progress {
-  /** Something begins that takes a while. */
+  /** Called before each measurement, and before the fleet is filled. */
   begins(what: string): void;
   measured(measured: MeasuredFigures): void;
 }
 
 interface Plan {
   measure: Measure;
-  /** Whether it is repeated as often as the command line says. */
+  /** Whether the measurement runs as often as `--repeat` says, and not just once. */
   repeated: boolean;
 }
 
@@ -37,7 +37,7 @@
   'take-over': { measure: measureTakeOver, repeated: true },
 };
 
-/** Runs the chosen measurements one after the other on one cluster. */
+/** Runs the selected measurements one after the other on one cluster. */
 export async function measureAll(options: SizingOptions, progress: Progress): Promise<void> {
   const cluster = makeCluster(options);
   const throttle = new Throttle(cluster.controllers, options.throttleCores ?? Infinity);
@@ -58,7 +58,7 @@
   }
 }
 
-/** The cluster that the options describe; nothing of it runs yet. */
+/** Makes the cluster that the options describe, without starting any of its processes and services. */
 export function makeCluster({ sources, nodeOptions, logLevel, machines, cluster }: SizingOptions) {
   const command = { directory: sources, command: runLine(sources, nodeOptions), logLevel };
   return new LoopbackCluster({ shared: cluster, machines, command });
--- a/packages/testing/loopback/sizing/measurement-names.ts
+++ b/packages/testing/loopback/sizing/measurement-names.ts
@@ -1,4 +1,4 @@
-/** What can be measured, in the order in which it is. */
+/** Names of the measurements, in the order in which they run. */
 export const MEASUREMENTS = [
   'start',
   'owner',
--- a/packages/testing/loopback/sizing/measurement.ts
+++ b/packages/testing/loopback/sizing/measurement.ts
@@ -3,14 +3,17 @@
 import type { MeasurementName } from './measurement-names.js';
 import type { SizingOptions } from './options.js';
 
-/** Figures that were taken at one go. */
+/** The figures of one run of a measurement. */
 export interface MeasuredFigures {
-  /** Its name; one that is about several roles adds the role. */
+  /** Name of the measurement, with the role of the controller if it measures several roles. */
   measurement: MeasurementName | `${MeasurementName}, ${string}`;
   figures: Figure[];
 }
 
-/** Measures at a cluster whose fleet is full; leaves it so that others can go on there. */
+/**
+ * Measures a cluster whose fleet has reached its full size. The cluster is ready for the next measurement
+ * afterwards.
+ */
 export type Measure = (
   cluster: LoopbackCluster,
   options: SizingOptions,
--- a/packages/testing/loopback/sizing/measurements/causes.ts
+++ b/packages/testing/loopback/sizing/measurements/causes.ts
@@ -1,6 +1,6 @@
 /**
- * What an owner and another controller spend their processor time on. Both run as separate modules and with
- * Node's profiler, which takes processor time itself: the shares count, more than their sum.
+ * Measures what a leader and a standby spend their processor time on. Both run as separate modules and with
+ * Node's profiler, which uses processor time itself: the shares mean more than their sum.
  */
 import { mkdirSync } from 'node:fs';
 import path from 'node:path';
@@ -18,7 +18,7 @@
 import { profiledRunCommand } from '../sources.js';
 
 const RECONNECTION_TIMEOUT_S = 120;
-/** From the start of the last controller to the measurement. */
+/** Delay from the start of the last controller to the measurement. */
 const SETTLE_S = 20;
 
 interface ProfiledUsage {
@@ -28,7 +28,7 @@
   span: TimeSpan;
 }
 
-/** Starts all controllers anew, so that the first one is the owner, and profiles it and the next. */
+/** Restarts all controllers so that the first one becomes the leader, and profiles it and the second. */
 export async function measureCauses(
   cluster: LoopbackCluster,
   { seconds }: SizingOptions,
@@ -75,7 +75,7 @@
   return path.join(cluster.directory, `profile-${name}`);
 }
 
-/** Ends the controller, which writes its profile then. */
+/** Ends the controller, which then writes its profile, and attributes its processor time to causes. */
 async function figuresOf(
   cluster: LoopbackCluster,
   { controller, directory, observed, span }: ProfiledUsage,
--- a/packages/testing/loopback/sizing/measurements/failover.ts
+++ b/packages/testing/loopback/sizing/measurements/failover.ts
@@ -1,4 +1,4 @@
-/** What the sudden end of the owner costs: until another has claimed the part, and answers all workers. */
+/** Measures a failover: how long it takes after a leader is killed, and what it costs the new leader. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { LoopbackCluster } from '../cluster.js';
 import type { ControllerProcess } from '../controller-process.js';
@@ -10,12 +10,12 @@
 
 const ELECTION_TIMEOUT_S = 60;
 const RECONNECTION_TIMEOUT_S = 120;
-/** How long the successor is watched from its claim on. */
+/** How long the new leader is observed after its election. */
 const WATCH_S = 10;
-/** From one take-over to the next. */
+/** Pause after a measurement, before the next one. */
 const COOLDOWN_S = 10;
 
-/** Kills the owner and watches its successor. */
+/** Kills the leader and observes its successor. */
 export async function measureTakeOver(cluster: LoopbackCluster): Promise<MeasuredFigures[]> {
   const former = cluster.requireLeader();
   const figures = new Figures(cluster.options.shared.deployment.limits);
@@ -38,7 +38,7 @@
   workers: WorkerReconnection,
   figures: Figures,
 ): Promise<void> {
-  const leader = await waitFor('a successor', ELECTION_TIMEOUT_S, () => cluster.leader());
+  const leader = await waitFor('a new leader', ELECTION_TIMEOUT_S, () => cluster.leader());
   const electedAtMs = performance.now();
   const processorS = leader.processorS();
   const requests = cluster.stateRequestsOf(leader);
@@ -53,7 +53,7 @@
 
 interface Election {
   electedAtMs: number;
-  /** Processor time that the successor had used by then. */
+  /** Processor time that the new leader had used at its election, in seconds. */
   processorS: number;
   workers: WorkerReconnection;
 }
--- a/packages/testing/loopback/sizing/measurements/peaks.ts
+++ b/packages/testing/loopback/sizing/measurements/peaks.ts
@@ -1,4 +1,4 @@
-/** How far processor and memory rise when many, large or very wide jobs come at once. */
+/** Measures the peaks of processor time and memory when many jobs, large jobs or a wide array arrive. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { encodeJob, jobKey, sizeInJson } from '#store';
 import type { Job } from '#wire';
@@ -11,18 +11,18 @@
 import type { SizingOptions } from '../options.js';
 import { type Peak, PeakWatch } from '../peak-watch.js';
 
-/** How long the controllers are watched from the first submission on. */
+/** How long the controllers are observed from the first submission on. */
 const WATCH_S = 30;
-/** From the cancellation of what is left to the next measurement. */
+/** Pause from the cancellation of the jobs to the next measurement. */
 const COOLDOWN_S = 10;
 const ACCEPTANCE_POLL_MS = 5;
 const ARRAY_TASKS = 25_000;
 const ARRAY_RUN_S = 20;
 const BURST_RUN_S = 10;
-/** Beside the replica that holds each machine, for many at a time. */
+/** Small enough for many tasks to fit on a machine beside its anchor task. */
 const SMALL_JOB_FIELDS: Partial<Job> = { class: 'batch', rank: 3, spot: true, gpus: 0, memory: 2 };
 
-/** Many small jobs at once. */
+/** Submits many small jobs at once. */
 export async function measureBurst(
   cluster: LoopbackCluster,
   { burst }: SizingOptions,
@@ -31,13 +31,13 @@
   return watchSubmission(cluster, 'burst', jobs, BURST_RUN_S);
 }
 
-/** One array of very many tasks. */
+/** Submits one array with very many tasks. */
 export async function measureArray(cluster: LoopbackCluster): Promise<MeasuredFigures[]> {
   const job = newJob(cluster, { ...SMALL_JOB_FIELDS, cpus: 4, tasks: ARRAY_TASKS });
   return watchSubmission(cluster, 'array', [job], ARRAY_RUN_S);
 }
 
-/** Many jobs, each of which fills one value of the state service. */
+/** Submits many jobs, each with a record of the greatest size that the state service accepts. */
 export async function measureLargeJobs(
   cluster: LoopbackCluster,
   { burst }: SizingOptions,
@@ -54,7 +54,7 @@
   return aJob({ ...fields, id: cluster.newJobId(), team: team.name });
 }
 
-/** The same job with as many names of machine types as its record has room for. */
+/** The same job with as many machine types as fit in its record. */
 function enlargeToValueLimit(job: Job, valueBytes: number): Job {
   const withTypes = (count: number) => ({ ...job, types: Array<string>(count).fill(MACHINE_TYPE) });
   const bytes = (count: number) => recordBytes(withTypes(count));
@@ -62,7 +62,7 @@
   return withTypes(1 + Math.floor((valueBytes - bytes(1)) / perType));
 }
 
-/** As the controllers measure it before they accept a job. */
+/** Size of the record of a job, calculated as controllers do before they accept a job. */
 function recordBytes(job: Job): number {
   const record = { job, acceptedAtMs: Number.MAX_SAFE_INTEGER, phase: 'accepted' as const };
   return sizeInJson([{ put: jobKey(job.id), value: encodeJob(record) }]);
@@ -101,7 +101,7 @@
   }
 }
 
-/** Seconds until the last was accepted; infinite if some were not while the controllers are watched. */
+/** Seconds until the last job was accepted; infinite if some were not accepted within `WATCH_S`. */
 async function waitUntilAccepted(
   { userLog }: LoopbackCluster,
   jobs: Job[],
--- a/packages/testing/loopback/sizing/measurements/restart.ts
+++ b/packages/testing/loopback/sizing/measurements/restart.ts
@@ -1,4 +1,4 @@
-/** What it costs if all controllers end at once and come back together. */
+/** Measures a restart of all controllers at once: how long it takes and what it costs them. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { LoopbackCluster } from '../cluster.js';
 import { Figures } from '../figure.js';
@@ -10,11 +10,11 @@
 
 const ELECTION_TIMEOUT_S = 60;
 const RECONNECTION_TIMEOUT_S = 120;
-/** How long the controllers are watched from their start on. */
+/** How long the controllers are observed from their start on. */
 const WATCH_S = 10;
 const COOLDOWN_S = 10;
 
-/** Kills all controllers and starts them again together. */
+/** Kills all controllers and starts them again at the same time. */
 export async function measureRestart(
   cluster: LoopbackCluster,
   { downS }: SizingOptions,
@@ -42,7 +42,7 @@
   figures: Figures,
 ): Promise<void> {
   const sinceStartS = (atMs: number) => (atMs - workers.startedAtMs) / 1000;
-  const leader = await waitFor('a new owner', ELECTION_TIMEOUT_S, () => cluster.leader());
+  const leader = await waitFor('a new leader', ELECTION_TIMEOUT_S, () => cluster.leader());
   figures
     .seconds('from the start to the claim', sinceStartS(performance.now()))
     .processorS('owner: until its claim', leader.processorS());
--- a/packages/testing/loopback/sizing/measurements/start.ts
+++ b/packages/testing/loopback/sizing/measurements/start.ts
@@ -1,4 +1,4 @@
-/** What the start of one controller costs beside others that run, with the records of a full fleet. */
+/** Measures the start of one controller while others run, with the records of a full fleet. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { LoopbackCluster } from '../cluster.js';
 import type { ControllerProcess } from '../controller-process.js';
@@ -7,12 +7,12 @@
 import type { MeasuredFigures } from '../measurement.js';
 
 const HEALTHY_TIMEOUT_S = 60;
-/** From the end of a controller to its start, so that its peers notice. */
+/** Downtime of the controller, long enough for its peers to notice. */
 const DOWN_S = 2;
-/** How long a controller that has just started is watched. */
+/** How long the controller is observed from its start on. */
 const WATCH_S = 10;
 
-/** Ends one controller that owns nothing and starts it again. */
+/** Kills a standby, or the only controller, and starts it again. */
 export async function measureStart(cluster: LoopbackCluster): Promise<MeasuredFigures[]> {
   const controller = cluster.standbys().at(-1) ?? cluster.controllers[0];
   await controller.end('SIGKILL');
--- a/packages/testing/loopback/sizing/measurements/steady.ts
+++ b/packages/testing/loopback/sizing/measurements/steady.ts
@@ -1,4 +1,4 @@
-/** What an owner and the others need while nothing goes wrong. */
+/** Measures the leader and the standbys in the steady state, without faults. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { LoopbackCluster } from '../cluster.js';
 import { Figures } from '../figure.js';
@@ -6,7 +6,7 @@
 import { Observation, type ObservedUsage } from '../observation.js';
 import type { SizingOptions } from '../options.js';
 
-/** Watches the owner for a while. */
+/** Observes the leader for `seconds`. */
 export async function measureLeader(
   cluster: LoopbackCluster,
   { seconds }: SizingOptions,
@@ -24,7 +24,7 @@
   return [{ measurement: 'owner', figures: figures.all }];
 }
 
-/** Watches all controllers that own nothing; the figures are their means. */
+/** Observes all standbys for `seconds`; the figures are means over the standbys. */
 export async function measureStandby(
   cluster: LoopbackCluster,
   { seconds }: SizingOptions,
@@ -48,10 +48,10 @@
   return observations.map((observation) => observation.end());
 }
 
-/** What a controller's own counts say, as far as it has logged them. */
+/** Figure names of the process statistics that controllers log. */
 const STATISTICS_LABELS: Record<string, string> = {
   userRequestsPerS: "users' requests",
-  // The same in the lines of earlier builds (`--sources`).
+  // The field of earlier builds (`--sources`).
   questionsPerS: "users' requests",
   peerFramesPerS: 'frames from peers',
   roundsPerS: 'rounds',
--- a/packages/testing/loopback/sizing/observation.ts
+++ b/packages/testing/loopback/sizing/observation.ts
@@ -3,25 +3,28 @@
 import type { ProcessLog } from './process-log.js';
 import type { ProcessorTime } from './process-use.js';
 
-/** What one controller did and used over a span of time; rates are a second. */
+/** What one controller did and used over a period; all rates are per second. */
 export interface ObservedUsage {
   seconds: number;
   cores: number;
-  /** The part of `cores` that the kernel did not use for it, and that of the program's own thread. */
+  /** Cores used in user mode. */
   userCores: number;
+  /** Cores used by the main thread, which runs JavaScript. */
   mainThreadCores: number;
-  /** Reports answered as the owner, and turned away, as their workers saw it. */
+  /** Heartbeats that the controller answered as the leader, as counted by the workers. */
   answeredHeartbeats: number;
+  /** Heartbeats to the controller with another answer or none, as counted by the workers. */
   notRenewedHeartbeats: number;
   stateRequests: number;
-  /** Resident memory at the end, and its peak; MB. */
+  /** Resident memory at the end of the period. */
   residentMb: number;
+  /** Peak of the resident memory over the period. */
   peakMb: number;
-  /** Averages of the controller's own lines of process statistics; empty if it logged none meanwhile. */
+  /** Averages over the controller's log lines with process statistics; empty if it logged none. */
   processStatistics: Record<string, number>;
 }
 
-/** Totals since the start of a controller. */
+/** Running totals of one controller at a point in time. */
 interface Totals {
   atMs: number;
   processor: ProcessorTime;
@@ -30,7 +33,7 @@
   stateRequests: number;
 }
 
-/** Watches one controller from now on. */
+/** Observes one controller from the construction to `end`. */
 export class Observation {
   private readonly before: Totals;
 
@@ -42,7 +45,7 @@
     this.before = this.totals();
   }
 
-  /** What happened since it was made. */
+  /** The usage since the start of the observation. */
   end(): ObservedUsage {
     const { before, controller } = this;
     const after = this.totals();
@@ -76,10 +79,10 @@
   }
 }
 
-/** The line of process statistics; the sources that are measured may be older than its present name. */
+/** Log messages with process statistics: the present one, and that of earlier builds (`--sources`). */
 const STATISTICS_MESSAGES = ['process statistics sampled', 'vitals'];
 
-/** Mean of each number in the lines of process statistics since then. */
+/** Mean of each number in the process statistics that were logged from `sinceMs` on. */
 function averageStatistics(log: ProcessLog, sinceMs: number): Record<string, number> {
   const lines = STATISTICS_MESSAGES.flatMap((message) => log.since(message, sinceMs));
   const names = Object.keys(lines[0] ?? {}).filter((name) => typeof lines[0][name] === 'number');
--- a/packages/testing/loopback/sizing/options.test.ts
+++ b/packages/testing/loopback/sizing/options.test.ts
@@ -3,7 +3,7 @@
 import { CommanderError } from 'commander';
 import { BadArguments, readOptions } from './options.js';
 
-test('what the command line leaves out comes from the sample settings', () => {
+test('options that are not given take their values from the sample settings', () => {
   const { measurements, cluster, machines, jobsPerMinute } = readOptions(['--machines', '100']);
   assert.deepEqual(measurements, ['start', 'owner', 'standby', 'take-over']);
   assert.equal(cluster.controllers, 3);
@@ -11,11 +11,11 @@
   assert.ok(Math.abs(jobsPerMinute / machines - 0.276) < 1e-9);
 });
 
-test('the command line changes what the settings say', () => {
+test('options on the command line override the settings', () => {
   const { measurements, cluster } = readOptions(
     'take-over owner --controllers 7 --report-s 2.5 --lease-s 15 --cpu-share 0.076'.split(' '),
   );
-  assert.deepEqual(measurements, ['owner', 'take-over'], 'in the order in which they are measured');
+  assert.deepEqual(measurements, ['owner', 'take-over'], 'in the order in which they run');
   const { workers, limits } = cluster.deployment;
   assert.deepEqual([cluster.controllers, workers.report_s, workers.lease_s], [7, 2.5, 15]);
   assert.equal(limits.cpu_share, 0.076);
@@ -34,7 +34,7 @@
 ];
 
 for (const [args, message] of REFUSED) {
-  test(`refused: ${args}`, (t) => {
+  test(`refuses ${args}`, (t) => {
     t.mock.method(process.stderr, 'write', () => true);
     assert.throws(
       () => readOptions(args.split(' ')),
--- a/packages/testing/loopback/sizing/options.ts
+++ b/packages/testing/loopback/sizing/options.ts
@@ -1,4 +1,4 @@
-/** The command line of the measuring program. */
+/** The command line of `measure.js sizing`. */
 import path from 'node:path';
 import { fileURLToPath } from 'node:url';
 import { Command, InvalidArgumentError } from 'commander';
@@ -7,35 +7,35 @@
 import { MEASUREMENTS, type MeasurementName } from './measurement-names.js';
 import { JOBS_PER_MACHINE_MINUTE } from './workload.js';
 
-/** What is to be measured, and at which size. */
+/** Which measurements are taken, and at which size of the cluster. */
 export interface SizingOptions {
   measurements: MeasurementName[];
-  /** What all controllers share: their number and the platform's figures. */
+  /** Settings that all controllers share: their number and the platform's deployment. */
   cluster: SharedSettings;
   machines: number;
   jobsPerMinute: number;
-  /** Length of a steady measurement. */
+  /** Length of a measurement of the steady state. */
   seconds: number;
-  /** How long the full fleet works before anything is measured. */
+  /** How long the fleet runs at its full size before the first measurement. */
   settleS: number;
-  /** How often starts, take-overs and restarts are measured. */
+  /** How often the measurements of starts, take-overs and restarts are repeated. */
   repeat: number;
-  /** Jobs that come at once where a burst is measured. */
+  /** Number of jobs that `burst` and `large-jobs` submit at once. */
   burst: number;
-  /** How long all controllers are down where their restart is measured. */
+  /** How long all controllers are down in `restart`. */
   downS: number;
-  /** A built checkout whose controllers are measured. */
+  /** Directory of a built checkout whose controllers are measured. */
   sources: string;
-  /** Options of Node itself, before those of the run line. */
+  /** Options of Node that precede those of the run command. */
   nodeOptions: string[];
   logLevel: string;
-  /** Cores that each controller is held to by stopping and continuing it; null: it is not. */
+  /** Cores to which the throttle limits each controller; null if controllers are not throttled. */
   throttleCores: number | null;
-  /** Where JSON lines are added; null for nowhere. */
+  /** File to which JSON lines are appended; null if none are written. */
   json: string | null;
 }
 
-/** Arguments that can't be used; the message names the option and the reason. */
+/** An invalid command line; the message names the option and the reason. */
 export class BadArguments extends Error {}
 
 interface RawOptions {
@@ -65,7 +65,7 @@
 /** The checkout that this program belongs to. */
 const OWN_SOURCES = fileURLToPath(new URL('../../../..', import.meta.url));
 const OWN_SETTINGS = path.join(OWN_SOURCES, 'examples/settings.toml');
-/** Without limits, so that the whole fleet is used. */
+/** Teams without limits, so that the whole fleet can be used. */
 const TEAMS = ['team-a', 'team-b'].map((name) => ({
   name,
   cpus: 0,
@@ -87,63 +87,55 @@
 
 function makeProgram(): Command {
   const program = new Command('sizing')
-    .description('Measures what controllers need at a given size, on this machine (Linux).')
+    .description(
+      'Measures the processor time and memory of controllers at a given size, on this machine (Linux).',
+    )
     .argument('[measurements...]', `${MEASUREMENTS.join(', ')}, or ${ALL}`, collectMeasurement, [])
     .exitOverride()
     .showSuggestionAfterError(false)
-    .option('--machines <number>', 'machines, each of which reports', integerParser(1), 50)
+    .option('--machines <number>', 'machines, each with a worker', atLeast(1), 50)
     .option(
       '--jobs-per-minute <number>',
-      `jobs that come and go (default: ${JOBS_PER_MACHINE_MINUTE} for each machine)`,
-      parseNonNegative,
-    )
-    .option('--seconds <number>', 'length of a steady measurement', parsePositive, 30)
-    .option('--settle-s <seconds>', 'how long the full fleet works before', parseNonNegative, 20)
-    .option(
-      '--repeat <number>',
-      'how often starts, take-overs, restarts are measured',
-      integerParser(1),
-      3,
-    )
-    .option(
-      '--burst <number>',
-      'jobs that come at once in burst and large-jobs',
-      integerParser(1),
-      200,
+      `short jobs submitted per minute (default: ${JOBS_PER_MACHINE_MINUTE} for each machine)`,
+      nonNegative,
     )
-    .option('--down-s <seconds>', 'how long controllers are down in restart', parseNonNegative, 6);
+    .option('--seconds <number>', 'length of a measurement of the steady state', positive, 30)
+    .option('--settle-s <seconds>', 'how long the full fleet runs beforehand', nonNegative, 20)
+    .option('--repeat <number>', 'runs of start, take-over and restart', atLeast(1), 3)
+    .option('--burst <number>', 'jobs submitted at once in burst and large-jobs', atLeast(1), 200)
+    .option('--down-s <seconds>', 'how long controllers are down in restart', nonNegative, 6);
   addClusterOptions(program);
   return addProgramOptions(program);
 }
 
 function addClusterOptions(program: Command): void {
   program
-    .option('--settings <file>', "the platform's settings to begin with", OWN_SETTINGS)
-    .option('--controllers <number>', 'controllers', integerParser(1))
-    .option('--report-s <seconds>', "workers' report period", parsePositive)
-    .option('--lease-s <seconds>', "workers' lease", parsePositive)
+    .option('--settings <file>', 'platform settings that other options override', OWN_SETTINGS)
+    .option('--controllers <number>', 'number of controllers', atLeast(1))
+    .option('--report-s <seconds>', "interval of a worker's heartbeats", positive)
+    .option('--lease-s <seconds>', "length of a worker's lease", positive)
     .option(
       '--cpu-share <cores>',
-      'limit of a controller that figures are compared with',
-      parsePositive,
+      'processor limit of a controller, compared with figures',
+      positive,
     )
-    .option('--memory-mb <megabytes>', 'limit of a controller', parsePositive)
-    .option('--sockets <number>', 'limit of a controller', parsePositive)
-    .option('--state-rps <number>', "state service's requests a second", parsePositive)
-    .option('--state-write-rps <number>', "state service's changes a second", parsePositive);
+    .option('--memory-mb <megabytes>', 'memory limit of a controller', positive)
+    .option('--sockets <number>', 'socket limit of a controller', positive)
+    .option('--state-rps <number>', 'request limit of the state service, per second', positive)
+    .option('--state-write-rps <number>', 'write limit of the state service, per second', positive);
 }
 
 function addProgramOptions(program: Command): Command {
   return program
     .option('--sources <directory>', 'a built checkout whose controllers are measured', OWN_SOURCES)
-    .option('--node-options <options>', 'options of Node for the controllers', '')
-    .option('--log-level <level>', "the controllers' (process statistics need info)", 'info')
+    .option('--node-options <options>', 'Node options of the controllers', '')
+    .option('--log-level <level>', 'log level of controllers; process statistics need info', 'info')
     .option(
       '--throttle <cores>',
-      'hold controllers to it by stopping and continuing them',
-      parsePositive,
+      'limit of each controller, enforced by stopping and continuing its process',
+      positive,
     )
-    .option('--json <file>', 'add one JSON object per measurement to the file; - for the output')
+    .option('--json <file>', 'append each measurement as a JSON object; - for standard output')
     .addHelpText(
       'after',
       '\nExample:\n  $ node target/testing/measure.js sizing owner standby --controllers 3 --machines 100',
@@ -176,7 +168,7 @@
   };
 }
 
-/** The settings file's figures, with those of the command line in their place. */
+/** Reads the settings file and overrides its values by those of the command line. */
 function buildSharedSettings(raw: RawOptions): SharedSettings {
   const { deployment } = readSettings(raw.settings);
   const { workers, limits, state } = deployment;
@@ -222,24 +214,24 @@
   throw new InvalidArgumentError(`It must be one of ${names.join(', ')}.`);
 }
 
-/** Not a number if it is none. */
+/** The number that the text holds; NaN if it holds none. */
 function parseNumber(text: string): number {
   return text.trim() === '' ? NaN : Number(text);
 }
 
-function parseNonNegative(text: string): number {
+function nonNegative(text: string): number {
   const value = parseNumber(text);
   if (value >= 0 && value < Infinity) return value;
   throw new InvalidArgumentError('It must be a number of 0 or more.');
 }
 
-function parsePositive(text: string): number {
+function positive(text: string): number {
   const value = parseNumber(text);
   if (value > 0 && value < Infinity) return value;
   throw new InvalidArgumentError('It must be a number above 0.');
 }
 
-function integerParser(minimum: number): (text: string) => number {
+function atLeast(minimum: number): (text: string) => number {
   return (text) => {
     const value = parseNumber(text);
     if (Number.isInteger(value) && value >= minimum) return value;
--- a/packages/testing/loopback/sizing/peak-watch.test.ts
+++ b/packages/testing/loopback/sizing/peak-watch.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { peakCores } from './peak-watch.js';
 
-/** Samples every 100 ms of a process that uses so many cores in each second. */
+/** Samples every 100 ms of a process, given the cores that it uses in each second. */
 function samplesOf(coresBySecond: number[]) {
   let processorS = 0;
   const samples = [{ atMs: 0, processorS }];
@@ -13,12 +13,12 @@
   return samples;
 }
 
-test('the greatest use is that of the busiest second, wherever it begins', () => {
+test('the peak is the use over the busiest second, at whichever sample that second begins', () => {
   assert.ok(Math.abs(peakCores(samplesOf([0.1, 0.5, 0.2])) - 0.5) < 1e-9);
   const halfAndHalf = samplesOf([0, 1, 0]).filter(({ atMs }) => atMs % 1000 === 500);
   assert.ok(Math.abs(peakCores(halfAndHalf) - 0.5) < 1e-9);
 });
 
-test('less than a second tells nothing', () => {
+test('the peak is 0 if the samples cover less than a second', () => {
   assert.equal(peakCores(samplesOf([0.5]).slice(0, 10)), 0);
 });
--- a/packages/testing/loopback/sizing/peak-watch.ts
+++ b/packages/testing/loopback/sizing/peak-watch.ts
@@ -1,7 +1,7 @@
 import type { ControllerProcess } from './controller-process.js';
 
 const SAMPLE_INTERVAL_MS = 100;
-/** Span over which the greatest use is taken. */
+/** Length of the window over which the peak processor use is averaged. */
 const WINDOW_MS = 1000;
 
 interface Sample {
@@ -9,14 +9,14 @@
   processorS: number;
 }
 
-/** The most that a controller used at a time. */
+/** The peak of a controller's processor use and memory. */
 export interface Peak {
-  /** Greatest over a second. */
+  /** Highest average over a window of one second. */
   cores: number;
   memoryMb: number;
 }
 
-/** Watches one controller until `end`. */
+/** Samples the usage of one controller until `end`. */
 export class PeakWatch {
   private readonly samples: Sample[] = [];
   private readonly timer: NodeJS.Timeout;
@@ -39,7 +39,7 @@
   }
 }
 
-/** Greatest number of cores in use over a span of a second; samples may come late. */
+/** Highest average number of cores in use over a window of one second, or more if samples come late. */
 export function peakCores(samples: Sample[]): number {
   let greatest = 0;
   let first = 0;
--- a/packages/testing/loopback/sizing/process-log.ts
+++ b/packages/testing/loopback/sizing/process-log.ts
@@ -1,24 +1,24 @@
 import type { Readable } from 'node:stream';
 import { createInterface } from 'node:readline';
 
-/** One line of a controller's log; `receivedAtMs` is of this process's steady clock. */
+/** One line of a controller's log, with its arrival time on the measuring process's monotonic clock. */
 export interface LogLine {
   receivedAtMs: number;
   msg: string;
   [field: string]: unknown;
 }
 
-/** What one run of a controller has logged, and what else it wrote to standard error. */
+/** What one run of a controller wrote to standard error: its log lines and any other output. */
 export class ProcessLog {
   readonly lines: LogLine[] = [];
-  /** What was no log line, such as the last words of a process that could not run. */
+  /** Output that is not a log line, such as the error of a process that could not start. */
   readonly otherOutput: string[] = [];
 
   constructor(stream: Readable) {
     createInterface({ input: stream }).on('line', (text) => this.addLine(text));
   }
 
-  /** The lines with that message that came from that moment on. */
+  /** The lines with this message that arrived at `fromMs` of the monotonic clock or later. */
   since(msg: string, fromMs = 0): LogLine[] {
     return this.lines.filter((line) => line.msg === msg && line.receivedAtMs >= fromMs);
   }
--- a/packages/testing/loopback/sizing/process-use.ts
+++ b/packages/testing/loopback/sizing/process-use.ts
@@ -1,26 +1,26 @@
-/** What a process uses, by the kernel's word (Linux). */
+/** Reads the processor time and memory of a process from /proc (Linux). */
 import { readdirSync, readFileSync, writeFileSync } from 'node:fs';
 
 const TICKS_PER_SECOND = 100;
-/** Places of a process's own user and system time after its name in /proc/<pid>/stat. */
+/** Indices of user and system time among the fields after the process name in /proc/<pid>/stat. */
 const USER_TIME_FIELD = 11;
 const SYSTEM_TIME_FIELD = 12;
-/** What resets the greatest resident size when it is written to /proc/<pid>/clear_refs. */
+/** Resets the peak resident size (VmHWM) when it is written to /proc/<pid>/clear_refs. */
 const RESET_PEAK_COMMAND = '5';
 
 /** Resident memory of a process, in MB of 2^20 bytes. */
 export interface ResidentMemory {
   nowMb: number;
-  /** Greatest since the start, or since the last `resetPeak`. */
+  /** Peak since the start of the process, or since the last `resetPeak`. */
   peakMb: number;
 }
 
 /** Processor time that a process has used since its start, in seconds. */
 export interface ProcessorTime {
   totalS: number;
-  /** In the program itself, and not in the kernel for it; steps of 10 ms. */
+  /** Time in user mode, without the kernel; counted in steps of 10 ms. */
   userS: number;
-  /** Of the thread that runs the program; the others collect garbage and compile. */
+  /** Time of the main thread, which runs JavaScript; the others collect garbage and compile. */
   mainThreadS: number;
 }
 
@@ -28,13 +28,13 @@
   return { totalS: processorTimeS(pid), userS: userTimeS(pid), mainThreadS: threadTimeS(pid, pid) };
 }
 
-/** Of all threads that live. */
+/** Processor time of all threads that have not exited, in seconds. */
 export function processorTimeS(pid: number): number {
   const threads = readdirSync(`/proc/${pid}/task`);
   return threads.reduce((sum, thread) => sum + threadTimeS(pid, Number(thread)), 0);
 }
 
-/** Where the kernel does not count it in nanoseconds, it does in steps of 10 ms. */
+/** In seconds. Kernels that do not count nanoseconds in schedstat count steps of 10 ms in stat. */
 function threadTimeS(pid: number, thread: number): number {
   const [nanoseconds] = readFileSync(`/proc/${pid}/task/${thread}/schedstat`, 'utf8').split(' ');
   if (nanoseconds !== '0') return Number(nanoseconds) / 1e9;
@@ -48,7 +48,7 @@
 
 function readTicks(file: string): { userS: number; systemS: number } {
   const stat = readFileSync(file, 'utf8');
-  // The name may hold blanks and brackets.
+  // The process name may contain spaces and parentheses.
   const fields = stat.slice(stat.lastIndexOf(') ') + 2).split(' ');
   const seconds = (index: number) => Number(fields[index]) / TICKS_PER_SECOND;
   return { userS: seconds(USER_TIME_FIELD), systemS: seconds(SYSTEM_TIME_FIELD) };
@@ -62,12 +62,12 @@
   };
 }
 
-/** From now on the peak is that since this moment. */
+/** Restarts the measurement of the peak resident memory. */
 export function resetPeak(pid: number): void {
   writeFileSync(`/proc/${pid}/clear_refs`, RESET_PEAK_COMMAND);
 }
 
-/** A field of /proc/<pid>/status that is in kB. */
+/** Reads a field in kB from the text of /proc/<pid>/status; NaN if the field is missing. */
 function readKilobytes(status: string, name: string): number {
   return Number(new RegExp(`^${name}:\\s+(\\d+) kB`, 'm').exec(status)?.[1] ?? NaN);
 }
--- a/packages/testing/loopback/sizing/profile.test.ts
+++ b/packages/testing/loopback/sizing/profile.test.ts
@@ -13,47 +13,60 @@
 const SERVER = [node('_http_server'), node('net'), frame('(root)', '')];
 
 const STACKS: [name: string, stack: StackFrame[], cause: ReturnType<typeof causeOf>][] = [
-  ['a pause', [frame('(idle)', ''), frame('(root)', '')], null],
-  ['garbage', [frame('(garbage collector)', ''), ...SERVER], 'garbage collection'],
+  ['an idle sample', [frame('(idle)', ''), frame('(root)', '')], null],
   [
-    'a report',
+    'garbage collection within a request',
+    [frame('(garbage collector)', ''), ...SERVER],
+    'garbage collection',
+  ],
+  [
+    'a heartbeat in modules of an earlier build',
     [library('ajv'), own('wire/report'), own('controller/http-server'), ...SERVER],
     'reports',
   ],
   [
-    'a round after a report',
+    'a round within a heartbeat',
     [own('core/fit'), own('core/scheduler'), own('controller/report-handler'), ...SERVER],
     'rounds',
   ],
-  ['a question', [library('express'), own('controller/http-server'), ...SERVER], 'users'],
+  ['a request of a user', [library('express'), own('controller/http-server'), ...SERVER], 'users'],
   ['a request that is being read', SERVER, 'HTTP server, all else'],
-  ['a frame', [own('peer/frames'), node('net')], 'peers'],
+  ['a frame from a peer', [own('peer/frames'), node('net')], 'peers'],
   [
-    'a watch',
+    'an update of the cache of the state service',
     [own('wire/state'), own('store/cache'), node('internal/process/task_queues')],
     'state service, all else',
   ],
-  ['a record', [own('store/client'), own('controller/recorder')], 'records'],
-  ['an answer from elsewhere', [node('_http_client'), node('net')], 'HTTP clients, all else'],
-  ['a write that is done', [node('internal/stream_base_commons')], 'sockets, streams and timers'],
   [
-    'a heartbeat',
+    'a write of a record in modules of an earlier build',
+    [own('store/client'), own('controller/recorder')],
+    'records',
+  ],
+  ['an answer to an HTTP client', [node('_http_client'), node('net')], 'HTTP clients, all else'],
+  [
+    'a completed write to a stream',
+    [node('internal/stream_base_commons')],
+    'sockets, streams and timers',
+  ],
+  [
+    'a heartbeat in present modules',
     [library('ajv'), own('wire/heartbeat'), own('controller/api/http-server'), ...SERVER],
     'reports',
   ],
   [
-    'a record of the present modules',
+    'a write of a record in present modules',
     [own('store/state-client'), own('controller/records/batch-sender')],
     'records',
   ],
-  ['a module that is like another by name', [own('controller/directory')], 'other'],
+  ['a module whose name only begins like that of a rule', [own('controller/directory')], 'other'],
 ];
 
 for (const [name, stack, cause] of STACKS) {
-  test(`${name} counts as ${cause ?? 'idle'}`, () => assert.equal(causeOf(stack), cause));
+  test(`${name} is attributed to ${cause ?? 'no cause'}`, () =>
+    assert.equal(causeOf(stack), cause));
 }
 
-test('the modules that the rules name exist', () => {
+test('every module that a rule names exists', () => {
   const packages = new URL('../../../../packages/', import.meta.url);
   const modules = RULES.flatMap((rule) => rule.modules ?? []);
   const files = modules.map((name) => (name.endsWith('/') ? name : `${name}.ts`));
@@ -63,7 +76,7 @@
   );
 });
 
-test('only what lies within the span counts, and idle time does not', () => {
+test('shares count samples within the span only, and no idle time', () => {
   const profile: CpuProfile = {
     nodes: [
       { id: 1, callFrame: frame('(root)', ''), children: [2, 3, 4] },
--- a/packages/testing/loopback/sizing/profile.ts
+++ b/packages/testing/loopback/sizing/profile.ts
@@ -1,36 +1,36 @@
-/** Reads what Node writes with `--cpu-prof`. */
+/** Reads CPU profiles that Node writes with `--cpu-prof`. */
 import { readdirSync, readFileSync } from 'node:fs';
 import path from 'node:path';
 import { type Cause, causeOf, type StackFrame } from './causes.js';
 
-/** A processor profile as V8 writes it; times in microseconds of the machine's steady clock. */
+/** A CPU profile as V8 writes it; times are microseconds of the machine's monotonic clock. */
 export interface CpuProfile {
   nodes: { id: number; callFrame: StackFrame; children?: number[] }[];
   startTime: number;
-  /** Node that was running at each sample. */
+  /** Id of the node of the call tree that was running at each sample. */
   samples: number[];
-  /** From one sample to the next, the first from the start. */
+  /** Time from the previous sample to each sample; for the first one, from `startTime`. */
   timeDeltas: number[];
 }
 
-/** A span of the machine's steady clock, which all its processes share; microseconds. */
+/** A span of the machine's monotonic clock, which all processes share; microseconds. */
 export interface TimeSpan {
   fromUs: number;
   untilUs: number;
 }
 
-/** Now on the clock that profiles count in; microseconds. */
+/** The current time on the monotonic clock that profiles use, in microseconds. */
 export function profileClockUs(): number {
   return Number(process.hrtime.bigint() / 1000n);
 }
 
-/** The profile of the only process that wrote one to the directory. */
+/** Reads the profile from a directory to which only one process wrote one. */
 export function readProfile(directory: string): CpuProfile {
   const [file] = readdirSync(directory).filter((name) => name.endsWith('.cpuprofile'));
   return JSON.parse(readFileSync(path.join(directory, file), 'utf8')) as CpuProfile;
 }
 
-/** Part of the busy time within the span that each cause took; all together 1. */
+/** Share of each cause in the busy time within the span; the shares add up to 1. */
 export function sharesByCause(profile: CpuProfile, span: TimeSpan): Map<Cause, number> {
   const causes = causesByNode(profile);
   const times = new Map<Cause, number>();
--- a/packages/testing/loopback/sizing/result.ts
+++ b/packages/testing/loopback/sizing/result.ts
@@ -3,17 +3,17 @@
 import type { SizingOptions } from './options.js';
 import { sourceVersion, type SourceVersion } from './sources.js';
 
-/** What all results of one run have in common. */
+/** The part of a result that is the same for all measurements of one run. */
 export interface ResultContext {
   sources: SourceVersion;
   machine: MachineSpeed;
   size: ReturnType<typeof sizeOf>;
   nodeOptions: string[];
-  /** Cores that each controller was held to by stopping and continuing it; null: it was not. */
+  /** Cores to which the throttle limited each controller; null if controllers were not throttled. */
   throttleCores: number | null;
 }
 
-/** One measurement as a JSON object; `load` is that of the machine when it ended. */
+/** One measurement as a JSON object; `load` is the machine's load average at the end of the measurement. */
 export interface Result extends MeasuredFigures, ResultContext {
   load: number;
 }
--- a/packages/testing/loopback/sizing/return-of-workers.ts
+++ b/packages/testing/loopback/sizing/return-of-workers.ts
@@ -2,25 +2,25 @@
 import type { AnsweredHeartbeat } from './heartbeat-log.js';
 import { waitFor } from './wait.js';
 
-/** A moment at which so many reports had been answered, and what the answering controller had used by then. */
+/** When a heartbeat was answered, and what the answering controller had used by then. */
 export interface Milestone {
   atMs: number;
-  /** Seconds since the start of that controller. */
+  /** Processor time of the answering controller since its start, in seconds. */
   processorS: number;
-  /** To the state service, since the start of the measurement. */
+  /** Requests of the answering controller to the state service since the cluster was started. */
   stateRequests: number;
 }
 
-/** Watches how the workers of a fleet find a new owner after the former one has ended. */
+/** Observes the workers of a fleet until each has an answer of a new leader. */
 export class WorkerReconnection {
-  /** Milliseconds of this process's steady clock. */
+  /** Milliseconds of the measuring process's monotonic clock. */
   readonly startedAtMs = performance.now();
   private readonly waitingMachines: Set<string>;
   private readonly unsubscribe: () => void;
   private firstAnswer: Milestone | null = null;
   private lastAnswer: Milestone | null = null;
 
-  /** Answers of the former owner that are still on their way do not count. */
+  /** Answers of `formerLeader` that are still in flight do not count; null if no controller was running. */
   constructor(
     private readonly cluster: LoopbackCluster,
     private readonly formerLeader: string | null,
@@ -29,12 +29,12 @@
     this.unsubscribe = cluster.heartbeats.onAnswered((heartbeat) => this.recordAnswer(heartbeat));
   }
 
-  /** The first answered report; rejects with TooLate. */
+  /** Resolves with the first answered heartbeat; rejects with TooLate. */
   first(timeoutS: number): Promise<Milestone> {
-    return waitFor('an answered report', timeoutS, () => this.firstAnswer);
+    return waitFor('an answered heartbeat', timeoutS, () => this.firstAnswer);
   }
 
-  /** The report by which all workers had been answered; rejects with TooLate. */
+  /** Resolves with the answer that completed the set of all workers; rejects with TooLate. */
   async all(timeoutS: number): Promise<Milestone> {
     await waitFor('answers to all workers', timeoutS, () => this.checkComplete());
     this.unsubscribe();
--- a/packages/testing/loopback/sizing/smoke.test.ts
+++ b/packages/testing/loopback/sizing/smoke.test.ts
@@ -17,7 +17,7 @@
   return figures.find((figure) => figure.name === name)?.value ?? NaN;
 }
 
-test('two controllers on the loopback: a fleet that fills, its figures, and a successor', async () => {
+test('two controllers on the loopback fill the fleet, are measured, and replace a killed leader', async () => {
   await fillFleet(cluster, options);
   const [leader] = await measureLeader(cluster, options);
   const [standby] = await measureStandby(cluster, options);
--- a/packages/testing/loopback/sizing/sources.ts
+++ b/packages/testing/loopback/sizing/sources.ts
@@ -1,40 +1,46 @@
-/** Which sources are measured, and how their controllers are started. */
+/** Identifies the measured sources and builds the command that starts their controllers. */
 import { execFileSync } from 'node:child_process';
 import { existsSync, readFileSync } from 'node:fs';
 import path from 'node:path';
 import { parse } from 'smol-toml';
 
-/** The measured sources, as far as they can be told. */
+/** Version of the measured sources. */
 export interface SourceVersion {
-  /** Of package.json. */
+  /** Version in package.json. */
   version: string;
-  /** Null outside a git checkout. */
+  /** Abbreviated commit id; null outside a git checkout. */
   commit: string | null;
-  /** Files differ from the commit. */
+  /** Whether files differ from the commit. */
   changed: boolean;
 }
 
-/** A directory that holds no built checkout; the message names what is missing. */
+/** The directory does not contain a built checkout; the message names what is missing. */
 export class NotBuilt extends Error {}
 
-/** The program of the run line before it was put in one file, so that each function tells its module. */
+/** The program as separate modules, so that a profile names the module of each function. */
 const UNBUNDLED_PROGRAM = 'target/cli/main.js';
 
-/** The run line of deploy/service.toml in words, with more options of Node; the settings file follows. */
+/**
+ * The words of the run command in deploy/service.toml, with additional Node options. The path of the settings
+ * file must be appended.
+ */
 export function runLine(directory: string, nodeOptions: string[]): string[] {
   const file = path.join(directory, 'deploy/service.toml');
-  if (!existsSync(file)) throw new NotBuilt(`--sources ${directory}: has no deploy/service.toml`);
+  if (!existsSync(file))
+    throw new NotBuilt(`--sources ${directory}: deploy/service.toml is missing`);
   const { run } = parse(readFileSync(file, 'utf8')) as { run: string };
   const words = run.split(' ');
   const program = words.find((word) => word.endsWith('.js'));
   if (program !== undefined && !existsSync(path.join(directory, program))) {
-    throw new NotBuilt(`--sources ${directory}: ${program} is missing; npm run build makes it`);
+    throw new NotBuilt(
+      `--sources ${directory}: ${program} is missing; build it with npm run build`,
+    );
   }
   const [node, ...args] = words;
   return [node, ...nodeOptions, ...args];
 }
 
-/** The same for a controller that is profiled: it leaves its profile in that directory when it ends. */
+/** The run command of a profiled controller, which writes its profile to the directory when it exits. */
 export function profiledRunCommand(command: string[], profileDirectory: string): string[] {
   const unbundled = command.map((word) => (word.endsWith('.js') ? UNBUNDLED_PROGRAM : word));
   const [node, ...args] = unbundled;
--- a/packages/testing/loopback/sizing/table.test.ts
+++ b/packages/testing/loopback/sizing/table.test.ts
@@ -5,7 +5,7 @@
 
 const LIMITS = { cpu_share: 0.1, memory_mb: 100, sockets: 10 };
 
-test('figures stand beside the limits, several runs of one measurement in one line', () => {
+test('figures are shown relative to the limits, with all runs of a measurement in one row', () => {
   const run = (seconds: number) =>
     new Figures(LIMITS).processorS('to the first answer', seconds).count('requests', 5).all;
   const measured = [0.3, 0.5, 0.4].map((s) => ({ measurement: 'start' as const, figures: run(s) }));
@@ -32,11 +32,11 @@
         .map((line) => line.length),
     ).size,
     1,
-    'aligned',
+    'all lines have the same length',
   );
 });
 
-test('processor time of a report is put beside the limit in milliseconds', () => {
+test('processor time of a heartbeat is shown as milliseconds at the limit', () => {
   const figures = new Figures(LIMITS).processorMs('by report', 0.5).all;
   assert.match(formatTable([{ measurement: 'owner', figures }]), /\| +5 ms \|/);
 });
--- a/packages/testing/loopback/sizing/table.ts
+++ b/packages/testing/loopback/sizing/table.ts
@@ -1,4 +1,4 @@
-/** Prints figures as a table for people. */
+/** Formats figures as a table for the terminal. */
 import { describeMachine } from '../../measurement/machine-speed.js';
 import { median } from '../../measurement/median.js';
 import { type Column, formatNumber, textTable } from '../../measurement/text-table.js';
@@ -6,13 +6,13 @@
 import type { MeasuredFigures } from './measurement.js';
 import type { Result, ResultContext } from './result.js';
 
-/** One line: a figure over all runs of its measurement. */
+/** One row of the table: a figure with its values from all runs of the measurement. */
 interface Row {
   measurement: string;
   name: string;
   values: number[];
   unit: Unit;
-  /** Median of the runs; null if no limit is about it. */
+  /** Median over the runs of the figure relative to its limit; null if no limit applies. */
   ofLimit: number | null;
 }
 
@@ -26,14 +26,14 @@
   { heading: 'of the limit', isNumber: true },
 ];
 
-/** What was measured, with what, and where; lines of text. */
+/** Describes the size of the cluster, the measured sources and the machine in several lines. */
 export function describeContext(context: ResultContext, results: Result[]): string {
   const { sources, machine, size } = context;
   const { version, commit, changed } = sources;
   const { limits, workers } = size;
   const loads = results.map(({ load }) => load.toFixed(1));
   return [
-    `${size.controllers} controllers with ${size.machines} machines that report every ` +
+    `${size.controllers} controllers with ${size.machines} machines that send a heartbeat every ` +
       `${workers.report_s} s, ${Math.round(size.jobsPerMinute)} jobs a minute; limits ` +
       `${limits.cpu_share} cores and ${limits.memory_mb} MB`,
     `sources ${version}${commit === null ? '' : ` ${commit}`}${changed ? ' with changes' : ''}`,
@@ -46,10 +46,12 @@
 
 function describeThrottle({ throttleCores }: ResultContext): string[] {
   if (throttleCores === null) return [];
-  return [`controllers held to ${throttleCores} cores by stopping and continuing their processes`];
+  return [
+    `controllers limited to ${throttleCores} cores by stopping and continuing their processes`,
+  ];
 }
 
-/** A table in Markdown; several runs of one measurement share their lines. */
+/** Formats the figures as a Markdown table, with all runs of a measurement in the same rows. */
 export function formatTable(measured: MeasuredFigures[]): string {
   return textTable(COLUMNS, rowsOf(measured).map(cellsOf));
 }
@@ -84,7 +86,7 @@
   return [measurement, name, ...statistics, unit, formatShare(unit, ofLimit)];
 }
 
-/** What processor time takes at the limit is time; all else is a share. */
+/** Processor time is shown as the time that it takes at the limit, any other unit as a share of the limit. */
 function formatShare(unit: Unit, ofLimit: number | null): string {
   if (ofLimit === null) return '';
   if (unit === 'processor s') return `${formatNumber(ofLimit)} s`;
--- a/packages/testing/loopback/sizing/throttle.test.ts
+++ b/packages/testing/loopback/sizing/throttle.test.ts
@@ -5,7 +5,7 @@
 const CORES = 0.2;
 const CHECK_INTERVAL_S = 0.002;
 
-/** Plays a process that always has work for so long; what it used, second by second. */
+/** Simulates a process that always has work; returns the processor time used since its start, in seconds. */
 function simulateBusyProcess(
   seconds: number,
   allowance = new CpuAllowance(CORES, 0),
@@ -23,14 +23,14 @@
   assert.ok(Math.abs(simulateBusyProcess(10) / 10 - CORES) < 0.01);
 });
 
-test('a process that did nothing for long may not make up for it', () => {
+test('a process that was idle for long may not use the time that it left unused', () => {
   const allowance = new CpuAllowance(CORES, 0);
   assert.ok(allowance.allows(100, 0.1));
   const usedS = simulateBusyProcess(1, allowance, 100, 0.1) - 0.1;
   assert.ok(usedS < CORES + 0.05, String(usedS));
 });
 
-test('what was used beyond the share is waited for', () => {
+test('a process that exceeded its share is held until its allowance covers the excess', () => {
   const allowance = new CpuAllowance(CORES, 0);
   assert.equal(allowance.allows(1, 1), false);
   assert.equal(allowance.allows(4, 1), false);
--- a/packages/testing/loopback/sizing/throttle.ts
+++ b/packages/testing/loopback/sizing/throttle.ts
@@ -1,11 +1,11 @@
 import type { ControllerProcess } from './controller-process.js';
 
-/** From one look at the processes to the next; a process may go beyond its share by about as much. */
+/** Interval of the checks; a process may exceed its share by about this much processor time. */
 const CHECK_INTERVAL_MS = 2;
-/** Time that a process which did little may use at one go; the usual period of a processor quota. */
+/** Unused allowance accumulates for at most this time, which is the usual period of a CPU quota. */
 const BURST_PERIOD_S = 0.1;
 
-/** What one run of a controller may use, and how long it has used. */
+/** The processor time that one run of a controller may use: a token bucket that fills with time. */
 export class CpuAllowance {
   private grantedS: number;
 
@@ -16,7 +16,7 @@
     this.grantedS = cores * BURST_PERIOD_S;
   }
 
-  /** Whether the process may go on, with so much used since its start. */
+  /** Whether the process may continue, given the processor time that it has used since its start. */
   allows(nowS: number, usedS: number): boolean {
     this.grantedS += (nowS - this.atS) * this.cores;
     this.atS = nowS;
@@ -26,12 +26,12 @@
 }
 
 /**
- * Holds controllers to a share of a core by stopping and continuing their processes (SIGSTOP, SIGCONT). That is
- * no limit of the machine: a controller runs at full speed for some milliseconds and then stands still.
+ * Limits controllers to a share of a core by stopping and continuing their processes (SIGSTOP, SIGCONT). This is
+ * not a limit of the machine: a controller runs at full speed for some milliseconds and is then stopped.
  */
 export class Throttle {
   private timer: NodeJS.Timeout | null = null;
-  /** By process id: each run begins anew. */
+  /** By process id, so that each run of a controller starts with a new allowance. */
   private readonly allowances = new Map<number, CpuAllowance>();
 
   constructor(
--- a/packages/testing/loopback/sizing/user-log.ts
+++ b/packages/testing/loopback/sizing/user-log.ts
@@ -2,10 +2,10 @@
 
 const ACCEPTED = [200, 201];
 
-/** How users fare with their submissions. */
+/** Records the answers to submissions of users. */
 export class UserLog {
   readonly accepted = new Set<string>();
-  /** Answers that asked to come again later. */
+  /** Number of answers that did not accept the submission, such as requests to retry later. */
   refusals = 0;
 
   observe(event: WorldEvent): void {
--- a/packages/testing/loopback/sizing/wait.ts
+++ b/packages/testing/loopback/sizing/wait.ts
@@ -1,18 +1,17 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 
-/** Between two looks; milliseconds. */
 const POLL_INTERVAL_MS = 5;
 
-/** What was waited for did not come about in its time. */
+/** A condition was not met before its timeout. */
 export class TooLate extends Error {}
 
-/** Resolves with what the look finds as soon as that is not null; rejects with TooLate. */
+/** Polls until `poll` returns a value other than null and resolves with it; rejects with TooLate. */
 export async function waitFor<T>(what: string, timeoutS: number, poll: () => T | null): Promise<T> {
-  const untilMs = performance.now() + timeoutS * 1000;
+  const deadlineMs = performance.now() + timeoutS * 1000;
   for (;;) {
     const found = poll();
     if (found !== null) return found;
-    if (performance.now() > untilMs) throw new TooLate(`${what}: not within ${timeoutS} s`);
+    if (performance.now() > deadlineMs) throw new TooLate(`${what}: timed out after ${timeoutS} s`);
     await sleep(POLL_INTERVAL_MS);
   }
 }
--- a/packages/testing/loopback/sizing/workload.test.ts
+++ b/packages/testing/loopback/sizing/workload.test.ts
@@ -14,7 +14,7 @@
 });
 const type = machineType(['z']);
 
-test('one task that no other of its kind fits beside holds each machine for good', () => {
+test('there is one anchor task for each machine; two do not fit on a machine, and none is cancelled', () => {
   const anchors = plan.filter(({ program }) => program.job.class === 'anchor');
   const tasks = anchors.reduce((sum, { program }) => sum + program.job.tasks, 0);
   assert.equal(tasks, MACHINES);
@@ -24,7 +24,7 @@
   }
 });
 
-test('jobs that come and go need most of what is left, and not more', () => {
+test('short jobs use most of the GPU time that anchors leave, but not all of it', () => {
   const others = plan.filter(({ program }) => program.job.class !== 'anchor');
   const gpuSeconds = others.reduce((sum, { program, cancelAfterS, submitAtS }) => {
     const { gpus, tasks } = program.job;
@@ -36,6 +36,6 @@
   assert.ok(gpuSeconds > 0.6 * left && gpuSeconds < 0.95 * left, String(gpuSeconds / left));
 });
 
-test('all ids differ', () => {
+test('all job ids are different', () => {
   assert.equal(new Set(plan.map(({ program }) => program.job.id)).size, plan.length);
 });
--- a/packages/testing/loopback/sizing/workload.ts
+++ b/packages/testing/loopback/sizing/workload.ts
@@ -1,6 +1,6 @@
 /**
- * The jobs of the fleets that are measured. One long-lived replica holds each machine, so that the fleet
- * stays at its full size; jobs that come and go use about three quarters of what is left.
+ * The jobs of measured fleets. One permanent task on each machine, of an anchor job, keeps the fleet at its full
+ * size. Short jobs use about three quarters of the remaining capacity.
  */
 import type { Job } from '#wire';
 import { aJob } from '../../samples.js';
@@ -15,20 +15,21 @@
 export interface SizingWorkload {
   machines: number;
   teams: string[];
-  /** Jobs that come in a minute, beside those that hold the machines. */
+  /** Short jobs submitted per minute, in addition to the anchor jobs. */
   jobsPerMinute: number;
-  /** For how long jobs come. */
+  /** How long short jobs are submitted. */
   lengthS: number;
 }
 
-/** Jobs in a minute for each machine that fill the fleet without a queue. */
+/** Short jobs per minute and machine; they use the capacity that anchors leave, without a queue. */
 export const JOBS_PER_MACHINE_MINUTE = 0.276;
 const WORKLOAD_SEED = 1;
-/** Tasks of a job that holds machines, and how many such jobs come in a second. */
+/** Tasks of one anchor job. */
 const ANCHOR_TASKS = 2;
+/** Anchor jobs submitted per second. */
 const ANCHORS_PER_SECOND = 20;
 const ANCHOR = { class: 'anchor', cpus: 33, gpus: 4, memory: 200 };
-/** Ids of the jobs that hold machines; others' are below. */
+/** Lowest number in the ids of anchor jobs; short jobs have lower numbers. */
 const FIRST_ANCHOR_ID = 990_000;
 
 const ANY_MACHINE = { types: null, zone: null, spot: true };
@@ -93,10 +94,10 @@
   images: 12,
 };
 
-/** Classes whose rates are those of one machine. */
+/** Classes of short jobs; their arrival rates are for one machine. */
 const SHORT_JOB_CLASSES: JobClass[] = [REPLICA_CLASS, BATCH_CLASS, GANG_CLASS];
 
-/** All jobs of a run, in the order in which they come. */
+/** All jobs of a run: the anchor jobs, followed by the short jobs. */
 export function planSizingWorkload(workload: SizingWorkload): PlannedJob[] {
   const { teams, lengthS, jobsPerMinute, machines } = workload;
   const random = new Chance(WORKLOAD_SEED);
@@ -109,7 +110,7 @@
   return [...planAnchors(machines, teams), ...shortJobs];
 }
 
-/** Jobs of which each machine has room for one task only, with as many tasks as there are machines. */
+/** Jobs with as many tasks as there are machines; a machine has room for only one of these tasks. */
 export function planAnchors(machines: number, teams: string[]): PlannedJob[] {
   const count = Math.ceil(machines / ANCHOR_TASKS);
   return Array.from({ length: count }, (_, index) => {
