--- a/packages/testing/loopback/sizing/measurements/causes.ts
+++ b/packages/testing/loopback/sizing/measurements/causes.ts
@@ -1,6 +1,6 @@
 /**
  * Measures what a leader and a standby spend their processor time on. Both run as separate modules and with
- * Node's profiler, which uses processor time itself: the shares mean more than their sum.
+ * Node's profiler, which uses processor time itself, so the shares are more reliable than their sum.
  */
 import { mkdirSync } from 'node:fs';
 import path from 'node:path';
--- a/packages/testing/loopback/sizing/measurements/peaks.ts
+++ b/packages/testing/loopback/sizing/measurements/peaks.ts
@@ -19,7 +19,7 @@
 const ARRAY_TASKS = 25_000;
 const ARRAY_RUN_S = 20;
 const BURST_RUN_S = 10;
-/** Small enough for many tasks to fit on a machine beside its anchor task. */
+/** Fields of small jobs, many of which fit on a machine beside its anchor task. */
 const SMALL_JOB_FIELDS: Partial<Job> = { class: 'batch', rank: 3, spot: true, gpus: 0, memory: 2 };
 
 /** Submits many small jobs at once. */
--- a/packages/testing/loopback/sizing/measurements/steady.ts
+++ b/packages/testing/loopback/sizing/measurements/steady.ts
@@ -51,7 +51,7 @@
 /** Figure names of the process statistics that controllers log. */
 const STATISTICS_LABELS: Record<string, string> = {
   userRequestsPerS: "users' requests",
-  // The field of earlier builds (`--sources`).
+  // Name of `userRequestsPerS` in earlier builds (`--sources`).
   questionsPerS: "users' requests",
   peerFramesPerS: 'frames from peers',
   roundsPerS: 'rounds',
--- a/packages/testing/loopback/sizing/options.ts
+++ b/packages/testing/loopback/sizing/options.ts
@@ -114,11 +114,7 @@
     .option('--controllers <number>', 'number of controllers', atLeast(1))
     .option('--report-s <seconds>', "interval of a worker's heartbeats", positive)
     .option('--lease-s <seconds>', "length of a worker's lease", positive)
-    .option(
-      '--cpu-share <cores>',
-      'processor limit of a controller, compared with figures',
-      positive,
-    )
+    .option('--cpu-share <cores>', 'processor limit of a controller, for comparison', positive)
     .option('--memory-mb <megabytes>', 'memory limit of a controller', positive)
     .option('--sockets <number>', 'socket limit of a controller', positive)
     .option('--state-rps <number>', 'request limit of the state service, per second', positive)
--- a/packages/testing/loopback/sizing/process-log.ts
+++ b/packages/testing/loopback/sizing/process-log.ts
@@ -1,7 +1,7 @@
 import type { Readable } from 'node:stream';
 import { createInterface } from 'node:readline';
 
-/** One line of a controller's log, with its arrival time on the measuring process's monotonic clock. */
+/** One line of a controller's log; `receivedAtMs` is on the measuring process's monotonic clock. */
 export interface LogLine {
   receivedAtMs: number;
   msg: string;
--- a/packages/testing/loopback/sizing/process-use.ts
+++ b/packages/testing/loopback/sizing/process-use.ts
@@ -34,7 +34,7 @@
   return threads.reduce((sum, thread) => sum + threadTimeS(pid, Number(thread)), 0);
 }
 
-/** In seconds. Kernels that do not count nanoseconds in schedstat count steps of 10 ms in stat. */
+/** Processor time of a thread in seconds; counted in steps of 10 ms if schedstat has no nanoseconds. */
 function threadTimeS(pid: number, thread: number): number {
   const [nanoseconds] = readFileSync(`/proc/${pid}/task/${thread}/schedstat`, 'utf8').split(' ');
   if (nanoseconds !== '0') return Number(nanoseconds) / 1e9;
--- a/packages/testing/loopback/sizing/workload.ts
+++ b/packages/testing/loopback/sizing/workload.ts
@@ -1,6 +1,6 @@
 /**
- * The jobs of measured fleets. One permanent task on each machine, of an anchor job, keeps the fleet at its full
- * size. Short jobs use about three quarters of the remaining capacity.
+ * The jobs of measured fleets. Each machine runs one permanent task of an anchor job, which keeps the fleet at
+ * its full size. Short jobs use about three quarters of the remaining capacity.
  */
 import type { Job } from '#wire';
 import { aJob } from '../../samples.js';
