--- a/packages/testing/loopback/sizing/peak-watch.ts
+++ b/packages/testing/loopback/sizing/peak-watch.ts
@@ -1,22 +1,22 @@
 import type { ControllerProcess } from './controller-process.js';
 
-const SAMPLE_MS = 100;
-/** Span over which the greatest use is taken. */
-const SPAN_MS = 1000;
+const SAMPLE_INTERVAL_MS = 100;
+/** Length of the window over which the peak processor use is averaged. */
+const WINDOW_MS = 1000;
 
 interface Sample {
   atMs: number;
   processorS: number;
 }
 
-/** The most that a controller used at a time. */
+/** The peak of a controller's processor use and memory. */
 export interface Peak {
-  /** Greatest over a second. */
+  /** Highest average over a window of one second. */
   cores: number;
   memoryMb: number;
 }
 
-/** Watches one controller until `end`. */
+/** Samples the usage of one controller until `end`. */
 export class PeakWatch {
   private readonly samples: Sample[] = [];
   private readonly timer: NodeJS.Timeout;
@@ -24,13 +24,13 @@
   constructor(private readonly controller: ControllerProcess) {
     controller.resetPeakMemory();
     this.sample();
-    this.timer = setInterval(() => this.sample(), SAMPLE_MS);
+    this.timer = setInterval(() => this.sample(), SAMPLE_INTERVAL_MS);
   }
 
   end(): Peak {
     clearInterval(this.timer);
     this.sample();
-    return { cores: greatestUse(this.samples), memoryMb: this.controller.memory().peakMb };
+    return { cores: peakCores(this.samples), memoryMb: this.controller.memory().peakMb };
   }
 
   private sample(): void {
@@ -39,15 +39,15 @@
   }
 }
 
-/** Greatest number of cores in use over a span of a second; samples may come late. */
-export function greatestUse(samples: Sample[]): number {
+/** Highest average number of cores in use over a window of one second, or more if samples come late. */
+export function peakCores(samples: Sample[]): number {
   let greatest = 0;
   let first = 0;
   for (const { atMs, processorS } of samples) {
-    while (atMs - samples[first + 1]?.atMs >= SPAN_MS) first++;
-    const spanMs = atMs - samples[first].atMs;
-    if (spanMs < SPAN_MS) continue;
-    greatest = Math.max(greatest, ((processorS - samples[first].processorS) / spanMs) * 1000);
+    while (atMs - samples[first + 1]?.atMs >= WINDOW_MS) first++;
+    const windowMs = atMs - samples[first].atMs;
+    if (windowMs < WINDOW_MS) continue;
+    greatest = Math.max(greatest, ((processorS - samples[first].processorS) / windowMs) * 1000);
   }
   return greatest;
 }
