--- a/packages/testing/models/exploration/explore.ts
+++ b/packages/testing/models/exploration/explore.ts
@@ -1,7 +1,7 @@
 /** Visits every state of a model that can be reached, whatever the order of events. */
 
 /** One thing that can happen, and what comes of it. */
-export interface ModelEvent<State> {
+export interface Transition<State> {
   name: string;
   /** A fault, which need not happen; all else happens eventually. */
   isFault: boolean;
@@ -10,14 +10,14 @@
 
 /** A model to be explored: its first state and what can happen in each. */
 export interface Model<State> {
-  start: State;
+  initialState: State;
   /** Equal for states that differ in nothing that matters. */
-  keyOf(state: State): string;
-  eventsIn(state: State): ModelEvent<State>[];
+  canonicalKey(state: State): string;
+  transitionsFrom(state: State): Transition<State>[];
   /** What must never be; null if all is well. */
-  breachIn(state: State): string | null;
+  findViolation(state: State): string | null;
   /** Nothing more needs to happen. */
-  isAtRest(state: State): boolean;
+  isQuiescent(state: State): boolean;
 }
 
 /** What an exploration has found. */
@@ -25,7 +25,7 @@
   /** Different states that were reached. */
   states: number;
   /** The shortest way to a state with a breach; null if there is none. */
-  breach: { what: string; way: string[] } | null;
+  breach: { what: string; trace: string[] } | null;
   /** The shortest way to a state that only a fault leads out of to rest; null if there is none. */
   stuck: string[] | null;
 }
@@ -41,58 +41,66 @@
   model: Model<State>,
   onState: (state: State) => void = () => undefined,
 ): Exploration {
-  const first = { key: model.keyOf(model.start), state: model.start };
+  const first = { key: model.canonicalKey(model.initialState), state: model.initialState };
   const origins = new Map<string, Origin>([[first.key, { from: null, event: 'start' }]]);
   const predecessors = new Map<string, string[]>();
-  const resting: string[] = [];
-  let level = [first];
-  while (level.length > 0) {
-    const nextLevel: typeof level = [];
-    for (const { key, state } of level) {
+  const quiescent: string[] = [];
+  let frontier = [first];
+  while (frontier.length > 0) {
+    const nextFrontier: typeof frontier = [];
+    for (const { key, state } of frontier) {
       onState(state);
-      if (model.isAtRest(state)) resting.push(key);
-      const what = model.breachIn(state);
+      if (model.isQuiescent(state)) quiescent.push(key);
+      const what = model.findViolation(state);
       if (what !== null) {
-        return { states: origins.size, breach: { what, way: wayTo(origins, key) }, stuck: null };
+        return {
+          states: origins.size,
+          breach: { what, trace: traceTo(origins, key) },
+          stuck: null,
+        };
       }
-      for (const { name, isFault, next } of model.eventsIn(state)) {
-        const reached = model.keyOf(next);
-        if (!isFault) append(predecessors, reached, key);
-        if (origins.has(reached)) continue;
-        origins.set(reached, { from: key, event: name });
-        nextLevel.push({ key: reached, state: next });
+      for (const { name, isFault, next } of model.transitionsFrom(state)) {
+        const nextKey = model.canonicalKey(next);
+        if (!isFault) append(predecessors, nextKey, key);
+        if (origins.has(nextKey)) continue;
+        origins.set(nextKey, { from: key, event: name });
+        nextFrontier.push({ key: nextKey, state: next });
       }
     }
-    level = nextLevel;
+    frontier = nextFrontier;
   }
-  return { states: origins.size, breach: null, stuck: findStuck(origins, predecessors, resting) };
+  return { states: origins.size, breach: null, stuck: findStuck(origins, predecessors, quiescent) };
 }
 
 /** The first state from which no state at rest is reached without another fault. */
 function findStuck(
   origins: Map<string, Origin>,
   predecessors: Map<string, string[]>,
-  resting: string[],
+  quiescent: string[],
 ): string[] | null {
-  const goesOn = new Set(resting);
-  const open = [...resting];
-  for (let key = open.pop(); key !== undefined; key = open.pop()) {
-    for (const before of predecessors.get(key) ?? []) {
-      if (goesOn.has(before)) continue;
-      goesOn.add(before);
-      open.push(before);
+  const canFinish = new Set(quiescent);
+  const unvisited = [...quiescent];
+  for (let key = unvisited.pop(); key !== undefined; key = unvisited.pop()) {
+    for (const predecessor of predecessors.get(key) ?? []) {
+      if (canFinish.has(predecessor)) continue;
+      canFinish.add(predecessor);
+      unvisited.push(predecessor);
     }
   }
   for (const key of origins.keys()) {
-    if (!goesOn.has(key)) return wayTo(origins, key);
+    if (!canFinish.has(key)) return traceTo(origins, key);
   }
   return null;
 }
 
-function wayTo(origins: Map<string, Origin>, key: string): string[] {
+function traceTo(origins: Map<string, Origin>, key: string): string[] {
   const events: string[] = [];
-  for (let at: string | null = key; at !== null; at = originOf(origins, at).from) {
-    events.unshift(originOf(origins, at).event);
+  for (
+    let current: string | null = key;
+    current !== null;
+    current = originOf(origins, current).from
+  ) {
+    events.unshift(originOf(origins, current).event);
   }
   return events;
 }
--- a/packages/testing/models/leader-election/checks.ts
+++ b/packages/testing/models/leader-election/checks.ts
@@ -2,7 +2,7 @@
 import type { LeadershipCluster } from './cluster.js';
 import type { LeadershipMistake, LeadershipRun } from './model.js';
 import type { NodeModel } from './node.js';
-import { statementsFor } from './statements.js';
+import { observedStatuses } from './observed-statuses.js';
 import { CANCEL_S, FORMER_LEADER_S, GRACE_S, STEP_S } from './timing.js';
 
 /** Whatever a leader does while it acts by its leader lease must be harmless. */
@@ -11,21 +11,21 @@
 
   constructor(
     private readonly cluster: LeadershipCluster,
-    private readonly fault: LeadershipMistake,
+    private readonly seededFault: LeadershipMistake,
   ) {}
 
   check(node: NodeModel): void {
     const { cluster, result } = this;
     const { now } = cluster;
-    const statements = statementsFor(node, this.fault);
-    const leaderLease = node.leaderLease(now, statements);
+    const statuses = observedStatuses(node, this.seededFault);
+    const leaderLease = node.leaderLease(now, statuses);
     if (leaderLease === 'attested') result.attestedSteps++;
     if (leaderLease !== undefined && leaderLease !== 'none') this.checkActing(node, node.term);
-    if (!node.renews(now, statements)) return;
+    if (!node.renewsForLeader(now, statuses)) return;
     result.standbySteps++;
     this.checkActing(node, node.leader.term);
     const leader = cluster.node(node.leader.name);
-    if (leader?.judge && leader.term === node.leader.term) {
+    if (leader?.leaseCheck && leader.term === node.leader.term) {
       result.violations.add('renews-beside-owner');
     }
   }
@@ -33,17 +33,18 @@
   private checkActing(node: NodeModel, term: number): void {
     const { cluster, result } = this;
     const { now } = cluster;
-    for (const campaign of cluster.service.claims) {
+    for (const campaign of cluster.service.campaigns) {
       // A controller that has ended acts on nothing any more.
-      const living = cluster.node(campaign.node)?.incarnation === campaign.incarnation;
-      const successor = living && campaign.term > term && campaign.incarnation !== node.incarnation;
-      if (successor && now > campaign.at + FORMER_LEADER_S) {
+      const isRunning = cluster.node(campaign.node)?.incarnation === campaign.incarnation;
+      const isSuccessor =
+        isRunning && campaign.term > term && campaign.incarnation !== node.incarnation;
+      if (isSuccessor && now > campaign.at + FORMER_LEADER_S) {
         result.violations.add('acts-beside-successor');
       }
     }
     for (const { job, at } of cluster.confirmed) {
       const recent = now - at < 2 * CANCEL_S;
-      if (recent && now > at + GRACE_S + STEP_S && !node.knows(job)) {
+      if (recent && now > at + GRACE_S + STEP_S && !node.knowsCancellation(job)) {
         result.violations.add('acts-on-unknown-cancellation');
       }
     }
--- a/packages/testing/models/leader-election/cluster.ts
+++ b/packages/testing/models/leader-election/cluster.ts
@@ -22,7 +22,7 @@
   outage = { from: -Infinity, until: -Infinity };
   /** The present incarnation of each node, null while it is down. */
   private readonly nodes = new Map<string, NodeModel | null>();
-  private readonly restartAt = new Map<string, number>();
+  private readonly restartsAt = new Map<string, number>();
   private readonly refusedUntil = new Map<string, number>();
   private readonly links = new Map<string, LinkModel>();
   private incarnations = 0;
@@ -70,12 +70,12 @@
 
   crash(name: string): void {
     this.nodes.set(name, null);
-    this.restartAt.set(name, this.now + this.chance.next() * 0.6 * LEASE_S);
+    this.restartsAt.set(name, this.now + this.chance.next() * 0.6 * LEASE_S);
   }
 
   /** The node's present incarnation; it is started if its time has come, null if it is down. */
   nodeOrRestarted(name: string): NodeModel | null {
-    if (this.node(name) === null && this.now >= (this.restartAt.get(name) ?? 0)) this.start(name);
+    if (this.node(name) === null && this.now >= (this.restartsAt.get(name) ?? 0)) this.start(name);
     return this.node(name);
   }
 
--- a/packages/testing/models/leader-election/link.ts
+++ b/packages/testing/models/leader-election/link.ts
@@ -16,10 +16,10 @@
     if (now >= this.deadUntil) this.queue.push({ at: now + this.delayS, message });
   }
 
-  arrived(now: number): Message[] {
+  takeArrived(now: number): Message[] {
     if (now < this.heldUntil) return [];
     const next = this.queue.findIndex((m) => m.at > now);
-    const out = this.queue.splice(0, next < 0 ? this.queue.length : next);
-    return out.map((m) => m.message);
+    const arrived = this.queue.splice(0, next < 0 ? this.queue.length : next);
+    return arrived.map((m) => m.message);
   }
 }
--- a/packages/testing/models/leader-election/statements.ts
+++ b/packages/testing/models/leader-election/observed-statuses.ts
@@ -1,21 +1,27 @@
 /** The statements of peers, falsified by a seeded mistake. */
 import type { PeerStatus } from '#controller';
 import type { LeadershipMistake } from './model.js';
-import type { NodeModel, Statements } from './node.js';
+import type { NodeModel, ObservedStatuses } from './node.js';
 
 /** The statements that a node relies on, under the seeded mistake. */
-export function statementsFor(node: NodeModel, fault: LeadershipMistake): Statements {
-  const { table, leader } = node;
+export function observedStatuses(
+  node: NodeModel,
+  seededFault: LeadershipMistake,
+): ObservedStatuses {
+  const { statusTable, leader } = node;
   return {
-    peers: table.all().map((status) => distort(status, fault)),
-    leader: distort(table.get(leader.name) ?? null, fault),
+    peers: statusTable.all().map((status) => applySeededFault(status, seededFault)),
+    leader: applySeededFault(statusTable.get(leader.name) ?? null, seededFault),
   };
 }
 
-function distort(status: PeerStatus | null, fault: LeadershipMistake): PeerStatus | null {
+function applySeededFault(
+  status: PeerStatus | null,
+  seededFault: LeadershipMistake,
+): PeerStatus | null {
   if (status === null) return null;
-  const { frame, receivedAt: receivedAt } = status;
-  switch (fault) {
+  const { frame, receivedAt } = status;
+  switch (seededFault) {
     case 'trusts-arrival':
       return { ...status, statedAfter: receivedAt };
     case 'trusts-restarted':
--- a/packages/testing/models/leader-election/service.ts
+++ b/packages/testing/models/leader-election/service.ts
@@ -14,7 +14,7 @@
   revision = 10;
   leader: Campaign | null = null;
   down = false;
-  readonly claims: Campaign[] = [];
+  readonly campaigns: Campaign[] = [];
   readonly cancelled: { job: string; revision: number }[] = [];
   private readonly leases = new Map<number, number>();
 
@@ -24,7 +24,7 @@
 
   campaign(node: string, incarnation: number, now: number): Campaign {
     this.leader = { node, incarnation, term: ++this.revision, at: now };
-    this.claims.push(this.leader);
+    this.campaigns.push(this.leader);
     return this.leader;
   }
 
--- a/packages/testing/models/leader-election/world.ts
+++ b/packages/testing/models/leader-election/world.ts
@@ -1,6 +1,6 @@
 /**
  * A small model of controllers that become leader and step down: it runs the production code that checks
- * the leader lease, keeps peer statements and lists cancellations, and models everything around it (state
+ * the leader lease, keeps peer statuses and lists cancellations, and models everything around it (state
  * service, election leases, connections, crashes, users who cancel). One step is a quarter of a heartbeat period.
  */
 import { Chance } from '../../random.js';
@@ -10,41 +10,41 @@
 import type { Message } from './link.js';
 import type { LeadershipMistake, LeadershipRun } from './model.js';
 import type { NodeModel } from './node.js';
-import { statementsFor } from './statements.js';
+import { observedStatuses } from './observed-statuses.js';
 import { HEARTBEAT_INTERVAL_S, STEP_S } from './timing.js';
 
 /** Plays one world and returns what was broken: nothing, unless a mistake is seeded. */
 export function playLeadership(
   seed: number,
-  fault: LeadershipMistake,
+  seededFault: LeadershipMistake,
   lengthS = 200,
 ): LeadershipRun {
-  return new LeadershipWorld(seed, fault).play(lengthS);
+  return new LeadershipSimulation(seed, seededFault).run(lengthS);
 }
 
-class LeadershipWorld {
+class LeadershipSimulation {
   private readonly cluster: LeadershipCluster;
   private readonly faults: LeadershipFaults;
   private readonly checks: LeadershipChecks;
 
   constructor(
     seed: number,
-    private readonly fault: LeadershipMistake,
+    private readonly seededFault: LeadershipMistake,
   ) {
     const chance = new Chance(seed);
     this.cluster = new LeadershipCluster(chance);
     this.faults = new LeadershipFaults(chance, this.cluster);
-    this.checks = new LeadershipChecks(this.cluster, fault);
+    this.checks = new LeadershipChecks(this.cluster, seededFault);
   }
 
-  play(lengthS: number): LeadershipRun {
+  run(lengthS: number): LeadershipRun {
     const { cluster, faults, checks } = this;
     for (; cluster.now < lengthS; cluster.now += STEP_S) {
-      faults.inject();
+      faults.injectFaults();
       cluster.service.step(cluster.now, cluster.isDown());
       for (const name of cluster.names) this.stepNode(name);
-      faults.cancelSometimes();
-      faults.cancelAtLast();
+      faults.cancelAtRandom();
+      faults.cancelBeforeOutage();
       for (const node of cluster.running()) checks.check(node);
     }
     return checks.result;
@@ -57,7 +57,7 @@
     if (node === null || now < node.frozenUntil) return;
     this.receive(node);
     if (now % (HEARTBEAT_INTERVAL_S / 2) === 0) {
-      node.contact(service, !service.down && !cluster.isRefused(name), now);
+      node.contactService(service, !service.down && !cluster.isRefused(name), now);
       this.sendStatus(node);
     }
   }
@@ -65,7 +65,7 @@
   private receive(node: NodeModel): void {
     const { cluster } = this;
     for (const peer of cluster.peersOf(node.name)) {
-      const messages = cluster.link(peer, node.name).arrived(cluster.now);
+      const messages = cluster.link(peer, node.name).takeArrived(cluster.now);
       for (const message of messages) this.receiveMessage(node, peer, message);
     }
   }
@@ -77,17 +77,17 @@
       return;
     }
     const { frame } = message;
-    node.table.accept(from, frame, now);
-    node.yieldTo(frame.newestLeader.term);
-    node.recordStandby(now, statementsFor(node, this.fault));
-    if (this.fault === 'ignores-cancelled') return;
+    node.statusTable.accept(from, frame, now);
+    node.stepDownFor(frame.newestLeader.term);
+    node.recordStatuses(now, observedStatuses(node, this.seededFault));
+    if (this.seededFault === 'ignores-cancelled') return;
     for (const notice of frame.cancelled) node.cancellations.addFromPeer(notice, now);
   }
 
   private sendStatus(node: NodeModel): void {
     const { cluster } = this;
     const { now } = cluster;
-    const { sequence } = node.table.beginRound(now);
+    const { sequence } = node.statusTable.beginRound(now);
     for (const peer of cluster.peersOf(node.name)) {
       const frame = node.statusFor(peer, sequence, now);
       cluster.link(node.name, peer).send({ kind: 'status', frame }, now);
--- a/packages/testing/models/leader-with-workers/checks.ts
+++ b/packages/testing/models/leader-with-workers/checks.ts
@@ -10,7 +10,7 @@
 export class LeaderChecks {
   readonly violations = new Set<LeaderViolation>();
   /** Indices of the tasks that have really been done, by job. */
-  private readonly done = new Map<string, Set<number>>();
+  private readonly doneTasks = new Map<string, Set<number>>();
 
   constructor(
     private readonly records: DurableRecords,
@@ -19,11 +19,11 @@
 
   /** A worker has just started a task. */
   checkStart(worker: WorkerModel, task: HeldTask): void {
-    this.checkPlace(worker, task);
+    this.checkPlacement(worker, task);
     const { records, violations } = this;
     const { team } = records.jobOf(task.job);
     let gpus = 0;
-    for (const other of this.presentTasks()) {
+    for (const other of this.allPresentTasks()) {
       const job = records.jobOf(other.job);
       if (job.team === team) gpus += job.gpus;
       const isSame = other.job === task.job && other.index === task.index;
@@ -36,8 +36,8 @@
   recordDone(worker: WorkerModel): void {
     for (const { job, index, state, cause } of worker.tasks.values()) {
       if (state !== 'exited' || cause !== 'done') continue;
-      const done = this.done.get(job) ?? new Set();
-      this.done.set(job, done.add(index));
+      const done = this.doneTasks.get(job) ?? new Set();
+      this.doneTasks.set(job, done.add(index));
       const { kind, tasks } = this.records.jobOf(job);
       if (kind === 'gang') for (let other = 0; other < tasks; other++) done.add(other);
     }
@@ -47,7 +47,7 @@
   checkStep(now: number): void {
     const seen = new Set<string>();
     for (const worker of this.workers) {
-      for (const task of worker.present()) {
+      for (const task of worker.presentTasks()) {
         const name = taskName(task.job, task.index);
         if (seen.has(name)) this.violations.add('ran_twice');
         seen.add(name);
@@ -55,7 +55,7 @@
       }
     }
     for (const { job, phase } of this.records.jobs.values()) {
-      const isDone = (this.done.get(job.id)?.size ?? 0) >= job.tasks;
+      const isDone = (this.doneTasks.get(job.id)?.size ?? 0) >= job.tasks;
       if (phase === 'done' && !isDone) this.violations.add('not_done');
     }
   }
@@ -66,12 +66,12 @@
     if (!phases.includes('done')) this.violations.add('nothing_ran');
   }
 
-  private checkPlace(worker: WorkerModel, task: HeldTask): void {
+  private checkPlacement(worker: WorkerModel, task: HeldTask): void {
     const job = this.records.jobOf(task.job);
     const zones = this.zonesOf(task.job);
-    const mostInZone = Math.ceil(job.tasks / 2);
+    const maxPerZone = Math.ceil(job.tasks / 2);
     const isWrong =
-      (job.spread && (zones.get(worker.zone) ?? 0) > mostInZone) ||
+      (job.spread && (zones.get(worker.zone) ?? 0) > maxPerZone) ||
       (job.oneZone && zones.size > 1) ||
       (job.zone !== null && job.zone !== worker.zone) ||
       (worker.spot && !job.spot);
@@ -83,18 +83,18 @@
     if (now > cancelledAt + CANCEL_S) this.violations.add('ran_cancelled');
     // A start that no durable record names could be forgotten by the next leader.
     const isNew = now - task.startedAt < STEP_S;
-    if (isNew && !this.records.names(worker.name, task)) this.violations.add('unrecorded');
+    if (isNew && !this.records.isRecorded(worker.name, task)) this.violations.add('unrecorded');
   }
 
-  private presentTasks(): HeldTask[] {
-    return this.workers.flatMap((worker) => worker.present());
+  private allPresentTasks(): HeldTask[] {
+    return this.workers.flatMap((worker) => worker.presentTasks());
   }
 
   /** How many of the job's tasks are present in each zone. */
   private zonesOf(job: string): Map<string, number> {
     const zones = new Map<string, number>();
     for (const worker of this.workers) {
-      const count = worker.present().filter((task) => task.job === job).length;
+      const count = worker.presentTasks().filter((task) => task.job === job).length;
       if (count > 0) zones.set(worker.zone, (zones.get(worker.zone) ?? 0) + count);
     }
     return zones;
--- a/packages/testing/models/leader-with-workers/durable-records.ts
+++ b/packages/testing/models/leader-with-workers/durable-records.ts
@@ -53,13 +53,13 @@
   }
 
   /** Begins a term and returns it. */
-  campaign(): number {
+  beginTerm(): number {
     this.term = ++this.revision;
     return this.term;
   }
 
   /** Whether a record names this attempt on the machine. */
-  names(machine: string, { job, index, attempt }: TaskRef): boolean {
+  isRecorded(machine: string, { job, index, attempt }: TaskRef): boolean {
     const tasks = this.machines.get(machine)?.tasks ?? [];
     return tasks.some(
       (task) => task.job === job && task.index === index && task.attempt === attempt,
--- a/packages/testing/models/leader-with-workers/leader.ts
+++ b/packages/testing/models/leader-with-workers/leader.ts
@@ -15,7 +15,7 @@
   halfLifeS: 3600,
   machineRecordBytes: 50 * 64,
 };
-const SCHEDULE_SETTINGS = {
+const SCHEDULER_SETTINGS = {
   floorWeight: 0.05,
   stopThreshold: 0.5,
   gangLeaseS: 20,
@@ -31,22 +31,22 @@
   /** When it lost the state service: it can record nothing more and goes on answering for a while. */
   deposedAt: number | null = null;
   /** Stands still until then, while its clock runs on. */
-  thawsAt = -Infinity;
+  frozenUntil = -Infinity;
 
   constructor(
     private readonly records: DurableRecords,
-    private readonly mistake: LeaderMistake,
+    private readonly seededFault: LeaderMistake,
     now: number,
   ) {
-    const term = records.campaign();
+    const term = records.beginTerm();
     const settings = { ...FLEET_SETTINGS };
-    if (mistake === 'short-lease') settings.leaseS = LEASE_S / 4;
-    if (mistake === 'trusts-former-owner') settings.formerLeaderS = -LEASE_S;
+    if (seededFault === 'short-lease') settings.leaseS = LEASE_S / 4;
+    if (seededFault === 'trusts-former-owner') settings.formerLeaderS = -LEASE_S;
     this.fleet = new FleetState({ settings, term, electedAt: now });
     this.load(now);
-    const teams = mistake === 'no-limit' ? unlimitedTeams() : TEAMS;
-    this.scheduler = new Scheduler(this.fleet, teams, SCHEDULE_SETTINGS);
-    this.recorder = new RecorderModel(records, term, this.fleet, mistake);
+    const teams = seededFault === 'no-limit' ? unlimitedTeams() : TEAMS;
+    this.scheduler = new Scheduler(this.fleet, teams, SCHEDULER_SETTINGS);
+    this.recorder = new RecorderModel(records, term, this.fleet, seededFault);
   }
 
   /** Records what the step before changed, applies changes of jobs, and schedules. */
@@ -58,16 +58,16 @@
     this.fleet.machines.updateTotals();
     this.scheduler.reservations.update(now);
     this.scheduler.round(now);
-    if (this.mistake === 'order-before-record') {
+    if (this.seededFault === 'order-before-record') {
       for (const machine of this.fleet.machines.values()) markRecorded(machine);
     }
   }
 
   /** One that lost the state service may answer no longer: the bound counts from when it lost it. */
-  hasGivenUp(now: number): boolean {
-    const { deposedAt, thawsAt } = this;
+  hasSteppedDown(now: number): boolean {
+    const { deposedAt, frozenUntil } = this;
     if (deposedAt === null) return false;
-    if (this.mistake === 'wakes-entitled' && thawsAt > deposedAt) return false;
+    if (this.seededFault === 'wakes-entitled' && frozenUntil > deposedAt) return false;
     return now > deposedAt + FORMER_LEADER_S;
   }
 
@@ -92,8 +92,8 @@
 
   private applyJobChanges(now: number): void {
     for (const { job, phase } of this.records.jobs.values()) {
-      if (phase === 'cancelled' && this.mistake === 'deaf-to-aborts') continue;
-      const seen = this.mistake === 'any-zone' ? { ...job, zone: null, spread: false } : job;
+      if (phase === 'cancelled' && this.seededFault === 'deaf-to-aborts') continue;
+      const seen = this.seededFault === 'any-zone' ? { ...job, zone: null, spread: false } : job;
       this.fleet.addJob(seen, now, phase, now);
     }
   }
--- a/packages/testing/models/leader-with-workers/mail.ts
+++ b/packages/testing/models/leader-with-workers/message-queue.ts
@@ -7,15 +7,15 @@
 }
 
 /** Messages under way, delivered by the time of their arrival. */
-export class Mail {
+export class MessageQueue {
   private messages: Message[] = [];
 
-  post(at: number, deliver: (now: number) => void): void {
+  schedule(at: number, deliver: (now: number) => void): void {
     this.messages.push({ at, deliver });
   }
 
   /** Delivers what has arrived by now. */
-  deliver(now: number): void {
+  deliverDue(now: number): void {
     const { messages } = this;
     messages.sort((first, second) => first.at - second.at);
     for (let next = messages.at(0); next && next.at <= now; next = messages.at(0)) {
--- a/packages/testing/models/leader-with-workers/mistakes.ts
+++ b/packages/testing/models/leader-with-workers/mistakes.ts
@@ -1,5 +1,5 @@
 /** The seeded mistakes of the model of a leader with its workers, and what its checks find. */
-/** One deliberate mistake, to show that the checks can fail. */
+/** One deliberate seeded fault, to show that the checks can fail. */
 export type LeaderMistake =
   | 'none'
   | 'short-lease'
--- a/packages/testing/models/leader-with-workers/random-job.ts
+++ b/packages/testing/models/leader-with-workers/random-job.ts
@@ -3,14 +3,14 @@
 import type { Chance } from '../../random.js';
 
 const KINDS = ['array', 'array', 'service', 'gang'] as const;
-const MOST_ZEROS = 4;
+const MAX_ID_ZEROS = 4;
 
 /** A job with the given number in its id. The length of the id tells how long its tasks run. */
 export function randomJob(chance: Chance, number: number): Job {
   const kind = KINDS[chance.int(0, KINDS.length - 1)];
   const zone = chance.hit(0.15) ? 'a' : null;
   const job: Job = {
-    id: `j-${'0'.repeat(chance.int(0, MOST_ZEROS))}${number}`,
+    id: `j-${'0'.repeat(chance.int(0, MAX_ID_ZEROS))}${number}`,
     class: kind,
     team: chance.hit(0.5) ? 'red' : 'blue',
     kind,
@@ -37,6 +37,6 @@
 }
 
 /** How long each task of the job runs; seconds. */
-export function runTimeS({ id, kind }: Job): number {
+export function taskDurationS({ id, kind }: Job): number {
   return kind === 'service' ? Infinity : 3 + (id.length % 7) * 2;
 }
--- a/packages/testing/models/leader-with-workers/recorder.ts
+++ b/packages/testing/models/leader-with-workers/recorder.ts
@@ -9,7 +9,7 @@
     private readonly records: DurableRecords,
     private readonly term: number,
     private readonly fleet: FleetState,
-    private readonly mistake: LeaderMistake,
+    private readonly seededFault: LeaderMistake,
   ) {}
 
   /** Records all that has changed since the last call. */
@@ -23,7 +23,7 @@
       this.recordProgress(job);
     }
     fleet.unrecorded.jobs.clear();
-    if (this.mistake !== 'order-before-record') {
+    if (this.seededFault !== 'order-before-record') {
       for (const name of fleet.unrecorded.machines) this.recordMachine(name);
     }
     fleet.unrecorded.machines.clear();
@@ -36,7 +36,7 @@
     const done = new Set<number>();
     for (let index = 0; index < tasks; index++) if (job.done.has(index)) done.add(index);
     records.done.set(id, done);
-    const isComplete = this.mistake === 'done-early' ? done.size > 0 : done.size === tasks;
+    const isComplete = this.seededFault === 'done-early' ? done.size > 0 : done.size === tasks;
     if (isComplete && record.phase === 'accepted') {
       record.phase = 'done';
       fleet.closeJob(job, 'done', 0);
--- a/packages/testing/models/leader-with-workers/timing.ts
+++ b/packages/testing/models/leader-with-workers/timing.ts
@@ -12,8 +12,8 @@
 /** From the end of a leader to the election of the next. */
 export const CAMPAIGN_PAUSE_S = 4;
 /** How long a worker waits for the answer to a heartbeat. */
-export const ANSWER_LIFE_S = 4;
+export const HEARTBEAT_TIMEOUT_S = 4;
 /** How long a leader waits for the answer to a direct command. */
-export const COMMAND_LIFE_S = 2 * HEARTBEAT_INTERVAL_S;
+export const COMMAND_TIMEOUT_S = 2 * HEARTBEAT_INTERVAL_S;
 /** Longest way of a message that is not delayed. */
-export const DELAY_S = 0.3;
+export const MAX_DELAY_S = 0.3;
--- a/packages/testing/models/leader-with-workers/traffic.ts
+++ b/packages/testing/models/leader-with-workers/traffic.ts
@@ -2,38 +2,38 @@
 import type { Order, Heartbeat } from '#wire';
 import type { Machine, HeartbeatOutcome } from '#core';
 import type { Chance } from '../../random.js';
-import type { Mail } from './mail.js';
+import type { MessageQueue } from './message-queue.js';
 import type { LeaderMistake } from './mistakes.js';
 import type { LeaderModel } from './leader.js';
-import { ANSWER_LIFE_S, COMMAND_LIFE_S, DELAY_S, LEASE_S } from './timing.js';
+import { HEARTBEAT_TIMEOUT_S, COMMAND_TIMEOUT_S, MAX_DELAY_S, LEASE_S } from './timing.js';
 import type { WorkerModel } from './worker.js';
 
 /** Share of heartbeats, and of answers, that are lost. */
-const LOST = 0.08;
+const MESSAGE_LOSS_RATE = 0.08;
 /** Share of heartbeats of which a copy comes late, and how late at the most. */
-const COPIED = 0.15;
-const COPY_DELAY_S = 3 * LEASE_S;
+const LATE_COPY_RATE = 0.15;
+const MAX_COPY_DELAY_S = 3 * LEASE_S;
 /** Share of direct commands that come late, and how late at the most. */
-const LATE_COMMANDS = 0.15;
-const COMMAND_DELAY_S = 4 * LEASE_S;
+const LATE_COMMAND_RATE = 0.15;
+const MAX_LATE_COMMAND_DELAY_S = 4 * LEASE_S;
 /** Share of direct commands whose answer is lost. */
-const LOST_COMMAND_ANSWERS = 0.1;
+const LOST_COMMAND_ANSWER_RATE = 0.1;
 
 /** A worker and what it knows of its connection to a leader. */
-export interface WorkerContact {
+export interface WorkerConnection {
   worker: WorkerModel;
   nextHeartbeatAt: number;
   /** Until when it waits for the answer to its last heartbeat; -Infinity once it has come. */
   answerDueAt: number;
   /** The former leader that a cut-off worker still reaches. */
-  follows: LeaderModel | null;
+  formerLeader: LeaderModel | null;
 }
 
 /** What the traffic needs from the world. */
 export interface TrafficOptions {
   chance: Chance;
-  mail: Mail;
-  mistake: LeaderMistake;
+  mail: MessageQueue;
+  seededFault: LeaderMistake;
   /** The leader of the newest term; null while there is none. */
   leader: () => LeaderModel | null;
 }
@@ -43,25 +43,25 @@
   constructor(private readonly options: TrafficOptions) {}
 
   /** A worker that lost its leader stays with the one that answered it last, if that still does. */
-  sendHeartbeat(contact: WorkerContact, now: number): void {
+  sendHeartbeat(connection: WorkerConnection, now: number): void {
     const { chance, mail, leader } = this.options;
-    const heartbeat = contact.worker.heartbeat();
-    const target = contact.follows ?? leader();
-    contact.answerDueAt = now + ANSWER_LIFE_S;
+    const heartbeat = connection.worker.heartbeat();
+    const target = connection.formerLeader ?? leader();
+    connection.answerDueAt = now + HEARTBEAT_TIMEOUT_S;
     const deliver = (at: number) => {
-      this.deliverHeartbeat({ contact, heartbeat, target, sentAt: now }, at);
+      this.deliverHeartbeat({ connection, heartbeat, target, sentAt: now }, at);
     };
-    if (!chance.hit(LOST)) mail.post(now + chance.next() * DELAY_S, deliver);
+    if (!chance.hit(MESSAGE_LOSS_RATE)) mail.schedule(now + chance.next() * MAX_DELAY_S, deliver);
     // A copy from seconds to well over a lease late; its answer reaches nobody.
-    if (chance.hit(COPIED)) {
-      mail.post(now + chance.next() * COPY_DELAY_S, (at) => {
+    if (chance.hit(LATE_COPY_RATE)) {
+      mail.schedule(now + chance.next() * MAX_COPY_DELAY_S, (at) => {
         this.deliverCopy(heartbeat, at);
       });
     }
   }
 
   /** Direct commands may take long, arrive late, or be answered late or never. */
-  sendCommands(from: LeaderModel, contacts: WorkerContact[], now: number): void {
+  sendCommands(from: LeaderModel, contacts: WorkerConnection[], now: number): void {
     for (const { worker } of contacts) {
       const machine = from.fleet.machines.get(worker.name);
       const orders = machine ? from.fleet.directOrders.nextOrders(machine, now) : [];
@@ -71,40 +71,45 @@
 
   private deliverHeartbeat(sent: SentHeartbeat, now: number): void {
     const { mail, chance } = this.options;
-    const { contact, heartbeat, target, sentAt } = sent;
+    const { connection, heartbeat, target, sentAt } = sent;
     if (!target) return;
-    if (now < target.thawsAt) {
-      mail.post(target.thawsAt, (at) => {
+    if (now < target.frozenUntil) {
+      mail.schedule(target.frozenUntil, (at) => {
         this.deliverHeartbeat(sent, at);
       });
       return;
     }
-    if (target.hasGivenUp(now)) {
-      contact.follows = null;
+    if (target.hasSteppedDown(now)) {
+      connection.formerLeader = null;
       return;
     }
-    this.rewindNewer(target, heartbeat);
+    this.rewindForRepeat(target, heartbeat);
     const outcome = target.fleet.heartbeats.handle(heartbeat, now);
     const { fencingToken, orders } = answerTo(outcome, target, heartbeat);
-    const arrivesAt = now + chance.next() * DELAY_S;
-    if (chance.hit(LOST)) return;
-    mail.post(arrivesAt, (at) => {
-      if (at - sentAt > ANSWER_LIFE_S || contact.answerDueAt === -Infinity) return;
-      contact.answerDueAt = -Infinity;
-      contact.worker.answer({ agentEpoch: heartbeat.agentEpoch, sentAt }, fencingToken, orders, at);
+    const arrivesAt = now + chance.next() * MAX_DELAY_S;
+    if (chance.hit(MESSAGE_LOSS_RATE)) return;
+    mail.schedule(arrivesAt, (at) => {
+      if (at - sentAt > HEARTBEAT_TIMEOUT_S || connection.answerDueAt === -Infinity) return;
+      connection.answerDueAt = -Infinity;
+      connection.worker.handleAnswer(
+        { agentEpoch: heartbeat.agentEpoch, sentAt },
+        fencingToken,
+        orders,
+        at,
+      );
     });
   }
 
   private deliverCopy(heartbeat: Heartbeat, now: number): void {
     const leader = this.options.leader();
-    if (!leader || leader.hasGivenUp(now)) return;
-    this.rewind(leader, heartbeat);
+    if (!leader || leader.hasSteppedDown(now)) return;
+    this.rewindForLateCopy(leader, heartbeat);
     leader.fleet.heartbeats.handle(heartbeat, now);
   }
 
-  /** The mistake of taking a copy of an old heartbeat for a new one. */
-  private rewindNewer({ fleet }: LeaderModel, heartbeat: Heartbeat): void {
-    if (this.options.mistake !== 'believes-old-copies') return;
+  /** The seeded fault of taking a copy of an old heartbeat for a new one. */
+  private rewindForRepeat({ fleet }: LeaderModel, heartbeat: Heartbeat): void {
+    if (this.options.seededFault !== 'believes-old-copies') return;
     const machine = fleet.machines.get(heartbeat.machine);
     if (machine && machine.lastMessageSequence >= heartbeat.sequence) {
       machine.lastMessageSequence = machine.lastHeartbeatSequence = heartbeat.sequence - 1;
@@ -112,8 +117,8 @@
   }
 
   /** The same for a copy that is known to be late: both numbers become equal. */
-  private rewind({ fleet }: LeaderModel, heartbeat: Heartbeat): void {
-    if (this.options.mistake !== 'believes-old-copies') return;
+  private rewindForLateCopy({ fleet }: LeaderModel, heartbeat: Heartbeat): void {
+    if (this.options.seededFault !== 'believes-old-copies') return;
     const machine = fleet.machines.get(heartbeat.machine);
     if (!machine) return;
     const sequence = Math.min(machine.lastMessageSequence, heartbeat.sequence - 1);
@@ -121,31 +126,31 @@
   }
 
   private sendCommand({ from, worker, machine, orders }: SentCommand, now: number): void {
-    const { chance, mail, mistake } = this.options;
+    const { chance, mail, seededFault } = this.options;
     const { directOrders } = from.fleet;
-    const { fencingToken: fencingToken, agentEpoch: agentEpoch } = machine;
-    const givenUpAt = now + COMMAND_LIFE_S;
+    const { fencingToken, agentEpoch } = machine;
+    const timesOutAt = now + COMMAND_TIMEOUT_S;
     let answered = false;
-    const delayS = chance.hit(LATE_COMMANDS) ? COMMAND_DELAY_S : DELAY_S;
-    mail.post(now + chance.next() * delayS, (at) => {
-      const heartbeat = worker.command(fencingToken, agentEpoch, orders, at);
-      if (at >= givenUpAt || chance.hit(LOST_COMMAND_ANSWERS)) return;
+    const maxDelayS = chance.hit(LATE_COMMAND_RATE) ? MAX_LATE_COMMAND_DELAY_S : MAX_DELAY_S;
+    mail.schedule(now + chance.next() * maxDelayS, (at) => {
+      const heartbeat = worker.handleCommand(fencingToken, agentEpoch, orders, at);
+      if (at >= timesOutAt || chance.hit(LOST_COMMAND_ANSWER_RATE)) return;
       answered = true;
       const outcome = heartbeat
         ? ({ kind: 'executed', heartbeat } as const)
         : ({ kind: 'refused' } as const);
       directOrders.applyOutcome(machine, orders, outcome, at);
     });
-    mail.post(givenUpAt, (at) => {
+    mail.schedule(timesOutAt, (at) => {
       if (answered) return;
       directOrders.applyOutcome(machine, orders, { kind: 'unknown' }, at);
-      if (mistake === 'forgets-late-starts') machine.unacknowledgedStarts.clear();
+      if (seededFault === 'forgets-late-starts') machine.unacknowledgedStarts.clear();
     });
   }
 }
 
 interface SentHeartbeat {
-  contact: WorkerContact;
+  connection: WorkerConnection;
   heartbeat: Heartbeat;
   target: LeaderModel | null;
   sentAt: number;
--- a/packages/testing/models/leader-with-workers/worker.ts
+++ b/packages/testing/models/leader-with-workers/worker.ts
@@ -5,7 +5,7 @@
 /** A task that a worker holds. */
 export interface HeldTask extends TaskStatus {
   startedAt: number;
-  runS: number;
+  durationS: number;
 }
 
 /** The machine of a worker, and what its tasks depend on. */
@@ -15,7 +15,7 @@
   spot: boolean;
   leaseS: number;
   /** How long the tasks of a job run; seconds. */
-  runS: (job: string) => number;
+  taskDurationS: (job: string) => number;
   /** Told of each task that it starts. */
   onStart: (worker: WorkerModel, task: HeldTask) => void;
 }
@@ -37,7 +37,7 @@
   }
 
   /** Tasks that are on the machine now, in the protocol's sense. */
-  present(): HeldTask[] {
+  presentTasks(): HeldTask[] {
     return [...this.tasks.values()].filter((task) => task.state !== 'exited');
   }
 
@@ -79,20 +79,20 @@
   }
 
   /** The answer to a heartbeat of that agent epoch, which was sent at `sentAt`. */
-  answer(
-    to: { agentEpoch: number; sentAt: number },
+  handleAnswer(
+    answered: { agentEpoch: number; sentAt: number },
     fencingToken: number,
     orders: Order[],
     now: number,
   ): void {
-    if (fencingToken < this.fencingToken || to.agentEpoch !== this.agentEpoch) return;
+    if (fencingToken < this.fencingToken || answered.agentEpoch !== this.agentEpoch) return;
     this.fencingToken = fencingToken;
-    this.renewedAt = Math.max(this.renewedAt, to.sentAt);
+    this.renewedAt = Math.max(this.renewedAt, answered.sentAt);
     this.execute(orders, now);
   }
 
   /** A direct command: runs whenever it arrives, if fencing token and agent epoch still match; null if not. */
-  command(
+  handleCommand(
     fencingToken: number,
     agentEpoch: number,
     orders: Order[],
@@ -122,7 +122,7 @@
   }
 
   private start(name: string, { job, index, attempt }: TaskRef, now: number): void {
-    const { runS, onStart } = this.options;
+    const { taskDurationS, onStart } = this.options;
     const task: HeldTask = {
       job,
       index,
@@ -131,7 +131,7 @@
       cause: null,
       checkpointed: false,
       startedAt: now,
-      runS: runS(job),
+      durationS: taskDurationS(job),
     };
     this.tasks.set(name, task);
     onStart(this, task);
@@ -140,7 +140,7 @@
 
 function advanceTask(task: HeldTask, now: number): void {
   if (task.state === 'fetching') task.state = 'running';
-  else if (task.state === 'running' && now - task.startedAt >= task.runS) {
+  else if (task.state === 'running' && now - task.startedAt >= task.durationS) {
     task.state = 'exited';
     task.cause = 'done';
   }
--- a/packages/testing/models/replica-groups/checks.ts
+++ b/packages/testing/models/replica-groups/checks.ts
@@ -3,11 +3,15 @@
 import type { ReplicaModelState } from './state.js';
 
 /** What must never be, or null. */
-export function breachIn({ leader, machines, brokenAnswer }: ReplicaModelState): string | null {
+export function findViolation({
+  leader,
+  machines,
+  hasBrokenAnswer,
+}: ReplicaModelState): string | null {
   const { places, ending, members } = leader.group;
   const placed = new Set(places.map(({ member }) => member)).size;
   if (placed > 0 && placed < members && !ending) return 'incomplete generation kept';
-  if (brokenAnswer) return 'broken answer';
+  if (hasBrokenAnswer) return 'broken answer';
   const tasks = machines.flatMap(({ task }) => (task === null ? [] : [task]));
   if (new Set(tasks.map(({ generation }) => generation)).size > 1) return 'two generations';
   if (new Set(tasks.map(({ member }) => member)).size < tasks.length) return 'doubled member';
@@ -15,7 +19,7 @@
 }
 
 /** The replica is whole by the leader's state, and so it is. */
-export function isAtRest({ leader, former, machines, request }: ReplicaModelState): boolean {
+export function isQuiescent({ leader, former, machines, request }: ReplicaModelState): boolean {
   const running = machines.filter(({ task }) => task?.generation === leader.group.generation);
   const isWhole = phaseOf(leader.group) === 'whole' && running.length === leader.group.members;
   return isWhole && former === null && request === null;
--- a/packages/testing/models/replica-groups/leader.ts
+++ b/packages/testing/models/replica-groups/leader.ts
@@ -18,11 +18,11 @@
 export function applyEvent(
   leader: Draft<ModelLeader>,
   event: GroupEvent,
-  mistake: ReplicaMistake,
+  seededFault: ReplicaMistake,
 ): void {
   const { state, stop } = step(leader.group, event);
-  if (mistake === 'keeps-the-rest' && event.kind === 'gone') {
-    leader.group = { ...state, ending: false, places: state.places.map(unended) };
+  if (seededFault === 'keeps-the-rest' && event.kind === 'gone') {
+    leader.group = { ...state, ending: false, places: state.places.map(withoutEnding) };
     return;
   }
   leader.group = state as Draft<GroupState>;
@@ -34,21 +34,21 @@
     place.stopping = true;
     if (place.sent || place.inherited) continue;
     leader.places[at] = null;
-    applyEvent(leader, { kind: 'gone', member, generation }, mistake);
+    applyEvent(leader, { kind: 'gone', member, generation }, seededFault);
   }
 }
 
-function unended<P extends { ending: boolean }>(place: P): P {
+function withoutEnding<P extends { ending: boolean }>(place: P): P {
   return { ...place, ending: false };
 }
 
 /** Machines that get the members of a new generation; null if it may not begin, or there are too few. */
-export function machinesForNext(
+export function chooseMachines(
   { group, places }: ModelLeader,
   isUsable: (machine: number) => boolean,
-  mistake: ReplicaMistake,
+  seededFault: ReplicaMistake,
 ): number[] | null {
-  const isEarly = mistake === 'places-before-gone' && group.ending;
+  const isEarly = seededFault === 'places-before-gone' && group.ending;
   if (!mayBePlaced(group) && !isEarly) return null;
   const usable = places.map((_, at) => at).filter(isUsable);
   const free = usable.filter((at) => places[at] === null);
@@ -58,13 +58,13 @@
 }
 
 /** Gives the members of a new generation places. */
-export function beginGeneration(
+export function placeGeneration(
   leader: Draft<ModelLeader>,
   machines: number[],
-  mistake: ReplicaMistake,
+  seededFault: ReplicaMistake,
 ): void {
-  const generation = leader.term * GENERATIONS_PER_TERM + leader.starts++;
-  if (mistake === 'places-before-gone') {
+  const generation = leader.term * GENERATIONS_PER_TERM + leader.generationsStarted++;
+  if (seededFault === 'places-before-gone') {
     // What is left of the old generation is forgotten by the state machine, and keeps running.
     leader.group = { ...leader.group, places: [], ending: false };
     leader.places = leader.places.map(() => null);
@@ -80,25 +80,25 @@
       seenRunning: false,
       stopping: false,
     };
-    applyEvent(leader, { kind: 'placed', member, generation }, mistake);
+    applyEvent(leader, { kind: 'placed', member, generation }, seededFault);
   });
 }
 
 /** Whether the leader would send the start of the place now. */
-export function sendsStart(
+export function shouldSendStart(
   { group }: ModelLeader,
   place: LeaderPlace,
-  mistake: ReplicaMistake,
+  seededFault: ReplicaMistake,
 ): boolean {
   if (place.sent || place.inherited || place.stopping) return false;
-  if (mistake === 'starts-unrecorded') return place.generation === group.generation;
+  if (seededFault === 'starts-unrecorded') return place.generation === group.generation;
   return mayStart(group, place.generation);
 }
 
 /** The next leader, which knows what the records hold and nothing else. */
 export function leaderFromRecords(
   { leader, machines }: ReplicaModelState,
-  mistake: ReplicaMistake,
+  seededFault: ReplicaMistake,
 ): Draft<ModelLeader> {
   const next = newLeader(leader.term + 1) as Draft<ModelLeader>;
   machines.forEach(({ record }, at) => {
@@ -112,8 +112,8 @@
       seenRunning: false,
       stopping: false,
     };
-    applyEvent(next, { kind: 'inherited', ...record }, mistake);
+    applyEvent(next, { kind: 'inherited', ...record }, seededFault);
   });
-  if (mistake !== 'adopts-incomplete') applyEvent(next, { kind: 'loaded' }, mistake);
+  if (seededFault !== 'adopts-incomplete') applyEvent(next, { kind: 'loaded' }, seededFault);
   return next;
 }
--- a/packages/testing/models/replica-groups/machine-events.ts
+++ b/packages/testing/models/replica-groups/machine-transitions.ts
@@ -1,6 +1,6 @@
 /** What happens at a machine and between it and its leader. */
 import type { Draft } from 'immer';
-import type { ReplicaEventList } from './events-of-state.js';
+import type { ReplicaTransitionList } from './replica-transition-list.js';
 import type { ReplicaMistake } from './mistakes.js';
 import { applyEvent } from './leader.js';
 import {
@@ -12,13 +12,13 @@
 } from './state.js';
 
 /** A command reaches its machine, or is lost. */
-export function addArrival(list: ReplicaEventList, at: number, index: number): void {
-  const { state, mistake } = list;
+export function addCommandArrival(list: ReplicaTransitionList, at: number, index: number): void {
+  const { state, seededFault } = list;
   const machine = state.machines[at];
   if (machine.condition === 'up') {
     list.add(`command arrives at ${at}`, false, (draft) => {
       const [arrived] = draft.machines[at].commands.splice(index, 1);
-      carryOut(draft.machines[at], arrived, mistake);
+      executeCommand(draft.machines[at], arrived, seededFault);
     });
   }
   if (state.budget.lostCommands === 0) return;
@@ -28,23 +28,27 @@
   });
 }
 
-function carryOut(machine: Draft<ModelMachine>, arrived: Command, mistake: ReplicaMistake): void {
-  if (arrived.fencingToken < machine.fencingToken && mistake !== 'obeys-old-tokens') return;
+function executeCommand(
+  machine: Draft<ModelMachine>,
+  arrived: Command,
+  seededFault: ReplicaMistake,
+): void {
+  if (arrived.fencingToken < machine.fencingToken && seededFault !== 'obeys-old-tokens') return;
   machine.fencingToken = Math.max(machine.fencingToken, arrived.fencingToken);
   const { member, generation } = arrived;
   if (arrived.verb === 'start') machine.task ??= { member, generation };
-  else if (isSame(machine.task, arrived)) machine.task = null;
+  else if (isSameMember(machine.task, arrived)) machine.task = null;
 }
 
 /** A heartbeat of an up machine reaches the leader, and its answer the machine. */
-export function addHeartbeat(list: ReplicaEventList, at: number): void {
-  const { state, mistake } = list;
+export function addHeartbeat(list: ReplicaTransitionList, at: number): void {
+  const { state, seededFault } = list;
   const machine = state.machines[at];
   const { condition, fencingToken, task } = machine;
   if (condition !== 'up' || fencingToken > state.leader.term) return;
   const place = state.leader.places[at];
-  const isNews = place ? !isSame(task, place) || !place.seenRunning : task !== null;
-  if (!isNews && fencingToken === state.leader.term) return;
+  const isChanged = place ? !isSameMember(task, place) || !place.seenRunning : task !== null;
+  if (!isChanged && fencingToken === state.leader.term) return;
   list.add(`${at} reports`, false, (draft) => {
     const machine = draft.machines[at];
     machine.fencingToken = state.leader.term;
@@ -52,45 +56,47 @@
     if (place === null) {
       // Nothing should run there; the answer ends it.
       machine.task = null;
-    } else if (isSame(machine.task, place)) {
+    } else if (isSameMember(machine.task, place)) {
       if (!place.seenRunning) {
         place.seenRunning = true;
         const { member, generation } = place;
-        applyEvent(draft.leader, { kind: 'running', member, generation }, mistake);
+        applyEvent(draft.leader, { kind: 'running', member, generation }, seededFault);
       }
     } else {
       if (machine.task !== null) machine.task = null;
-      recordAbsence(draft.leader, machine, at, mistake);
+      handleMissingTask(draft.leader, machine, at, seededFault);
     }
   });
 }
 
 /** A heartbeat does not list the place's task. */
-function recordAbsence(
+function handleMissingTask(
   leader: Draft<ModelLeader>,
   machine: ModelMachine,
   at: number,
-  mistake: ReplicaMistake,
+  seededFault: ReplicaMistake,
 ): void {
   const place = placeAt(leader, at);
   const mayStillStart = machine.commands.some(
     (each) =>
-      each.verb === 'start' && isSame(each, place) && each.fencingToken >= machine.fencingToken,
+      each.verb === 'start' &&
+      isSameMember(each, place) &&
+      each.fencingToken >= machine.fencingToken,
   );
   if (mayStillStart || !(place.sent || place.inherited)) return;
-  if (place.seenRunning || place.inherited || place.stopping) endPlace(leader, at, mistake);
+  if (place.seenRunning || place.inherited || place.stopping) endPlace(leader, at, seededFault);
   else place.sent = false;
 }
 
-function endPlace(leader: Draft<ModelLeader>, at: number, mistake: ReplicaMistake): void {
+function endPlace(leader: Draft<ModelLeader>, at: number, seededFault: ReplicaMistake): void {
   const { member, generation } = placeAt(leader, at);
   leader.places[at] = null;
-  applyEvent(leader, { kind: 'gone', member, generation }, mistake);
+  applyEvent(leader, { kind: 'gone', member, generation }, seededFault);
 }
 
 /** Failures of a machine, and what its leader concludes from silence. */
-export function addMachineEvents(list: ReplicaEventList, at: number): void {
-  const { state, mistake } = list;
+export function addMachineTransitions(list: ReplicaTransitionList, at: number): void {
+  const { state, seededFault } = list;
   const { condition } = state.machines[at];
   if (condition === 'up' && state.budget.failures > 0) {
     for (const next of ['dead', 'cut'] as const) {
@@ -110,10 +116,11 @@
       draft.machines[at].condition = 'dead';
     });
   }
-  const isSilent = condition === 'dead' || (condition === 'cut' && mistake === 'trusts-silence');
+  const isSilent =
+    condition === 'dead' || (condition === 'cut' && seededFault === 'trusts-silence');
   if (isSilent && state.leader.places[at] !== null) {
     list.add(`owner gives up what ${at} held`, false, (draft) => {
-      endPlace(draft.leader, at, mistake);
+      endPlace(draft.leader, at, seededFault);
       // By then a former leader answers no heartbeat any more, and its commands name an older agent epoch (points 5 and 7).
       if (draft.former) draft.former.places[at] = null;
     });
@@ -131,6 +138,6 @@
   machine.commands = [];
 }
 
-function isSame(one: Member | null, other: Member): boolean {
-  return one !== null && one.member === other.member && one.generation === other.generation;
+function isSameMember(first: Member | null, second: Member): boolean {
+  return first !== null && first.member === second.member && first.generation === second.generation;
 }
--- a/packages/testing/models/replica-groups/mistakes.ts
+++ b/packages/testing/models/replica-groups/mistakes.ts
@@ -1,5 +1,5 @@
 /** The seeded mistakes of the model of replica groups. */
-/** A deliberate mistake, each of which takes one guard of replica groups away. */
+/** A deliberate seeded fault, each of which takes one guard of replica groups away. */
 export type ReplicaMistake =
   | 'none'
   /** The leader sends starts whose records are not durable. */
--- a/packages/testing/models/replica-groups/events-of-state.ts
+++ b/packages/testing/models/replica-groups/replica-transition-list.ts
@@ -1,7 +1,7 @@
 /** The list of events that the modules of this model add to. */
-import type { EventList } from '../exploration/event-list.js';
+import type { TransitionList } from '../exploration/transition-list.js';
 import type { ReplicaMistake } from './mistakes.js';
 import type { ReplicaModelState } from './state.js';
 
 /** The events of one state of the model of replica groups. */
-export type ReplicaEventList = EventList<ReplicaModelState, ReplicaMistake>;
+export type ReplicaTransitionList = TransitionList<ReplicaModelState, ReplicaMistake>;
--- a/packages/testing/models/replica-groups/requests.ts
+++ b/packages/testing/models/replica-groups/requests.ts
@@ -1,33 +1,33 @@
 /** One request at a time, which the first member accepts, passes to its mates, and answers. */
-import type { ReplicaEventList } from './events-of-state.js';
+import type { ReplicaTransitionList } from './replica-transition-list.js';
 import { MEMBERS, type ModelRequest, type ReplicaModelState } from './state.js';
 
-const ENTRY = 0;
+const ENTRY_MEMBER = 0;
 
 /** Adds the next steps of the request, or the begin of one. */
-export function addRequestSteps(list: ReplicaEventList): void {
+export function addRequestTransitions(list: ReplicaTransitionList): void {
   const { state } = list;
   const { request } = state;
   if (request === null) {
-    addBegin(list);
+    addRequestStart(list);
     return;
   }
   for (let member = 1; member < MEMBERS; member++) {
     if (request.marks[member] !== 0) continue;
-    for (const generation of liveGenerations(state, member)) {
+    for (const generation of runningGenerations(state, member)) {
       if (generation !== request.generation) continue;
       list.add(`member ${member} marks`, false, (draft) => {
         if (draft.request) draft.request.marks[member] = generation;
       });
     }
   }
-  addEnd(list, request);
+  addRequestEnd(list, request);
 }
 
-function addBegin(list: ReplicaEventList): void {
+function addRequestStart(list: ReplicaTransitionList): void {
   const { state } = list;
   if (state.budget.requests === 0) return;
-  for (const generation of liveGenerations(state, ENTRY)) {
+  for (const generation of runningGenerations(state, ENTRY_MEMBER)) {
     list.add('request', true, (draft) => {
       draft.budget.requests--;
       draft.request = { generation, marks: [generation, ...Array<number>(MEMBERS - 1).fill(0)] };
@@ -36,19 +36,19 @@
 }
 
 /** The request is given up at any time; it is answered only by the member that took it, with all marks. */
-function addEnd(list: ReplicaEventList, { generation, marks }: ModelRequest): void {
-  const { state, mistake } = list;
+function addRequestEnd(list: ReplicaTransitionList, { generation, marks }: ModelRequest): void {
+  const { state, seededFault } = list;
   list.add('request given up', false, (draft) => (draft.request = null));
-  if (!liveGenerations(state, ENTRY).includes(generation)) return;
-  const isMarked = marks.every((mark) => mark !== 0);
-  if (!isMarked && mistake !== 'answers-without-mates') return;
+  if (!runningGenerations(state, ENTRY_MEMBER).includes(generation)) return;
+  const isMarkedByAll = marks.every((mark) => mark !== 0);
+  if (!isMarkedByAll && seededFault !== 'answers-without-mates') return;
   list.add('request answered', false, (draft) => {
     draft.request = null;
-    if (marks.some((mark) => mark !== generation)) draft.brokenAnswer = true;
+    if (marks.some((mark) => mark !== generation)) draft.hasBrokenAnswer = true;
   });
 }
 
 /** Generations of which the member is on a machine that works. */
-function liveGenerations({ machines }: ReplicaModelState, member: number): number[] {
+function runningGenerations({ machines }: ReplicaModelState, member: number): number[] {
   return machines.flatMap(({ task }) => (task?.member === member ? [task.generation] : []));
 }
--- a/packages/testing/models/replica-groups/state.ts
+++ b/packages/testing/models/replica-groups/state.ts
@@ -37,7 +37,7 @@
 /** One leader with what it believes. */
 export interface ModelLeader {
   term: number;
-  starts: number;
+  generationsStarted: number;
   group: GroupState;
   /** By machine. */
   places: (LeaderPlace | null)[];
@@ -76,7 +76,7 @@
   machines: ModelMachine[];
   request: ModelRequest | null;
   /** An answer was given that is not of one whole generation. */
-  brokenAnswer: boolean;
+  hasBrokenAnswer: boolean;
   budget: ReplicaBudget;
 }
 
@@ -90,11 +90,11 @@
 /** A leader that knows of no members yet. */
 export function newLeader(term: number): ModelLeader {
   const places = Array<LeaderPlace | null>(MACHINES).fill(null);
-  return { term, starts: 0, group: newGroup(MEMBERS), places };
+  return { term, generationsStarted: 0, group: newGroup(MEMBERS), places };
 }
 
 /** The state in which nothing has happened yet. */
-export function firstState(budget: ReplicaBudget): ReplicaModelState {
+export function initialState(budget: ReplicaBudget): ReplicaModelState {
   const machines = Array.from({ length: MACHINES }, (): ModelMachine => {
     return { condition: 'up', task: null, fencingToken: 0, record: null, commands: [] };
   });
@@ -103,7 +103,7 @@
     former: null,
     machines,
     request: null,
-    brokenAnswer: false,
+    hasBrokenAnswer: false,
     budget,
   };
 }
@@ -112,8 +112,8 @@
  * Machines are alike, so states that differ only in their order are one; so are states that differ in nothing but the
  * numbers of generations, or in records that nobody will read any more.
  */
-export function keyOf(state: ReplicaModelState): string {
-  const { leader, former, machines, request, brokenAnswer, budget } = state;
+export function canonicalKey(state: ReplicaModelState): string {
+  const { leader, former, machines, request, hasBrokenAnswer, budget } = state;
   const rank = generationRanks(state);
   const label = memberLabels(state, rank);
   const memberKey = (each: Member | null) =>
@@ -129,7 +129,7 @@
       condition,
       memberKey(task),
       fencingToken,
-      areRecordsRead(state) ? memberKey(record) : '',
+      mayRecordsBeRead(state) ? memberKey(record) : '',
       commands.map((each) => `${each.verb}${String(memberKey(each))}${each.fencingToken}`).sort(),
       placeKey(leader.places[index]),
       placeKey(former?.places[index]),
@@ -137,7 +137,7 @@
   );
   const groups = [leader, former].map((each) => each && groupKey(each, memberKey));
   const marks = request?.marks.map((mark) => rank.get(mark));
-  const rest = [request && rank.get(request.generation), marks, brokenAnswer, budget];
+  const rest = [request && rank.get(request.generation), marks, hasBrokenAnswer, budget];
   return JSON.stringify([byMachine.sort(), groups, rest]);
 }
 
@@ -149,14 +149,16 @@
   const all = Array.from({ length: MEMBERS }, (_, member) => member);
   if (request !== null || budget.requests > 0) return all;
   const signatures = all.map((member) => {
-    const of = (each: Member | null | undefined) =>
+    const rankOf = (each: Member | null | undefined) =>
       each?.member === member ? rank.get(each.generation) : '';
     const byMachine = machines.map(({ condition, task, fencingToken, record, commands }, at) => {
       const place = leader.places[at];
       const isPlaced = place?.member === member;
       const flags = isPlaced ? [place.durable, place.recorded, place.sent, place.seenRunning] : '';
       const sent = commands.filter((each) => each.member === member).map(({ verb }) => verb);
-      const named = [of(task), of(record), of(place), of(former?.places[at])].join(',');
+      const named = [rankOf(task), rankOf(record), rankOf(place), rankOf(former?.places[at])].join(
+        ',',
+      );
       return named === ',,,' && sent.length === 0
         ? ''
         : `${condition}${fencingToken}${named}${String(flags)}${String(sent)}`;
@@ -170,7 +172,7 @@
 }
 
 /** A new leader may still come, and read the records. */
-export function areRecordsRead({ budget }: ReplicaModelState): boolean {
+export function mayRecordsBeRead({ budget }: ReplicaModelState): boolean {
   return budget.leaderChanges > 0;
 }
 
--- a/packages/testing/models/shard-migration/canonical.test.ts
+++ b/packages/testing/models/shard-migration/canonical.test.ts
@@ -3,13 +3,13 @@
 import { migrationKey } from '#shards';
 import { encodeLeader, shardKey } from '#store';
 import { canonicalKey } from './canonical.js';
-import { firstState, type ModelState, SHARD } from './state.js';
+import { initialState, type ModelState, SHARD } from './state.js';
 
 const BUDGET = { requests: 1, crashes: 0, lapses: 0, lostAnswers: 0 };
 
 /** A state with a transaction on its way; all its lease ids and revisions are higher by these numbers. */
-function aState(leaseOffset: number, revisionOffset: number): ModelState {
-  const start = firstState(BUDGET);
+function createState(leaseOffset: number, revisionOffset: number): ModelState {
+  const start = initialState(BUDGET);
   const leaseId = 2 + leaseOffset;
   const version = 1 + revisionOffset;
   const shard = { leader: 'a', leaseId: 1 + leaseOffset, version };
@@ -25,7 +25,7 @@
       a: { ...a, leaseId: 1 + leaseOffset, shard, term: version },
       b: { ...b, leaseId, shard },
     },
-    pending: [
+    inFlight: [
       {
         from: 'b',
         incarnation: 1,
@@ -39,15 +39,15 @@
 }
 
 test('states that differ only in the numbers of leases are one', () => {
-  assert.equal(canonicalKey(aState(7, 0)), canonicalKey(aState(0, 0)));
+  assert.equal(canonicalKey(createState(7, 0)), canonicalKey(createState(0, 0)));
 });
 
 test('states that differ only in the numbers of revisions are one', () => {
-  assert.equal(canonicalKey(aState(0, 5)), canonicalKey(aState(0, 0)));
+  assert.equal(canonicalKey(createState(0, 5)), canonicalKey(createState(0, 0)));
 });
 
 test('states in which another controller holds the lease of the shard differ', () => {
-  const state = aState(0, 0);
+  const state = createState(0, 0);
   const other = { ...state, shard: { leader: 'a', leaseId: 2, version: 1 } };
   assert.notEqual(canonicalKey(other), canonicalKey(state));
 });
--- a/packages/testing/models/shard-migration/controller.ts
+++ b/packages/testing/models/shard-migration/controller.ts
@@ -12,7 +12,7 @@
   type Transaction,
   type TransactionOutcome,
 } from '#shards';
-import { mistaken, type MigrationMistake, trustsLease } from './mistakes.js';
+import { applyTransactionFault, type MigrationMistake, trustsLease } from './mistakes.js';
 import { type ControllerName, type ModelController, type ModelState, SHARD } from './state.js';
 
 const LIMITS = { prepareS: 1, switchS: 1 };
@@ -20,12 +20,15 @@
 const LATE_S = 10;
 
 /** It takes its election lease for proof that nobody else leads, and acts on that. */
-export function actsAsLeader({ term, proven, source }: ModelController, mistake: MigrationMistake) {
-  return term !== 0 && proven && trustsLease(source, mistake);
+export function actsAsLeader(
+  { term, leaseProven, source }: ModelController,
+  seededFault: MigrationMistake,
+) {
+  return term !== 0 && leaseProven && trustsLease(source, seededFault);
 }
 
 /** Its watch shows what the state service holds now. */
-export function synchronise(state: Draft<ModelState>, name: ControllerName): void {
+export function applyWatchUpdates(state: Draft<ModelState>, name: ControllerName): void {
   const controller = state.controllers[name];
   controller.shard = state.shard;
   controller.move = state.move;
@@ -38,14 +41,14 @@
 }
 
 /** A new incarnation, which has seen nothing and has a new election lease. */
-export function restart(state: Draft<ModelState>, name: ControllerName): void {
+export function restartController(state: Draft<ModelState>, name: ControllerName): void {
   const { incarnation } = state.controllers[name];
   const leaseId = state.nextLeaseId++;
   state.liveLeases.push(leaseId);
   state.controllers[name] = {
     incarnation: incarnation + 1,
     leaseId,
-    proven: true,
+    leaseProven: true,
     shard: null,
     move: null,
     term: 0,
@@ -61,11 +64,11 @@
   state: Draft<ModelState>,
   name: ControllerName,
   late: boolean,
-  mistake: MigrationMistake,
+  seededFault: MigrationMistake,
 ): void {
   const controller = state.controllers[name];
   const { state: source, action } = stepSource(controller.source, {
-    now: late && mistake !== 'waits-for-ever' ? LATE_S : 0,
+    now: late && seededFault !== 'waits-for-ever' ? LATE_S : 0,
     shard: SHARD,
     term: controller.term,
     name,
@@ -74,88 +77,90 @@
     obstacle: () => null,
     limits: LIMITS,
   });
-  controller.source = untimed(source);
-  act(state, name, action, mistake);
+  controller.source = withoutTimes(source);
+  applyAction(state, name, action, seededFault);
 }
 
-function act(
+function applyAction(
   state: Draft<ModelState>,
   name: ControllerName,
   action: SourceAction,
-  mistake: MigrationMistake,
+  seededFault: MigrationMistake,
 ): void {
   const controller = state.controllers[name];
   if (action.kind === 'pause' || action.kind === 'resume') controller.paused = false;
   if (action.kind === 'read') controller.source = recordSourceRead(controller.source, state.move);
-  if ('transaction' in action) send(state, name, 'source', action.transaction, mistake);
+  if ('transaction' in action)
+    sendTransaction(state, name, 'source', action.transaction, seededFault);
 }
 
 /** One step of the target. */
-export function stepCandidate(
+export function stepTransferTarget(
   state: Draft<ModelState>,
   name: ControllerName,
-  mistake: MigrationMistake,
+  seededFault: MigrationMistake,
 ): void {
   const controller = state.controllers[name];
   const { state: target, action } = stepTarget(controller.target, {
     shard: SHARD,
     name,
-    leaseId: controller.proven ? controller.leaseId : null,
+    leaseId: controller.leaseProven ? controller.leaseId : null,
     shardVersion: controller.shard?.version ?? 0,
     migration: controller.move,
     ready: controller.term === 0,
   });
   controller.target = target;
-  if ('transaction' in action) send(state, name, 'target', action.transaction, mistake);
+  if ('transaction' in action)
+    sendTransaction(state, name, 'target', action.transaction, seededFault);
 }
 
-function send(
+function sendTransaction(
   state: Draft<ModelState>,
   from: ControllerName,
   kind: 'source' | 'target',
   transaction: Transaction,
-  mistake: MigrationMistake,
+  seededFault: MigrationMistake,
 ): void {
   const controller = state.controllers[from];
   controller.waiting = kind;
-  const sent = mistaken(kind, transaction, mistake);
-  state.pending.push({ from, incarnation: controller.incarnation, transaction: sent });
+  const sent = applyTransactionFault(kind, transaction, seededFault);
+  state.inFlight.push({ from, incarnation: controller.incarnation, transaction: sent });
 }
 
 /** An answer has come, or the wait for it is over. */
-export function answer(
+export function handleAnswer(
   state: Draft<ModelState>,
   name: ControllerName,
   outcome: TransactionOutcome,
-  mistake: MigrationMistake,
+  seededFault: MigrationMistake,
 ): void {
   const controller = state.controllers[name];
   const { waiting } = controller;
   controller.waiting = null;
   if (waiting === 'target') controller.target = handleTargetOutcome(controller.target, outcome);
   if (waiting !== 'source') return;
-  const believed = believe(outcome, controller, mistake);
-  const { state: source, action } = handleSourceOutcome(controller.source, believed, {
+  const observed = applyOutcomeFault(outcome, controller, seededFault);
+  const { state: source, action } = handleSourceOutcome(controller.source, observed, {
     shard: SHARD,
   });
-  controller.source = untimed(source);
-  act(state, name, action, mistake);
+  controller.source = withoutTimes(source);
+  applyAction(state, name, action, seededFault);
 }
 
-function believe(
+function applyOutcomeFault(
   outcome: TransactionOutcome,
   { source }: ModelController,
-  mistake: MigrationMistake,
+  seededFault: MigrationMistake,
 ): TransactionOutcome {
-  const believesApplied =
+  const isTakenAsApplied =
     source.phase === 'retracting' &&
-    ((mistake === 'resumes-on-silence' && outcome.kind === 'unknown') ||
-      (mistake === 'resumes-on-failure' && outcome.kind === 'failed'));
-  return believesApplied ? { kind: 'applied' } : outcome;
+    ((seededFault === 'resumes-on-silence' && outcome.kind === 'unknown') ||
+      (seededFault === 'resumes-on-failure' && outcome.kind === 'failed'));
+  return isTakenAsApplied ? { kind: 'applied' } : outcome;
 }
 
 /** Times are told apart by `late` alone. */
-function untimed(source: ModelController['source']): ModelController['source'] {
+function withoutTimes(source: ModelController['source']): ModelController['source'] {
   if (source.phase === 'deciding') {
     return { ...source, request: source.request && { ...source.request, seenAt: 0 } };
   }
--- a/packages/testing/models/shard-migration/explore.ts
+++ b/packages/testing/models/shard-migration/explore.ts
@@ -1,9 +1,9 @@
 /** Explores the model of shard migration. */
 import { explore } from '../exploration/explore.js';
 import { canonicalKey } from './canonical.js';
-import { eventsIn, falseLeaders, isAtRest } from './events.js';
+import { transitionsFrom, staleLeaders, isQuiescent } from './transitions.js';
 import type { MigrationMistake } from './mistakes.js';
-import { firstState, type MigrationBudget } from './state.js';
+import { initialState, type MigrationBudget } from './state.js';
 
 /** What an exploration of shard migrations has found. */
 export interface MigrationExploration {
@@ -19,20 +19,20 @@
 /** Visits every state that can be reached; the first in which there are two leaders ends it. */
 export function exploreMigrations(
   budget: MigrationBudget,
-  mistake: MigrationMistake,
+  seededFault: MigrationMistake,
 ): MigrationExploration {
   let moved = 0;
   const { states, breach, stuck } = explore(
     {
-      start: firstState(budget),
-      keyOf: canonicalKey,
-      eventsIn: (state) => eventsIn(state, mistake),
-      breachIn: (state) => (falseLeaders(state, mistake).length > 0 ? 'two owners' : null),
-      isAtRest: (state) => isAtRest(state, mistake),
+      initialState: initialState(budget),
+      canonicalKey,
+      transitionsFrom: (state) => transitionsFrom(state, seededFault),
+      findViolation: (state) => (staleLeaders(state, seededFault).length > 0 ? 'two owners' : null),
+      isQuiescent: (state) => isQuiescent(state, seededFault),
     },
     ({ shard }) => {
       if (shard?.leader === 'b') moved++;
     },
   );
-  return { states, moved, twoLeaders: breach?.way ?? null, stuck };
+  return { states, moved, twoLeaders: breach?.trace ?? null, stuck };
 }
--- a/packages/testing/models/shard-migration/mistakes.ts
+++ b/packages/testing/models/shard-migration/mistakes.ts
@@ -3,7 +3,7 @@
 import { shardKey } from '#store';
 import { SHARD } from './state.js';
 
-/** A deliberate mistake, each of which takes one guard of a migration away. */
+/** A deliberate seeded fault, each of which takes one guard of a migration away. */
 export type MigrationMistake =
   | 'none'
   /** The leader takes its election lease as proof after it has stated that it decides nothing more. */
@@ -21,24 +21,25 @@
   /** The leader never gives up waiting for the target. */
   | 'waits-for-ever';
 
-/** A transaction as a controller with the mistake sends it. */
-export function mistaken(
+/** A transaction as a controller with the seeded fault sends it. */
+export function applyTransactionFault(
   kind: 'source' | 'target',
   { conditions, changes }: Transaction,
-  mistake: MigrationMistake,
+  seededFault: MigrationMistake,
 ): Transaction {
   const without = (key: string): Transaction => ({
     conditions: conditions.filter((condition) => condition.key !== key),
     changes,
   });
-  if (kind === 'target' && mistake === 'takes-without-record') return without(migrationKey(SHARD));
-  if (kind === 'target' && mistake === 'takes-without-term') return without(shardKey(SHARD));
-  if (kind === 'source' && mistake === 'quiesces-without-record')
+  if (kind === 'target' && seededFault === 'takes-without-record')
+    return without(migrationKey(SHARD));
+  if (kind === 'target' && seededFault === 'takes-without-term') return without(shardKey(SHARD));
+  if (kind === 'source' && seededFault === 'quiesces-without-record')
     return without(migrationKey(SHARD));
   return { conditions, changes };
 }
 
 /** Whether the leader, by its state in the move, takes its election lease as proof that nobody else leads. */
-export function trustsLease(state: SourceState, mistake: MigrationMistake): boolean {
-  return mistake === 'trusts-its-grant' || successorPossibleSince(state) === null;
+export function trustsLease(state: SourceState, seededFault: MigrationMistake): boolean {
+  return seededFault === 'trusts-its-grant' || successorPossibleSince(state) === null;
 }
--- a/packages/testing/models/shard-migration/service.ts
+++ b/packages/testing/models/shard-migration/service.ts
@@ -5,7 +5,10 @@
 import { type ModelState, SHARD } from './state.js';
 
 /** Carries a transaction out, or says which of its conditions do not hold. */
-export function carryOut(state: Draft<ModelState>, transaction: Transaction): TransactionOutcome {
+export function applyTransaction(
+  state: Draft<ModelState>,
+  transaction: Transaction,
+): TransactionOutcome {
   const { conditions, changes } = transaction;
   const version = (key: string) =>
     (key === shardKey(SHARD) ? state.shard : state.move)?.version ?? 0;
--- a/packages/testing/models/shard-migration/state.ts
+++ b/packages/testing/models/shard-migration/state.ts
@@ -20,7 +20,7 @@
 export type StoredShard = LeaderRecord & { version: number };
 
 /** A transaction that was sent and not carried out yet; it may be at any later time. */
-export interface PendingTransaction {
+export interface InFlightTransaction {
   from: ControllerName;
   /** The incarnation of the controller that waits for the answer. */
   incarnation: number;
@@ -33,7 +33,7 @@
   /** Its election lease; it changes with each incarnation and when one has ended. */
   leaseId: number;
   /** By its clock the election lease is surely alive. */
-  proven: boolean;
+  leaseProven: boolean;
   /** What its watch has shown last. */
   shard: StoredShard | null;
   move: ObservedMigration | null;
@@ -62,17 +62,17 @@
   liveLeases: number[];
   nextLeaseId: number;
   controllers: Record<ControllerName, ModelController>;
-  pending: PendingTransaction[];
+  inFlight: InFlightTransaction[];
   budget: MigrationBudget;
 }
 
 /** The first controller leads the shard, and all are up. */
-export function firstState(budget: MigrationBudget): ModelState {
+export function initialState(budget: MigrationBudget): ModelState {
   const shard = { leader: 'a', leaseId: 1, version: 1 };
   const controller = (leaseId: number, term: number): ModelController => ({
     incarnation: 1,
     leaseId,
-    proven: true,
+    leaseProven: true,
     shard,
     move: null,
     term,
@@ -88,7 +88,7 @@
     liveLeases: [1, 2],
     nextLeaseId: 3,
     controllers: { a: controller(1, 1), b: controller(2, 0) },
-    pending: [],
+    inFlight: [],
     budget,
   };
 }
