--- a/packages/testing/models/exploration/explore.ts
+++ b/packages/testing/models/exploration/explore.ts
@@ -1,42 +1,45 @@
-/** Visits every state of a model that can be reached, whatever the order of events. */
+/** Explicit-state model checker: visits every reachable state of a model, breadth first. */
 
-/** One thing that can happen, and what comes of it. */
+/** A transition out of a state. */
 export interface Transition<State> {
   name: string;
-  /** A fault, which need not happen; all else happens eventually. */
+  /** Faults may never happen; all other transitions happen eventually. */
   isFault: boolean;
   next: State;
 }
 
-/** A model to be explored: its first state and what can happen in each. */
+/** A model: its initial state, its transition relation and its invariants. */
 export interface Model<State> {
   initialState: State;
-  /** Equal for states that differ in nothing that matters. */
+  /** Equal for equivalent states, which count as one state. */
   canonicalKey(state: State): string;
   transitionsFrom(state: State): Transition<State>[];
-  /** What must never be; null if all is well. */
+  /** Name of an invariant that the state violates; null if all hold. */
   findViolation(state: State): string | null;
-  /** Nothing more needs to happen. */
+  /** Whether the state is an accepted end: no further transition is required. */
   isQuiescent(state: State): boolean;
 }
 
-/** What an exploration has found. */
+/** Result of an exploration. */
 export interface Exploration {
-  /** Different states that were reached. */
+  /** Number of distinct states reached. */
   states: number;
-  /** The shortest way to a state with a breach; null if there is none. */
+  /** The violated invariant and a shortest trace to the violation; null if all states satisfy the invariants. */
   breach: { what: string; trace: string[] } | null;
-  /** The shortest way to a state that only a fault leads out of to rest; null if there is none. */
+  /**
+   * A shortest trace to a state from which no quiescent state is reachable without a fault; null if there is no such
+   * state.
+   */
   stuck: string[] | null;
 }
 
-/** How a state was reached first. */
+/** The transition by which a state was first reached. */
 interface Origin {
   from: string | null;
   event: string;
 }
 
-/** Explores the model; the first state with a breach ends it. `onState` is told of each state. */
+/** Explores the model until an invariant is violated or all states are visited. Calls `onState` for each visit. */
 export function explore<State>(
   model: Model<State>,
   onState: (state: State) => void = () => undefined,
@@ -72,7 +75,7 @@
   return { states: origins.size, breach: null, stuck: findStuck(origins, predecessors, quiescent) };
 }
 
-/** The first state from which no state at rest is reached without another fault. */
+/** Returns a shortest trace to a state from which no quiescent state is reachable without another fault. */
 function findStuck(
   origins: Map<string, Origin>,
   predecessors: Map<string, string[]>,
--- a/packages/testing/models/exploration/transition-list.ts
+++ b/packages/testing/models/exploration/transition-list.ts
@@ -1,11 +1,11 @@
-/** The events of one state of a model, each made by a recipe that changes a draft of the state. */
+/** Builds the transitions of a state: each one is a recipe that changes a draft of the state. */
 import { type Draft, produce, setAutoFreeze } from 'immer';
 import type { Transition } from './explore.js';
 
-// Freezing each of some hundred thousand states would take longer than making it.
+// Freezing would take longer than computing a state, and a model has some hundred thousand states.
 setAutoFreeze(false);
 
-/** Collects the events that can happen in one state, under a seeded fault. */
+/** Collects the transitions that a state enables under a seeded fault. */
 export class TransitionList<State extends object, SeededFault> {
   readonly transitions: Transition<State>[] = [];
 
@@ -14,7 +14,7 @@
     readonly seededFault: SeededFault,
   ) {}
 
-  /** Adds an event; a fault need not happen, all else happens eventually. */
+  /** Adds a transition. The liveness check assumes that all transitions but faults happen eventually. */
   add(name: string, isFault: boolean, recipe: (draft: Draft<State>) => unknown): void {
     const next = produce(this.state, (draft: Draft<State>) => void recipe(draft));
     this.transitions.push({ name, isFault, next });
--- a/packages/testing/models/leader-election/checks.ts
+++ b/packages/testing/models/leader-election/checks.ts
@@ -1,11 +1,11 @@
-/** What a leader must never do in the model of leader election. */
+/** The invariants of the leader election model. */
 import type { LeadershipCluster } from './cluster.js';
 import type { LeadershipMistake, LeadershipRun } from './model.js';
 import type { NodeModel } from './node.js';
 import { observedStatuses } from './observed-statuses.js';
 import { CANCEL_S, FORMER_LEADER_S, GRACE_S, STEP_S } from './timing.js';
 
-/** Whatever a leader does while it acts by its leader lease must be harmless. */
+/** Checks that a controller with a valid leader lease, or one that renews leases for an ended leader, is safe. */
 export class LeadershipChecks {
   readonly result: LeadershipRun = { violations: new Set(), attestedSteps: 0, standbySteps: 0 };
 
@@ -34,7 +34,7 @@
     const { cluster, result } = this;
     const { now } = cluster;
     for (const campaign of cluster.service.campaigns) {
-      // A controller that has ended acts on nothing any more.
+      // A successor that has crashed takes no actions.
       const isRunning = cluster.node(campaign.node)?.incarnation === campaign.incarnation;
       const isSuccessor =
         isRunning && campaign.term > term && campaign.incarnation !== node.incarnation;
--- a/packages/testing/models/leader-election/cluster.ts
+++ b/packages/testing/models/leader-election/cluster.ts
@@ -5,22 +5,22 @@
 import { ServiceModel } from './service.js';
 import { LEASE_S } from './timing.js';
 
-/** A cancellation that a user was told of. */
+/** A cancellation that was confirmed to the user. */
 export interface ConfirmedCancellation {
   job: string;
   at: number;
 }
 
-/** The nodes with their links and the state service, and who of them can reach what. */
+/** The nodes, the links between them, the state service, and the faults in effect. */
 export class LeadershipCluster {
-  /** Seconds since the beginning. */
+  /** Seconds since the start of the run. */
   now = 0;
   readonly service = new ServiceModel();
   readonly names = ['c-0', 'c-1', 'c-2'];
   readonly confirmed: ConfirmedCancellation[] = [];
-  /** The state service is down from the first to the second; seconds. */
+  /** Time span in which the state service is down; seconds. */
   outage = { from: -Infinity, until: -Infinity };
-  /** The present incarnation of each node, null while it is down. */
+  /** Current incarnation of each node; null while the node is down. */
   private readonly nodes = new Map<string, NodeModel | null>();
   private readonly restartsAt = new Map<string, number>();
   private readonly refusedUntil = new Map<string, number>();
@@ -48,7 +48,7 @@
     return link;
   }
 
-  /** Nodes that are neither down nor stand still. */
+  /** Nodes that are neither down nor frozen. */
   running(): NodeModel[] {
     return this.names
       .map((name) => this.node(name))
@@ -63,7 +63,7 @@
     this.refusedUntil.set(name, until);
   }
 
-  /** The state service refuses this node alone. */
+  /** Whether the state service refuses the requests of this node. */
   isRefused(name: string): boolean {
     return this.now < (this.refusedUntil.get(name) ?? 0);
   }
@@ -73,13 +73,13 @@
     this.restartsAt.set(name, this.now + this.chance.next() * 0.6 * LEASE_S);
   }
 
-  /** The node's present incarnation; it is started if its time has come, null if it is down. */
+  /** Returns the node's current incarnation, after restarting it if its restart is due; null while it is down. */
   nodeOrRestarted(name: string): NodeModel | null {
     if (this.node(name) === null && this.now >= (this.restartsAt.get(name) ?? 0)) this.start(name);
     return this.node(name);
   }
 
-  /** A user cancels a job at this node, which records it and tells its peers. */
+  /** A user cancels a job at this node, which records the cancellation and sends it to its peers. */
   cancel(node: NodeModel): void {
     const { now, confirmed } = this;
     const job = `j-${confirmed.length + 1}`;
--- a/packages/testing/models/leader-election/faults.ts
+++ b/packages/testing/models/leader-election/faults.ts
@@ -1,23 +1,23 @@
-/** The faults and cancellations of the model of leader election. */
+/** Random faults and cancellations of the leader election model. */
 import type { Chance } from '../../random.js';
 import type { LeadershipCluster } from './cluster.js';
 import { CANCEL_S, ELECTION_LEASE_S, LEASE_S, STEP_S } from './timing.js';
 
-/** Chances in one step, before the harshness of the world counts. */
+/** Probabilities per step, before multiplication with the run's fault rate factor. */
 const OUTAGE_PROBABILITY = 0.004;
 const REFUSAL_PROBABILITY = 0.01;
 const CRASH_PROBABILITY = 0.004;
 const FREEZE_PROBABILITY = 0.004;
 const LINK_FAULT_PROBABILITY = 0.006;
-/** Chances in one step, in every world alike. */
+/** Probabilities per step, the same in every run. */
 const REFUSAL_THEN_OUTAGE_PROBABILITY = 0.004;
 const CANCELLATION_PROBABILITY = 0.15;
 
-/** What goes wrong in a world, and when users cancel. */
+/** Injects faults into a run, and cancellations by users. */
 export class LeadershipFaults {
-  /** Worlds differ in how much fails, so that some leaders have long times without faults. */
+  /** Differs between runs, so that some leaders go without faults for a long time. */
   private readonly faultRateFactor: number;
-  /** A cancellation that a peer is to confirm in the last moment before it crashes. */
+  /** A cancellation that a peer is to confirm one step before an outage, and then to crash. */
   private plannedCancellation: { peer: string; at: number } | null = null;
 
   constructor(
@@ -27,7 +27,7 @@
     this.faultRateFactor = chance.next() ** 2;
   }
 
-  /** Begins the faults of this step, drawn at random. */
+  /** Draws and starts the faults of this step. */
   injectFaults(): void {
     const { chance, cluster } = this;
     const { now } = cluster;
@@ -45,7 +45,7 @@
     if (chance.hit(REFUSAL_THEN_OUTAGE_PROBABILITY)) this.planRefusalThenOutage();
   }
 
-  /** A user cancels at some controller that can record it, and that may crash right afterwards. */
+  /** Cancels a job at a controller that can record the cancellation, and that may crash immediately afterwards. */
   cancelAtRandom(): void {
     const { chance, cluster } = this;
     if (!chance.hit(CANCELLATION_PROBABILITY)) return;
@@ -60,7 +60,7 @@
     if (chance.hit(0.3)) cluster.crash(node.name);
   }
 
-  /** The cancellation that `planRefusalThenOutage` has planned, and the crash after it. */
+  /** Carries out the cancellation and the crash that `planRefusalThenOutage` has planned, once they are due. */
   cancelBeforeOutage(): void {
     const { plannedCancellation, cluster } = this;
     if (plannedCancellation === null || cluster.now < plannedCancellation.at) return;
@@ -87,8 +87,8 @@
   }
 
   /**
-   * The state service refuses the leader alone, and shortly afterwards everybody. In the last moment a
-   * peer that can't reach the leader may confirm a cancellation, and crash.
+   * The state service first refuses only the leader, and shortly afterwards is down for all controllers. One step
+   * before the outage, a peer that can't reach the leader may confirm a cancellation and then crash.
    */
   private planRefusalThenOutage(): void {
     const { cluster, chance } = this;
@@ -105,7 +105,7 @@
     this.plannedCancellation = { peer, at: from - STEP_S };
   }
 
-  /** What the peers say reaches the leader long after it was true, and it stays refused after the others. */
+  /** Delays the statuses of the peers to the leader, which stays refused for some time after the outage. */
   private delayStatuses(leader: string): void {
     const { cluster, chance } = this;
     const delayS = (1 + chance.next()) * CANCEL_S;
--- a/packages/testing/models/leader-election/link.ts
+++ b/packages/testing/models/leader-election/link.ts
@@ -1,11 +1,11 @@
-/** The links between the controllers of the model. */
+/** The network links between the controllers of the model. */
 import type { CancellationFrame, StatusFrame } from '#peer';
 import { STEP_S } from './timing.js';
 
-/** What one node tells another. */
+/** A message between two controllers. */
 export type Message = { kind: 'status'; frame: StatusFrame } | CancellationFrame;
 
-/** One direction between two nodes: in order, and slow, held back or dead for a while. */
+/** One direction of a connection. Delivers in order; can be delayed, can stall, or can drop messages for some time. */
 export class LinkModel {
   delayS = STEP_S / 2;
   heldUntil = -Infinity;
--- a/packages/testing/models/leader-election/model.ts
+++ b/packages/testing/models/leader-election/model.ts
@@ -1,17 +1,17 @@
-/** The seeded mistakes of the model of leader election, and what a run returns. */
-/** One deliberate mistake, to show that the checks can fail. */
+/** The seeded faults of the leader election model, and the result of a run. */
+/** A fault that is seeded into the model to show that its checks detect it. */
 export type LeadershipMistake =
   'none' | 'trusts-arrival' | 'trusts-restarted' | 'ignores-cancelled' | 'renews-for-the-living';
 
-/** What the model found wrong. */
+/** An invariant that was violated. */
 export type LeadershipViolation =
   'acts-beside-successor' | 'acts-on-unknown-cancellation' | 'renews-beside-owner';
 
-/** What came of one run of the model. */
+/** Result of one run of the model. */
 export interface LeadershipRun {
   violations: Set<LeadershipViolation>;
-  /** Steps in which a leader went on by the statements of its peers alone. */
+  /** Number of steps in which a leader acted on the attestations of its peers alone. */
   attestedSteps: number;
-  /** Steps in which a node renewed leases for a leader that had ended. */
+  /** Number of steps in which a node renewed leases for a leader that had ended. */
   standbySteps: number;
 }
--- a/packages/testing/models/leader-election/node.ts
+++ b/packages/testing/models/leader-election/node.ts
@@ -1,4 +1,4 @@
-/** One controller of the model, which runs the production code's checks of the leader lease. */
+/** A controller of the model: it runs the production code that checks the leader lease. */
 import {
   Cancellations,
   LeaderLeaseCheck,
@@ -12,7 +12,7 @@
 import type { Campaign, ServiceModel } from './service.js';
 import { CANCEL_S, GRACE_S, ELECTION_LEASE_S, SILENCE_S } from './timing.js';
 
-/** What a node relies on: the latest statement of each peer, and of the newest leader that it saw. */
+/** The statuses that a node decides by: the latest one of each peer, and that of the newest leader it has seen. */
 export interface ObservedStatuses {
   peers: (PeerStatus | null)[];
   leader: PeerStatus | null;
@@ -27,7 +27,7 @@
   renewedAt = -Infinity;
   jobsCurrentAt = -Infinity;
   jobsRevision = 0;
-  /** The newest leader that was seen. */
+  /** The newest leader that this node has seen. */
   leader = { term: 0, name: '' };
   jobsLoaded = false;
   refused = false;
@@ -87,7 +87,7 @@
     }
   }
 
-  /** A peer has seen a newer leader, so the own term is over. */
+  /** Ends this node's term if a peer has seen a leader of a newer term. */
   stepDownFor(term: number): void {
     if (term <= this.term) return;
     this.leaseCheck = null;
@@ -130,12 +130,12 @@
     });
   }
 
-  /** A peer's statement has come. */
+  /** Updates the standby check after a peer's status has arrived. */
   recordStatuses(now: number, statuses: ObservedStatuses): void {
     this.standbyCheck.record(this.viewForStandbyCheck(now, statuses), statuses.leader);
   }
 
-  /** Whether this node renews leases for the leader of the term that it saw last. */
+  /** Whether this node renews worker leases for the newest leader that it has seen. */
   renewsForLeader(now: number, statuses: ObservedStatuses): boolean {
     return this.standbyCheck.mayRenew(this.viewForStandbyCheck(now, statuses), statuses.leader);
   }
--- a/packages/testing/models/leader-election/observed-statuses.ts
+++ b/packages/testing/models/leader-election/observed-statuses.ts
@@ -1,9 +1,9 @@
-/** The statements of peers, falsified by a seeded mistake. */
+/** The statuses of the peers as a node sees them, falsified by the seeded fault. */
 import type { PeerStatus } from '#controller';
 import type { LeadershipMistake } from './model.js';
 import type { NodeModel, ObservedStatuses } from './node.js';
 
-/** The statements that a node relies on, under the seeded mistake. */
+/** Returns the statuses that the node decides by, with the seeded fault applied. */
 export function observedStatuses(
   node: NodeModel,
   seededFault: LeadershipMistake,
--- a/packages/testing/models/leader-election/service.ts
+++ b/packages/testing/models/leader-election/service.ts
@@ -1,7 +1,7 @@
-/** The state service of the model of leader election. */
+/** The state service of the leader election model. */
 import { ELECTION_LEASE_S } from './timing.js';
 
-/** A campaign that a controller has won. */
+/** A won campaign, which begins a term. */
 export interface Campaign {
   node: string;
   incarnation: number;
@@ -9,7 +9,7 @@
   at: number;
 }
 
-/** The state service: one revision, the present leader, and the election leases that hold its key. */
+/** The state service: its revision, the current leader, and the election leases that the leader's key depends on. */
 export class ServiceModel {
   revision = 10;
   leader: Campaign | null = null;
@@ -32,7 +32,7 @@
     this.cancelled.push({ job, revision: ++this.revision });
   }
 
-  /** Election leases run out while the service is up, and have their full time again after an outage. */
+  /** Expires election leases. After an outage each lease gets its full length again. */
   step(now: number, down: boolean): void {
     if (this.down && !down) {
       for (const incarnation of this.leases.keys())
--- a/packages/testing/models/leader-election/world.ts
+++ b/packages/testing/models/leader-election/world.ts
@@ -1,7 +1,7 @@
 /**
- * A small model of controllers that become leader and step down: it runs the production code that checks
- * the leader lease, keeps peer statuses and lists cancellations, and models everything around it (state
- * service, election leases, connections, crashes, users who cancel). One step is a quarter of a heartbeat period.
+ * A randomised model of controllers that become leader and step down. It runs the production code that checks the
+ * leader lease, keeps peer statuses and lists cancellations. The environment is modelled: state service, election
+ * leases, connections, crashes, users who cancel. One step is a quarter of a heartbeat interval.
  */
 import { Chance } from '../../random.js';
 import { LeadershipChecks } from './checks.js';
@@ -13,7 +13,7 @@
 import { observedStatuses } from './observed-statuses.js';
 import { HEARTBEAT_INTERVAL_S, STEP_S } from './timing.js';
 
-/** Plays one world and returns what was broken: nothing, unless a mistake is seeded. */
+/** Runs the model with one seed. The result has no violations unless a fault is seeded. */
 export function playLeadership(
   seed: number,
   seededFault: LeadershipMistake,
--- a/packages/testing/models/leader-with-workers/checks.ts
+++ b/packages/testing/models/leader-with-workers/checks.ts
@@ -1,4 +1,4 @@
-/** The rules of the protocol, checked in the model of a leader with its workers. */
+/** The invariants of the model of a leader with its workers: the rules of the protocol. */
 import { taskName } from '#wire';
 import type { DurableRecords } from './durable-records.js';
 import type { LeaderViolation } from './mistakes.js';
@@ -6,10 +6,10 @@
 import { CANCEL_S, STEP_S } from './timing.js';
 import type { HeldTask, WorkerModel } from './worker.js';
 
-/** Watches the workers and the records for broken rules. */
+/** Collects violations of the invariants by workers and records. */
 export class LeaderChecks {
   readonly violations = new Set<LeaderViolation>();
-  /** Indices of the tasks that have really been done, by job. */
+  /** Indices of the tasks that workers have completed, by job. */
   private readonly doneTasks = new Map<string, Set<number>>();
 
   constructor(
@@ -17,7 +17,7 @@
     private readonly workers: readonly WorkerModel[],
   ) {}
 
-  /** A worker has just started a task. */
+  /** Checks a task that a worker has just started. */
   checkStart(worker: WorkerModel, task: HeldTask): void {
     this.checkPlacement(worker, task);
     const { records, violations } = this;
@@ -32,7 +32,7 @@
     if (gpus > (TEAMS.get(team)?.gpuLimit ?? 0)) violations.add('quota');
   }
 
-  /** Records which of a worker's tasks are done. */
+  /** Remembers which of a worker's tasks have completed. */
   recordDone(worker: WorkerModel): void {
     for (const { job, index, state, cause } of worker.tasks.values()) {
       if (state !== 'exited' || cause !== 'done') continue;
@@ -43,7 +43,7 @@
     }
   }
 
-  /** Checks all that must hold after each step. */
+  /** Checks the invariants that must hold after each step. */
   checkStep(now: number): void {
     const seen = new Set<string>();
     for (const worker of this.workers) {
@@ -60,7 +60,7 @@
     }
   }
 
-  /** Checks that the model did run something. */
+  /** Checks that at least one job was completed in the run. */
   checkEnd(): void {
     const phases = [...this.records.jobs.values()].map(({ phase }) => phase);
     if (!phases.includes('done')) this.violations.add('nothing_ran');
@@ -81,7 +81,7 @@
   private checkRecords(worker: WorkerModel, task: HeldTask, now: number): void {
     const { cancelledAt } = this.records.recordOf(task.job);
     if (now > cancelledAt + CANCEL_S) this.violations.add('ran_cancelled');
-    // A start that no durable record names could be forgotten by the next leader.
+    // The next leader would not know of a started task that has no durable record.
     const isNew = now - task.startedAt < STEP_S;
     if (isNew && !this.records.isRecorded(worker.name, task)) this.violations.add('unrecorded');
   }
@@ -90,7 +90,7 @@
     return this.workers.flatMap((worker) => worker.presentTasks());
   }
 
-  /** How many of the job's tasks are present in each zone. */
+  /** Number of the job's present tasks, by zone. */
   private zonesOf(job: string): Map<string, number> {
     const zones = new Map<string, number>();
     for (const worker of this.workers) {
--- a/packages/testing/models/leader-with-workers/durable-records.ts
+++ b/packages/testing/models/leader-with-workers/durable-records.ts
@@ -1,10 +1,10 @@
-/** The records in the state service of the model. */
+/** The state service's records in the model. */
 import type { Job, TaskRef } from '#wire';
 
 interface JobRecord {
   job: Job;
   phase: 'accepted' | 'cancelled' | 'done';
-  /** Steady seconds; Infinity unless cancelled. */
+  /** Seconds of the simulated clock; Infinity unless cancelled. */
   cancelledAt: number;
 }
 
@@ -14,11 +14,11 @@
   tasks: TaskRef[];
 }
 
-/** What is durable: the only thing that outlives a leader. */
+/** The durable records, the only state that survives a leader. */
 export class DurableRecords {
   /** The term of the newest leader. */
   term = 0;
-  /** Counts all changes. */
+  /** Increases with each change of a job record, each recording and each new term. */
   revision = 10;
   readonly jobs = new Map<string, JobRecord>();
   /** Indices of the tasks that are recorded as done, by job. */
@@ -52,13 +52,13 @@
     return [...this.jobs.values()].filter((record) => record.phase === 'accepted');
   }
 
-  /** Begins a term and returns it. */
+  /** Begins a new term and returns its number. */
   beginTerm(): number {
     this.term = ++this.revision;
     return this.term;
   }
 
-  /** Whether a record names this attempt on the machine. */
+  /** Whether the machine's record lists this attempt of the task. */
   isRecorded(machine: string, { job, index, attempt }: TaskRef): boolean {
     const tasks = this.machines.get(machine)?.tasks ?? [];
     return tasks.some(
--- a/packages/testing/models/leader-with-workers/leader.ts
+++ b/packages/testing/models/leader-with-workers/leader.ts
@@ -1,4 +1,4 @@
-/** A leader of the model, which runs the production code's fleet state and scheduler. */
+/** A leader of the model: it runs the production code's fleet state and scheduler. */
 import { FleetState, Scheduler } from '#core';
 import { STD } from '../../samples.js';
 import type { DurableRecords } from './durable-records.js';
@@ -23,14 +23,14 @@
   decisionsPerRound: 50,
 };
 
-/** One term of a leader: its fleet state, a scheduler, and a recorder that takes a step to be durable. */
+/** One term of a leader: its fleet state, its scheduler, and a recorder that makes changes durable one step later. */
 export class LeaderModel {
   readonly fleet: FleetState;
   private readonly scheduler: Scheduler;
   private readonly recorder: RecorderModel;
-  /** When it lost the state service: it can record nothing more and goes on answering for a while. */
+  /** Time at which it lost the state service. From then on it records nothing, but still answers for a while. */
   deposedAt: number | null = null;
-  /** Stands still until then, while its clock runs on. */
+  /** End of a freeze of the process, in which its clock runs on. */
   frozenUntil = -Infinity;
 
   constructor(
@@ -49,7 +49,7 @@
     this.recorder = new RecorderModel(records, term, this.fleet, seededFault);
   }
 
-  /** Records what the step before changed, applies changes of jobs, and schedules. */
+  /** Records the changes of the previous step, applies changes of jobs, and runs a scheduling round. */
   step(now: number): void {
     if (this.deposedAt !== null) return;
     this.recorder.record();
@@ -63,7 +63,7 @@
     }
   }
 
-  /** One that lost the state service may answer no longer: the bound counts from when it lost it. */
+  /** Whether the leader must not answer any more, since it lost the state service longer than `FORMER_LEADER_S` ago. */
   hasSteppedDown(now: number): boolean {
     const { deposedAt, frozenUntil } = this;
     if (deposedAt === null) return false;
--- a/packages/testing/models/leader-with-workers/message-queue.ts
+++ b/packages/testing/models/leader-with-workers/message-queue.ts
@@ -1,12 +1,12 @@
-/** Messages under way in the model. */
+/** The messages in flight in the model. */
 
-/** A message and its time of arrival, in seconds. */
+/** A message and the time of its delivery in seconds. */
 interface Message {
   at: number;
   deliver: (now: number) => void;
 }
 
-/** Messages under way, delivered by the time of their arrival. */
+/** Holds messages in flight and delivers them in the order of their delivery times. */
 export class MessageQueue {
   private messages: Message[] = [];
 
@@ -14,7 +14,7 @@
     this.messages.push({ at, deliver });
   }
 
-  /** Delivers what has arrived by now. */
+  /** Delivers all messages that are due. */
   deliverDue(now: number): void {
     const { messages } = this;
     messages.sort((first, second) => first.at - second.at);
--- a/packages/testing/models/leader-with-workers/mistakes.ts
+++ b/packages/testing/models/leader-with-workers/mistakes.ts
@@ -1,5 +1,5 @@
-/** The seeded mistakes of the model of a leader with its workers, and what its checks find. */
-/** One deliberate seeded fault, to show that the checks can fail. */
+/** The seeded faults of the model of a leader with its workers, and the violations that its checks find. */
+/** A fault that is seeded into the model to show that its checks detect it. */
 export type LeaderMistake =
   | 'none'
   | 'short-lease'
@@ -13,7 +13,7 @@
   | 'forgets-late-starts'
   | 'wakes-entitled';
 
-/** What the model found wrong; the names are those of the protocol's rules where there is one. */
+/** An invariant that was violated, named like the rule of the protocol where there is one. */
 export type LeaderViolation =
   | 'ran_twice'
   | 'quota'
--- a/packages/testing/models/leader-with-workers/random-job.ts
+++ b/packages/testing/models/leader-with-workers/random-job.ts
@@ -1,11 +1,11 @@
-/** Random jobs of the model. */
+/** Generates random jobs for the model. */
 import type { Job } from '#wire';
 import type { Chance } from '../../random.js';
 
 const KINDS = ['array', 'array', 'service', 'gang'] as const;
 const MAX_ID_ZEROS = 4;
 
-/** A job with the given number in its id. The length of the id tells how long its tasks run. */
+/** Returns a random job with the given number in its id. The length of the id determines how long its tasks run. */
 export function randomJob(chance: Chance, number: number): Job {
   const kind = KINDS[chance.int(0, KINDS.length - 1)];
   const zone = chance.hit(0.15) ? 'a' : null;
--- a/packages/testing/models/leader-with-workers/recorder.ts
+++ b/packages/testing/models/leader-with-workers/recorder.ts
@@ -1,9 +1,9 @@
-/** Writes what a leader of the model has changed to the durable records. */
+/** Writes a leader's changes to the durable records of the model. */
 import type { FleetState, JobState, Machine } from '#core';
 import type { DurableRecords } from './durable-records.js';
 import type { LeaderMistake } from './mistakes.js';
 
-/** Makes a leader's state durable under the condition of its term, all at once. */
+/** Writes all changes of a leader in one transaction, on the condition that its term is the newest one. */
 export class RecorderModel {
   constructor(
     private readonly records: DurableRecords,
@@ -12,7 +12,7 @@
     private readonly seededFault: LeaderMistake,
   ) {}
 
-  /** Records all that has changed since the last call. */
+  /** Records all changes since the last call. */
   record(): void {
     const { records, fleet } = this;
     if (records.term !== this.term) return;
@@ -62,7 +62,7 @@
   }
 }
 
-/** The machine's tasks may be started now. */
+/** Marks all assignments to the machine as recorded, so that their starts may be sent. */
 export function markRecorded(machine: Machine): void {
   for (const assignment of machine.tasks.values()) assignment.recorded = true;
 }
--- a/packages/testing/models/leader-with-workers/teams.ts
+++ b/packages/testing/models/leader-with-workers/teams.ts
@@ -1,7 +1,7 @@
 /** The teams of the model and their quotas. */
 import type { TeamQuota } from '#core';
 
-/** The teams of the leader model. */
+/** Team quotas by team name. */
 export const TEAMS = new Map<string, TeamQuota>([
   ['red', { guaranteedCpus: 0, guaranteedGpus: 6, cpuLimit: 0, gpuLimit: 10 }],
   ['blue', { guaranteedCpus: 0, guaranteedGpus: 4, cpuLimit: 0, gpuLimit: 8 }],
--- a/packages/testing/models/leader-with-workers/traffic.ts
+++ b/packages/testing/models/leader-with-workers/traffic.ts
@@ -1,4 +1,4 @@
-/** Heartbeats, answers and direct commands of the model, with their delays and losses. */
+/** Simulates the heartbeats, answers and direct commands between workers and leaders, with delays and losses. */
 import type { Order, Heartbeat } from '#wire';
 import type { Machine, HeartbeatOutcome } from '#core';
 import type { Chance } from '../../random.js';
@@ -8,61 +8,62 @@
 import { HEARTBEAT_TIMEOUT_S, COMMAND_TIMEOUT_S, MAX_DELAY_S, LEASE_S } from './timing.js';
 import type { WorkerModel } from './worker.js';
 
-/** Share of heartbeats, and of answers, that are lost. */
+/** Share of heartbeats, and of their answers, that are lost. */
 const MESSAGE_LOSS_RATE = 0.08;
-/** Share of heartbeats of which a copy comes late, and how late at the most. */
+/** Share of heartbeats of which a late copy arrives, and the longest delay of such a copy. */
 const LATE_COPY_RATE = 0.15;
 const MAX_COPY_DELAY_S = 3 * LEASE_S;
-/** Share of direct commands that come late, and how late at the most. */
+/** Share of direct commands that arrive late, and their longest delay. */
 const LATE_COMMAND_RATE = 0.15;
 const MAX_LATE_COMMAND_DELAY_S = 4 * LEASE_S;
 /** Share of direct commands whose answer is lost. */
 const LOST_COMMAND_ANSWER_RATE = 0.1;
 
-/** A worker and what it knows of its connection to a leader. */
+/** A worker and the state of its connection to a leader. */
 export interface WorkerConnection {
   worker: WorkerModel;
   nextHeartbeatAt: number;
-  /** Until when it waits for the answer to its last heartbeat; -Infinity once it has come. */
+  /** Time until which the worker waits for the answer to its last heartbeat; -Infinity if no heartbeat is in flight. */
   answerDueAt: number;
-  /** The former leader that a cut-off worker still reaches. */
+  /** The former leader to which the worker still sends its heartbeats. */
   formerLeader: LeaderModel | null;
 }
 
-/** What the traffic needs from the world. */
+/** Dependencies of the traffic. */
 export interface TrafficOptions {
   chance: Chance;
-  mail: MessageQueue;
+  messageQueue: MessageQueue;
   seededFault: LeaderMistake;
   /** The leader of the newest term; null while there is none. */
   leader: () => LeaderModel | null;
 }
 
-/** Messages between workers and leaders, which are delayed, lost, repeated and come late. */
+/** Delivers the messages between workers and leaders: delayed, lost, duplicated or late. */
 export class Traffic {
   constructor(private readonly options: TrafficOptions) {}
 
-  /** A worker that lost its leader stays with the one that answered it last, if that still does. */
+  /** Sends a heartbeat to the former leader as long as it answers this worker, otherwise to the current leader. */
   sendHeartbeat(connection: WorkerConnection, now: number): void {
-    const { chance, mail, leader } = this.options;
+    const { chance, messageQueue, leader } = this.options;
     const heartbeat = connection.worker.heartbeat();
     const target = connection.formerLeader ?? leader();
     connection.answerDueAt = now + HEARTBEAT_TIMEOUT_S;
     const deliver = (at: number) => {
       this.deliverHeartbeat({ connection, heartbeat, target, sentAt: now }, at);
     };
-    if (!chance.hit(MESSAGE_LOSS_RATE)) mail.schedule(now + chance.next() * MAX_DELAY_S, deliver);
-    // A copy from seconds to well over a lease late; its answer reaches nobody.
+    if (!chance.hit(MESSAGE_LOSS_RATE))
+      messageQueue.schedule(now + chance.next() * MAX_DELAY_S, deliver);
+    // The answer to a late copy reaches nobody. The copy can arrive up to three lease lengths late.
     if (chance.hit(LATE_COPY_RATE)) {
-      mail.schedule(now + chance.next() * MAX_COPY_DELAY_S, (at) => {
+      messageQueue.schedule(now + chance.next() * MAX_COPY_DELAY_S, (at) => {
         this.deliverCopy(heartbeat, at);
       });
     }
   }
 
-  /** Direct commands may take long, arrive late, or be answered late or never. */
-  sendCommands(from: LeaderModel, contacts: WorkerConnection[], now: number): void {
-    for (const { worker } of contacts) {
+  /** Sends the direct commands that are due. Each may arrive late, and may be answered late or never. */
+  sendCommands(from: LeaderModel, connections: WorkerConnection[], now: number): void {
+    for (const { worker } of connections) {
       const machine = from.fleet.machines.get(worker.name);
       const orders = machine ? from.fleet.directOrders.nextOrders(machine, now) : [];
       if (machine && orders.length > 0) this.sendCommand({ from, worker, machine, orders }, now);
@@ -70,11 +71,11 @@
   }
 
   private deliverHeartbeat(sent: SentHeartbeat, now: number): void {
-    const { mail, chance } = this.options;
+    const { messageQueue, chance } = this.options;
     const { connection, heartbeat, target, sentAt } = sent;
     if (!target) return;
     if (now < target.frozenUntil) {
-      mail.schedule(target.frozenUntil, (at) => {
+      messageQueue.schedule(target.frozenUntil, (at) => {
         this.deliverHeartbeat(sent, at);
       });
       return;
@@ -88,7 +89,7 @@
     const { fencingToken, orders } = answerTo(outcome, target, heartbeat);
     const arrivesAt = now + chance.next() * MAX_DELAY_S;
     if (chance.hit(MESSAGE_LOSS_RATE)) return;
-    mail.schedule(arrivesAt, (at) => {
+    messageQueue.schedule(arrivesAt, (at) => {
       if (at - sentAt > HEARTBEAT_TIMEOUT_S || connection.answerDueAt === -Infinity) return;
       connection.answerDueAt = -Infinity;
       connection.worker.handleAnswer(
@@ -107,7 +108,7 @@
     leader.fleet.heartbeats.handle(heartbeat, now);
   }
 
-  /** The seeded fault of taking a copy of an old heartbeat for a new one. */
+  /** Seeded fault: rewinds the stored sequence numbers so that a repeated heartbeat counts as new. */
   private rewindForRepeat({ fleet }: LeaderModel, heartbeat: Heartbeat): void {
     if (this.options.seededFault !== 'believes-old-copies') return;
     const machine = fleet.machines.get(heartbeat.machine);
@@ -116,7 +117,7 @@
     }
   }
 
-  /** The same for a copy that is known to be late: both numbers become equal. */
+  /** Seeded fault: rewinds the stored sequence numbers for a late copy, and makes both numbers equal. */
   private rewindForLateCopy({ fleet }: LeaderModel, heartbeat: Heartbeat): void {
     if (this.options.seededFault !== 'believes-old-copies') return;
     const machine = fleet.machines.get(heartbeat.machine);
@@ -126,13 +127,13 @@
   }
 
   private sendCommand({ from, worker, machine, orders }: SentCommand, now: number): void {
-    const { chance, mail, seededFault } = this.options;
+    const { chance, messageQueue, seededFault } = this.options;
     const { directOrders } = from.fleet;
     const { fencingToken, agentEpoch } = machine;
     const timesOutAt = now + COMMAND_TIMEOUT_S;
     let answered = false;
     const maxDelayS = chance.hit(LATE_COMMAND_RATE) ? MAX_LATE_COMMAND_DELAY_S : MAX_DELAY_S;
-    mail.schedule(now + chance.next() * maxDelayS, (at) => {
+    messageQueue.schedule(now + chance.next() * maxDelayS, (at) => {
       const heartbeat = worker.handleCommand(fencingToken, agentEpoch, orders, at);
       if (at >= timesOutAt || chance.hit(LOST_COMMAND_ANSWER_RATE)) return;
       answered = true;
@@ -141,7 +142,7 @@
         : ({ kind: 'refused' } as const);
       directOrders.applyOutcome(machine, orders, outcome, at);
     });
-    mail.schedule(timesOutAt, (at) => {
+    messageQueue.schedule(timesOutAt, (at) => {
       if (answered) return;
       directOrders.applyOutcome(machine, orders, { kind: 'unknown' }, at);
       if (seededFault === 'forgets-late-starts') machine.unacknowledgedStarts.clear();
@@ -163,7 +164,7 @@
   orders: Order[];
 }
 
-/** A late copy is answered too, with a fencing token that no worker obeys. */
+/** Returns the answer to a heartbeat. The answer to a late copy has a fencing token that no worker obeys. */
 function answerTo(outcome: HeartbeatOutcome, { fleet }: LeaderModel, heartbeat: Heartbeat) {
   if (outcome.kind !== 'answer') return { fencingToken: 0, orders: [] };
   const machine = fleet.machines.get(heartbeat.machine);
--- a/packages/testing/models/leader-with-workers/worker.ts
+++ b/packages/testing/models/leader-with-workers/worker.ts
@@ -1,4 +1,4 @@
-/** The workers of the model. */
+/** A worker of the model. */
 import { type Order, type Heartbeat, taskName, type TaskRef, type TaskStatus } from '#wire';
 import { STD } from '../../samples.js';
 
@@ -8,7 +8,7 @@
   durationS: number;
 }
 
-/** The machine of a worker, and what its tasks depend on. */
+/** A worker's machine, its lease, and hooks for its tasks. */
 export interface WorkerModelOptions {
   name: string;
   zone: string;
@@ -16,11 +16,11 @@
   leaseS: number;
   /** How long the tasks of a job run; seconds. */
   taskDurationS: (job: string) => number;
-  /** Told of each task that it starts. */
+  /** Called for each task that the worker starts. */
   onStart: (worker: WorkerModel, task: HeldTask) => void;
 }
 
-/** A worker as the protocol describes it: fencing tokens, agent epochs, leases, orders. */
+/** A worker that follows the protocol: fencing tokens, agent epochs, leases, orders. */
 export class WorkerModel {
   readonly name: string;
   readonly zone: string;
@@ -36,12 +36,12 @@
     ({ name: this.name, zone: this.zone, spot: this.spot } = options);
   }
 
-  /** Tasks that are on the machine now, in the protocol's sense. */
+  /** The tasks on the machine that have not exited. */
   presentTasks(): HeldTask[] {
     return [...this.tasks.values()].filter((task) => task.state !== 'exited');
   }
 
-  /** Ends all tasks if the lease has run out, and lets them go on otherwise. */
+  /** Ends all tasks and the agent epoch if the lease has expired; advances all remaining tasks. */
   advance(now: number): void {
     if (now - this.renewedAt > this.options.leaseS) {
       this.tasks.clear();
@@ -78,7 +78,7 @@
     };
   }
 
-  /** The answer to a heartbeat of that agent epoch, which was sent at `sentAt`. */
+  /** Handles the answer to the heartbeat `answered`, unless its fencing token or agent epoch is outdated. */
   handleAnswer(
     answered: { agentEpoch: number; sentAt: number },
     fencingToken: number,
@@ -91,7 +91,7 @@
     this.execute(orders, now);
   }
 
-  /** A direct command: runs whenever it arrives, if fencing token and agent epoch still match; null if not. */
+  /** Executes a direct command unless its fencing token or agent epoch is outdated; returns null in that case. */
   handleCommand(
     fencingToken: number,
     agentEpoch: number,
--- a/packages/testing/models/leader-with-workers/world.ts
+++ b/packages/testing/models/leader-with-workers/world.ts
@@ -1,4 +1,4 @@
-/** Plays random worlds of leaders and workers. */
+/** Runs the randomised model of a leader with its workers. */
 import { Chance } from '../../random.js';
 import { LeaderChecks } from './checks.js';
 import { DurableRecords } from './durable-records.js';
@@ -14,16 +14,16 @@
 const MAX_JOBS = 60;
 /** When the first leader is elected. */
 const FIRST_CAMPAIGN_S = 1;
-/** Chances in one step. */
+/** Probabilities per step. */
 const SUBMISSION_PROBABILITY = 0.1;
 const CANCELLATION_PROBABILITY = 0.06;
 const LEADER_LOSS_PROBABILITY = 0.008;
 const WORKER_SILENCE_PROBABILITY = 0.001;
 
 /**
- * Leaders that come and go, workers, and a network that delays, loses and repeats messages, on a
- * simulated clock. It runs the production code of core and models everything around it. Returns the
- * broken rules found, which must be none unless a fault was seeded.
+ * Runs the model with one seed and returns the violated invariants: none, unless a fault is seeded. Simulates leaders
+ * that are elected and lost, workers, and a network that delays, loses and duplicates messages, on a simulated clock.
+ * The leaders run the production code of core.
  */
 export function playLeaders(
   seed: number,
@@ -36,7 +36,7 @@
 class LeaderSimulation {
   private readonly chance: Chance;
   private readonly records = new DurableRecords();
-  private readonly mail = new MessageQueue();
+  private readonly messageQueue = new MessageQueue();
   private readonly traffic: Traffic;
   private readonly connections: WorkerConnection[];
   private readonly checks: LeaderChecks;
@@ -51,7 +51,7 @@
     seed: number,
     private readonly seededFault: LeaderMistake,
   ) {
-    const { mail } = this;
+    const { messageQueue } = this;
     const chance = new Chance(seed);
     this.chance = chance;
     const workers = Array.from({ length: WORKERS }, (_, index) => this.makeWorker(index));
@@ -62,7 +62,7 @@
       formerLeader: null,
     }));
     this.checks = new LeaderChecks(this.records, workers);
-    this.traffic = new Traffic({ chance, mail, seededFault, leader: () => this.leader });
+    this.traffic = new Traffic({ chance, messageQueue, seededFault, leader: () => this.leader });
   }
 
   run(lengthS: number): Set<LeaderViolation> {
@@ -72,14 +72,14 @@
   }
 
   private step(): void {
-    const { now, mail, traffic, connections } = this;
+    const { now, messageQueue, traffic, connections } = this;
     this.changeJobs();
     this.changeLeader();
-    for (const contact of connections) this.stepWorker(contact);
-    mail.deliverDue(now);
+    for (const connection of connections) this.stepWorker(connection);
+    messageQueue.deliverDue(now);
     this.leader?.step(now);
     if (this.leader) traffic.sendCommands(this.leader, connections, now);
-    // One that wakes sends what was due, if its leader lease may still hold.
+    // A former leader that ends its freeze sends the commands that were due, if its leader lease may still hold.
     const { formerLeader } = this;
     if (formerLeader && now >= formerLeader.frozenUntil && !formerLeader.hasSteppedDown(now)) {
       traffic.sendCommands(formerLeader, connections, now);
@@ -110,7 +110,7 @@
     if (open.length > 0) records.cancel(open[chance.int(0, open.length - 1)], this.now);
   }
 
-  /** Leaders crash, or lose the state service and go on answering those that still reach them. */
+  /** Ends the leader at random: it crashes, or loses the state service and still answers workers that reach it. */
   private changeLeader(): void {
     const { chance, now, leader } = this;
     if (leader && chance.hit(LEADER_LOSS_PROBABILITY)) {
@@ -129,20 +129,20 @@
     leader.deposedAt = now;
     if (chance.hit(0.5)) leader.frozenUntil = now + chance.next() * 0.9 * LEASE_S;
     const lastDisconnected = chance.int(0, connections.length - 1);
-    for (const [index, contact] of connections.entries()) {
-      contact.formerLeader = index <= lastDisconnected && chance.hit(0.7) ? leader : null;
+    for (const [index, connection] of connections.entries()) {
+      connection.formerLeader = index <= lastDisconnected && chance.hit(0.7) ? leader : null;
     }
   }
 
-  private stepWorker(contact: WorkerConnection): void {
+  private stepWorker(connection: WorkerConnection): void {
     const { chance, now } = this;
-    // Silent for a while: the network holds its heartbeats back, or they are lost.
+    // The worker is silent for a while, as if the network held back or lost its heartbeats.
     if (chance.hit(WORKER_SILENCE_PROBABILITY))
-      contact.nextHeartbeatAt = now + chance.next() * 2 * LEASE_S;
-    contact.worker.advance(now);
-    this.checks.recordDone(contact.worker);
-    if (now < contact.nextHeartbeatAt || now <= contact.answerDueAt) return;
-    contact.nextHeartbeatAt = now + HEARTBEAT_INTERVAL_S * (0.75 + chance.next() / 2);
-    this.traffic.sendHeartbeat(contact, now);
+      connection.nextHeartbeatAt = now + chance.next() * 2 * LEASE_S;
+    connection.worker.advance(now);
+    this.checks.recordDone(connection.worker);
+    if (now < connection.nextHeartbeatAt || now <= connection.answerDueAt) return;
+    connection.nextHeartbeatAt = now + HEARTBEAT_INTERVAL_S * (0.75 + chance.next() / 2);
+    this.traffic.sendHeartbeat(connection, now);
   }
 }
