--- a/packages/testing/models/replica-groups/checks.ts
+++ b/packages/testing/models/replica-groups/checks.ts
@@ -1,8 +1,8 @@
-/** What must never be in a state of the model, and where it may rest. */
+/** The invariants of the replica group model, and its accepted end states. */
 import { phaseOf } from '#replicas';
 import type { ReplicaModelState } from './state.js';
 
-/** What must never be, or null. */
+/** Name of an invariant that the state violates, or null. */
 export function findViolation({
   leader,
   machines,
@@ -14,11 +14,11 @@
   if (hasBrokenAnswer) return 'broken answer';
   const tasks = machines.flatMap(({ task }) => (task === null ? [] : [task]));
   if (new Set(tasks.map(({ generation }) => generation)).size > 1) return 'two generations';
-  if (new Set(tasks.map(({ member }) => member)).size < tasks.length) return 'doubled member';
+  if (new Set(tasks.map(({ member }) => member)).size < tasks.length) return 'duplicate member';
   return null;
 }
 
-/** The replica is whole by the leader's state, and so it is. */
+/** Whether the replica is whole, both by the leader's state and on the machines. */
 export function isQuiescent({ leader, former, machines, request }: ReplicaModelState): boolean {
   const running = machines.filter(({ task }) => task?.generation === leader.group.generation);
   const isWhole = phaseOf(leader.group) === 'whole' && running.length === leader.group.members;
--- a/packages/testing/models/replica-groups/leader.ts
+++ b/packages/testing/models/replica-groups/leader.ts
@@ -1,4 +1,4 @@
-/** What a leader of the model does, by the production code's state machine. */
+/** The actions of a leader of the model, decided by the production code's state machine. */
 import type { Draft } from 'immer';
 import { type GroupEvent, type GroupState, mayBePlaced, mayStart, step } from '#replicas';
 import type { ReplicaMistake } from './mistakes.js';
@@ -11,10 +11,10 @@
   type ReplicaModelState,
 } from './state.js';
 
-/** Generations of one term are below those of the next. */
+/** Makes the generations of a term lower than those of the next term. */
 const GENERATIONS_PER_TERM = 100;
 
-/** Applies an event; what is to be stopped is marked so, or gone at once if its start was never sent. */
+/** Applies an event. Marks the members that are to be stopped; those whose start was never sent are gone at once. */
 export function applyEvent(
   leader: Draft<ModelLeader>,
   event: GroupEvent,
@@ -27,13 +27,13 @@
   }
   leader.group = state as Draft<GroupState>;
   for (const { member, generation } of stop) {
-    const at = leader.places.findIndex(
+    const machineIndex = leader.places.findIndex(
       (place) => place?.member === member && place.generation === generation,
     );
-    const place = placeAt(leader, at);
+    const place = placeAt(leader, machineIndex);
     place.stopping = true;
     if (place.sent || place.inherited) continue;
-    leader.places[at] = null;
+    leader.places[machineIndex] = null;
     applyEvent(leader, { kind: 'gone', member, generation }, seededFault);
   }
 }
@@ -42,7 +42,7 @@
   return { ...place, ending: false };
 }
 
-/** Machines that get the members of a new generation; null if it may not begin, or there are too few. */
+/** Chooses the machines for a new generation; null if none may begin yet, or if too few machines are free. */
 export function chooseMachines(
   { group, places }: ModelLeader,
   isUsable: (machine: number) => boolean,
@@ -50,14 +50,14 @@
 ): number[] | null {
   const isEarly = seededFault === 'places-before-gone' && group.ending;
   if (!mayBePlaced(group) && !isEarly) return null;
-  const usable = places.map((_, at) => at).filter(isUsable);
-  const free = usable.filter((at) => places[at] === null);
-  const taken = usable.filter((at) => places[at] !== null);
+  const usable = places.map((_, machineIndex) => machineIndex).filter(isUsable);
+  const free = usable.filter((machineIndex) => places[machineIndex] === null);
+  const taken = usable.filter((machineIndex) => places[machineIndex] !== null);
   const chosen = isEarly ? [...free, ...taken] : free;
   return chosen.length >= MEMBERS ? chosen.slice(0, MEMBERS) : null;
 }
 
-/** Gives the members of a new generation places. */
+/** Places the members of a new generation on the machines. */
 export function placeGeneration(
   leader: Draft<ModelLeader>,
   machines: number[],
@@ -65,12 +65,12 @@
 ): void {
   const generation = leader.term * GENERATIONS_PER_TERM + leader.generationsStarted++;
   if (seededFault === 'places-before-gone') {
-    // What is left of the old generation is forgotten by the state machine, and keeps running.
+    // The state machine forgets the rest of the old generation, which goes on running.
     leader.group = { ...leader.group, places: [], ending: false };
     leader.places = leader.places.map(() => null);
   }
-  machines.forEach((at, member) => {
-    leader.places[at] = {
+  machines.forEach((machineIndex, member) => {
+    leader.places[machineIndex] = {
       member,
       generation,
       durable: false,
@@ -84,7 +84,7 @@
   });
 }
 
-/** Whether the leader would send the start of the place now. */
+/** Whether the leader may send the start of the placed member now. */
 export function shouldSendStart(
   { group }: ModelLeader,
   place: LeaderPlace,
@@ -95,15 +95,15 @@
   return mayStart(group, place.generation);
 }
 
-/** The next leader, which knows what the records hold and nothing else. */
+/** Returns the next leader, whose state is built from the records alone. */
 export function leaderFromRecords(
   { leader, machines }: ReplicaModelState,
   seededFault: ReplicaMistake,
 ): Draft<ModelLeader> {
   const next = newLeader(leader.term + 1) as Draft<ModelLeader>;
-  machines.forEach(({ record }, at) => {
+  machines.forEach(({ record }, machineIndex) => {
     if (record === null) return;
-    next.places[at] = {
+    next.places[machineIndex] = {
       ...record,
       durable: true,
       recorded: true,
--- a/packages/testing/models/replica-groups/machine-transitions.ts
+++ b/packages/testing/models/replica-groups/machine-transitions.ts
@@ -1,4 +1,4 @@
-/** What happens at a machine and between it and its leader. */
+/** Transitions of a machine, and messages between a machine and the leader. */
 import type { Draft } from 'immer';
 import type { ReplicaTransitionList } from './replica-transition-list.js';
 import type { ReplicaMistake } from './mistakes.js';
@@ -11,20 +11,24 @@
   placeAt,
 } from './state.js';
 
-/** A command reaches its machine, or is lost. */
-export function addCommandArrival(list: ReplicaTransitionList, at: number, index: number): void {
+/** A command in flight arrives at its machine, or is lost. */
+export function addCommandArrival(
+  list: ReplicaTransitionList,
+  machineIndex: number,
+  index: number,
+): void {
   const { state, seededFault } = list;
-  const machine = state.machines[at];
+  const machine = state.machines[machineIndex];
   if (machine.condition === 'up') {
-    list.add(`command arrives at ${at}`, false, (draft) => {
-      const [arrived] = draft.machines[at].commands.splice(index, 1);
-      executeCommand(draft.machines[at], arrived, seededFault);
+    list.add(`command arrives at ${machineIndex}`, false, (draft) => {
+      const [arrived] = draft.machines[machineIndex].commands.splice(index, 1);
+      executeCommand(draft.machines[machineIndex], arrived, seededFault);
     });
   }
   if (state.budget.lostCommands === 0) return;
-  list.add(`command to ${at} is lost`, true, (draft) => {
+  list.add(`command to ${machineIndex} is lost`, true, (draft) => {
     draft.budget.lostCommands--;
-    draft.machines[at].commands.splice(index, 1);
+    draft.machines[machineIndex].commands.splice(index, 1);
   });
 }
 
@@ -40,21 +44,21 @@
   else if (isSameMember(machine.task, arrived)) machine.task = null;
 }
 
-/** A heartbeat of an up machine reaches the leader, and its answer the machine. */
-export function addHeartbeat(list: ReplicaTransitionList, at: number): void {
+/** A heartbeat of a connected machine reaches the leader, and the answer reaches the machine. */
+export function addHeartbeat(list: ReplicaTransitionList, machineIndex: number): void {
   const { state, seededFault } = list;
-  const machine = state.machines[at];
+  const machine = state.machines[machineIndex];
   const { condition, fencingToken, task } = machine;
   if (condition !== 'up' || fencingToken > state.leader.term) return;
-  const place = state.leader.places[at];
+  const place = state.leader.places[machineIndex];
   const isChanged = place ? !isSameMember(task, place) || !place.seenRunning : task !== null;
   if (!isChanged && fencingToken === state.leader.term) return;
-  list.add(`${at} reports`, false, (draft) => {
-    const machine = draft.machines[at];
+  list.add(`heartbeat of ${machineIndex}`, false, (draft) => {
+    const machine = draft.machines[machineIndex];
     machine.fencingToken = state.leader.term;
-    const place = draft.leader.places[at];
+    const place = draft.leader.places[machineIndex];
     if (place === null) {
-      // Nothing should run there; the answer ends it.
+      // No task belongs on this machine: the answer to the heartbeat ends its task.
       machine.task = null;
     } else if (isSameMember(machine.task, place)) {
       if (!place.seenRunning) {
@@ -64,19 +68,19 @@
       }
     } else {
       if (machine.task !== null) machine.task = null;
-      handleMissingTask(draft.leader, machine, at, seededFault);
+      handleMissingTask(draft.leader, machine, machineIndex, seededFault);
     }
   });
 }
 
-/** A heartbeat does not list the place's task. */
+/** Handles a heartbeat that does not list the task placed on its machine. */
 function handleMissingTask(
   leader: Draft<ModelLeader>,
   machine: ModelMachine,
-  at: number,
+  machineIndex: number,
   seededFault: ReplicaMistake,
 ): void {
-  const place = placeAt(leader, at);
+  const place = placeAt(leader, machineIndex);
   const mayStillStart = machine.commands.some(
     (each) =>
       each.verb === 'start' &&
@@ -84,55 +88,61 @@
       each.fencingToken >= machine.fencingToken,
   );
   if (mayStillStart || !(place.sent || place.inherited)) return;
-  if (place.seenRunning || place.inherited || place.stopping) endPlace(leader, at, seededFault);
+  if (place.seenRunning || place.inherited || place.stopping)
+    endPlace(leader, machineIndex, seededFault);
   else place.sent = false;
 }
 
-function endPlace(leader: Draft<ModelLeader>, at: number, seededFault: ReplicaMistake): void {
-  const { member, generation } = placeAt(leader, at);
-  leader.places[at] = null;
+function endPlace(
+  leader: Draft<ModelLeader>,
+  machineIndex: number,
+  seededFault: ReplicaMistake,
+): void {
+  const { member, generation } = placeAt(leader, machineIndex);
+  leader.places[machineIndex] = null;
   applyEvent(leader, { kind: 'gone', member, generation }, seededFault);
 }
 
-/** Failures of a machine, and what its leader concludes from silence. */
-export function addMachineTransitions(list: ReplicaTransitionList, at: number): void {
+/** Failures and recovery of a machine, and what the leader concludes from its silence. */
+export function addMachineTransitions(list: ReplicaTransitionList, machineIndex: number): void {
   const { state, seededFault } = list;
-  const { condition } = state.machines[at];
+  const { condition } = state.machines[machineIndex];
   if (condition === 'up' && state.budget.failures > 0) {
-    for (const next of ['dead', 'cut'] as const) {
-      list.add(`${at} is ${next}`, true, (draft) => {
+    for (const next of ['dead', 'partitioned'] as const) {
+      list.add(`${machineIndex} is ${next}`, true, (draft) => {
         draft.budget.failures--;
-        draft.machines[at].condition = next;
-        if (next === 'dead') endAgentEpoch(draft.machines[at]);
+        draft.machines[machineIndex].condition = next;
+        if (next === 'dead') endAgentEpoch(draft.machines[machineIndex]);
       });
     }
   }
-  if (condition === 'cut') {
-    list.add(`${at} is reached again`, false, (draft) => {
-      draft.machines[at].condition = 'up';
+  if (condition === 'partitioned') {
+    list.add(`${machineIndex} is connected again`, false, (draft) => {
+      draft.machines[machineIndex].condition = 'up';
     });
-    list.add(`lease of ${at} ends`, false, (draft) => {
-      endAgentEpoch(draft.machines[at]);
-      draft.machines[at].condition = 'dead';
+    list.add(`lease of ${machineIndex} expires`, false, (draft) => {
+      endAgentEpoch(draft.machines[machineIndex]);
+      draft.machines[machineIndex].condition = 'dead';
     });
   }
   const isSilent =
-    condition === 'dead' || (condition === 'cut' && seededFault === 'trusts-silence');
-  if (isSilent && state.leader.places[at] !== null) {
-    list.add(`owner gives up what ${at} held`, false, (draft) => {
-      endPlace(draft.leader, at, seededFault);
-      // By then a former leader answers no heartbeat any more, and its commands name an older agent epoch (points 5 and 7).
-      if (draft.former) draft.former.places[at] = null;
+    condition === 'dead' || (condition === 'partitioned' && seededFault === 'trusts-silence');
+  if (isSilent && state.leader.places[machineIndex] !== null) {
+    list.add(`leader gives up the task of ${machineIndex}`, false, (draft) => {
+      endPlace(draft.leader, machineIndex, seededFault);
+      // By then a former leader answers no heartbeat any more, and its commands name an older agent epoch (points 5
+      // and 7 of docs/safety.md).
+      if (draft.former) draft.former.places[machineIndex] = null;
     });
   }
-  if (condition === 'dead' && state.leader.places[at] === null) {
-    list.add(`${at} is replaced`, false, (draft) => {
-      draft.machines[at].condition = 'up';
+  if (condition === 'dead' && state.leader.places[machineIndex] === null) {
+    list.add(`${machineIndex} is replaced`, false, (draft) => {
+      draft.machines[machineIndex].condition = 'up';
     });
   }
 }
 
-/** Everything on the machine is gone, and commands to its agent epoch have no effect any more. */
+/** Ends the task on the machine. Commands in flight name the ended agent epoch and have no effect any more. */
 function endAgentEpoch(machine: Draft<ModelMachine>): void {
   machine.task = null;
   machine.commands = [];
--- a/packages/testing/models/replica-groups/mistakes.ts
+++ b/packages/testing/models/replica-groups/mistakes.ts
@@ -1,20 +1,20 @@
-/** The seeded mistakes of the model of replica groups. */
-/** A deliberate seeded fault, each of which takes one guard of replica groups away. */
+/** The seeded faults of the replica group model. */
+/** A seeded fault; each one removes one safeguard of replica groups. */
 export type ReplicaMistake =
   | 'none'
   /** The leader sends starts whose records are not durable. */
   | 'starts-unrecorded'
-  /** The leader gives a new generation places while members of the old one are left. */
+  /** The leader places a new generation before all members of the old one are gone. */
   | 'places-before-gone'
-  /** The leader leaves the rest of a generation running that lost a member. */
+  /** The leader lets a generation that lost a member go on running. */
   | 'keeps-the-rest'
-  /** A new leader goes on with a generation of which the records lack members. */
+  /** A new leader adopts a generation although the records do not name all of its members. */
   | 'adopts-incomplete'
-  /** Records are written on no condition of the term. */
+  /** Records are written without the condition that the leader's term is the newest one. */
   | 'records-without-term'
-  /** Workers carry commands out whatever fencing token they bear. */
+  /** Workers execute commands with outdated fencing tokens. */
   | 'obeys-old-tokens'
-  /** The leader takes a silent machine's tasks for gone before its lease is over. */
+  /** The leader considers the tasks of a silent machine gone before the machine's lease has expired. */
   | 'trusts-silence'
-  /** A member answers although mates have not marked the request. */
+  /** The entry member answers a request that not all members have marked. */
   | 'answers-without-mates';
--- a/packages/testing/models/replica-groups/replica-transition-list.ts
+++ b/packages/testing/models/replica-groups/replica-transition-list.ts
@@ -1,7 +1,7 @@
-/** The list of events that the modules of this model add to. */
+/** The transition list that the modules of the replica group model add to. */
 import type { TransitionList } from '../exploration/transition-list.js';
 import type { ReplicaMistake } from './mistakes.js';
 import type { ReplicaModelState } from './state.js';
 
-/** The events of one state of the model of replica groups. */
+/** The transitions out of one state of the replica group model. */
 export type ReplicaTransitionList = TransitionList<ReplicaModelState, ReplicaMistake>;
--- a/packages/testing/models/replica-groups/requests.ts
+++ b/packages/testing/models/replica-groups/requests.ts
@@ -1,10 +1,10 @@
-/** One request at a time, which the first member accepts, passes to its mates, and answers. */
+/** Transitions of a user request: the entry member accepts it, passes it to the other members, and answers it. */
 import type { ReplicaTransitionList } from './replica-transition-list.js';
 import { MEMBERS, type ModelRequest, type ReplicaModelState } from './state.js';
 
 const ENTRY_MEMBER = 0;
 
-/** Adds the next steps of the request, or the begin of one. */
+/** Adds the next transitions of the request in flight, or the start of one. At most one request is in flight. */
 export function addRequestTransitions(list: ReplicaTransitionList): void {
   const { state } = list;
   const { request } = state;
@@ -35,7 +35,7 @@
   }
 }
 
-/** The request is given up at any time; it is answered only by the member that took it, with all marks. */
+/** A request can be given up at any time. The member that accepted it answers it once all members have marked it. */
 function addRequestEnd(list: ReplicaTransitionList, { generation, marks }: ModelRequest): void {
   const { state, seededFault } = list;
   list.add('request given up', false, (draft) => (draft.request = null));
@@ -48,7 +48,7 @@
   });
 }
 
-/** Generations of which the member is on a machine that works. */
+/** Generations of which this member has a task on a machine. */
 function runningGenerations({ machines }: ReplicaModelState, member: number): number[] {
   return machines.flatMap(({ task }) => (task?.member === member ? [task.generation] : []));
 }
--- a/packages/testing/models/replica-groups/state.ts
+++ b/packages/testing/models/replica-groups/state.ts
@@ -1,11 +1,11 @@
 /**
- * A small world with one replica: the machines with their records, two leaders one after the other, and commands on
- * their way. That a place is proven gone only when its task is not there and none of its starts can act any more is
- * taken from points 5 and 6 of docs/safety.md; how it is proven is not modelled again.
+ * The state of the replica group model: one replica, the machines with their records, a leader and its predecessor, and
+ * the commands in flight. By points 5 and 6 of docs/safety.md, a placed member is proven gone only when its task is not
+ * on the machine and none of its starts can take effect any more. The model assumes this proof and does not cover it.
  */
 import { type GroupState, newGroup } from '#replicas';
 
-/** Members of the replica. */
+/** Number of members of the replica. */
 export const MEMBERS = 3;
 const MACHINES = 4;
 
@@ -15,18 +15,18 @@
   generation: number;
 }
 
-/** A command that was sent and may arrive at any later time. */
+/** A command in flight, which may arrive at any later time. */
 export interface Command extends Member {
   verb: 'start' | 'stop';
   /** Fencing token of the leader that sent it. */
   fencingToken: number;
 }
 
-/** What a leader believes of one machine. */
+/** What a leader knows of the member that it has placed on a machine. */
 export interface LeaderPlace extends Member {
-  /** The machine's record names it. */
+  /** The machine's record names the member. */
   durable: boolean;
-  /** The leader knows that. */
+  /** The leader knows that the record is durable. */
   recorded: boolean;
   inherited: boolean;
   sent: boolean;
@@ -34,33 +34,33 @@
   stopping: boolean;
 }
 
-/** One leader with what it believes. */
+/** A leader and its view of the group. */
 export interface ModelLeader {
   term: number;
   generationsStarted: number;
   group: GroupState;
-  /** By machine. */
+  /** Indexed by machine. */
   places: (LeaderPlace | null)[];
 }
 
-/** One machine: its true state, its record and the commands on their way to it. */
+/** A machine: its actual state, its record in the state service and the commands in flight to it. */
 export interface ModelMachine {
-  /** `cut`: works, but reaches no leader; `dead`: everything on it is gone. */
-  condition: 'up' | 'cut' | 'dead';
+  /** `partitioned`: works, but can't reach a leader; `dead`: all that ran on it is gone. */
+  condition: 'up' | 'partitioned' | 'dead';
   task: Member | null;
-  /** Highest fencing token it has seen. */
+  /** Highest fencing token that the machine has seen. */
   fencingToken: number;
   record: Member | null;
   commands: Command[];
 }
 
-/** A request that goes from member to member; `marks` holds the generation of each that has marked it, or 0. */
+/** A request in flight. `marks` holds, by member, the generation that has marked the request, or 0. */
 export interface ModelRequest {
   generation: number;
   marks: number[];
 }
 
-/** How often each fault may still happen: what keeps the world finite. */
+/** How often each fault may still happen. Bounds the state space. */
 export interface ReplicaBudget {
   failures: number;
   leaderChanges: number;
@@ -71,29 +71,32 @@
 /** One state of the model. */
 export interface ReplicaModelState {
   leader: ModelLeader;
-  /** A former leader that does not know that its term is over. */
+  /** A deposed leader that does not know that its term is over. */
   former: ModelLeader | null;
   machines: ModelMachine[];
   request: ModelRequest | null;
-  /** An answer was given that is not of one whole generation. */
+  /** Whether an answer lacked marks or had marks of different generations. */
   hasBrokenAnswer: boolean;
   budget: ReplicaBudget;
 }
 
-/** The place that the leader has on the machine; throws if there is none. */
-export function placeAt<Place>(leader: { places: (Place | null)[] } | null, at: number): Place {
-  const place = leader?.places[at] ?? null;
-  if (place === null) throw new Error(`the leader has no place on machine ${at}`);
+/** Returns the place that the leader has on the machine; throws if there is none. */
+export function placeAt<Place>(
+  leader: { places: (Place | null)[] } | null,
+  machineIndex: number,
+): Place {
+  const place = leader?.places[machineIndex] ?? null;
+  if (place === null) throw new Error(`the leader has no place on machine ${machineIndex}`);
   return place;
 }
 
-/** A leader that knows of no members yet. */
+/** Creates a leader that knows of no members yet. */
 export function newLeader(term: number): ModelLeader {
   const places = Array<LeaderPlace | null>(MACHINES).fill(null);
   return { term, generationsStarted: 0, group: newGroup(MEMBERS), places };
 }
 
-/** The state in which nothing has happened yet. */
+/** The initial state: all machines are up and nothing is placed. */
 export function initialState(budget: ReplicaBudget): ReplicaModelState {
   const machines = Array.from({ length: MACHINES }, (): ModelMachine => {
     return { condition: 'up', task: null, fencingToken: 0, record: null, commands: [] };
@@ -109,8 +112,8 @@
 }
 
 /**
- * Machines are alike, so states that differ only in their order are one; so are states that differ in nothing but the
- * numbers of generations, or in records that nobody will read any more.
+ * Symmetry reduction: returns the same key for states that differ only in the order of machines, in the numbers of
+ * generations, or in records that no leader will read any more.
  */
 export function canonicalKey(state: ReplicaModelState): string {
   const { leader, former, machines, request, hasBrokenAnswer, budget } = state;
@@ -141,7 +144,10 @@
   return JSON.stringify([byMachine.sort(), groups, rest]);
 }
 
-/** Members are alike, too, as long as no request tells them apart: they are numbered by what is known of them. */
+/**
+ * Labels for symmetry reduction over the members. Members are interchangeable while no request distinguishes them, so
+ * they are numbered by their state.
+ */
 function memberLabels(
   { leader, former, machines, request, budget }: ReplicaModelState,
   rank: Map<number, number>,
@@ -151,14 +157,17 @@
   const signatures = all.map((member) => {
     const rankOf = (each: Member | null | undefined) =>
       each?.member === member ? rank.get(each.generation) : '';
-    const byMachine = machines.map(({ condition, task, fencingToken, record, commands }, at) => {
-      const place = leader.places[at];
+    const byMachine = machines.map(({ condition, task, fencingToken, record, commands }, index) => {
+      const place = leader.places[index];
       const isPlaced = place?.member === member;
       const flags = isPlaced ? [place.durable, place.recorded, place.sent, place.seenRunning] : '';
       const sent = commands.filter((each) => each.member === member).map(({ verb }) => verb);
-      const named = [rankOf(task), rankOf(record), rankOf(place), rankOf(former?.places[at])].join(
-        ',',
-      );
+      const named = [
+        rankOf(task),
+        rankOf(record),
+        rankOf(place),
+        rankOf(former?.places[index]),
+      ].join(',');
       return named === ',,,' && sent.length === 0
         ? ''
         : `${condition}${fencingToken}${named}${String(flags)}${String(sent)}`;
@@ -171,7 +180,7 @@
   return all.map((member) => order.indexOf(member));
 }
 
-/** A new leader may still come, and read the records. */
+/** Whether a later leader may still read the records. */
 export function mayRecordsBeRead({ budget }: ReplicaModelState): boolean {
   return budget.leaderChanges > 0;
 }
--- a/packages/testing/models/replica-groups/transitions.ts
+++ b/packages/testing/models/replica-groups/transitions.ts
@@ -1,4 +1,4 @@
-/** Everything that can happen next in a state of the model. */
+/** The transition relation of the replica group model. */
 import type { Draft } from 'immer';
 import type { Transition } from '../exploration/explore.js';
 import { TransitionList } from '../exploration/transition-list.js';
@@ -23,7 +23,7 @@
   type ReplicaModelState,
 } from './state.js';
 
-/** The events that can happen in the state. */
+/** Returns the transitions out of the state. */
 export function transitionsFrom(
   state: ReplicaModelState,
   seededFault: ReplicaMistake,
@@ -33,13 +33,13 @@
   addLeaderChange(list);
   for (const role of ['leader', 'former'] as const) addCommandSends(list, role);
   if (!mayRecordsBeRead(state)) addBatchRecording(list);
-  state.machines.forEach((machine, at) => {
-    if (mayRecordsBeRead(state)) addRecording(list, at);
+  state.machines.forEach((machine, machineIndex) => {
+    if (mayRecordsBeRead(state)) addRecording(list, machineIndex);
     machine.commands.forEach((_, index) => {
-      addCommandArrival(list, at, index);
+      addCommandArrival(list, machineIndex, index);
     });
-    addHeartbeat(list, at);
-    addMachineTransitions(list, at);
+    addHeartbeat(list, machineIndex);
+    addMachineTransitions(list, machineIndex);
   });
   addRequestTransitions(list);
   return list.transitions;
@@ -47,7 +47,7 @@
 
 function addPlacement(list: ReplicaTransitionList): void {
   const { state, seededFault } = list;
-  const isUsable = (at: number) => state.machines[at].condition !== 'dead';
+  const isUsable = (machineIndex: number) => state.machines[machineIndex].condition !== 'dead';
   const machines = chooseMachines(state.leader, isUsable, seededFault);
   if (machines === null) return;
   list.add('generation placed', false, (draft) => {
@@ -55,13 +55,14 @@
   });
 }
 
-/** The leader ends, or goes on without knowing that another has taken its place. */
+/** The leader ends, or is deposed and goes on without knowing of the new leader. */
 function addLeaderChange(list: ReplicaTransitionList): void {
   const { state, seededFault } = list;
-  if (state.former !== null) list.add('former owner ends', false, (draft) => (draft.former = null));
+  if (state.former !== null)
+    list.add('former leader ends', false, (draft) => (draft.former = null));
   if (state.budget.leaderChanges === 0) return;
   for (const isCrash of [true, false]) {
-    list.add(isCrash ? 'owner ends' : 'owner is deposed', true, (draft) => {
+    list.add(isCrash ? 'leader ends' : 'leader is deposed', true, (draft) => {
       draft.budget.leaderChanges--;
       draft.former = isCrash ? null : draft.leader;
       draft.leader = leaderFromRecords(state, seededFault);
@@ -69,42 +70,52 @@
   }
 }
 
-/** A leader sends what it would send now; that may arrive at any later time. */
+/** A leader sends the starts and stops that are due; each may arrive at any later time. */
 function addCommandSends(list: ReplicaTransitionList, role: 'leader' | 'former'): void {
   const { state, seededFault } = list;
   const leader = state[role];
   if (!leader) return;
-  const starts = leader.places.flatMap((place, at) =>
-    place && shouldSendStart(leader, place, seededFault) ? [at] : [],
+  const starts = leader.places.flatMap((place, machineIndex) =>
+    place && shouldSendStart(leader, place, seededFault) ? [machineIndex] : [],
   );
   if (starts.length > 0) {
     list.add(`${role} sends starts`, false, (draft) => {
-      for (const at of starts) {
-        placeAt(draft[role], at).sent = true;
-        send(draft.machines[at], newCommand('start', placeAt(leader, at), leader.term));
+      for (const machineIndex of starts) {
+        placeAt(draft[role], machineIndex).sent = true;
+        send(
+          draft.machines[machineIndex],
+          newCommand('start', placeAt(leader, machineIndex), leader.term),
+        );
       }
     });
   }
-  const stops = leader.places.flatMap((place, at) =>
-    place?.stopping && !isStopInFlight(state, place, at) ? [at] : [],
+  const stops = leader.places.flatMap((place, machineIndex) =>
+    place?.stopping && !isStopInFlight(state, place, machineIndex) ? [machineIndex] : [],
   );
   if (stops.length === 0) return;
   list.add(`${role} sends stops`, false, (draft) => {
-    for (const at of stops) {
-      send(draft.machines[at], newCommand('stop', placeAt(leader, at), leader.term));
+    for (const machineIndex of stops) {
+      send(
+        draft.machines[machineIndex],
+        newCommand('stop', placeAt(leader, machineIndex), leader.term),
+      );
     }
   });
 }
 
-function isStopInFlight({ machines }: ReplicaModelState, place: LeaderPlace, at: number): boolean {
-  const { condition, commands } = machines[at];
+function isStopInFlight(
+  { machines }: ReplicaModelState,
+  place: LeaderPlace,
+  machineIndex: number,
+): boolean {
+  const { condition, commands } = machines[machineIndex];
   const isSent = commands.some(
     (each) => each.verb === 'stop' && each.generation === place.generation,
   );
   return isSent || condition === 'dead';
 }
 
-/** What is sent to a machine that is gone reaches nobody. */
+/** Puts a command in flight. Commands to a dead machine are dropped. */
 function send(machine: Draft<ModelMachine>, sent: Command): void {
   if (machine.condition !== 'dead') machine.commands.push(sent);
 }
@@ -113,53 +124,61 @@
   return { verb, member: place.member, generation: place.generation, fencingToken };
 }
 
-/** Nobody will read the records: all that matters is when the leader knows that they are durable. */
+/**
+ * Records all open places in one transition. Used when no new leader will read the records, so that only the time at
+ * which the leader knows that they are durable matters.
+ */
 function addBatchRecording(list: ReplicaTransitionList): void {
   const { state, seededFault } = list;
   for (const role of ['leader', 'former'] as const) {
-    const unrecorded = state[role]?.places.flatMap((place, at) =>
-      place && !place.recorded ? [at] : [],
+    const unrecorded = state[role]?.places.flatMap((place, machineIndex) =>
+      place && !place.recorded ? [machineIndex] : [],
     );
     const mayWrite = role === 'leader' || seededFault === 'records-without-term';
-    const canConfirm = (at: number) => mayWrite || placeAt(state[role], at).durable;
+    const canConfirm = (machineIndex: number) =>
+      mayWrite || placeAt(state[role], machineIndex).durable;
     const confirmed = unrecorded?.filter(canConfirm) ?? [];
     if (confirmed.length === 0) continue;
     list.add(`${role} records all`, false, (draft) => {
-      for (const at of confirmed) {
-        placeAt(draft[role], at).durable = true;
+      for (const machineIndex of confirmed) {
+        placeAt(draft[role], machineIndex).durable = true;
         const leader = draft[role];
-        if (leader) confirmRecorded(leader, at, seededFault);
+        if (leader) confirmRecorded(leader, machineIndex, seededFault);
       }
     });
   }
 }
 
-/** Records become durable one by one, and their leader learns it later. */
-function addRecording(list: ReplicaTransitionList, at: number): void {
+/** Records become durable one by one, and the leader learns of each at a later time. */
+function addRecording(list: ReplicaTransitionList, machineIndex: number): void {
   const { state, seededFault } = list;
-  const place = state.leader.places[at];
+  const place = state.leader.places[machineIndex];
   if (place !== null && !place.durable) {
-    list.add(`owner records ${at}`, false, (draft) => {
-      draft.machines[at].record = { member: place.member, generation: place.generation };
-      placeAt(draft.leader, at).durable = true;
+    list.add(`leader records ${machineIndex}`, false, (draft) => {
+      draft.machines[machineIndex].record = { member: place.member, generation: place.generation };
+      placeAt(draft.leader, machineIndex).durable = true;
     });
   }
   if (place?.durable && !place.recorded) {
-    list.add(`owner learns that ${at} is recorded`, false, (draft) => {
-      confirmRecorded(draft.leader, at, seededFault);
+    list.add(`leader learns that ${machineIndex} is recorded`, false, (draft) => {
+      confirmRecorded(draft.leader, machineIndex, seededFault);
     });
   }
-  if (place === null && state.machines[at].record !== null) {
-    list.add(`record of ${at} tidied`, false, (draft) => (draft.machines[at].record = null));
+  if (place === null && state.machines[machineIndex].record !== null) {
+    list.add(
+      `record of ${machineIndex} deleted`,
+      false,
+      (draft) => (draft.machines[machineIndex].record = null),
+    );
   }
 }
 
 function confirmRecorded(
   leader: Draft<ModelLeader>,
-  at: number,
+  machineIndex: number,
   seededFault: ReplicaMistake,
 ): void {
-  const place = placeAt(leader, at);
+  const place = placeAt(leader, machineIndex);
   place.recorded = true;
   const { member, generation } = place;
   applyEvent(leader, { kind: 'recorded', member, generation }, seededFault);
--- a/packages/testing/models/shard-migration/canonical.test.ts
+++ b/packages/testing/models/shard-migration/canonical.test.ts
@@ -7,7 +7,7 @@
 
 const BUDGET = { requests: 1, crashes: 0, lapses: 0, lostAnswers: 0 };
 
-/** A state with a transaction on its way; all its lease ids and revisions are higher by these numbers. */
+/** Creates a state with a transaction in flight, whose lease ids and revisions are shifted by the offsets. */
 function createState(leaseOffset: number, revisionOffset: number): ModelState {
   const start = initialState(BUDGET);
   const leaseId = 2 + leaseOffset;
@@ -38,15 +38,15 @@
   };
 }
 
-test('states that differ only in the numbers of leases are one', () => {
+test('states that differ only in lease ids have the same key', () => {
   assert.equal(canonicalKey(createState(7, 0)), canonicalKey(createState(0, 0)));
 });
 
-test('states that differ only in the numbers of revisions are one', () => {
+test('states that differ only in revision numbers have the same key', () => {
   assert.equal(canonicalKey(createState(0, 5)), canonicalKey(createState(0, 0)));
 });
 
-test('states in which another controller holds the lease of the shard differ', () => {
+test('states whose shard is held by the leases of different controllers have different keys', () => {
   const state = createState(0, 0);
   const other = { ...state, shard: { leader: 'a', leaseId: 2, version: 1 } };
   assert.notEqual(canonicalKey(other), canonicalKey(state));
--- a/packages/testing/models/shard-migration/canonical.ts
+++ b/packages/testing/models/shard-migration/canonical.ts
@@ -1,7 +1,7 @@
-/** One text for all states of the model that are alike. */
+/** Symmetry reduction of the shard migration model. */
 import type { ModelState } from './state.js';
 
-/** Names of fields that hold revisions; numbers of fields in neither set stay as they are. */
+/** Names of fields that hold revisions. Numbers in fields of neither set are part of the key as they are. */
 const REVISIONS = new Set([
   'revision',
   'version',
@@ -10,12 +10,12 @@
   'preparedVersion',
   'moveVersion',
 ]);
-/** Names of fields that hold ids of leases; `grant` and `lease` are those of stored records and changes. */
+/** Names of fields that hold lease ids. `grant` is a field of stored records, `lease` a field of changes. */
 const LEASE_IDS = new Set(['leaseId', 'grant', 'lease', 'nextLeaseId', 'liveLeases']);
 
 /**
- * A text that is the same for states that differ in nothing that matters: of revisions and lease ids only the order
- * does, not the numbers.
+ * Returns a key that is the same for equivalent states. Only the order of revisions and of lease ids distinguishes
+ * states, not the numbers.
  */
 export function canonicalKey(state: ModelState): string {
   const revisions: number[] = [0];
@@ -38,13 +38,13 @@
   return text;
 }
 
-/** 0 stands for none and stays. */
+/** Maps each number to its rank. 0 means "none"; it is always among the numbers and keeps the rank 0. */
 function ranks(numbers: number[]): Map<number, number> {
   const sorted = [...new Set(numbers)].sort((one, other) => one - other);
   return new Map(sorted.map((number, rank) => [number, rank]));
 }
 
-/** Visits plain data in the order of its fields: each number with the name of its field, and all else as text. */
+/** Visits plain data in field order: calls `onNumber` with each number and its field name, `onText` for all else. */
 function walk(
   value: unknown,
   name: string,
--- a/packages/testing/models/shard-migration/controller.ts
+++ b/packages/testing/models/shard-migration/controller.ts
@@ -1,4 +1,4 @@
-/** What a controller of the model does: the production code's steps, on what it has seen so far. */
+/** A controller of the model: it runs the production code's state machines on the records that it has seen. */
 import type { Draft } from 'immer';
 import {
   DECIDING,
@@ -16,10 +16,10 @@
 import { type ControllerName, type ModelController, type ModelState, SHARD } from './state.js';
 
 const LIMITS = { prepareS: 1, switchS: 1 };
-/** Later than all limits. */
+/** A time after all limits. */
 const LATE_S = 10;
 
-/** It takes its election lease for proof that nobody else leads, and acts on that. */
+/** Whether the controller acts as leader: it takes its election lease as proof that no other controller leads. */
 export function actsAsLeader(
   { term, leaseProven, source }: ModelController,
   seededFault: MigrationMistake,
@@ -27,7 +27,7 @@
   return term !== 0 && leaseProven && trustsLease(source, seededFault);
 }
 
-/** Its watch shows what the state service holds now. */
+/** Brings the controller's view of the records up to date with the state service. */
 export function applyWatchUpdates(state: Draft<ModelState>, name: ControllerName): void {
   const controller = state.controllers[name];
   controller.shard = state.shard;
@@ -40,7 +40,7 @@
   if (controller.waiting === 'source') controller.waiting = null;
 }
 
-/** A new incarnation, which has seen nothing and has a new election lease. */
+/** Restarts the controller: the new incarnation has seen no records and has a new election lease. */
 export function restartController(state: Draft<ModelState>, name: ControllerName): void {
   const { incarnation } = state.controllers[name];
   const leaseId = state.nextLeaseId++;
@@ -59,7 +59,7 @@
   };
 }
 
-/** One step of the leader; `late`: all its time limits have passed. */
+/** Runs one step of the leader, the source of the migration. With `late`, all its time limits have passed. */
 export function stepLeader(
   state: Draft<ModelState>,
   name: ControllerName,
@@ -94,7 +94,7 @@
     sendTransaction(state, name, 'source', action.transaction, seededFault);
 }
 
-/** One step of the target. */
+/** Runs one step of the target of the migration. */
 export function stepTransferTarget(
   state: Draft<ModelState>,
   name: ControllerName,
@@ -127,7 +127,7 @@
   state.inFlight.push({ from, incarnation: controller.incarnation, transaction: sent });
 }
 
-/** An answer has come, or the wait for it is over. */
+/** Handles the answer to a transaction, or the timeout of the wait for it. */
 export function handleAnswer(
   state: Draft<ModelState>,
   name: ControllerName,
@@ -159,7 +159,7 @@
   return isTakenAsApplied ? { kind: 'applied' } : outcome;
 }
 
-/** Times are told apart by `late` alone. */
+/** Resets the times in the state. The model distinguishes times only by `late`. */
 function withoutTimes(source: ModelController['source']): ModelController['source'] {
   if (source.phase === 'deciding') {
     return { ...source, request: source.request && { ...source.request, seenAt: 0 } };
--- a/packages/testing/models/shard-migration/explore.ts
+++ b/packages/testing/models/shard-migration/explore.ts
@@ -1,22 +1,23 @@
-/** Explores the model of shard migration. */
+/** Explores the shard migration model. */
 import { explore } from '../exploration/explore.js';
 import { canonicalKey } from './canonical.js';
 import { transitionsFrom, staleLeaders, isQuiescent } from './transitions.js';
 import type { MigrationMistake } from './mistakes.js';
 import { initialState, type MigrationBudget } from './state.js';
 
-/** What an exploration of shard migrations has found. */
+/** Result of an exploration of shard migrations. */
 export interface MigrationExploration {
-  /** Different states that were reached. */
+  /** Number of distinct states reached. */
   states: number;
-  /** Those in which the shard has moved. */
+  /** Number of these states in which the shard has moved. */
   moved: number;
-  /** The shortest ways to a state with two leaders, and to one that nothing but a fault leads out of; null if none. */
+  /** A shortest trace to a state in which a controller acts as leader without being it; null if there is none. */
   twoLeaders: string[] | null;
+  /** A shortest trace to a state from which no quiescent state is reachable without a fault; null if there is none. */
   stuck: string[] | null;
 }
 
-/** Visits every state that can be reached; the first in which there are two leaders ends it. */
+/** Visits every reachable state, until one has two leaders. */
 export function exploreMigrations(
   budget: MigrationBudget,
   seededFault: MigrationMistake,
@@ -27,7 +28,8 @@
       initialState: initialState(budget),
       canonicalKey,
       transitionsFrom: (state) => transitionsFrom(state, seededFault),
-      findViolation: (state) => (staleLeaders(state, seededFault).length > 0 ? 'two owners' : null),
+      findViolation: (state) =>
+        staleLeaders(state, seededFault).length > 0 ? 'two leaders' : null,
       isQuiescent: (state) => isQuiescent(state, seededFault),
     },
     ({ shard }) => {
--- a/packages/testing/models/shard-migration/mistakes.ts
+++ b/packages/testing/models/shard-migration/mistakes.ts
@@ -1,27 +1,27 @@
-/** The seeded mistakes of the model of shard migration. */
+/** The seeded faults of the shard migration model. */
 import { migrationKey, type SourceState, successorPossibleSince, type Transaction } from '#shards';
 import { shardKey } from '#store';
 import { SHARD } from './state.js';
 
-/** A deliberate seeded fault, each of which takes one guard of a migration away. */
+/** A seeded fault; each one removes one safeguard of a migration. */
 export type MigrationMistake =
   | 'none'
-  /** The leader takes its election lease as proof after it has stated that it decides nothing more. */
+  /** The leader still takes its election lease as proof after it has recorded that it makes no more decisions. */
   | 'trusts-its-grant'
-  /** The leader decides again without undoing the move when no answer came. */
+  /** The leader resumes decisions after a retraction without an answer, as if the migration were undone. */
   | 'resumes-on-silence'
-  /** The leader undoes a move, and takes a failed condition for success. */
+  /** The leader resumes decisions after a retraction whose conditions failed, as if the migration were undone. */
   | 'resumes-on-failure'
-  /** The target takes the shard whatever has become of the move's record. */
+  /** The target takes the shard without a condition on the migration record. */
   | 'takes-without-record'
-  /** The target takes the shard whoever leads it. */
+  /** The target takes the shard without a condition on the leader's term. */
   | 'takes-without-term'
-  /** The leader states that it is quiet, whatever has become of the move's record. */
+  /** The leader records that it has quiesced without a condition on the migration record. */
   | 'quiesces-without-record'
-  /** The leader never gives up waiting for the target. */
+  /** The leader waits for the target without a time limit. */
   | 'waits-for-ever';
 
-/** A transaction as a controller with the seeded fault sends it. */
+/** Returns the transaction as a controller with the seeded fault sends it. */
 export function applyTransactionFault(
   kind: 'source' | 'target',
   { conditions, changes }: Transaction,
@@ -39,7 +39,7 @@
   return { conditions, changes };
 }
 
-/** Whether the leader, by its state in the move, takes its election lease as proof that nobody else leads. */
+/** Whether the leader, in this state of the migration, takes its election lease as proof that no other one leads. */
 export function trustsLease(state: SourceState, seededFault: MigrationMistake): boolean {
   return seededFault === 'trusts-its-grant' || successorPossibleSince(state) === null;
 }
--- a/packages/testing/models/shard-migration/service.ts
+++ b/packages/testing/models/shard-migration/service.ts
@@ -1,10 +1,10 @@
-/** The state service of the model. */
+/** The state service of the shard migration model. */
 import type { Draft } from 'immer';
 import { decodeMigration, migrationKey, type Transaction, type TransactionOutcome } from '#shards';
 import { decodeLeader, shardKey } from '#store';
 import { type ModelState, SHARD } from './state.js';
 
-/** Carries a transaction out, or says which of its conditions do not hold. */
+/** Applies a transaction, or returns the keys of the conditions that do not hold. */
 export function applyTransaction(
   state: Draft<ModelState>,
   transaction: Transaction,
@@ -31,7 +31,7 @@
   return { kind: 'applied' };
 }
 
-/** An election lease ends, and the shard's key with it if it hangs on it. */
+/** Ends an election lease and deletes the shard's key if it depends on this lease. */
 export function endLease(state: Draft<ModelState>, leaseId: number): void {
   state.liveLeases = state.liveLeases.filter((each) => each !== leaseId);
   if (state.shard?.leaseId !== leaseId) return;
--- a/packages/testing/models/shard-migration/state.ts
+++ b/packages/testing/models/shard-migration/state.ts
@@ -1,4 +1,4 @@
-/** A small world in which a shard moves: the state service's records, two controllers, and transactions on their way. */
+/** The state of the shard migration model: the records, two controllers, and the transactions in flight. */
 import {
   DECIDING,
   IDLE,
@@ -19,7 +19,7 @@
 /** The record of the shard in the state service; its version is the term. */
 export type StoredShard = LeaderRecord & { version: number };
 
-/** A transaction that was sent and not carried out yet; it may be at any later time. */
+/** A sent transaction, which the state service may carry out at any later time. */
 export interface InFlightTransaction {
   from: ControllerName;
   /** The incarnation of the controller that waits for the answer. */
@@ -27,26 +27,27 @@
   transaction: Transaction;
 }
 
-/** One controller. */
+/** A controller and its view of the records. */
 export interface ModelController {
   incarnation: number;
-  /** Its election lease; it changes with each incarnation and when one has ended. */
+  /** Current election lease. A new incarnation gets a new one, as does a controller whose lease has ended. */
   leaseId: number;
-  /** By its clock the election lease is surely alive. */
+  /** By the controller's clock, its election lease is certainly alive. */
   leaseProven: boolean;
-  /** What its watch has shown last. */
+  /** The shard record that the controller has seen last. */
   shard: StoredShard | null;
+  /** The migration record that the controller has seen last. */
   move: ObservedMigration | null;
-  /** The term that it holds as far as it knows; 0 if none. */
+  /** The term that the controller holds according to the records it has seen; 0 if none. */
   term: number;
   source: SourceState;
   target: TargetState;
   paused: boolean;
-  /** Who waits for the answer to a transaction. */
+  /** The state machine that waits for the answer to a transaction. */
   waiting: 'source' | 'target' | null;
 }
 
-/** How often each fault may still happen: what keeps the world finite. */
+/** How often each fault may still happen. Bounds the state space. */
 export interface MigrationBudget {
   requests: number;
   crashes: number;
@@ -66,7 +67,7 @@
   budget: MigrationBudget;
 }
 
-/** The first controller leads the shard, and all are up. */
+/** The initial state: controller `a` leads the shard, and both controllers are up. */
 export function initialState(budget: MigrationBudget): ModelState {
   const shard = { leader: 'a', leaseId: 1, version: 1 };
   const controller = (leaseId: number, term: number): ModelController => ({
--- a/packages/testing/models/shard-migration/transitions.ts
+++ b/packages/testing/models/shard-migration/transitions.ts
@@ -1,4 +1,4 @@
-/** Everything that can happen next in a state of the model. */
+/** The transition relation of the shard migration model, and its checks. */
 import type { Draft } from 'immer';
 import { TransitionList } from '../exploration/transition-list.js';
 import type { Transition } from '../exploration/explore.js';
@@ -21,7 +21,7 @@
 
 type MigrationTransitionList = TransitionList<ModelState, MigrationMistake>;
 
-/** The events that can happen in the state. */
+/** Returns the transitions out of the state. */
 export function transitionsFrom(
   state: ModelState,
   seededFault: MigrationMistake,
@@ -40,7 +40,7 @@
   return list.transitions;
 }
 
-/** Somebody asks that the shard be moved to the controller. */
+/** An operator requests the migration of the shard to the controller. */
 function addRequest(list: MigrationTransitionList, to: ControllerName): void {
   const { shard, move, budget } = list.state;
   if (budget.requests === 0 || shard === null || move !== null || shard.leader === to) return;
@@ -56,40 +56,40 @@
   const { state, seededFault } = list;
   const controller = state.controllers[name];
   if (!isWatchCurrent(controller, state))
-    list.add(`${name} sees`, false, (draft) => {
+    list.add(`${name} sees the records`, false, (draft) => {
       applyWatchUpdates(draft, name);
     });
   if (controller.source.phase === 'pausing' && !controller.paused) {
-    list.add(`${name} is at rest`, false, (draft) => {
+    list.add(`${name} is paused`, false, (draft) => {
       draft.controllers[name].paused = true;
     });
   }
   if (controller.waiting !== null) return;
   if (controller.term === 0) {
-    list.add(`${name} looks as target`, false, (draft) => {
+    list.add(`${name} steps as target`, false, (draft) => {
       stepTransferTarget(draft, name, seededFault);
     });
     return;
   }
   for (const late of [false, true]) {
     const when = late ? 'late' : 'in time';
-    list.add(`${name} looks as owner ${when}`, false, (draft) => {
+    list.add(`${name} steps as leader ${when}`, false, (draft) => {
       stepLeader(draft, name, late, seededFault);
     });
   }
 }
 
-/** Its watch has shown all that the state service holds. */
+/** Whether the controller has seen the current records of the state service. */
 function isWatchCurrent({ shard, move }: ModelController, state: ModelState): boolean {
   return shard?.version === state.shard?.version && move?.version === state.move?.version;
 }
 
-/** The shard is free: whoever sees that may campaign. */
+/** A controller that sees that the shard has no leader may campaign. */
 function addCampaign(list: MigrationTransitionList, name: ControllerName): void {
   const { shard, controllers, liveLeases } = list.state;
   const { leaseId, leaseProven, shard: seenShard } = controllers[name];
   if (shard !== null || seenShard !== null || !leaseProven || !liveLeases.includes(leaseId)) return;
-  list.add(`${name} claims`, false, (draft) => {
+  list.add(`${name} wins a campaign`, false, (draft) => {
     draft.shard = { leader: name, leaseId, version: ++draft.revision };
     applyWatchUpdates(draft, name);
   });
@@ -124,7 +124,7 @@
   }
 }
 
-/** The state service says that the election lease has ended. */
+/** Replaces an election lease that has ended by a new one. */
 function replaceLease(draft: Draft<ModelState>, name: ControllerName): void {
   const controller = draft.controllers[name];
   controller.leaseId = draft.nextLeaseId++;
@@ -132,11 +132,11 @@
   applyWatchUpdates(draft, name);
 }
 
-/** A transaction is carried out; its sender hears of it if it still waits. */
+/** The state service carries a transaction out; the sender gets the answer if it still waits for it. */
 function addTransactionArrival(list: MigrationTransitionList, index: number): void {
   const { from, incarnation, transaction } = list.state.inFlight[index];
   const sender = list.state.controllers[from];
-  // Only the newest request of a sender can be the one that it waits for.
+  // A sender can only wait for the answer to its newest transaction.
   const isNewest = !list.state.inFlight.slice(index + 1).some((each) => each.from === from);
   const isExpected = sender.incarnation === incarnation && sender.waiting !== null && isNewest;
   list.add(`transaction of ${from} arrives`, !isExpected, (draft) => {
@@ -146,19 +146,19 @@
   });
 }
 
-/** The election lease of an earlier incarnation, or one that its controller does not count on, ends. */
+/** An election lease ends. Leases that their controller takes as proven cannot end. */
 function addLeaseEnd(list: MigrationTransitionList, leaseId: number): void {
   const isTrusted = CONTROLLERS.some((name) => {
     const controller = list.state.controllers[name];
     return controller.leaseId === leaseId && controller.leaseProven;
   });
   if (!isTrusted)
-    list.add(`grant ${leaseId} ends`, false, (draft) => {
+    list.add(`lease ${leaseId} ends`, false, (draft) => {
       endLease(draft, leaseId);
     });
 }
 
-/** Controllers that act as the leader although the state service holds another one, or none. */
+/** Controllers that act as leader although, by the state service, another controller leads, or none. */
 export function staleLeaders(state: ModelState, seededFault: MigrationMistake): ControllerName[] {
   return CONTROLLERS.filter((name) => {
     const controller = state.controllers[name];
@@ -166,7 +166,7 @@
   });
 }
 
-/** A leader decides, and no migration is under way. */
+/** Whether a leader makes decisions and no migration is in progress. */
 export function isQuiescent(
   { controllers, move }: ModelState,
   seededFault: MigrationMistake,
