--- a/packages/testing/models/leader-with-workers/traffic.ts
+++ b/packages/testing/models/leader-with-workers/traffic.ts
@@ -53,7 +53,7 @@
     };
     if (!chance.hit(MESSAGE_LOSS_RATE))
       messageQueue.schedule(now + chance.next() * MAX_DELAY_S, deliver);
-    // The answer to a late copy reaches nobody. The copy can arrive up to three lease lengths late.
+    // A late copy can arrive long after the lease has expired. The answer to the copy reaches nobody.
     if (chance.hit(LATE_COPY_RATE)) {
       messageQueue.schedule(now + chance.next() * MAX_COPY_DELAY_S, (at) => {
         this.deliverCopy(heartbeat, at);
--- a/packages/testing/models/replica-groups/checks.ts
+++ b/packages/testing/models/replica-groups/checks.ts
@@ -18,7 +18,7 @@
   return null;
 }
 
-/** Whether the replica is whole, both by the leader's state and on the machines. */
+/** Whether the replica is whole by the leader's state and on the machines, with no former leader or request left. */
 export function isQuiescent({ leader, former, machines, request }: ReplicaModelState): boolean {
   const running = machines.filter(({ task }) => task?.generation === leader.group.generation);
   const isWhole = phaseOf(leader.group) === 'whole' && running.length === leader.group.members;
--- a/packages/testing/models/replica-groups/transitions.ts
+++ b/packages/testing/models/replica-groups/transitions.ts
@@ -125,8 +125,8 @@
 }
 
 /**
- * Records all open places in one transition. Used when no new leader will read the records, so that only the time at
- * which the leader knows that they are durable matters.
+ * Records all unrecorded places in one transition. Used when no new leader will read the records: then only the time
+ * matters at which the leader learns that they are durable.
  */
 function addBatchRecording(list: ReplicaTransitionList): void {
   const { state, seededFault } = list;
