--- a/packages/testing/models/leader-election/link.ts
+++ b/packages/testing/models/leader-election/link.ts
@@ -1,11 +1,11 @@
-/** The links between the controllers of the model. */
+/** The network links between the controllers of the model. */
 import type { CancellationFrame, StatusFrame } from '#peer';
 import { STEP_S } from './timing.js';
 
-/** What one node tells another. */
+/** A message between two controllers. */
 export type Message = { kind: 'status'; frame: StatusFrame } | CancellationFrame;
 
-/** One direction between two nodes: in order, and slow, held back or dead for a while. */
+/** One direction of a connection. Delivers in order; can be delayed, can stall, or can drop messages for some time. */
 export class LinkModel {
   delayS = STEP_S / 2;
   heldUntil = -Infinity;
@@ -16,10 +16,10 @@
     if (now >= this.deadUntil) this.queue.push({ at: now + this.delayS, message });
   }
 
-  arrived(now: number): Message[] {
+  takeArrived(now: number): Message[] {
     if (now < this.heldUntil) return [];
     const next = this.queue.findIndex((m) => m.at > now);
-    const out = this.queue.splice(0, next < 0 ? this.queue.length : next);
-    return out.map((m) => m.message);
+    const arrived = this.queue.splice(0, next < 0 ? this.queue.length : next);
+    return arrived.map((m) => m.message);
   }
 }
--- a/packages/testing/models/leader-with-workers/mail.ts
+++ b/packages/testing/models/leader-with-workers/message-queue.ts
@@ -1,21 +1,21 @@
-/** Messages under way in the model. */
+/** The messages in flight in the model. */
 
-/** A message and its time of arrival, in seconds. */
+/** A message and the time of its delivery in seconds. */
 interface Message {
   at: number;
   deliver: (now: number) => void;
 }
 
-/** Messages under way, delivered by the time of their arrival. */
-export class Mail {
+/** Holds messages in flight and delivers them in the order of their delivery times. */
+export class MessageQueue {
   private messages: Message[] = [];
 
-  post(at: number, deliver: (now: number) => void): void {
+  schedule(at: number, deliver: (now: number) => void): void {
     this.messages.push({ at, deliver });
   }
 
-  /** Delivers what has arrived by now. */
-  deliver(now: number): void {
+  /** Delivers all messages that are due. */
+  deliverDue(now: number): void {
     const { messages } = this;
     messages.sort((first, second) => first.at - second.at);
     for (let next = messages.at(0); next && next.at <= now; next = messages.at(0)) {
--- a/packages/testing/models/leader-with-workers/recorder.ts
+++ b/packages/testing/models/leader-with-workers/recorder.ts
@@ -1,18 +1,18 @@
-/** Writes what a leader of the model has changed to the durable records. */
+/** Writes a leader's changes to the durable records of the model. */
 import type { FleetState, JobState, Machine } from '#core';
 import type { DurableRecords } from './durable-records.js';
 import type { LeaderMistake } from './mistakes.js';
 
-/** Makes a leader's state durable under the condition of its term, all at once. */
+/** Writes all changes of a leader in one transaction, on the condition that its term is the newest one. */
 export class RecorderModel {
   constructor(
     private readonly records: DurableRecords,
     private readonly term: number,
     private readonly fleet: FleetState,
-    private readonly mistake: LeaderMistake,
+    private readonly seededFault: LeaderMistake,
   ) {}
 
-  /** Records all that has changed since the last call. */
+  /** Records all changes since the last call. */
   record(): void {
     const { records, fleet } = this;
     if (records.term !== this.term) return;
@@ -23,7 +23,7 @@
       this.recordProgress(job);
     }
     fleet.unrecorded.jobs.clear();
-    if (this.mistake !== 'order-before-record') {
+    if (this.seededFault !== 'order-before-record') {
       for (const name of fleet.unrecorded.machines) this.recordMachine(name);
     }
     fleet.unrecorded.machines.clear();
@@ -36,7 +36,7 @@
     const done = new Set<number>();
     for (let index = 0; index < tasks; index++) if (job.done.has(index)) done.add(index);
     records.done.set(id, done);
-    const isComplete = this.mistake === 'done-early' ? done.size > 0 : done.size === tasks;
+    const isComplete = this.seededFault === 'done-early' ? done.size > 0 : done.size === tasks;
     if (isComplete && record.phase === 'accepted') {
       record.phase = 'done';
       fleet.closeJob(job, 'done', 0);
@@ -62,7 +62,7 @@
   }
 }
 
-/** The machine's tasks may be started now. */
+/** Marks all assignments to the machine as recorded, so that their starts may be sent. */
 export function markRecorded(machine: Machine): void {
   for (const assignment of machine.tasks.values()) assignment.recorded = true;
 }
--- a/packages/testing/models/leader-with-workers/worker.ts
+++ b/packages/testing/models/leader-with-workers/worker.ts
@@ -1,26 +1,26 @@
-/** The workers of the model. */
+/** A worker of the model. */
 import { type Order, type Heartbeat, taskName, type TaskRef, type TaskStatus } from '#wire';
 import { STD } from '../../samples.js';
 
 /** A task that a worker holds. */
 export interface HeldTask extends TaskStatus {
   startedAt: number;
-  runS: number;
+  durationS: number;
 }
 
-/** The machine of a worker, and what its tasks depend on. */
+/** A worker's machine, its lease, and hooks for its tasks. */
 export interface WorkerModelOptions {
   name: string;
   zone: string;
   spot: boolean;
   leaseS: number;
   /** How long the tasks of a job run; seconds. */
-  runS: (job: string) => number;
-  /** Told of each task that it starts. */
+  taskDurationS: (job: string) => number;
+  /** Called for each task that the worker starts. */
   onStart: (worker: WorkerModel, task: HeldTask) => void;
 }
 
-/** A worker as the protocol describes it: fencing tokens, agent epochs, leases, orders. */
+/** A worker that follows the protocol: fencing tokens, agent epochs, leases, orders. */
 export class WorkerModel {
   readonly name: string;
   readonly zone: string;
@@ -36,12 +36,12 @@
     ({ name: this.name, zone: this.zone, spot: this.spot } = options);
   }
 
-  /** Tasks that are on the machine now, in the protocol's sense. */
-  present(): HeldTask[] {
+  /** The tasks on the machine that have not exited. */
+  presentTasks(): HeldTask[] {
     return [...this.tasks.values()].filter((task) => task.state !== 'exited');
   }
 
-  /** Ends all tasks if the lease has run out, and lets them go on otherwise. */
+  /** Ends all tasks and the agent epoch if the lease has expired; advances all remaining tasks. */
   advance(now: number): void {
     if (now - this.renewedAt > this.options.leaseS) {
       this.tasks.clear();
@@ -78,21 +78,21 @@
     };
   }
 
-  /** The answer to a heartbeat of that agent epoch, which was sent at `sentAt`. */
-  answer(
-    to: { agentEpoch: number; sentAt: number },
+  /** Handles the answer to the heartbeat `answered`, unless its fencing token or agent epoch is outdated. */
+  handleAnswer(
+    answered: { agentEpoch: number; sentAt: number },
     fencingToken: number,
     orders: Order[],
     now: number,
   ): void {
-    if (fencingToken < this.fencingToken || to.agentEpoch !== this.agentEpoch) return;
+    if (fencingToken < this.fencingToken || answered.agentEpoch !== this.agentEpoch) return;
     this.fencingToken = fencingToken;
-    this.renewedAt = Math.max(this.renewedAt, to.sentAt);
+    this.renewedAt = Math.max(this.renewedAt, answered.sentAt);
     this.execute(orders, now);
   }
 
-  /** A direct command: runs whenever it arrives, if fencing token and agent epoch still match; null if not. */
-  command(
+  /** Executes a direct command unless its fencing token or agent epoch is outdated; returns null in that case. */
+  handleCommand(
     fencingToken: number,
     agentEpoch: number,
     orders: Order[],
@@ -122,7 +122,7 @@
   }
 
   private start(name: string, { job, index, attempt }: TaskRef, now: number): void {
-    const { runS, onStart } = this.options;
+    const { taskDurationS, onStart } = this.options;
     const task: HeldTask = {
       job,
       index,
@@ -131,7 +131,7 @@
       cause: null,
       checkpointed: false,
       startedAt: now,
-      runS: runS(job),
+      durationS: taskDurationS(job),
     };
     this.tasks.set(name, task);
     onStart(this, task);
@@ -140,7 +140,7 @@
 
 function advanceTask(task: HeldTask, now: number): void {
   if (task.state === 'fetching') task.state = 'running';
-  else if (task.state === 'running' && now - task.startedAt >= task.runS) {
+  else if (task.state === 'running' && now - task.startedAt >= task.durationS) {
     task.state = 'exited';
     task.cause = 'done';
   }
--- a/packages/testing/models/replica-groups/checks.ts
+++ b/packages/testing/models/replica-groups/checks.ts
@@ -1,21 +1,25 @@
-/** What must never be in a state of the model, and where it may rest. */
+/** The invariants of the replica group model, and its accepted end states. */
 import { phaseOf } from '#replicas';
 import type { ReplicaModelState } from './state.js';
 
-/** What must never be, or null. */
-export function breachIn({ leader, machines, brokenAnswer }: ReplicaModelState): string | null {
+/** Name of an invariant that the state violates, or null. */
+export function findViolation({
+  leader,
+  machines,
+  hasBrokenAnswer,
+}: ReplicaModelState): string | null {
   const { places, ending, members } = leader.group;
   const placed = new Set(places.map(({ member }) => member)).size;
   if (placed > 0 && placed < members && !ending) return 'incomplete generation kept';
-  if (brokenAnswer) return 'broken answer';
+  if (hasBrokenAnswer) return 'broken answer';
   const tasks = machines.flatMap(({ task }) => (task === null ? [] : [task]));
   if (new Set(tasks.map(({ generation }) => generation)).size > 1) return 'two generations';
-  if (new Set(tasks.map(({ member }) => member)).size < tasks.length) return 'doubled member';
+  if (new Set(tasks.map(({ member }) => member)).size < tasks.length) return 'duplicate member';
   return null;
 }
 
-/** The replica is whole by the leader's state, and so it is. */
-export function isAtRest({ leader, former, machines, request }: ReplicaModelState): boolean {
+/** Whether the replica is whole by the leader's state and on the machines, with no former leader or request left. */
+export function isQuiescent({ leader, former, machines, request }: ReplicaModelState): boolean {
   const running = machines.filter(({ task }) => task?.generation === leader.group.generation);
   const isWhole = phaseOf(leader.group) === 'whole' && running.length === leader.group.members;
   return isWhole && former === null && request === null;
--- a/packages/testing/models/replica-groups/leader.ts
+++ b/packages/testing/models/replica-groups/leader.ts
@@ -1,4 +1,4 @@
-/** What a leader of the model does, by the production code's state machine. */
+/** The actions of a leader of the model, decided by the production code's state machine. */
 import type { Draft } from 'immer';
 import { type GroupEvent, type GroupState, mayBePlaced, mayStart, step } from '#replicas';
 import type { ReplicaMistake } from './mistakes.js';
@@ -11,66 +11,66 @@
   type ReplicaModelState,
 } from './state.js';
 
-/** Generations of one term are below those of the next. */
+/** Makes the generations of a term lower than those of the next term. */
 const GENERATIONS_PER_TERM = 100;
 
-/** Applies an event; what is to be stopped is marked so, or gone at once if its start was never sent. */
+/** Applies an event. Marks the members that are to be stopped; those whose start was never sent are gone at once. */
 export function applyEvent(
   leader: Draft<ModelLeader>,
   event: GroupEvent,
-  mistake: ReplicaMistake,
+  seededFault: ReplicaMistake,
 ): void {
   const { state, stop } = step(leader.group, event);
-  if (mistake === 'keeps-the-rest' && event.kind === 'gone') {
-    leader.group = { ...state, ending: false, places: state.places.map(unended) };
+  if (seededFault === 'keeps-the-rest' && event.kind === 'gone') {
+    leader.group = { ...state, ending: false, places: state.places.map(withoutEnding) };
     return;
   }
   leader.group = state as Draft<GroupState>;
   for (const { member, generation } of stop) {
-    const at = leader.places.findIndex(
+    const machineIndex = leader.places.findIndex(
       (place) => place?.member === member && place.generation === generation,
     );
-    const place = placeAt(leader, at);
+    const place = placeAt(leader, machineIndex);
     place.stopping = true;
     if (place.sent || place.inherited) continue;
-    leader.places[at] = null;
-    applyEvent(leader, { kind: 'gone', member, generation }, mistake);
+    leader.places[machineIndex] = null;
+    applyEvent(leader, { kind: 'gone', member, generation }, seededFault);
   }
 }
 
-function unended<P extends { ending: boolean }>(place: P): P {
+function withoutEnding<P extends { ending: boolean }>(place: P): P {
   return { ...place, ending: false };
 }
 
-/** Machines that get the members of a new generation; null if it may not begin, or there are too few. */
-export function machinesForNext(
+/** Chooses the machines for a new generation; null if none may begin yet, or if too few machines are free. */
+export function chooseMachines(
   { group, places }: ModelLeader,
   isUsable: (machine: number) => boolean,
-  mistake: ReplicaMistake,
+  seededFault: ReplicaMistake,
 ): number[] | null {
-  const isEarly = mistake === 'places-before-gone' && group.ending;
+  const isEarly = seededFault === 'places-before-gone' && group.ending;
   if (!mayBePlaced(group) && !isEarly) return null;
-  const usable = places.map((_, at) => at).filter(isUsable);
-  const free = usable.filter((at) => places[at] === null);
-  const taken = usable.filter((at) => places[at] !== null);
+  const usable = places.map((_, machineIndex) => machineIndex).filter(isUsable);
+  const free = usable.filter((machineIndex) => places[machineIndex] === null);
+  const taken = usable.filter((machineIndex) => places[machineIndex] !== null);
   const chosen = isEarly ? [...free, ...taken] : free;
   return chosen.length >= MEMBERS ? chosen.slice(0, MEMBERS) : null;
 }
 
-/** Gives the members of a new generation places. */
-export function beginGeneration(
+/** Places the members of a new generation on the machines. */
+export function placeGeneration(
   leader: Draft<ModelLeader>,
   machines: number[],
-  mistake: ReplicaMistake,
+  seededFault: ReplicaMistake,
 ): void {
-  const generation = leader.term * GENERATIONS_PER_TERM + leader.starts++;
-  if (mistake === 'places-before-gone') {
-    // What is left of the old generation is forgotten by the state machine, and keeps running.
+  const generation = leader.term * GENERATIONS_PER_TERM + leader.generationsStarted++;
+  if (seededFault === 'places-before-gone') {
+    // The state machine forgets the rest of the old generation, which goes on running.
     leader.group = { ...leader.group, places: [], ending: false };
     leader.places = leader.places.map(() => null);
   }
-  machines.forEach((at, member) => {
-    leader.places[at] = {
+  machines.forEach((machineIndex, member) => {
+    leader.places[machineIndex] = {
       member,
       generation,
       durable: false,
@@ -80,30 +80,30 @@
       seenRunning: false,
       stopping: false,
     };
-    applyEvent(leader, { kind: 'placed', member, generation }, mistake);
+    applyEvent(leader, { kind: 'placed', member, generation }, seededFault);
   });
 }
 
-/** Whether the leader would send the start of the place now. */
-export function sendsStart(
+/** Whether the leader may send the start of the placed member now. */
+export function shouldSendStart(
   { group }: ModelLeader,
   place: LeaderPlace,
-  mistake: ReplicaMistake,
+  seededFault: ReplicaMistake,
 ): boolean {
   if (place.sent || place.inherited || place.stopping) return false;
-  if (mistake === 'starts-unrecorded') return place.generation === group.generation;
+  if (seededFault === 'starts-unrecorded') return place.generation === group.generation;
   return mayStart(group, place.generation);
 }
 
-/** The next leader, which knows what the records hold and nothing else. */
+/** Returns the next leader, whose state is built from the records alone. */
 export function leaderFromRecords(
   { leader, machines }: ReplicaModelState,
-  mistake: ReplicaMistake,
+  seededFault: ReplicaMistake,
 ): Draft<ModelLeader> {
   const next = newLeader(leader.term + 1) as Draft<ModelLeader>;
-  machines.forEach(({ record }, at) => {
+  machines.forEach(({ record }, machineIndex) => {
     if (record === null) return;
-    next.places[at] = {
+    next.places[machineIndex] = {
       ...record,
       durable: true,
       recorded: true,
@@ -112,8 +112,8 @@
       seenRunning: false,
       stopping: false,
     };
-    applyEvent(next, { kind: 'inherited', ...record }, mistake);
+    applyEvent(next, { kind: 'inherited', ...record }, seededFault);
   });
-  if (mistake !== 'adopts-incomplete') applyEvent(next, { kind: 'loaded' }, mistake);
+  if (seededFault !== 'adopts-incomplete') applyEvent(next, { kind: 'loaded' }, seededFault);
   return next;
 }
