--- a/packages/testing/simulation/comparison/options.ts
+++ b/packages/testing/simulation/comparison/options.ts
@@ -33,7 +33,7 @@
 }
 
 /** The module of a built checkout that exports `runScenario`. */
-const SIMULATION = 'target/testing/simulation/index.js';
+const SIMULATION_MODULE = 'target/testing/simulation/index.js';
 
 /** Reads the command line; throws CommanderError or BadArguments. */
 export function readOptions(args: string[]): ComparisonOptions {
@@ -47,9 +47,9 @@
 
 /** Path of the simulation module of a built checkout; throws BadArguments if it isn't built. */
 export function simulationOf(directory: string): string {
-  const simulation = path.join(directory, SIMULATION);
+  const simulation = path.join(directory, SIMULATION_MODULE);
   if (existsSync(simulation)) return simulation;
-  throw new BadArguments(`--sources ${directory}: ${SIMULATION} is missing; build it first`);
+  throw new BadArguments(`--sources ${directory}: ${SIMULATION_MODULE} is missing; build it first`);
 }
 
 /** The seeds of `7` or `1-40`. */
--- a/packages/testing/simulation/comparison/planned-runs.ts
+++ b/packages/testing/simulation/comparison/planned-runs.ts
@@ -12,7 +12,7 @@
 }
 
 /** Long enough for three or four clusters of faults. */
-const RANDOM_LENGTH_S = 300;
+const RANDOM_SCENARIO_LENGTH_S = 300;
 /** Seeds of random scenarios unless others are chosen. */
 const DEFAULT_SEEDS = [1, 2, 3, 4, 5, 6, 7, 8, 9, 10];
 
@@ -29,7 +29,7 @@
 /** Random scenarios on the small cluster, one for each seed, which also draws the scenario. */
 export function randomRuns(seeds: number[]): PlannedRun[] {
   return seeds.map((seed) => ({
-    scenario: randomScenario(new Chance(seed), SMALL_CLUSTER, RANDOM_LENGTH_S),
+    scenario: randomScenario(new Chance(seed), SMALL_CLUSTER, RANDOM_SCENARIO_LENGTH_S),
     seed,
   }));
 }
--- a/packages/testing/simulation/comparison/worker-pool.ts
+++ b/packages/testing/simulation/comparison/worker-pool.ts
@@ -5,9 +5,9 @@
 import type { PlannedRun, RunOutcome } from './run-outcome.js';
 import type { PlayRequest } from './worker.js';
 
-const WORKER = fileURLToPath(new URL('worker.js', import.meta.url));
+const WORKER_PROGRAM = fileURLToPath(new URL('worker.js', import.meta.url));
 /** Whatever a run writes goes to standard error; standard output holds the comparison. */
-const STANDARD_ERROR = 2;
+const STDERR_FD = 2;
 
 /** Limits how many runs are played at the same time. */
 export class WorkerPool {
@@ -19,17 +19,17 @@
 
   /** Plays the run with the simulation module at that path; never rejects. */
   async play(simulation: string, run: PlannedRun): Promise<RunOutcome> {
-    await this.enter();
+    await this.acquireSlot();
     try {
       return await playInProcess({ simulation, run });
     } catch (error) {
       return { kind: 'failed', reason: String(error) };
     } finally {
-      this.leave();
+      this.releaseSlot();
     }
   }
 
-  private async enter(): Promise<void> {
+  private async acquireSlot(): Promise<void> {
     if (this.running < this.size) {
       this.running++;
       return;
@@ -38,7 +38,7 @@
   }
 
   /** Hands the place to the next run that waits. */
-  private leave(): void {
+  private releaseSlot(): void {
     const next = this.waiting.shift();
     if (next) next();
     else this.running--;
@@ -46,9 +46,9 @@
 }
 
 async function playInProcess(request: PlayRequest): Promise<RunOutcome> {
-  const worker = fork(WORKER, {
+  const worker = fork(WORKER_PROGRAM, {
     serialization: 'advanced',
-    stdio: ['ignore', STANDARD_ERROR, STANDARD_ERROR, 'ipc'],
+    stdio: ['ignore', STDERR_FD, STDERR_FD, 'ipc'],
   });
   const received: { outcome: RunOutcome | null } = { outcome: null };
   worker.once('message', (message) => {
--- a/packages/testing/simulation/comparison/worker.ts
+++ b/packages/testing/simulation/comparison/worker.ts
@@ -29,12 +29,12 @@
   }
 }
 
-async function answer(request: PlayRequest): Promise<void> {
+async function handleRequest(request: PlayRequest): Promise<void> {
   const outcome = await play(request);
   // The run may leave timers behind, which would keep the process alive.
   if (process.send === undefined) throw new Error('this program runs only as a child process');
   process.send(outcome, () => process.exit());
 }
 
-process.once('message', (request) => void answer(request as PlayRequest));
+process.once('message', (request) => void handleRequest(request as PlayRequest));
 process.once('disconnect', () => process.exit());
--- a/packages/testing/simulation/faults/cloud-faults.ts
+++ b/packages/testing/simulation/faults/cloud-faults.ts
@@ -1,12 +1,12 @@
 /** Faults of the cloud. */
 import { QUICK_BOOTS, type CloudService } from '../../stand-ins/index.js';
 import type { CloudFault } from '../scenario.js';
-import { effect, type FaultEffect } from './effect.js';
-import { Overlap } from './overlap.js';
+import { makeEffect, type FaultEffect } from './effect.js';
+import { OverlapCounter } from './overlap.js';
 
 /** Faults of the cloud's interface; outages may overlap. */
 export class CloudFaults {
-  private readonly overlap = new Overlap<string>();
+  private readonly overlap = new OverlapCounter<string>();
 
   constructor(private readonly cloud: CloudService) {}
 
@@ -17,7 +17,7 @@
         const start = () => {
           cloud.beginOutage();
         };
-        return effect({
+        return makeEffect({
           end: this.overlap.begin('outage', start, () => {
             cloud.endOutage();
           }),
@@ -25,14 +25,14 @@
       }
       case 'late-rentals':
         cloud.beginLateRequests(fault.share, fault.delayS);
-        return effect({
+        return makeEffect({
           end: () => {
             cloud.endLateRequests();
           },
         });
       case 'quick-boots':
         cloud.setBootProfile(QUICK_BOOTS);
-        return effect({
+        return makeEffect({
           end: () => {
             cloud.setBootProfile();
           },
--- a/packages/testing/simulation/faults/controller-faults.ts
+++ b/packages/testing/simulation/faults/controller-faults.ts
@@ -3,7 +3,7 @@
 import type { SimulatedNetwork } from '../network.js';
 import type { ControllerFault } from '../scenario.js';
 import type { World } from '../world.js';
-import { effect, type FaultEffect } from './effect.js';
+import { makeEffect, type FaultEffect } from './effect.js';
 import { cutFrom } from './link-faults.js';
 import { type Roles, targetControllers } from './targets.js';
 
@@ -22,10 +22,10 @@
   fault: ControllerFault,
 ): FaultEffect {
   const { network, controllers, roles } = context;
-  if (fault.kind === 'controller-roll') return roll(context, fault);
+  if (fault.kind === 'controller-roll') return restartInTurn(context, fault);
   if (fault.kind === 'peers-cut') {
     const hosts = controllers.map((c) => c.host);
-    return effect({
+    return makeEffect({
       controllers: names(controllers),
       end: cutFrom(network, hosts, ['controllers'], fault.mode),
     });
@@ -35,18 +35,18 @@
     case 'controller-cut': {
       const hosts = hit.map((c) => c.host);
       const end = cutFrom(network, hosts, fault.from, fault.mode);
-      return effect({ controllers: names(hit), end });
+      return makeEffect({ controllers: names(hit), end });
     }
     case 'controller-crash':
       for (const c of hit) c.process.restart(fault.downS, fault.silent ? 'silent' : 'reset');
-      return effect({ controllers: names(hit) });
+      return makeEffect({ controllers: names(hit) });
     case 'controller-freeze':
       for (const c of hit) c.process.freeze(fault.forS);
-      return effect({ controllers: names(hit) });
+      return makeEffect({ controllers: names(hit) });
   }
 }
 
-function roll(
+function restartInTurn(
   { world, controllers, roles }: ControllerFaultContext,
   { downS, intervalS }: ControllerFault & { kind: 'controller-roll' },
 ): FaultEffect {
@@ -57,7 +57,7 @@
       controller.process.restart(downS);
     });
   });
-  return effect({ controllers: names(controllers) });
+  return makeEffect({ controllers: names(controllers) });
 }
 
 function names(controllers: SimulatedController[]): string[] {
--- a/packages/testing/simulation/faults/duration.ts
+++ b/packages/testing/simulation/faults/duration.ts
@@ -2,7 +2,7 @@
 import type { Fault } from '../scenario.js';
 
 /** A transaction, heartbeat or command that is held up is carried out within this time. */
-const LONGEST_DELAY_S = 30;
+const MAX_DELAY_S = 30;
 
 /** Seconds from the beginning of a fault until it and all that follows directly from it are over. */
 export function faultLengthS(fault: Fault, controllers: number): number {
@@ -22,7 +22,7 @@
     case 'late-rentals':
     case 'late-reports':
     case 'late-commands':
-      return fault.forS + (fault.delayS?.[1] ?? LONGEST_DELAY_S);
+      return fault.forS + (fault.delayS?.[1] ?? MAX_DELAY_S);
     default:
       return fault.forS;
   }
--- a/packages/testing/simulation/faults/effect.ts
+++ b/packages/testing/simulation/faults/effect.ts
@@ -12,6 +12,6 @@
 }
 
 /** An effect that hits nothing and needs no end, but for what is given. */
-export function effect(overrides: Partial<FaultEffect>): FaultEffect {
+export function makeEffect(overrides: Partial<FaultEffect>): FaultEffect {
   return { controllers: [], machines: [], jobs: [], end: null, ...overrides };
 }
--- a/packages/testing/simulation/faults/link-faults.ts
+++ b/packages/testing/simulation/faults/link-faults.ts
@@ -5,9 +5,9 @@
 import type { CutFrom, CutMode } from '../scenario.js';
 
 /** Ends a fault. */
-type End = () => void;
+type EndFault = () => void;
 
-const ROLES_OF: Record<CutFrom, HostRole[]> = {
+const HOST_ROLES: Record<CutFrom, HostRole[]> = {
   state: ['state'],
   cloud: ['cloud'],
   controllers: ['controller'],
@@ -21,7 +21,7 @@
   one: HostFilter,
   other: HostFilter,
   mode: CutMode,
-): End {
+): EndFault {
   const ends = [
     network.apply({ opener: one, acceptor: other, effect: mode }),
     network.apply({ opener: other, acceptor: one, effect: mode }),
@@ -39,27 +39,27 @@
   hosts: SimulatedHost[],
   from: CutFrom[],
   mode: CutMode,
-): End {
-  const inside = new Set(hosts);
-  const roles = new Set(from.flatMap((kind) => ROLES_OF[kind]));
+): EndFault {
+  const selected = new Set(hosts);
+  const roles = new Set(from.flatMap((kind) => HOST_ROLES[kind]));
   // Two of the hosts are cut off from each other as well; only a host's way to itself stays.
-  const isFar: HostFilter = (host) => roles.has(host.role);
-  const isNear: HostFilter = (host) => inside.has(host);
-  return cutBetween(network, isNear, isFar, mode);
+  const hasTargetRole: HostFilter = (host) => roles.has(host.role);
+  const isSelected: HostFilter = (host) => selected.has(host);
+  return cutBetween(network, isSelected, hasTargetRole, mode);
 }
 
 /** Cuts a zone off from everything outside of it. */
-export function cutZone(network: SimulatedNetwork, zone: string, mode: CutMode): End {
+export function cutZone(network: SimulatedNetwork, zone: string, mode: CutMode): EndFault {
   const inZone: HostFilter = (host) => host.zone === zone;
   return cutBetween(network, inZone, (host) => !inZone(host), mode);
 }
 
 /** Machines whose heartbeats arrive while answers and direct commands to them are lost. */
-export function deafen(network: SimulatedNetwork, machines: SimulatedHost[]): End {
-  const isMachine = filterOf(machines);
+export function dropInbound(network: SimulatedNetwork, machines: SimulatedHost[]): EndFault {
+  const isMachine = matchAny(machines);
   const ends = [
-    applyBetween(network, isMachine, isController, 'drop-answers'),
-    applyBetween(network, isController, isMachine, 'drop'),
+    applyRule(network, isMachine, isController, 'drop-answers'),
+    applyRule(network, isController, isMachine, 'drop'),
   ];
   return () => {
     ends.forEach((end) => {
@@ -69,22 +69,26 @@
 }
 
 /** Machines that reach no controller while direct commands reach them. */
-export function mute(network: SimulatedNetwork, machines: SimulatedHost[], mode: CutMode): End {
-  return applyBetween(network, filterOf(machines), isController, mode);
+export function cutOutbound(
+  network: SimulatedNetwork,
+  machines: SimulatedHost[],
+  mode: CutMode,
+): EndFault {
+  return applyRule(network, matchAny(machines), isController, mode);
 }
 
 const isController: HostFilter = (host) => host.role === 'controller';
 
-function filterOf(hosts: SimulatedHost[]): HostFilter {
+function matchAny(hosts: SimulatedHost[]): HostFilter {
   const set = new Set(hosts);
   return (host) => set.has(host);
 }
 
-function applyBetween(
+function applyRule(
   network: SimulatedNetwork,
   opener: HostFilter,
   acceptor: HostFilter,
   linkEffect: LinkEffect,
-): End {
+): EndFault {
   return network.apply({ opener, acceptor, effect: linkEffect });
 }
--- a/packages/testing/simulation/faults/machine-faults.ts
+++ b/packages/testing/simulation/faults/machine-faults.ts
@@ -4,14 +4,14 @@
 import type { Machines, SimulatedMachine } from '../machines.js';
 import type { SimulatedNetwork } from '../network.js';
 import type { MachineFault } from '../scenario.js';
-import { effect, type FaultEffect } from './effect.js';
-import { cutFrom, cutZone, deafen, mute } from './link-faults.js';
-import { Overlap } from './overlap.js';
+import { makeEffect, type FaultEffect } from './effect.js';
+import { cutFrom, cutZone, dropInbound, cutOutbound } from './link-faults.js';
+import { OverlapCounter } from './overlap.js';
 import { targetMachines } from './targets.js';
 
 /** Faults of machines and zones. */
 export class MachineFaults {
-  private readonly hangs = new Overlap<string>();
+  private readonly hangs = new OverlapCounter<string>();
 
   constructor(
     private readonly network: SimulatedNetwork,
@@ -19,7 +19,7 @@
     private readonly cloud: CloudService,
     private readonly chance: Chance,
     /** Machines of the replica that faults are about. */
-    private readonly ofReplica: () => string[],
+    private readonly replicaMachines: () => string[],
   ) {}
 
   begin(fault: MachineFault): FaultEffect {
@@ -30,21 +30,21 @@
     switch (fault.kind) {
       case 'machine-death':
         for (const name of hit) this.cloud.kill(name);
-        return effect({ machines: hit });
+        return makeEffect({ machines: hit });
       case 'machine-taken':
         for (const name of hit) this.cloud.takeBack(name, fault.noticeS);
-        return effect({ machines: hit });
+        return makeEffect({ machines: hit });
       case 'machine-hang':
-        return effect({ machines: hit, end: this.hang(machines) });
+        return makeEffect({ machines: hit, end: this.hang(machines) });
       case 'machine-cut':
-        return effect({
+        return makeEffect({
           machines: hit,
           end: cutFrom(this.network, hosts, ['controllers'], fault.mode),
         });
       case 'machine-deaf':
-        return effect({ machines: hit, end: deafen(this.network, hosts) });
+        return makeEffect({ machines: hit, end: dropInbound(this.network, hosts) });
       case 'machine-mute':
-        return effect({ machines: hit, end: mute(this.network, hosts, fault.mode) });
+        return makeEffect({ machines: hit, end: cutOutbound(this.network, hosts, fault.mode) });
     }
   }
 
@@ -52,7 +52,7 @@
     const candidates = this.candidates(fault);
     const { machines } = fault;
     if (!('ofReplica' in machines)) return targetMachines(candidates, machines, this.chance);
-    const names = this.ofReplica();
+    const names = this.replicaMachines();
     return candidates.filter(({ name }) => names.includes(name)).slice(0, machines.ofReplica);
   }
 
@@ -80,7 +80,7 @@
     const inZone = this.network.allHosts().filter((host) => host.zone === zone);
     const controllers = inZone.filter((host) => host.role === 'controller');
     const machines = inZone.filter((host) => host.role === 'worker' && host.powered);
-    return effect({
+    return makeEffect({
       controllers: controllers.map((host) => host.name),
       machines: machines.map((host) => host.name),
       end: cutZone(this.network, zone, mode),
--- a/packages/testing/simulation/faults/operator-requests.ts
+++ b/packages/testing/simulation/faults/operator-requests.ts
@@ -6,7 +6,7 @@
 import type { MigrationPhases } from '../migration-phases.js';
 import type { OperatorRequest } from '../scenario.js';
 import type { World } from '../world.js';
-import { effect, type FaultEffect } from './effect.js';
+import { makeEffect, type FaultEffect } from './effect.js';
 
 const SHARD = 0;
 
@@ -24,22 +24,22 @@
   { everyS }: OperatorRequest,
 ): FaultEffect {
   const { world, controllers } = context;
-  let going = true;
+  let active = true;
   let round = 0;
-  const next = () => {
-    if (!going) return;
-    requestMove(context, controllers[++round % controllers.length].name);
-    world.schedule(everyS, next);
+  const requestNext = () => {
+    if (!active) return;
+    requestMigration(context, controllers[++round % controllers.length].name);
+    world.schedule(everyS, requestNext);
   };
-  next();
-  return effect({
+  requestNext();
+  return makeEffect({
     controllers: controllers.map(({ name }) => name),
-    end: () => void (going = false),
+    end: () => void (active = false),
   });
 }
 
 /** Requests a migration as the command line does: if there is a leader, and no migration is under way. */
-function requestMove({ state, moves }: OperatorContext, to: string): void {
+function requestMigration({ state, moves }: OperatorContext, to: string): void {
   const { store } = state;
   const shard = store.get(shardKey(SHARD));
   if (!shard || store.get(migrationKey(SHARD)) || decodeLeader(shard.value).leader === to) return;
--- a/packages/testing/simulation/faults/overlap.ts
+++ b/packages/testing/simulation/faults/overlap.ts
@@ -1,6 +1,6 @@
 /** Counts faults of one kind that overlap. */
 /** Faults of one kind that overlap: the first begins it, the last ends it. */
-export class Overlap<Key> {
+export class OverlapCounter<Key> {
   private readonly counts = new Map<Key, number>();
 
   /** Begins for the key unless it is in force; the returned function ends this share of it. */
@@ -9,9 +9,9 @@
     this.counts.set(key, before + 1);
     if (before === 0) start();
     return () => {
-      const left = (this.counts.get(key) ?? 0) - 1;
-      this.counts.set(key, left);
-      if (left === 0) stop();
+      const remaining = (this.counts.get(key) ?? 0) - 1;
+      this.counts.set(key, remaining);
+      if (remaining === 0) stop();
     };
   }
 }
--- a/packages/testing/simulation/faults/state-faults.ts
+++ b/packages/testing/simulation/faults/state-faults.ts
@@ -2,13 +2,13 @@
 import type { StateService } from '../../stand-ins/index.js';
 import type { SimulatedController } from '../controllers.js';
 import type { StateFault } from '../scenario.js';
-import { effect, type FaultEffect } from './effect.js';
-import { Overlap } from './overlap.js';
+import { makeEffect, type FaultEffect } from './effect.js';
+import { OverlapCounter } from './overlap.js';
 import { type Roles, targetControllers } from './targets.js';
 
 /** Faults of the state service, any of which may overlap with others of its kind. */
 export class StateFaults {
-  private readonly overlap = new Overlap<string>();
+  private readonly overlap = new OverlapCounter<string>();
 
   constructor(
     private readonly state: StateService,
@@ -19,7 +19,7 @@
     switch (fault.kind) {
       case 'state-limits':
         this.state.changeLimits(fault.limits);
-        return effect({});
+        return makeEffect({});
       case 'state-outage':
         return this.outage();
       case 'state-refuses':
@@ -45,7 +45,7 @@
     const end = overlap.begin('outage', start, () => {
       state.endOutage();
     });
-    return effect({ controllers: controllers.map((c) => c.name), end });
+    return makeEffect({ controllers: controllers.map((c) => c.name), end });
   }
 
   private refuse(hit: SimulatedController[]): FaultEffect {
@@ -58,7 +58,7 @@
         state.readmit(host.address);
       });
     });
-    return effect({
+    return makeEffect({
       controllers: hit.map((c) => c.name),
       end: () => {
         ends.forEach((end) => {
@@ -71,7 +71,7 @@
   private slow(latencyMs: [number, number]): FaultEffect {
     const { state } = this;
     state.setLatency({ usualMs: latencyMs, slowShare: 0, slowMs: latencyMs });
-    return effect({
+    return makeEffect({
       end: () => {
         state.setLatency();
       },
@@ -80,7 +80,7 @@
 
   private loseAnswers(start: (state: StateService) => void): FaultEffect {
     start(this.state);
-    return effect({
+    return makeEffect({
       end: () => {
         this.state.endLateWrites();
       },
--- a/packages/testing/simulation/faults/targets.ts
+++ b/packages/testing/simulation/faults/targets.ts
@@ -44,10 +44,10 @@
 ): M[] {
   if ('zone' in target) return running.filter((machine) => machine.zone === target.zone);
   const wanted = 'count' in target ? target.count : Math.ceil(target.share * running.length);
-  const left = [...running];
+  const remaining = [...running];
   const drawn: M[] = [];
-  while (drawn.length < wanted && left.length > 0) {
-    drawn.push(...left.splice(chance.int(0, left.length - 1), 1));
+  while (drawn.length < wanted && remaining.length > 0) {
+    drawn.push(...remaining.splice(chance.int(0, remaining.length - 1), 1));
   }
   return drawn;
 }
--- a/packages/testing/simulation/faults/user-faults.ts
+++ b/packages/testing/simulation/faults/user-faults.ts
@@ -3,10 +3,10 @@
 import type { Machines, SimulatedMachine } from '../machines.js';
 import type { UserFault } from '../scenario.js';
 import type { World } from '../world.js';
-import { effect, type FaultEffect } from './effect.js';
+import { makeEffect, type FaultEffect } from './effect.js';
 
 /** Machines of cancelled jobs that hang at the most. */
-const MAX_HANGING = 8;
+const MAX_HUNG_MACHINES = 8;
 
 /** What faults of users act on. */
 export interface UserFaultContext {
@@ -27,21 +27,21 @@
       return cancelNow(context, fault);
     case 'cancel-at-end':
       users.setCancelAtEnd(fault.share);
-      return effect({
+      return makeEffect({
         end: () => {
           users.setCancelAtEnd(0);
         },
       });
     case 'odd-requests':
       users.setOddRequests(true);
-      return effect({
+      return makeEffect({
         end: () => {
           users.setOddRequests(false);
         },
       });
     case 'close-looks':
       users.setPollBursts(true);
-      return effect({
+      return makeEffect({
         end: () => {
           users.setPollBursts(false);
         },
@@ -55,9 +55,9 @@
 ): FaultEffect {
   const hit = [...new Set(users.cancelNow(count, worldState))];
   if (hangS !== undefined) {
-    const hanging = hit.slice(0, MAX_HANGING).map((name) => machines.get(name));
+    const hanging = hit.slice(0, MAX_HUNG_MACHINES).map((name) => machines.get(name));
     const end = hang(hanging.filter((machine) => machine !== undefined));
     world.schedule(hangS, end);
   }
-  return effect({ machines: hit });
+  return makeEffect({ machines: hit });
 }
--- a/packages/testing/simulation/replica-traffic/members.ts
+++ b/packages/testing/simulation/replica-traffic/members.ts
@@ -19,8 +19,8 @@
   constructor(private readonly membersOf: (job: string) => number) {}
 
   observe(event: WorldEvent): void {
-    if (event.kind === 'task-started') this.started(event);
-    else if (event.kind === 'task-left') this.left(event);
+    if (event.kind === 'task-started') this.recordStart(event);
+    else if (event.kind === 'task-left') this.recordEnd(event);
     else if (event.kind === 'machine-hangs') {
       if (event.hanging) this.hanging.add(event.machine);
       else this.hanging.delete(event.machine);
@@ -53,7 +53,7 @@
     }
   }
 
-  private started({ machine, task }: LiveMember): void {
+  private recordStart({ machine, task }: LiveMember): void {
     const members = this.membersOf(task.job);
     if (members < 2) return;
     const first = task.index - (task.index % members);
@@ -65,7 +65,7 @@
     this.byTask.set(key, [...(this.byTask.get(key) ?? []), { machine, task }]);
   }
 
-  private left({ machine, task }: LiveMember): void {
+  private recordEnd({ machine, task }: LiveMember): void {
     const key = taskName(task.job, task.index);
     const rest = (this.byTask.get(key) ?? []).filter(
       (each) => each.machine !== machine || each.task.attempt !== task.attempt,
--- a/packages/testing/simulation/replica-traffic/request-traffic.ts
+++ b/packages/testing/simulation/replica-traffic/request-traffic.ts
@@ -4,7 +4,7 @@
 import type { LiveMember, Members } from './members.js';
 
 /** Seconds that a request takes from one member to the next. */
-const HOP_S: [least: number, most: number] = [0.005, 0.06];
+const HOP_DELAY_S: [least: number, most: number] = [0.005, 0.06];
 
 /** What the traffic needs from its surroundings. */
 export interface TrafficOptions {
@@ -26,52 +26,57 @@
  */
 export class RequestTraffic {
   readonly answers: Answer[] = [];
-  private going = true;
+  private active = true;
 
   constructor(private readonly options: TrafficOptions) {}
 
   start(): void {
     const { everyS, members, schedule } = this.options;
-    if (!this.going) return;
+    if (!this.active) return;
     for (const replica of members.replicas())
-      this.request(replica.job, replica.first, replica.members);
+      this.sendRequest(replica.job, replica.first, replica.members);
     schedule(everyS, () => {
       this.start();
     });
   }
 
   stop(): void {
-    this.going = false;
+    this.active = false;
   }
 
-  private request(job: string, first: number, size: number): void {
+  private sendRequest(job: string, first: number, size: number): void {
     const { members, reaches, chance } = this.options;
     const entries = members.of(job, first).filter(({ machine }) => reaches(null, machine));
     if (entries.length === 0) return;
     const entry = entries[chance.int(0, entries.length - 1)];
-    this.pass(entry, size, [markOf(entry, first)]);
+    this.forward(entry, size, [markOf(entry, first)]);
   }
 
   /** The entry asks the next mate, or answers once it has asked all. */
-  private pass(entry: LiveMember, size: number, marks: Mark[], asked = 1): void {
+  private forward(entry: LiveMember, size: number, marks: Mark[], asked = 1): void {
     const { chance, schedule } = this.options;
-    const [least, most] = HOP_S;
-    schedule(least + (most - least) * chance.next(), () => {
+    const [min, max] = HOP_DELAY_S;
+    schedule(min + (max - min) * chance.next(), () => {
       if (asked === size) this.answer(entry, size, marks);
-      else this.askMate(entry, size, marks, asked);
+      else this.askNextMember(entry, size, marks, asked);
     });
   }
 
-  private askMate(entry: LiveMember, size: number, marks: Mark[], asked: number): void {
+  private askNextMember(entry: LiveMember, size: number, marks: Mark[], asked: number): void {
     const { members, reaches, isFenced } = this.options;
     const { job, index: first, attempt } = entry.task;
-    const mates = members
+    const candidates = members
       .of(job, first + asked)
       .filter(({ machine }) => machine === entry.machine || reaches(entry.machine, machine));
-    const mate = mates.find(({ task }) => !isFenced || task.attempt === attempt);
+    const nextMember = candidates.find(({ task }) => !isFenced || task.attempt === attempt);
     // Without the mate there is no answer, unless the fence is taken out.
-    if (!members.isLive(entry) || (isFenced && !mate)) return;
-    this.pass(entry, size, mate ? [...marks, markOf(mate, first)] : marks, asked + 1);
+    if (!members.isLive(entry) || (isFenced && !nextMember)) return;
+    this.forward(
+      entry,
+      size,
+      nextMember ? [...marks, markOf(nextMember, first)] : marks,
+      asked + 1,
+    );
   }
 
   private answer(entry: LiveMember, members: number, marks: Mark[]): void {
