--- a/packages/testing/simulation/comparison/compare-outcomes.ts
+++ b/packages/testing/simulation/comparison/compare-outcomes.ts
@@ -1,13 +1,16 @@
-/** Compares two outcomes of a run and puts the result in a line. */
+/** Compares two outcomes of a run and describes the result. */
 import type { PlannedRun, RunOutcome } from './run-outcome.js';
 
-/** Runs agree if both came to their ends and their events were the same. */
+/** Whether both runs completed with the same digest and event count. */
 export function agree(here: RunOutcome, there: RunOutcome): boolean {
   if (here.kind === 'failed' || there.kind === 'failed') return false;
   return here.digest === there.digest && here.eventCount === there.eventCount;
 }
 
-/** One line for the run, and below it one for each problem of this build's run. */
+/**
+ * One line for the result, followed by a line for each problem of this build's run. The problems of the other run
+ * follow if they differ.
+ */
 export function describeComparison(run: PlannedRun, here: RunOutcome, there: RunOutcome): string {
   const verdict = agree(here, there)
     ? `same, ${describeOutcome(here)}`
@@ -17,7 +20,7 @@
   return `${lines.join('\n')}\n`;
 }
 
-/** The same for a run that is compared with nothing. */
+/** One line for the outcome of a run without a comparison, followed by a line for each problem. */
 export function describeRun(run: PlannedRun, outcome: RunOutcome): string {
   const lines = [`${nameOf(run)}: ${describeOutcome(outcome)}`];
   return `${[...lines, ...problemLines('here', outcome)].join('\n')}\n`;
--- a/packages/testing/simulation/comparison/options.ts
+++ b/packages/testing/simulation/comparison/options.ts
@@ -1,26 +1,26 @@
-/** The command line of the program that compares runs. */
+/** Command line of the program that compares runs. */
 import { existsSync } from 'node:fs';
 import path from 'node:path';
 import { Command, InvalidArgumentError } from 'commander';
 
-/** What this build's runs are compared with, or where they are saved. */
+/** Whether runs are compared with another checkout, compared with a file or saved to a file. */
 export type ComparisonMode =
   | { kind: 'sources'; simulation: string }
   | { kind: 'against'; file: string }
   | { kind: 'save'; file: string };
 
-/** What the command line asks for. */
+/** Parsed command line. */
 export interface ComparisonOptions {
   mode: ComparisonMode;
-  /** A file of runs that are played in place of random ones; null for none. */
+  /** File of runs that are executed instead of random scenarios; null for none. */
   recorded: string | null;
-  /** Null for the usual ones of random scenarios, and for all runs of a file. */
+  /** Null for the default seeds of random scenarios, and for all runs of a file. */
   seeds: number[] | null;
-  /** Processes at the same time. */
+  /** Maximum number of concurrent processes. */
   jobs: number;
 }
 
-/** Arguments that can't be used; the message names the option and the reason. */
+/** Invalid arguments; the message names the option or file and the reason. */
 export class BadArguments extends Error {}
 
 interface RawOptions {
@@ -32,7 +32,7 @@
   jobs: number;
 }
 
-/** The module of a built checkout that exports `runScenario`. */
+/** Path of the module that exports `runScenario`, relative to the root of a built checkout. */
 const SIMULATION_MODULE = 'target/testing/simulation/index.js';
 
 /** Reads the command line; throws CommanderError or BadArguments. */
@@ -40,42 +40,48 @@
   const raw = makeProgram().parse(args, { from: 'user' }).opts<RawOptions>();
   const { recorded = null, seeds = null, jobs } = raw;
   if (recorded !== null && raw.against !== undefined) {
-    throw new BadArguments('--recorded: --against plays the runs of its own file');
+    throw new BadArguments(
+      '--recorded: cannot be combined with --against, which reads the runs from its own file',
+    );
   }
   return { mode: modeFrom(raw), recorded, seeds, jobs };
 }
 
-/** Path of the simulation module of a built checkout; throws BadArguments if it isn't built. */
+/** Path of the simulation module of a built checkout; throws BadArguments if the checkout isn't built. */
 export function simulationOf(directory: string): string {
   const simulation = path.join(directory, SIMULATION_MODULE);
   if (existsSync(simulation)) return simulation;
   throw new BadArguments(`--sources ${directory}: ${SIMULATION_MODULE} is missing; build it first`);
 }
 
-/** The seeds of `7` or `1-40`. */
+/** Parses one seed, such as `7`, or a range, such as `1-40`. */
 function parseSeeds(text: string): number[] {
   const match = /^(\d+)(?:-(\d+))?$/.exec(text);
   const first = Number(match?.[1]);
   const last = Number(match?.[2] ?? match?.[1]);
-  if (!(first <= last)) throw new InvalidArgumentError('It must be a seed or a range as 1-40.');
+  if (!(first <= last)) throw new InvalidArgumentError('It must be a seed or a range like 1-40.');
   return Array.from({ length: last - first + 1 }, (_, index) => first + index);
 }
 
 function makeProgram(): Command {
   return new Command('compare-runs')
     .description(
-      'Plays random scenarios on the simulated cluster with this build and another one, and compares ' +
+      'Runs random scenarios on the simulated cluster with this build and another one, and compares ' +
         'the events of the runs. Exactly one of --sources, --against and --save is needed.',
     )
     .exitOverride()
     .showSuggestionAfterError(false)
     .allowExcessArguments(false)
-    .option('--sources <directory>', 'another built checkout, which plays the same scenarios')
-    .option('--against <file>', 'play the runs that --save wrote and compare the outcomes')
-    .option('--save <file>', 'play the runs with this build only and write them to the file')
-    .option('--recorded <file>', 'play the runs of this file in place of random ones')
-    .option('--seeds <range>', 'such as 7 or 1-40 (default: 1-10; of a file, all)', parseSeeds)
-    .option('--jobs <number>', 'processes at the same time', parseJobs, 1)
+    .option('--sources <directory>', 'another built checkout that runs the same scenarios')
+    .option('--against <file>', 'repeat the runs that --save wrote and compare the outcomes')
+    .option('--save <file>', 'execute the runs with this build only and write them to the file')
+    .option('--recorded <file>', 'execute the runs of this file instead of random scenarios')
+    .option(
+      '--seeds <range>',
+      'such as 7 or 1-40 (default: 1-10, or all runs of a file)',
+      parseSeeds,
+    )
+    .option('--jobs <number>', 'maximum number of concurrent processes', parseJobs, 1)
     .addHelpText(
       'after',
       '\nExit code: 0 if all runs agree or are saved, 1 if not, 2 for arguments that cannot be used.',
--- a/packages/testing/simulation/comparison/planned-runs.ts
+++ b/packages/testing/simulation/comparison/planned-runs.ts
@@ -1,4 +1,4 @@
-/** The runs that are compared. */
+/** Selects the runs that are compared. */
 import { Chance } from '../../random.js';
 import { SMALL_CLUSTER } from '../cluster-settings.js';
 import { randomScenario } from '../random-scenario.js';
@@ -6,17 +6,17 @@
 import type { PlannedRun, PlayedRun } from './run-outcome.js';
 import { BadRunsFile, loadRuns } from './saved-runs.js';
 
-/** A run, with the outcome to expect if it comes from a file. */
+/** A run, with the expected outcome if the run was loaded from a file. */
 export interface ExpectedRun extends PlannedRun {
   outcome?: PlayedRun;
 }
 
-/** Long enough for three or four clusters of faults. */
+/** Simulated seconds of a random scenario, which leave room for three or four groups of faults. */
 const RANDOM_SCENARIO_LENGTH_S = 300;
-/** Seeds of random scenarios unless others are chosen. */
+/** Default seeds of random scenarios. */
 const DEFAULT_SEEDS = [1, 2, 3, 4, 5, 6, 7, 8, 9, 10];
 
-/** The runs that the options choose; throws BadArguments if there are none. */
+/** Selects runs by the options; throws BadArguments if a file can't be read or has no run with these seeds. */
 export function planRuns({ mode, recorded, seeds }: ComparisonOptions): ExpectedRun[] {
   const file = mode.kind === 'against' ? mode.file : recorded;
   if (file === null) return randomRuns(seeds ?? DEFAULT_SEEDS);
@@ -26,7 +26,7 @@
   return chosen;
 }
 
-/** Random scenarios on the small cluster, one for each seed, which also draws the scenario. */
+/** Runs of random scenarios on the small cluster. Each seed generates the scenario and drives the run. */
 export function randomRuns(seeds: number[]): PlannedRun[] {
   return seeds.map((seed) => ({
     scenario: randomScenario(new Chance(seed), SMALL_CLUSTER, RANDOM_SCENARIO_LENGTH_S),
--- a/packages/testing/simulation/comparison/run-outcome.ts
+++ b/packages/testing/simulation/comparison/run-outcome.ts
@@ -1,34 +1,34 @@
-/** What runs of the simulated cluster are compared by. */
+/** Outcomes by which runs of the simulated cluster are compared. */
 import { inspect } from 'node:util';
 import type { ScenarioResult } from '../run-scenario.js';
 import type { Scenario } from '../scenario.js';
 
-/** One scenario that is played with one seed. */
+/** A scenario to run, with its seed. */
 export interface PlannedRun {
   scenario: Scenario;
   seed: number;
 }
 
-/** A run that came to its end. */
+/** Outcome of a run that completed. */
 export interface PlayedRun {
   kind: 'played';
-  /** Hashes the times and the order of all events, and the sizes of packets. */
+  /** Hash of the times and order of all events and of the sizes of packets. */
   digest: string;
   eventCount: number;
   /** Broken rules and uncaught errors, one line each. */
   problems: string[];
 }
 
-/** A run that threw, or whose process ended before the run did. */
+/** Outcome of a run that threw, or whose process exited before the run completed. */
 export interface FailedRun {
   kind: 'failed';
   reason: string;
 }
 
-/** What became of a run. */
+/** Outcome of a run, completed or failed. */
 export type RunOutcome = PlayedRun | FailedRun;
 
-/** The outcome of a run, which another build may have played. */
+/** Derives the outcome from the result of a run, which another build may have executed. */
 export function outcomeOf(result: ScenarioResult): PlayedRun {
   const problems = [...result.violations, ...result.uncaught];
   return {
--- a/packages/testing/simulation/comparison/saved-runs.ts
+++ b/packages/testing/simulation/comparison/saved-runs.ts
@@ -1,30 +1,30 @@
 /**
- * Files of runs with their outcomes, one JSON object a line. They hold whole scenarios, so that a later build plays
- * just these, and an unchanged build need not be played again for each comparison.
+ * Files of runs with their outcomes, one JSON object per line. The files contain complete scenarios, so that a later
+ * build repeats exactly these, and an unchanged build need not repeat its runs for each comparison.
  */
 import assert from 'node:assert/strict';
 import { appendFileSync, readFileSync, writeFileSync } from 'node:fs';
 import type { PlannedRun, PlayedRun } from './run-outcome.js';
 
-/** One line of a file. */
+/** One line of a file: a run and its outcome. */
 export interface RecordedRun extends PlannedRun {
   outcome: PlayedRun;
 }
 
-/** A file that can't be read, or that holds no runs. */
+/** Error for a file that can't be read or that contains no runs. */
 export class BadRunsFile extends Error {}
 
-/** Writes the file; former contents are lost. */
+/** Writes the runs to the file, replacing its contents. */
 export function saveRuns(file: string, runs: RecordedRun[]): void {
   writeFileSync(file, runs.map(lineOf).join(''));
 }
 
-/** Adds a run to the file; several processes may do so at the same time. */
+/** Appends a run to the file; several processes may append at the same time. */
 export function appendRun(file: string, run: RecordedRun): void {
   appendFileSync(file, lineOf(run));
 }
 
-/** Throws BadRunsFile. */
+/** Loads all runs of the file; throws BadRunsFile if the file can't be read or contains no runs. */
 export function loadRuns(file: string): RecordedRun[] {
   const runs = parseRuns(file);
   if (runs.length === 0) throw new BadRunsFile(`${file}: holds no runs`);
@@ -40,7 +40,7 @@
   }
 }
 
-/** Throws if the run would not be read as it was written. */
+/** Serializes a run as a line; throws if parsing the line would not give an equal run. */
 function lineOf(run: RecordedRun): string {
   const text = JSON.stringify(run);
   assert.deepEqual(JSON.parse(text), run);
--- a/packages/testing/simulation/comparison/worker-pool.ts
+++ b/packages/testing/simulation/comparison/worker-pool.ts
@@ -1,4 +1,4 @@
-/** Plays runs in processes of their own, a few at a time. */
+/** Executes each run in a separate process, with a limit on concurrent processes. */
 import { fork } from 'node:child_process';
 import { once } from 'node:events';
 import { fileURLToPath } from 'node:url';
@@ -6,18 +6,18 @@
 import type { PlayRequest } from './worker.js';
 
 const WORKER_PROGRAM = fileURLToPath(new URL('worker.js', import.meta.url));
-/** Whatever a run writes goes to standard error; standard output holds the comparison. */
+/** Output of runs goes to standard error, because standard output contains the comparison. */
 const STDERR_FD = 2;
 
-/** Limits how many runs are played at the same time. */
+/** Executes runs in child processes, up to a maximum number at the same time. */
 export class WorkerPool {
   private running = 0;
   private readonly waiting: (() => void)[] = [];
 
-  /** At most `size` processes run at the same time. */
+  /** `size` is the maximum number of concurrent processes. */
   constructor(private readonly size: number) {}
 
-  /** Plays the run with the simulation module at that path; never rejects. */
+  /** Executes the run with the simulation module at the path `simulation`; never rejects. */
   async play(simulation: string, run: PlannedRun): Promise<RunOutcome> {
     await this.acquireSlot();
     try {
@@ -37,7 +37,7 @@
     await new Promise<void>((resolve) => this.waiting.push(resolve));
   }
 
-  /** Hands the place to the next run that waits. */
+  /** Passes the slot to the next waiting run, or frees the slot. */
   private releaseSlot(): void {
     const next = this.waiting.shift();
     if (next) next();
--- a/packages/testing/simulation/comparison/worker.ts
+++ b/packages/testing/simulation/comparison/worker.ts
@@ -1,6 +1,7 @@
 /**
- * The program of a process that plays one run with the simulated cluster of a built checkout. The checkout may
- * be older than this program, so nothing but `runScenario` is loaded from it, and no simulation from this build.
+ * Program of a child process that executes one run with the simulated cluster of a built checkout. The checkout may
+ * be older than this program, so the program uses only `runScenario` of the checkout, and no simulation of its own
+ * build.
  */
 import path from 'node:path';
 import { pathToFileURL } from 'node:url';
@@ -8,7 +9,7 @@
 import type { runScenario } from '../run-scenario.js';
 import { outcomeOf, type PlannedRun, type RunOutcome } from './run-outcome.js';
 
-/** The message that the process waits for; it answers with a RunOutcome and ends. */
+/** Message to the child process, which answers with a RunOutcome and exits. */
 export interface PlayRequest {
   /** Path of the module that exports `runScenario`. */
   simulation: string;
--- a/packages/testing/simulation/faults/cloud-faults.ts
+++ b/packages/testing/simulation/faults/cloud-faults.ts
@@ -1,10 +1,10 @@
-/** Faults of the cloud. */
+/** Begins and ends faults of the simulated cloud. */
 import { QUICK_BOOTS, type CloudService } from '../../stand-ins/index.js';
 import type { CloudFault } from '../scenario.js';
 import { makeEffect, type FaultEffect } from './effect.js';
 import { OverlapCounter } from './overlap.js';
 
-/** Faults of the cloud's interface; outages may overlap. */
+/** Faults of the cloud API. Outages may overlap. */
 export class CloudFaults {
   private readonly overlap = new OverlapCounter<string>();
 
--- a/packages/testing/simulation/faults/controller-faults.ts
+++ b/packages/testing/simulation/faults/controller-faults.ts
@@ -1,4 +1,4 @@
-/** Faults of controllers: cuts, crashes, freezes and rolling restarts. */
+/** Faults of controllers: network cuts, crashes, freezes and rolling restarts. */
 import type { SimulatedController } from '../controllers.js';
 import type { SimulatedNetwork } from '../network.js';
 import type { ControllerFault } from '../scenario.js';
@@ -7,16 +7,16 @@
 import { cutFrom } from './link-faults.js';
 import { type Roles, targetControllers } from './targets.js';
 
-/** What faults of controllers act on. */
+/** Objects on which faults of controllers act. */
 export interface ControllerFaultContext {
   world: World;
   network: SimulatedNetwork;
   controllers: SimulatedController[];
-  /** The leader, and source and target of a migration. */
+  /** Current leader, and source and target of the migration. */
   roles: Roles;
 }
 
-/** Begins the fault at the controllers that it targets now. */
+/** Begins the fault; its target controllers are chosen at this moment. */
 export function beginControllerFault(
   context: ControllerFaultContext,
   fault: ControllerFault,
--- a/packages/testing/simulation/faults/duration.ts
+++ b/packages/testing/simulation/faults/duration.ts
@@ -1,10 +1,10 @@
-/** How long faults last. */
+/** Duration of faults. */
 import type { Fault } from '../scenario.js';
 
-/** A transaction, heartbeat or command that is held up is carried out within this time. */
+/** Longest delay of a delayed transaction, cloud request, heartbeat or command if the fault sets no `delayS`. */
 const MAX_DELAY_S = 30;
 
-/** Seconds from the beginning of a fault until it and all that follows directly from it are over. */
+/** Seconds from the start of a fault until the fault and its direct effects have ended. */
 export function faultLengthS(fault: Fault, controllers: number): number {
   switch (fault.kind) {
     case 'controller-crash':
--- a/packages/testing/simulation/faults/link-faults.ts
+++ b/packages/testing/simulation/faults/link-faults.ts
@@ -1,10 +1,10 @@
-/** Faults that are rules of the network. */
+/** Network faults, which add link rules to the simulated network. */
 import type { HostFilter, LinkEffect } from '../link-rules.js';
 import type { HostRole, SimulatedHost } from '../host.js';
 import type { SimulatedNetwork } from '../network.js';
 import type { CutFrom, CutMode } from '../scenario.js';
 
-/** Ends a fault. */
+/** Ends a fault by removing its link rules. */
 type EndFault = () => void;
 
 const HOST_ROLES: Record<CutFrom, HostRole[]> = {
@@ -15,7 +15,7 @@
   users: ['users', 'balancer'],
 };
 
-/** Cuts the hosts of one kind off from those of another, whoever opens the connection. */
+/** Cuts connections between two sets of hosts, whichever side opens them. */
 function cutBetween(
   network: SimulatedNetwork,
   one: HostFilter,
@@ -33,7 +33,7 @@
   };
 }
 
-/** Cuts some hosts off from all hosts of these kinds but themselves. */
+/** Cuts each of the hosts off from all other hosts of the given kinds. */
 export function cutFrom(
   network: SimulatedNetwork,
   hosts: SimulatedHost[],
@@ -42,19 +42,19 @@
 ): EndFault {
   const selected = new Set(hosts);
   const roles = new Set(from.flatMap((kind) => HOST_ROLES[kind]));
-  // Two of the hosts are cut off from each other as well; only a host's way to itself stays.
+  // The selected hosts are also cut off from each other; only connections of a host to itself remain.
   const hasTargetRole: HostFilter = (host) => roles.has(host.role);
   const isSelected: HostFilter = (host) => selected.has(host);
   return cutBetween(network, isSelected, hasTargetRole, mode);
 }
 
-/** Cuts a zone off from everything outside of it. */
+/** Cuts a zone off from all hosts outside the zone. */
 export function cutZone(network: SimulatedNetwork, zone: string, mode: CutMode): EndFault {
   const inZone: HostFilter = (host) => host.zone === zone;
   return cutBetween(network, inZone, (host) => !inZone(host), mode);
 }
 
-/** Machines whose heartbeats arrive while answers and direct commands to them are lost. */
+/** Drops the answers and direct commands of controllers to the machines; heartbeats still arrive. */
 export function dropInbound(network: SimulatedNetwork, machines: SimulatedHost[]): EndFault {
   const isMachine = matchAny(machines);
   const ends = [
@@ -68,7 +68,7 @@
   };
 }
 
-/** Machines that reach no controller while direct commands reach them. */
+/** Cuts connections from the machines to controllers; direct commands still arrive. */
 export function cutOutbound(
   network: SimulatedNetwork,
   machines: SimulatedHost[],
--- a/packages/testing/simulation/faults/machine-faults.ts
+++ b/packages/testing/simulation/faults/machine-faults.ts
@@ -1,4 +1,4 @@
-/** Faults of machines and of whole zones. */
+/** Begins and ends faults of machines and of whole zones. */
 import type { Chance } from '../../random.js';
 import type { CloudService } from '../../stand-ins/index.js';
 import type { Machines, SimulatedMachine } from '../machines.js';
@@ -18,7 +18,7 @@
     private readonly machines: Machines,
     private readonly cloud: CloudService,
     private readonly chance: Chance,
-    /** Machines of the replica that faults are about. */
+    /** Returns the machines of the replica that faults with the target `ofReplica` hit. */
     private readonly replicaMachines: () => string[],
   ) {}
 
@@ -56,7 +56,7 @@
     return candidates.filter(({ name }) => names.includes(name)).slice(0, machines.ofReplica);
   }
 
-  /** Makes machines stand still; the returned function lets them go on. */
+  /** Makes machines hang; the returned function resumes them. */
   hang(machines: SimulatedMachine[]): () => void {
     const ends = machines.map(({ name, worker }) =>
       this.hangs.begin(
--- a/packages/testing/simulation/faults/message-faults.ts
+++ b/packages/testing/simulation/faults/message-faults.ts
@@ -1,13 +1,13 @@
-/** Faults of the messages between workers and controllers. */
+/** Faults of messages between workers and controllers. */
 import type { Machines } from '../machines.js';
 import type { MessageFault } from '../scenario.js';
 import { makeEffect, type FaultEffect } from './effect.js';
 
-/** When copies of heartbeats and held direct commands arrive, in seconds, unless told otherwise. */
+/** Default range of the delay of heartbeat copies and of late direct commands, in seconds. */
 const HEARTBEAT_DELAY_S: [number, number] = [2, 30];
 const COMMAND_DELAY_S: [number, number] = [2, 16];
 
-/** Messages between workers and controllers that arrive late. */
+/** Begins a fault that delays messages between workers and controllers. */
 export function beginMessageFault(machines: Machines, fault: MessageFault): FaultEffect {
   const { share } = fault;
   if (fault.kind === 'late-commands') {
--- a/packages/testing/simulation/faults/operator-requests.ts
+++ b/packages/testing/simulation/faults/operator-requests.ts
@@ -1,4 +1,4 @@
-/** Requests of the operators during a run. */
+/** Requests that the operators send during a run. */
 import { encodeMigration, migrationKey } from '#shards';
 import { decodeLeader, shardKey } from '#store';
 import type { StateService } from '../../stand-ins/index.js';
@@ -10,7 +10,7 @@
 
 const SHARD = 0;
 
-/** What requests of the operators act on. */
+/** Objects on which requests of the operators act. */
 export interface OperatorContext {
   world: World;
   state: StateService;
@@ -18,7 +18,7 @@
   controllers: SimulatedController[];
 }
 
-/** What the operators ask for, over and over until its end. */
+/** Requests every `everyS` seconds that the shard move to the next controller, until the fault ends. */
 export function beginOperatorRequests(
   context: OperatorContext,
   { everyS }: OperatorRequest,
@@ -38,7 +38,7 @@
   });
 }
 
-/** Requests a migration as the command line does: if there is a leader, and no migration is under way. */
+/** Requests a migration as the command line does: only if the shard has a leader and no migration is in progress. */
 function requestMigration({ state, moves }: OperatorContext, to: string): void {
   const { store } = state;
   const shard = store.get(shardKey(SHARD));
--- a/packages/testing/simulation/faults/state-faults.ts
+++ b/packages/testing/simulation/faults/state-faults.ts
@@ -1,4 +1,4 @@
-/** Faults of the state service. */
+/** Begins and ends faults of the simulated state service. */
 import type { StateService } from '../../stand-ins/index.js';
 import type { SimulatedController } from '../controllers.js';
 import type { StateFault } from '../scenario.js';
@@ -6,7 +6,7 @@
 import { OverlapCounter } from './overlap.js';
 import { type Roles, targetControllers } from './targets.js';
 
-/** Faults of the state service, any of which may overlap with others of its kind. */
+/** Faults of the state service. Faults of the same kind may overlap. */
 export class StateFaults {
   private readonly overlap = new OverlapCounter<string>();
 
--- a/packages/testing/simulation/faults/targets.ts
+++ b/packages/testing/simulation/faults/targets.ts
@@ -1,17 +1,17 @@
-/** Which controllers and machines a fault hits. */
+/** Chooses the controllers and machines that a fault hits. */
 import type { Chance } from '../../random.js';
 import type { MigrationPhases } from '../migration-phases.js';
 import type { SimulatedController } from '../controllers.js';
 import type { ControllerTarget, MachineTarget } from '../scenario.js';
 
-/** The leader at a moment, and source and target of the migration at that time. */
+/** Leader of the shard, and source and target of its migration, when a fault begins. */
 export interface Roles {
-  /** The shard's leader; null if there is none. */
+  /** Name of the shard's leader; null if there is none. */
   leaderName: string | null;
   moves: Pick<MigrationPhases, 'source' | 'target'>;
 }
 
-/** Resolves a target to controllers, given their roles at that moment. */
+/** Resolves a target to controllers by their current roles. */
 export function targetControllers(
   controllers: SimulatedController[],
   target: ControllerTarget,
@@ -36,7 +36,10 @@
   }
 }
 
-/** Resolves a target to some of the running machines; at least one if there is any. */
+/**
+ * Resolves a target to running machines. A count or share of them is drawn at random; a share is rounded up, so that
+ * at least one machine is hit if any is running.
+ */
 export function targetMachines<M extends { zone: string }>(
   running: M[],
   target: Exclude<MachineTarget, { ofReplica: number }>,
--- a/packages/testing/simulation/faults/user-faults.ts
+++ b/packages/testing/simulation/faults/user-faults.ts
@@ -1,25 +1,25 @@
-/** What users do during a fault. */
+/** Unusual behaviour of users during a run. */
 import type { Users, WorldState } from '../../stand-ins/index.js';
 import type { Machines, SimulatedMachine } from '../machines.js';
 import type { UserFault } from '../scenario.js';
 import type { World } from '../world.js';
 import { makeEffect, type FaultEffect } from './effect.js';
 
-/** Machines of cancelled jobs that hang at the most. */
+/** Maximum number of machines of cancelled jobs that hang. */
 const MAX_HUNG_MACHINES = 8;
 
-/** What faults of users act on. */
+/** Objects on which faults of users act. */
 export interface UserFaultContext {
   world: World;
   users: Users;
   machines: Machines;
-  /** Where everything really is. */
+  /** True state of jobs and machines, from the events of the stand-ins. */
   worldState: WorldState;
-  /** Makes machines stand still; the returned function lets them go on. */
+  /** Makes machines hang; the returned function resumes them. */
   hang: (machines: SimulatedMachine[]) => () => void;
 }
 
-/** What users do beyond submitting and asking. */
+/** Begins behaviour of users beyond submitting jobs and polling them. */
 export function beginUserFault(context: UserFaultContext, fault: UserFault): FaultEffect {
   const { users } = context;
   switch (fault.kind) {
--- a/packages/testing/simulation/replica-traffic/answers.ts
+++ b/packages/testing/simulation/replica-traffic/answers.ts
@@ -1,23 +1,23 @@
-/** What was answered by whom, and what of it was not the work of one whole generation. */
+/** Answers of replicas, and the check that all members of one generation contributed to each answer. */
 
-/** That a member took part in an answer. */
+/** Mark that a member of a replica adds to an answer to which it contributed. */
 export interface Mark {
   member: number;
   generation: number;
   machine: string;
 }
 
-/** The answer to one request and the members that took part in it. */
+/** Answer of a replica to one request, with the marks of the members that contributed. */
 export interface Answer {
   atS: number;
   job: string;
-  /** First task of the replica. */
+  /** Index of the first task of the replica. */
   first: number;
   members: number;
   marks: Mark[];
 }
 
-/** Answers that lack a member's mark, or bear marks of two generations. */
+/** Answers that lack the mark of a member or have marks of several generations. */
 export function brokenAnswers(answers: Answer[]): Answer[] {
   return answers.filter(({ members, marks }) => {
     const generations = new Set(marks.map(({ generation }) => generation));
@@ -26,7 +26,7 @@
   });
 }
 
-/** One line for a broken answer. */
+/** Describes an answer and its marks in one line. */
 export function describeAnswer({ atS, job, first, members, marks }: Answer): string {
   const by = marks.map(({ member, generation, machine }) => `${member}@${machine}#${generation}`);
   return `${atS.toFixed(3)} s ${job}/${first}: ${members} members, marked by ${by.join(', ')}`;
--- a/packages/testing/simulation/replica-traffic/members.ts
+++ b/packages/testing/simulation/replica-traffic/members.ts
@@ -1,21 +1,24 @@
-/** Which members of replicas run on which machines. */
+/** Tracks which members of replicas run on which machines. */
 import { taskName, type TaskRef } from '#wire';
 import type { WorldEvent } from '../../stand-ins/index.js';
 
-/** A member that runs on a machine. */
+/** A running member of a replica and its machine. */
 export interface LiveMember {
   machine: string;
   task: TaskRef;
 }
 
-/** Which members run where, by the events of the stand-ins: how members find their mates. */
+/**
+ * Running members and their machines, from the events of the stand-ins. Members of a replica find each other through
+ * this class.
+ */
 export class Members {
   private readonly byTask = new Map<string, LiveMember[]>();
   private readonly hanging = new Set<string>();
-  /** Moments at which a member of a replica began while one of another generation ran. */
+  /** For each start of a member, counts the tasks of its replica that run in another generation at that time. */
   generationsAtOnce = 0;
 
-  /** `membersOf` tells how many tasks of a job make one replica; 1: each is by itself. */
+  /** `membersOf` returns the number of tasks that form one replica of a job; 1 if the job has no replica groups. */
   constructor(private readonly membersOf: (job: string) => number) {}
 
   observe(event: WorldEvent): void {
@@ -27,20 +30,20 @@
     }
   }
 
-  /** Those that run the task and do not stand still; more than one only if something went wrong. */
+  /** Members that run the task on machines that do not hang; more than one only after a failure. */
   of(job: string, index: number): LiveMember[] {
     const live = this.byTask.get(taskName(job, index)) ?? [];
     return live.filter(({ machine }) => !this.hanging.has(machine));
   }
 
-  /** Whether the member still runs. */
+  /** Whether the member still runs on a machine that does not hang. */
   isLive({ machine, task }: LiveMember): boolean {
     return this.of(task.job, task.index).some(
       (each) => each.machine === machine && each.task.attempt === task.attempt,
     );
   }
 
-  /** First task of each replica of which a member runs. */
+  /** Replicas of several members with at least one running member; `first` is the index of the first task. */
   *replicas(): Generator<{ job: string; first: number; members: number }> {
     const seen = new Set<string>();
     for (const [{ task }] of this.byTask.values()) {
--- a/packages/testing/simulation/replica-traffic/request-traffic.ts
+++ b/packages/testing/simulation/replica-traffic/request-traffic.ts
@@ -1,28 +1,31 @@
-/** Sends requests through the members of replicas. */
+/** Sends requests to replicas and passes them through the members. */
 import type { Chance } from '../../random.js';
 import type { Answer, Mark } from './answers.js';
 import type { LiveMember, Members } from './members.js';
 
-/** Seconds that a request takes from one member to the next. */
-const HOP_DELAY_S: [least: number, most: number] = [0.005, 0.06];
+/** Range of the delay of a request from one member to the next, in seconds. */
+const HOP_DELAY_S: [min: number, max: number] = [0.005, 0.06];
 
-/** What the traffic needs from its surroundings. */
+/** Dependencies and settings of the simulated traffic. */
 export interface TrafficOptions {
   members: Members;
   chance: Chance;
   now: () => number;
   schedule: (delayS: number, run: () => void) => void;
-  /** Whether the second machine can be reached from the first; null is the router. */
+  /** Whether the machine `to` can be reached from the machine `from`; null stands for the router. */
   reaches: (from: string | null, to: string) => boolean;
-  /** Seconds from one request to each replica to the next. */
+  /** Interval between requests to each replica, in seconds. */
   everyS: number;
-  /** Members find mates by generation and answer only with the marks of all; without it they take whom they find. */
+  /**
+   * If true, members pass requests only to members of their own generation, and answer only with the marks of all
+   * members. If false, they pass requests to any member that they reach, and answer without the others.
+   */
   isFenced: boolean;
 }
 
 /**
- * A router that sends requests to all replicas at a fixed interval, and the members' share of the work: the
- * first member accepts a request, passes it to each of its mates in turn, and answers.
+ * Simulates a router that sends requests to all replicas at a fixed interval, and the members that serve them: the
+ * first member accepts a request, passes it to each other member in turn, and answers.
  */
 export class RequestTraffic {
   readonly answers: Answer[] = [];
@@ -52,7 +55,7 @@
     this.forward(entry, size, [markOf(entry, first)]);
   }
 
-  /** The entry asks the next mate, or answers once it has asked all. */
+  /** Lets the entry member ask the next member after a delay, or answer once it has asked all members. */
   private forward(entry: LiveMember, size: number, marks: Mark[], asked = 1): void {
     const { chance, schedule } = this.options;
     const [min, max] = HOP_DELAY_S;
@@ -69,7 +72,7 @@
       .of(job, first + asked)
       .filter(({ machine }) => machine === entry.machine || reaches(entry.machine, machine));
     const nextMember = candidates.find(({ task }) => !isFenced || task.attempt === attempt);
-    // Without the mate there is no answer, unless the fence is taken out.
+    // With fencing, a request that misses a member gets no answer.
     if (!members.isLive(entry) || (isFenced && !nextMember)) return;
     this.forward(
       entry,
