--- a/packages/testing/simulation/faults/operator-requests.ts
+++ b/packages/testing/simulation/faults/operator-requests.ts
@@ -18,7 +18,7 @@
   controllers: SimulatedController[];
 }
 
-/** Requests every `everyS` seconds that the shard move to the next controller, until the fault ends. */
+/** Requests at a fixed interval that the shard move to the next controller, until the fault ends. */
 export function beginOperatorRequests(
   context: OperatorContext,
   { everyS }: OperatorRequest,
