--- a/packages/testing/simulation/comparison/worker-pool.ts
+++ b/packages/testing/simulation/comparison/worker-pool.ts
@@ -1,35 +1,35 @@
-/** Plays runs in processes of their own, a few at a time. */
+/** Executes each run in a separate process, with a limit on concurrent processes. */
 import { fork } from 'node:child_process';
 import { once } from 'node:events';
 import { fileURLToPath } from 'node:url';
 import type { PlannedRun, RunOutcome } from './run-outcome.js';
 import type { PlayRequest } from './worker.js';
 
-const WORKER = fileURLToPath(new URL('worker.js', import.meta.url));
-/** Whatever a run writes goes to standard error; standard output holds the comparison. */
-const STANDARD_ERROR = 2;
+const WORKER_PROGRAM = fileURLToPath(new URL('worker.js', import.meta.url));
+/** Output of runs goes to standard error, because standard output contains the comparison. */
+const STDERR_FD = 2;
 
-/** Limits how many runs are played at the same time. */
+/** Executes runs in child processes, up to a maximum number at the same time. */
 export class WorkerPool {
   private running = 0;
   private readonly waiting: (() => void)[] = [];
 
-  /** At most `size` processes run at the same time. */
+  /** `size` is the maximum number of concurrent processes. */
   constructor(private readonly size: number) {}
 
-  /** Plays the run with the simulation module at that path; never rejects. */
+  /** Executes the run with the simulation module at the path `simulation`; never rejects. */
   async play(simulation: string, run: PlannedRun): Promise<RunOutcome> {
-    await this.enter();
+    await this.acquireSlot();
     try {
       return await playInProcess({ simulation, run });
     } catch (error) {
       return { kind: 'failed', reason: String(error) };
     } finally {
-      this.leave();
+      this.releaseSlot();
     }
   }
 
-  private async enter(): Promise<void> {
+  private async acquireSlot(): Promise<void> {
     if (this.running < this.size) {
       this.running++;
       return;
@@ -37,8 +37,8 @@
     await new Promise<void>((resolve) => this.waiting.push(resolve));
   }
 
-  /** Hands the place to the next run that waits. */
-  private leave(): void {
+  /** Passes the slot to the next waiting run, or frees the slot. */
+  private releaseSlot(): void {
     const next = this.waiting.shift();
     if (next) next();
     else this.running--;
@@ -46,9 +46,9 @@
 }
 
 async function playInProcess(request: PlayRequest): Promise<RunOutcome> {
-  const worker = fork(WORKER, {
+  const worker = fork(WORKER_PROGRAM, {
     serialization: 'advanced',
-    stdio: ['ignore', STANDARD_ERROR, STANDARD_ERROR, 'ipc'],
+    stdio: ['ignore', STDERR_FD, STDERR_FD, 'ipc'],
   });
   const received: { outcome: RunOutcome | null } = { outcome: null };
   worker.once('message', (message) => {
--- a/packages/testing/simulation/comparison/worker.ts
+++ b/packages/testing/simulation/comparison/worker.ts
@@ -1,6 +1,7 @@
 /**
- * The program of a process that plays one run with the simulated cluster of a built checkout. The checkout may
- * be older than this program, so nothing but `runScenario` is loaded from it, and no simulation from this build.
+ * Program of a child process that executes one run with the simulated cluster of a built checkout. The checkout may
+ * be older than this program, so the program uses only `runScenario` of the checkout, and no simulation of its own
+ * build.
  */
 import path from 'node:path';
 import { pathToFileURL } from 'node:url';
@@ -8,7 +9,7 @@
 import type { runScenario } from '../run-scenario.js';
 import { outcomeOf, type PlannedRun, type RunOutcome } from './run-outcome.js';
 
-/** The message that the process waits for; it answers with a RunOutcome and ends. */
+/** Message to the child process, which answers with a RunOutcome and exits. */
 export interface PlayRequest {
   /** Path of the module that exports `runScenario`. */
   simulation: string;
@@ -29,12 +30,12 @@
   }
 }
 
-async function answer(request: PlayRequest): Promise<void> {
+async function handleRequest(request: PlayRequest): Promise<void> {
   const outcome = await play(request);
   // The run may leave timers behind, which would keep the process alive.
   if (process.send === undefined) throw new Error('this program runs only as a child process');
   process.send(outcome, () => process.exit());
 }
 
-process.once('message', (request) => void answer(request as PlayRequest));
+process.once('message', (request) => void handleRequest(request as PlayRequest));
 process.once('disconnect', () => process.exit());
--- a/packages/testing/simulation/faults/link-faults.ts
+++ b/packages/testing/simulation/faults/link-faults.ts
@@ -1,13 +1,13 @@
-/** Faults that are rules of the network. */
+/** Network faults, which add link rules to the simulated network. */
 import type { HostFilter, LinkEffect } from '../link-rules.js';
 import type { HostRole, SimulatedHost } from '../host.js';
 import type { SimulatedNetwork } from '../network.js';
 import type { CutFrom, CutMode } from '../scenario.js';
 
-/** Ends a fault. */
-type End = () => void;
+/** Ends a fault by removing its link rules. */
+type EndFault = () => void;
 
-const ROLES_OF: Record<CutFrom, HostRole[]> = {
+const HOST_ROLES: Record<CutFrom, HostRole[]> = {
   state: ['state'],
   cloud: ['cloud'],
   controllers: ['controller'],
@@ -15,13 +15,13 @@
   users: ['users', 'balancer'],
 };
 
-/** Cuts the hosts of one kind off from those of another, whoever opens the connection. */
+/** Cuts connections between two sets of hosts, whichever side opens them. */
 function cutBetween(
   network: SimulatedNetwork,
   one: HostFilter,
   other: HostFilter,
   mode: CutMode,
-): End {
+): EndFault {
   const ends = [
     network.apply({ opener: one, acceptor: other, effect: mode }),
     network.apply({ opener: other, acceptor: one, effect: mode }),
@@ -33,33 +33,33 @@
   };
 }
 
-/** Cuts some hosts off from all hosts of these kinds but themselves. */
+/** Cuts each of the hosts off from all other hosts of the given kinds. */
 export function cutFrom(
   network: SimulatedNetwork,
   hosts: SimulatedHost[],
   from: CutFrom[],
   mode: CutMode,
-): End {
-  const inside = new Set(hosts);
-  const roles = new Set(from.flatMap((kind) => ROLES_OF[kind]));
-  // Two of the hosts are cut off from each other as well; only a host's way to itself stays.
-  const isFar: HostFilter = (host) => roles.has(host.role);
-  const isNear: HostFilter = (host) => inside.has(host);
-  return cutBetween(network, isNear, isFar, mode);
+): EndFault {
+  const selected = new Set(hosts);
+  const roles = new Set(from.flatMap((kind) => HOST_ROLES[kind]));
+  // The selected hosts are also cut off from each other; only connections of a host to itself remain.
+  const hasTargetRole: HostFilter = (host) => roles.has(host.role);
+  const isSelected: HostFilter = (host) => selected.has(host);
+  return cutBetween(network, isSelected, hasTargetRole, mode);
 }
 
-/** Cuts a zone off from everything outside of it. */
-export function cutZone(network: SimulatedNetwork, zone: string, mode: CutMode): End {
+/** Cuts a zone off from all hosts outside the zone. */
+export function cutZone(network: SimulatedNetwork, zone: string, mode: CutMode): EndFault {
   const inZone: HostFilter = (host) => host.zone === zone;
   return cutBetween(network, inZone, (host) => !inZone(host), mode);
 }
 
-/** Machines whose heartbeats arrive while answers and direct commands to them are lost. */
-export function deafen(network: SimulatedNetwork, machines: SimulatedHost[]): End {
-  const isMachine = filterOf(machines);
+/** Drops the answers and direct commands of controllers to the machines; heartbeats still arrive. */
+export function dropInbound(network: SimulatedNetwork, machines: SimulatedHost[]): EndFault {
+  const isMachine = matchAny(machines);
   const ends = [
-    applyBetween(network, isMachine, isController, 'drop-answers'),
-    applyBetween(network, isController, isMachine, 'drop'),
+    applyRule(network, isMachine, isController, 'drop-answers'),
+    applyRule(network, isController, isMachine, 'drop'),
   ];
   return () => {
     ends.forEach((end) => {
@@ -68,23 +68,27 @@
   };
 }
 
-/** Machines that reach no controller while direct commands reach them. */
-export function mute(network: SimulatedNetwork, machines: SimulatedHost[], mode: CutMode): End {
-  return applyBetween(network, filterOf(machines), isController, mode);
+/** Cuts connections from the machines to controllers; direct commands still arrive. */
+export function cutOutbound(
+  network: SimulatedNetwork,
+  machines: SimulatedHost[],
+  mode: CutMode,
+): EndFault {
+  return applyRule(network, matchAny(machines), isController, mode);
 }
 
 const isController: HostFilter = (host) => host.role === 'controller';
 
-function filterOf(hosts: SimulatedHost[]): HostFilter {
+function matchAny(hosts: SimulatedHost[]): HostFilter {
   const set = new Set(hosts);
   return (host) => set.has(host);
 }
 
-function applyBetween(
+function applyRule(
   network: SimulatedNetwork,
   opener: HostFilter,
   acceptor: HostFilter,
   linkEffect: LinkEffect,
-): End {
+): EndFault {
   return network.apply({ opener, acceptor, effect: linkEffect });
 }
--- a/packages/testing/simulation/faults/operator-requests.ts
+++ b/packages/testing/simulation/faults/operator-requests.ts
@@ -1,4 +1,4 @@
-/** Requests of the operators during a run. */
+/** Requests that the operators send during a run. */
 import { encodeMigration, migrationKey } from '#shards';
 import { decodeLeader, shardKey } from '#store';
 import type { StateService } from '../../stand-ins/index.js';
@@ -6,11 +6,11 @@
 import type { MigrationPhases } from '../migration-phases.js';
 import type { OperatorRequest } from '../scenario.js';
 import type { World } from '../world.js';
-import { effect, type FaultEffect } from './effect.js';
+import { makeEffect, type FaultEffect } from './effect.js';
 
 const SHARD = 0;
 
-/** What requests of the operators act on. */
+/** Objects on which requests of the operators act. */
 export interface OperatorContext {
   world: World;
   state: StateService;
@@ -18,28 +18,28 @@
   controllers: SimulatedController[];
 }
 
-/** What the operators ask for, over and over until its end. */
+/** Requests at a fixed interval that the shard move to the next controller, until the fault ends. */
 export function beginOperatorRequests(
   context: OperatorContext,
   { everyS }: OperatorRequest,
 ): FaultEffect {
   const { world, controllers } = context;
-  let going = true;
+  let active = true;
   let round = 0;
-  const next = () => {
-    if (!going) return;
-    requestMove(context, controllers[++round % controllers.length].name);
-    world.schedule(everyS, next);
+  const requestNext = () => {
+    if (!active) return;
+    requestMigration(context, controllers[++round % controllers.length].name);
+    world.schedule(everyS, requestNext);
   };
-  next();
-  return effect({
+  requestNext();
+  return makeEffect({
     controllers: controllers.map(({ name }) => name),
-    end: () => void (going = false),
+    end: () => void (active = false),
   });
 }
 
-/** Requests a migration as the command line does: if there is a leader, and no migration is under way. */
-function requestMove({ state, moves }: OperatorContext, to: string): void {
+/** Requests a migration as the command line does: only if the shard has a leader and no migration is in progress. */
+function requestMigration({ state, moves }: OperatorContext, to: string): void {
   const { store } = state;
   const shard = store.get(shardKey(SHARD));
   if (!shard || store.get(migrationKey(SHARD)) || decodeLeader(shard.value).leader === to) return;
--- a/packages/testing/simulation/replica-traffic/members.ts
+++ b/packages/testing/simulation/replica-traffic/members.ts
@@ -1,46 +1,49 @@
-/** Which members of replicas run on which machines. */
+/** Tracks which members of replicas run on which machines. */
 import { taskName, type TaskRef } from '#wire';
 import type { WorldEvent } from '../../stand-ins/index.js';
 
-/** A member that runs on a machine. */
+/** A running member of a replica and its machine. */
 export interface LiveMember {
   machine: string;
   task: TaskRef;
 }
 
-/** Which members run where, by the events of the stand-ins: how members find their mates. */
+/**
+ * Running members and their machines, from the events of the stand-ins. Members of a replica find each other through
+ * this class.
+ */
 export class Members {
   private readonly byTask = new Map<string, LiveMember[]>();
   private readonly hanging = new Set<string>();
-  /** Moments at which a member of a replica began while one of another generation ran. */
+  /** For each start of a member, counts the tasks of its replica that run in another generation at that time. */
   generationsAtOnce = 0;
 
-  /** `membersOf` tells how many tasks of a job make one replica; 1: each is by itself. */
+  /** `membersOf` returns the number of tasks that form one replica of a job; 1 if the job has no replica groups. */
   constructor(private readonly membersOf: (job: string) => number) {}
 
   observe(event: WorldEvent): void {
-    if (event.kind === 'task-started') this.started(event);
-    else if (event.kind === 'task-left') this.left(event);
+    if (event.kind === 'task-started') this.recordStart(event);
+    else if (event.kind === 'task-left') this.recordEnd(event);
     else if (event.kind === 'machine-hangs') {
       if (event.hanging) this.hanging.add(event.machine);
       else this.hanging.delete(event.machine);
     }
   }
 
-  /** Those that run the task and do not stand still; more than one only if something went wrong. */
+  /** Members that run the task on machines that do not hang; more than one only after a failure. */
   of(job: string, index: number): LiveMember[] {
     const live = this.byTask.get(taskName(job, index)) ?? [];
     return live.filter(({ machine }) => !this.hanging.has(machine));
   }
 
-  /** Whether the member still runs. */
+  /** Whether the member still runs on a machine that does not hang. */
   isLive({ machine, task }: LiveMember): boolean {
     return this.of(task.job, task.index).some(
       (each) => each.machine === machine && each.task.attempt === task.attempt,
     );
   }
 
-  /** First task of each replica of which a member runs. */
+  /** Replicas of several members with at least one running member; `first` is the index of the first task. */
   *replicas(): Generator<{ job: string; first: number; members: number }> {
     const seen = new Set<string>();
     for (const [{ task }] of this.byTask.values()) {
@@ -53,7 +56,7 @@
     }
   }
 
-  private started({ machine, task }: LiveMember): void {
+  private recordStart({ machine, task }: LiveMember): void {
     const members = this.membersOf(task.job);
     if (members < 2) return;
     const first = task.index - (task.index % members);
@@ -65,7 +68,7 @@
     this.byTask.set(key, [...(this.byTask.get(key) ?? []), { machine, task }]);
   }
 
-  private left({ machine, task }: LiveMember): void {
+  private recordEnd({ machine, task }: LiveMember): void {
     const key = taskName(task.job, task.index);
     const rest = (this.byTask.get(key) ?? []).filter(
       (each) => each.machine !== machine || each.task.attempt !== task.attempt,
