--- a/packages/testing/counting-runtime.ts
+++ b/packages/testing/counting-runtime.ts
@@ -60,12 +60,12 @@
 
 /** A connection as a simulated network hands it over: streams without a socket's own methods. */
 function connectStream(server: net.Server): Duplex {
-  const [here, there] = duplexPair();
-  here.once('close', () => there.destroy());
-  there.once('close', () => here.destroy());
+  const [clientSide, serverSide] = duplexPair();
+  clientSide.once('close', () => serverSide.destroy());
+  serverSide.once('close', () => clientSide.destroy());
   setImmediate(() => {
-    server.emit('connection', there);
-    here.emit('connect');
+    server.emit('connection', serverSide);
+    clientSide.emit('connect');
   });
-  return here;
+  return clientSide;
 }
--- a/packages/testing/failing-world.ts
+++ b/packages/testing/failing-world.ts
@@ -28,15 +28,15 @@
     });
   }
 
-  submit(own: Partial<Job>): JobState {
-    return this.fleet.addJob(aJob(own), this.now, 'accepted', this.now);
+  submit(overrides: Partial<Job>): JobState {
+    return this.fleet.addJob(aJob(overrides), this.now, 'accepted', this.now);
   }
 
   /** Plays seconds; what `fails` says of a task running on a machine ends it with an error. */
   play(seconds: number, fails: (job: JobState, machine: Machine) => boolean): void {
     for (const until = this.now + seconds; this.now < until; this.now++) {
       for (const job of [...this.fleet.jobs.values()]) {
-        for (const task of assignmentsOf(job)) this.heartbeat(task.machine, job, fails);
+        for (const task of assignmentsOf(job)) this.processHeartbeat(task.machine, job, fails);
       }
       this.scheduler.reservations.update(this.now);
       this.scheduler.round(this.now);
@@ -50,7 +50,7 @@
     this.fleet.assignments.end(task, 'error', false, ++this.now);
   }
 
-  private heartbeat(
+  private processHeartbeat(
     machine: Machine,
     job: JobState,
     fails: (job: JobState, machine: Machine) => boolean,
--- a/packages/testing/loopback/replica-groups/failing-controllers.test.ts
+++ b/packages/testing/loopback/replica-groups/failing-controllers.test.ts
@@ -2,26 +2,26 @@
 import { test } from 'node:test';
 import type { Fault, ReplicaMoment } from '../../simulation/index.js';
 import {
-  countOf,
-  duringRepair,
-  FAULT_EVERY_S,
-  memberDies,
-  playReplicas,
-  WHOLE_FROM_S,
+  countPhase,
+  faultDuringRepair,
+  FAULT_INTERVAL_S,
+  replicaMachineDeath,
+  runReplicaScenario,
+  REPLICAS_WHOLE_S,
 } from './replica-scenarios.js';
 
 const PHASES: ReplicaMoment[] = ['repairing', 'reserved-again', 'starting-again', 'whole-again'];
 
 /** The fault in each phase of a repair of its own. */
-function inEachPhase(fault: object): Fault[] {
+function faultsInEachPhase(fault: object): Fault[] {
   return PHASES.flatMap((atReplicaPhase, index) => {
-    return duringRepair(index * FAULT_EVERY_S, { ...fault, atReplicaPhase } as Fault);
+    return faultDuringRepair(index * FAULT_INTERVAL_S, { ...fault, atReplicaPhase } as Fault);
   });
 }
 
 test('the owner ends in each phase of a repair, and its successor makes the replica whole', async () => {
-  const faults = inEachPhase({ kind: 'controller-crash', controllers: 'leader', downS: 4 });
-  await playReplicas({ name: 'owner ends', faults }, (result) => {
+  const faults = faultsInEachPhase({ kind: 'controller-crash', controllers: 'leader', downS: 4 });
+  await runReplicaScenario({ name: 'owner ends', faults }, (result) => {
     const crashes = result.faults.of('controller-crash');
     assert.equal(crashes.length, PHASES.length);
     assert.ok(result.leaders.length > PHASES.length, 'each crash brought another owner');
@@ -33,28 +33,31 @@
     kind: 'controller-crash',
     controllers: 'leader',
     downS: 4,
-    atS: WHOLE_FROM_S,
+    atS: REPLICAS_WHOLE_S,
   } as const;
-  await playReplicas({ name: 'adoption', faults: [crash] }, ({ leaders, replicas, faults }) => {
-    const [{ fromS }] = faults.of('controller-crash');
-    assert.ok(
-      leaders.some(({ atS }) => atS > fromS),
-      'another took over',
-    );
-    const generations = new Map<string, Set<number>>();
-    for (const { atS, job, marks } of replicas.answers) {
-      if (atS < fromS) continue;
-      const seen = generations.get(job) ?? new Set<number>();
-      generations.set(job, seen.add(marks[0].generation));
-    }
-    assert.ok(generations.size >= 2, `${generations.size} replicas answer`);
-    for (const [job, seen] of generations) assert.equal(seen.size, 1, `${job} was not restarted`);
-  });
+  await runReplicaScenario(
+    { name: 'adoption', faults: [crash] },
+    ({ leaders, replicas, faults }) => {
+      const [{ fromS }] = faults.of('controller-crash');
+      assert.ok(
+        leaders.some(({ atS }) => atS > fromS),
+        'another took over',
+      );
+      const generations = new Map<string, Set<number>>();
+      for (const { atS, job, marks } of replicas.answers) {
+        if (atS < fromS) continue;
+        const seen = generations.get(job) ?? new Set<number>();
+        generations.set(job, seen.add(marks[0].generation));
+      }
+      assert.ok(generations.size >= 2, `${generations.size} replicas answer`);
+      for (const [job, seen] of generations) assert.equal(seen.size, 1, `${job} was not restarted`);
+    },
+  );
 });
 
 test('the successor ends, too, before the replica is whole', async () => {
   const faults = [
-    ...duringRepair(0, {
+    ...faultDuringRepair(0, {
       kind: 'controller-crash',
       controllers: 'leader',
       downS: 6,
@@ -64,11 +67,11 @@
       kind: 'controller-crash',
       controllers: 'leader',
       downS: 6,
-      atS: WHOLE_FROM_S,
+      atS: REPLICAS_WHOLE_S,
       afterTakeoverS: 0.6,
     } as const,
   ];
-  await playReplicas({ name: 'two owners end', faults }, (result) => {
+  await runReplicaScenario({ name: 'two owners end', faults }, (result) => {
     const [first, second] = result.faults.of('controller-crash');
     assert.notDeepEqual(first.controllers, second.controllers);
     assert.ok(second.fromS - first.fromS < 15, 'one soon after the other');
@@ -76,13 +79,13 @@
 });
 
 test('the owner stands still during a repair, and wakes after another has raised the generation', async () => {
-  const faults = duringRepair(0, {
+  const faults = faultDuringRepair(0, {
     kind: 'controller-freeze',
     controllers: 'leader',
     forS: 14,
     atReplicaPhase: 'starting-again',
   });
-  await playReplicas({ name: 'standstill', faults, seeds: [1, 2, 3] }, (result) => {
+  await runReplicaScenario({ name: 'standstill', faults, seeds: [1, 2, 3] }, (result) => {
     const [{ fromS, untilS, controllers }] = result.faults.of('controller-freeze');
     const successor = result.leaders.find(({ atS }) => atS > fromS);
     assert.ok(successor && successor.atS < untilS, 'another owned before it woke');
@@ -92,15 +95,15 @@
 
 test('the owner is refused alone by the state service, then an outage longer than a lease', async () => {
   const faults = [
-    ...duringRepair(0, {
+    ...faultDuringRepair(0, {
       kind: 'state-refuses',
       controllers: 'leader',
       forS: 6,
       atReplicaPhase: 'repairing',
     }),
-    { kind: 'state-outage', atS: WHOLE_FROM_S + 18, forS: 20 } as const,
+    { kind: 'state-outage', atS: REPLICAS_WHOLE_S + 18, forS: 20 } as const,
   ];
-  await playReplicas({ name: 'refused, then an outage', faults }, (result) => {
+  await runReplicaScenario({ name: 'refused, then an outage', faults }, (result) => {
     const [refused] = result.faults.of('state-refuses');
     const [outage] = result.faults.of('state-outage');
     assert.ok(outage.fromS - refused.untilS < 12, 'one soon after the other');
@@ -110,47 +113,47 @@
 
 test('all controllers restart during a repair', async () => {
   const faults = (['repairing', 'starting-again'] as const).flatMap((atReplicaPhase, index) =>
-    duringRepair(index * FAULT_EVERY_S, {
+    faultDuringRepair(index * FAULT_INTERVAL_S, {
       kind: 'controller-crash',
       controllers: 'all',
       downS: 1,
       atReplicaPhase,
     }),
   );
-  await playReplicas({ name: 'all restart', faults }, (result) => {
+  await runReplicaScenario({ name: 'all restart', faults }, (result) => {
     const crashes = result.faults.of('controller-crash');
     assert.ok(crashes.every(({ controllers }) => controllers.length === 3));
   });
 });
 
 test('the part moves to another controller over and over while replicas are repaired', async () => {
-  const deaths = [0, 20, 40].map((afterS) => memberDies(afterS));
-  const moves = { kind: 'part-moves', atS: WHOLE_FROM_S, forS: 60, everyS: 1.5 } as const;
-  await playReplicas({ name: 'planned moves', faults: [moves, ...deaths] }, (result) => {
+  const deaths = [0, 20, 40].map((afterS) => replicaMachineDeath(afterS));
+  const moves = { kind: 'part-moves', atS: REPLICAS_WHOLE_S, forS: 60, everyS: 1.5 } as const;
+  await runReplicaScenario({ name: 'planned moves', faults: [moves, ...deaths] }, (result) => {
     assert.ok(result.moves.counts.switched >= 20, `${result.moves.counts.switched} moves`);
-    assert.ok(countOf(result, 'whole-again') >= 1);
+    assert.ok(countPhase(result, 'whole-again') >= 1);
   });
 });
 
 test('late commands of a deposed owner arrive after the new generation is whole', async () => {
   const late = {
     kind: 'late-commands',
-    atS: WHOLE_FROM_S,
+    atS: REPLICAS_WHOLE_S,
     forS: 40,
     share: 0.7,
     delayS: [8, 25] as [number, number],
   } as const;
-  const crash = duringRepair(1, {
+  const crash = faultDuringRepair(1, {
     kind: 'controller-crash',
     controllers: 'leader',
     downS: 4,
     atReplicaPhase: 'starting-again',
   });
-  await playReplicas(
+  await runReplicaScenario(
     { name: 'late commands', faults: [late, ...crash], seeds: [1, 2, 3] },
     (result) => {
       assert.equal(result.faults.of('controller-crash').length, 1);
-      assert.ok(countOf(result, 'whole-again') >= 1);
+      assert.ok(countPhase(result, 'whole-again') >= 1);
     },
   );
 });
--- a/packages/testing/loopback/replica-groups/failing-machines.test.ts
+++ b/packages/testing/loopback/replica-groups/failing-machines.test.ts
@@ -3,112 +3,116 @@
 import type { ScenarioResult } from '../../simulation/index.js';
 import {
   CLUSTER,
-  countOf,
-  duringRepair,
-  FAULT_EVERY_S,
-  memberDies,
-  playReplicas,
-  WHOLE_FROM_S,
+  countPhase,
+  faultDuringRepair,
+  FAULT_INTERVAL_S,
+  replicaMachineDeath,
+  runReplicaScenario,
+  REPLICAS_WHOLE_S,
 } from './replica-scenarios.js';
 
 test('a machine fails halfway through a start, and the replica starts anew as a whole', async () => {
-  const faults = duringRepair(0, {
+  const faults = faultDuringRepair(0, {
     kind: 'machine-death',
     atReplicaPhase: 'starting-again',
     machines: { ofReplica: 1 },
   });
-  await playReplicas({ name: 'death in a start', faults }, (result) => {
+  await runReplicaScenario({ name: 'death in a start', faults }, (result) => {
     const deaths = result.faults.of('machine-death').flatMap(({ machines }) => machines);
     assert.equal(deaths.length, 2);
-    assert.ok(countOf(result, 'repairing') >= 2, 'two generations were repaired');
-    assert.ok(countOf(result, 'whole-again') >= 1);
+    assert.ok(countPhase(result, 'repairing') >= 2, 'two generations were repaired');
+    assert.ok(countPhase(result, 'whole-again') >= 1);
   });
 });
 
 test('a second machine fails during the repair, and joins the same repair', async () => {
-  const faults = duringRepair(0, {
+  const faults = faultDuringRepair(0, {
     kind: 'machine-death',
     atReplicaPhase: 'repairing',
     machines: { ofReplica: 2 },
   });
-  await playReplicas({ name: 'death in a repair', faults }, (result) => {
+  await runReplicaScenario({ name: 'death in a repair', faults }, (result) => {
     const [, second] = result.faults.of('machine-death');
     assert.ok(second.machines.length >= 1);
-    assert.ok(countOf(result, 'whole-again') >= 1);
+    assert.ok(countPhase(result, 'whole-again') >= 1);
   });
 });
 
 test('survivors start anew on their machines, where the image lies, and only the lost member fetches it', async () => {
-  await playReplicas({ name: 'image at the survivors', faults: [memberDies(0)] }, (result) => {
-    const [{ fromS, machines: dead }] = result.faults.of('machine-death');
-    const lost = result.timeline
-      .of('task-left', fromS, fromS + 1)
-      .filter(({ machine }) => dead.includes(machine));
-    assert.ok(lost.length > 0, 'members were lost');
-    const job = lost[0].task.job;
-    const before = new Set(
-      result.timeline
-        .of('task-started', 0, fromS)
+  await runReplicaScenario(
+    { name: 'image at the survivors', faults: [replicaMachineDeath(0)] },
+    (result) => {
+      const [{ fromS, machines: dead }] = result.faults.of('machine-death');
+      const lost = result.timeline
+        .of('task-left', fromS, fromS + 1)
+        .filter(({ machine }) => dead.includes(machine));
+      assert.ok(lost.length > 0, 'members were lost');
+      const job = lost[0].task.job;
+      const before = new Set(
+        result.timeline
+          .of('task-started', 0, fromS)
+          .filter(({ task }) => task.job === job)
+          .map(({ machine }) => machine),
+      );
+      const after = result.timeline
+        .of('task-started', fromS)
         .filter(({ task }) => task.job === job)
-        .map(({ machine }) => machine),
-    );
-    const after = result.timeline
-      .of('task-started', fromS)
-      .filter(({ task }) => task.job === job)
-      .map(({ machine }) => machine);
-    const survivors = [...before].filter((machine) => !dead.includes(machine));
-    assert.ok(survivors.length > 0, 'a member survived on another machine');
-    for (const machine of survivors) assert.ok(after.includes(machine), `${machine} is used again`);
-  });
+        .map(({ machine }) => machine);
+      const survivors = [...before].filter((machine) => !dead.includes(machine));
+      assert.ok(survivors.length > 0, 'a member survived on another machine');
+      for (const machine of survivors)
+        assert.ok(after.includes(machine), `${machine} is used again`);
+    },
+  );
 });
 
 test('a member that hangs and comes back joins no other generation', async () => {
   for (const forS of [6, 25]) {
     const hang = {
       kind: 'machine-hang',
-      atS: WHOLE_FROM_S,
+      atS: REPLICAS_WHOLE_S,
       forS,
       machines: { ofReplica: 1 },
     } as const;
-    await playReplicas({ name: `hang of ${forS} s`, faults: [hang] }, (result) => {
+    await runReplicaScenario({ name: `hang of ${forS} s`, faults: [hang] }, (result) => {
       const [{ fromS, untilS }] = result.faults.of('machine-hang');
       const [job] = new Set(result.replicas.answers.map((answer) => answer.job));
       assert.ok(job !== undefined);
       const during = result.replicas.answers.filter(({ atS }) => atS > fromS + 1 && atS < untilS);
       assert.ok(during.length > 0, 'other replicas answer meanwhile');
-      if (forS > 20) assert.ok(countOf(result, 'repairing') >= 1, 'the lease ended meanwhile');
+      if (forS > 20) assert.ok(countPhase(result, 'repairing') >= 1, 'the lease ended meanwhile');
     });
   }
 });
 
 test('a cut splits members, with a controller on each side', async () => {
   const faults = (['drop', 'hold'] as const).map((mode, index) => {
-    const atS = WHOLE_FROM_S + index * 2 * FAULT_EVERY_S;
+    const atS = REPLICAS_WHOLE_S + index * 2 * FAULT_INTERVAL_S;
     return { kind: 'zone-cut', zone: 'a', mode, atS, forS: 20 } as const;
   });
-  await playReplicas({ name: 'split', faults }, (result) => {
+  await runReplicaScenario({ name: 'split', faults }, (result) => {
     const cuts = result.faults.of('zone-cut');
     assert.ok(
       cuts.every(({ controllers, machines }) => controllers.length > 0 && machines.length > 0),
     );
-    assert.ok(countOf(result, 'repairing') >= 1, 'members were lost behind the cut');
+    assert.ok(countPhase(result, 'repairing') >= 1, 'members were lost behind the cut');
   });
 });
 
 test('a cancellation during start and repair ends all members in time', async () => {
   const faults = [
-    ...duringRepair(0, { kind: 'cancel-now', count: 40, atReplicaPhase: 'repairing' }),
-    ...duringRepair(FAULT_EVERY_S, {
+    ...faultDuringRepair(0, { kind: 'cancel-now', count: 40, atReplicaPhase: 'repairing' }),
+    ...faultDuringRepair(FAULT_INTERVAL_S, {
       kind: 'cancel-now',
       count: 40,
       atReplicaPhase: 'starting-again',
     }),
   ];
-  const options = { name: 'cancellations', faults: faults.slice(0, 2), endsBroken: true };
-  await playReplicas(options, (result) => {
+  const options = { name: 'cancellations', faults: faults.slice(0, 2), allowBrokenAtEnd: true };
+  await runReplicaScenario(options, (result) => {
     assertReplicasCancelled(result);
   });
-  await playReplicas({ ...options, faults: faults.slice(2) }, (result) => {
+  await runReplicaScenario({ ...options, faults: faults.slice(2) }, (result) => {
     assertReplicasCancelled(result);
   });
 });
@@ -124,11 +128,11 @@
   const { deployment } = CLUSTER;
   const teams = deployment.teams.map((team) => ({ ...team, gpus: 0, gpus_max: 24 }));
   const cluster = { deployment: { ...deployment, teams } };
-  const faults = [memberDies(0), memberDies(FAULT_EVERY_S)];
+  const faults = [replicaMachineDeath(0), replicaMachineDeath(FAULT_INTERVAL_S)];
   // Of a team's replicas, which take twelve accelerators each, two are whole at the same time.
-  const options = { name: 'limit', faults, cluster, endsBroken: true, seeds: [1, 2, 3] };
-  await playReplicas(options, (result) => {
-    assert.ok(countOf(result, 'whole-again') >= 1);
+  const options = { name: 'limit', faults, cluster, allowBrokenAtEnd: true, seeds: [1, 2, 3] };
+  await runReplicaScenario(options, (result) => {
+    assert.ok(countPhase(result, 'whole-again') >= 1);
     const jobs = result.timeline
       .of('job-submitted')
       .filter(({ job }) => job.class === CLUSTER.deployment.objectives[0].class);
@@ -146,9 +150,9 @@
 });
 
 test('the state service is away when a member dies, and the replica is repaired once it is back', async () => {
-  const atS = WHOLE_FROM_S;
-  const faults = [{ kind: 'state-outage', atS, forS: 25 } as const, memberDies(2)];
-  await playReplicas({ name: 'outage', faults }, (result) => {
+  const atS = REPLICAS_WHOLE_S;
+  const faults = [{ kind: 'state-outage', atS, forS: 25 } as const, replicaMachineDeath(2)];
+  await runReplicaScenario({ name: 'outage', faults }, (result) => {
     const [{ untilS }] = result.faults.of('state-outage');
     const [{ fromS, machines: dead }] = result.faults.of('machine-death');
     assert.ok(dead.length > 0);
@@ -159,22 +163,22 @@
       result.replicas.answers.some(({ job }) => job === task.job),
     );
     assert.deepEqual(replicaStarts, [], 'nothing starts that is not recorded');
-    assert.ok(countOf(result, 'whole-again') >= 1);
+    assert.ok(countPhase(result, 'whole-again') >= 1);
   });
 });
 
 test('a notice for two members of one replica, and one of another, moves both as wholes', async () => {
   const notice = {
     kind: 'machine-taken',
-    atS: WHOLE_FROM_S,
+    atS: REPLICAS_WHOLE_S,
     machines: { ofReplica: 2 },
     noticeS: 25,
   } as const;
-  const another = { ...notice, atS: WHOLE_FROM_S + 1, machines: { ofReplica: 3 } } as const;
+  const another = { ...notice, atS: REPLICAS_WHOLE_S + 1, machines: { ofReplica: 3 } } as const;
   const options = { name: 'notices', faults: [notice, another], template: { spot: true } };
-  await playReplicas(options, (result) => {
+  await runReplicaScenario(options, (result) => {
     const taken = result.faults.of('machine-taken').flatMap(({ machines }) => machines);
     assert.ok(taken.length >= 2, `${taken.length} machines are taken`);
-    assert.ok(countOf(result, 'moving') >= 1, 'a replica was moved');
+    assert.ok(countPhase(result, 'moving') >= 1, 'a replica was moved');
   });
 });
--- a/packages/testing/loopback/replica-groups/loopback-faults.ts
+++ b/packages/testing/loopback/replica-groups/loopback-faults.ts
@@ -5,9 +5,9 @@
 /** Leases for which a machine stands still or is cut off: longer than it takes to lose its tasks. */
 const LONG_FAULT_LEASES = 1.4;
 const DOWN_S = 1;
-const STANDSTILL_S = 4;
+const STOPPED_S = 4;
 /** A controller fails so long after the machine at the most. */
-const CONTROLLER_WITHIN_S = 8;
+const MAX_CONTROLLER_FAULT_DELAY_S = 8;
 
 type MachineFault = 'killed' | 'frozen' | 'cut';
 const MACHINE_FAULTS: MachineFault[] = ['killed', 'frozen', 'cut'];
@@ -16,7 +16,7 @@
 export class LoopbackFaults {
   /** How often each fault was made. */
   readonly counts: Record<string, number> = {};
-  private readonly cut = new Set<string>();
+  private readonly isolatedMachines = new Set<string>();
 
   constructor(
     private readonly cluster: LoopbackCluster,
@@ -25,8 +25,8 @@
   ) {}
 
   /** Whether one machine, or the router (null), reaches another. */
-  reaches(from: string | null, to: string): boolean {
-    return !(this.cut.has(to) || (from !== null && this.cut.has(from)));
+  canReach(from: string | null, to: string): boolean {
+    return !(this.isolatedMachines.has(to) || (from !== null && this.isolatedMachines.has(from)));
   }
 
   /** A machine fails in one of the ways; resolves once it has ended, or goes on. */
@@ -35,7 +35,7 @@
     const kind = MACHINE_FAULTS[chance.int(0, MACHINE_FAULTS.length - 1)];
     const worker = cluster.fleet.worker(name);
     if (!worker) return;
-    this.count(kind);
+    this.countFault(kind);
     if (kind === 'killed') {
       cluster.cloud.kill(name);
       return;
@@ -45,9 +45,9 @@
     if (kind === 'frozen') worker.hang();
     else worker.setDeaf(true);
     if (kind === 'cut') worker.setMute(true);
-    if (isCutFromAll) this.cut.add(name);
+    if (isCutFromAll) this.isolatedMachines.add(name);
     await sleep(LONG_FAULT_LEASES * this.leaseS * 1000);
-    this.cut.delete(name);
+    this.isolatedMachines.delete(name);
     if (kind === 'frozen') worker.resume();
     else worker.setDeaf(false);
     worker.setMute(false);
@@ -56,21 +56,21 @@
   /** Some time into the repair the owner, or another controller, ends and is started again, or stands still. */
   async failController(): Promise<void> {
     const { cluster, chance } = this;
-    await sleep(chance.next() * CONTROLLER_WITHIN_S * 1000);
+    await sleep(chance.next() * MAX_CONTROLLER_FAULT_DELAY_S * 1000);
     const leader = cluster.leader();
     const running = cluster.controllers.filter((each) => each.running);
     const victim = leader !== null && chance.hit(0.75) ? leader : running.at(0);
     if (!victim) return;
-    const ends = chance.hit(0.5);
-    this.count(ends ? 'controller killed' : 'controller stopped');
-    if (ends) await victim.end('SIGKILL');
+    const isCrash = chance.hit(0.5);
+    this.countFault(isCrash ? 'controller killed' : 'controller stopped');
+    if (isCrash) await victim.end('SIGKILL');
     else victim.setStopped(true);
-    await sleep((ends ? DOWN_S : STANDSTILL_S) * 1000);
-    if (ends) victim.start();
+    await sleep((isCrash ? DOWN_S : STOPPED_S) * 1000);
+    if (isCrash) victim.start();
     else victim.setStopped(false);
   }
 
-  private count(kind: string): void {
+  private countFault(kind: string): void {
     this.counts[kind] = (this.counts[kind] ?? 0) + 1;
   }
 }
--- a/packages/testing/loopback/replica-groups/loopback-run.ts
+++ b/packages/testing/loopback/replica-groups/loopback-run.ts
@@ -19,9 +19,9 @@
 const MEMBERS = 3;
 const SEED = 1;
 const FIRST_JOB_ID = 800_000;
-const REQUEST_EVERY_S = 0.1;
-const START_WITHIN_S = 90;
-const REPAIR_WITHIN_S = 120;
+const REQUEST_INTERVAL_S = 0.1;
+const START_TIMEOUT_S = 90;
+const REPAIR_TIMEOUT_S = 120;
 /** From one repair to the next fault. */
 const PAUSE_S = 0.5;
 
@@ -65,7 +65,7 @@
   try {
     await run.start();
     for (let done = 1; done <= options.faults; done++) {
-      await run.failOnce(done);
+      await run.injectFault(done);
       progress(done);
     }
     return run.finish();
@@ -109,8 +109,8 @@
       chance,
       now: () => nodeRuntime.clock.now(),
       schedule: (delayS, run) => void setTimeout(run, delayS * 1000).unref(),
-      reaches: (from, to) => this.faults.reaches(from, to),
-      everyS: REQUEST_EVERY_S,
+      reaches: (from, to) => this.faults.canReach(from, to),
+      everyS: REQUEST_INTERVAL_S,
       isFenced: mode === 'groups',
     });
   }
@@ -124,12 +124,14 @@
     cluster.users.start(planReplicas(options.replicas, teams));
     this.traffic.start();
     const jobs = Array.from({ length: options.replicas }, (_, index) => jobId(index));
-    await waitFor('all replicas to answer', START_WITHIN_S, () => this.allAnswerSince(jobs, 0));
+    await waitFor('all replicas to answer', START_TIMEOUT_S, () =>
+      this.allReplicasAnswerSince(jobs, 0),
+    );
     this.fromS = nodeRuntime.clock.now();
   }
 
   /** A machine with members fails, now and then with a controller; resolves once all of it is repaired. */
-  async failOnce(number: number): Promise<void> {
+  async injectFault(number: number): Promise<void> {
     const { chance, faults, cluster, options } = this;
     const replicas = [...this.members.replicas()];
     const victim = replicas[chance.int(0, replicas.length - 1)];
@@ -137,29 +139,29 @@
     if (!member) return sleep(PAUSE_S * 1000);
     const withController = options.controllerEvery > 0 && number % options.controllerEvery === 0;
     const atS = nodeRuntime.clock.now();
-    const hit = replicas.filter(({ job, first }) =>
+    const affected = replicas.filter(({ job, first }) =>
       [0, 1, 2].some((index) =>
         this.members.of(job, first + index).some(({ machine }) => machine === member.machine),
       ),
     );
-    for (const { job } of hit) this.losses.push({ atS, job, withController });
-    const ends = [faults.failMachine(member.machine)];
-    if (withController) ends.push(faults.failController());
-    await Promise.all(ends);
+    for (const { job } of affected) this.losses.push({ atS, job, withController });
+    const pendingFaults = [faults.failMachine(member.machine)];
+    if (withController) pendingFaults.push(faults.failController());
+    await Promise.all(pendingFaults);
     await allHealthy(cluster);
     const jobs = replicas.map(({ job }) => job);
     const sinceS = nodeRuntime.clock.now();
-    await waitFor('repairs', REPAIR_WITHIN_S, () => this.allAnswerSince(jobs, sinceS));
+    await waitFor('repairs', REPAIR_TIMEOUT_S, () => this.allReplicasAnswerSince(jobs, sinceS));
     await sleep(PAUSE_S * 1000);
   }
 
-  private allAnswerSince(jobs: string[], sinceS: number): true | null {
+  private allReplicasAnswerSince(jobs: string[], sinceS: number): true | null {
     const { answers } = this.traffic;
-    const seen = new Set<string>();
+    const answering = new Set<string>();
     for (let at = answers.length - 1; at >= 0 && answers[at].atS > sinceS; at--) {
-      if (answers[at].marks.length === MEMBERS) seen.add(answers[at].job);
+      if (answers[at].marks.length === MEMBERS) answering.add(answers[at].job);
     }
-    return jobs.every((job) => seen.has(job)) ? true : null;
+    return jobs.every((job) => answering.has(job)) ? true : null;
   }
 
   finish(): ReplicaRunResult {
--- a/packages/testing/loopback/replica-groups/repair-times.ts
+++ b/packages/testing/loopback/replica-groups/repair-times.ts
@@ -29,10 +29,12 @@
   const times: RepairTime[] = [];
   for (const { atS, job, withController } of losses) {
     if ((wholeAt.get(job) ?? -Infinity) > atS) continue;
-    const own = byJob.get(job) ?? [];
-    const before = newestGeneration(own.filter((answer) => answer.atS <= atS));
-    const later = own.filter((answer) => answer.atS > atS);
-    const whole = later.find((answer) => isWhole(answer) && newestGeneration([answer]) > before);
+    const jobAnswers = byJob.get(job) ?? [];
+    const lostGeneration = newestGeneration(jobAnswers.filter((answer) => answer.atS <= atS));
+    const later = jobAnswers.filter((answer) => answer.atS > atS);
+    const whole = later.find(
+      (answer) => isWhole(answer) && newestGeneration([answer]) > lostGeneration,
+    );
     if (!whole) continue;
     wholeAt.set(job, whole.atS);
     const old = later.filter((answer) => answer.atS < whole.atS);
--- a/packages/testing/loopback/replica-groups/replica-scenarios.ts
+++ b/packages/testing/loopback/replica-groups/replica-scenarios.ts
@@ -15,11 +15,11 @@
 const MEMBERS = 3;
 const CLASS = 'label-model';
 /** By then the first replicas are whole. */
-export const WHOLE_FROM_S = 60;
+export const REPLICAS_WHOLE_S = 60;
 /** After the last fault, until all replicas are whole again. */
-const QUIET_S = 60;
+const RECOVERY_S = 60;
 /** From one fault to the next, so that what it did is over. */
-export const FAULT_EVERY_S = 30;
+export const FAULT_INTERVAL_S = 30;
 
 const LABEL_MODELS: JobClass = {
   template: jobTemplate({
@@ -78,16 +78,16 @@
   template?: Partial<JobClass['template']>;
   cluster?: Partial<ClusterSettings>;
   /** All replicas need not be whole at the end. */
-  endsBroken?: boolean;
+  allowBrokenAtEnd?: boolean;
 }
 
 /** Plays it: no rule and no answer may be broken, and in the end all replicas are whole and answer. */
-export async function playReplicas(
+export async function runReplicaScenario(
   options: ReplicaScenario,
   check: (result: ScenarioResult) => void,
 ): Promise<void> {
-  const lastS = Math.max(...options.faults.map(faultEndS));
-  const lengthS = lastS + QUIET_S;
+  const lastFaultEndS = Math.max(...options.faults.map(faultEndS));
+  const lengthS = lastFaultEndS + RECOVERY_S;
   const classes = [
     { ...LABEL_MODELS, template: { ...LABEL_MODELS.template, ...options.template } },
     SHORT_BATCHES,
@@ -104,10 +104,10 @@
     assert.deepEqual(replicas.broken.map(describeAnswer), [], 'broken answers');
     assert.equal(replicas.members.generationsAtOnce, 0, 'two generations at once');
     for (const fault of options.faults) {
-      const met = faults.records.some((record) => record.fault === fault);
-      assert.ok(met, `${fault.kind} at ${fault.atReplicaPhase ?? fault.atS} did not occur`);
+      const occurred = faults.records.some((record) => record.fault === fault);
+      assert.ok(occurred, `${fault.kind} at ${fault.atReplicaPhase ?? fault.atS} did not occur`);
     }
-    if (!options.endsBroken) assertAllAnswer(result, lengthS);
+    if (!options.allowBrokenAtEnd) assertAllReplicasAnswer(result, lengthS);
     check(result);
   });
 }
@@ -117,7 +117,7 @@
 }
 
 /** Every replica whose job was accepted and not cancelled has answered shortly before the end. */
-function assertAllAnswer({ timeline, replicas }: ScenarioResult, lengthS: number): void {
+function assertAllReplicasAnswer({ timeline, replicas }: ScenarioResult, lengthS: number): void {
   const cancelled = new Set(timeline.of('cancel-asked').map(({ job }) => job));
   const jobs = timeline
     .of('job-submitted')
@@ -135,18 +135,18 @@
 }
 
 /** How often a phase was reached. */
-export function countOf({ replicaMoments }: ScenarioResult, moment: ReplicaMoment): number {
+export function countPhase({ replicaMoments }: ScenarioResult, moment: ReplicaMoment): number {
   return replicaMoments.counts.get(moment) ?? 0;
 }
 
 /** A machine of a replica ends, so many seconds after the replicas are whole. */
-export function memberDies(afterS: number): Fault {
-  return { kind: 'machine-death', atS: WHOLE_FROM_S + afterS, machines: { ofReplica: 1 } };
+export function replicaMachineDeath(afterS: number): Fault {
+  return { kind: 'machine-death', atS: REPLICAS_WHOLE_S + afterS, machines: { ofReplica: 1 } };
 }
 
 /** Another fault that waits for a phase of the repair that the death brings. */
-export function duringRepair(afterS: number, fault: DistributiveOmit<Fault, 'atS'>): Fault[] {
-  return [memberDies(afterS), { ...fault, atS: WHOLE_FROM_S + afterS } as Fault];
+export function faultDuringRepair(afterS: number, fault: DistributiveOmit<Fault, 'atS'>): Fault[] {
+  return [replicaMachineDeath(afterS), { ...fault, atS: REPLICAS_WHOLE_S + afterS } as Fault];
 }
 
 type DistributiveOmit<T, K extends PropertyKey> = T extends unknown ? Omit<T, K> : never;
--- a/packages/testing/loopback/shard-migrations/leader-audit.test.ts
+++ b/packages/testing/loopback/shard-migrations/leader-audit.test.ts
@@ -4,13 +4,13 @@
 
 function auditOfTwoTerms(): LeaderAudit {
   const audit = new LeaderAudit();
-  audit.recorded('c-0', 5);
-  audit.obeyed('n-1', 'c-0', 5);
+  audit.addRecordedLeader('c-0', 5);
+  audit.addObeyedAnswer('n-1', 'c-0', 5);
   // A revision within the term, by which a machine was fenced.
-  audit.obeyed('n-1', 'c-0', 7);
-  audit.recorded('c-1', 9);
-  audit.obeyed('n-2', 'c-0', 5);
-  audit.obeyed('n-1', 'c-1', 9);
+  audit.addObeyedAnswer('n-1', 'c-0', 7);
+  audit.addRecordedLeader('c-1', 9);
+  audit.addObeyedAnswer('n-2', 'c-0', 5);
+  audit.addObeyedAnswer('n-1', 'c-1', 9);
   return audit;
 }
 
@@ -27,19 +27,19 @@
     return audit.breaches.map(({ kind }) => kind);
   };
   assert.deepEqual(
-    kindsAfter((audit) => audit.recorded('c-2', 9)),
+    kindsAfter((audit) => audit.addRecordedLeader('c-2', 9)),
     ['two-owners'],
   );
   assert.deepEqual(
-    kindsAfter((audit) => audit.obeyed('n-2', 'c-0', 9)),
+    kindsAfter((audit) => audit.addObeyedAnswer('n-2', 'c-0', 9)),
     ['foreign-owner'],
   );
   assert.deepEqual(
-    kindsAfter((audit) => audit.obeyed('n-1', 'c-0', 7)),
+    kindsAfter((audit) => audit.addObeyedAnswer('n-1', 'c-0', 7)),
     ['older-owner'],
   );
   assert.deepEqual(
-    kindsAfter((audit) => audit.obeyed('n-3', 'c-2', 3)),
+    kindsAfter((audit) => audit.addObeyedAnswer('n-3', 'c-2', 3)),
     ['foreign-owner'],
   );
 });
--- a/packages/testing/loopback/shard-migrations/leader-audit.ts
+++ b/packages/testing/loopback/shard-migrations/leader-audit.ts
@@ -27,7 +27,7 @@
   private readonly newestTerm = new Map<string, number>();
 
   /** The state service holds an owner. */
-  recorded(leader: string, term: number): void {
+  addRecordedLeader(leader: string, term: number): void {
     const known = this.leaders.find((each) => each.term === term);
     if (known === undefined) {
       this.leaders.push({ leader, term });
@@ -43,7 +43,7 @@
   }
 
   /** A worker has obeyed an answer; its token is a term, or a later revision within it. */
-  obeyed(machine: string, controller: string, fencingToken: number): void {
+  addObeyedAnswer(machine: string, controller: string, fencingToken: number): void {
     this.obeyedAnswers++;
     const leader = this.leaders.filter(({ term }) => term <= fencingToken).at(-1);
     if (leader?.leader !== controller) {
--- a/packages/testing/loopback/shard-migrations/loopback-run.ts
+++ b/packages/testing/loopback/shard-migrations/loopback-run.ts
@@ -14,13 +14,13 @@
 
 const SHARD = 0;
 /** The line of a leader that begins to decide; the sources that are run may be older than its present name. */
-const READY_MESSAGES = ['leader ready', 'owner'];
+const LEADER_READY_MESSAGES = ['leader ready', 'owner'];
 const SEED = 1;
-const MOVE_WITHIN_S = 20;
+const MIGRATION_TIMEOUT_S = 20;
 const STATE_TIMEOUT_MS = 2000;
 /** A fault begins so long after its move was asked for at the most. */
-const FAULT_WITHIN_MS = 120;
-const STANDSTILL_S = 3;
+const MAX_FAULT_DELAY_MS = 120;
+const STOPPED_S = 3;
 const DOWN_S = 1;
 
 export interface MoveRunOptions {
@@ -55,11 +55,11 @@
   options: MoveRunOptions,
   progress: (done: number) => void,
 ): Promise<MoveRunResult> {
-  const run = new MoveRun(options);
+  const run = new MigrationRun(options);
   try {
     await run.start();
     for (let done = 1; done <= options.moves; done++) {
-      await run.move(done);
+      await run.migrate(done);
       progress(done);
     }
     return run.finish();
@@ -68,7 +68,7 @@
   }
 }
 
-class MoveRun {
+class MigrationRun {
   private readonly chance = new Chance(SEED);
   private readonly audit = new LeaderAudit();
   private readonly checker: RuleChecker;
@@ -100,7 +100,7 @@
         if (event.kind === 'transaction') this.recordLeader();
       },
     });
-    this.cluster.heartbeats.onObeyed = (...answer) => this.audit.obeyed(...answer);
+    this.cluster.heartbeats.onObeyed = (...answer) => this.audit.addObeyedAnswer(...answer);
     const address = formatAddress(this.cluster.addresses.state(0));
     this.api = new StateApi(nodeRuntime, address, STATE_TIMEOUT_MS);
     this.requests = new MigrationRequests(this.api, nodeRuntime.clock, SHARD);
@@ -113,11 +113,11 @@
 
   private recordLeader(): void {
     const leadership = this.cluster.leadership();
-    if (leadership !== null) this.audit.recorded(leadership.leader, leadership.term);
+    if (leadership !== null) this.audit.addRecordedLeader(leadership.leader, leadership.term);
   }
 
   /** Moves the part to a controller that does not own it; now and then with a fault. */
-  async move(number: number): Promise<void> {
+  async migrate(number: number): Promise<void> {
     const { cluster, options, chance } = this;
     const source = cluster.leader();
     const others = cluster.standbys();
@@ -125,14 +125,16 @@
     const target = others[chance.int(0, others.length - 1)];
     const isFaulty = options.faultEvery > 0 && number % options.faultEvery === 0;
     const fromMs = performance.now();
-    const fault = isFaulty ? this.trouble([source, target][chance.int(0, 1)]) : Promise.resolve();
-    const outcome = await this.requests.move(target.name, `move ${number}`, MOVE_WITHIN_S);
+    const fault = isFaulty
+      ? this.injectFault([source, target][chance.int(0, 1)])
+      : Promise.resolve();
+    const outcome = await this.requests.move(target.name, `move ${number}`, MIGRATION_TIMEOUT_S);
     this.recordOutcome(outcome, performance.now() - fromMs);
     await fault;
     if (isFaulty) await allHealthy(cluster);
     await sleep(options.everyS * 1000);
     const isClean = !isFaulty && outcome.kind === 'moved';
-    if (isClean) this.recordUndecided(source, target, fromMs);
+    if (isClean) this.recordDecisionGap(source, target, fromMs);
   }
 
   private recordOutcome(outcome: RequestOutcome, tookMs: number): void {
@@ -147,26 +149,28 @@
   }
 
   /** By the logs of both: from the pause of the old owner to the first round of the new one. */
-  private recordUndecided(
+  private recordDecisionGap(
     source: ControllerProcess,
     target: ControllerProcess,
     fromMs: number,
   ): void {
     const paused = source.run.log.since('shard migration started: decisions stop', fromMs)[0];
-    const [decides] = READY_MESSAGES.flatMap((message) => target.run.log.since(message, fromMs));
+    const [decides] = LEADER_READY_MESSAGES.flatMap((message) =>
+      target.run.log.since(message, fromMs),
+    );
     if (paused && decides) this.undecidedMs.push(decides.receivedAtMs - paused.receivedAtMs);
   }
 
   /** One side of the move ends and comes back, or stands still, some time into the move. */
-  private async trouble(victim: ControllerProcess): Promise<void> {
+  private async injectFault(victim: ControllerProcess): Promise<void> {
     const { chance, counts } = this;
-    const ends = chance.hit(0.5);
+    const isCrash = chance.hit(0.5);
     counts.faults++;
-    await sleep(chance.next() * FAULT_WITHIN_MS);
-    if (ends) await victim.end('SIGKILL');
+    await sleep(chance.next() * MAX_FAULT_DELAY_MS);
+    if (isCrash) await victim.end('SIGKILL');
     else victim.setStopped(true);
-    await sleep((ends ? DOWN_S : STANDSTILL_S) * 1000);
-    if (ends) victim.start();
+    await sleep((isCrash ? DOWN_S : STOPPED_S) * 1000);
+    if (isCrash) victim.start();
     else victim.setStopped(false);
   }
 
--- a/packages/testing/loopback/shard-migrations/migration-scenarios.ts
+++ b/packages/testing/loopback/shard-migrations/migration-scenarios.ts
@@ -5,9 +5,9 @@
 import type { Fault, Scenario, ScenarioResult } from '../../simulation/index.js';
 
 /** Time between two requests in which a move and what a fault has done to it are over. */
-export const MOVE_EVERY_S = 20;
+export const MIGRATION_INTERVAL_S = 20;
 
-export interface MovingOptions {
+export interface MigrationScenarioOptions {
   name: string;
   /** Moves are asked for during that time. */
   movingS: number;
@@ -16,19 +16,19 @@
 }
 
 /** Steady work on a cluster whose part is moved from one controller to the next. */
-function movingScenario({ name, movingS, everyS, faults }: MovingOptions): Scenario {
+function migrationScenario({ name, movingS, everyS, faults }: MigrationScenarioOptions): Scenario {
   const moves: Fault = { kind: 'part-moves', atS: BUSY_FROM_S, forS: movingS, everyS };
   const scenario = steadyScenario(name, BUSY_FROM_S + movingS + 60, [moves, ...faults]);
   return { ...scenario, cluster: { ...scenario.cluster, operator: { moves: {} } } };
 }
 
 /** Plays it; no rule may break, no work may be lost, and the part moves on after all faults. */
-export async function playMoves(
-  options: MovingOptions,
+export async function runMigrationScenario(
+  options: MigrationScenarioOptions,
   seeds: number[],
   check: (result: ScenarioResult) => void,
 ): Promise<void> {
-  await playMeeting(movingScenario(options), seeds, (result) => {
+  await playMeeting(migrationScenario(options), seeds, (result) => {
     const untilS = BUSY_FROM_S + options.movingS + 60;
     assert.deepEqual(killedTasks(result, BUSY_FROM_S, untilS), [], 'no work was lost');
     for (const fault of options.faults) {
@@ -47,8 +47,8 @@
 }
 
 /** One fault after another, each at the given phase of a move of its own. */
-export function atPhases(faults: Omit<Fault, 'atS'>[]): Fault[] {
+export function oneFaultPerMigration(faults: Omit<Fault, 'atS'>[]): Fault[] {
   return faults.map((fault, index) => {
-    return { ...fault, atS: BUSY_FROM_S + 1 + index * MOVE_EVERY_S } as Fault;
+    return { ...fault, atS: BUSY_FROM_S + 1 + index * MIGRATION_INTERVAL_S } as Fault;
   });
 }
--- a/packages/testing/loopback/shard-migrations/migrations.test.ts
+++ b/packages/testing/loopback/shard-migrations/migrations.test.ts
@@ -2,22 +2,26 @@
 import { test } from 'node:test';
 import { BUSY_FROM_S } from '../../fault-combinations/steady-work.js';
 import type { Fault, MigrationPhase } from '../../simulation/index.js';
-import { atPhases, MOVE_EVERY_S, playMoves } from './migration-scenarios.js';
+import {
+  oneFaultPerMigration,
+  MIGRATION_INTERVAL_S,
+  runMigrationScenario,
+} from './migration-scenarios.js';
 
 const PHASES: MigrationPhase[] = ['requested', 'prepared', 'quiesced', 'switched'];
 const SIDES = ['move-source', 'move-target'] as const;
 
 /** One fault on each side of a move in each of its phases. */
-function onEachSide(fault: Omit<Fault, 'atS' | 'controllers'>): Fault[] {
+function faultsOnEachSide(fault: Omit<Fault, 'atS' | 'controllers'>): Fault[] {
   const each = PHASES.flatMap((atMovePhase) =>
     SIDES.map((side) => ({ ...fault, atMovePhase, controllers: side })),
   );
-  return atPhases(each);
+  return oneFaultPerMigration(each);
 }
 
 test('work goes on through fifty moves, and so do its steps that are under way', async () => {
   const moving = { name: 'fifty moves', movingS: 100, everyS: 2, faults: [] };
-  await playMoves(moving, [1, 2], (result) => {
+  await runMigrationScenario(moving, [1, 2], (result) => {
     const { timeline, leaders, moves, controllers } = result;
     const switches = leaders.filter(({ atS }) => atS >= BUSY_FROM_S);
     assert.ok(moves.counts.switched >= 48, `${moves.counts.switched} moves`);
@@ -39,72 +43,95 @@
 });
 
 test('either side of a move crashes in any phase, and one controller owns the part afterwards', async () => {
-  const faults = onEachSide({ kind: 'controller-crash', downS: 2 } as Fault);
-  const movingS = MOVE_EVERY_S * (faults.length + 3);
-  await playMoves({ name: 'crashes', movingS, everyS: MOVE_EVERY_S, faults }, [1], (result) => {
-    assert.equal(result.faults.of('controller-crash').length, faults.length);
-  });
+  const faults = faultsOnEachSide({ kind: 'controller-crash', downS: 2 } as Fault);
+  const movingS = MIGRATION_INTERVAL_S * (faults.length + 3);
+  await runMigrationScenario(
+    { name: 'crashes', movingS, everyS: MIGRATION_INTERVAL_S, faults },
+    [1],
+    (result) => {
+      assert.equal(result.faults.of('controller-crash').length, faults.length);
+    },
+  );
 });
 
 test('either side of a move stands still in any phase, and wakes with old knowledge', async () => {
-  const faults = onEachSide({ kind: 'controller-freeze', forS: 5 } as Fault);
-  const movingS = MOVE_EVERY_S * (faults.length + 3);
-  await playMoves({ name: 'standstills', movingS, everyS: MOVE_EVERY_S, faults }, [1], (result) => {
-    assert.equal(result.faults.of('controller-freeze').length, faults.length);
-  });
+  const faults = faultsOnEachSide({ kind: 'controller-freeze', forS: 5 } as Fault);
+  const movingS = MIGRATION_INTERVAL_S * (faults.length + 3);
+  await runMigrationScenario(
+    { name: 'standstills', movingS, everyS: MIGRATION_INTERVAL_S, faults },
+    [1],
+    (result) => {
+      assert.equal(result.faults.of('controller-freeze').length, faults.length);
+    },
+  );
 });
 
 test('either side of a move loses the state service or its peers in any phase', async () => {
   const cut = { kind: 'controller-cut', forS: 5, mode: 'hold' };
   for (const from of [['state'], ['controllers']]) {
-    const faults = onEachSide({ ...cut, from } as Fault);
-    const movingS = MOVE_EVERY_S * (faults.length + 3);
+    const faults = faultsOnEachSide({ ...cut, from } as Fault);
+    const movingS = MIGRATION_INTERVAL_S * (faults.length + 3);
     const name = `cut from ${from}`;
-    await playMoves({ name, movingS, everyS: MOVE_EVERY_S, faults }, [1], () => {});
+    await runMigrationScenario(
+      { name, movingS, everyS: MIGRATION_INTERVAL_S, faults },
+      [1],
+      () => {},
+    );
   }
 });
 
 test('answers of each step are lost, and each step is carried out late', async () => {
   const phases: MigrationPhase[] = ['requested', 'prepared', 'quiesced'];
-  const faults = atPhases(
+  const faults = oneFaultPerMigration(
     phases.flatMap((atMovePhase) => [
       { kind: 'lost-answers', share: 1, forS: 0.5, atMovePhase },
       { kind: 'late-writes', share: 1, forS: 0.5, delayS: [3, 8], atMovePhase },
     ]) as Fault[],
   );
-  const movingS = MOVE_EVERY_S * (faults.length + 3);
-  await playMoves(
-    { name: 'lost and late', movingS, everyS: MOVE_EVERY_S, faults },
+  const movingS = MIGRATION_INTERVAL_S * (faults.length + 3);
+  await runMigrationScenario(
+    { name: 'lost and late', movingS, everyS: MIGRATION_INTERVAL_S, faults },
     [1, 2],
     () => {},
   );
 });
 
 test('the state service is away in any phase of a move for longer than a lease', async () => {
-  const faults = atPhases(
+  const faults = oneFaultPerMigration(
     PHASES.map((atMovePhase) => ({ kind: 'state-outage', forS: 14, atMovePhase })) as Fault[],
-  ).map((fault, index) => ({ ...fault, atS: BUSY_FROM_S + 1 + index * 2 * MOVE_EVERY_S }) as Fault);
-  const movingS = 2 * MOVE_EVERY_S * (faults.length + 3);
-  await playMoves({ name: 'outages', movingS, everyS: MOVE_EVERY_S, faults }, [1], () => {});
+  ).map(
+    (fault, index) =>
+      ({ ...fault, atS: BUSY_FROM_S + 1 + index * 2 * MIGRATION_INTERVAL_S }) as Fault,
+  );
+  const movingS = 2 * MIGRATION_INTERVAL_S * (faults.length + 3);
+  await runMigrationScenario(
+    { name: 'outages', movingS, everyS: MIGRATION_INTERVAL_S, faults },
+    [1],
+    () => {},
+  );
 });
 
 test('all controllers end in any phase of a move', async () => {
-  const faults = atPhases(
+  const faults = oneFaultPerMigration(
     PHASES.map((atMovePhase) => {
       return { kind: 'controller-crash', controllers: 'all', downS: 1, atMovePhase };
     }) as Fault[],
   );
-  const movingS = MOVE_EVERY_S * (faults.length + 3);
-  await playMoves({ name: 'all end', movingS, everyS: MOVE_EVERY_S, faults }, [1], () => {});
+  const movingS = MIGRATION_INTERVAL_S * (faults.length + 3);
+  await runMigrationScenario(
+    { name: 'all end', movingS, everyS: MIGRATION_INTERVAL_S, faults },
+    [1],
+    () => {},
+  );
 });
 
 test('jobs are cancelled in each phase of a move, and their tasks are gone in time', async () => {
-  const faults = atPhases(
+  const faults = oneFaultPerMigration(
     PHASES.map((atMovePhase) => ({ kind: 'cancel-now', count: 3, atMovePhase })) as Fault[],
   );
-  const movingS = MOVE_EVERY_S * (faults.length + 3);
-  await playMoves(
-    { name: 'cancellations', movingS, everyS: MOVE_EVERY_S, faults },
+  const movingS = MIGRATION_INTERVAL_S * (faults.length + 3);
+  await runMigrationScenario(
+    { name: 'cancellations', movingS, everyS: MIGRATION_INTERVAL_S, faults },
     [1, 2],
     (result) => {
       const cancelled = result.faults.of('cancel-now').flatMap(({ machines }) => machines);
--- a/packages/testing/peer-statements.ts
+++ b/packages/testing/peer-statements.ts
@@ -2,9 +2,9 @@
 import type { StatusFrame } from '#peer';
 
 /** When the state service served the peer last. */
-const SERVED_AT = 10;
+const LAST_SERVED_AT = 10;
 /** From the sending of what a peer has read last to its answer. */
-const ECHO_S = 0.5;
+const ROUND_TRIP_S = 0.5;
 
 /**
  * What a peer states at second `at` that the state service has refused since second 10, that knows all
@@ -13,8 +13,8 @@
 export function aPeerStatus(at: number, frame: Partial<StatusFrame> = {}): PeerStatus {
   return {
     receivedAt: at,
-    statedAfter: at - ECHO_S,
-    lastServedAt: SERVED_AT,
+    statedAfter: at - ROUND_TRIP_S,
+    lastServedAt: LAST_SERVED_AT,
     frame: {
       kind: 'status',
       incarnation: 1,
--- a/packages/testing/recorder-world.ts
+++ b/packages/testing/recorder-world.ts
@@ -33,7 +33,7 @@
 ) {
   const state = await StateWorld.start({ ...RECORDER_LIMITS, ...limits, ...serviceLimits });
   const { store } = state.service;
-  const parts = makeRecorder(state, { ...RECORDER_LIMITS, ...limits });
+  const parts = createRecorderParts(state, { ...RECORDER_LIMITS, ...limits });
   const { cache, recorder } = parts;
   const record = (job: Job, phase: 'accepted' | 'cancelled') =>
     store.apply([{ put: jobKey(job.id), value: encodeJob({ job, acceptedAtMs: 0, phase }) }]);
@@ -50,11 +50,11 @@
 }
 
 /** The recorder with all that it works on; the fleet state takes each job in that the cache shows. */
-function makeRecorder(state: StateWorld, limits: StateLimits) {
+function createRecorderParts(state: StateWorld, limits: StateLimits) {
   const runtime = state.controller();
   const client = state.client(runtime, { limits });
-  const caching = { client, runtime, prefix: JOBS, watchMs: 10_000, syncSpacingMs: 0 };
-  const cache = new PrefixCache(caching);
+  const cacheOptions = { client, runtime, prefix: JOBS, watchMs: 10_000, syncSpacingMs: 0 };
+  const cache = new PrefixCache(cacheOptions);
   const jobs = new JobTable(cache, new Cancellations(100, 70));
   const term = state.service.store.apply([{ put: shardKey(0), value: {} }]);
   const fleet = aFleet();
@@ -89,9 +89,9 @@
   const flushPending = async () => {
     while (recorder.pending) await recorder.flush(signal);
   };
-  let isOver = false;
-  const flushed = flushPending().finally(() => (isOver = true));
+  let isFlushed = false;
+  const flushed = flushPending().finally(() => (isFlushed = true));
   flushed.catch(() => {});
-  assert.ok(await state.runUntil(() => isOver, withinS), 'all is recorded in time');
+  assert.ok(await state.runUntil(() => isFlushed, withinS), 'all is recorded in time');
   await flushed;
 }
--- a/packages/testing/samples.ts
+++ b/packages/testing/samples.ts
@@ -16,7 +16,7 @@
 };
 
 /** An array with one task of team red. */
-export function aJob(own: Partial<Job> = {}): Job {
+export function aJob(overrides: Partial<Job> = {}): Job {
   return {
     id: 'j-000001',
     class: 'c',
@@ -39,12 +39,12 @@
     saveS: 0,
     deadlineS: null,
     awaits: [],
-    ...own,
+    ...overrides,
   };
 }
 
 /** An empty fleet in term 100, with STD as its only machine type. */
-export function aFleet(own: Partial<FleetOptions> = {}): FleetState {
+export function aFleet(overrides: Partial<FleetOptions> = {}): FleetState {
   const fleet = new FleetState({
     settings: {
       leaseS: 10,
@@ -56,22 +56,26 @@
     },
     term: 100,
     electedAt: 0,
-    ...own,
+    ...overrides,
   });
   fleet.machines.setType(STD);
   return fleet;
 }
 
 /** Adds a machine of type STD in zone a that is up. */
-export function aMachine(fleet: FleetState, name: string, own: Partial<Machine> = {}): Machine {
-  const facts = { name, addr: '', type: 'std', zone: 'a', spot: false, ...own };
-  const machine = fleet.machines.register(facts, 'up', own.requestedAt ?? 0);
+export function aMachine(
+  fleet: FleetState,
+  name: string,
+  overrides: Partial<Machine> = {},
+): Machine {
+  const facts = { name, addr: '', type: 'std', zone: 'a', spot: false, ...overrides };
+  const machine = fleet.machines.register(facts, 'up', overrides.requestedAt ?? 0);
   fleet.machines.updateTotals();
   return machine;
 }
 
 /** The first report of n-1, which has no tasks. */
-export function aHeartbeat(own: Partial<Heartbeat> = {}): Heartbeat {
+export function aHeartbeat(overrides: Partial<Heartbeat> = {}): Heartbeat {
   return {
     machine: 'n-1',
     addr: '',
@@ -83,6 +87,6 @@
     fencingToken: 100,
     noticeS: null,
     tasks: [],
-    ...own,
+    ...overrides,
   };
 }
--- a/packages/testing/state-world.ts
+++ b/packages/testing/state-world.ts
@@ -14,7 +14,7 @@
 
 const NO_SKEW = { zeroS: 0, drift: 0, wallOffsetMs: 0 };
 /** Between two looks at a condition that is waited for; seconds. */
-const LOOK_S = 0.01;
+const POLL_INTERVAL_S = 0.01;
 
 /** The service, and hosts whose processes reach it over a simulated network. */
 export class StateWorld {
@@ -63,7 +63,7 @@
   /** Lets time pass until the condition holds; false if that takes more than so many seconds. */
   async runUntil(condition: () => boolean, withinS: number): Promise<boolean> {
     const end = this.world.now + withinS;
-    while (!condition() && this.world.now < end) await this.run(LOOK_S);
+    while (!condition() && this.world.now < end) await this.run(POLL_INTERVAL_S);
     return condition();
   }
 
