--- a/packages/testing/counting-runtime.ts
+++ b/packages/testing/counting-runtime.ts
@@ -2,11 +2,11 @@
 import { type Duplex, duplexPair } from 'node:stream';
 import { type Clock, nodeRuntime, type Runtime, type Timer } from '#wire';
 
-/** The machine itself, counting the timers and connections that have been started and not ended. */
+/** The Node.js runtime with counts of pending timers and open connections. */
 export class CountingRuntime implements Runtime {
   timers = 0;
   connections = 0;
-  /** Servers that connections are handed to as plain streams, by port. */
+  /** Listening servers by port; each receives its connections as plain streams. */
   private readonly servers = new Map<number, net.Server>();
 
   readonly clock: Clock = {
@@ -58,7 +58,7 @@
   }
 }
 
-/** A connection as a simulated network hands it over: streams without a socket's own methods. */
+/** Connects to a server as the simulated network does: with streams that lack the methods of a socket. */
 function connectStream(server: net.Server): Duplex {
   const [clientSide, serverSide] = duplexPair();
   clientSide.once('close', () => serverSide.destroy());
--- a/packages/testing/docs.test.ts
+++ b/packages/testing/docs.test.ts
@@ -14,7 +14,7 @@
 ];
 const PACKAGES = 'wire|dependencies|core|store|peer|shards|replicas|controller|cli|testing|bundle';
 
-/** Tables whose column of module names is about one directory; names with a slash are of a package. */
+/** Tables with a column of module names, relative to a directory; names with a slash start with a package. */
 const MODULE_TABLES = [
   { page: 'docs/architecture.md', heading: 'One controller', column: 1, in: 'packages/controller' },
   { page: 'docs/architecture.md', heading: 'The core', column: 0, in: 'packages/core' },
@@ -31,20 +31,20 @@
   return readFileSync(path.join(ROOT, page), 'utf8');
 }
 
-/** The file or directory, with or without `.ts`; what the build makes stands for its source. */
+/** Whether a file or directory exists, with or without `.ts`; a build output counts if its source exists. */
 function exists(name: string): boolean {
   const source = name.replace(/^target\/(.*)\.(c?)js$/, 'packages/$1.$2ts');
   return [source, `${source}.ts`].some((file) => existsSync(path.join(ROOT, file)));
 }
 
-/** The text below a heading, up to the next one. */
+/** The text from a heading to the next heading. */
 function section(text: string, heading: string): string {
   const [, after] = text.split(new RegExp(`^#+ ${heading}$`, 'm'));
   assert.ok(after !== undefined, `a heading ${heading}`);
   return after.split(/^#/m)[0];
 }
 
-/** The names in backticks in one column of the section's table, without its first two rows. */
+/** The names in backticks in a column of the section's table, without the header and separator rows. */
 function namesInColumn(text: string, column: number): string[] {
   const rows = text.split('\n').filter((line) => line.startsWith('|'));
   const cells = rows.slice(2).map((row) => row.split('|')[column + 1]);
--- a/packages/testing/failing-world.ts
+++ b/packages/testing/failing-world.ts
@@ -2,18 +2,18 @@
 import { assignmentsOf, FleetState, JobState, Machine, NO_QUOTA, Scheduler } from '#core';
 import { aFleet, aJob, aMachine } from './samples.js';
 
-/** The teams of the world below. */
+/** The teams of the fleet in `FailingWorld`. */
 export const TEAMS = new Map([
   ['red', NO_QUOTA],
   ['blue', NO_QUOTA],
 ]);
 
-/** A fleet in which tasks of some jobs always fail, a second after they were placed. */
+/** A fleet whose tasks run one second after their placement, and fail if a test says so. */
 export class FailingWorld {
   readonly fleet: FleetState = aFleet();
   readonly machines: Machine[];
   readonly scheduler: Scheduler;
-  /** Starts by job id. */
+  /** Number of task starts by job id. */
   readonly starts = new Map<string, number>();
   now = 0;
 
@@ -32,7 +32,7 @@
     return this.fleet.addJob(aJob(overrides), this.now, 'accepted', this.now);
   }
 
-  /** Plays seconds; what `fails` says of a task running on a machine ends it with an error. */
+  /** Runs the fleet second by second; tasks for which `fails` returns true end with an error. */
   play(seconds: number, fails: (job: JobState, machine: Machine) => boolean): void {
     for (const until = this.now + seconds; this.now < until; this.now++) {
       for (const job of [...this.fleet.jobs.values()]) {
--- a/packages/testing/generators.ts
+++ b/packages/testing/generators.ts
@@ -1,15 +1,15 @@
 import fc from 'fast-check';
 import type { Job, Heartbeat } from '#wire';
 
-/** Every generated test draws from a fixed seed, so that it reaches the same verdict every time. */
+/** Options for property tests; the fixed seed makes every run generate the same cases. */
 export const SEEDED = { seed: 20260901, numRuns: 300 };
 
-/** Records with the ordinary prototype, as decoded messages have. */
+/** Generates records with the prototype of `Object`, as decoded messages have. */
 export function record<T>(model: { [K in keyof T]: fc.Arbitrary<T[K]> }): fc.Arbitrary<T> {
   return fc.record(model, { noNullPrototype: true }) as fc.Arbitrary<T>;
 }
 
-/** Names as the protocol has them. */
+/** Names that the protocol allows. */
 export const anyName = fc.string({ minLength: 1, maxLength: 40 });
 export const anyAmount = fc.double({ min: 0, max: 1e6, noNaN: true }).map(Math.abs);
 /** Counts, versions and tokens. */
@@ -42,7 +42,7 @@
   awaits: fc.uniqueArray(anyJobId, { maxLength: 3 }),
 });
 
-/** Fields that name one attempt. */
+/** Fields that identify one attempt of a task. */
 export const anyTaskRef = {
   job: anyJobId,
   index: fc.integer({ min: 0, max: 99_999 }),
--- a/packages/testing/hand-clock.ts
+++ b/packages/testing/hand-clock.ts
@@ -1,6 +1,6 @@
 import type { Clock, Timer } from '#wire';
 
-/** A clock that stands still until it is moved. */
+/** A clock that advances only when a test calls `advance` or `compute`. */
 export class HandClock implements Clock {
   private nowMs = 0;
   private readonly pending = new Set<{ atMs: number; callback: () => void }>();
@@ -23,7 +23,7 @@
     return this.pending.size;
   }
 
-  /** Time passes without any timer being served, as while this process computes. */
+  /** Advances the clock without running timers, as when a computation blocks the process. */
   compute(ms: number): void {
     this.nowMs += ms;
   }
--- a/packages/testing/loopback-server.ts
+++ b/packages/testing/loopback-server.ts
@@ -1,10 +1,10 @@
-/** A plain HTTP server on the machine's own loopback, and requests to it, for tests of handlers. */
+/** An HTTP server on the loopback interface, and requests to it, for tests of handlers. */
 import http from 'node:http';
 import type { AddressInfo } from 'node:net';
 
 const LOOPBACK = '127.0.0.1';
 
-/** Serves until `close` is called, which also ends all connections. */
+/** Starts a server; `close` stops it and closes all connections. */
 export async function serveOnLoopback(
   handler: http.RequestListener,
 ): Promise<{ port: number; close: () => void }> {
@@ -18,7 +18,7 @@
   return { port, close };
 }
 
-/** Sends a body as it stands; resolves with the status of the answer. */
+/** Sends the bytes as the body of a POST request; resolves with the status code of the response. */
 export async function postBytes(port: number, path: string, body: Uint8Array): Promise<number> {
   return new Promise((resolve, reject) => {
     const request = http.request({ host: LOOPBACK, port, method: 'POST', path }, (response) => {
--- a/packages/testing/loopback/replica-groups/failing-controllers.test.ts
+++ b/packages/testing/loopback/replica-groups/failing-controllers.test.ts
@@ -12,23 +12,23 @@
 
 const PHASES: ReplicaMoment[] = ['repairing', 'reserved-again', 'starting-again', 'whole-again'];
 
-/** The fault in each phase of a repair of its own. */
+/** One repair for each phase, with the fault injected when the repair reaches that phase. */
 function faultsInEachPhase(fault: object): Fault[] {
   return PHASES.flatMap((atReplicaPhase, index) => {
     return faultDuringRepair(index * FAULT_INTERVAL_S, { ...fault, atReplicaPhase } as Fault);
   });
 }
 
-test('the owner ends in each phase of a repair, and its successor makes the replica whole', async () => {
+test('the leader crashes in each phase of a repair, and the next leader completes the repair', async () => {
   const faults = faultsInEachPhase({ kind: 'controller-crash', controllers: 'leader', downS: 4 });
   await runReplicaScenario({ name: 'owner ends', faults }, (result) => {
     const crashes = result.faults.of('controller-crash');
     assert.equal(crashes.length, PHASES.length);
-    assert.ok(result.leaders.length > PHASES.length, 'each crash brought another owner');
+    assert.ok(result.leaders.length > PHASES.length, 'each crash led to another leader');
   });
 });
 
-test('an owner that takes over restarts no replica that is whole', async () => {
+test('a new leader restarts no replica that is whole', async () => {
   const crash = {
     kind: 'controller-crash',
     controllers: 'leader',
@@ -41,7 +41,7 @@
       const [{ fromS }] = faults.of('controller-crash');
       assert.ok(
         leaders.some(({ atS }) => atS > fromS),
-        'another took over',
+        'another controller took over',
       );
       const generations = new Map<string, Set<number>>();
       for (const { atS, job, marks } of replicas.answers) {
@@ -55,7 +55,7 @@
   );
 });
 
-test('the successor ends, too, before the replica is whole', async () => {
+test('the new leader crashes, too, before the replica is whole', async () => {
   const faults = [
     ...faultDuringRepair(0, {
       kind: 'controller-crash',
@@ -74,11 +74,11 @@
   await runReplicaScenario({ name: 'two owners end', faults }, (result) => {
     const [first, second] = result.faults.of('controller-crash');
     assert.notDeepEqual(first.controllers, second.controllers);
-    assert.ok(second.fromS - first.fromS < 15, 'one soon after the other');
+    assert.ok(second.fromS - first.fromS < 15, 'the second crash soon follows the first');
   });
 });
 
-test('the owner stands still during a repair, and wakes after another has raised the generation', async () => {
+test('the leader freezes during a repair, and resumes after another leader has raised the generation', async () => {
   const faults = faultDuringRepair(0, {
     kind: 'controller-freeze',
     controllers: 'leader',
@@ -88,12 +88,15 @@
   await runReplicaScenario({ name: 'standstill', faults, seeds: [1, 2, 3] }, (result) => {
     const [{ fromS, untilS, controllers }] = result.faults.of('controller-freeze');
     const successor = result.leaders.find(({ atS }) => atS > fromS);
-    assert.ok(successor && successor.atS < untilS, 'another owned before it woke');
+    assert.ok(
+      successor && successor.atS < untilS,
+      'another controller led before the frozen one resumed',
+    );
     assert.notEqual(successor.leader, controllers[0]);
   });
 });
 
-test('the owner is refused alone by the state service, then an outage longer than a lease', async () => {
+test('the state service refuses only the leader, then has an outage longer than a lease', async () => {
   const faults = [
     ...faultDuringRepair(0, {
       kind: 'state-refuses',
@@ -106,7 +109,7 @@
   await runReplicaScenario({ name: 'refused, then an outage', faults }, (result) => {
     const [refused] = result.faults.of('state-refuses');
     const [outage] = result.faults.of('state-outage');
-    assert.ok(outage.fromS - refused.untilS < 12, 'one soon after the other');
+    assert.ok(outage.fromS - refused.untilS < 12, 'the outage soon follows the refusals');
     assert.equal(outage.untilS - outage.fromS, 20);
   });
 });
@@ -126,16 +129,16 @@
   });
 });
 
-test('the part moves to another controller over and over while replicas are repaired', async () => {
+test('the shard repeatedly migrates to another controller while replicas are repaired', async () => {
   const deaths = [0, 20, 40].map((afterS) => replicaMachineDeath(afterS));
   const moves = { kind: 'part-moves', atS: REPLICAS_WHOLE_S, forS: 60, everyS: 1.5 } as const;
   await runReplicaScenario({ name: 'planned moves', faults: [moves, ...deaths] }, (result) => {
-    assert.ok(result.moves.counts.switched >= 20, `${result.moves.counts.switched} moves`);
+    assert.ok(result.moves.counts.switched >= 20, `${result.moves.counts.switched} migrations`);
     assert.ok(countPhase(result, 'whole-again') >= 1);
   });
 });
 
-test('late commands of a deposed owner arrive after the new generation is whole', async () => {
+test('late commands of a former leader arrive after the new generation is whole', async () => {
   const late = {
     kind: 'late-commands',
     atS: REPLICAS_WHOLE_S,
--- a/packages/testing/loopback/replica-groups/failing-machines.test.ts
+++ b/packages/testing/loopback/replica-groups/failing-machines.test.ts
@@ -11,7 +11,7 @@
   REPLICAS_WHOLE_S,
 } from './replica-scenarios.js';
 
-test('a machine fails halfway through a start, and the replica starts anew as a whole', async () => {
+test('a machine fails halfway through a start, and all members of the replica start again', async () => {
   const faults = faultDuringRepair(0, {
     kind: 'machine-death',
     atReplicaPhase: 'starting-again',
@@ -25,7 +25,7 @@
   });
 });
 
-test('a second machine fails during the repair, and joins the same repair', async () => {
+test('a second machine fails during a repair, and the same repair replaces its members, too', async () => {
   const faults = faultDuringRepair(0, {
     kind: 'machine-death',
     atReplicaPhase: 'repairing',
@@ -38,7 +38,7 @@
   });
 });
 
-test('survivors start anew on their machines, where the image lies, and only the lost member fetches it', async () => {
+test('survivors start again on their machines, which have the image, and only the lost member fetches it', async () => {
   await runReplicaScenario(
     { name: 'image at the survivors', faults: [replicaMachineDeath(0)] },
     (result) => {
@@ -66,7 +66,7 @@
   );
 });
 
-test('a member that hangs and comes back joins no other generation', async () => {
+test('a member that hangs and resumes joins no other generation', async () => {
   for (const forS of [6, 25]) {
     const hang = {
       kind: 'machine-hang',
@@ -79,13 +79,14 @@
       const [job] = new Set(result.replicas.answers.map((answer) => answer.job));
       assert.ok(job !== undefined);
       const during = result.replicas.answers.filter(({ atS }) => atS > fromS + 1 && atS < untilS);
-      assert.ok(during.length > 0, 'other replicas answer meanwhile');
-      if (forS > 20) assert.ok(countPhase(result, 'repairing') >= 1, 'the lease ended meanwhile');
+      assert.ok(during.length > 0, 'other replicas answer during the hang');
+      if (forS > 20)
+        assert.ok(countPhase(result, 'repairing') >= 1, 'the lease expired during the hang');
     });
   }
 });
 
-test('a cut splits members, with a controller on each side', async () => {
+test('a network partition separates the members of a replica, with a controller on each side', async () => {
   const faults = (['drop', 'hold'] as const).map((mode, index) => {
     const atS = REPLICAS_WHOLE_S + index * 2 * FAULT_INTERVAL_S;
     return { kind: 'zone-cut', zone: 'a', mode, atS, forS: 20 } as const;
@@ -95,11 +96,11 @@
     assert.ok(
       cuts.every(({ controllers, machines }) => controllers.length > 0 && machines.length > 0),
     );
-    assert.ok(countPhase(result, 'repairing') >= 1, 'members were lost behind the cut');
+    assert.ok(countPhase(result, 'repairing') >= 1, 'members were lost in the partition');
   });
 });
 
-test('a cancellation during start and repair ends all members in time', async () => {
+test('a cancellation during a repair or a restart ends all members in time', async () => {
   const faults = [
     ...faultDuringRepair(0, { kind: 'cancel-now', count: 40, atReplicaPhase: 'repairing' }),
     ...faultDuringRepair(FAULT_INTERVAL_S, {
@@ -124,12 +125,12 @@
   assert.ok(cancelled.filter((job) => answered.has(job)).length >= 2, 'replicas were cancelled');
 }
 
-test('a team at its limit is repaired within it', async () => {
+test('the replicas of a team at its accelerator limit are repaired within the limit', async () => {
   const { deployment } = CLUSTER;
   const teams = deployment.teams.map((team) => ({ ...team, gpus: 0, gpus_max: 24 }));
   const cluster = { deployment: { ...deployment, teams } };
   const faults = [replicaMachineDeath(0), replicaMachineDeath(FAULT_INTERVAL_S)];
-  // Of a team's replicas, which take twelve accelerators each, two are whole at the same time.
+  // A replica takes twelve accelerators, so two replicas of a team can be whole at the same time.
   const options = { name: 'limit', faults, cluster, allowBrokenAtEnd: true, seeds: [1, 2, 3] };
   await runReplicaScenario(options, (result) => {
     assert.ok(countPhase(result, 'whole-again') >= 1);
@@ -149,7 +150,7 @@
   });
 });
 
-test('the state service is away when a member dies, and the replica is repaired once it is back', async () => {
+test('a member dies during an outage of the state service, and the replica is repaired after the outage', async () => {
   const atS = REPLICAS_WHOLE_S;
   const faults = [{ kind: 'state-outage', atS, forS: 25 } as const, replicaMachineDeath(2)];
   await runReplicaScenario({ name: 'outage', faults }, (result) => {
@@ -162,12 +163,12 @@
     const replicaStarts = started.filter(({ task }) =>
       result.replicas.answers.some(({ job }) => job === task.job),
     );
-    assert.deepEqual(replicaStarts, [], 'nothing starts that is not recorded');
+    assert.deepEqual(replicaStarts, [], 'no member starts without a record');
     assert.ok(countPhase(result, 'whole-again') >= 1);
   });
 });
 
-test('a notice for two members of one replica, and one of another, moves both as wholes', async () => {
+test('spot notices for two members of one replica and for members of another move both replicas as a whole', async () => {
   const notice = {
     kind: 'machine-taken',
     atS: REPLICAS_WHOLE_S,
--- a/packages/testing/loopback/replica-groups/loopback-faults.ts
+++ b/packages/testing/loopback/replica-groups/loopback-faults.ts
@@ -2,19 +2,19 @@
 import type { Chance } from '../../random.js';
 import type { LoopbackCluster } from '../sizing/cluster.js';
 
-/** Leases for which a machine stands still or is cut off: longer than it takes to lose its tasks. */
+/** Length of a hang or cut of a machine, in leases; longer than the machine takes to lose its tasks. */
 const LONG_FAULT_LEASES = 1.4;
 const DOWN_S = 1;
 const STOPPED_S = 4;
-/** A controller fails so long after the machine at the most. */
+/** The longest time from the failure of a machine to that of a controller. */
 const MAX_CONTROLLER_FAULT_DELAY_S = 8;
 
 type MachineFault = 'killed' | 'frozen' | 'cut';
 const MACHINE_FAULTS: MachineFault[] = ['killed', 'frozen', 'cut'];
 
-/** Ends, standstills and cuts of machines and controllers on the loopback. */
+/** Injects crashes, hangs and network cuts of machines, and crashes and stops of controllers, on the loopback. */
 export class LoopbackFaults {
-  /** How often each fault was made. */
+  /** How often each fault was injected. */
   readonly counts: Record<string, number> = {};
   private readonly isolatedMachines = new Set<string>();
 
@@ -24,12 +24,12 @@
     private readonly leaseS: number,
   ) {}
 
-  /** Whether one machine, or the router (null), reaches another. */
+  /** Whether a machine, or the request router (null), can reach another machine. */
   canReach(from: string | null, to: string): boolean {
     return !(this.isolatedMachines.has(to) || (from !== null && this.isolatedMachines.has(from)));
   }
 
-  /** A machine fails in one of the ways; resolves once it has ended, or goes on. */
+  /** Injects a random fault into a machine; resolves once the machine is killed or has recovered. */
   async failMachine(name: string): Promise<void> {
     const { cluster, chance } = this;
     const kind = MACHINE_FAULTS[chance.int(0, MACHINE_FAULTS.length - 1)];
@@ -40,7 +40,7 @@
       cluster.cloud.kill(name);
       return;
     }
-    // Of those that are cut off from the controllers, half are still reached by the others.
+    // Half of the machines that are cut off from the controllers can still be reached by other machines and the router.
     const isCutFromAll = kind === 'cut' && chance.hit(0.5);
     if (kind === 'frozen') worker.hang();
     else worker.setDeaf(true);
@@ -53,7 +53,7 @@
     worker.setMute(false);
   }
 
-  /** Some time into the repair the owner, or another controller, ends and is started again, or stands still. */
+  /** After a random delay, kills and restarts the leader or another controller, or stops its process for a while. */
   async failController(): Promise<void> {
     const { cluster, chance } = this;
     await sleep(chance.next() * MAX_CONTROLLER_FAULT_DELAY_S * 1000);
--- a/packages/testing/loopback/replica-groups/loopback-run.ts
+++ b/packages/testing/loopback/replica-groups/loopback-run.ts
@@ -1,4 +1,7 @@
-/** Replicas of several members on stand-in machines, whose machines and controllers fail while requests come. */
+/**
+ * Runs replicas of several members on stand-in machines with real controllers, and injects faults of machines and
+ * controllers while the replicas serve requests.
+ */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { type Job, nodeRuntime } from '#wire';
 import { Chance } from '../../random.js';
@@ -22,16 +25,16 @@
 const REQUEST_INTERVAL_S = 0.1;
 const START_TIMEOUT_S = 90;
 const REPAIR_TIMEOUT_S = 120;
-/** From one repair to the next fault. */
+/** Time from the end of a repair to the next fault. */
 const PAUSE_S = 0.5;
 
-/** How replicas are kept together. */
+/** Whether controllers manage the members of a replica as a group, and whether members check generations. */
 export type ReplicaMode =
-  /** The section `replicaGroups`, and members that answer with the marks of all only. */
+  /** `replicaGroups` is set, and a member answers only once all members of its generation have taken part. */
   | 'groups'
-  /** The section, and members that answer whoever marked. */
+  /** `replicaGroups` is set, and a member answers with whichever members it finds, of any generation. */
   | 'unfenced'
-  /** No section, so that each task is restarted by itself, and members that answer whoever marked. */
+  /** `replicaGroups` is not set, so each task restarts alone; a member answers with whichever members it finds. */
   | 'single-tasks';
 
 export interface ReplicaRunOptions {
@@ -39,7 +42,7 @@
   mode: ReplicaMode;
   replicas: number;
   faults: number;
-  /** One fault in so many comes with the end or the standstill of a controller; 0: none does. */
+  /** Every n-th machine fault comes with a crash or stop of a controller; 0 for never. */
   controllerEvery: number;
 }
 
@@ -47,16 +50,16 @@
   answers: number;
   broken: Answer[];
   violations: Violation[];
-  /** Times at which members of two generations of a replica ran. */
+  /** How often members of two generations of a replica ran at the same time. */
   generationsAtOnce: number;
   faults: Record<string, number>;
   repairs: RepairTime[];
-  /** Share of the replicas' time for which they were not being repaired. */
+  /** Share of the run, averaged over the replicas, in which a replica was not under repair. */
   wholeShare: number;
   lengthS: number;
 }
 
-/** Plays it; `progress` is told after each fault. */
+/** Runs replicas and faults as the options say; calls `progress` after each fault. */
 export async function runReplicas(
   options: ReplicaRunOptions,
   progress: (done: number) => void = () => {},
@@ -130,7 +133,7 @@
     this.fromS = nodeRuntime.clock.now();
   }
 
-  /** A machine with members fails, now and then with a controller; resolves once all of it is repaired. */
+  /** Fails a random machine that runs members, sometimes with a controller; resolves once all is repaired. */
   async injectFault(number: number): Promise<void> {
     const { chance, faults, cluster, options } = this;
     const replicas = [...this.members.replicas()];
--- a/packages/testing/loopback/replica-groups/loopback.test.ts
+++ b/packages/testing/loopback/replica-groups/loopback.test.ts
@@ -9,7 +9,7 @@
   '--machines 10 --controllers 3 --report-s 0.4 --lease-s 4 --settle-s 0'.split(' '),
 );
 
-test('real controllers repair replicas whose machines fail, one time with a controller, and no answer is broken', async () => {
+test('real controllers repair replicas after machine faults, one with a controller fault, and no answer is broken', async () => {
   const result = await runReplicas({
     sizing: SIZING,
     mode: 'groups',
--- a/packages/testing/loopback/replica-groups/repair-times.ts
+++ b/packages/testing/loopback/replica-groups/repair-times.ts
@@ -1,23 +1,23 @@
 import type { Answer } from '../../simulation/replica-traffic/answers.js';
 
-/** The loss of a member, as a fault made it. */
+/** The loss of a member through a fault. */
 export interface Loss {
   atS: number;
   job: string;
-  /** A controller failed, too. */
+  /** Whether a controller failed, too. */
   withController: boolean;
 }
 
-/** How long one replica was without a whole generation; seconds from the loss. */
+/** How long a replica had no whole generation, in seconds from the loss of a member. */
 export interface RepairTime {
   withController: boolean;
-  /** Until the last answer of the generation that lost a member; 0 if there was none. */
+  /** Time to the last answer of the generation that lost a member; 0 if it gave no answer after the loss. */
   lastAnswerAfterS: number;
-  /** Until the first whole answer in which a member took part that started after the loss. */
+  /** Time to the first answer in which all members took part, at least one of them of a newer generation. */
   wholeAfterS: number;
 }
 
-/** What the answers say of each loss; of losses in the same repair the first counts. */
+/** Derives repair times from the answers of replicas. Of several losses in the same repair, the first counts. */
 export function repairTimes(answers: Answer[], losses: Loss[]): RepairTime[] {
   const byJob = new Map<string, Answer[]>();
   for (const answer of answers) {
--- a/packages/testing/loopback/replica-groups/replica-scenarios.ts
+++ b/packages/testing/loopback/replica-groups/replica-scenarios.ts
@@ -1,4 +1,4 @@
-/** Scenarios with replicas of several members, and what tests ask of all of them. */
+/** Scenarios with replicas of several members, and checks that all these scenarios must pass. */
 import assert from 'node:assert/strict';
 import { playMeeting } from '../../fault-combinations/run-queries.js';
 import { describeAnswer } from '../../simulation/replica-traffic/answers.js';
@@ -14,11 +14,11 @@
 
 const MEMBERS = 3;
 const CLASS = 'label-model';
-/** By then the first replicas are whole. */
+/** Time by which the first replicas are whole. */
 export const REPLICAS_WHOLE_S = 60;
-/** After the last fault, until all replicas are whole again. */
+/** Time after the last fault in which all replicas become whole again. */
 const RECOVERY_S = 60;
-/** From one fault to the next, so that what it did is over. */
+/** Time between two faults, in which the system recovers from the first. */
 export const FAULT_INTERVAL_S = 30;
 
 const LABEL_MODELS: JobClass = {
@@ -74,14 +74,18 @@
   name: string;
   faults: Fault[];
   seeds?: number[];
-  /** Changes of the class of replicas, and of the cluster. */
+  /** Overrides for the job template of the replicas. */
   template?: Partial<JobClass['template']>;
+  /** Overrides for the settings of the cluster. */
   cluster?: Partial<ClusterSettings>;
-  /** All replicas need not be whole at the end. */
+  /** Replicas may still be broken at the end. */
   allowBrokenAtEnd?: boolean;
 }
 
-/** Plays it: no rule and no answer may be broken, and in the end all replicas are whole and answer. */
+/**
+ * Runs a scenario; no rule may be violated, no answer may be broken, and each fault must occur. All replicas must
+ * answer at the end, unless `allowBrokenAtEnd` is set.
+ */
 export async function runReplicaScenario(
   options: ReplicaScenario,
   check: (result: ScenarioResult) => void,
@@ -116,7 +120,7 @@
   return fault.atS + ('forS' in fault ? fault.forS : 0);
 }
 
-/** Every replica whose job was accepted and not cancelled has answered shortly before the end. */
+/** Asserts that every replica whose job was not cancelled answered in the last seconds of the run. */
 function assertAllReplicasAnswer({ timeline, replicas }: ScenarioResult, lengthS: number): void {
   const cancelled = new Set(timeline.of('cancel-asked').map(({ job }) => job));
   const jobs = timeline
@@ -134,17 +138,17 @@
   );
 }
 
-/** How often a phase was reached. */
+/** Counts how often replica groups reached a phase. */
 export function countPhase({ replicaMoments }: ScenarioResult, moment: ReplicaMoment): number {
   return replicaMoments.counts.get(moment) ?? 0;
 }
 
-/** A machine of a replica ends, so many seconds after the replicas are whole. */
+/** The death of one machine of a replica, `afterS` seconds after the first replicas are whole. */
 export function replicaMachineDeath(afterS: number): Fault {
   return { kind: 'machine-death', atS: REPLICAS_WHOLE_S + afterS, machines: { ofReplica: 1 } };
 }
 
-/** Another fault that waits for a phase of the repair that the death brings. */
+/** The death of a machine, and a second fault during the repair that follows. */
 export function faultDuringRepair(afterS: number, fault: DistributiveOmit<Fault, 'atS'>): Fault[] {
   return [replicaMachineDeath(afterS), { ...fault, atS: REPLICAS_WHOLE_S + afterS } as Fault];
 }
--- a/packages/testing/loopback/shard-migrations/leader-audit.test.ts
+++ b/packages/testing/loopback/shard-migrations/leader-audit.test.ts
@@ -6,7 +6,7 @@
   const audit = new LeaderAudit();
   audit.addRecordedLeader('c-0', 5);
   audit.addObeyedAnswer('n-1', 'c-0', 5);
-  // A revision within the term, by which a machine was fenced.
+  // The fencing token of a machine may be a revision later in the term.
   audit.addObeyedAnswer('n-1', 'c-0', 7);
   audit.addRecordedLeader('c-1', 9);
   audit.addObeyedAnswer('n-2', 'c-0', 5);
@@ -14,13 +14,13 @@
   return audit;
 }
 
-test('owners that follow one another, each machine in its own time, are no breach', () => {
+test('successive leaders are no breach, although each machine follows the new leader at its own time', () => {
   const audit = auditOfTwoTerms();
   assert.deepEqual(audit.breaches, []);
   assert.equal(audit.obeyedAnswers, 4);
 });
 
-test('each kind of breach is noticed', () => {
+test('each kind of breach is detected', () => {
   const kindsAfter = (breach: (audit: LeaderAudit) => void) => {
     const audit = auditOfTwoTerms();
     breach(audit);
--- a/packages/testing/loopback/shard-migrations/leader-audit.ts
+++ b/packages/testing/loopback/shard-migrations/leader-audit.ts
@@ -1,16 +1,16 @@
 /**
- * Decides from the records of the state service and of the machines whether any machine had two owners: every term
- * has one owner, and a worker that has obeyed an owner obeys no earlier one.
+ * Checks that no machine had two leaders at the same time, from the leaders in the state service and the answers that
+ * workers obeyed. Every term has one leader, and a worker that has obeyed a leader obeys no earlier one.
  */
 
-/** Something that must never happen. */
+/** A violation of a rule that `LeaderAudit` checks. */
 export interface LeaderBreach {
   kind:
-    /** A worker obeyed a controller that owns no term with such a token. */
+    /** A worker obeyed a controller that does not lead the term of the fencing token. */
     | 'foreign-owner'
-    /** A worker obeyed an owner after a newer one. */
+    /** A worker obeyed a leader after it had obeyed a newer one. */
     | 'older-owner'
-    /** Two controllers were recorded for one term. */
+    /** Two controllers were recorded as leader of one term. */
     | 'two-owners';
   machine: string | null;
   controller: string;
@@ -19,14 +19,14 @@
 
 export class LeaderAudit {
   readonly breaches: LeaderBreach[] = [];
-  /** Answers that workers obeyed. */
+  /** Number of answers that workers obeyed. */
   obeyedAnswers = 0;
-  /** Owners by term, in the order of terms. */
+  /** Recorded leaders in the order of their terms. */
   private readonly leaders: { term: number; leader: string }[] = [];
   /** The newest term that each machine has obeyed. */
   private readonly newestTerm = new Map<string, number>();
 
-  /** The state service holds an owner. */
+  /** Adds a leader that the state service has recorded. */
   addRecordedLeader(leader: string, term: number): void {
     const known = this.leaders.find((each) => each.term === term);
     if (known === undefined) {
@@ -42,7 +42,7 @@
     }
   }
 
-  /** A worker has obeyed an answer; its token is a term, or a later revision within it. */
+  /** Adds an answer that a worker has obeyed. The fencing token is the term or a later revision within the term. */
   addObeyedAnswer(machine: string, controller: string, fencingToken: number): void {
     this.obeyedAnswers++;
     const leader = this.leaders.filter(({ term }) => term <= fencingToken).at(-1);
--- a/packages/testing/loopback/shard-migrations/loopback-run.ts
+++ b/packages/testing/loopback/shard-migrations/loopback-run.ts
@@ -1,4 +1,4 @@
-/** Many moves of the part between real controller processes, with ends and standstills of either side. */
+/** Many shard migrations between real controller processes, with crashes and stops of source and target. */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { MigrationRequests, type RequestOutcome } from '#shards';
 import { nodeRuntime, StateApi } from '#wire';
@@ -13,12 +13,12 @@
 import { LeaderAudit, type LeaderBreach } from './leader-audit.js';
 
 const SHARD = 0;
-/** The line of a leader that begins to decide; the sources that are run may be older than its present name. */
+/** Log messages of a new leader that begins to decide: the current one, and the one of older sources under test. */
 const LEADER_READY_MESSAGES = ['leader ready', 'owner'];
 const SEED = 1;
 const MIGRATION_TIMEOUT_S = 20;
 const STATE_TIMEOUT_MS = 2000;
-/** A fault begins so long after its move was asked for at the most. */
+/** The longest time from the request of a migration to the fault during it. */
 const MAX_FAULT_DELAY_MS = 120;
 const STOPPED_S = 3;
 const DOWN_S = 1;
@@ -26,21 +26,21 @@
 export interface MoveRunOptions {
   sizing: SizingOptions;
   moves: number;
-  /** From the end of one move to the next request. */
+  /** Time from the end of one migration to the next request. */
   everyS: number;
-  /** One move in so many meets the end or the standstill of one of its sides; 0: none does. */
+  /** In every n-th migration the source or the target crashes or stops; 0 for never. */
   faultEvery: number;
 }
 
-/** What came of a run; times are milliseconds. */
+/** The result of a run; times are in milliseconds. */
 export interface MoveRunResult {
   moved: number;
-  /** Requests that ended otherwise, by reason. */
+  /** Number of requests that did not lead to a migration, by reason. */
   notMoved: Record<string, number>;
   faults: number;
-  /** From the request to the new owner's key. */
+  /** Times from a request to the write of the new leader's key. */
   moveMs: number[];
-  /** From the last decision of the old owner to the new one's first, in moves without a fault. */
+  /** Times from the old leader's last decision to the new leader's first, in migrations without a fault. */
   undecidedMs: number[];
   breaches: LeaderBreach[];
   violations: Violation[];
@@ -50,7 +50,7 @@
   leasesEnded: number;
 }
 
-/** Runs a cluster whose part moves; `progress` is told after each move. */
+/** Runs a cluster and migrates its shard repeatedly; calls `progress` after each migration. */
 export async function runMoves(
   options: MoveRunOptions,
   progress: (done: number) => void,
@@ -116,7 +116,7 @@
     if (leadership !== null) this.audit.addRecordedLeader(leadership.leader, leadership.term);
   }
 
-  /** Moves the part to a controller that does not own it; now and then with a fault. */
+  /** Migrates the shard to a random standby, with a fault if `faultEvery` says so. */
   async migrate(number: number): Promise<void> {
     const { cluster, options, chance } = this;
     const source = cluster.leader();
@@ -148,7 +148,7 @@
     counts.notMoved[why] = (counts.notMoved[why] ?? 0) + 1;
   }
 
-  /** By the logs of both: from the pause of the old owner to the first round of the new one. */
+  /** Records the time from the old leader's pause to the new leader's first round, taken from their logs. */
   private recordDecisionGap(
     source: ControllerProcess,
     target: ControllerProcess,
@@ -161,7 +161,7 @@
     if (paused && decides) this.undecidedMs.push(decides.receivedAtMs - paused.receivedAtMs);
   }
 
-  /** One side of the move ends and comes back, or stands still, some time into the move. */
+  /** After a random delay, kills and restarts a controller, or stops its process for a while. */
   private async injectFault(victim: ControllerProcess): Promise<void> {
     const { chance, counts } = this;
     const isCrash = chance.hit(0.5);
--- a/packages/testing/loopback/shard-migrations/migration-scenarios.ts
+++ b/packages/testing/loopback/shard-migrations/migration-scenarios.ts
@@ -1,28 +1,31 @@
-/** Scenarios in which the part moves again and again while work runs, and what tests ask of them. */
+/** Scenarios in which the shard migrates repeatedly while jobs run, and checks that all of them must pass. */
 import assert from 'node:assert/strict';
 import { killedTasks, playMeeting } from '../../fault-combinations/run-queries.js';
 import { BUSY_FROM_S, steadyScenario } from '../../fault-combinations/steady-work.js';
 import type { Fault, Scenario, ScenarioResult } from '../../simulation/index.js';
 
-/** Time between two requests in which a move and what a fault has done to it are over. */
+/** Time between two requests, in which a migration ends and the system recovers from a fault during it. */
 export const MIGRATION_INTERVAL_S = 20;
 
 export interface MigrationScenarioOptions {
   name: string;
-  /** Moves are asked for during that time. */
+  /** Length of the time in which migrations are requested. */
   movingS: number;
   everyS: number;
   faults: Fault[];
 }
 
-/** Steady work on a cluster whose part is moved from one controller to the next. */
+/** Steady work on a cluster whose shard is migrated from one controller to the next. */
 function migrationScenario({ name, movingS, everyS, faults }: MigrationScenarioOptions): Scenario {
   const moves: Fault = { kind: 'part-moves', atS: BUSY_FROM_S, forS: movingS, everyS };
   const scenario = steadyScenario(name, BUSY_FROM_S + movingS + 60, [moves, ...faults]);
   return { ...scenario, cluster: { ...scenario.cluster, operator: { moves: {} } } };
 }
 
-/** Plays it; no rule may break, no work may be lost, and the part moves on after all faults. */
+/**
+ * Runs a scenario; no rule may be violated, no work may be lost, each fault must occur, and the shard must migrate
+ * again after the last fault.
+ */
 export async function runMigrationScenario(
   options: MigrationScenarioOptions,
   seeds: number[],
@@ -40,13 +43,13 @@
     const lastFaultS = Math.max(0, ...result.faults.records.map(({ fromS }) => fromS));
     assert.ok(
       result.leaders.some(({ atS }) => atS > lastFaultS),
-      'the part moves again after the last fault',
+      'the shard migrates again after the last fault',
     );
     check(result);
   });
 }
 
-/** One fault after another, each at the given phase of a move of its own. */
+/** Spaces faults in time so that each occurs in a migration of its own, at the phase that the fault names. */
 export function oneFaultPerMigration(faults: Omit<Fault, 'atS'>[]): Fault[] {
   return faults.map((fault, index) => {
     return { ...fault, atS: BUSY_FROM_S + 1 + index * MIGRATION_INTERVAL_S } as Fault;
--- a/packages/testing/loopback/shard-migrations/migrations.test.ts
+++ b/packages/testing/loopback/shard-migrations/migrations.test.ts
@@ -11,7 +11,7 @@
 const PHASES: MigrationPhase[] = ['requested', 'prepared', 'quiesced', 'switched'];
 const SIDES = ['move-source', 'move-target'] as const;
 
-/** One fault on each side of a move in each of its phases. */
+/** One fault of the source and one of the target for each phase of a migration. */
 function faultsOnEachSide(fault: Omit<Fault, 'atS' | 'controllers'>): Fault[] {
   const each = PHASES.flatMap((atMovePhase) =>
     SIDES.map((side) => ({ ...fault, atMovePhase, controllers: side })),
@@ -19,13 +19,13 @@
   return oneFaultPerMigration(each);
 }
 
-test('work goes on through fifty moves, and so do its steps that are under way', async () => {
+test('tasks keep running through fifty migrations, and no migration fails', async () => {
   const moving = { name: 'fifty moves', movingS: 100, everyS: 2, faults: [] };
   await runMigrationScenario(moving, [1, 2], (result) => {
     const { timeline, leaders, moves, controllers } = result;
     const switches = leaders.filter(({ atS }) => atS >= BUSY_FROM_S);
-    assert.ok(moves.counts.switched >= 48, `${moves.counts.switched} moves`);
-    assert.equal(switches.length, moves.counts.switched, 'no owner but by a move');
+    assert.ok(moves.counts.switched >= 48, `${moves.counts.switched} migrations`);
+    assert.equal(switches.length, moves.counts.switched, 'the leader changes only by migration');
     const movesBetween = (fromS: number, untilS: number) =>
       switches.filter(({ atS }) => atS > fromS && atS < untilS).length;
     const startedAt = new Map(
@@ -34,15 +34,18 @@
     const completed = timeline
       .of('task-completed', BUSY_FROM_S)
       .filter(({ atS, job, index }) => movesBetween(startedAt.get(`${job}/${index}`)!, atS) > 0);
-    assert.ok(completed.length >= 20, `${completed.length} tasks ran across a move and completed`);
+    assert.ok(
+      completed.length >= 20,
+      `${completed.length} tasks ran across a migration and completed`,
+    );
     const paused = controllers.flatMap(({ log }) =>
       log.entries('shard migration undone: decisions resume'),
     );
-    assert.deepEqual(paused, [], 'no move failed');
+    assert.deepEqual(paused, [], 'no migration failed');
   });
 });
 
-test('either side of a move crashes in any phase, and one controller owns the part afterwards', async () => {
+test('source or target crashes in any phase of a migration, and one controller leads the shard afterwards', async () => {
   const faults = faultsOnEachSide({ kind: 'controller-crash', downS: 2 } as Fault);
   const movingS = MIGRATION_INTERVAL_S * (faults.length + 3);
   await runMigrationScenario(
@@ -54,7 +57,7 @@
   );
 });
 
-test('either side of a move stands still in any phase, and wakes with old knowledge', async () => {
+test('source or target freezes in any phase of a migration, and resumes with outdated state', async () => {
   const faults = faultsOnEachSide({ kind: 'controller-freeze', forS: 5 } as Fault);
   const movingS = MIGRATION_INTERVAL_S * (faults.length + 3);
   await runMigrationScenario(
@@ -66,7 +69,7 @@
   );
 });
 
-test('either side of a move loses the state service or its peers in any phase', async () => {
+test('source or target loses the state service or its peers in any phase of a migration', async () => {
   const cut = { kind: 'controller-cut', forS: 5, mode: 'hold' };
   for (const from of [['state'], ['controllers']]) {
     const faults = faultsOnEachSide({ ...cut, from } as Fault);
@@ -80,7 +83,7 @@
   }
 });
 
-test('answers of each step are lost, and each step is carried out late', async () => {
+test('answers of the state service are lost, or its writes are late, in each phase of a migration', async () => {
   const phases: MigrationPhase[] = ['requested', 'prepared', 'quiesced'];
   const faults = oneFaultPerMigration(
     phases.flatMap((atMovePhase) => [
@@ -96,7 +99,7 @@
   );
 });
 
-test('the state service is away in any phase of a move for longer than a lease', async () => {
+test('the state service has an outage longer than a lease in any phase of a migration', async () => {
   const faults = oneFaultPerMigration(
     PHASES.map((atMovePhase) => ({ kind: 'state-outage', forS: 14, atMovePhase })) as Fault[],
   ).map(
@@ -111,7 +114,7 @@
   );
 });
 
-test('all controllers end in any phase of a move', async () => {
+test('all controllers crash in any phase of a migration', async () => {
   const faults = oneFaultPerMigration(
     PHASES.map((atMovePhase) => {
       return { kind: 'controller-crash', controllers: 'all', downS: 1, atMovePhase };
@@ -125,7 +128,7 @@
   );
 });
 
-test('jobs are cancelled in each phase of a move, and their tasks are gone in time', async () => {
+test('jobs are cancelled in each phase of a migration, and their tasks end in time', async () => {
   const faults = oneFaultPerMigration(
     PHASES.map((atMovePhase) => ({ kind: 'cancel-now', count: 3, atMovePhase })) as Fault[],
   );
--- a/packages/testing/measure.ts
+++ b/packages/testing/measure.ts
@@ -1,11 +1,11 @@
-/** All programs that measure, as one command: `node target/testing/measure.js NAME`, `--help` lists the names. */
+/** One command for all measurements: `node target/testing/measure.js NAME`; `--help` lists the names. */
 import { CommanderError } from 'commander';
 
-/** A program that measures, loaded only when it is asked for. */
+/** A measurement, whose module is loaded only when it runs. */
 interface Measurement {
   description: string;
   load: () => Promise<{
-    /** Measures and prints; resolves with the exit code. */
+    /** Runs the measurement and prints the results; resolves with the exit code. */
     run: (args: string[]) => Promise<number>;
   }>;
 }
@@ -20,7 +20,7 @@
     load: () => import('./measurement/scale-measurement.js'),
   },
   leader: {
-    description: 'processor time of what a leader does, with a number of MACHINES',
+    description: 'processor time that a leader uses, with a number of MACHINES',
     load: () => import('./measurement/leader-measurement.js'),
   },
   costs: {
@@ -28,7 +28,7 @@
     load: () => import('./measurement/costs-measurement.js'),
   },
   simulation: {
-    description: 'how fast the simulated cluster plays',
+    description: 'how fast the simulated cluster runs',
     load: () => import('./measurement/simulation-measurement.js'),
   },
   'replica-groups': {
@@ -36,7 +36,7 @@
     load: () => import('./measurement/replica-groups-measurement.js'),
   },
   'shard-migrations': {
-    description: 'moves of the shard between real controllers, with faults, on the loopback',
+    description: 'migrations of the shard between real controllers, with faults, on the loopback',
     load: () => import('./measurement/shard-migrations-measurement.js'),
   },
 };
@@ -68,11 +68,11 @@
     const { run } = await measurement.load();
     return await run(args);
   } catch (err) {
-    // Commander has written its own message, or the help that was asked for.
+    // Commander has already printed the error message or the help text.
     if (err instanceof CommanderError) return err.exitCode;
     throw err;
   }
 }
 
-// Stand-ins may leave timers behind.
+// Exits explicitly, because stand-ins may leave pending timers.
 process.exit(await main(process.argv.slice(2)));
--- a/packages/testing/peer-statements.ts
+++ b/packages/testing/peer-statements.ts
@@ -1,14 +1,14 @@
 import type { PeerStatus } from '#controller';
 import type { StatusFrame } from '#peer';
 
-/** When the state service served the peer last. */
+/** When the state service last served the peer; seconds of the monotonic clock. */
 const LAST_SERVED_AT = 10;
-/** From the sending of what a peer has read last to its answer. */
+/** Time from sending a status frame to a peer to receiving the status with which it confirms the frame. */
 const ROUND_TRIP_S = 0.5;
 
 /**
- * What a peer states at second `at` that the state service has refused since second 10, that knows all
- * cancellations, and that has seen the owner `c-0` of term 50.
+ * A peer's status, received at second `at`. The state service has refused the peer since second 10. The peer knows
+ * all cancellations and has seen the leader `c-0` of term 50.
  */
 export function aPeerStatus(at: number, frame: Partial<StatusFrame> = {}): PeerStatus {
   return {
@@ -36,5 +36,5 @@
   };
 }
 
-/** The term of the newest owner that such a peer has seen. */
+/** The term of the newest leader in the status. */
 export const STATED_TERM = 50;
--- a/packages/testing/random.ts
+++ b/packages/testing/random.ts
@@ -1,7 +1,7 @@
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
-/** A seeded source of chance. */
+/** A pseudo-random number generator with a seed. */
 export class Chance {
   private readonly source;
 
@@ -9,6 +9,7 @@
     this.source = xoroshiro128plus(seed);
   }
 
+  /** Uniform among the integers from `from` to `to`, both included. */
   int(from: number, to: number): number {
     return uniformInt(this.source, from, to);
   }
@@ -18,6 +19,7 @@
     return this.int(0, 0xffffff) / 0x1000000;
   }
 
+  /** True with probability `p`. */
   hit(p: number): boolean {
     return this.next() < p;
   }
--- a/packages/testing/recorder-world.ts
+++ b/packages/testing/recorder-world.ts
@@ -1,4 +1,4 @@
-/** A recorder of a term, with a fleet state and a state service, in a simulated world. */
+/** A test fixture: the recorder of a term with a fleet state and a simulated state service. */
 import assert from 'node:assert/strict';
 import { pino } from 'pino';
 import {
@@ -26,7 +26,10 @@
   txnOps: 24,
 };
 
-/** A recorder of a term whose fleet state follows the jobs of the state service; it may take other limits for true. */
+/**
+ * Starts a recorder whose fleet state follows the jobs in the state service. `limits` apply to the recorder and the
+ * service, `serviceLimits` to the service only.
+ */
 export async function aRecorder(
   limits: Partial<StateLimits> = {},
   serviceLimits: Partial<StateLimits> = {},
@@ -37,7 +40,7 @@
   const { cache, recorder } = parts;
   const record = (job: Job, phase: 'accepted' | 'cancelled') =>
     store.apply([{ put: jobKey(job.id), value: encodeJob({ job, acceptedAtMs: 0, phase }) }]);
-  /** Runs until nothing is left to record. */
+  /** Runs until the recorder has nothing pending. */
   const flush = (withinS = 10) => flushAll(state, recorder, withinS);
   const tasksOn = (name: string) =>
     (store.get(MACHINES + name)?.value as MachineRecord | undefined)?.tasks.map(([job]) => job);
@@ -49,7 +52,7 @@
   return { state, store, ...parts, record, sync, flush, tasksOn };
 }
 
-/** The recorder with all that it works on; the fleet state takes each job in that the cache shows. */
+/** Creates the recorder and its dependencies; each job record that reaches the cache is added to the fleet state. */
 function createRecorderParts(state: StateWorld, limits: StateLimits) {
   const runtime = state.controller();
   const client = state.client(runtime, { limits });
@@ -76,7 +79,7 @@
   return { client, cache, fleet, recorder, term };
 }
 
-/** Reads all jobs. The watch is held up afterwards; what comes later shows to those who ask for it. */
+/** Loads all jobs into the cache and ends its watch; later changes reach the cache only through `sync`. */
 async function loadOnce(state: StateWorld, cache: PrefixCache): Promise<void> {
   const watching = new AbortController();
   void cache.run(watching.signal);
@@ -92,6 +95,6 @@
   let isFlushed = false;
   const flushed = flushPending().finally(() => (isFlushed = true));
   flushed.catch(() => {});
-  assert.ok(await state.runUntil(() => isFlushed, withinS), 'all is recorded in time');
+  assert.ok(await state.runUntil(() => isFlushed, withinS), 'everything is recorded in time');
   await flushed;
 }
--- a/packages/testing/samples.ts
+++ b/packages/testing/samples.ts
@@ -1,7 +1,7 @@
 import type { Job, MachineType, Heartbeat } from '#wire';
 import { FleetOptions, FleetState, Machine } from '#core';
 
-/** The usual machine type of tests: 4 GPUs, in zones a and b. */
+/** The standard machine type of tests: 4 GPUs, in zones a and b. */
 export const STD: MachineType = {
   name: 'std',
   cpus: 16,
@@ -15,7 +15,7 @@
   zones: ['a', 'b'],
 };
 
-/** An array with one task of team red. */
+/** An array job of team red with one task. */
 export function aJob(overrides: Partial<Job> = {}): Job {
   return {
     id: 'j-000001',
@@ -62,7 +62,7 @@
   return fleet;
 }
 
-/** Adds a machine of type STD in zone a that is up. */
+/** Registers a machine in state `up`, of type STD in zone a unless overridden. */
 export function aMachine(
   fleet: FleetState,
   name: string,
@@ -74,7 +74,7 @@
   return machine;
 }
 
-/** The first report of n-1, which has no tasks. */
+/** The first heartbeat of n-1, which has no tasks. */
 export function aHeartbeat(overrides: Partial<Heartbeat> = {}): Heartbeat {
   return {
     machine: 'n-1',
--- a/packages/testing/state-world.ts
+++ b/packages/testing/state-world.ts
@@ -1,4 +1,4 @@
-/** A state service and processes that use it, in one simulated world. */
+/** A test fixture: a state service and processes that use it, in a simulation. */
 import { type Runtime, StateApi } from '#wire';
 import { StateClient, type StateLimits } from '#store';
 import {
@@ -13,10 +13,10 @@
 import { StateService } from './stand-ins/index.js';
 
 const NO_SKEW = { zeroS: 0, drift: 0, wallOffsetMs: 0 };
-/** Between two looks at a condition that is waited for; seconds. */
+/** Interval in seconds at which `runUntil` checks its condition. */
 const POLL_INTERVAL_S = 0.01;
 
-/** The service, and hosts whose processes reach it over a simulated network. */
+/** A state service, and hosts whose processes reach it over a simulated network. */
 export class StateWorld {
   readonly network: SimulatedNetwork;
   readonly service: StateService;
@@ -40,12 +40,12 @@
     return this.world.now;
   }
 
-  /** The runtime of a controller's process on a host of its own. */
+  /** Adds a host with a controller process and returns the runtime of the process. */
   controller(address = '10.0.0.1'): Runtime {
     return this.addHost(`controller at ${address}`, 'controller', address);
   }
 
-  /** A client of the service with a share of its rates. */
+  /** Creates a client that may use a share of the service's rate limits. */
   client(
     runtime: Runtime,
     { share = 1, timeoutMs = 1000, limits = this.limits } = {},
@@ -54,13 +54,13 @@
     return new StateClient(runtime.clock, api, limits, share);
   }
 
-  /** Lets time pass; throws the first error that a simulated callback threw. */
+  /** Advances the simulation; throws the first uncaught error of a simulated callback. */
   async run(seconds: number): Promise<void> {
     await this.world.runUntil(this.world.now + seconds);
     if (this.world.uncaught.length > 0) throw this.world.uncaught[0].error;
   }
 
-  /** Lets time pass until the condition holds; false if that takes more than so many seconds. */
+  /** Advances the simulation until the condition holds; false if it does not hold within `withinS` seconds. */
   async runUntil(condition: () => boolean, withinS: number): Promise<boolean> {
     const end = this.world.now + withinS;
     while (!condition() && this.world.now < end) await this.run(POLL_INTERVAL_S);
--- a/packages/testing/watch-requests.ts
+++ b/packages/testing/watch-requests.ts
@@ -2,14 +2,14 @@
 import type net from 'node:net';
 import type { HostPort, Network, Runtime } from '#wire';
 
-/** Told of each request to a server, and of where the server listens. */
+/** Called for each request to a server, with the address on which the server listens. */
 export type RequestListener = (
   req: http.IncomingMessage,
   res: http.ServerResponse,
   address: HostPort,
 ) => void;
 
-/** The same runtime, but each request to the HTTP servers that listen on it is told. */
+/** Wraps a runtime so that `onRequest` is called for each request to its HTTP servers. */
 export function watchRequests(runtime: Runtime, onRequest: RequestListener): Runtime {
   const network: Network = {
     connect: (address) => runtime.network.connect(address),
