--- a/packages/testing/hand-clock.ts
+++ b/packages/testing/hand-clock.ts
@@ -1,6 +1,6 @@
 import type { Clock, Timer } from '#wire';
 
-/** A clock that advances only when a test calls `advance` or `compute`. */
+/** A clock that advances only when a test moves it. */
 export class HandClock implements Clock {
   private nowMs = 0;
   private readonly pending = new Set<{ atMs: number; callback: () => void }>();
--- a/packages/testing/samples.ts
+++ b/packages/testing/samples.ts
@@ -43,7 +43,7 @@
   };
 }
 
-/** An empty fleet in term 100, with `STD` as its only machine type. */
+/** An empty fleet in term 100 that knows only the standard machine type. */
 export function aFleet(overrides: Partial<FleetOptions> = {}): FleetState {
   const fleet = new FleetState({
     settings: {
@@ -62,7 +62,7 @@
   return fleet;
 }
 
-/** Registers a machine in state `up`, of type `STD` in zone a unless overridden. */
+/** Registers a machine in state `up`, of the standard type in zone a unless overridden. */
 export function aMachine(
   fleet: FleetState,
   name: string,
