--- a/packages/testing/loopback/replica-groups/loopback-run.ts
+++ b/packages/testing/loopback/replica-groups/loopback-run.ts
@@ -1,4 +1,7 @@
-/** Replicas of several members on stand-in machines, whose machines and controllers fail while requests come. */
+/**
+ * Runs replicas of several members on stand-in machines with real controllers, and injects faults of machines and
+ * controllers while the replicas serve requests.
+ */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { type Job, nodeRuntime } from '#wire';
 import { Chance } from '../../random.js';
@@ -19,19 +22,19 @@
 const MEMBERS = 3;
 const SEED = 1;
 const FIRST_JOB_ID = 800_000;
-const REQUEST_EVERY_S = 0.1;
-const START_WITHIN_S = 90;
-const REPAIR_WITHIN_S = 120;
-/** From one repair to the next fault. */
+const REQUEST_INTERVAL_S = 0.1;
+const START_TIMEOUT_S = 90;
+const REPAIR_TIMEOUT_S = 120;
+/** Time from the end of a repair to the next fault. */
 const PAUSE_S = 0.5;
 
-/** How replicas are kept together. */
+/** Whether controllers manage the members of a replica as a group, and whether members check generations. */
 export type ReplicaMode =
-  /** The section `replicaGroups`, and members that answer with the marks of all only. */
+  /** `replicaGroups` is set, and a member answers only once all members of its generation have taken part. */
   | 'groups'
-  /** The section, and members that answer whoever marked. */
+  /** `replicaGroups` is set, and a member answers with whichever members it finds, of any generation. */
   | 'unfenced'
-  /** No section, so that each task is restarted by itself, and members that answer whoever marked. */
+  /** `replicaGroups` is not set, so each task restarts alone; a member answers with whichever members it finds. */
   | 'single-tasks';
 
 export interface ReplicaRunOptions {
@@ -39,7 +42,7 @@
   mode: ReplicaMode;
   replicas: number;
   faults: number;
-  /** One fault in so many comes with the end or the standstill of a controller; 0: none does. */
+  /** Every n-th machine fault comes with a crash or stop of a controller; 0 for never. */
   controllerEvery: number;
 }
 
@@ -47,16 +50,16 @@
   answers: number;
   broken: Answer[];
   violations: Violation[];
-  /** Times at which members of two generations of a replica ran. */
+  /** How often members of two generations of a replica ran at the same time. */
   generationsAtOnce: number;
   faults: Record<string, number>;
   repairs: RepairTime[];
-  /** Share of the replicas' time for which they were not being repaired. */
+  /** Share of the run, averaged over the replicas, in which a replica was not under repair. */
   wholeShare: number;
   lengthS: number;
 }
 
-/** Plays it; `progress` is told after each fault. */
+/** Runs replicas and faults as the options say; calls `progress` after each fault. */
 export async function runReplicas(
   options: ReplicaRunOptions,
   progress: (done: number) => void = () => {},
@@ -65,7 +68,7 @@
   try {
     await run.start();
     for (let done = 1; done <= options.faults; done++) {
-      await run.failOnce(done);
+      await run.injectFault(done);
       progress(done);
     }
     return run.finish();
@@ -109,8 +112,8 @@
       chance,
       now: () => nodeRuntime.clock.now(),
       schedule: (delayS, run) => void setTimeout(run, delayS * 1000).unref(),
-      reaches: (from, to) => this.faults.reaches(from, to),
-      everyS: REQUEST_EVERY_S,
+      reaches: (from, to) => this.faults.canReach(from, to),
+      everyS: REQUEST_INTERVAL_S,
       isFenced: mode === 'groups',
     });
   }
@@ -124,12 +127,14 @@
     cluster.users.start(planReplicas(options.replicas, teams));
     this.traffic.start();
     const jobs = Array.from({ length: options.replicas }, (_, index) => jobId(index));
-    await waitFor('all replicas to answer', START_WITHIN_S, () => this.allAnswerSince(jobs, 0));
+    await waitFor('all replicas to answer', START_TIMEOUT_S, () =>
+      this.allReplicasAnswerSince(jobs, 0),
+    );
     this.fromS = nodeRuntime.clock.now();
   }
 
-  /** A machine with members fails, now and then with a controller; resolves once all of it is repaired. */
-  async failOnce(number: number): Promise<void> {
+  /** Fails a random machine that runs members, sometimes with a controller; resolves once all is repaired. */
+  async injectFault(number: number): Promise<void> {
     const { chance, faults, cluster, options } = this;
     const replicas = [...this.members.replicas()];
     const victim = replicas[chance.int(0, replicas.length - 1)];
@@ -137,29 +142,29 @@
     if (!member) return sleep(PAUSE_S * 1000);
     const withController = options.controllerEvery > 0 && number % options.controllerEvery === 0;
     const atS = nodeRuntime.clock.now();
-    const hit = replicas.filter(({ job, first }) =>
+    const affected = replicas.filter(({ job, first }) =>
       [0, 1, 2].some((index) =>
         this.members.of(job, first + index).some(({ machine }) => machine === member.machine),
       ),
     );
-    for (const { job } of hit) this.losses.push({ atS, job, withController });
-    const ends = [faults.failMachine(member.machine)];
-    if (withController) ends.push(faults.failController());
-    await Promise.all(ends);
+    for (const { job } of affected) this.losses.push({ atS, job, withController });
+    const pendingFaults = [faults.failMachine(member.machine)];
+    if (withController) pendingFaults.push(faults.failController());
+    await Promise.all(pendingFaults);
     await allHealthy(cluster);
     const jobs = replicas.map(({ job }) => job);
     const sinceS = nodeRuntime.clock.now();
-    await waitFor('repairs', REPAIR_WITHIN_S, () => this.allAnswerSince(jobs, sinceS));
+    await waitFor('repairs', REPAIR_TIMEOUT_S, () => this.allReplicasAnswerSince(jobs, sinceS));
     await sleep(PAUSE_S * 1000);
   }
 
-  private allAnswerSince(jobs: string[], sinceS: number): true | null {
+  private allReplicasAnswerSince(jobs: string[], sinceS: number): true | null {
     const { answers } = this.traffic;
-    const seen = new Set<string>();
+    const answering = new Set<string>();
     for (let at = answers.length - 1; at >= 0 && answers[at].atS > sinceS; at--) {
-      if (answers[at].marks.length === MEMBERS) seen.add(answers[at].job);
+      if (answers[at].marks.length === MEMBERS) answering.add(answers[at].job);
     }
-    return jobs.every((job) => seen.has(job)) ? true : null;
+    return jobs.every((job) => answering.has(job)) ? true : null;
   }
 
   finish(): ReplicaRunResult {
