--- a/packages/testing/fault-combinations/cancellations-during-transfer.test.ts
+++ b/packages/testing/fault-combinations/cancellations-during-transfer.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import type { Fault, ScenarioResult } from '../simulation/index.js';
 import {
-  confirmations,
+  confirmedCancellations,
   killedTasks,
   lastTaskLeftAt,
   playMeeting,
@@ -40,11 +40,11 @@
     const [crash] = result.faults.of('controller-crash');
     const successor = result.leaders.find(({ term }) => term > crash.leader!.term)!;
     const readyAt = readyTimes(result, successor.leader).find((atS) => atS > successor.atS)!;
-    const between = confirmations(result, crash.fromS, readyAt);
-    assert.ok(between.length >= 4, `${between.length} confirmations while nobody scheduled`);
-    assert.ok(between.some(({ atS }) => atS < successor.atS));
-    assert.ok(between.some(({ atS }) => atS > successor.atS));
-    for (const { job, atS } of between) {
+    const confirmed = confirmedCancellations(result, crash.fromS, readyAt);
+    assert.ok(confirmed.length >= 4, `${confirmed.length} confirmations while nobody scheduled`);
+    assert.ok(confirmed.some(({ atS }) => atS < successor.atS));
+    assert.ok(confirmed.some(({ atS }) => atS > successor.atS));
+    for (const { job, atS } of confirmed) {
       const started = result.timeline
         .of('task-started', atS)
         .filter(({ task }) => task.job === job);
@@ -77,7 +77,7 @@
     assert.deepEqual(second.controllers, [second.leader!.leader]);
     const ready = readyTimes(result, second.leader!.leader);
     assert.ok(!ready.some((atS) => atS > second.leader!.atS && atS < outage.untilS));
-    const confirmed = confirmations(result, first.fromS, second.fromS);
+    const confirmed = confirmedCancellations(result, first.fromS, second.fromS);
     assert.ok(confirmed.length >= 3, `${confirmed.length} confirmations`);
     const ranOn = confirmed.filter(({ job, atS }) => lastTaskLeftAt(result, job) > atS + 2);
     assert.ok(ranOn.length >= 3, `${ranOn.length} jobs ran on`);
@@ -99,7 +99,7 @@
     assert.ok(leader.term > crash.leader!.term);
     const ready = readyTimes(result, leader.leader);
     assert.ok(!ready.some((atS) => atS > leader.atS && atS < outage.untilS));
-    const confirmed = confirmations(result, crash.fromS, outage.fromS);
+    const confirmed = confirmedCancellations(result, crash.fromS, outage.fromS);
     assert.ok(confirmed.length >= 3, `${confirmed.length} confirmations`);
     for (const { job } of confirmed) {
       assert.ok(lastTaskLeftAt(result, job) < outage.fromS + LEASE_S, `${job} ran on`);
--- a/packages/testing/fault-combinations/cut-or-frozen-leader.test.ts
+++ b/packages/testing/fault-combinations/cut-or-frozen-leader.test.ts
@@ -2,8 +2,8 @@
 import { test } from 'node:test';
 import type { CutMode, Fault, ScenarioResult } from '../simulation/index.js';
 import {
-  assertLeads,
-  confirmations,
+  assertAnswersAllMachines,
+  confirmedCancellations,
   killedTasks,
   lastTaskLeftAt,
   playMeeting,
@@ -48,7 +48,7 @@
     await playMeeting(scenario, [1 + 2 * index, 2 + 2 * index], (result) => {
       const [cut] = result.faults.of('controller-cut');
       const { leader, successor } = leaderAndSuccessor(result);
-      const confirmed = confirmations(result, successor.atS, cut.untilS);
+      const confirmed = confirmedCancellations(result, successor.atS, cut.untilS);
       assert.ok(confirmed.length >= 4, `${confirmed.length} confirmations`);
       assert.ok(confirmed.every(({ controller }) => controller !== leader.leader));
       const lastConfirmedS = Math.max(...confirmed.map(({ atS }) => atS));
@@ -80,13 +80,13 @@
       const leader = freeze.leader!.leader;
       assert.deepEqual(outage.leader, freeze.leader);
       assert.ok(freeze.untilS > outage.fromS);
-      const confirmed = confirmations(result, freeze.fromS, outage.fromS);
+      const confirmed = confirmedCancellations(result, freeze.fromS, outage.fromS);
       assert.ok(confirmed.length >= 3, `${confirmed.length} confirmations`);
       for (const { job, controller } of confirmed) {
         assert.notEqual(controller, leader);
         assert.ok(lastTaskLeftAt(result, job) > outage.fromS, `${job} ended before the outage`);
       }
-      assertLeads(result, leader, freeze.untilS + LEASE_S, outage.untilS);
+      assertAnswersAllMachines(result, leader, freeze.untilS + LEASE_S, outage.untilS);
       if (frozenS < LEASE_S / 2) {
         assert.deepEqual(killedTasks(result, outage.fromS, outage.untilS + LEASE_S), []);
       }
@@ -116,7 +116,7 @@
     const { leader, successor } = leaderAndSuccessor(result);
     assert.deepEqual(cut.controllers, [leader.leader]);
     assert.ok(successor.atS < freeze.untilS, `the successor began at ${successor.atS} s`);
-    const confirmed = confirmations(result, freeze.fromS, freeze.untilS);
+    const confirmed = confirmedCancellations(result, freeze.fromS, freeze.untilS);
     assert.ok(confirmed.length >= 3, `${confirmed.length} confirmations`);
     // It had workers once it was awake, and let them go.
     assert.ok(heartbeatsAnswered(result, leader.leader, freeze.untilS + 2, cut.untilS) > LEASE_S);
@@ -124,12 +124,12 @@
     const ranOn = confirmed.filter(({ job }) => lastTaskLeftAt(result, job) > freeze.untilS + 2);
     assert.ok(ranOn.length >= 1, 'no cancelled job ran on');
     const { log } = result.controllers.find(({ name }) => name === leader.leader)!;
-    const dealings = [
+    const cloudActions = [
       ...log.entries('scale-out completed'),
       ...log.entries('machines deprovisioned'),
     ];
     assert.deepEqual(
-      dealings.filter(({ atS }) => atS > freeze.untilS && atS < cut.untilS),
+      cloudActions.filter(({ atS }) => atS > freeze.untilS && atS < cut.untilS),
       [],
     );
   });
--- a/packages/testing/fault-combinations/dependencies-and-faults.test.ts
+++ b/packages/testing/fault-combinations/dependencies-and-faults.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { ClusterSettings, Fault, ScenarioResult } from '../simulation/index.js';
-import { chainedJobs, countChains, startsBeforeRecords } from './dependency-queries.js';
-import { chainedScenario, chainOf, DIAMOND } from './dependent-work.js';
+import { dependentJobs, countDependentJobs, prematureStarts } from './dependency-queries.js';
+import { dependentJobsScenario, chainStages, DIAMOND } from './dependent-work.js';
 import { playMeeting } from './run-queries.js';
 import { BUSY_FROM_S, CANCEL_S } from './steady-work.js';
 
@@ -16,32 +16,32 @@
     { kind: 'cancel-now', atS: BEGIN_S + 1, count: 12 },
     { kind: 'state-outage', atS: BEGIN_S + 3, forS: outageS },
   ];
-  const scenario = chainedScenario('refused, outage', BEGIN_S + outageS + 130, faults, {
+  const scenario = dependentJobsScenario('refused, outage', BEGIN_S + outageS + 130, faults, {
     pipeline: { cancelledShare: 0.6, arrivals: { perMinute: 40, together: [1, 1] } },
   });
   await playMeeting(scenario, [1, 2], (result) => {
     const [outage] = result.faults.of('state-outage');
     assert.ok(outage.untilS - outage.fromS > CANCEL_S);
-    const { done, cancelledWithOthers } = countChains(result);
+    const { done, cancelledByDependency } = countDependentJobs(result);
     assert.ok(
-      done >= 20 && cancelledWithOthers >= 3,
-      `${done} done, ${cancelledWithOthers} aborted`,
+      done >= 20 && cancelledByDependency >= 3,
+      `${done} done, ${cancelledByDependency} aborted`,
     );
-    assert.deepEqual(startsBeforeRecords(result), []);
+    assert.deepEqual(prematureStarts(result), []);
   });
 });
 
 /** Teams that are soon at their limit. */
-function smallTeams(cluster: ClusterSettings): ClusterSettings {
+function withSmallTeams(cluster: ClusterSettings): ClusterSettings {
   const { deployment } = cluster;
   const teams = deployment.teams.map((team) => ({ ...team, cpus: 8, cpus_max: 64 }));
   return { ...cluster, deployment: { ...deployment, teams } };
 }
 
 /** Pairs of a job and one that it awaits of another team. */
-function acrossTeams(result: ScenarioResult): [string, string][] {
+function dependenciesAcrossTeams(result: ScenarioResult): [string, string][] {
   const teams = new Map(result.timeline.of('job-submitted').map(({ id, job }) => [id, job.team]));
-  return chainedJobs(result).flatMap(({ id, team, awaits }) =>
+  return dependentJobs(result).flatMap(({ id, team, awaits }) =>
     awaits.filter((each) => teams.get(each) !== team).map((each): [string, string] => [id, each]),
   );
 }
@@ -50,25 +50,28 @@
   const stages = DIAMOND.stages.map((stage, number) =>
     number === 1 ? { ...stage, jobClass: { ...stage.jobClass, mistakenShare: 0.2 } } : stage,
   );
-  const scenario = chainedScenario('teams', 320, [], {
-    cluster: smallTeams,
+  const scenario = dependentJobsScenario('teams', 320, [], {
+    cluster: withSmallTeams,
     pipeline: { stages, mixesTeams: true, cancelledShare: 0, lateShare: 0 },
   });
   await playMeeting(scenario, [1, 2], (result) => {
-    const { done, cancelledWithOthers } = countChains(result);
-    assert.ok(acrossTeams(result).length >= 30, 'jobs await those of other teams');
+    const { done, cancelledByDependency } = countDependentJobs(result);
+    assert.ok(dependenciesAcrossTeams(result).length >= 30, 'jobs await those of other teams');
     assert.ok(done >= 30, `${done} jobs that await others were done`);
     // Nothing was cancelled but what failed on every machine.
-    assert.ok(cancelledWithOthers >= 3, `${cancelledWithOthers} jobs were aborted with others`);
-    assert.deepEqual(startsBeforeRecords(result), []);
+    assert.ok(cancelledByDependency >= 3, `${cancelledByDependency} jobs were aborted with others`);
+    assert.deepEqual(prematureStarts(result), []);
   });
 });
 
 test('a chain of a hundred jobs is done to its end, and one that is cancelled in its middle ends from there on', async () => {
-  const quick = { tasks: [1, 1] as [number, number], run: { medianS: 0.5, p95S: 0.6, maxS: 0.7 } };
-  const stages = chainOf(100).map(({ jobClass, ...stage }) => ({
+  const shortRuns = {
+    tasks: [1, 1] as [number, number],
+    run: { medianS: 0.5, p95S: 0.6, maxS: 0.7 },
+  };
+  const stages = chainStages(100).map(({ jobClass, ...stage }) => ({
     ...stage,
-    jobClass: { ...jobClass, ...quick },
+    jobClass: { ...jobClass, ...shortRuns },
   }));
   const arrivals = { perMinute: 0, together: [1, 1] as [number, number], atStart: 6 };
   const pipeline = {
@@ -79,12 +82,15 @@
     cancelledShare: 0.5,
     deadlineS: 300,
   };
-  const scenario = chainedScenario('chain of a hundred', 480, [], { pipeline });
-  const alone = { ...scenario, workload: { ...scenario.workload, classes: [], intensity: 1 } };
-  await playMeeting(alone, [1], (result) => {
-    const { done, cancelledWithOthers } = countChains(result);
+  const scenario = dependentJobsScenario('chain of a hundred', 480, [], { pipeline });
+  const pipelinesOnly = {
+    ...scenario,
+    workload: { ...scenario.workload, classes: [], intensity: 1 },
+  };
+  await playMeeting(pipelinesOnly, [1], (result) => {
+    const { done, cancelledByDependency } = countDependentJobs(result);
     assert.ok(done >= 200, `${done} were done`);
-    assert.ok(cancelledWithOthers >= 20, `${cancelledWithOthers} were aborted with others`);
-    assert.deepEqual(startsBeforeRecords(result), []);
+    assert.ok(cancelledByDependency >= 20, `${cancelledByDependency} were aborted with others`);
+    assert.deepEqual(prematureStarts(result), []);
   });
 });
--- a/packages/testing/fault-combinations/dependency-mistakes.test.ts
+++ b/packages/testing/fault-combinations/dependency-mistakes.test.ts
@@ -7,8 +7,8 @@
 import { JobRegistry } from '../../core/model/job-registry.js';
 import type { JobState } from '../../core/model/entities.js';
 import { runScenario, type Fault, type ScenarioResult } from '../simulation/index.js';
-import { startsBeforeRecords } from './dependency-queries.js';
-import { chainedScenario } from './dependent-work.js';
+import { prematureStarts } from './dependency-queries.js';
+import { dependentJobsScenario } from './dependent-work.js';
 
 /** Methods of a prototype, private ones included. */
 type Methods = Record<string, (...args: never[]) => unknown>;
@@ -21,7 +21,7 @@
 ];
 
 /** Plays the scenario with another method in place of one of a class. */
-async function playWith(
+async function runWithReplacedMethod(
   prototype: object,
   name: string,
   replace: (original: (...args: unknown[]) => unknown) => (...args: never[]) => unknown,
@@ -32,24 +32,28 @@
   methods[name] = replace(original as (...args: unknown[]) => unknown);
   try {
     const pipeline = { cancelledShare: 0.5 };
-    return await runScenario(chainedScenario('mistake', LENGTH_S, FAULTS, { pipeline }), 1);
+    return await runScenario(dependentJobsScenario('mistake', LENGTH_S, FAULTS, { pipeline }), 1);
   } finally {
     methods[name] = original;
   }
 }
 
-function rulesOf({ violations }: ScenarioResult): Set<string> {
+function violatedRules({ violations }: ScenarioResult): Set<string> {
   return new Set(violations.map(({ rule }) => rule));
 }
 
 test('without a mistake nothing is found', async () => {
-  const result = await playWith(DependencyGraph.prototype, 'recordEnded', (original) => original);
-  assert.deepEqual([...rulesOf(result)], []);
-  assert.deepEqual(startsBeforeRecords(result), []);
+  const result = await runWithReplacedMethod(
+    DependencyGraph.prototype,
+    'recordEnded',
+    (original) => original,
+  );
+  assert.deepEqual([...violatedRules(result)], []);
+  assert.deepEqual(prematureStarts(result), []);
 });
 
 test('a start on an end that only the owner knows is found', async () => {
-  const result = await playWith(
+  const result = await runWithReplacedMethod(
     JobRegistry.prototype,
     'markDone',
     (original) =>
@@ -67,20 +71,20 @@
         }
       },
   );
-  assert.ok(startsBeforeRecords(result).length > 0);
+  assert.ok(prematureStarts(result).length > 0);
 });
 
 test('a start although something is awaited is found', async () => {
-  const result = await playWith(
+  const result = await runWithReplacedMethod(
     DependencyGraph.prototype,
     'hasOpenDependencies',
     () => () => false,
   );
-  assert.ok(rulesOf(result).has('too_early'));
+  assert.ok(violatedRules(result).has('too_early'));
 });
 
 test('a cancellation that reaches only the next jobs is found', async () => {
-  const result = await playWith(
+  const result = await runWithReplacedMethod(
     DependencyGraph.prototype,
     'recordEnded',
     (original) =>
@@ -93,11 +97,11 @@
         return changes.filter(({ kind, job }) => kind !== 'cancelled' || next.includes(job));
       },
   );
-  assert.ok(rulesOf(result).has('orphaned'));
+  assert.ok(violatedRules(result).has('orphaned'));
 });
 
 test('a refusal for good by what a controller happens to know is found', async () => {
-  const result = await playWith(
+  const result = await runWithReplacedMethod(
     DependencyValidator.prototype,
     'rejectionReason',
     () =>
@@ -106,11 +110,11 @@
         return Promise.resolve(unknown === undefined ? null : `awaits: ${unknown}`);
       },
   );
-  assert.ok(rulesOf(result).has('refused_fit'));
+  assert.ok(violatedRules(result).has('refused_fit'));
 });
 
 test('an answer by what a controller happens to know is found', async () => {
-  const result = await playWith(
+  const result = await runWithReplacedMethod(
     JobStore.prototype,
     'lookUp',
     () =>
@@ -118,6 +122,6 @@
         return Promise.resolve(this.options.jobs.get(id));
       },
   );
-  const rules = rulesOf(result);
+  const rules = violatedRules(result);
   assert.ok(rules.has('went_back') || rules.has('forgotten'), [...rules].join(' '));
 });
--- a/packages/testing/fault-combinations/dependent-jobs.test.ts
+++ b/packages/testing/fault-combinations/dependent-jobs.test.ts
@@ -2,12 +2,12 @@
 import { test } from 'node:test';
 import type { Fault, ScenarioResult } from '../simulation/index.js';
 import {
-  cancelledWithDependents,
-  chainedJobs,
-  countChains,
-  startsBeforeRecords,
+  cancelledDependencies,
+  dependentJobs,
+  countDependentJobs,
+  prematureStarts,
 } from './dependency-queries.js';
-import { chainedScenario } from './dependent-work.js';
+import { dependentJobsScenario } from './dependent-work.js';
 import { playMeeting } from './run-queries.js';
 import { BUSY_FROM_S } from './steady-work.js';
 
@@ -15,28 +15,31 @@
 const LENGTH_S = 200;
 
 /** Jobs whose users asked to cancel them after their last task had completed, by what they were told. */
-function cancelledAtEnd({ timeline }: ScenarioResult): { done: string[]; cancelled: string[] } {
+function cancelledAfterLastTask({ timeline }: ScenarioResult): {
+  done: string[];
+  cancelled: string[];
+} {
   const askedAt = new Map(timeline.of('cancel-asked').map(({ job, atS }) => [job, atS]));
   const endedAt = new Map(timeline.of('task-completed').map(({ job, atS }) => [job, atS]));
   const jobs = new Map(timeline.of('job-submitted').map(({ id, job }) => [id, job]));
-  const told = (phase: string) => {
+  const jobsAnswered = (phase: string) => {
     const answers = timeline.of('answered').filter((each) => each.request.kind === 'abort');
     const ids = answers.filter((each) => each.phase === phase).map(({ request }) => request.job);
     return [...new Set(ids)].filter((id) => {
       const completed = timeline.of('task-completed').filter(({ job }) => job === id).length;
-      const isWhole = completed === jobs.get(id)?.tasks;
-      return isWhole && (askedAt.get(id) ?? -1) >= (endedAt.get(id) ?? Infinity);
+      const isComplete = completed === jobs.get(id)?.tasks;
+      return isComplete && (askedAt.get(id) ?? -1) >= (endedAt.get(id) ?? Infinity);
     });
   };
-  return { done: told('done'), cancelled: told('aborted') };
+  return { done: jobsAnswered('done'), cancelled: jobsAnswered('aborted') };
 }
 
 /** Asserts that pipelines went on to their ends, and that some were cut off. */
-function assertServed(result: ScenarioResult, least = 20): void {
-  const { done, cancelledWithOthers } = countChains(result);
-  assert.ok(done >= least, `${done} jobs that await others were done`);
-  assert.ok(cancelledWithOthers >= 3, `${cancelledWithOthers} jobs were aborted with others`);
-  assert.deepEqual(startsBeforeRecords(result), []);
+function assertPipelinesServed(result: ScenarioResult, minDone = 20): void {
+  const { done, cancelledByDependency } = countDependentJobs(result);
+  assert.ok(done >= minDone, `${done} jobs that await others were done`);
+  assert.ok(cancelledByDependency >= 3, `${cancelledByDependency} jobs were aborted with others`);
+  assert.deepEqual(prematureStarts(result), []);
 }
 
 test('pipelines are served while users look closely, cancel jobs of all stages and at the very end of one', async () => {
@@ -45,16 +48,19 @@
     { kind: 'cancel-at-end', atS: 40, forS: 80, share: 0.25 },
     { kind: 'odd-requests', atS: 30, forS: 60 },
   ];
-  await playMeeting(chainedScenario('chained', LENGTH_S, faults), [1, 2], (result) => {
-    assertServed(result);
-    const cancelled = cancelledWithDependents(result, 0, LENGTH_S);
+  await playMeeting(dependentJobsScenario('chained', LENGTH_S, faults), [1, 2], (result) => {
+    assertPipelinesServed(result);
+    const cancelled = cancelledDependencies(result, 0, LENGTH_S);
     assert.ok(cancelled.length >= 5, `${cancelled.length} were cancelled that others need`);
-    const met = cancelledAtEnd(result);
+    const cancelledLate = cancelledAfterLastTask(result);
     assert.ok(
-      met.cancelled.length >= 3,
-      `${met.cancelled.length} were cancelled with all tasks done`,
+      cancelledLate.cancelled.length >= 3,
+      `${cancelledLate.cancelled.length} were cancelled with all tasks done`,
+    );
+    assert.ok(
+      cancelledLate.done.length >= 1,
+      `${cancelledLate.done.length} cancellations came after the end`,
     );
-    assert.ok(met.done.length >= 1, `${met.done.length} cancellations came after the end`);
   });
 });
 
@@ -68,21 +74,25 @@
     { kind: 'controller-freeze', atS: BEGIN_S + 20, forS: 8, controllers: 'leader' },
     { kind: 'cancel-at-end', atS: BEGIN_S - 10, forS: 50, share: 0.2 },
   ];
-  await playMeeting(chainedScenario('ends lost or late', LENGTH_S, faults), [1, 2], (result) => {
-    assertServed(result);
-    const needed = new Set(chainedJobs(result).flatMap(({ awaits }) => [...awaits]));
-    const unanswered = result.timeline.of('transaction').filter(({ answered }) => !answered);
-    const ends = unanswered
-      .flatMap(({ changes }) => changes)
-      .filter((change) => {
-        if (!('put' in change) || !change.put.startsWith('jobs/')) return false;
-        const { phase } = change.value as { phase: string };
-        return phase === 'done' && needed.has(change.put.slice('jobs/'.length));
-      });
-    assert.ok(ends.length >= 2, `${ends.length} ends of awaited jobs got no answer`);
-    const [crash] = result.faults.of('controller-crash');
-    assert.ok(result.leaders.some(({ term }) => term > crash.leader!.term));
-  });
+  await playMeeting(
+    dependentJobsScenario('ends lost or late', LENGTH_S, faults),
+    [1, 2],
+    (result) => {
+      assertPipelinesServed(result);
+      const needed = new Set(dependentJobs(result).flatMap(({ awaits }) => [...awaits]));
+      const unanswered = result.timeline.of('transaction').filter(({ answered }) => !answered);
+      const ends = unanswered
+        .flatMap(({ changes }) => changes)
+        .filter((change) => {
+          if (!('put' in change) || !change.put.startsWith('jobs/')) return false;
+          const { phase } = change.value as { phase: string };
+          return phase === 'done' && needed.has(change.put.slice('jobs/'.length));
+        });
+      assert.ok(ends.length >= 2, `${ends.length} ends of awaited jobs got no answer`);
+      const [crash] = result.faults.of('controller-crash');
+      assert.ok(result.leaders.some(({ term }) => term > crash.leader!.term));
+    },
+  );
 });
 
 test('all controllers restart, twice within a lease, while pipelines are under way', async () => {
@@ -93,11 +103,11 @@
     { kind: 'controller-crash', atS: BEGIN_S + 7, controllers: 'all', downS: 1 },
     { kind: 'zone-cut', atS: BEGIN_S + 30, forS: 15, zone: 'a', mode: 'hold' },
   ];
-  await playMeeting(chainedScenario('all restart', LENGTH_S, faults), [1, 2], (result) => {
+  await playMeeting(dependentJobsScenario('all restart', LENGTH_S, faults), [1, 2], (result) => {
     const crashes = result.faults.of('controller-crash');
     assert.equal(crashes.length, 2);
-    const before = countChains(result, 0, BEGIN_S).done;
-    const after = countChains(result, BEGIN_S + 10).done;
+    const before = countDependentJobs(result, 0, BEGIN_S).done;
+    const after = countDependentJobs(result, BEGIN_S + 10).done;
     assert.ok(before >= 3 && after >= 10, `${before} before, ${after} after`);
   });
 });
--- a/packages/testing/fault-combinations/dependent-work.ts
+++ b/packages/testing/fault-combinations/dependent-work.ts
@@ -48,18 +48,18 @@
 const LAST_PIPELINES_S = 60;
 
 /** Where a chained scenario differs from the usual one. */
-export interface ChainedOptions {
+export interface DependentJobsOptions {
   pipeline?: Partial<Pipeline>;
   /** Changes the cluster. */
   cluster?: (cluster: ClusterSettings) => ClusterSettings;
 }
 
 /** A scenario of steady work and many pipelines. */
-export function chainedScenario(
+export function dependentJobsScenario(
   name: string,
   lengthS: number,
   faults: Fault[],
-  { pipeline, cluster = (same) => same }: ChainedOptions = {},
+  { pipeline, cluster = (unchanged) => unchanged }: DependentJobsOptions = {},
 ): Scenario {
   const steady = steadyScenario(name, lengthS, faults);
   const workload = {
@@ -72,7 +72,7 @@
 }
 
 /** A chain of so many jobs. */
-export function chainOf(length: number): Pipeline['stages'] {
+export function chainStages(length: number): Pipeline['stages'] {
   const numbers = Array.from({ length }, (_, number) => number);
   return numbers.map((number) => ({
     jobClass: number === length - 1 ? LAST_STAGE : STAGE,
--- a/packages/testing/fault-combinations/faulty-jobs.test.ts
+++ b/packages/testing/fault-combinations/faulty-jobs.test.ts
@@ -15,14 +15,14 @@
 
 const LENGTH_S = 300;
 const CRASH_S = 100;
-const LAST_JOBS_S = 160;
+const ARRIVALS_END_S = 160;
 /** Rents that were decided before a job became suspect may go out so much later. */
 const PROVISION_DELAY_S = 3;
 /** Attempts of a suspect job in any of these runs, one after the other, and its tasks in each. */
-const MOST_PROBES = 9;
+const MAX_PROBES = 9;
 const PROBE_TASKS = 2;
 /** Seconds by which the mean wait of sound jobs may be longer than without faulty ones. */
-const MOST_LONGER_S = 1;
+const MAX_ADDED_WAIT_S = 1;
 
 /** With room for all that is known to be sound. */
 const CLUSTER = { ...SMALL_CLUSTER, capacity: [{ machines: 30 }] };
@@ -32,7 +32,7 @@
 const FAULTY = /^faulty/;
 
 /** Its tasks fail long before they could complete or save. */
-function faulty(jobClass: JobClass, perMinute: number): JobClass {
+function makeFaulty(jobClass: JobClass, perMinute: number): JobClass {
   const { template } = jobClass;
   return {
     ...jobClass,
@@ -49,8 +49,8 @@
   };
 }
 
-const FAULTY_CLASSES = [faulty(BATCHES, 3), faulty(GANGS, 3)];
-const FAULTY_SERVICES = faulty(REPLICAS, 1);
+const FAULTY_CLASSES = [makeFaulty(BATCHES, 3), makeFaulty(GANGS, 3)];
+const FAULTY_SERVICES = makeFaulty(REPLICAS, 1);
 const LEADER_CRASH: Fault = {
   kind: 'controller-crash',
   atS: CRASH_S,
@@ -58,8 +58,8 @@
   downS: 6,
 };
 
-function scenario(classes: JobClass[], faults: Fault[]): Scenario {
-  const workload = { classes, untilS: LAST_JOBS_S };
+function makeScenario(classes: JobClass[], faults: Fault[]): Scenario {
+  const workload = { classes, untilS: ARRIVALS_END_S };
   return { name: 'faulty jobs', cluster: CLUSTER, workload, faults, lengthS: LENGTH_S };
 }
 
@@ -68,7 +68,7 @@
 }
 
 /** Faulty jobs were begun, failed several times and were cancelled, on several machines. */
-function assertTrouble(result: ScenarioResult): void {
+function assertFaultyJobsFailed(result: ScenarioResult): void {
   const ids = new Set(faultyJobs(result).map(({ id }) => id));
   assert.ok(ids.size >= 6, `${ids.size} faulty jobs`);
   const failed = result.timeline
@@ -89,21 +89,21 @@
   for (const { id, job } of faultyJobs(result)) {
     const starts = result.timeline.of('task-assigned').filter(({ task }) => task.job === id).length;
     const probe = job.kind === 'gang' ? job.tasks : PROBE_TASKS;
-    const most = terms * 2 * job.tasks + MOST_PROBES * probe;
-    assert.ok(starts <= most, `${id}: ${starts} starts of ${job.tasks} tasks`);
+    const maxStarts = terms * 2 * job.tasks + MAX_PROBES * probe;
+    assert.ok(starts <= maxStarts, `${id}: ${starts} starts of ${job.tasks} tasks`);
   }
 }
 
 /** Rents at a moment at which every faulty job was known to be suspect or was over. */
-function needlessRents(result: ScenarioResult, type: string): number[] {
+function avoidableScaleOuts(result: ScenarioResult, type: string): number[] {
   const known = result.controllers.flatMap(({ log }) => log.entries('job is crash-looping'));
-  const waits = faultyJobs(result).map(({ id, atS }) => ({
+  const activeSpans = faultyJobs(result).map(({ id, atS }) => ({
     id,
     atS,
     untilS: cancelledAt(result, id),
   }));
-  const rents = result.controllers.flatMap(({ log }) => log.entries('scale-out completed'));
-  return rents
+  const scaleOuts = result.controllers.flatMap(({ log }) => log.entries('scale-out completed'));
+  return scaleOuts
     .filter((provision) => provision.type === type)
     .map(({ atS }) => atS)
     .filter((provisionedAt) => {
@@ -114,7 +114,7 @@
         known.some(
           ({ job, atS }) => job === id && atS >= termAt && atS < provisionedAt - PROVISION_DELAY_S,
         );
-      return !waits.some(
+      return !activeSpans.some(
         ({ id, atS, untilS }) => atS <= provisionedAt && provisionedAt <= untilS && !isKnown(id),
       );
     });
@@ -143,30 +143,30 @@
   [', also across a crash of the leader', [LEADER_CRASH]],
 ] as [string, Fault[]][]) {
   test(`faulty arrays and gangs are tried seldom and don't delay sound work${when}`, async () => {
-    const mixed = scenario([...SOUND_CLASSES, ...FAULTY_CLASSES], faults);
-    const longerS: number[] = [];
+    const mixed = makeScenario([...SOUND_CLASSES, ...FAULTY_CLASSES], faults);
+    const addedWaitsS: number[] = [];
     await playMeeting(mixed, [1, 2, 4], async (result) => {
-      assertTrouble(result);
+      assertFaultyJobsFailed(result);
       assertAttemptsBounded(result, faults.length + 1);
-      const alone = await runScenario(scenario(SOUND_CLASSES, faults), result.seed);
-      assert.deepEqual(describeProblems(alone), []);
-      longerS.push(meanWaitS(result) - meanWaitS(alone));
+      const soundOnly = await runScenario(makeScenario(SOUND_CLASSES, faults), result.seed);
+      assert.deepEqual(describeProblems(soundOnly), []);
+      addedWaitsS.push(meanWaitS(result) - meanWaitS(soundOnly));
     });
-    const meanS = longerS.reduce((sum, each) => sum + each, 0) / longerS.length;
-    assert.ok(meanS < MOST_LONGER_S, `${meanS} s longer, by seed ${longerS}`);
+    const meanS = addedWaitsS.reduce((sum, each) => sum + each, 0) / addedWaitsS.length;
+    assert.ok(meanS < MAX_ADDED_WAIT_S, `${meanS} s longer, by seed ${addedWaitsS}`);
   });
 
   test(`faulty arrays, gangs and services cause no rents once they are known${when}`, async () => {
-    const onProcessors = SOUND_CLASSES.filter(({ template }) => template.gpus === 0);
-    const lone = scenario([...onProcessors, ...FAULTY_CLASSES, FAULTY_SERVICES], faults);
-    await playMeeting(lone, [1, 2], (result) => {
-      assertTrouble(result);
+    const cpuClasses = SOUND_CLASSES.filter(({ template }) => template.gpus === 0);
+    const cpuScenario = makeScenario([...cpuClasses, ...FAULTY_CLASSES, FAULTY_SERVICES], faults);
+    await playMeeting(cpuScenario, [1, 2], (result) => {
+      assertFaultyJobsFailed(result);
       assertAttemptsBounded(result, faults.length + 1);
-      assert.deepEqual(needlessRents(result, 'g8'), []);
+      assert.deepEqual(avoidableScaleOuts(result, 'g8'), []);
       if (faults.length === 0) return;
       // The next leader has learnt of those that were left.
-      const known = result.controllers.flatMap(({ log }) => log.entries('job is crash-looping'));
-      assert.ok(known.some(({ atS }) => atS > CRASH_S && atS < CRASH_S + 3 * CANCEL_S));
+      const reported = result.controllers.flatMap(({ log }) => log.entries('job is crash-looping'));
+      assert.ok(reported.some(({ atS }) => atS > CRASH_S && atS < CRASH_S + 3 * CANCEL_S));
     });
   });
 }
--- a/packages/testing/fault-combinations/flood.test.ts
+++ b/packages/testing/fault-combinations/flood.test.ts
@@ -7,38 +7,47 @@
 import { Cluster, formatAddress, serviceAddress, SMALL_CLUSTER } from '../simulation/index.js';
 import { describeViolation, type PlannedJob } from '../stand-ins/index.js';
 
-const HOSTS = 'red';
-const GUESTS = 'blue';
+const REGULAR_TEAM = 'red';
+const FLOODING_TEAM = 'blue';
 const PROBER_HOST = '10.9.0.9';
 const SUBMISSION_PATH = /^\/submissions$/;
 const FLOOD = { fromS: 40, untilS: 54, perSecond: 80 };
 const CRASH_S = 47;
 /** Beginning and length of the time around the crash in which submissions may find no controller. */
-const CRASH_FOR_S = 6;
+const CRASH_WINDOW_S = 6;
 const LENGTH_S = 170;
 
-function planned(number: number, submitAtS: number, own: Parameters<typeof aJob>[0]): PlannedJob {
-  const job = aJob({ id: `j-${String(number).padStart(6, '0')}`, gpus: 0, imageGb: 0.5, ...own });
+function planJob(
+  number: number,
+  submitAtS: number,
+  overrides: Parameters<typeof aJob>[0],
+): PlannedJob {
+  const job = aJob({
+    id: `j-${String(number).padStart(6, '0')}`,
+    gpus: 0,
+    imageGb: 0.5,
+    ...overrides,
+  });
   const program = { job, runS: [8], failsAfterS: null };
   return { program, submitAtS, cancelAfterS: null, repeatAfterS: null };
 }
 
-function guestJobs(): PlannedJob[] {
+function makeFloodJobs(): PlannedJob[] {
   const count = (FLOOD.untilS - FLOOD.fromS) * FLOOD.perSecond;
-  const small = { team: GUESTS, rank: 3, cpus: 0.25, memory: 0.5, spot: true };
+  const small = { team: FLOODING_TEAM, rank: 3, cpus: 0.25, memory: 0.5, spot: true };
   return Array.from({ length: count }, (_, i) =>
-    planned(100_000 + i, FLOOD.fromS + i / FLOOD.perSecond, small),
+    planJob(100_000 + i, FLOOD.fromS + i / FLOOD.perSecond, small),
   );
 }
 
-function hostJobs(): PlannedJob[] {
+function makeRegularJobs(): PlannedJob[] {
   return Array.from({ length: 60 }, (_, i) =>
-    planned(i, 10 + i, { team: HOSTS, rank: 1, cpus: 1, memory: 2 }),
+    planJob(i, 10 + i, { team: REGULAR_TEAM, rank: 1, cpus: 1, memory: 2 }),
   );
 }
 
 /** From the first request of each job to the answer that accepted it; seconds. */
-function acceptances({ timeline }: Cluster): Map<string, { askedAtS: number; waitS: number }> {
+function firstAcceptances({ timeline }: Cluster): Map<string, { askedAtS: number; waitS: number }> {
   const asked = new Map<string, number>();
   const accepted = new Map<string, { askedAtS: number; waitS: number }>();
   for (const { atS, request } of timeline.of('asked')) {
@@ -56,10 +65,10 @@
   const cluster = new Cluster(SMALL_CLUSTER, 3);
   const { world, requests, state, checker } = cluster;
   const runtime = cluster.serviceRuntime('prober', 'users', PROBER_HOST);
-  const hosts = hostJobs();
-  const guests = guestJobs();
+  const regularJobs = makeRegularJobs();
+  const floodJobs = makeFloodJobs();
   await cluster.start();
-  cluster.users.start([...hosts, ...guests]);
+  cluster.users.start([...regularJobs, ...floodJobs]);
   world.schedule(CRASH_S, () => {
     const leader = cluster.leadership.current()!.leader;
     cluster.controllers.find(({ name }) => name === leader)!.process.restart(4);
@@ -67,7 +76,7 @@
   const retryAfters: number[] = [];
   const probe = (index: number, number: number) => {
     const user = new UserClient(formatAddress(serviceAddress(index)), 5000, runtime);
-    const { job } = planned(800_000 + number, 0, { team: GUESTS, cpus: 0.25 }).program;
+    const { job } = planJob(800_000 + number, 0, { team: FLOODING_TEAM, cpus: 0.25 }).program;
     cluster.storage.upload({ job, runS: [1], failsAfterS: null });
     user.submit(job).then(
       ({ status, retryAfterS }) => {
@@ -88,15 +97,20 @@
   assert.ok(new Set(retryAfters).size > 1, `${retryAfters}`);
   assert.ok(retryAfters.every((seconds) => seconds >= 1 && seconds <= 30));
 
-  const accepted = acceptances(cluster);
-  const calm = hosts.filter(({ submitAtS }) => Math.abs(submitAtS - CRASH_S) > CRASH_FOR_S);
-  const waits = calm.map(({ program }) => accepted.get(program.job.id)?.waitS ?? Infinity);
+  const accepted = firstAcceptances(cluster);
+  const outsideCrash = regularJobs.filter(
+    ({ submitAtS }) => Math.abs(submitAtS - CRASH_S) > CRASH_WINDOW_S,
+  );
+  const waits = outsideCrash.map(({ program }) => accepted.get(program.job.id)?.waitS ?? Infinity);
   const inTime = waits.filter((waitS) => waitS <= 1).length;
-  assert.ok(inTime >= 0.95 * calm.length, `${inTime} of ${calm.length} in time`);
-  for (const { program } of hosts) assert.ok(accepted.has(program.job.id));
+  assert.ok(inTime >= 0.95 * outsideCrash.length, `${inTime} of ${outsideCrash.length} in time`);
+  for (const { program } of regularJobs) assert.ok(accepted.has(program.job.id));
   const { store } = state;
   const isDone = (id: string) =>
     (store.get(jobKey(id))?.value as { phase: string } | undefined)?.phase === 'done';
   for (const id of accepted.keys()) assert.ok(isDone(id), `${id} was accepted and is not done`);
-  assert.ok(accepted.size - hosts.length > 0.6 * guests.length, `${accepted.size} accepted`);
+  assert.ok(
+    accepted.size - regularJobs.length > 0.6 * floodJobs.length,
+    `${accepted.size} accepted`,
+  );
 });
--- a/packages/testing/fault-combinations/large-array.test.ts
+++ b/packages/testing/fault-combinations/large-array.test.ts
@@ -10,12 +10,12 @@
 const SUBMITTED_S = 5;
 const CRASH_S = 38;
 /** From then on all machines are up and full. */
-const FULL_S = 28;
+const ALL_MACHINES_FULL_S = 28;
 const TASK_S = 4;
 const ARRAY = aJob({ id: 'j-1', rank: 3, cpus: 0.25, gpus: 0, memory: 0.5, imageGb: 0.5 });
 
 /** Plays an array of so many tasks until it is done. */
-async function playArray(tasks: number) {
+async function runArray(tasks: number) {
   const cluster = new Cluster(SMALL_CLUSTER, 5);
   const { world, timeline, state } = cluster;
   const job = { ...ARRAY, tasks };
@@ -39,7 +39,7 @@
 }
 
 /** Applied transactions and their changes in a span of time, each a second. */
-function stateUse({ timeline }: Cluster, fromS: number, untilS: number) {
+function stateUsage({ timeline }: Cluster, fromS: number, untilS: number) {
   const applied = timeline
     .of('transaction')
     .filter((txn) => txn.applied && txn.atS > fromS && txn.atS <= untilS);
@@ -48,19 +48,19 @@
   return {
     transactions: applied.length / seconds,
     changes: changes.length / seconds,
-    all: changes,
+    allChanges: changes,
   };
 }
 
 test("an array's records stay bounded whatever its size, and its progress survives a change of leader", async () => {
-  const use = [];
+  const usage = [];
   for (const tasks of [12_000, 24_000]) {
-    const { cluster, doneAtCrash } = await playArray(tasks);
-    const { transactions, changes, all } = stateUse(cluster, FULL_S, CRASH_S);
+    const { cluster, doneAtCrash } = await runArray(tasks);
+    const { transactions, changes, allChanges } = stateUsage(cluster, ALL_MACHINES_FULL_S, CRASH_S);
     assert.ok(doneAtCrash > 1000 && doneAtCrash < tasks, `${doneAtCrash} done at the crash`);
     assert.ok(changes <= LIMITS.write_rps, `${changes} changes a second`);
-    use.push({ transactions, changes });
-    const values = all.flatMap((change) => ('put' in change ? [change] : []));
+    usage.push({ transactions, changes });
+    const values = allChanges.flatMap((change) => ('put' in change ? [change] : []));
     for (const { put, value } of values) {
       assert.ok(JSON.stringify(value).length <= LIMITS.value_kb * 1024, put);
     }
@@ -70,10 +70,10 @@
     const started = cluster.timeline.of('task-started').length;
     const machines = cluster.timeline.of('machine-up').length;
     assert.equal(completed, tasks);
-    const mayRepeat = machines * 124 * (1 + workers.report_s / TASK_S);
-    assert.ok(started - tasks <= mayRepeat, `${started - tasks} starts too many`);
+    const maxRepeats = machines * 124 * (1 + workers.report_s / TASK_S);
+    assert.ok(started - tasks <= maxRepeats, `${started - tasks} starts too many`);
   }
-  const [small, large] = use;
-  assert.ok(large.changes <= 1.2 * small.changes + 1, JSON.stringify(use));
-  assert.ok(large.transactions <= 1.2 * small.transactions + 1, JSON.stringify(use));
+  const [small, large] = usage;
+  assert.ok(large.changes <= 1.2 * small.changes + 1, JSON.stringify(usage));
+  assert.ok(large.transactions <= 1.2 * small.transactions + 1, JSON.stringify(usage));
 });
--- a/packages/testing/fault-combinations/on-call/flapping-or-slow.test.ts
+++ b/packages/testing/fault-combinations/on-call/flapping-or-slow.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import type { Fault } from '../../simulation/index.js';
 import {
-  confirmations,
+  confirmedCancellations,
   killedTasks,
   lastTaskLeftAt,
   playMeeting,
@@ -13,12 +13,12 @@
 const BEGIN_S = BUSY_FROM_S;
 
 /** Times from BEGIN_S on, in seconds after the start of a scenario. */
-function every(periodS: number, count: number): number[] {
+function periodicTimes(periodS: number, count: number): number[] {
   return Array.from({ length: count }, (_, index) => BEGIN_S + index * periodS);
 }
 
 test('work lives on while whoever leads crashes every twelve seconds for two minutes', async () => {
-  const crashes = every(12, 10).map((atS): Fault => ({
+  const crashes = periodicTimes(12, 10).map((atS): Fault => ({
     kind: 'controller-crash',
     atS,
     controllers: 'leader',
@@ -28,12 +28,12 @@
   const faults: Fault[] = [
     ...crashes,
     { kind: 'close-looks', atS: BEGIN_S, forS: 120 },
-    ...every(30, 4).map((atS): Fault => ({ kind: 'cancel-now', atS: atS + 0.5, count: 4 })),
+    ...periodicTimes(30, 4).map((atS): Fault => ({ kind: 'cancel-now', atS: atS + 0.5, count: 4 })),
   ];
   await playMeeting(steadyScenario('flaps', untilS + 20, faults), [1, 2, 3], (result) => {
     const leaders = result.leaders.filter(({ atS }) => atS > BEGIN_S && atS < untilS);
     assert.ok(leaders.length >= 9, `${leaders.length} leaders`);
-    const confirmed = confirmations(result, BEGIN_S, untilS);
+    const confirmed = confirmedCancellations(result, BEGIN_S, untilS);
     assert.ok(confirmed.length >= 6, `${confirmed.length} confirmations`);
     assert.deepEqual(killedTasks(result, BEGIN_S, untilS), []);
     assert.ok(tasksRunningAt(result, untilS) >= 10);
@@ -41,7 +41,7 @@
 });
 
 test('work lives on while the leader loses the state service for four seconds again and again', async () => {
-  const cuts = every(10, 8).map((atS): Fault => ({
+  const cuts = periodicTimes(10, 8).map((atS): Fault => ({
     kind: 'controller-cut',
     atS,
     forS: 4,
@@ -61,7 +61,7 @@
 });
 
 test('a leader that is slow instead of dead, with short standstills again and again, loses no work', async () => {
-  const freezes = every(8, 15).map((atS, index): Fault => ({
+  const freezes = periodicTimes(8, 15).map((atS, index): Fault => ({
     kind: 'controller-freeze',
     atS,
     forS: 1.2 + (index % 3),
@@ -77,7 +77,7 @@
   ];
   await playMeeting(steadyScenario('slow', untilS + 20, faults), [1, 2, 3], (result) => {
     assert.equal(result.faults.of('controller-freeze').length, freezes.length);
-    const confirmed = confirmations(result, BEGIN_S + 41, untilS);
+    const confirmed = confirmedCancellations(result, BEGIN_S + 41, untilS);
     assert.ok(confirmed.length >= 3, `${confirmed.length} confirmations`);
     assert.deepEqual(killedTasks(result, BEGIN_S, untilS), []);
     assert.ok(tasksRunningAt(result, untilS) >= 10);
@@ -101,9 +101,9 @@
     const [outage] = result.faults.of('state-outage');
     const [crash] = result.faults.of('controller-crash');
     assert.ok(crash.fromS > outage.untilS && crash.controllers.length === 3);
-    assert.deepEqual(confirmations(result, BEGIN_S + 1, endS), []);
+    assert.deepEqual(confirmedCancellations(result, BEGIN_S + 1, endS), []);
     // What users asked for in the outage is confirmed after it, and then ends in time.
-    const confirmed = confirmations(result, endS, lengthS - LEASE_S);
+    const confirmed = confirmedCancellations(result, endS, lengthS - LEASE_S);
     assert.ok(confirmed.length >= 4, `${confirmed.length} confirmations`);
     for (const { job, atS } of confirmed) {
       assert.ok(lastTaskLeftAt(result, job) < atS + CANCEL_S, job);
@@ -143,7 +143,7 @@
     assert.equal(new Set(silent).size, 2);
     const [freeze] = result.faults.of('controller-freeze');
     assert.ok(!silent.includes(freeze.controllers[0]));
-    const confirmed = confirmations(result, BEGIN_S - 1, BEGIN_S + silentS);
+    const confirmed = confirmedCancellations(result, BEGIN_S - 1, BEGIN_S + silentS);
     assert.ok(confirmed.length >= 4, `${confirmed.length} confirmations`);
     for (const { job, atS } of confirmed) {
       assert.ok(lastTaskLeftAt(result, job) < atS + CANCEL_S, job);
--- a/packages/testing/fault-combinations/on-call/leader-cut-from-workers.test.ts
+++ b/packages/testing/fault-combinations/on-call/leader-cut-from-workers.test.ts
@@ -24,9 +24,9 @@
       const successor = leaders.find(({ term }) => term > cut.leader!.term);
       assert.ok(successor && successor.atS < cut.fromS + LEASE_S, 'nobody took over in time');
       assert.notEqual(successor.leader, cut.leader!.leader);
-      const whole = { faults, leaders, ...result };
-      assert.ok(tasksRunningAt(whole, cut.fromS) >= 10, 'little ran');
-      assert.deepEqual(killedTasks(whole, cut.fromS, cut.untilS + LEASE_S), []);
+      const fullResult = { faults, leaders, ...result };
+      assert.ok(tasksRunningAt(fullResult, cut.fromS) >= 10, 'little ran');
+      assert.deepEqual(killedTasks(fullResult, cut.fromS, cut.untilS + LEASE_S), []);
     });
   });
 }
--- a/packages/testing/fault-combinations/on-call/leader-cut-in-outage.test.ts
+++ b/packages/testing/fault-combinations/on-call/leader-cut-in-outage.test.ts
@@ -29,8 +29,8 @@
       assert.deepEqual(outage.leader, cut.leader);
       const successor = result.leaders.find(({ term }) => term > cut.leader!.term);
       assert.ok(successor, 'nobody took over');
-      const lateS = successor.atS - outage.untilS;
-      assert.ok(lateS < LEASE_S / 2, `taken over ${lateS} s after the outage`);
+      const delayS = successor.atS - outage.untilS;
+      assert.ok(delayS < LEASE_S / 2, `taken over ${delayS} s after the outage`);
       assert.notEqual(successor.leader, cut.leader!.leader);
       const before = machinesUp(result, BEGIN_S, BEGIN_S);
       const kept = machinesUp(result, BEGIN_S, cut.untilS);
--- a/packages/testing/fault-combinations/on-call/silent-workers.test.ts
+++ b/packages/testing/fault-combinations/on-call/silent-workers.test.ts
@@ -14,7 +14,7 @@
 const CUT_S = 35;
 const LENGTH_S = BEGIN_S + CUT_S + 20;
 /** A worker waits so long for the answer to a report. */
-const WORKER_PATIENCE_S = 4;
+const HEARTBEAT_TIMEOUT_S = 4;
 
 function leaderCutFromWorkers(mode: CutMode): Fault {
   const span = { atS: BEGIN_S, forS: CUT_S };
@@ -22,7 +22,7 @@
 }
 
 /** The leader lost its workers and nothing else, and had work on several machines. */
-function assertLost(result: ScenarioResult) {
+function assertLeaderLostWorkers(result: ScenarioResult) {
   const [{ leader, fromS, untilS }] = result.faults.of('controller-cut');
   assert.ok(leader, 'nobody led');
   assert.equal(heartbeatsAnswered(result, leader.leader, fromS + 0.5, untilS), 0);
@@ -36,10 +36,10 @@
   for (const [index, mode] of modes.entries()) {
     const scenario = steadyScenario(`no workers (${mode})`, LENGTH_S, [leaderCutFromWorkers(mode)]);
     await playMeeting(scenario, [1 + 2 * index, 2 + 2 * index], (result) => {
-      const { leader, fromS, untilS } = assertLost(result);
+      const { leader, fromS, untilS } = assertLeaderLostWorkers(result);
       const successor = result.leaders.find(({ term }) => term > leader.term);
       assert.ok(successor, 'nobody took over');
-      assert.ok(successor.atS < fromS + WORKER_PATIENCE_S, `taken over at ${successor.atS} s`);
+      assert.ok(successor.atS < fromS + HEARTBEAT_TIMEOUT_S, `taken over at ${successor.atS} s`);
       assert.notEqual(successor.leader, leader.leader);
       assert.deepEqual(killedTasks(result, fromS, untilS + LEASE_S), []);
       assert.ok(tasksRunningAt(result, untilS) >= 10);
@@ -59,12 +59,14 @@
     leaderCutFromWorkers('drop'),
   ];
   await playMeeting(steadyScenario('one is silent', LENGTH_S, faults), [1, 2, 3], (result) => {
-    const { leader, fromS, untilS } = assertLost(result);
+    const { leader, fromS, untilS } = assertLeaderLostWorkers(result);
     const [crash] = result.faults.of('controller-crash');
     const others = result.controllers.map(({ name }) => name);
-    const left = others.filter((name) => name !== leader.leader && name !== crash.controllers[0]);
-    assert.equal(left.length, 1);
-    assert.ok(heartbeatsAnswered(result, left[0], fromS, untilS) > LEASE_S);
+    const remaining = others.filter(
+      (name) => name !== leader.leader && name !== crash.controllers[0],
+    );
+    assert.equal(remaining.length, 1);
+    assert.ok(heartbeatsAnswered(result, remaining[0], fromS, untilS) > LEASE_S);
     assert.deepEqual(killedTasks(result, fromS, untilS), []);
   });
 });
@@ -101,10 +103,10 @@
   await playMeeting(steadyScenario('stands still', BEGIN_S + 50, faults), [1, 2], (result) => {
     const freezes = result.faults.of('controller-freeze');
     assert.equal(freezes.length, 3);
-    const given = result.controllers.flatMap(({ log }) =>
+    const stepDowns = result.controllers.flatMap(({ log }) =>
       log.entries('leader stepped down: workers unreachable'),
     );
-    assert.deepEqual(given, []);
+    assert.deepEqual(stepDowns, []);
     assert.deepEqual(killedTasks(result, BEGIN_S, BEGIN_S + 50), []);
   });
 });
--- a/packages/testing/fault-combinations/refused-then-outage.test.ts
+++ b/packages/testing/fault-combinations/refused-then-outage.test.ts
@@ -2,14 +2,14 @@
 import { test } from 'node:test';
 import type { CutMode, Fault, FaultRecord, ScenarioResult } from '../simulation/index.js';
 import {
-  assertLeads,
-  confirmations,
+  assertAnswersAllMachines,
+  confirmedCancellations,
   killedTasks,
   lastTaskLeftAt,
   playMeeting,
   heartbeatsAnswered,
   tasksRunningAt,
-  type Confirmation,
+  type ConfirmedCancellation,
 } from './run-queries.js';
 import {
   BUSY_FROM_S,
@@ -32,83 +32,83 @@
   { kind: 'state-outage', atS: OUTAGE_AT_S, forS: OUTAGE_S },
 ];
 
-function scenario(name: string, more: Fault[] = []) {
-  return steadyScenario(name, LENGTH_S, [...REFUSED_THEN_OUTAGE, ...more]);
+function makeScenario(name: string, extraFaults: Fault[] = []) {
+  return steadyScenario(name, LENGTH_S, [...REFUSED_THEN_OUTAGE, ...extraFaults]);
 }
 
-interface Meeting {
+interface RefusalThenOutage {
   /** Name of the controller that led throughout. */
   leader: string;
   outage: FaultRecord;
-  confirmed: Confirmation[];
+  confirmed: ConfirmedCancellation[];
 }
 
 /** Asserts that others confirmed cancellations while the leader was refused alone, and that it led on. */
-function assertMeeting(result: ScenarioResult): Meeting {
+function assertCancelledWhileRefused(result: ScenarioResult): RefusalThenOutage {
   const [refusal] = result.faults.of('state-refuses');
   const [outage] = result.faults.of('state-outage');
   const leader = refusal.leader!.leader;
   assert.deepEqual(outage.leader, refusal.leader);
   assert.ok(outage.untilS - outage.fromS > CANCEL_S);
-  const confirmed = confirmations(result, refusal.fromS, outage.fromS);
+  const confirmed = confirmedCancellations(result, refusal.fromS, outage.fromS);
   assert.ok(confirmed.length >= 3, `${confirmed.length} confirmations`);
   assert.ok(confirmed.every(({ controller }) => controller !== leader));
   return { leader, outage, confirmed };
 }
 
 /** Asserts that the workers stayed with the leader for the whole outage and that no task was killed. */
-function assertWorkLived(result: ScenarioResult, { leader, outage }: Meeting): void {
+function assertWorkKept(result: ScenarioResult, { leader, outage }: RefusalThenOutage): void {
   const { fromS, untilS } = outage;
-  assertLeads(result, leader, fromS, untilS);
+  assertAnswersAllMachines(result, leader, fromS, untilS);
   assert.deepEqual(killedTasks(result, fromS, untilS + LEASE_S), []);
   assert.ok(tasksRunningAt(result, untilS) >= 10);
 }
 
 test('cancellations confirmed while the leader is refused alone are kept in a long outage, and other work lives', async () => {
-  await playMeeting(scenario('refused, then an outage'), [1, 3, 4], (result) => {
-    assertWorkLived(result, assertMeeting(result));
+  await playMeeting(makeScenario('refused, then an outage'), [1, 3, 4], (result) => {
+    assertWorkKept(result, assertCancelledWhileRefused(result));
   });
 });
 
 test('confirmed cancellations are kept though the confirming controllers crash before the leader hears of them', async () => {
   const crashAtS = CANCELLED_AT_S + 0.4;
-  const more: Fault[] = [
+  const extraFaults: Fault[] = [
     { kind: 'peers-cut', atS: CANCELLED_AT_S - 0.2, forS: 0.8, mode: 'drop' },
     { kind: 'controller-crash', atS: crashAtS, controllers: 'followers', downS: 0.1 },
   ];
-  await playMeeting(scenario('confirmed, then crashed', more), [1, 3, 4], (result) => {
-    const meeting = assertMeeting(result);
-    const before = meeting.confirmed.filter(({ atS }) => atS < crashAtS);
+  await playMeeting(makeScenario('confirmed, then crashed', extraFaults), [1, 3, 4], (result) => {
+    const observed = assertCancelledWhileRefused(result);
+    const before = observed.confirmed.filter(({ atS }) => atS < crashAtS);
     assert.ok(before.length >= 2, `${before.length} confirmations before the crash`);
     const [cut] = result.faults.of('peers-cut');
     for (const { job } of before) assert.ok(lastTaskLeftAt(result, job) > cut.untilS);
-    assertWorkLived(result, meeting);
+    assertWorkKept(result, observed);
   });
 });
 
 test('confirmed cancellations are kept though the links between the controllers are cut meanwhile', async () => {
   const modes: CutMode[] = ['hold', 'drop', 'refuse'];
   for (const mode of modes) {
-    const more: Fault[] = [{ kind: 'peers-cut', atS: CANCELLED_AT_S - 0.2, forS: 3, mode }];
-    await playMeeting(scenario(`links cut (${mode})`, more), [1, 3], (result) => {
-      const meeting = assertMeeting(result);
+    const extraFaults: Fault[] = [{ kind: 'peers-cut', atS: CANCELLED_AT_S - 0.2, forS: 3, mode }];
+    await playMeeting(makeScenario(`links cut (${mode})`, extraFaults), [1, 3], (result) => {
+      const observed = assertCancelledWhileRefused(result);
       const [cut] = result.faults.of('peers-cut');
-      for (const { job } of meeting.confirmed) {
+      for (const { job } of observed.confirmed) {
         assert.ok(lastTaskLeftAt(result, job) > cut.untilS, `${job} was known too early`);
       }
-      assertWorkLived(result, meeting);
+      assertWorkKept(result, observed);
     });
   }
 });
 
 test('confirmed cancellations are kept though the confirming controllers restart in the outage and can tell nothing', async () => {
   const cutS = 10;
-  const more: Fault[] = [
+  const extraFaults: Fault[] = [
     { kind: 'peers-cut', atS: CANCELLED_AT_S - 0.2, forS: cutS, mode: 'refuse' },
     { kind: 'controller-crash', atS: OUTAGE_AT_S + 2, controllers: 'followers', downS: 2 },
   ];
-  await playMeeting(scenario('peers restart', more), [1, 3, 4], (result) => {
-    const { leader, confirmed, outage } = assertMeeting(result);
+  await playMeeting(makeScenario('peers restart', extraFaults), [1, 3, 4], (result) => {
+    const { leader, confirmed, outage } = assertCancelledWhileRefused(result);
     const [cut] = result.faults.of('peers-cut');
     const [crash] = result.faults.of('controller-crash');
     assert.ok(crash.fromS > outage.fromS && crash.fromS + 2 < cut.untilS);
@@ -138,6 +138,6 @@
     const [cancellation] = result.faults.of('cancel-now');
     assert.equal(cancellation.fromS, refusal.fromS);
     assert.ok(outage.fromS - refusal.fromS <= 1);
-    assertWorkLived(result, assertMeeting(result));
+    assertWorkKept(result, assertCancelledWhileRefused(result));
   });
 });
--- a/packages/testing/fault-combinations/run-queries.ts
+++ b/packages/testing/fault-combinations/run-queries.ts
@@ -14,7 +14,7 @@
 import { LEASE_S } from './steady-work.js';
 
 /** A cancellation as its user was first told of it. */
-export interface Confirmation {
+export interface ConfirmedCancellation {
   job: string;
   atS: number;
   /** Name of the controller that said so. */
@@ -33,7 +33,7 @@
 ): Promise<void> {
   for (const seed of seedsFromEnvironment() ?? seeds) {
     const result = await runScenario(scenario, seed);
-    recordRun(result);
+    saveRun(result);
     try {
       assert.deepEqual(describeProblems(result), []);
       await check(result);
@@ -43,7 +43,7 @@
   }
 }
 
-function recordRun(result: ScenarioResult): void {
+function saveRun(result: ScenarioResult): void {
   const file = process.env.MEETING_RUNS;
   if (file === undefined) return;
   const { scenario, seed } = result;
@@ -58,12 +58,12 @@
 }
 
 /** The cancellations that were first confirmed in a span of time. */
-export function confirmations(
+export function confirmedCancellations(
   { timeline, requests }: ScenarioResult,
   fromS: number,
   untilS: number,
-): Confirmation[] {
-  const first = new Map<string, Confirmation>();
+): ConfirmedCancellation[] {
+  const first = new Map<string, ConfirmedCancellation>();
   const answers = requests.find({ path: CANCEL_PATH, status: 200 });
   for (const { atS, request, phase } of timeline.of('answered')) {
     const { job } = request;
@@ -93,7 +93,7 @@
 }
 
 /** Asserts that a controller answered a report of each machine in every lease of a span of time. */
-export function assertLeads(
+export function assertAnswersAllMachines(
   result: ScenarioResult,
   controller: string,
   fromS: number,
@@ -137,14 +137,17 @@
 export function tasksRunningAt({ timeline }: ScenarioResult, atS: number): number {
   const started = timeline.of('task-started', 0, atS).length;
   const startedTasks = new Set(
-    timeline.of('task-started', 0, atS).map(({ machine, task }) => nameOf(machine, task)),
+    timeline.of('task-started', 0, atS).map(({ machine, task }) => attemptKey(machine, task)),
   );
   const left = timeline
     .of('task-left', 0, atS)
-    .filter(({ machine, task }) => startedTasks.has(nameOf(machine, task)));
+    .filter(({ machine, task }) => startedTasks.has(attemptKey(machine, task)));
   return started - left.length;
 }
 
-function nameOf(machine: string, task: { job: string; index: number; attempt: number }): string {
+function attemptKey(
+  machine: string,
+  task: { job: string; index: number; attempt: number },
+): string {
   return `${machine} ${task.job}/${task.index} ${task.attempt}`;
 }
--- a/packages/testing/fault-combinations/slow-state-service.test.ts
+++ b/packages/testing/fault-combinations/slow-state-service.test.ts
@@ -1,7 +1,12 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Fault } from '../simulation/index.js';
-import { assertLeads, confirmations, killedTasks, playMeeting } from './run-queries.js';
+import {
+  assertAnswersAllMachines,
+  confirmedCancellations,
+  killedTasks,
+  playMeeting,
+} from './run-queries.js';
 import { BUSY_FROM_S, CANCEL_S, LEASE_S, steadyScenario } from './steady-work.js';
 
 const BEGIN_S = BUSY_FROM_S;
@@ -20,7 +25,7 @@
     [1, 2, 3],
     (result) => {
       const [slow] = result.faults.of('state-slow');
-      const confirmed = confirmations(result, slow.fromS, slow.untilS);
+      const confirmed = confirmedCancellations(result, slow.fromS, slow.untilS);
       assert.ok(confirmed.length >= 6, `${confirmed.length} confirmations`);
       const polls = result.timeline
         .of('answered', slow.fromS, slow.untilS)
@@ -49,14 +54,14 @@
     const [outage] = result.faults.of('state-outage');
     const leader = refusal.leader!.leader;
     assert.deepEqual(outage.leader, refusal.leader);
-    const whileRefused = confirmations(result, refusal.fromS, outage.fromS);
+    const whileRefused = confirmedCancellations(result, refusal.fromS, outage.fromS);
     assert.ok(whileRefused.length >= 3, `${whileRefused.length} confirmations`);
     assert.ok(whileRefused.every(({ controller }) => controller !== leader));
-    const asked = result.timeline
+    const requests = result.timeline
       .of('asked', outage.fromS, outage.untilS)
       .filter(({ request }) => request.kind !== 'submit');
-    assert.ok(asked.length > outageS);
-    assertLeads(result, leader, outage.fromS, outage.untilS);
+    assert.ok(requests.length > outageS);
+    assertAnswersAllMachines(result, leader, outage.fromS, outage.untilS);
     assert.deepEqual(killedTasks(result, refusal.fromS, outage.untilS + LEASE_S), []);
   });
 });
--- a/packages/testing/fault-combinations/steady-work.ts
+++ b/packages/testing/fault-combinations/steady-work.ts
@@ -16,7 +16,7 @@
 
 const STEADY_CLUSTER: ClusterSettings = { ...SMALL_CLUSTER, capacity: [{ machines: 10 }] };
 
-const ALLOWED_ANYWHERE = {
+const UNCONSTRAINED_PLACEMENT = {
   rank: 2,
   types: null,
   zone: null,
@@ -25,11 +25,11 @@
   spot: false,
 };
 /** Longer than any of these scenarios. */
-const MINUTES_LONG = { medianS: 300, p95S: 360, maxS: 400 };
+const LONG_RUN = { medianS: 300, p95S: 360, maxS: 400 };
 
 const LONG_BATCHES: JobClass = {
   template: {
-    ...ALLOWED_ANYWHERE,
+    ...UNCONSTRAINED_PLACEMENT,
     class: 'long-batch',
     kind: 'array',
     cpus: 4,
@@ -41,7 +41,7 @@
   },
   arrivals: { perMinute: 9, together: [1, 1] },
   tasks: [2, 5],
-  run: MINUTES_LONG,
+  run: LONG_RUN,
   cancelledShare: 0,
   mistakenShare: 0,
   images: 2,
@@ -81,10 +81,10 @@
 /** By then enough work runs for a fault to meet. */
 export const BUSY_FROM_S = 70;
 /** No more jobs come so long before the end. */
-const LAST_JOBS_S = 20;
+const ARRIVALS_END_BEFORE_S = 20;
 
 /** A scenario whose long work runs from BUSY_FROM_S on while short jobs come and go. */
 export function steadyScenario(name: string, lengthS: number, faults: Fault[]): Scenario {
-  const workload = { classes: STEADY_CLASSES, untilS: lengthS - LAST_JOBS_S };
+  const workload = { classes: STEADY_CLASSES, untilS: lengthS - ARRIVALS_END_BEFORE_S };
   return { name, cluster: STEADY_CLUSTER, workload, faults, lengthS };
 }
--- a/packages/testing/fault-combinations/upgrade.test.ts
+++ b/packages/testing/fault-combinations/upgrade.test.ts
@@ -14,22 +14,22 @@
   type ScenarioResult,
 } from '../simulation/index.js';
 import type { Arrivals, JobClass } from '../stand-ins/index.js';
-import { countChains, startsBeforeRecords } from './dependency-queries.js';
-import { chainedScenario, DIAMOND } from './dependent-work.js';
+import { countDependentJobs, prematureStarts } from './dependency-queries.js';
+import { dependentJobsScenario, DIAMOND } from './dependent-work.js';
 import { killedTasks } from './run-queries.js';
 
-const ROLL_AT_S = 60;
-const ROLL_EVERY_S = 8;
-const UPGRADED_S = ROLL_AT_S + 3 * ROLL_EVERY_S;
+const UPGRADE_AT_S = 60;
+const UPGRADE_INTERVAL_S = 8;
+const UPGRADED_S = UPGRADE_AT_S + 3 * UPGRADE_INTERVAL_S;
 const LIMITS_AT_S = UPGRADED_S + 10;
-const CHAINS_FROM_S = UPGRADED_S + 4;
+const PIPELINES_FROM_S = UPGRADED_S + 4;
 const LENGTH_S = 260;
-const NEXT = { value_kb: 1.5, txn_ops: 6, write_rps: 40 };
+const NEXT_LIMITS = { value_kb: 1.5, txn_ops: 6, write_rps: 40 };
 
 /** The cluster's settings say what limits are to come. */
 function withNextLimits(cluster: ClusterSettings): ClusterSettings {
   const { deployment } = cluster;
-  const state = { ...deployment.state, next: NEXT };
+  const state = { ...deployment.state, next: NEXT_LIMITS };
   return { ...cluster, deployment: { ...deployment, state } };
 }
 
@@ -37,14 +37,14 @@
  * Controllers whose first lives hold to the form of the older version: they divide progress and fill records by the
  * limits in force. Those that end before their turn come back so once more.
  */
-function makeOldThenNew(newFromIncarnation: number[]): ControllerMaker {
-  const lives = new Map<string, number>();
+function makeControllersByVersion(newFromIncarnation: number[]): ControllerMaker {
+  const incarnations = new Map<string, number>();
   const newFrom = new Map(
     newFromIncarnation.map((incarnation, index) => [controllerName(index), incarnation]),
   );
   return (runtime, settings, log) => {
-    const incarnation = (lives.get(settings.host_name) ?? 0) + 1;
-    lives.set(settings.host_name, incarnation);
+    const incarnation = (incarnations.get(settings.host_name) ?? 0) + 1;
+    incarnations.set(settings.host_name, incarnation);
     if (incarnation >= newFrom.get(settings.host_name)!)
       return new Controller(runtime, settings, log);
     const state = { ...settings.deployment.state };
@@ -55,21 +55,25 @@
 }
 
 /** The first controller ends once before its turn; each is replaced in its turn. */
-const ROLL: Fault[] = [
+const UPGRADE_FAULTS: Fault[] = [
   { kind: 'controller-crash', atS: 40, controllers: [0], downS: 1 },
   ...[0, 1, 2].map((index): Fault => {
-    const atS = ROLL_AT_S + index * ROLL_EVERY_S;
+    const atS = UPGRADE_AT_S + index * UPGRADE_INTERVAL_S;
     return { kind: 'controller-crash', atS, controllers: [index], downS: 3 };
   }),
   {
     kind: 'state-limits',
     atS: LIMITS_AT_S,
-    limits: { valueKb: NEXT.value_kb, txnOps: NEXT.txn_ops, writeRps: NEXT.write_rps },
+    limits: {
+      valueKb: NEXT_LIMITS.value_kb,
+      txnOps: NEXT_LIMITS.txn_ops,
+      writeRps: NEXT_LIMITS.write_rps,
+    },
   },
 ];
 const ARRIVALS: Arrivals = { perMinute: 24, together: [1, 1] };
 /** One job of so many tasks that what is recorded of them is larger than the value limit to come. */
-const WIDE: JobClass = {
+const LARGE_ARRAY: JobClass = {
   ...DIAMOND.stages[0].jobClass,
   arrivals: { perMinute: 0, together: [1, 1], atStart: 2 },
   tasks: [20_000, 20_000],
@@ -77,34 +81,48 @@
 };
 const NEW_FROM_INCARNATION = [3, 2, 2];
 
-async function play(name: string, more: Fault[], seed: number): Promise<ScenarioResult> {
-  const faults = [...ROLL, ...more].sort((one, other) => one.atS - other.atS);
-  const scenario = chainedScenario(name, LENGTH_S, faults, {
+async function runUpgrade(
+  name: string,
+  extraFaults: Fault[],
+  seed: number,
+): Promise<ScenarioResult> {
+  const faults = [...UPGRADE_FAULTS, ...extraFaults].sort((one, other) => one.atS - other.atS);
+  const scenario = dependentJobsScenario(name, LENGTH_S, faults, {
     cluster: withNextLimits,
-    pipeline: { fromS: CHAINS_FROM_S, cancelledShare: 0.8, deadlineS: 25, arrivals: ARRIVALS },
+    pipeline: { fromS: PIPELINES_FROM_S, cancelledShare: 0.8, deadlineS: 25, arrivals: ARRIVALS },
   });
   const { workload } = scenario;
-  const wide = { ...scenario, workload: { ...workload, classes: [...workload.classes, WIDE] } };
-  const result = await runScenario(wide, seed, makeOldThenNew(NEW_FROM_INCARNATION));
+  const withLargeArray = {
+    ...scenario,
+    workload: { ...workload, classes: [...workload.classes, LARGE_ARRAY] },
+  };
+  const result = await runScenario(
+    withLargeArray,
+    seed,
+    makeControllersByVersion(NEW_FROM_INCARNATION),
+  );
   assert.deepEqual(describeProblems(result), [], `${name}, seed ${seed}`);
-  assert.deepEqual(startsBeforeRecords(result), []);
-  const { done, cancelledWithOthers } = countChains(result, CHAINS_FROM_S);
-  assert.ok(beyondNextLimits(result) > 0, 'an older version used the limits in force');
-  assert.ok(done >= 10 && cancelledWithOthers >= 1, `${done} done, ${cancelledWithOthers} aborted`);
+  assert.deepEqual(prematureStarts(result), []);
+  const { done, cancelledByDependency } = countDependentJobs(result, PIPELINES_FROM_S);
+  assert.ok(countOverNextLimits(result) > 0, 'an older version used the limits in force');
+  assert.ok(
+    done >= 10 && cancelledByDependency >= 1,
+    `${done} done, ${cancelledByDependency} aborted`,
+  );
   return result;
 }
 
 /** Transactions that were carried out before the limits came into force and would be refused since. */
-function beyondNextLimits({ timeline }: ScenarioResult): number {
+function countOverNextLimits({ timeline }: ScenarioResult): number {
   const isLarge = (change: Change) =>
-    'put' in change && wireSize(change.value) > NEXT.value_kb * 1024;
+    'put' in change && wireSize(change.value) > NEXT_LIMITS.value_kb * 1024;
   return timeline
     .of('transaction', 0, LIMITS_AT_S)
-    .filter(({ changes }) => changes.length > NEXT.txn_ops || changes.some(isLarge)).length;
+    .filter(({ changes }) => changes.length > NEXT_LIMITS.txn_ops || changes.some(isLarge)).length;
 }
 
 /** Terms that ended because the state service found a transaction malformed. */
-function malformed({ controllers }: ScenarioResult): string[] {
+function malformedTransactions({ controllers }: ScenarioResult): string[] {
   const message = 'state transaction refused as malformed, leader steps down';
   const entries = controllers.flatMap(({ log }) => log.entries(message));
   return entries.map((entry) => JSON.stringify(entry));
@@ -112,25 +130,25 @@
 
 test('a rolling replacement and smaller limits without notice cost no work and no transaction', async () => {
   for (const seed of [1, 2, 3]) {
-    const result = await play('upgrade', [], seed);
-    assert.deepEqual(malformed(result), []);
+    const result = await runUpgrade('upgrade', [], seed);
+    assert.deepEqual(malformedTransactions(result), []);
     assert.deepEqual(killedTasks(result, 0, LENGTH_S), []);
   }
 });
 
 test('a rolling replacement holds all rules beside crashes, cuts of the state service, an outage and cancellations', async () => {
-  const troubles: Fault[] = [
-    { kind: 'cancel-now', atS: ROLL_AT_S + 2, count: 5 },
-    { kind: 'late-writes', atS: ROLL_AT_S + 4, forS: 10, share: 0.3, delayS: [1, 6] },
-    { kind: 'state-refuses', atS: ROLL_AT_S + 12, controllers: 'leader', forS: 8 },
-    { kind: 'state-outage', atS: ROLL_AT_S + 22, forS: 6 },
+  const extraFaults: Fault[] = [
+    { kind: 'cancel-now', atS: UPGRADE_AT_S + 2, count: 5 },
+    { kind: 'late-writes', atS: UPGRADE_AT_S + 4, forS: 10, share: 0.3, delayS: [1, 6] },
+    { kind: 'state-refuses', atS: UPGRADE_AT_S + 12, controllers: 'leader', forS: 8 },
+    { kind: 'state-outage', atS: UPGRADE_AT_S + 22, forS: 6 },
     { kind: 'cancel-now', atS: UPGRADED_S + 12, count: 5 },
     { kind: 'controller-crash', atS: LIMITS_AT_S + 5, controllers: 'leader', downS: 1 },
     { kind: 'close-looks', atS: UPGRADED_S, forS: 60 },
   ];
   for (const seed of [1, 2, 3]) {
-    const result = await play('upgrade in trouble', troubles, seed);
-    assert.deepEqual(malformed(result), []);
+    const result = await runUpgrade('upgrade in trouble', extraFaults, seed);
+    assert.deepEqual(malformedTransactions(result), []);
     assert.ok(result.leaders.length >= 3, `${result.leaders.length} leaders`);
   }
 });
