--- a/packages/testing/fault-combinations/cancellations-during-transfer.test.ts
+++ b/packages/testing/fault-combinations/cancellations-during-transfer.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Guards against cancelled jobs that start again or run on when their cancellation is confirmed while leadership
+ * changes: the new leader has not yet read its records, and may fail or face an outage before it does.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Fault, ScenarioResult } from '../simulation/index.js';
@@ -18,16 +22,16 @@
 } from './steady-work.js';
 
 const BEGIN_S = BUSY_FROM_S;
-/** Reading the records takes several requests one after the other: about two seconds. */
+/** With this latency, a new leader takes about two seconds to read its records, by several requests in sequence. */
 const SLOW_STATE_MS: [number, number] = [250, 450];
 
-/** When a controller has read its records and begun to schedule, by its log. */
+/** Times at which a controller had read its records and began to schedule, from its log. */
 function readyTimes({ controllers }: ScenarioResult, name: string): number[] {
   const { log } = controllers.find((controller) => controller.name === name)!;
   return log.entries('leader ready').map(({ atS }) => atS);
 }
 
-test('jobs cancelled in the seconds in which the work changes hands end at once and are not begun anew', async () => {
+test('jobs cancelled in the seconds in which leadership changes end at once and do not start again', async () => {
   const cancelsAtS = [0.5, 1.5, 2.5].map((s) => BEGIN_S + s);
   const faults: Fault[] = [
     { kind: 'state-slow', atS: BEGIN_S - 2, forS: 12, latencyMs: SLOW_STATE_MS },
@@ -55,7 +59,7 @@
   });
 });
 
-test('jobs cancelled between the crashes of two leaders, the second over its records, end in time in an outage', async () => {
+test('jobs cancelled between the crashes of two leaders, the second while it reads its records, end in time in an outage', async () => {
   const faults: Fault[] = [
     { kind: 'state-slow', atS: BEGIN_S - 2, forS: 120, latencyMs: SLOW_STATE_MS },
     { kind: 'controller-crash', atS: BEGIN_S, controllers: 'leader', downS: 5 },
@@ -84,7 +88,7 @@
   });
 });
 
-test('a leader that an outage keeps from reading its records ends what was cancelled before its term', async () => {
+test('a leader that cannot read its records because of an outage ends jobs cancelled before its term', async () => {
   const faults: Fault[] = [
     { kind: 'state-slow', atS: BEGIN_S - 2, forS: 120, latencyMs: SLOW_STATE_MS },
     { kind: 'controller-crash', atS: BEGIN_S, controllers: 'leader', downS: 0.2 },
@@ -104,7 +108,7 @@
     for (const { job } of confirmed) {
       assert.ok(lastTaskLeftAt(result, job) < outage.fromS + LEASE_S, `${job} ran on`);
     }
-    // It has read nothing, and keeps all other work by what it and its peers know.
+    // The leader has read no records, and keeps all other work by what it and its peers know.
     assert.ok(
       heartbeatsAnswered(result, leader.leader, outage.fromS, outage.untilS) > 10 * LEASE_S,
     );
--- a/packages/testing/fault-combinations/cut-or-frozen-leader.test.ts
+++ b/packages/testing/fault-combinations/cut-or-frozen-leader.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Guards against cancelled jobs that run on when a new leader confirmed their cancellation while their machines
+ * still obey the old leader, which is cut off or frozen and does not know of it.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { CutMode, Fault, ScenarioResult } from '../simulation/index.js';
@@ -20,7 +24,7 @@
 
 const BEGIN_S = BUSY_FROM_S;
 
-/** Who led when the first fault began, and the first who claimed the part after that. */
+/** The leader at the beginning of the first fault, and the first controller that claimed the shard after that. */
 function leaderAndSuccessor({ faults, leaders }: ScenarioResult) {
   const { leader } = faults.records[0];
   const successor = leaders.find(({ term }) => term > leader!.term);
@@ -29,7 +33,7 @@
   return { leader, successor };
 }
 
-test('jobs cancelled through the new leader end in time on machines that obey the old one, which is cut off', async () => {
+test('jobs cancelled through the new leader end in time on machines that obey the old leader, which is cut off', async () => {
   const cutS = 45;
   const modes: CutMode[] = ['drop', 'hold', 'refuse'];
   for (const [index, mode] of modes.entries()) {
@@ -53,12 +57,12 @@
       assert.ok(confirmed.every(({ controller }) => controller !== leader.leader));
       const lastConfirmedS = Math.max(...confirmed.map(({ atS }) => atS));
       const heartbeats = heartbeatsAnswered(result, leader.leader, lastConfirmedS, cut.untilS);
-      assert.ok(heartbeats > LEASE_S, `${heartbeats} reports answered by the old leader`);
+      assert.ok(heartbeats > LEASE_S, `${heartbeats} heartbeats answered by the old leader`);
       const ranOn = confirmed.filter(
         ({ job, atS }) => lastTaskLeftAt(result, job) > atS + HEARTBEAT_INTERVAL_S,
       );
       assert.ok(ranOn.length >= 3, `${ranOn.length} jobs ran on`);
-      // The old leader lets its workers go in time for the new one to keep their work.
+      // The old leader releases its workers early enough for the new leader to keep their tasks.
       assert.deepEqual(killedTasks(result, cut.fromS, cut.untilS), []);
       assert.ok(tasksRunningAt(result, cut.untilS) >= 10);
     });
@@ -66,7 +70,7 @@
 });
 
 for (const frozenS of [2, 5, 9]) {
-  test(`a leader that stands still for ${frozenS} s into an outage ends what others confirmed meanwhile`, async () => {
+  test(`a leader that freezes for ${frozenS} s until an outage has begun ends jobs whose cancellation others confirmed`, async () => {
     const outageAtS = BEGIN_S + 1;
     const faults: Fault[] = [
       { kind: 'controller-freeze', atS: BEGIN_S, controllers: 'leader', forS: frozenS },
@@ -94,7 +98,7 @@
   });
 }
 
-test('a leader that wakes after its successor began, cut from it and from the state service, lets its workers go in time', async () => {
+test('a leader that wakes after its successor took over, cut off from it and the state service, releases its workers in time', async () => {
   const frozenS = 3.8;
   const cutS = 50;
   const faults: Fault[] = [
@@ -118,7 +122,7 @@
     assert.ok(successor.atS < freeze.untilS, `the successor began at ${successor.atS} s`);
     const confirmed = confirmedCancellations(result, freeze.fromS, freeze.untilS);
     assert.ok(confirmed.length >= 3, `${confirmed.length} confirmations`);
-    // It had workers once it was awake, and let them go.
+    // The old leader answered workers after it woke up, and released them in time.
     assert.ok(heartbeatsAnswered(result, leader.leader, freeze.untilS + 2, cut.untilS) > LEASE_S);
     assert.equal(heartbeatsAnswered(result, leader.leader, freeze.fromS + CANCEL_S, cut.untilS), 0);
     const ranOn = confirmed.filter(({ job }) => lastTaskLeftAt(result, job) > freeze.untilS + 2);
--- a/packages/testing/fault-combinations/dependencies-and-faults.test.ts
+++ b/packages/testing/fault-combinations/dependencies-and-faults.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Guards against dependent jobs that start before their dependencies are recorded as done, or that are not aborted
+ * with a cancelled dependency: in an outage, across teams, and in a long chain.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { ClusterSettings, Fault, ScenarioResult } from '../simulation/index.js';
@@ -8,7 +12,7 @@
 
 const BEGIN_S = BUSY_FROM_S;
 
-test('pipelines are cancelled while the leader is refused alone, then nobody is served for longer than a cancellation has', async () => {
+test('pipelines are done or aborted when the leader alone is refused and then an outage outlasts the limit of cancellations', async () => {
   const outageS = CANCEL_S + 10;
   const faults: Fault[] = [
     { kind: 'close-looks', atS: BEGIN_S - 5, forS: 100 },
@@ -31,14 +35,14 @@
   });
 });
 
-/** Teams that are soon at their limit. */
+/** Reduces the share and the limit of each team, so that teams soon reach the limit. */
 function withSmallTeams(cluster: ClusterSettings): ClusterSettings {
   const { deployment } = cluster;
   const teams = deployment.teams.map((team) => ({ ...team, cpus: 8, cpus_max: 64 }));
   return { ...cluster, deployment: { ...deployment, teams } };
 }
 
-/** Pairs of a job and one that it awaits of another team. */
+/** Pairs of a job and a dependency of it that belongs to another team. */
 function dependenciesAcrossTeams(result: ScenarioResult): [string, string][] {
   const teams = new Map(result.timeline.of('job-submitted').map(({ id, job }) => [id, job.team]));
   return dependentJobs(result).flatMap(({ id, team, awaits }) =>
@@ -46,7 +50,7 @@
   );
 }
 
-test('jobs await those of another team at its limit, and those whose tasks fail until they are cancelled', async () => {
+test('jobs run that depend on a team at its limit, and jobs that depend on failing jobs are aborted with them', async () => {
   const stages = DIAMOND.stages.map((stage, number) =>
     number === 1 ? { ...stage, jobClass: { ...stage.jobClass, mistakenShare: 0.2 } } : stage,
   );
@@ -56,15 +60,18 @@
   });
   await playMeeting(scenario, [1, 2], (result) => {
     const { done, cancelledByDependency } = countDependentJobs(result);
-    assert.ok(dependenciesAcrossTeams(result).length >= 30, 'jobs await those of other teams');
-    assert.ok(done >= 30, `${done} jobs that await others were done`);
-    // Nothing was cancelled but what failed on every machine.
-    assert.ok(cancelledByDependency >= 3, `${cancelledByDependency} jobs were aborted with others`);
+    assert.ok(dependenciesAcrossTeams(result).length >= 30, 'too few dependencies across teams');
+    assert.ok(done >= 30, `${done} dependent jobs were done`);
+    // Users cancelled only jobs whose tasks fail on every machine.
+    assert.ok(
+      cancelledByDependency >= 3,
+      `${cancelledByDependency} jobs were aborted with a dependency`,
+    );
     assert.deepEqual(prematureStarts(result), []);
   });
 });
 
-test('a chain of a hundred jobs is done to its end, and one that is cancelled in its middle ends from there on', async () => {
+test('a chain of a hundred jobs runs to its end, and a cancellation in the middle aborts all later jobs', async () => {
   const shortRuns = {
     tasks: [1, 1] as [number, number],
     run: { medianS: 0.5, p95S: 0.6, maxS: 0.7 },
@@ -89,8 +96,11 @@
   };
   await playMeeting(pipelinesOnly, [1], (result) => {
     const { done, cancelledByDependency } = countDependentJobs(result);
-    assert.ok(done >= 200, `${done} were done`);
-    assert.ok(cancelledByDependency >= 20, `${cancelledByDependency} were aborted with others`);
+    assert.ok(done >= 200, `${done} dependent jobs were done`);
+    assert.ok(
+      cancelledByDependency >= 20,
+      `${cancelledByDependency} were aborted with a dependency`,
+    );
     assert.deepEqual(prematureStarts(result), []);
   });
 });
--- a/packages/testing/fault-combinations/dependency-mistakes.test.ts
+++ b/packages/testing/fault-combinations/dependency-mistakes.test.ts
@@ -1,4 +1,7 @@
-/** Mistakes about chained jobs, put into the controllers on purpose: each must be found. */
+/**
+ * Guards against checks that miss defects in the handling of dependencies: each test replaces one method by a faulty
+ * one, and the checks must find it.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { DependencyGraph } from '#dependencies';
@@ -10,7 +13,7 @@
 import { prematureStarts } from './dependency-queries.js';
 import { dependentJobsScenario } from './dependent-work.js';
 
-/** Methods of a prototype, private ones included. */
+/** Methods of a prototype, including private ones. */
 type Methods = Record<string, (...args: never[]) => unknown>;
 
 const LENGTH_S = 150;
@@ -20,7 +23,7 @@
   { kind: 'cancel-at-end', atS: 40, forS: 50, share: 0.1 },
 ];
 
-/** Plays the scenario with another method in place of one of a class. */
+/** Runs the scenario while one method of a class is replaced. */
 async function runWithReplacedMethod(
   prototype: object,
   name: string,
@@ -42,7 +45,7 @@
   return new Set(violations.map(({ rule }) => rule));
 }
 
-test('without a mistake nothing is found', async () => {
+test('without a defect no rule is violated', async () => {
   const result = await runWithReplacedMethod(
     DependencyGraph.prototype,
     'recordEnded',
@@ -52,7 +55,7 @@
   assert.deepEqual(prematureStarts(result), []);
 });
 
-test('a start on an end that only the owner knows is found', async () => {
+test('a start that relies on an end that is not recorded yet is found', async () => {
   const result = await runWithReplacedMethod(
     JobRegistry.prototype,
     'markDone',
@@ -74,7 +77,7 @@
   assert.ok(prematureStarts(result).length > 0);
 });
 
-test('a start although something is awaited is found', async () => {
+test('a start before the dependencies are done is found', async () => {
   const result = await runWithReplacedMethod(
     DependencyGraph.prototype,
     'hasOpenDependencies',
@@ -83,7 +86,7 @@
   assert.ok(violatedRules(result).has('too_early'));
 });
 
-test('a cancellation that reaches only the next jobs is found', async () => {
+test('a cancellation that aborts only direct dependents is found', async () => {
   const result = await runWithReplacedMethod(
     DependencyGraph.prototype,
     'recordEnded',
@@ -100,7 +103,7 @@
   assert.ok(violatedRules(result).has('orphaned'));
 });
 
-test('a refusal for good by what a controller happens to know is found', async () => {
+test('a final refusal because a controller does not know a dependency, without a look at the records, is found', async () => {
   const result = await runWithReplacedMethod(
     DependencyValidator.prototype,
     'rejectionReason',
@@ -113,7 +116,7 @@
   assert.ok(violatedRules(result).has('refused_fit'));
 });
 
-test('an answer by what a controller happens to know is found', async () => {
+test('an answer from memory alone, without a look at the records, is found', async () => {
   const result = await runWithReplacedMethod(
     JobStore.prototype,
     'lookUp',
--- a/packages/testing/fault-combinations/dependency-queries.ts
+++ b/packages/testing/fault-combinations/dependency-queries.ts
@@ -1,23 +1,23 @@
-/** What tests of chained jobs ask a run. */
+/** Queries of a finished run for tests of jobs that depend on other jobs. */
 import { JOBS, MACHINES, type MachineRecord } from '#store';
 import type { Job } from '#wire';
 import type { ScenarioResult } from '../simulation/index.js';
 
-/** How the pipelines of a run went. */
+/** Outcomes of the dependent jobs of a run, as their users were told. */
 export interface DependentJobCounts {
-  /** Jobs that awaited others and were done, as their users were told. */
+  /** Dependent jobs that were done. */
   done: number;
-  /** Jobs that were called aborted though only a job that they need was cancelled. */
+  /** Dependent jobs that were aborted without a cancellation of their own: a job that they need was cancelled. */
   cancelledByDependency: number;
 }
 
-/** All jobs that were submitted and await others. */
+/** All submitted jobs that depend on other jobs. */
 export function dependentJobs({ timeline }: ScenarioResult): Job[] {
   const submitted = timeline.of('job-submitted').map(({ job }) => job);
   return submitted.filter(({ awaits }) => awaits.length > 0);
 }
 
-/** Counts what users were told in a span of time. */
+/** Counts outcomes of dependent jobs that users were told of in a span of time. */
 export function countDependentJobs(
   result: ScenarioResult,
   fromS = 0,
@@ -35,7 +35,7 @@
   return { done: inPhase('done').size, cancelledByDependency: cancelled.length };
 }
 
-/** Cancellations of jobs that others need, confirmed in a span of time. */
+/** Jobs that other jobs depend on and whose cancellation was confirmed in a span of time. */
 export function cancelledDependencies(
   result: ScenarioResult,
   fromS: number,
@@ -50,8 +50,8 @@
 }
 
 /**
- * Jobs of which a machine's record named a task before, or together with, the end of a job that they await: the
- * owner had decided on a start by what only it knew.
+ * Jobs that were started too early: the transaction that assigned their first task to a machine was applied before,
+ * or together with, the record that a dependency is done. The leader had then relied on an end that only it knew.
  */
 export function prematureStarts(result: ScenarioResult): string[] {
   const { done, assigned } = firstTransactions(result);
@@ -66,7 +66,10 @@
     .map(({ id }) => id);
 }
 
-/** The transactions, by number, that recorded a job as done and that first named a task of it on a machine. */
+/**
+ * Numbers, in order of execution, of the transactions that recorded a job as done and that first assigned a task of
+ * it to a machine; both by job id.
+ */
 function firstTransactions({
   timeline,
 }: ScenarioResult): Record<'done' | 'assigned', Map<string, number>> {
--- a/packages/testing/fault-combinations/dependent-jobs.test.ts
+++ b/packages/testing/fault-combinations/dependent-jobs.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Guards against dependent jobs that start too early, never start, or are not aborted with a dependency, when
+ * cancellations, lost or late transactions and restarts coincide with the ends of the jobs they need.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Fault, ScenarioResult } from '../simulation/index.js';
@@ -14,7 +18,7 @@
 const BEGIN_S = BUSY_FROM_S;
 const LENGTH_S = 200;
 
-/** Jobs whose users asked to cancel them after their last task had completed, by what they were told. */
+/** Jobs whose cancellation was requested after their last task had completed, by the phase that users were told. */
 function cancelledAfterLastTask({ timeline }: ScenarioResult): {
   done: string[];
   cancelled: string[];
@@ -34,15 +38,18 @@
   return { done: jobsAnswered('done'), cancelled: jobsAnswered('aborted') };
 }
 
-/** Asserts that pipelines went on to their ends, and that some were cut off. */
+/** Asserts that enough dependent jobs were done, some were aborted with a dependency, and none started too early. */
 function assertPipelinesServed(result: ScenarioResult, minDone = 20): void {
   const { done, cancelledByDependency } = countDependentJobs(result);
-  assert.ok(done >= minDone, `${done} jobs that await others were done`);
-  assert.ok(cancelledByDependency >= 3, `${cancelledByDependency} jobs were aborted with others`);
+  assert.ok(done >= minDone, `${done} dependent jobs were done`);
+  assert.ok(
+    cancelledByDependency >= 3,
+    `${cancelledByDependency} jobs were aborted with a dependency`,
+  );
   assert.deepEqual(prematureStarts(result), []);
 }
 
-test('pipelines are served while users look closely, cancel jobs of all stages and at the very end of one', async () => {
+test('pipelines run while users poll closely, cancel jobs of all stages and cancel jobs at the moment of their end', async () => {
   const faults: Fault[] = [
     { kind: 'close-looks', atS: 20, forS: 130 },
     { kind: 'cancel-at-end', atS: 40, forS: 80, share: 0.25 },
@@ -51,7 +58,7 @@
   await playMeeting(dependentJobsScenario('chained', LENGTH_S, faults), [1, 2], (result) => {
     assertPipelinesServed(result);
     const cancelled = cancelledDependencies(result, 0, LENGTH_S);
-    assert.ok(cancelled.length >= 5, `${cancelled.length} were cancelled that others need`);
+    assert.ok(cancelled.length >= 5, `${cancelled.length} dependencies were cancelled`);
     const cancelledLate = cancelledAfterLastTask(result);
     assert.ok(
       cancelledLate.cancelled.length >= 3,
@@ -64,7 +71,7 @@
   });
 });
 
-test('the end of a job is recorded without an answer, or late, while others wait for it and the owner ends', async () => {
+test('pipelines run when transactions that record the end of dependencies get no answer or are late while leaders fail', async () => {
   const faults: Fault[] = [
     { kind: 'close-looks', atS: BEGIN_S - 20, forS: 80 },
     { kind: 'lost-answers', atS: BEGIN_S - 10, forS: 9, share: 0.6 },
@@ -88,14 +95,14 @@
           const { phase } = change.value as { phase: string };
           return phase === 'done' && needed.has(change.put.slice('jobs/'.length));
         });
-      assert.ok(ends.length >= 2, `${ends.length} ends of awaited jobs got no answer`);
+      assert.ok(ends.length >= 2, `${ends.length} recorded ends of dependencies got no answer`);
       const [crash] = result.faults.of('controller-crash');
       assert.ok(result.leaders.some(({ term }) => term > crash.leader!.term));
     },
   );
 });
 
-test('all controllers restart, twice within a lease, while pipelines are under way', async () => {
+test('pipelines continue after all controllers restart twice within a lease', async () => {
   const faults: Fault[] = [
     { kind: 'close-looks', atS: BEGIN_S - 5, forS: 60 },
     { kind: 'controller-crash', atS: BEGIN_S, controllers: 'all', downS: 2 },
--- a/packages/testing/fault-combinations/dependent-work.ts
+++ b/packages/testing/fault-combinations/dependent-work.ts
@@ -1,4 +1,4 @@
-/** Chained jobs beside the steady work of the other meetings. */
+/** Scenarios in which pipelines of dependent jobs run beside the steady work of the other fault combinations. */
 import type { ClusterSettings, Fault, Scenario } from '../simulation/index.js';
 import { type JobClass, jobTemplate, type Pipeline } from '../stand-ins/index.js';
 import { steadyScenario } from './steady-work.js';
@@ -30,7 +30,10 @@
   template: { ...STAGE.template, class: 'last-stage', rank: 1 },
 };
 
-/** Two jobs beside each other between a first, a joining gang and an urgent last one. */
+/**
+ * A first job, two jobs that depend on it, a gang that depends on both, and an urgent last job that
+ * depends on the gang and the first job.
+ */
 export const DIAMOND: Pipeline = {
   stages: [
     { jobClass: STAGE, jobs: [1, 1], awaits: [] },
@@ -44,17 +47,17 @@
   deadlineS: 60,
 };
 
-/** Seconds before the end of a scenario from which on no pipeline begins. */
+/** Length of the period at the end of a scenario in which no pipeline begins, in seconds. */
 const LAST_PIPELINES_S = 60;
 
-/** Where a chained scenario differs from the usual one. */
+/** Differences from the usual scenario of dependent jobs. */
 export interface DependentJobsOptions {
   pipeline?: Partial<Pipeline>;
-  /** Changes the cluster. */
+  /** Returns changed settings of the cluster. */
   cluster?: (cluster: ClusterSettings) => ClusterSettings;
 }
 
-/** A scenario of steady work and many pipelines. */
+/** Makes a scenario of steady work and many pipelines. */
 export function dependentJobsScenario(
   name: string,
   lengthS: number,
@@ -71,7 +74,7 @@
   return { ...steady, cluster: cluster(steady.cluster), workload };
 }
 
-/** A chain of so many jobs. */
+/** Makes the stages of a chain of so many jobs, each of which depends on the one before. */
 export function chainStages(length: number): Pipeline['stages'] {
   const numbers = Array.from({ length }, (_, number) => number);
   return numbers.map((number) => ({
--- a/packages/testing/fault-combinations/faulty-jobs.test.ts
+++ b/packages/testing/fault-combinations/faulty-jobs.test.ts
@@ -1,4 +1,7 @@
-/** Jobs that were submitted with a mistake: their tasks fail on every machine until their users cancel them. */
+/**
+ * Guards against faulty jobs, whose tasks fail on every machine until their users cancel them, that are retried without
+ * limit, delay sound jobs or cause scale-outs.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -16,22 +19,22 @@
 const LENGTH_S = 300;
 const CRASH_S = 100;
 const ARRIVALS_END_S = 160;
-/** Rents that were decided before a job became suspect may go out so much later. */
+/** A scale-out decided before a job became suspect may complete so many seconds later. */
 const PROVISION_DELAY_S = 3;
-/** Attempts of a suspect job in any of these runs, one after the other, and its tasks in each. */
+/** Most successive attempts (probes) of a suspect job in any of these runs, and the tasks in each. */
 const MAX_PROBES = 9;
 const PROBE_TASKS = 2;
-/** Seconds by which the mean wait of sound jobs may be longer than without faulty ones. */
+/** Seconds by which faulty jobs may increase the mean wait of sound jobs. */
 const MAX_ADDED_WAIT_S = 1;
 
-/** With room for all that is known to be sound. */
+/** A cluster with room for all jobs that are not suspect. */
 const CLUSTER = { ...SMALL_CLUSTER, capacity: [{ machines: 30 }] };
 
 const [REPLICAS, BATCHES, , GANGS] = USUAL_CLASSES;
 const SOUND_CLASSES = USUAL_CLASSES.map((jobClass) => ({ ...jobClass, mistakenShare: 0 }));
 const FAULTY = /^faulty/;
 
-/** Its tasks fail long before they could complete or save. */
+/** Makes a job class whose tasks fail long before they could complete or save a checkpoint. */
 function makeFaulty(jobClass: JobClass, perMinute: number): JobClass {
   const { template } = jobClass;
   return {
@@ -67,7 +70,7 @@
   return timeline.of('job-submitted').filter(({ job }) => FAULTY.test(job.class));
 }
 
-/** Faulty jobs were begun, failed several times and were cancelled, on several machines. */
+/** Asserts that faulty jobs failed many times, on several machines, and were cancelled. */
 function assertFaultyJobsFailed(result: ScenarioResult): void {
   const ids = new Set(faultyJobs(result).map(({ id }) => id));
   assert.ok(ids.size >= 6, `${ids.size} faulty jobs`);
@@ -82,8 +85,8 @@
 }
 
 /**
- * What nobody could know may be begun once in each term, and a gang by its second attempt; from then on a
- * few tasks at a time.
+ * Asserts that a faulty job starts in full at most twice per term and from then on a few tasks at a time. A new leader
+ * does not know that the job is faulty, and a gang becomes suspect only with its second attempt.
  */
 function assertAttemptsBounded(result: ScenarioResult, terms: number): void {
   for (const { id, job } of faultyJobs(result)) {
@@ -94,7 +97,7 @@
   }
 }
 
-/** Rents at a moment at which every faulty job was known to be suspect or was over. */
+/** Times of scale-outs at which every faulty job was known to be suspect or had ended. */
 function avoidableScaleOuts(result: ScenarioResult, type: string): number[] {
   const known = result.controllers.flatMap(({ log }) => log.entries('job is crash-looping'));
   const activeSpans = faultyJobs(result).map(({ id, atS }) => ({
@@ -121,10 +124,10 @@
 }
 
 function cancelledAt({ timeline }: ScenarioResult, id: string): number {
-  const told = timeline
+  const answer = timeline
     .of('answered')
     .find(({ request, phase }) => request.job === id && phase === 'aborted');
-  return (told?.atS ?? Infinity) + PROVISION_DELAY_S;
+  return (answer?.atS ?? Infinity) + PROVISION_DELAY_S;
 }
 
 /** Mean time from the submission of sound jobs to the start of their first task. */
@@ -142,7 +145,7 @@
   ['', []],
   [', also across a crash of the leader', [LEADER_CRASH]],
 ] as [string, Fault[]][]) {
-  test(`faulty arrays and gangs are tried seldom and don't delay sound work${when}`, async () => {
+  test(`faulty arrays and gangs start seldom and don't delay sound jobs${when}`, async () => {
     const mixed = makeScenario([...SOUND_CLASSES, ...FAULTY_CLASSES], faults);
     const addedWaitsS: number[] = [];
     await playMeeting(mixed, [1, 2, 4], async (result) => {
@@ -156,7 +159,7 @@
     assert.ok(meanS < MAX_ADDED_WAIT_S, `${meanS} s longer, by seed ${addedWaitsS}`);
   });
 
-  test(`faulty arrays, gangs and services cause no rents once they are known${when}`, async () => {
+  test(`faulty arrays, gangs and services cause no scale-outs once they are suspect${when}`, async () => {
     const cpuClasses = SOUND_CLASSES.filter(({ template }) => template.gpus === 0);
     const cpuScenario = makeScenario([...cpuClasses, ...FAULTY_CLASSES, FAULTY_SERVICES], faults);
     await playMeeting(cpuScenario, [1, 2], (result) => {
@@ -164,7 +167,7 @@
       assertAttemptsBounded(result, faults.length + 1);
       assert.deepEqual(avoidableScaleOuts(result, 'g8'), []);
       if (faults.length === 0) return;
-      // The next leader has learnt of those that were left.
+      // The next leader has found the remaining faulty jobs to be suspect.
       const reported = result.controllers.flatMap(({ log }) => log.entries('job is crash-looping'));
       assert.ok(reported.some(({ atS }) => atS > CRASH_S && atS < CRASH_S + 3 * CANCEL_S));
     });
--- a/packages/testing/fault-combinations/flood.test.ts
+++ b/packages/testing/fault-combinations/flood.test.ts
@@ -1,4 +1,7 @@
-/** A team floods the controllers with single-task jobs beside a team whose work must go on. */
+/**
+ * Guards against delayed or lost jobs of one team when another team floods the controllers with single-task jobs and
+ * the leader crashes during the flood.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { jobKey } from '#store';
@@ -13,7 +16,7 @@
 const SUBMISSION_PATH = /^\/submissions$/;
 const FLOOD = { fromS: 40, untilS: 54, perSecond: 80 };
 const CRASH_S = 47;
-/** Beginning and length of the time around the crash in which submissions may find no controller. */
+/** Seconds before and after the crash in which a submission may reach no controller that accepts it. */
 const CRASH_WINDOW_S = 6;
 const LENGTH_S = 170;
 
@@ -46,7 +49,7 @@
   );
 }
 
-/** From the first request of each job to the answer that accepted it; seconds. */
+/** Per accepted job, the time of its first request and the seconds until the answer that accepted it. */
 function firstAcceptances({ timeline }: Cluster): Map<string, { askedAtS: number; waitS: number }> {
   const asked = new Map<string, number>();
   const accepted = new Map<string, { askedAtS: number; waitS: number }>();
@@ -61,7 +64,7 @@
   return accepted;
 }
 
-test("a flood of one team's small jobs, across a crash of the leader, leaves the other team's alone", async () => {
+test("a flood of one team's small jobs, across a crash of the leader, does not delay the other team's jobs", async () => {
   const cluster = new Cluster(SMALL_CLUSTER, 3);
   const { world, requests, state, checker } = cluster;
   const runtime = cluster.serviceRuntime('prober', 'users', PROBER_HOST);
@@ -93,7 +96,10 @@
   assert.deepEqual(world.uncaught, []);
   assert.deepEqual(checker.finish().map(describeViolation), []);
   const flood = { path: SUBMISSION_PATH, fromS: FLOOD.fromS, untilS: FLOOD.untilS };
-  assert.ok(requests.find({ ...flood, status: 429 }).length > 100, 'nobody was refused');
+  assert.ok(
+    requests.find({ ...flood, status: 429 }).length > 100,
+    'too few submissions were refused',
+  );
   assert.ok(new Set(retryAfters).size > 1, `${retryAfters}`);
   assert.ok(retryAfters.every((seconds) => seconds >= 1 && seconds <= 30));
 
--- a/packages/testing/fault-combinations/large-array.test.ts
+++ b/packages/testing/fault-combinations/large-array.test.ts
@@ -1,4 +1,7 @@
-/** One array of very many short tasks, across a crash of the leader. */
+/**
+ * Guards against records and write rates that grow with the size of an array, and against tasks that run again after
+ * a change of leader because the progress of the array was not recorded.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { jobKey, PROGRESS } from '#store';
@@ -9,12 +12,12 @@
 const { state: LIMITS, workers } = SMALL_CLUSTER.deployment;
 const SUBMITTED_S = 5;
 const CRASH_S = 38;
-/** From then on all machines are up and full. */
+/** From this time on all machines are up and full. */
 const ALL_MACHINES_FULL_S = 28;
 const TASK_S = 4;
 const ARRAY = aJob({ id: 'j-1', rank: 3, cpus: 0.25, gpus: 0, memory: 0.5, imageGb: 0.5 });
 
-/** Plays an array of so many tasks until it is done. */
+/** Runs an array of so many tasks until it is done, with a crash of the leader on the way. */
 async function runArray(tasks: number) {
   const cluster = new Cluster(SMALL_CLUSTER, 5);
   const { world, timeline, state } = cluster;
@@ -32,13 +35,13 @@
   const isDone = () =>
     (state.store.get(jobKey(job.id))?.value as { phase: string } | undefined)?.phase === 'done';
   while (!isDone() && world.now < 600) await world.runUntil(world.now + 5);
-  assert.ok(isDone(), 'the array is done');
+  assert.ok(isDone(), 'the array is not done');
   assert.deepEqual(world.uncaught, []);
   assert.deepEqual(cluster.checker.finish().map(describeViolation), []);
   return { cluster, doneAtCrash };
 }
 
-/** Applied transactions and their changes in a span of time, each a second. */
+/** Applied transactions and changes per second in a span of time, and all these changes. */
 function stateUsage({ timeline }: Cluster, fromS: number, untilS: number) {
   const applied = timeline
     .of('transaction')
@@ -52,7 +55,7 @@
   };
 }
 
-test("an array's records stay bounded whatever its size, and its progress survives a change of leader", async () => {
+test("an array's records and write rate do not grow with its size, and its progress survives a change of leader", async () => {
   const usage = [];
   for (const tasks of [12_000, 24_000]) {
     const { cluster, doneAtCrash } = await runArray(tasks);
@@ -65,13 +68,13 @@
       assert.ok(JSON.stringify(value).length <= LIMITS.value_kb * 1024, put);
     }
     assert.ok(values.some(({ put }) => put.startsWith(PROGRESS)));
-    // A task runs again only if the crash found it on a machine, or just ended.
+    // A task runs again only if it was on a machine at the crash, or ended just before.
     const completed = cluster.timeline.of('task-completed').length;
     const started = cluster.timeline.of('task-started').length;
     const machines = cluster.timeline.of('machine-up').length;
     assert.equal(completed, tasks);
     const maxRepeats = machines * 124 * (1 + workers.report_s / TASK_S);
-    assert.ok(started - tasks <= maxRepeats, `${started - tasks} starts too many`);
+    assert.ok(started - tasks <= maxRepeats, `${started - tasks} repeated starts`);
   }
   const [small, large] = usage;
   assert.ok(large.changes <= 1.2 * small.changes + 1, JSON.stringify(usage));
--- a/packages/testing/fault-combinations/leader-changes.test.ts
+++ b/packages/testing/fault-combinations/leader-changes.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Guards against lost work when leadership changes many times in a row, during an outage of the state service,
+ * or while machines are out of reach, and when all controllers are down at once.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { parseHostPort } from '#wire';
@@ -12,21 +16,21 @@
 import { BUSY_FROM_S, LEASE_S, steadyScenario } from './steady-work.js';
 
 const BEGIN_S = BUSY_FROM_S;
-/** Nobody leads for at least so long after a leader has ended: its grant has to run out. */
+/** Least time without a leader after a leader crashes, in seconds: the lease of the leader has to run out first. */
 const ELECTION_LEASE_S = LEASE_S / 4;
 
 function leaderCrashes(times: number[], downS = 0.5): Fault[] {
   return times.map((atS) => ({ kind: 'controller-crash', atS, controllers: 'leader', downS }));
 }
 
-/** When controllers other than the leader began and ended to renew leases for it, by their logs. */
+/** Times at which standbys began or stopped to renew leases of workers in place of the leader, from their logs. */
 function standbyChanges({ controllers }: ScenarioResult) {
   return controllers.flatMap(({ name, log }) =>
     log.entries('standby renewal changed').map(({ atS, renewing }) => ({ name, atS, renewing })),
   );
 }
 
-test('work lives through ten leaders in two minutes, and standbys renew leases for one that ends in an outage', async () => {
+test('no task is killed by ten leader changes in two minutes, and standbys renew leases after a crash in an outage', async () => {
   const outage = { fromS: BEGIN_S + 30, forS: 20 };
   const endsInOutageS = outage.fromS + 3;
   const before = [0, 10, 20].map((s) => BEGIN_S + s);
@@ -53,16 +57,16 @@
     );
     assert.ok(
       answered.some((heartbeats) => heartbeats > 3 * LEASE_S),
-      `${answered} reports`,
+      `${answered} heartbeats`,
     );
     assert.deepEqual(killedTasks(result, BEGIN_S, BEGIN_S + 130), []);
     assert.ok(tasksRunningAt(result, BEGIN_S + 120) >= 10);
   });
 });
 
-test('a leader ends while machines with long tasks are cut off or do not hear the next one', async () => {
+test('tasks on machines that are cut off or deaf while leadership changes are killed and run again', async () => {
   const cut = { fromS: BEGIN_S, forS: 14 };
-  // Long enough for a worker that hears no answer to try every controller.
+  // Long enough for a worker that receives no answer to try every controller.
   const deafS = 20;
   const faults: Fault[] = [
     { kind: 'machine-cut', atS: cut.fromS, forS: cut.forS, machines: { zone: 'a' }, mode: 'hold' },
@@ -79,7 +83,7 @@
       const [deafMachines] = result.faults.of('machine-deaf');
       const successor = result.leaders.find(({ term }) => term > crash.leader!.term)!;
       assert.ok(successor.atS < cutMachines.untilS - 5 && successor.atS > deafMachines.fromS);
-      // All of them had work, whose leases ended while the new leader could not tell.
+      // All of these machines had tasks, whose leases ended while the new leader could not know it.
       const hit = new Set([...cutMachines.machines, ...deafMachines.machines]);
       const killed = result.timeline
         .of('task-left', successor.atS, deafMachines.untilS + 1)
@@ -97,17 +101,17 @@
         })
         .filter(({ clientHost, atS }) => deaf.includes(clientHost) && atS < deafMachines.untilS);
       assert.ok(unheard.length > 0, 'the new leader answered no deaf machine');
-      const again = killed.filter(({ atS, task }) =>
+      const restarted = killed.filter(({ atS, task }) =>
         result.timeline
           .of('task-started', atS)
           .some(({ task: { job, index } }) => job === task.job && index === task.index),
       );
-      assert.ok(again.length > 0, 'nothing that was killed ran again');
+      assert.ok(restarted.length > 0, 'nothing that was killed ran again');
     },
   );
 });
 
-test('the part is handed over and back, then all controllers end and one returns within a second', async () => {
+test('no task is killed when the leader changes back and forth and then all controllers crash, of which one soon returns', async () => {
   const handOvers = [0, 9, 18, 27].map((s) => BEGIN_S + s);
   const endS = BEGIN_S + 40;
   const faults: Fault[] = [
@@ -121,9 +125,7 @@
     { kind: 'controller-crash', atS: endS, controllers: 'leader', downS: 0.6 },
   ];
   await playMeeting(steadyScenario('over and back', endS + 40, faults), [1, 2, 3], (result) => {
-    const leaders = result.leaders
-      .filter(({ atS }) => atS < endS)
-      .map(({ leader: leader }) => leader);
+    const leaders = result.leaders.filter(({ atS }) => atS < endS).map(({ leader }) => leader);
     assert.ok(leaders.length > handOvers.length);
     assert.ok(new Set(leaders).size < leaders.length, 'nobody led a second time');
     const [, leaderCrash] = result.faults.of('controller-crash');
@@ -136,7 +138,7 @@
   });
 });
 
-test('all controllers end and return within a second, or stay away for longer than a lease', async () => {
+test('all controllers crash: tasks survive an absence of less than a second, and end when it is longer than a lease', async () => {
   for (const downS of [0.8, LEASE_S + ELECTION_LEASE_S]) {
     const faults: Fault[] = [{ kind: 'controller-crash', atS: BEGIN_S, controllers: 'all', downS }];
     const lengthS = BEGIN_S + 60;
--- a/packages/testing/fault-combinations/lost-transactions.test.ts
+++ b/packages/testing/fault-combinations/lost-transactions.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Guards against lost or repeated work when a transaction gets no answer: it may have been executed, or may be
+ * executed later, after newer transactions of the same controller or a change of leader.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { JOBS, shardKey } from '#store';
@@ -12,7 +16,7 @@
 import { BUSY_FROM_S, LEASE_S, HEARTBEAT_INTERVAL_S, steadyScenario } from './steady-work.js';
 
 const BEGIN_S = BUSY_FROM_S;
-/** When a part is claimed whose owner crashed at BEGIN_S: once its grant has run out. */
+/** Span in which the shard is claimed after its owner crashed at BEGIN_S: once the lease of the owner has run out. */
 const CLAIM_SPAN_S: [number, number] = [BEGIN_S + 0.2 * LEASE_S, BEGIN_S + 0.35 * LEASE_S];
 
 type Transaction = TimedEvent & { kind: 'transaction' };
@@ -30,7 +34,7 @@
   return transactions.filter((transaction) => keysOf(transaction).includes(shardKey(0)));
 }
 
-/** A newer transaction of the same controller was carried out while this one was held up. */
+/** Whether a newer transaction of the same controller was executed while this one was delayed. */
 function isOvertaken({ timeline }: ScenarioResult, late: Transaction): boolean {
   const sentAtS = late.atS - late.heldS;
   return timeline
@@ -38,20 +42,20 @@
     .some((other) => other.clientHost === late.clientHost && other.atS - other.heldS > sentAtS);
 }
 
-/** Jobs whose record this transaction wrote and that another controller soon told a user of or began. */
+/** Jobs whose record this transaction wrote and that another controller soon named to a user or in a transaction. */
 function jobsReadByOthers({ requests, timeline }: ScenarioResult, written: Transaction): string[] {
   const isOtherController = (clientHost: string) => clientHost !== written.clientHost;
   const [fromS, untilS] = [written.atS, written.atS + HEARTBEAT_INTERVAL_S];
-  const begun = timeline
+  const otherWrites = timeline
     .of('transaction', fromS, untilS)
     .filter(({ clientHost, applied }) => applied && isOtherController(clientHost))
     .map(({ changes }) => JSON.stringify(changes));
   return jobsOf(written).filter((job) => {
     const path = new RegExp(`^/submissions/${job}`);
-    const told = requests.find({ fromS, untilS, path, status: 200 });
+    const answers = requests.find({ fromS, untilS, path, status: 200 });
     return (
-      told.some(({ controller }) => isOtherController(hostOf(controller))) ||
-      begun.some((changes) => changes.includes(job))
+      answers.some(({ controller }) => isOtherController(hostOf(controller))) ||
+      otherWrites.some((changes) => changes.includes(job))
     );
   });
 }
@@ -65,7 +69,7 @@
   return serviceAddress(Number(controller.split('-')[1])).host;
 }
 
-test('transactions and claims without an answer are carried out late, after newer ones of the same controller', async () => {
+test('no task is killed when unanswered transactions and claims are executed late, after newer ones of the same controller', async () => {
   const faults: Fault[] = [
     { kind: 'close-looks', atS: BEGIN_S - 5, forS: 40 },
     { kind: 'late-writes', atS: BEGIN_S - 2, forS: 3, share: 0.5, delayS: [1, 6] },
@@ -94,7 +98,7 @@
   });
 });
 
-test('transactions and claims are carried out at once and only their answer is lost while others read them', async () => {
+test('no task is killed when transactions and claims are executed but their answers are lost, and others read the records', async () => {
   const faults: Fault[] = [
     { kind: 'close-looks', atS: BEGIN_S - 15, forS: 50 },
     { kind: 'lost-answers', atS: BEGIN_S - 12, forS: 13, share: 0.5 },
@@ -115,20 +119,23 @@
     const elected = result.leaders.find(({ atS }) => atS >= claim.atS)!;
     assert.equal(hostOf(elected.leader), claim.clientHost);
     const readByOthers = lost.flatMap((transaction) => jobsReadByOthers(result, transaction));
-    assert.ok(readByOthers.length >= 3, `${readByOthers.length} jobs were read elsewhere`);
+    assert.ok(
+      readByOthers.length >= 3,
+      `${readByOthers.length} jobs were read by other controllers`,
+    );
     assert.ok(confirmedCancellations(result, BEGIN_S + 8, BEGIN_S + 20).length >= 3);
     assert.deepEqual(killedTasks(result, BEGIN_S, BEGIN_S + 55), []);
   });
 });
 
-/** The same cluster with machines of a few tasks each, so that more of them are rented. */
+/** Makes machines smaller, with room for a few tasks each, so that more machines are provisioned. */
 function withSmallMachines(cluster: ClusterSettings): ClusterSettings {
   const machineTypes = cluster.machineTypes.map((type) => ({ ...type, cpus: 16, memory: 64 }));
   return { ...cluster, machineTypes, capacity: [{ machines: 16 }] };
 }
 
-test('the leader ends while writes lag and machines that were up within two seconds get work at once', async () => {
-  // The first jobs come, and the first machines are rented, from the start on.
+test('no task is killed when the leader crashes while writes are late and quickly booted machines get work at once', async () => {
+  // The first jobs arrive, and the first machines are provisioned, right after the start.
   const lag = { fromS: 3, forS: 15 };
   const crashAtS = 12;
   const faults: Fault[] = [
@@ -149,7 +156,7 @@
     const inFlight = unanswered(result).filter(
       ({ atS, heldS }) => atS > crashAtS && atS - heldS < crashAtS,
     );
-    assert.ok(inFlight.length > 0, 'no transaction was under way when the leader ended');
+    assert.ok(inFlight.length > 0, 'no transaction was in flight when the leader crashed');
     const [crash] = result.faults.of('controller-crash');
     assert.ok(result.leaders.some(({ term }) => term > crash.leader!.term));
     assert.deepEqual(killedTasks(result, 0, 75), []);
--- a/packages/testing/fault-combinations/on-call/flapping-or-slow.test.ts
+++ b/packages/testing/fault-combinations/on-call/flapping-or-slow.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Guards against killed tasks and lost cancellations when leaders fail again and again, or are slow instead of
+ * dead, so that leadership changes often or the next leader fails too.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Fault } from '../../simulation/index.js';
@@ -12,12 +16,12 @@
 
 const BEGIN_S = BUSY_FROM_S;
 
-/** Times from BEGIN_S on, in seconds after the start of a scenario. */
+/** Times with a fixed period from BEGIN_S on, in seconds after the start of a scenario. */
 function periodicTimes(periodS: number, count: number): number[] {
   return Array.from({ length: count }, (_, index) => BEGIN_S + index * periodS);
 }
 
-test('work lives on while whoever leads crashes every twelve seconds for two minutes', async () => {
+test('no task is killed while the current leader crashes every twelve seconds for two minutes', async () => {
   const crashes = periodicTimes(12, 10).map((atS): Fault => ({
     kind: 'controller-crash',
     atS,
@@ -40,7 +44,7 @@
   });
 });
 
-test('work lives on while the leader loses the state service for four seconds again and again', async () => {
+test('no task is killed while the leader loses the state service for four seconds every ten seconds', async () => {
   const cuts = periodicTimes(10, 8).map((atS): Fault => ({
     kind: 'controller-cut',
     atS,
@@ -60,7 +64,7 @@
   });
 });
 
-test('a leader that is slow instead of dead, with short standstills again and again, loses no work', async () => {
+test('no task is killed while the leader freezes for a few seconds every eight seconds and the state service is slow', async () => {
   const freezes = periodicTimes(8, 15).map((atS, index): Fault => ({
     kind: 'controller-freeze',
     atS,
@@ -84,7 +88,7 @@
   });
 });
 
-test('everybody comes at once at the end of a long outage, and all controllers end a second later', async () => {
+test('cancellations are confirmed and work runs again when all controllers crash right after a long outage', async () => {
   const outageS = CANCEL_S + 10;
   const endS = BEGIN_S + outageS;
   const faults: Fault[] = [
@@ -102,7 +106,7 @@
     const [crash] = result.faults.of('controller-crash');
     assert.ok(crash.fromS > outage.untilS && crash.controllers.length === 3);
     assert.deepEqual(confirmedCancellations(result, BEGIN_S + 1, endS), []);
-    // What users asked for in the outage is confirmed after it, and then ends in time.
+    // Cancellations requested during the outage are confirmed after it, and the jobs then end in time.
     const confirmed = confirmedCancellations(result, endS, lengthS - LEASE_S);
     assert.ok(confirmed.length >= 4, `${confirmed.length} confirmations`);
     for (const { job, atS } of confirmed) {
@@ -112,7 +116,7 @@
   });
 });
 
-test('cancellations are kept while two controllers are silent and the third stands still in its take-over', async () => {
+test('confirmed cancellations are kept while two controllers are silent and the third freezes during its take-over', async () => {
   const silentS = 70;
   const takeoverS = BEGIN_S + 8;
   const faults: Fault[] = [
--- a/packages/testing/fault-combinations/on-call/leader-cut-from-workers.test.ts
+++ b/packages/testing/fault-combinations/on-call/leader-cut-from-workers.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Guards against killed tasks when a leader loses the connections to its workers but keeps its lease: another
+ * controller must take over before the leases of the workers run out.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { killedTasks, playMeeting, tasksRunningAt } from '../run-queries.js';
@@ -7,7 +11,7 @@
 const CUT_S = 35;
 
 for (const mode of ['refuse', 'hold', 'drop'] satisfies CutMode[]) {
-  test(`work lives though the leader loses its workers alone (${mode})`, async () => {
+  test(`no task is killed when the leader is cut off from its workers alone (${mode})`, async () => {
     const faults: Fault[] = [
       {
         kind: 'controller-cut',
@@ -25,7 +29,7 @@
       assert.ok(successor && successor.atS < cut.fromS + LEASE_S, 'nobody took over in time');
       assert.notEqual(successor.leader, cut.leader!.leader);
       const fullResult = { faults, leaders, ...result };
-      assert.ok(tasksRunningAt(fullResult, cut.fromS) >= 10, 'little ran');
+      assert.ok(tasksRunningAt(fullResult, cut.fromS) >= 10, 'too few tasks were running');
       assert.deepEqual(killedTasks(fullResult, cut.fromS, cut.untilS + LEASE_S), []);
     });
   });
--- a/packages/testing/fault-combinations/on-call/leader-cut-in-outage.test.ts
+++ b/packages/testing/fault-combinations/on-call/leader-cut-in-outage.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Guards against released machines and killed tasks when a leader loses its workers and no other controller
+ * can take over until an outage of the state service ends.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { killedTasks, machinesUp, playMeeting, tasksRunningAt } from '../run-queries.js';
@@ -9,7 +13,7 @@
 const OUTAGE_S = 14;
 
 for (const mode of ['refuse', 'hold'] satisfies CutMode[]) {
-  test(`machines are kept though the leader loses its workers (${mode}) right before an outage`, async () => {
+  test(`machines and tasks are kept when the leader is cut off from its workers (${mode}) right before an outage`, async () => {
     const faults: Fault[] = [
       {
         kind: 'controller-cut',
@@ -35,7 +39,7 @@
       const before = machinesUp(result, BEGIN_S, BEGIN_S);
       const kept = machinesUp(result, BEGIN_S, cut.untilS);
       assert.ok(kept.length >= before.length - 1, `${kept.length} of ${before.length} kept`);
-      assert.ok(tasksRunningAt(result, BEGIN_S) >= 10, 'little ran');
+      assert.ok(tasksRunningAt(result, BEGIN_S) >= 10, 'too few tasks were running');
       assert.deepEqual(killedTasks(result, cut.fromS, endS), []);
     });
   });
--- a/packages/testing/fault-combinations/on-call/silent-or-frozen-leader.test.ts
+++ b/packages/testing/fault-combinations/on-call/silent-or-frozen-leader.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Guards against killed tasks when a leader disappears without a closed connection, or freezes and wakes up after
+ * another controller took over.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { killedTasks, playMeeting, heartbeatsAnswered, tasksRunningAt } from '../run-queries.js';
@@ -7,7 +11,7 @@
 const BEGIN_S = BUSY_FROM_S;
 const DOWN_S = 80;
 
-/** A machine without power: its process is gone, and connections to it hang without an error. */
+/** Faults of controllers that lose power: the process is gone, and connections to it hang without an error. */
 function powerOffFaults(controllers: ControllerTarget): Fault[] {
   return [
     {
@@ -22,18 +26,18 @@
   ];
 }
 
-/** Asserts that somebody else led before a lease of the leader's workers could run out. */
+/** Asserts that another controller led before a lease of the former leader's workers could run out. */
 function assertTakenOver({ leaders }: ScenarioResult, atS: number): void {
   const successor = leaders.find((leader) => leader.atS > atS);
   assert.ok(successor && successor.atS < atS + LEASE_S / 2, `nobody took over at ${atS} s`);
 }
 
 function assertWorkKept(result: ScenarioResult, untilS: number): void {
-  assert.ok(tasksRunningAt(result, BEGIN_S) >= 10, 'little ran');
+  assert.ok(tasksRunningAt(result, BEGIN_S) >= 10, 'too few tasks were running');
   assert.deepEqual(killedTasks(result, BEGIN_S, untilS), []);
 }
 
-test('work lives though a silent leader stays away for over a minute, and its way back disturbs nothing', async () => {
+test('no task is killed when a silent leader is away for over a minute, and its return changes no leader', async () => {
   const endS = BEGIN_S + DOWN_S + 30;
   await playMeeting(
     steadyScenario('silent leader', endS, powerOffFaults('leader')),
@@ -43,26 +47,26 @@
       assertTakenOver(result, crash.fromS);
       const answered = heartbeatsAnswered(result, crash.leader!.leader, BEGIN_S, BEGIN_S + DOWN_S);
       assert.equal(answered, 0, 'the leader was not silent');
-      // One change of leader: the way back brings about no other.
+      // Leadership changes once: the return of the former leader causes no other change.
       assert.equal(result.leaders.filter(({ atS }) => atS > BEGIN_S).length, 1);
       assertWorkKept(result, endS);
     },
   );
 });
 
-test('work goes on though the leader and a follower are silent for over a minute', async () => {
+test('the remaining controller takes over and work runs when the leader and a follower are silent for over a minute', async () => {
   const faults = [...powerOffFaults('leader'), ...powerOffFaults('one-follower')];
   const endS = BEGIN_S + DOWN_S + 30;
   await playMeeting(steadyScenario('two silent', endS, faults), [1, 2, 3], (result) => {
     assert.equal(result.faults.of('controller-crash').length, 2);
     assertTakenOver(result, BEGIN_S);
-    // Workers that try the two one after the other lose their leases, so what they held begins anew.
+    // Workers that try both silent controllers one after the other lose their leases, so their tasks start again.
     assert.ok(tasksRunningAt(result, BEGIN_S + DOWN_S) >= 10);
   });
 });
 
 for (const frozenS of [5, 12, 20]) {
-  test(`work lives though the leader stands still for ${frozenS} s, and then its successor`, async () => {
+  test(`no task is killed when the leader freezes for ${frozenS} s, and then its successor`, async () => {
     const freeze = { kind: 'controller-freeze', controllers: 'leader', forS: frozenS } as const;
     const secondFreezeS = BEGIN_S + frozenS + 15;
     const faults: Fault[] = [
@@ -77,7 +81,7 @@
   });
 }
 
-test('work lives though the successor of a silent leader stands still while the silent one is still away', async () => {
+test('no task is killed when the successor of a silent leader freezes while the silent one is still away', async () => {
   const faults: Fault[] = [
     ...powerOffFaults('leader'),
     { kind: 'controller-freeze', atS: BEGIN_S + 25, controllers: 'leader', forS: 20 },
@@ -94,7 +98,7 @@
   });
 });
 
-test('work lives though a successor stands still while it takes over from a leader that crashed', async () => {
+test('no task is killed when a successor freezes while it takes over from a leader that crashed', async () => {
   const frozenS = 6;
   const faults: Fault[] = [
     { kind: 'controller-crash', atS: BEGIN_S, controllers: 'leader', downS: frozenS },
--- a/packages/testing/fault-combinations/on-call/silent-workers.test.ts
+++ b/packages/testing/fault-combinations/on-call/silent-workers.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Guards against killed tasks when a leader no longer hears its workers, and against needless changes of leader
+ * when no controller could hear them or the leader's own freeze explains their silence.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { CutMode, Fault, ScenarioResult } from '../../simulation/index.js';
@@ -13,7 +17,7 @@
 const BEGIN_S = BUSY_FROM_S;
 const CUT_S = 35;
 const LENGTH_S = BEGIN_S + CUT_S + 20;
-/** A worker waits so long for the answer to a report. */
+/** Seconds for which a worker waits for the answer to a heartbeat. */
 const HEARTBEAT_TIMEOUT_S = 4;
 
 function leaderCutFromWorkers(mode: CutMode): Fault {
@@ -21,7 +25,7 @@
   return { kind: 'controller-cut', ...span, controllers: 'leader', from: ['workers'], mode };
 }
 
-/** The leader lost its workers and nothing else, and had work on several machines. */
+/** Asserts that the leader answered no worker during the cut, which began with several machines and many tasks. */
 function assertLeaderLostWorkers(result: ScenarioResult) {
   const [{ leader, fromS, untilS }] = result.faults.of('controller-cut');
   assert.ok(leader, 'nobody led');
@@ -31,7 +35,7 @@
   return { leader, fromS, untilS };
 }
 
-test('work lives on when the leader loses all its workers, which wait for its answers', async () => {
+test('no task is killed when the leader is cut off from all workers, in each mode of the cut', async () => {
   const modes: CutMode[] = ['drop', 'hold', 'refuse'];
   for (const [index, mode] of modes.entries()) {
     const scenario = steadyScenario(`no workers (${mode})`, LENGTH_S, [leaderCutFromWorkers(mode)]);
@@ -47,7 +51,7 @@
   }
 });
 
-test('work lives on when the leader loses all its workers while another controller is silent', async () => {
+test('no task is killed when the leader is cut off from all workers while another controller is silent', async () => {
   const faults: Fault[] = [
     {
       kind: 'controller-crash',
@@ -71,7 +75,7 @@
   });
 });
 
-test('a leader whose workers nobody can reach hands the part over at most once', async () => {
+test('leadership changes at most once while no controller can reach any worker', async () => {
   const cutS = 25;
   const faults: Fault[] = [
     {
@@ -92,7 +96,7 @@
   });
 });
 
-test('a leader that stood still does not take its workers for silent', async () => {
+test('a leader that wakes from a freeze does not step down because its workers seem unreachable', async () => {
   const frozenS = 2.2 * HEARTBEAT_INTERVAL_S;
   const faults: Fault[] = [0, 8, 16].map((laterS) => ({
     kind: 'controller-freeze',
--- a/packages/testing/fault-combinations/refused-then-outage.test.ts
+++ b/packages/testing/fault-combinations/refused-then-outage.test.ts
@@ -1,3 +1,8 @@
+/**
+ * Guards against confirmed cancellations that get lost when the state service refuses the leader alone: other
+ * controllers confirm cancellations that the leader has not heard of, and then an outage begins in which the leader
+ * keeps its lease.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { CutMode, Fault, FaultRecord, ScenarioResult } from '../simulation/index.js';
@@ -25,7 +30,7 @@
 const OUTAGE_S = CANCEL_S + 10;
 const LENGTH_S = OUTAGE_AT_S + OUTAGE_S + 25;
 
-/** The leader is refused alone, jobs are cancelled, then nobody is served. */
+/** The state service refuses the leader alone, jobs are cancelled, then the state service refuses every controller. */
 const REFUSED_THEN_OUTAGE: Fault[] = [
   { kind: 'state-refuses', atS: REFUSED_AT_S, controllers: 'leader', forS: 14 },
   { kind: 'cancel-now', atS: CANCELLED_AT_S, count: 12 },
@@ -37,13 +42,13 @@
 }
 
 interface RefusalThenOutage {
-  /** Name of the controller that led throughout. */
+  /** Name of the controller that led during the refusal and the outage. */
   leader: string;
   outage: FaultRecord;
   confirmed: ConfirmedCancellation[];
 }
 
-/** Asserts that others confirmed cancellations while the leader was refused alone, and that it led on. */
+/** Asserts that only other controllers confirmed cancellations during the refusal, and that the leader stayed leader. */
 function assertCancelledWhileRefused(result: ScenarioResult): RefusalThenOutage {
   const [refusal] = result.faults.of('state-refuses');
   const [outage] = result.faults.of('state-outage');
@@ -56,7 +61,7 @@
   return { leader, outage, confirmed };
 }
 
-/** Asserts that the workers stayed with the leader for the whole outage and that no task was killed. */
+/** Asserts that all workers stayed with the leader during the whole outage and that no task was killed. */
 function assertWorkKept(result: ScenarioResult, { leader, outage }: RefusalThenOutage): void {
   const { fromS, untilS } = outage;
   assertAnswersAllMachines(result, leader, fromS, untilS);
@@ -64,13 +69,13 @@
   assert.ok(tasksRunningAt(result, untilS) >= 10);
 }
 
-test('cancellations confirmed while the leader is refused alone are kept in a long outage, and other work lives', async () => {
+test('cancellations confirmed while the leader alone is refused are kept in a long outage, and no task is killed', async () => {
   await playMeeting(makeScenario('refused, then an outage'), [1, 3, 4], (result) => {
     assertWorkKept(result, assertCancelledWhileRefused(result));
   });
 });
 
-test('confirmed cancellations are kept though the confirming controllers crash before the leader hears of them', async () => {
+test('confirmed cancellations are kept when the confirming controllers crash before the leader hears of them', async () => {
   const crashAtS = CANCELLED_AT_S + 0.4;
   const extraFaults: Fault[] = [
     { kind: 'peers-cut', atS: CANCELLED_AT_S - 0.2, forS: 0.8, mode: 'drop' },
@@ -86,7 +91,7 @@
   });
 });
 
-test('confirmed cancellations are kept though the links between the controllers are cut meanwhile', async () => {
+test('confirmed cancellations are kept when the links between the controllers are cut at the time of confirmation', async () => {
   const modes: CutMode[] = ['hold', 'drop', 'refuse'];
   for (const mode of modes) {
     const extraFaults: Fault[] = [{ kind: 'peers-cut', atS: CANCELLED_AT_S - 0.2, forS: 3, mode }];
@@ -94,14 +99,17 @@
       const observed = assertCancelledWhileRefused(result);
       const [cut] = result.faults.of('peers-cut');
       for (const { job } of observed.confirmed) {
-        assert.ok(lastTaskLeftAt(result, job) > cut.untilS, `${job} was known too early`);
+        assert.ok(
+          lastTaskLeftAt(result, job) > cut.untilS,
+          `${job} ended before the links were restored`,
+        );
       }
       assertWorkKept(result, observed);
     });
   }
 });
 
-test('confirmed cancellations are kept though the confirming controllers restart in the outage and can tell nothing', async () => {
+test('confirmed cancellations are kept when the confirming controllers restart in the outage and no longer know of them', async () => {
   const cutS = 10;
   const extraFaults: Fault[] = [
     { kind: 'peers-cut', atS: CANCELLED_AT_S - 0.2, forS: cutS, mode: 'refuse' },
@@ -112,7 +120,7 @@
     const [cut] = result.faults.of('peers-cut');
     const [crash] = result.faults.of('controller-crash');
     assert.ok(crash.fromS > outage.fromS && crash.fromS + 2 < cut.untilS);
-    // The peers' new lives are heard again, and can't tell what their former ones confirmed.
+    // The leader hears from the restarted peers again; they no longer know what they confirmed before.
     assert.ok(
       heartbeatsAnswered(result, leader, cut.untilS + HEARTBEAT_INTERVAL_S, outage.untilS) >
         LEASE_S,
@@ -125,7 +133,7 @@
   });
 });
 
-test('jobs cancelled at the moment at which the leader is refused end in time though an outage follows a second later', async () => {
+test('jobs cancelled at the moment at which the leader is refused end in time when an outage follows a second later', async () => {
   const faults: Fault[] = [
     { kind: 'state-refuses', atS: REFUSED_AT_S, controllers: 'leader', forS: 14 },
     { kind: 'cancel-now', atS: REFUSED_AT_S, count: 10 },
--- a/packages/testing/fault-combinations/run-queries.ts
+++ b/packages/testing/fault-combinations/run-queries.ts
@@ -1,4 +1,7 @@
-/** What tests of meetings ask a run: who confirmed what when, whom workers obeyed, which work died. */
+/**
+ * Runs scenarios of combined faults and queries the results: which controller confirmed a cancellation and when,
+ * which controller answered heartbeats, and which tasks were killed.
+ */
 import assert from 'node:assert/strict';
 import { parseHostPort } from '#wire';
 import {
@@ -13,18 +16,18 @@
 import { appendRun } from '../simulation/comparison/saved-runs.js';
 import { LEASE_S } from './steady-work.js';
 
-/** A cancellation as its user was first told of it. */
+/** The first answer that told a user that a job is cancelled. */
 export interface ConfirmedCancellation {
   job: string;
   atS: number;
-  /** Name of the controller that said so. */
+  /** Name of the controller that sent the answer. */
   controller: string;
 }
 
 /**
- * Plays a scenario with several seeds; no rule may break, and the check says whether the meeting occurred.
- * `MEETING_SEEDS=4-20` in the environment plays these seeds instead, to look further, and `MEETING_RUNS=FILE` adds
- * each run to a file for simulation/compare-runs.
+ * Runs a scenario with several seeds. Asserts that no rule is violated; the check asserts that the faults coincided
+ * as intended. The environment variable `MEETING_SEEDS=4-20` replaces the seeds by these, for a wider search, and
+ * `MEETING_RUNS=FILE` appends each run to a file for simulation/compare-runs.
  */
 export async function playMeeting(
   scenario: Scenario,
@@ -57,7 +60,7 @@
   return Array.from({ length: last - first + 1 }, (_, index) => first + index);
 }
 
-/** The cancellations that were first confirmed in a span of time. */
+/** Cancellations that were first confirmed in a span of time. */
 export function confirmedCancellations(
   { timeline, requests }: ScenarioResult,
   fromS: number,
@@ -75,7 +78,7 @@
   return [...first.values()].filter(({ atS }) => atS >= fromS && atS <= untilS);
 }
 
-/** Reports that a controller answered with 200 in a span of time. */
+/** Counts the heartbeats that a controller answered with 200 in a span of time. */
 export function heartbeatsAnswered(
   { requests }: ScenarioResult,
   controller: string,
@@ -85,14 +88,14 @@
   return requests.find({ controller, path: HEARTBEAT_PATH, status: 200, fromS, untilS }).length;
 }
 
-/** Machines that were up at the beginning and at the end of a span of time. */
+/** Machines that were up at the beginning of a span of time and not gone at its end. */
 export function machinesUp({ timeline }: ScenarioResult, fromS: number, untilS: number) {
   const gone = new Set(timeline.of('machine-gone', 0, untilS).map(({ machine }) => machine));
   const up = timeline.of('machine-up', 0, fromS).map(({ machine }) => machine);
   return up.filter(({ name }) => !gone.has(name));
 }
 
-/** Asserts that a controller answered a report of each machine in every lease of a span of time. */
+/** Asserts that a controller answered a heartbeat of each machine within every lease length of a span of time. */
 export function assertAnswersAllMachines(
   result: ScenarioResult,
   controller: string,
@@ -119,13 +122,13 @@
   return parseHostPort(address).host;
 }
 
-/** When the last task of a job left its machine; -Infinity if none ever was on one. */
+/** Time at which the last task of a job left its machine; -Infinity if no task did. */
 export function lastTaskLeftAt({ timeline }: ScenarioResult, job: string): number {
   const ends = timeline.of('task-left').filter(({ task }) => task.job === job);
   return Math.max(...ends.map(({ atS }) => atS));
 }
 
-/** Tasks that were killed in a span of time, since their lease ended or their machine went. */
+/** Tasks that were killed in a span of time because their lease ended or their machine went away. */
 export function killedTasks({ timeline }: ScenarioResult, fromS: number, untilS: number): string[] {
   return timeline
     .of('task-left', fromS, untilS)
@@ -133,7 +136,7 @@
     .map(({ atS, machine, task }) => `${atS.toFixed(1)} s ${task.job}/${task.index} on ${machine}`);
 }
 
-/** Tasks that were on their machines at that time. */
+/** Counts the tasks that were running at a time. */
 export function tasksRunningAt({ timeline }: ScenarioResult, atS: number): number {
   const started = timeline.of('task-started', 0, atS).length;
   const startedTasks = new Set(
--- a/packages/testing/fault-combinations/slow-state-service.test.ts
+++ b/packages/testing/fault-combinations/slow-state-service.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Guards against unanswered users and killed tasks when the state service takes up to 1.3 seconds for an answer,
+ * or is slow and then refuses the leader and later every controller.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Fault } from '../simulation/index.js';
@@ -11,7 +15,7 @@
 
 const BEGIN_S = BUSY_FROM_S;
 
-test('users cancel and ask while the state service answers slowly', async () => {
+test('cancellations and status requests are answered, and no task is killed, while the state service answers slowly', async () => {
   const slowS = 25;
   const faults: Fault[] = [
     { kind: 'close-looks', atS: BEGIN_S - 5, forS: slowS + 10 },
@@ -30,13 +34,13 @@
       const polls = result.timeline
         .of('answered', slow.fromS, slow.untilS)
         .filter(({ request, status }) => request.kind === 'poll' && status === 200);
-      assert.ok(polls.length > slowS, `${polls.length} questions answered`);
+      assert.ok(polls.length > slowS, `${polls.length} status requests answered`);
       assert.deepEqual(killedTasks(result, slow.fromS, slow.untilS + LEASE_S), []);
     },
   );
 });
 
-test('users cancel and ask while the slow state service refuses the leader alone and then everybody', async () => {
+test('cancellations are confirmed and no task is killed when a slow state service refuses the leader alone, then everybody', async () => {
   const outageAtS = BEGIN_S + 6;
   const outageS = CANCEL_S + 8;
   const faults: Fault[] = [
--- a/packages/testing/fault-combinations/steady-work.ts
+++ b/packages/testing/fault-combinations/steady-work.ts
@@ -1,4 +1,4 @@
-/** What is the same in all meetings of this directory: a small cluster and work that runs for minutes. */
+/** Base scenario of the fault combinations: a small cluster and work that runs for minutes. */
 import {
   SMALL_CLUSTER,
   type ClusterSettings,
@@ -9,7 +9,7 @@
 
 const { workers } = SMALL_CLUSTER.deployment;
 
-/** Seconds until all tasks of a cancelled job must be gone. */
+/** Seconds within which all tasks of a cancelled job must have ended. */
 export const CANCEL_S = workers.cancel_s;
 export const LEASE_S = workers.lease_s;
 export const HEARTBEAT_INTERVAL_S = workers.report_s;
@@ -24,7 +24,7 @@
   spread: false,
   spot: false,
 };
-/** Longer than any of these scenarios. */
+/** Run times longer than any of these scenarios. */
 const LONG_RUN = { medianS: 300, p95S: 360, maxS: 400 };
 
 const LONG_BATCHES: JobClass = {
@@ -78,12 +78,12 @@
 };
 
 const STEADY_CLASSES = [LONG_BATCHES, REPLICAS, LONG_GANGS, SHORT_BATCHES];
-/** By then enough work runs for a fault to meet. */
+/** Enough long work is running from this time on for a fault to affect it. */
 export const BUSY_FROM_S = 70;
-/** No more jobs come so long before the end. */
+/** Length of the period at the end of a scenario in which no jobs arrive, in seconds. */
 const ARRIVALS_END_BEFORE_S = 20;
 
-/** A scenario whose long work runs from BUSY_FROM_S on while short jobs come and go. */
+/** Makes a scenario whose long work runs from BUSY_FROM_S on while short jobs arrive and end. */
 export function steadyScenario(name: string, lengthS: number, faults: Fault[]): Scenario {
   const workload = { classes: STEADY_CLASSES, untilS: lengthS - ARRIVALS_END_BEFORE_S };
   return { name, cluster: STEADY_CLUSTER, workload, faults, lengthS };
--- a/packages/testing/fault-combinations/upgrade.test.ts
+++ b/packages/testing/fault-combinations/upgrade.test.ts
@@ -1,4 +1,7 @@
-/** Controllers are replaced one after another by ones that know of the limits to come, which then come into force. */
+/**
+ * Guards against killed tasks and malformed transactions when controllers are replaced one after another by a version
+ * that knows the next, smaller limits of the state service, and these limits then come into force.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Controller } from '#controller';
@@ -26,7 +29,7 @@
 const LENGTH_S = 260;
 const NEXT_LIMITS = { value_kb: 1.5, txn_ops: 6, write_rps: 40 };
 
-/** The cluster's settings say what limits are to come. */
+/** Adds the next limits of the state service to the settings of the cluster. */
 function withNextLimits(cluster: ClusterSettings): ClusterSettings {
   const { deployment } = cluster;
   const state = { ...deployment.state, next: NEXT_LIMITS };
@@ -34,8 +37,9 @@
 }
 
 /**
- * Controllers whose first lives hold to the form of the older version: they divide progress and fill records by the
- * limits in force. Those that end before their turn come back so once more.
+ * Makes controllers of the older version until a controller reaches its given incarnation, and of the new version from
+ * then on. The older version divides progress and fills records up to the limits in force. A controller that crashes
+ * before its replacement restarts with the older version.
  */
 function makeControllersByVersion(newFromIncarnation: number[]): ControllerMaker {
   const incarnations = new Map<string, number>();
@@ -54,7 +58,7 @@
   };
 }
 
-/** The first controller ends once before its turn; each is replaced in its turn. */
+/** The first controller crashes once before its replacement; then each controller is replaced in turn. */
 const UPGRADE_FAULTS: Fault[] = [
   { kind: 'controller-crash', atS: 40, controllers: [0], downS: 1 },
   ...[0, 1, 2].map((index): Fault => {
@@ -72,7 +76,7 @@
   },
 ];
 const ARRIVALS: Arrivals = { perMinute: 24, together: [1, 1] };
-/** One job of so many tasks that what is recorded of them is larger than the value limit to come. */
+/** An array with so many tasks that its recorded progress exceeds the next limit of value sizes. */
 const LARGE_ARRAY: JobClass = {
   ...DIAMOND.stages[0].jobClass,
   arrivals: { perMinute: 0, together: [1, 1], atStart: 2 },
@@ -104,7 +108,7 @@
   assert.deepEqual(describeProblems(result), [], `${name}, seed ${seed}`);
   assert.deepEqual(prematureStarts(result), []);
   const { done, cancelledByDependency } = countDependentJobs(result, PIPELINES_FROM_S);
-  assert.ok(countOverNextLimits(result) > 0, 'an older version used the limits in force');
+  assert.ok(countOverNextLimits(result) > 0, 'no older version used the limits in force');
   assert.ok(
     done >= 10 && cancelledByDependency >= 1,
     `${done} done, ${cancelledByDependency} aborted`,
@@ -112,7 +116,7 @@
   return result;
 }
 
-/** Transactions that were carried out before the limits came into force and would be refused since. */
+/** Counts transactions that ran before the next limits came into force and would have exceeded these limits. */
 function countOverNextLimits({ timeline }: ScenarioResult): number {
   const isLarge = (change: Change) =>
     'put' in change && wireSize(change.value) > NEXT_LIMITS.value_kb * 1024;
@@ -121,14 +125,14 @@
     .filter(({ changes }) => changes.length > NEXT_LIMITS.txn_ops || changes.some(isLarge)).length;
 }
 
-/** Terms that ended because the state service found a transaction malformed. */
+/** Log entries of leaders that stepped down because the state service refused a transaction as malformed. */
 function malformedTransactions({ controllers }: ScenarioResult): string[] {
   const message = 'state transaction refused as malformed, leader steps down';
   const entries = controllers.flatMap(({ log }) => log.entries(message));
   return entries.map((entry) => JSON.stringify(entry));
 }
 
-test('a rolling replacement and smaller limits without notice cost no work and no transaction', async () => {
+test('no task is killed and no transaction refused as malformed in a rolling upgrade, then smaller limits without notice', async () => {
   for (const seed of [1, 2, 3]) {
     const result = await runUpgrade('upgrade', [], seed);
     assert.deepEqual(malformedTransactions(result), []);
@@ -136,7 +140,7 @@
   }
 });
 
-test('a rolling replacement holds all rules beside crashes, cuts of the state service, an outage and cancellations', async () => {
+test('a rolling upgrade violates no rule during crashes, refusals by the state service, an outage and cancellations', async () => {
   const extraFaults: Fault[] = [
     { kind: 'cancel-now', atS: UPGRADE_AT_S + 2, count: 5 },
     { kind: 'late-writes', atS: UPGRADE_AT_S + 4, forS: 10, share: 0.3, delayS: [1, 6] },
