--- a/packages/testing/fault-combinations/dependency-queries.ts
+++ b/packages/testing/fault-combinations/dependency-queries.ts
@@ -56,10 +56,8 @@
 export function prematureStarts(result: ScenarioResult): string[] {
   const { done, assigned } = firstTransactions(result);
   const isPremature = ({ id, awaits }: Job) => {
-    const assignedAt = assigned.get(id) ?? Infinity;
-    return (
-      assignedAt !== Infinity && awaits.some((each) => (done.get(each) ?? Infinity) >= assignedAt)
-    );
+    const startNo = assigned.get(id) ?? Infinity;
+    return startNo !== Infinity && awaits.some((each) => (done.get(each) ?? Infinity) >= startNo);
   };
   return dependentJobs(result)
     .filter(isPremature)
--- a/packages/testing/fault-combinations/dependent-jobs.test.ts
+++ b/packages/testing/fault-combinations/dependent-jobs.test.ts
@@ -19,10 +19,7 @@
 const LENGTH_S = 200;
 
 /** Jobs whose cancellation was requested after their last task had completed, by the phase that users were told. */
-function cancelledAfterLastTask({ timeline }: ScenarioResult): {
-  done: string[];
-  cancelled: string[];
-} {
+function cancelledAtEnd({ timeline }: ScenarioResult): { done: string[]; cancelled: string[] } {
   const askedAt = new Map(timeline.of('cancel-asked').map(({ job, atS }) => [job, atS]));
   const endedAt = new Map(timeline.of('task-completed').map(({ job, atS }) => [job, atS]));
   const jobs = new Map(timeline.of('job-submitted').map(({ id, job }) => [id, job]));
@@ -59,7 +56,7 @@
     assertPipelinesServed(result);
     const cancelled = cancelledDependencies(result, 0, LENGTH_S);
     assert.ok(cancelled.length >= 5, `${cancelled.length} dependencies were cancelled`);
-    const cancelledLate = cancelledAfterLastTask(result);
+    const cancelledLate = cancelledAtEnd(result);
     assert.ok(
       cancelledLate.cancelled.length >= 3,
       `${cancelledLate.cancelled.length} were cancelled with all tasks done`,
