--- a/packages/testing/fault-combinations/cut-or-frozen-leader.test.ts
+++ b/packages/testing/fault-combinations/cut-or-frozen-leader.test.ts
@@ -1,9 +1,13 @@
+/**
+ * Guards against cancelled jobs that run on when a new leader confirmed their cancellation while their machines
+ * still obey the old leader, which is cut off or frozen and does not know of it.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { CutMode, Fault, ScenarioResult } from '../simulation/index.js';
 import {
-  assertLeads,
-  confirmations,
+  assertAnswersAllMachines,
+  confirmedCancellations,
   killedTasks,
   lastTaskLeftAt,
   playMeeting,
@@ -20,7 +24,7 @@
 
 const BEGIN_S = BUSY_FROM_S;
 
-/** Who led when the first fault began, and the first who claimed the part after that. */
+/** The leader at the beginning of the first fault, and the first controller that claimed the shard after that. */
 function leaderAndSuccessor({ faults, leaders }: ScenarioResult) {
   const { leader } = faults.records[0];
   const successor = leaders.find(({ term }) => term > leader!.term);
@@ -29,7 +33,7 @@
   return { leader, successor };
 }
 
-test('jobs cancelled through the new leader end in time on machines that obey the old one, which is cut off', async () => {
+test('jobs cancelled through the new leader end in time on machines that obey the old leader, which is cut off', async () => {
   const cutS = 45;
   const modes: CutMode[] = ['drop', 'hold', 'refuse'];
   for (const [index, mode] of modes.entries()) {
@@ -48,17 +52,17 @@
     await playMeeting(scenario, [1 + 2 * index, 2 + 2 * index], (result) => {
       const [cut] = result.faults.of('controller-cut');
       const { leader, successor } = leaderAndSuccessor(result);
-      const confirmed = confirmations(result, successor.atS, cut.untilS);
+      const confirmed = confirmedCancellations(result, successor.atS, cut.untilS);
       assert.ok(confirmed.length >= 4, `${confirmed.length} confirmations`);
       assert.ok(confirmed.every(({ controller }) => controller !== leader.leader));
       const lastConfirmedS = Math.max(...confirmed.map(({ atS }) => atS));
       const heartbeats = heartbeatsAnswered(result, leader.leader, lastConfirmedS, cut.untilS);
-      assert.ok(heartbeats > LEASE_S, `${heartbeats} reports answered by the old leader`);
+      assert.ok(heartbeats > LEASE_S, `${heartbeats} heartbeats answered by the old leader`);
       const ranOn = confirmed.filter(
         ({ job, atS }) => lastTaskLeftAt(result, job) > atS + HEARTBEAT_INTERVAL_S,
       );
       assert.ok(ranOn.length >= 3, `${ranOn.length} jobs ran on`);
-      // The old leader lets its workers go in time for the new one to keep their work.
+      // The old leader releases its workers early enough for the new leader to keep their tasks.
       assert.deepEqual(killedTasks(result, cut.fromS, cut.untilS), []);
       assert.ok(tasksRunningAt(result, cut.untilS) >= 10);
     });
@@ -66,7 +70,7 @@
 });
 
 for (const frozenS of [2, 5, 9]) {
-  test(`a leader that stands still for ${frozenS} s into an outage ends what others confirmed meanwhile`, async () => {
+  test(`a leader that freezes for ${frozenS} s until an outage has begun ends jobs whose cancellation others confirmed`, async () => {
     const outageAtS = BEGIN_S + 1;
     const faults: Fault[] = [
       { kind: 'controller-freeze', atS: BEGIN_S, controllers: 'leader', forS: frozenS },
@@ -80,13 +84,13 @@
       const leader = freeze.leader!.leader;
       assert.deepEqual(outage.leader, freeze.leader);
       assert.ok(freeze.untilS > outage.fromS);
-      const confirmed = confirmations(result, freeze.fromS, outage.fromS);
+      const confirmed = confirmedCancellations(result, freeze.fromS, outage.fromS);
       assert.ok(confirmed.length >= 3, `${confirmed.length} confirmations`);
       for (const { job, controller } of confirmed) {
         assert.notEqual(controller, leader);
         assert.ok(lastTaskLeftAt(result, job) > outage.fromS, `${job} ended before the outage`);
       }
-      assertLeads(result, leader, freeze.untilS + LEASE_S, outage.untilS);
+      assertAnswersAllMachines(result, leader, freeze.untilS + LEASE_S, outage.untilS);
       if (frozenS < LEASE_S / 2) {
         assert.deepEqual(killedTasks(result, outage.fromS, outage.untilS + LEASE_S), []);
       }
@@ -94,7 +98,7 @@
   });
 }
 
-test('a leader that wakes after its successor began, cut from it and from the state service, lets its workers go in time', async () => {
+test('a leader that wakes after its successor took over, cut off from it and the state service, releases its workers in time', async () => {
   const frozenS = 3.8;
   const cutS = 50;
   const faults: Fault[] = [
@@ -116,20 +120,20 @@
     const { leader, successor } = leaderAndSuccessor(result);
     assert.deepEqual(cut.controllers, [leader.leader]);
     assert.ok(successor.atS < freeze.untilS, `the successor began at ${successor.atS} s`);
-    const confirmed = confirmations(result, freeze.fromS, freeze.untilS);
+    const confirmed = confirmedCancellations(result, freeze.fromS, freeze.untilS);
     assert.ok(confirmed.length >= 3, `${confirmed.length} confirmations`);
-    // It had workers once it was awake, and let them go.
+    // The old leader answered workers after it woke up, and released them in time.
     assert.ok(heartbeatsAnswered(result, leader.leader, freeze.untilS + 2, cut.untilS) > LEASE_S);
     assert.equal(heartbeatsAnswered(result, leader.leader, freeze.fromS + CANCEL_S, cut.untilS), 0);
     const ranOn = confirmed.filter(({ job }) => lastTaskLeftAt(result, job) > freeze.untilS + 2);
     assert.ok(ranOn.length >= 1, 'no cancelled job ran on');
     const { log } = result.controllers.find(({ name }) => name === leader.leader)!;
-    const dealings = [
+    const cloudActions = [
       ...log.entries('scale-out completed'),
       ...log.entries('machines deprovisioned'),
     ];
     assert.deepEqual(
-      dealings.filter(({ atS }) => atS > freeze.untilS && atS < cut.untilS),
+      cloudActions.filter(({ atS }) => atS > freeze.untilS && atS < cut.untilS),
       [],
     );
   });
--- a/packages/testing/fault-combinations/faulty-jobs.test.ts
+++ b/packages/testing/fault-combinations/faulty-jobs.test.ts
@@ -1,4 +1,7 @@
-/** Jobs that were submitted with a mistake: their tasks fail on every machine until their users cancel them. */
+/**
+ * Guards against faulty jobs, whose tasks fail on every machine until their users cancel them, that are retried without
+ * limit, delay sound jobs or cause scale-outs.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -15,24 +18,24 @@
 
 const LENGTH_S = 300;
 const CRASH_S = 100;
-const LAST_JOBS_S = 160;
-/** Rents that were decided before a job became suspect may go out so much later. */
+const ARRIVALS_END_S = 160;
+/** A scale-out decided before a job became suspect may complete so many seconds later. */
 const PROVISION_DELAY_S = 3;
-/** Attempts of a suspect job in any of these runs, one after the other, and its tasks in each. */
-const MOST_PROBES = 9;
+/** Most successive attempts (probes) of a suspect job in any of these runs, and the tasks in each. */
+const MAX_PROBES = 9;
 const PROBE_TASKS = 2;
-/** Seconds by which the mean wait of sound jobs may be longer than without faulty ones. */
-const MOST_LONGER_S = 1;
+/** Seconds by which faulty jobs may increase the mean wait of sound jobs. */
+const MAX_ADDED_WAIT_S = 1;
 
-/** With room for all that is known to be sound. */
+/** A cluster with room for all jobs that are not suspect. */
 const CLUSTER = { ...SMALL_CLUSTER, capacity: [{ machines: 30 }] };
 
 const [REPLICAS, BATCHES, , GANGS] = USUAL_CLASSES;
 const SOUND_CLASSES = USUAL_CLASSES.map((jobClass) => ({ ...jobClass, mistakenShare: 0 }));
 const FAULTY = /^faulty/;
 
-/** Its tasks fail long before they could complete or save. */
-function faulty(jobClass: JobClass, perMinute: number): JobClass {
+/** Makes a job class whose tasks fail long before they could complete or save a checkpoint. */
+function makeFaulty(jobClass: JobClass, perMinute: number): JobClass {
   const { template } = jobClass;
   return {
     ...jobClass,
@@ -49,8 +52,8 @@
   };
 }
 
-const FAULTY_CLASSES = [faulty(BATCHES, 3), faulty(GANGS, 3)];
-const FAULTY_SERVICES = faulty(REPLICAS, 1);
+const FAULTY_CLASSES = [makeFaulty(BATCHES, 3), makeFaulty(GANGS, 3)];
+const FAULTY_SERVICES = makeFaulty(REPLICAS, 1);
 const LEADER_CRASH: Fault = {
   kind: 'controller-crash',
   atS: CRASH_S,
@@ -58,8 +61,8 @@
   downS: 6,
 };
 
-function scenario(classes: JobClass[], faults: Fault[]): Scenario {
-  const workload = { classes, untilS: LAST_JOBS_S };
+function makeScenario(classes: JobClass[], faults: Fault[]): Scenario {
+  const workload = { classes, untilS: ARRIVALS_END_S };
   return { name: 'faulty jobs', cluster: CLUSTER, workload, faults, lengthS: LENGTH_S };
 }
 
@@ -67,8 +70,8 @@
   return timeline.of('job-submitted').filter(({ job }) => FAULTY.test(job.class));
 }
 
-/** Faulty jobs were begun, failed several times and were cancelled, on several machines. */
-function assertTrouble(result: ScenarioResult): void {
+/** Asserts that faulty jobs failed many times, on several machines, and were cancelled. */
+function assertFaultyJobsFailed(result: ScenarioResult): void {
   const ids = new Set(faultyJobs(result).map(({ id }) => id));
   assert.ok(ids.size >= 6, `${ids.size} faulty jobs`);
   const failed = result.timeline
@@ -82,28 +85,28 @@
 }
 
 /**
- * What nobody could know may be begun once in each term, and a gang by its second attempt; from then on a
- * few tasks at a time.
+ * Asserts that a faulty job starts in full at most twice per term and from then on a few tasks at a time. A new leader
+ * does not know that the job is faulty, and a gang becomes suspect only with its second attempt.
  */
 function assertAttemptsBounded(result: ScenarioResult, terms: number): void {
   for (const { id, job } of faultyJobs(result)) {
     const starts = result.timeline.of('task-assigned').filter(({ task }) => task.job === id).length;
     const probe = job.kind === 'gang' ? job.tasks : PROBE_TASKS;
-    const most = terms * 2 * job.tasks + MOST_PROBES * probe;
-    assert.ok(starts <= most, `${id}: ${starts} starts of ${job.tasks} tasks`);
+    const maxStarts = terms * 2 * job.tasks + MAX_PROBES * probe;
+    assert.ok(starts <= maxStarts, `${id}: ${starts} starts of ${job.tasks} tasks`);
   }
 }
 
-/** Rents at a moment at which every faulty job was known to be suspect or was over. */
-function needlessRents(result: ScenarioResult, type: string): number[] {
+/** Times of scale-outs at which every faulty job was known to be suspect or had ended. */
+function avoidableScaleOuts(result: ScenarioResult, type: string): number[] {
   const known = result.controllers.flatMap(({ log }) => log.entries('job is crash-looping'));
-  const waits = faultyJobs(result).map(({ id, atS }) => ({
+  const activeSpans = faultyJobs(result).map(({ id, atS }) => ({
     id,
     atS,
     untilS: cancelledAt(result, id),
   }));
-  const rents = result.controllers.flatMap(({ log }) => log.entries('scale-out completed'));
-  return rents
+  const scaleOuts = result.controllers.flatMap(({ log }) => log.entries('scale-out completed'));
+  return scaleOuts
     .filter((provision) => provision.type === type)
     .map(({ atS }) => atS)
     .filter((provisionedAt) => {
@@ -114,17 +117,17 @@
         known.some(
           ({ job, atS }) => job === id && atS >= termAt && atS < provisionedAt - PROVISION_DELAY_S,
         );
-      return !waits.some(
+      return !activeSpans.some(
         ({ id, atS, untilS }) => atS <= provisionedAt && provisionedAt <= untilS && !isKnown(id),
       );
     });
 }
 
 function cancelledAt({ timeline }: ScenarioResult, id: string): number {
-  const told = timeline
+  const answer = timeline
     .of('answered')
     .find(({ request, phase }) => request.job === id && phase === 'aborted');
-  return (told?.atS ?? Infinity) + PROVISION_DELAY_S;
+  return (answer?.atS ?? Infinity) + PROVISION_DELAY_S;
 }
 
 /** Mean time from the submission of sound jobs to the start of their first task. */
@@ -142,31 +145,31 @@
   ['', []],
   [', also across a crash of the leader', [LEADER_CRASH]],
 ] as [string, Fault[]][]) {
-  test(`faulty arrays and gangs are tried seldom and don't delay sound work${when}`, async () => {
-    const mixed = scenario([...SOUND_CLASSES, ...FAULTY_CLASSES], faults);
-    const longerS: number[] = [];
+  test(`faulty arrays and gangs start seldom and don't delay sound jobs${when}`, async () => {
+    const mixed = makeScenario([...SOUND_CLASSES, ...FAULTY_CLASSES], faults);
+    const addedWaitsS: number[] = [];
     await playMeeting(mixed, [1, 2, 4], async (result) => {
-      assertTrouble(result);
+      assertFaultyJobsFailed(result);
       assertAttemptsBounded(result, faults.length + 1);
-      const alone = await runScenario(scenario(SOUND_CLASSES, faults), result.seed);
-      assert.deepEqual(describeProblems(alone), []);
-      longerS.push(meanWaitS(result) - meanWaitS(alone));
+      const soundOnly = await runScenario(makeScenario(SOUND_CLASSES, faults), result.seed);
+      assert.deepEqual(describeProblems(soundOnly), []);
+      addedWaitsS.push(meanWaitS(result) - meanWaitS(soundOnly));
     });
-    const meanS = longerS.reduce((sum, each) => sum + each, 0) / longerS.length;
-    assert.ok(meanS < MOST_LONGER_S, `${meanS} s longer, by seed ${longerS}`);
+    const meanS = addedWaitsS.reduce((sum, each) => sum + each, 0) / addedWaitsS.length;
+    assert.ok(meanS < MAX_ADDED_WAIT_S, `${meanS} s longer, by seed ${addedWaitsS}`);
   });
 
-  test(`faulty arrays, gangs and services cause no rents once they are known${when}`, async () => {
-    const onProcessors = SOUND_CLASSES.filter(({ template }) => template.gpus === 0);
-    const lone = scenario([...onProcessors, ...FAULTY_CLASSES, FAULTY_SERVICES], faults);
-    await playMeeting(lone, [1, 2], (result) => {
-      assertTrouble(result);
+  test(`faulty arrays, gangs and services cause no scale-outs once they are suspect${when}`, async () => {
+    const cpuClasses = SOUND_CLASSES.filter(({ template }) => template.gpus === 0);
+    const cpuScenario = makeScenario([...cpuClasses, ...FAULTY_CLASSES, FAULTY_SERVICES], faults);
+    await playMeeting(cpuScenario, [1, 2], (result) => {
+      assertFaultyJobsFailed(result);
       assertAttemptsBounded(result, faults.length + 1);
-      assert.deepEqual(needlessRents(result, 'g8'), []);
+      assert.deepEqual(avoidableScaleOuts(result, 'g8'), []);
       if (faults.length === 0) return;
-      // The next leader has learnt of those that were left.
-      const known = result.controllers.flatMap(({ log }) => log.entries('job is crash-looping'));
-      assert.ok(known.some(({ atS }) => atS > CRASH_S && atS < CRASH_S + 3 * CANCEL_S));
+      // The next leader has found the remaining faulty jobs to be suspect.
+      const reported = result.controllers.flatMap(({ log }) => log.entries('job is crash-looping'));
+      assert.ok(reported.some(({ atS }) => atS > CRASH_S && atS < CRASH_S + 3 * CANCEL_S));
     });
   });
 }
--- a/packages/testing/fault-combinations/on-call/leader-cut-in-outage.test.ts
+++ b/packages/testing/fault-combinations/on-call/leader-cut-in-outage.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Guards against released machines and killed tasks when a leader loses its workers and no other controller
+ * can take over until an outage of the state service ends.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { killedTasks, machinesUp, playMeeting, tasksRunningAt } from '../run-queries.js';
@@ -9,7 +13,7 @@
 const OUTAGE_S = 14;
 
 for (const mode of ['refuse', 'hold'] satisfies CutMode[]) {
-  test(`machines are kept though the leader loses its workers (${mode}) right before an outage`, async () => {
+  test(`machines and tasks are kept when the leader is cut off from its workers (${mode}) right before an outage`, async () => {
     const faults: Fault[] = [
       {
         kind: 'controller-cut',
@@ -29,13 +33,13 @@
       assert.deepEqual(outage.leader, cut.leader);
       const successor = result.leaders.find(({ term }) => term > cut.leader!.term);
       assert.ok(successor, 'nobody took over');
-      const lateS = successor.atS - outage.untilS;
-      assert.ok(lateS < LEASE_S / 2, `taken over ${lateS} s after the outage`);
+      const delayS = successor.atS - outage.untilS;
+      assert.ok(delayS < LEASE_S / 2, `taken over ${delayS} s after the outage`);
       assert.notEqual(successor.leader, cut.leader!.leader);
       const before = machinesUp(result, BEGIN_S, BEGIN_S);
       const kept = machinesUp(result, BEGIN_S, cut.untilS);
       assert.ok(kept.length >= before.length - 1, `${kept.length} of ${before.length} kept`);
-      assert.ok(tasksRunningAt(result, BEGIN_S) >= 10, 'little ran');
+      assert.ok(tasksRunningAt(result, BEGIN_S) >= 10, 'too few tasks were running');
       assert.deepEqual(killedTasks(result, cut.fromS, endS), []);
     });
   });
--- a/packages/testing/fault-combinations/on-call/silent-workers.test.ts
+++ b/packages/testing/fault-combinations/on-call/silent-workers.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Guards against killed tasks when a leader no longer hears its workers, and against needless changes of leader
+ * when no controller could hear them or the leader's own freeze explains their silence.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { CutMode, Fault, ScenarioResult } from '../../simulation/index.js';
@@ -13,16 +17,16 @@
 const BEGIN_S = BUSY_FROM_S;
 const CUT_S = 35;
 const LENGTH_S = BEGIN_S + CUT_S + 20;
-/** A worker waits so long for the answer to a report. */
-const WORKER_PATIENCE_S = 4;
+/** Seconds for which a worker waits for the answer to a heartbeat. */
+const HEARTBEAT_TIMEOUT_S = 4;
 
 function leaderCutFromWorkers(mode: CutMode): Fault {
   const span = { atS: BEGIN_S, forS: CUT_S };
   return { kind: 'controller-cut', ...span, controllers: 'leader', from: ['workers'], mode };
 }
 
-/** The leader lost its workers and nothing else, and had work on several machines. */
-function assertLost(result: ScenarioResult) {
+/** Asserts that the leader answered no worker during the cut, which began with several machines and many tasks. */
+function assertLeaderLostWorkers(result: ScenarioResult) {
   const [{ leader, fromS, untilS }] = result.faults.of('controller-cut');
   assert.ok(leader, 'nobody led');
   assert.equal(heartbeatsAnswered(result, leader.leader, fromS + 0.5, untilS), 0);
@@ -31,15 +35,15 @@
   return { leader, fromS, untilS };
 }
 
-test('work lives on when the leader loses all its workers, which wait for its answers', async () => {
+test('no task is killed when the leader is cut off from all workers, in each mode of the cut', async () => {
   const modes: CutMode[] = ['drop', 'hold', 'refuse'];
   for (const [index, mode] of modes.entries()) {
     const scenario = steadyScenario(`no workers (${mode})`, LENGTH_S, [leaderCutFromWorkers(mode)]);
     await playMeeting(scenario, [1 + 2 * index, 2 + 2 * index], (result) => {
-      const { leader, fromS, untilS } = assertLost(result);
+      const { leader, fromS, untilS } = assertLeaderLostWorkers(result);
       const successor = result.leaders.find(({ term }) => term > leader.term);
       assert.ok(successor, 'nobody took over');
-      assert.ok(successor.atS < fromS + WORKER_PATIENCE_S, `taken over at ${successor.atS} s`);
+      assert.ok(successor.atS < fromS + HEARTBEAT_TIMEOUT_S, `taken over at ${successor.atS} s`);
       assert.notEqual(successor.leader, leader.leader);
       assert.deepEqual(killedTasks(result, fromS, untilS + LEASE_S), []);
       assert.ok(tasksRunningAt(result, untilS) >= 10);
@@ -47,7 +51,7 @@
   }
 });
 
-test('work lives on when the leader loses all its workers while another controller is silent', async () => {
+test('no task is killed when the leader is cut off from all workers while another controller is silent', async () => {
   const faults: Fault[] = [
     {
       kind: 'controller-crash',
@@ -59,17 +63,19 @@
     leaderCutFromWorkers('drop'),
   ];
   await playMeeting(steadyScenario('one is silent', LENGTH_S, faults), [1, 2, 3], (result) => {
-    const { leader, fromS, untilS } = assertLost(result);
+    const { leader, fromS, untilS } = assertLeaderLostWorkers(result);
     const [crash] = result.faults.of('controller-crash');
     const others = result.controllers.map(({ name }) => name);
-    const left = others.filter((name) => name !== leader.leader && name !== crash.controllers[0]);
-    assert.equal(left.length, 1);
-    assert.ok(heartbeatsAnswered(result, left[0], fromS, untilS) > LEASE_S);
+    const remaining = others.filter(
+      (name) => name !== leader.leader && name !== crash.controllers[0],
+    );
+    assert.equal(remaining.length, 1);
+    assert.ok(heartbeatsAnswered(result, remaining[0], fromS, untilS) > LEASE_S);
     assert.deepEqual(killedTasks(result, fromS, untilS), []);
   });
 });
 
-test('a leader whose workers nobody can reach hands the part over at most once', async () => {
+test('leadership changes at most once while no controller can reach any worker', async () => {
   const cutS = 25;
   const faults: Fault[] = [
     {
@@ -90,7 +96,7 @@
   });
 });
 
-test('a leader that stood still does not take its workers for silent', async () => {
+test('a leader that wakes from a freeze does not step down because its workers seem unreachable', async () => {
   const frozenS = 2.2 * HEARTBEAT_INTERVAL_S;
   const faults: Fault[] = [0, 8, 16].map((laterS) => ({
     kind: 'controller-freeze',
@@ -101,10 +107,10 @@
   await playMeeting(steadyScenario('stands still', BEGIN_S + 50, faults), [1, 2], (result) => {
     const freezes = result.faults.of('controller-freeze');
     assert.equal(freezes.length, 3);
-    const given = result.controllers.flatMap(({ log }) =>
+    const stepDowns = result.controllers.flatMap(({ log }) =>
       log.entries('leader stepped down: workers unreachable'),
     );
-    assert.deepEqual(given, []);
+    assert.deepEqual(stepDowns, []);
     assert.deepEqual(killedTasks(result, BEGIN_S, BEGIN_S + 50), []);
   });
 });
--- a/packages/testing/fault-combinations/slow-state-service.test.ts
+++ b/packages/testing/fault-combinations/slow-state-service.test.ts
@@ -1,12 +1,21 @@
+/**
+ * Guards against unanswered users and killed tasks when the state service takes up to 1.3 seconds for an answer,
+ * or is slow and then refuses the leader and later every controller.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Fault } from '../simulation/index.js';
-import { assertLeads, confirmations, killedTasks, playMeeting } from './run-queries.js';
+import {
+  assertAnswersAllMachines,
+  confirmedCancellations,
+  killedTasks,
+  playMeeting,
+} from './run-queries.js';
 import { BUSY_FROM_S, CANCEL_S, LEASE_S, steadyScenario } from './steady-work.js';
 
 const BEGIN_S = BUSY_FROM_S;
 
-test('users cancel and ask while the state service answers slowly', async () => {
+test('cancellations and status requests are answered, and no task is killed, while the state service answers slowly', async () => {
   const slowS = 25;
   const faults: Fault[] = [
     { kind: 'close-looks', atS: BEGIN_S - 5, forS: slowS + 10 },
@@ -20,18 +29,18 @@
     [1, 2, 3],
     (result) => {
       const [slow] = result.faults.of('state-slow');
-      const confirmed = confirmations(result, slow.fromS, slow.untilS);
+      const confirmed = confirmedCancellations(result, slow.fromS, slow.untilS);
       assert.ok(confirmed.length >= 6, `${confirmed.length} confirmations`);
       const polls = result.timeline
         .of('answered', slow.fromS, slow.untilS)
         .filter(({ request, status }) => request.kind === 'poll' && status === 200);
-      assert.ok(polls.length > slowS, `${polls.length} questions answered`);
+      assert.ok(polls.length > slowS, `${polls.length} status requests answered`);
       assert.deepEqual(killedTasks(result, slow.fromS, slow.untilS + LEASE_S), []);
     },
   );
 });
 
-test('users cancel and ask while the slow state service refuses the leader alone and then everybody', async () => {
+test('cancellations are confirmed and no task is killed when a slow state service refuses the leader alone, then everybody', async () => {
   const outageAtS = BEGIN_S + 6;
   const outageS = CANCEL_S + 8;
   const faults: Fault[] = [
@@ -49,14 +58,14 @@
     const [outage] = result.faults.of('state-outage');
     const leader = refusal.leader!.leader;
     assert.deepEqual(outage.leader, refusal.leader);
-    const whileRefused = confirmations(result, refusal.fromS, outage.fromS);
+    const whileRefused = confirmedCancellations(result, refusal.fromS, outage.fromS);
     assert.ok(whileRefused.length >= 3, `${whileRefused.length} confirmations`);
     assert.ok(whileRefused.every(({ controller }) => controller !== leader));
-    const asked = result.timeline
+    const requests = result.timeline
       .of('asked', outage.fromS, outage.untilS)
       .filter(({ request }) => request.kind !== 'submit');
-    assert.ok(asked.length > outageS);
-    assertLeads(result, leader, outage.fromS, outage.untilS);
+    assert.ok(requests.length > outageS);
+    assertAnswersAllMachines(result, leader, outage.fromS, outage.untilS);
     assert.deepEqual(killedTasks(result, refusal.fromS, outage.untilS + LEASE_S), []);
   });
 });
