--- a/packages/bundle/schema-checks.test.ts
+++ b/packages/bundle/schema-checks.test.ts
@@ -6,7 +6,7 @@
 import type { ValidateFunction } from 'ajv';
 import fc from 'fast-check';
 import { parse as parseToml } from 'smol-toml';
-import { anyJob, anyHeartbeat, SEEDED } from '#testing';
+import { anyJob, anyHeartbeat, PROPERTY_TEST_OPTIONS } from '#testing';
 import { compileSchema, jobToWire, heartbeatToWire } from '#wire';
 import { namedSchemas } from '../wire/schema.js';
 import { schemaChecksCode } from './schema-checks.js';
@@ -91,7 +91,7 @@
         assert.deepEqual(runCheck(checks[name], value), expected);
         for (const { keyword } of compiled.errors ?? []) failedKeywords.add(keyword);
       }),
-      SEEDED,
+      PROPERTY_TEST_OPTIONS,
     );
     assert.ok(failedKeywords.size > 1, `${name} fails by several keywords`);
   }
--- a/packages/bundle/rehearsal.ts
+++ b/packages/bundle/warm-up.ts
@@ -4,7 +4,7 @@
 import { fileURLToPath } from 'node:url';
 import { type ControllerMaker, describeProblems, runScenario, SMALL_CLUSTER } from '#testing';
 import type { Program } from '../cli/launch.cjs';
-import { USUAL_CLASSES } from '../testing/stand-ins/index.js';
+import { DEFAULT_CLASSES } from '../testing/stand-ins/index.js';
 
 const EXAMPLE_SETTINGS = fileURLToPath(new URL('../../examples/settings.toml', import.meta.url));
 const SEED = 1;
@@ -28,7 +28,7 @@
   const scenario = {
     name: 'warm-up',
     cluster: SMALL_CLUSTER,
-    workload: { classes: USUAL_CLASSES, intensity: 2, untilS: LAST_SUBMISSION_S },
+    workload: { classes: DEFAULT_CLASSES, intensity: 2, untilS: LAST_SUBMISSION_S },
     faults: [
       { kind: 'controller-crash', controllers: 'leader', atS: FAILOVER_S, downS: 5 } as const,
     ],
--- a/packages/controller/api/admission.test.ts
+++ b/packages/controller/api/admission.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { pino } from 'pino';
 import { GroupCommit } from '#store';
-import { StateWorld } from '#testing';
+import { StateServiceFixture } from '#testing';
 import { Admission } from './admission.js';
 
 const LIMITS = { rps: 150, writeRps: 50, valueBytes: 8192, txnOps: 24 };
@@ -11,7 +11,7 @@
 const HEARTBEAT_INTERVAL_S = 1;
 
 async function createAdmission(weightOf?: (team: string) => number) {
-  const state = await StateWorld.start(LIMITS);
+  const state = await StateServiceFixture.start(LIMITS);
   const runtime = state.controller();
   const client = state.client(runtime, { share: SHARE });
   const commits = new GroupCommit({ client, runtime, maxQueue: 100, weightOf });
--- a/packages/controller/api/bad-input.test.ts
+++ b/packages/controller/api/bad-input.test.ts
@@ -3,17 +3,17 @@
 import fc from 'fast-check';
 import { CborClient, jobToWire, pause, REQUIRED_JOB_FIELDS, taskName, UserClient } from '#wire';
 import {
-  aJob,
+  makeJob,
   Cluster,
   formatAddress,
-  SEEDED,
+  PROPERTY_TEST_OPTIONS,
   serviceAddress,
   SMALL_CLUSTER,
   USERS_HOST,
 } from '#testing';
 
 const BODY_BYTES = 64 * 1024;
-const JOB_FIELD_NAMES = Object.keys(jobToWire(aJob()));
+const JOB_FIELD_NAMES = Object.keys(jobToWire(makeJob()));
 /** Matches the error of a refusal, which begins with field names or with `body`. */
 const ERROR_WITH_FIELD = new RegExp(`^(${JOB_FIELD_NAMES.join('|')}|body)\\b.*: .`);
 
@@ -57,11 +57,11 @@
       maxLength: 3,
     },
   )
-  .map((changes) => ({ ...jobToWire(aJob({ id: 'j-7' })), ...Object.fromEntries(changes) }));
+  .map((changes) => ({ ...jobToWire(makeJob({ id: 'j-7' })), ...Object.fromEntries(changes) }));
 
 test('a submission with arbitrary values is accepted, or refused with an error that names the field', async () => {
   const { cluster, user, ask } = await startCluster();
-  const bodies: unknown[] = fc.sample(arbitraryBody, SEEDED);
+  const bodies: unknown[] = fc.sample(arbitraryBody, PROPERTY_TEST_OPTIONS);
   bodies.push([1], 'text', 7, null, {});
   await ask(async () => {
     for (const body of bodies) {
@@ -77,7 +77,7 @@
 
 test('a job that can never run is refused with an error that names the responsible fields', async () => {
   const { user, ask } = await startCluster();
-  const refusals: Record<string, [Parameters<typeof aJob>[0], number]> = {
+  const refusals: Record<string, [Parameters<typeof makeJob>[0], number]> = {
     'crew: unknown team': [{ team: 'nobody' }, 422],
     'cores: a task fits no allowed machine type': [{ cpus: 97 }, 422],
     'accelerators, ramGb: a task fits no allowed machine type': [{ gpus: 9, memory: 5000 }, 422],
@@ -92,12 +92,12 @@
   };
   let id = 0;
   for (const [expected, [overrides, status]] of Object.entries(refusals)) {
-    const job = aJob({ ...overrides, id: `j-${++id}` });
+    const job = makeJob({ ...overrides, id: `j-${++id}` });
     const answer = await ask(() => user.submit(job));
     assert.deepEqual([answer.status, answer.job], [status, { error: expected }]);
   }
   for (const field of REQUIRED_JOB_FIELDS) {
-    const body = jobToWire(aJob({ id: 'j-99' }));
+    const body = jobToWire(makeJob({ id: 'j-99' }));
     delete body[field];
     const { status, job } = await ask(() => user.submitRaw(body));
     assert.deepEqual([status, job], [400, { error: `${field}: is missing` }]);
@@ -110,10 +110,10 @@
   const longest = { class: 'c'.repeat(256), image: 'i'.repeat(256) };
   const largest = { tasks: 100_000, team: 'blue', rank: 3, ...longest };
   const jobs = [
-    aJob({ ...largest, id: 'j-1', cpus: 0.25, gpus: 0, memory: 1 }),
-    aJob({ ...largest, ...noResources, id: 'j-2' }),
-    aJob({ ...largest, ...noResources, id: 'j-3', kind: 'gang' }),
-    aJob({ ...largest, ...noResources, id: 'j-4', kind: 'service' }),
+    makeJob({ ...largest, id: 'j-1', cpus: 0.25, gpus: 0, memory: 1 }),
+    makeJob({ ...largest, ...noResources, id: 'j-2' }),
+    makeJob({ ...largest, ...noResources, id: 'j-3', kind: 'gang' }),
+    makeJob({ ...largest, ...noResources, id: 'j-4', kind: 'service' }),
   ];
   for (const job of jobs) {
     cluster.storage.upload({ job, runS: Array<number>(job.tasks).fill(4), failsAfterS: null });
@@ -124,7 +124,7 @@
   const leader = cluster.leadership.current()?.leader;
   cluster.controllers.find(({ name }) => name === leader)!.process.restart(1);
   await cluster.world.runUntil(75);
-  const smallJob = aJob({ id: 'j-5', team: 'red', rank: 0, gpus: 0 });
+  const smallJob = makeJob({ id: 'j-5', team: 'red', rank: 0, gpus: 0 });
   cluster.storage.upload({ job: smallJob, runS: [5], failsAfterS: null });
   const otherAddress = formatAddress(
     serviceAddress(cluster.controllers.find(({ name }) => name !== leader)!.index),
--- a/packages/controller/api/dependency-validator.test.ts
+++ b/packages/controller/api/dependency-validator.test.ts
@@ -1,7 +1,14 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { jobToWire, pause, type Job, type UserAnswer, UserClient } from '#wire';
-import { aJob, Cluster, formatAddress, serviceAddress, SMALL_CLUSTER, USERS_HOST } from '#testing';
+import {
+  makeJob,
+  Cluster,
+  formatAddress,
+  serviceAddress,
+  SMALL_CLUSTER,
+  USERS_HOST,
+} from '#testing';
 
 const CONTROLLERS = [0, 1, 2];
 
@@ -29,7 +36,7 @@
     return answers[0];
   };
   const upload = (own: Partial<Job>, runS = 4): Job => {
-    const job = aJob({ gpus: 0, cpus: 1, ...own });
+    const job = makeJob({ gpus: 0, cpus: 1, ...own });
     const runtimes = Array<number>(job.tasks).fill(runS);
     cluster.storage.upload({ job, runS: runtimes, failsAfterS: null });
     return job;
@@ -115,11 +122,11 @@
   const { cluster, submit, ask, users, upload } = await startCluster();
   await submit(0, { id: 'j-1' });
   const { host } = cluster.controllers[1];
-  cluster.state.refuse(host.address);
+  cluster.state.refuseClient(host.address);
   const refused = await ask(users[1].submit(upload({ id: 'j-2', awaits: ['j-77'] })));
   assert.equal(refused.status, 503);
   assert.ok(refused.retryAfterS !== null && refused.retryAfterS >= 1);
-  cluster.state.readmit(host.address);
+  cluster.state.readmitClient(host.address);
   const known = await ask(users[2].submit(upload({ id: 'j-2', awaits: ['j-1'] })));
   assert.equal(known.status, 201);
   // A repeated submission finds the known job, whatever dependencies the repetition names.
@@ -199,10 +206,10 @@
   await submit(0, { id: 'j-1' }, 500);
   await submit(1, { id: 'j-2', awaits: ['j-1'] });
   const late = cluster.controllers[2];
-  cluster.state.refuse(late.host.address);
+  cluster.state.refuseClient(late.host.address);
   await ask(users[0].abort('j-1'));
   await cluster.world.runUntil(cluster.world.now + 50);
-  cluster.state.readmit(late.host.address);
+  cluster.state.readmitClient(late.host.address);
   const answer = await ask(users[2].submit(upload({ id: 'j-3', awaits: ['j-2'] })));
   assert.deepEqual([answer.status, phaseOf(answer)], [201, 'aborted']);
 });
--- a/packages/controller/api/submission-check.test.ts
+++ b/packages/controller/api/submission-check.test.ts
@@ -1,7 +1,14 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { pause, UserClient } from '#wire';
-import { aJob, Cluster, formatAddress, serviceAddress, SMALL_CLUSTER, USERS_HOST } from '#testing';
+import {
+  makeJob,
+  Cluster,
+  formatAddress,
+  serviceAddress,
+  SMALL_CLUSTER,
+  USERS_HOST,
+} from '#testing';
 
 test('a repeated submission finds a job that another controller has just accepted, whatever it contains', async () => {
   // Guards against status 400 for a repeated submission whose texts are too long for a record.
@@ -15,7 +22,7 @@
   const [firstUser, secondUser] = cluster.controllers
     .filter(({ name }) => name !== leader)
     .map(({ index }) => new UserClient(formatAddress(serviceAddress(index)), 5000, runtime));
-  const validJob = aJob({ id: 'j-1' });
+  const validJob = makeJob({ id: 'j-1' });
   const bodies = {
     long: { class: 'x'.repeat(256), image: '\u6771'.repeat(256) },
     unknownTeam: { team: 'nobody' },
--- a/packages/controller/api/user-api-cancel.test.ts
+++ b/packages/controller/api/user-api-cancel.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { NoAnswer } from '#wire';
-import { aJob, postBytes, serveOnLoopback } from '#testing';
+import { makeJob, postBytes, serveOnLoopback } from '#testing';
 import { makeApp } from './http-server.js';
 import { UserApi, type UserApiOptions } from './user-api.js';
 
@@ -9,7 +9,7 @@
   // Guards against tasks that keep running after their job was cancelled. The controller that recorded the
   // cancellation ended before it told the leader, and an outage of the state service began.
   const events: string[] = [];
-  const record = { job: aJob(), acceptedAtMs: 0, phase: 'accepted', version: 3 };
+  const record = { job: makeJob(), acceptedAtMs: 0, phase: 'accepted', version: 3 };
   const options = {
     client: {
       limits: { valueBytes: 8192 },
--- a/packages/controller/api/user-burst.test.ts
+++ b/packages/controller/api/user-burst.test.ts
@@ -1,7 +1,14 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { UserClient } from '#wire';
-import { aJob, Cluster, formatAddress, serviceAddress, SMALL_CLUSTER, USERS_HOST } from '#testing';
+import {
+  makeJob,
+  Cluster,
+  formatAddress,
+  serviceAddress,
+  SMALL_CLUSTER,
+  USERS_HOST,
+} from '#testing';
 
 const WRITE_RPS = SMALL_CLUSTER.deployment.state.write_rps;
 /** Share of the state service's write rate that a follower may use. */
@@ -26,7 +33,7 @@
   const submitted: number[] = [];
   for (const id of ids) {
     void makeUser()
-      .submit(aJob({ id }))
+      .submit(makeJob({ id }))
       .then(({ status }) => status === 201 && submitted.push(now()));
   }
   await cluster.world.runUntil(now() + 0.5);
--- a/packages/controller/cloud/cloud-reconciler.test.ts
+++ b/packages/controller/cloud/cloud-reconciler.test.ts
@@ -5,7 +5,7 @@
 import { CloudReconciler } from './cloud-reconciler.js';
 import { makeLog } from '../observability/log.js';
 import type { ShardLeader } from '../leadership/shard-leader.js';
-import { aFleet, aMachine, STD } from '../../testing/samples.js';
+import { makeFleet, registerMachine, STANDARD_TYPE } from '../../testing/samples.js';
 import { FREE_LOOPBACK_PORT, serveCbor } from '../../testing/stand-ins/index.js';
 
 interface Permission {
@@ -50,8 +50,8 @@
 async function collectRequests(permission: Permission): Promise<string[]> {
   const stop = new AbortController();
   const cloud = new RecordingCloud();
-  const fleet = aFleet();
-  fleet.machines.markFailed(aMachine(fleet, 'n-1'));
+  const fleet = makeFleet();
+  fleet.machines.markFailed(registerMachine(fleet, 'n-1'));
   let plans = 0;
   const leader = makeLeader(fleet, {
     plan: () => {
@@ -122,8 +122,8 @@
   const kinds = counts.map((count, i) => ({ type: 'std', zone: 'abc'[i], spot: false, count }));
   const calls = 4;
   const { server, requestedCounts } = await serveFullCloud(calls);
-  const fleet = aFleet();
-  fleet.machines.setType(STD);
+  const fleet = makeFleet();
+  fleet.machines.setType(STANDARD_TYPE);
   const stop = new AbortController();
   const refused: string[] = [];
   const leader = makeLeader(fleet, {
--- a/packages/controller/controller.test.ts
+++ b/packages/controller/controller.test.ts
@@ -2,7 +2,7 @@
 import net from 'node:net';
 import { test } from 'node:test';
 import { ListenError, nodeRuntime, sleep, UserClient } from '#wire';
-import { aJob, CountingRuntime, STD, until } from '#testing';
+import { makeJob, CountingRuntime, STANDARD_TYPE, until } from '#testing';
 import {
   CloudService,
   FREE_LOOPBACK_PORT,
@@ -30,7 +30,7 @@
     powerOff: () => {},
     giveNotice: () => {},
   };
-  const options = { types: [STD], capacity: [{ machines: 3 }], rps: 20, listLagS: 1 };
+  const options = { types: [STANDARD_TYPE], capacity: [{ machines: 3 }], rps: 20, listLagS: 1 };
   const cloud = new CloudService(nodeRuntime, options, hosting);
   cloud.setBootProfile({ ...USUAL_BOOTS, neverShare: 1 });
   const { target } = await cloud.listen(FREE_LOOPBACK_PORT);
@@ -83,7 +83,7 @@
     new Controller(runtime, settingsFor(stateAddress, cloudAddress, number), log).run(stop.signal),
   );
   const client = new UserClient('127.0.0.1:101', 5000, runtime);
-  const job = aJob({ cpus: 1, gpus: 1, memory: 1 });
+  const job = makeJob({ cpus: 1, gpus: 1, memory: 1 });
   await until(async () => (await client.submit(job).catch(() => null))?.status === 201);
   await until(() => provisioned() > 0);
   // One call is in flight when the controllers end.
@@ -94,7 +94,11 @@
   client.close();
   await sleep(nodeRuntime.clock, 50);
   assert.deepEqual(
-    { timers: runtime.timers, connections: runtime.connections, listening: runtime.listening },
+    {
+      timers: runtime.timers,
+      connections: runtime.connections,
+      listening: runtime.listeningServers,
+    },
     { timers: 0, connections: 0, listening: 0 },
   );
   state.close();
@@ -115,7 +119,7 @@
     );
     taken.close();
     await sleep(nodeRuntime.clock, 50);
-    assert.deepEqual([runtime.timers, runtime.connections, runtime.listening], [0, 0, 0]);
+    assert.deepEqual([runtime.timers, runtime.connections, runtime.listeningServers], [0, 0, 0]);
   }
   state.close();
 });
--- a/packages/controller/extreme-limits.test.ts
+++ b/packages/controller/extreme-limits.test.ts
@@ -1,7 +1,14 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { NoAnswer, pause, UserClient } from '#wire';
-import { aJob, Cluster, formatAddress, serviceAddress, SMALL_CLUSTER, USERS_HOST } from '#testing';
+import {
+  makeJob,
+  Cluster,
+  formatAddress,
+  serviceAddress,
+  SMALL_CLUSTER,
+  USERS_HOST,
+} from '#testing';
 
 /**
  * Extreme limits that the settings allow. Guards against a cloud that was never called at a rate below two calls
@@ -32,7 +39,7 @@
     const cluster = new Cluster({ ...SMALL_CLUSTER, deployment }, 1);
     const runtime = cluster.serviceRuntime('users', 'users', USERS_HOST);
     const user = new UserClient(formatAddress(serviceAddress(0)), 5000, runtime);
-    const job = aJob({ id: 'j-1', tasks: 4 });
+    const job = makeJob({ id: 'j-1', tasks: 4 });
     cluster.storage.upload({ job, runS: [5, 5, 5, 60], failsAfterS: null });
     let isDone = false;
     const submitUntilDone = async () => {
--- a/packages/controller/jobs/job-table.test.ts
+++ b/packages/controller/jobs/job-table.test.ts
@@ -2,8 +2,8 @@
 import { test } from 'node:test';
 import { setFlagsFromString } from 'node:v8';
 import { runInNewContext } from 'node:vm';
-import { encodeJob, jobKey, JOBS, PrefixCache } from '#store';
-import { aJob, StateWorld } from '#testing';
+import { encodeJob, jobKey, JOBS_PREFIX, PrefixCache } from '#store';
+import { makeJob, StateServiceFixture } from '#testing';
 import { Cancellations } from '../peers/cancellations.js';
 import { JobTable } from './job-table.js';
 
@@ -16,10 +16,10 @@
 const collectGarbage = runInNewContext('gc') as () => void;
 
 async function createTable() {
-  const state = await StateWorld.start(LIMITS);
+  const state = await StateServiceFixture.start(LIMITS);
   const runtime = state.controller();
   const client = state.client(runtime);
-  const caching = { client, runtime, prefix: JOBS, watchMs: 10_000, syncSpacingMs: 0 };
+  const caching = { client, runtime, prefix: JOBS_PREFIX, watchMs: 10_000, syncSpacingMs: 0 };
   const cache = new PrefixCache(caching);
   return { state, cache, jobs: new JobTable(cache, new Cancellations(100, 70)) };
 }
@@ -27,7 +27,7 @@
 /** Creates a record as it is read from the state service: its strings are not shared with other records. */
 function createRecordEntry(number: number, phase: 'accepted' | 'done'): [string, unknown] {
   const id = `j-${String(number).padStart(6, '0')}`;
-  const job = aJob({ id, cpus: 0.25 + number / 1e6, memory: 0.9 + number / 1e6 });
+  const job = makeJob({ id, cpus: 0.25 + number / 1e6, memory: 0.9 + number / 1e6 });
   const value = encodeJob({ job, acceptedAtMs: 1_800_000_000_000 + number, phase });
   return [jobKey(id), JSON.parse(JSON.stringify(value)) as unknown];
 }
@@ -77,7 +77,7 @@
   let version = 0;
   const record = (id: string, dependencies: string[], phase: 'accepted' | 'cancelled' | 'done') => {
     const value = encodeJob({
-      job: aJob({ id, awaits: dependencies, rank: 2 }),
+      job: makeJob({ id, awaits: dependencies, rank: 2 }),
       acceptedAtMs: 0,
       phase,
     });
--- a/packages/controller/leadership/direct-commands.test.ts
+++ b/packages/controller/leadership/direct-commands.test.ts
@@ -2,17 +2,17 @@
 import { test } from 'node:test';
 import type { FleetState } from '#core';
 import { nodeRuntime } from '#wire';
-import { aFleet, aJob, aMachine, aHeartbeat } from '#testing';
+import { makeFleet, makeJob, registerMachine, makeHeartbeat } from '#testing';
 import { FREE_LOOPBACK_PORT, serveCbor } from '../../testing/stand-ins/index.js';
 import { DirectCommands } from './direct-commands.js';
 
 /** Adds a machine with one task to start, whose worker listens on the address. */
 function addMachineWithPendingStart(fleet: FleetState, number: number, addr: string): void {
   const name = `n-${number}`;
-  const machine = aMachine(fleet, name);
-  fleet.heartbeats.handle(aHeartbeat({ machine: name, addr }), 0);
+  const machine = registerMachine(fleet, name);
+  fleet.heartbeats.handle(makeHeartbeat({ machine: name, addr }), 0);
   machine.answeredAt = nodeRuntime.clock.now();
-  const job = fleet.addJob(aJob({ id: `j-${number}` }), 0, 'accepted', 0);
+  const job = fleet.addJob(makeJob({ id: `j-${number}` }), 0, 'accepted', 0);
   fleet.assignments.assign(job, 0, machine, fleet.assignments.newAttempt(), 0).recorded = true;
 }
 
@@ -20,7 +20,7 @@
   // Guards against keeping one connection open per machine, hundreds of them in addition to those of the heartbeats.
   const machineCount = 12;
   const connectionLimit = 3;
-  const fleet = aFleet();
+  const fleet = makeFleet();
   let receivedOrders = 0;
   let maxConcurrent = 0;
   let inFlight = 0;
--- a/packages/controller/leadership/leader-election-model.test.ts
+++ b/packages/controller/leadership/leader-election-model.test.ts
@@ -1,15 +1,15 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { LeadershipMistake, LeadershipViolation, playLeadership } from '#testing';
+import { SeededLeadershipFault, LeadershipViolation, runLeaderElectionModel } from '#testing';
 
 const SEEDS = 200;
 
-function runAllSeeds(fault: LeadershipMistake) {
+function runAllSeeds(fault: SeededLeadershipFault) {
   const violations = new Set<LeadershipViolation>();
   let attestedSteps = 0;
   let standbySteps = 0;
   for (let seed = 1; seed <= SEEDS; seed++) {
-    const run = playLeadership(seed, fault);
+    const run = runLeaderElectionModel(seed, fault);
     for (const violation of run.violations) violations.add(violation);
     attestedSteps += run.attestedSteps;
     standbySteps += run.standbySteps;
@@ -25,11 +25,11 @@
 });
 
 // Each check must fail for at least one fault that is deliberately built into the model.
-const detectedFaults: [LeadershipMistake, LeadershipViolation][] = [
-  ['trusts-arrival', 'acts-beside-successor'],
-  ['trusts-restarted', 'acts-on-unknown-cancellation'],
-  ['ignores-cancelled', 'acts-on-unknown-cancellation'],
-  ['renews-for-the-living', 'renews-beside-owner'],
+const detectedFaults: [SeededLeadershipFault, LeadershipViolation][] = [
+  ['trusts-arrival-time', 'acts-beside-successor'],
+  ['trusts-restarted-peer', 'acts-on-unknown-cancellation'],
+  ['ignores-peer-cancellations', 'acts-on-unknown-cancellation'],
+  ['renews-for-live-leader', 'renews-beside-leader'],
 ];
 for (const [fault, violation] of detectedFaults) {
   test(`the checks of the model detect the fault ${fault}`, () => {
--- a/packages/controller/leadership/leader-lease-check.test.ts
+++ b/packages/controller/leadership/leader-lease-check.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { aPeerStatus, SEEDED, STATED_TERM as TERM } from '#testing';
+import { makePeerStatus, PROPERTY_TEST_OPTIONS, STATUS_LEADER_TERM as TERM } from '#testing';
 import { isIsolatedFromWorkers, LeaderLeaseCheck, LeaderLeaseView } from './leader-lease-check.js';
 import type { PeerStatus } from '../peers/peer-status.js';
-import { checkTimes, graceAfterLoss } from '../settings/time-bounds.js';
+import { checkWorkerTimes, leaderGraceS } from '../settings/time-bounds.js';
 
 const LIMITS = { peerCount: 2, silenceS: 2, graceS: 12 };
 
@@ -31,10 +31,10 @@
   const check = new LeaderLeaseCheck(LIMITS);
   for (let now = 10; now < 200; now++) {
     const expected = now < 13 ? 'granted' : 'attested';
-    assert.equal(check.evaluate(viewAt(now, [aPeerStatus(now), aPeerStatus(now)])), expected);
+    assert.equal(check.evaluate(viewAt(now, [makePeerStatus(now), makePeerStatus(now)])), expected);
   }
   // Once one peer falls silent, the leader may act only for `graceS` after that peer's last proof.
-  const silent = (now: number) => viewAt(now, [aPeerStatus(now), aPeerStatus(199)]);
+  const silent = (now: number) => viewAt(now, [makePeerStatus(now), makePeerStatus(199)]);
   assert.equal(check.evaluate(silent(205)), 'grace');
   assert.equal(check.evaluate(silent(209)), 'grace');
   assert.equal(check.evaluate(silent(211)), 'none');
@@ -43,39 +43,42 @@
 test('without a complete attestation of every peer, the lease ends after the grace period', () => {
   const incomplete: [string, PeerStatus | null][] = [
     ['never stated anything', null],
-    ['has read no status frame of this controller', { ...aPeerStatus(20), statedAfter: -Infinity }],
-    ['restarted and has not loaded the records', aPeerStatus(20, { loaded: false })],
-    ['may lead', aPeerStatus(20, { mayLead: true })],
-    ['has too many cancellations to list', aPeerStatus(20, { cancelledSince: Infinity })],
-    ['its last request was served', aPeerStatus(20, { refused: false })],
+    [
+      'has read no status frame of this controller',
+      { ...makePeerStatus(20), statedAfter: -Infinity },
+    ],
+    ['restarted and has not loaded the records', makePeerStatus(20, { loaded: false })],
+    ['may lead', makePeerStatus(20, { mayLead: true })],
+    ['has too many cancellations to list', makePeerStatus(20, { cancelledSince: Infinity })],
+    ['its last request was served', makePeerStatus(20, { refused: false })],
   ];
   for (const [why, peer] of incomplete) {
-    assert.equal(evaluateOnce(viewAt(20, [aPeerStatus(20), peer])), 'grace', why);
-    assert.equal(evaluateOnce(viewAt(22, [aPeerStatus(22), peer])), 'none', why);
+    assert.equal(evaluateOnce(viewAt(20, [makePeerStatus(20), peer])), 'grace', why);
+    assert.equal(evaluateOnce(viewAt(22, [makePeerStatus(22), peer])), 'none', why);
   }
 });
 
 test('the attestation of a silent peer counts as of the time when it was made', () => {
-  const silent = aPeerStatus(17);
-  assert.equal(evaluateOnce(viewAt(20, [aPeerStatus(20), silent])), 'grace');
-  assert.equal(evaluateOnce(viewAt(28, [aPeerStatus(28), silent])), 'grace');
-  assert.equal(evaluateOnce(viewAt(29, [aPeerStatus(29), silent])), 'none');
+  const silent = makePeerStatus(17);
+  assert.equal(evaluateOnce(viewAt(20, [makePeerStatus(20), silent])), 'grace');
+  assert.equal(evaluateOnce(viewAt(28, [makePeerStatus(28), silent])), 'grace');
+  assert.equal(evaluateOnce(viewAt(29, [makePeerStatus(29), silent])), 'none');
 });
 
 test('the lease ends immediately if the state service serves a peer, or if a peer knows a newer term', () => {
-  const served = { ...aPeerStatus(20, { refused: false }), lastServedAt: 19 };
-  assert.equal(evaluateOnce(viewAt(20, [aPeerStatus(20), served])), 'none');
+  const served = { ...makePeerStatus(20, { refused: false }), lastServedAt: 19 };
+  assert.equal(evaluateOnce(viewAt(20, [makePeerStatus(20), served])), 'none');
   // Guards against a rule that also required a failed request of the leader after the peer was served. A partition
   // dropped requests silently, so each failure showed only a second later. The peer always seemed to be served after
   // the newest failure, and the leader kept acting indefinitely.
   assert.equal(evaluateOnce(viewAt(20, [null, { ...served, lastServedAt: 19.9 }])), 'none');
-  const newer = aPeerStatus(12, { newestLeader: { term: TERM + 1, name: 'c-1' } });
-  assert.equal(evaluateOnce(viewAt(20, [aPeerStatus(20), newer])), 'none');
+  const newer = makePeerStatus(12, { newestLeader: { term: TERM + 1, name: 'c-1' } });
+  assert.equal(evaluateOnce(viewAt(20, [makePeerStatus(20), newer])), 'none');
   // Guards against the loss of the whole fleet: the state service refused only the leader for two seconds, and then
   // an outage for all controllers began. The leader stopped acting for the whole outage, though the state service
   // served no peer by then.
-  const servedBefore = { ...aPeerStatus(20), lastServedAt: 12 };
-  assert.equal(evaluateOnce(viewAt(20, [aPeerStatus(20), servedBefore])), 'attested');
+  const servedBefore = { ...makePeerStatus(20), lastServedAt: 12 };
+  assert.equal(evaluateOnce(viewAt(20, [makePeerStatus(20), servedBefore])), 'attested');
 });
 
 test('a live election lease does not help once cancellations may have been unknown for the grace period', () => {
@@ -97,7 +100,7 @@
         if (now >= Math.max(13, leaseRenewedAt + LIMITS.graceS)) assert.equal(state, 'none');
       },
     ),
-    SEEDED,
+    PROPERTY_TEST_OPTIONS,
   );
 });
 
@@ -109,11 +112,7 @@
 
 test('the grace period leaves workers time to end tasks before the cancellation deadline', () => {
   const heartbeats = { cancelS: 40, leaseS: 15, heartbeatIntervalS: 2.5 };
-  const grace = graceAfterLoss(
-    heartbeats.cancelS,
-    heartbeats.leaseS,
-    heartbeats.heartbeatIntervalS,
-  );
+  const grace = leaderGraceS(heartbeats.cancelS, heartbeats.leaseS, heartbeats.heartbeatIntervalS);
   assert.ok(
     grace > 0 && grace + heartbeats.leaseS + 2 * heartbeats.heartbeatIntervalS < heartbeats.cancelS,
   );
@@ -121,11 +120,11 @@
 
 test('settings that leave a leader no time to learn of a cancellation are rejected', () => {
   const workers = { report_s: 1, lease_s: 10, gang_wait_s: 45, gang_peer_s: 8, cancel_s: 35 };
-  assert.equal(checkTimes(workers), null);
-  const problem = checkTimes({ ...workers, cancel_s: 13 });
+  assert.equal(checkWorkerTimes(workers), null);
+  const problem = checkWorkerTimes({ ...workers, cancel_s: 13 });
   assert.equal(problem?.field, 'deployment.workers.cancel_s');
   assert.match(problem.reason, /^must be at least 14\.0[2-3]/);
-  assert.equal(checkTimes({ ...workers, cancel_s: 14.03 }), null);
+  assert.equal(checkWorkerTimes({ ...workers, cancel_s: 14.03 }), null);
 });
 
 test('a leader steps down if and only if almost no worker reaches it while some reach its peers', () => {
--- a/packages/controller/leadership/pacer.test.ts
+++ b/packages/controller/leadership/pacer.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { HandClock } from '#testing';
+import { ManualClock } from '#testing';
 import { Pacer } from './pacer.js';
 
 /** A pacer whose runs take `work.lengthMs`, ask for `work.more` immediate repeats, and throw if `work.fails`. */
 function makePacedWork() {
-  const clock = new HandClock();
+  const clock = new ManualClock();
   const work = { lengthMs: 0, more: 0, fails: false };
   const runs: number[] = [];
   const errors: unknown[] = [];
@@ -16,7 +16,7 @@
     restRatio: 3,
     run: () => {
       runs.push(Math.round(clock.wallMs()));
-      clock.compute(work.lengthMs);
+      clock.advanceWithoutTimers(work.lengthMs);
       if (work.fails) throw new Error('fault');
       return work.more-- > 0;
     },
--- a/packages/controller/leadership/standby-renewal-check.test.ts
+++ b/packages/controller/leadership/standby-renewal-check.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { aPeerStatus, STATED_TERM as TERM } from '#testing';
+import { makePeerStatus, STATUS_LEADER_TERM as TERM } from '#testing';
 import type { PeerStatus } from '../peers/peer-status.js';
 import { StandbyRenewalCheck, StandbyView } from './standby-renewal-check.js';
 
@@ -8,10 +8,10 @@
 const LEADER_INCARNATION = 5;
 
 const leadingStatus = (at: number) =>
-  aPeerStatus(at, { incarnation: LEADER_INCARNATION, leading: true, mayLead: true });
+  makePeerStatus(at, { incarnation: LEADER_INCARNATION, leading: true, mayLead: true });
 /** The status of the leader's next incarnation, which could not load the records. */
 const restartedStatus = (at: number) =>
-  aPeerStatus(at, { incarnation: LEADER_INCARNATION + 1, loaded: false });
+  makePeerStatus(at, { incarnation: LEADER_INCARNATION + 1, loaded: false });
 
 function viewAt(now: number, leader: PeerStatus | null, over: Partial<StandbyView> = {}) {
   return {
@@ -21,7 +21,7 @@
     jobsCurrentAt: 10,
     jobsRevision: 100,
     failingSince: 10,
-    peers: [leader, aPeerStatus(now, {})],
+    peers: [leader, makePeerStatus(now, {})],
     ...over,
   };
 }
@@ -38,7 +38,7 @@
 
 test('leases are renewed for a leader whose process has a new incarnation, or that has stepped down', () => {
   assert.ok(renewsAt20(restartedStatus(20)));
-  assert.ok(renewsAt20(aPeerStatus(20, { incarnation: LEADER_INCARNATION })));
+  assert.ok(renewsAt20(makePeerStatus(20, { incarnation: LEADER_INCARNATION })));
 });
 
 test('leases are not renewed for a leader that may be running', () => {
@@ -52,9 +52,9 @@
 });
 
 test('leases are not renewed if any controller may lead', () => {
-  const served = { ...aPeerStatus(20, { refused: false }), lastServedAt: 19 };
+  const served = { ...makePeerStatus(20, { refused: false }), lastServedAt: 19 };
   assert.ok(!renewsAt20(restartedStatus(20), { peers: [restartedStatus(20), served] }));
-  const newer = aPeerStatus(20, { newestLeader: { term: TERM + 1, name: 'c-2' } });
+  const newer = makePeerStatus(20, { newestLeader: { term: TERM + 1, name: 'c-2' } });
   assert.ok(!renewsAt20(restartedStatus(20), { peers: [restartedStatus(20), newer] }));
   assert.ok(!renewsAt20(restartedStatus(20), { peers: [restartedStatus(20), null] }));
   assert.ok(!renewsAt20(restartedStatus(20), { mayLead: true }));
--- a/packages/controller/peers/cancellations.test.ts
+++ b/packages/controller/peers/cancellations.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { CancellationNotice } from '#peer';
-import { Chance } from '#testing';
+import { SeededRandom } from '#testing';
 import { Cancellations } from './cancellations.js';
 
 function sortByJob(notices: CancellationNotice[]): CancellationNotice[] {
@@ -39,7 +39,7 @@
   // Guards against a request that never expires, because each status frame renews its age at the receiver.
   const KEEP_REQUESTED_S = 60;
   const STATUS_INTERVAL_S = 0.5;
-  const chance = new Chance(1);
+  const chance = new SeededRandom(1);
   const controllers = [0, 1, 2].map(() => new Cancellations(100, KEEP_REQUESTED_S));
   const frames: { to: Cancellations; arrivesAt: number; notices: CancellationNotice[] }[] = [];
   const countAware = (now: number) => controllers.filter((c) => c.requests(now).length > 0).length;
@@ -50,7 +50,7 @@
       for (const notice of notices) to.addFromPeer(notice, now);
     }
     frames.splice(0, frames.length, ...frames.filter((frame) => frame.arrivesAt > now));
-    for (const from of controllers.filter(() => chance.hit(0.1))) {
+    for (const from of controllers.filter(() => chance.withProbability(0.1))) {
       const notices = from.listSince(0, now).cancelled;
       for (const to of controllers.filter((c) => c !== from)) {
         frames.push({ to, notices, arrivesAt: now + 2 * chance.next() });
--- a/packages/controller/records/cancellation-recorder.test.ts
+++ b/packages/controller/records/cancellation-recorder.test.ts
@@ -3,7 +3,7 @@
 import { NoAnswer, UserClient } from '#wire';
 import { decodeJob, jobKey } from '#store';
 import {
-  aJob,
+  makeJob,
   Cluster,
   formatAddress,
   serviceAddress,
@@ -21,7 +21,7 @@
   const runtime = cluster.serviceRuntime('users', 'users', USERS_HOST);
   const userAt = ({ index }: SimulatedController) =>
     new UserClient(formatAddress(serviceAddress(index)), 5000, runtime);
-  const job = aJob({ id: JOB_ID });
+  const job = makeJob({ id: JOB_ID });
   cluster.storage.upload({ job, runS: [1000], failsAfterS: null });
   await cluster.start();
   await cluster.world.runUntil(10);
@@ -42,12 +42,12 @@
   // leader started it again.
   const { cluster, followers, userAt } = await startClusterWithRunningJob();
   assert.equal(cluster.timeline.of('task-started').length, 1);
-  cluster.state.beginLateWrites(1, [30, 30]);
+  cluster.state.beginLateTransactions(1, [30, 30]);
   userAt(followers[0])
     .abort(JOB_ID)
     .catch((err: unknown) => assert.ok(err instanceof NoAnswer));
   await cluster.world.runUntil(60.2);
-  cluster.state.endLateWrites();
+  cluster.state.endReplyLoss();
   followers[0].process.crash();
   await cluster.world.runUntil(60.2 + 3 * HEARTBEAT_INTERVAL_S);
   assert.equal(readJobRecord(cluster).phase, 'accepted');
@@ -62,12 +62,12 @@
 
 test('a job stays done if it is recorded as done before its cancellation is recorded', async () => {
   const { cluster, followers, userAt } = await startClusterWithRunningJob();
-  cluster.state.beginLateWrites(1, [30, 30]);
+  cluster.state.beginLateTransactions(1, [30, 30]);
   userAt(followers[0])
     .abort(JOB_ID)
     .catch((err: unknown) => assert.ok(err instanceof NoAnswer));
   await cluster.world.runUntil(60.2);
-  cluster.state.endLateWrites();
+  cluster.state.endReplyLoss();
   const { value } = cluster.state.store.get(jobKey(JOB_ID))!;
   const done = { ...(value as object), phase: 'done' };
   const version = cluster.state.store.apply([{ put: jobKey(JOB_ID), value: done }]);
--- a/packages/controller/replica-support.test.ts
+++ b/packages/controller/replica-support.test.ts
@@ -2,7 +2,14 @@
 import { test } from 'node:test';
 import { encodeJob, jobKey } from '#store';
 import { UserClient } from '#wire';
-import { aJob, Cluster, formatAddress, serviceAddress, SMALL_CLUSTER, USERS_HOST } from '#testing';
+import {
+  makeJob,
+  Cluster,
+  formatAddress,
+  serviceAddress,
+  SMALL_CLUSTER,
+  USERS_HOST,
+} from '#testing';
 import { checkReplicaClasses } from './settings/replica-classes.js';
 import type { PlatformSettings } from './settings/platform-settings.js';
 import { operatorSchema, withDefaults } from './settings/operator-settings.js';
@@ -15,7 +22,7 @@
   deployment: { ...deployment, objectives: OBJECTIVES },
   operator: { replicaGroups: { model: { members: 3, sameZone: true } } },
 };
-const MODEL = aJob({
+const MODEL = makeJob({
   kind: 'service',
   class: 'model',
   rank: 1,
--- a/packages/controller/state-limits.test.ts
+++ b/packages/controller/state-limits.test.ts
@@ -9,17 +9,23 @@
   encodeEndedJob,
   decodeJob,
   jobKey,
-  MACHINES,
+  MACHINES_PREFIX,
   PrefixCache,
   progressKey,
   ProgressLayout,
-  PROGRESS,
+  PROGRESS_PREFIX,
   sizeInJson,
   TYPES_KEY,
   type ProgressValue,
-  WORLD,
+  CLUSTER_PREFIX,
 } from '#store';
-import { aJob, aMachine, aRecorder, STD, StateWorld } from '#testing';
+import {
+  makeJob,
+  registerMachine,
+  startRecorder,
+  STANDARD_TYPE,
+  StateServiceFixture,
+} from '#testing';
 import { MachineTypes } from './cloud/machine-types.js';
 import { loadSettings } from './settings/settings.js';
 import { SettingsError } from './settings/settings-error.js';
@@ -32,7 +38,7 @@
 function readAsOlderVersion(records: [string, unknown][], unit: number): Set<number> {
   const done = new Set<number>();
   for (const [key, value] of records) {
-    const [, label] = key.slice(PROGRESS.length).split('/');
+    const [, label] = key.slice(PROGRESS_PREFIX.length).split('/');
     const bytes = Buffer.from((value as { done: string }).done, 'base64');
     for (let i = 0; i < bytes.length * 8; i++) {
       if (bytes[i >> 3] & (1 << (i & 7))) done.add(Number(label) * unit + i);
@@ -93,9 +99,9 @@
         const { key, first, tasks: size } = layout.chunkOf('j-1', tasks, task);
         assert.ok(task >= first && task < first + size && first % 8 === 0 && size % 8 === 0);
         const label = Number(key.split('/').at(-1));
-        assert.equal(label * old.unit, first, `${layoutBytes} ${valueBytes}: ${key}`);
+        assert.equal(label * old.legacyChunkTasks, first, `${layoutBytes} ${valueBytes}: ${key}`);
         const bytes = Math.ceil(Math.min(size, tasks - first) / 8);
-        const value = layout.valueOf(
+        const value = layout.encodeChunk(
           { key, first, tasks: size },
           'x'.repeat(4 * Math.ceil(bytes / 3)),
         );
@@ -111,16 +117,26 @@
 
 test('chunks recorded by an older version under a larger limit are read, and rewritten within the smaller limit', async () => {
   const limits = { valueBytes: 2048, layoutBytes: 8192 };
-  const { state, store, fleet, record, recorder, sync, flush } = await aRecorder(limits);
-  const { unit } = new ProgressLayout({ valueBytes: 8192 });
+  const { state, store, fleet, record, recorder, sync, flush } = await startRecorder(limits);
+  const { legacyChunkTasks } = new ProgressLayout({ valueBytes: 8192 });
   const tasks = 100_000;
-  record(aJob({ id: 'j-1', tasks }), 'accepted');
+  record(makeJob({ id: 'j-1', tasks }), 'accepted');
   await sync();
-  const done = [0, 7, 6143, 6144, 20_000, unit - 1, unit, 2 * unit + 5, tasks - 1];
+  const done = [
+    0,
+    7,
+    6143,
+    6144,
+    20_000,
+    legacyChunkTasks - 1,
+    legacyChunkTasks,
+    2 * legacyChunkTasks + 5,
+    tasks - 1,
+  ];
   for (const label of [0, 1, 2, 4]) {
-    const bits = Buffer.alloc(Math.min(unit, tasks - label * unit) / 8);
+    const bits = Buffer.alloc(Math.min(legacyChunkTasks, tasks - label * legacyChunkTasks) / 8);
     for (const task of done) {
-      const bit = task - label * unit;
+      const bit = task - label * legacyChunkTasks;
       if (bit >= 0 && bit < bits.length * 8) bits[bit >> 3] |= 1 << (bit & 7);
     }
     const value = { done: bits.toString('base64') };
@@ -135,11 +151,11 @@
   assert.equal(job.done.size, done.length);
   for (const task of [1, 30_000]) fleet.jobs.markDone(job, task);
   await flush();
-  const written = store.list(PROGRESS, '', 1000).entries;
+  const written = store.list(PROGRESS_PREFIX, '', 1000).entries;
   const records = written.map(({ key, value }): [string, unknown] => [key, value]);
   const expected = [...done, 1, 30_000].sort((one, other) => one - other);
   assert.deepEqual(
-    [...readAsOlderVersion(records, unit)].sort((a, b) => a - b),
+    [...readAsOlderVersion(records, legacyChunkTasks)].sort((a, b) => a - b),
     expected,
   );
   for (const { key, value, version } of written) {
@@ -147,8 +163,8 @@
     if (isRewritten) assert.ok(sizeInJson(value) <= 2048, `${key}: ${sizeInJson(value)}`);
   }
   // A new term of this version reads the rewritten chunks.
-  const next = await aRecorder(limits);
-  next.record(aJob({ id: 'j-1', tasks }), 'accepted');
+  const next = await startRecorder(limits);
+  next.record(makeJob({ id: 'j-1', tasks }), 'accepted');
   await next.sync();
   for (const { key, value, version } of written) {
     const label = Number(key.split('/').at(-1));
@@ -160,11 +176,11 @@
 test('a machine takes as many tasks as fit its record, and one with more tasks is recorded once they fit', async () => {
   // Guards against a machine record that was refused forever, since an older version wrote it under a larger limit.
   const limits = { valueBytes: 2048, layoutBytes: 8192 };
-  const { store, fleet, record, recorder, sync, flush, tasksOn } = await aRecorder(limits);
-  record(aJob({ id: 'j-000001', tasks: 300, cpus: 0.1, gpus: 0, memory: 0 }), 'accepted');
+  const { store, fleet, record, recorder, sync, flush, tasksOn } = await startRecorder(limits);
+  record(makeJob({ id: 'j-000001', tasks: 300, cpus: 0.1, gpus: 0, memory: 0 }), 'accepted');
   await sync();
   const job = fleet.jobs.get('j-000001')!;
-  const machine = aMachine(fleet, 'n-1');
+  const machine = registerMachine(fleet, 'n-1');
   const attempt = 100 * 65_536;
   const tasks = Array.from({ length: 120 }, (_, index): [string, number, number] => [
     'j-000001',
@@ -172,7 +188,7 @@
     attempt + index,
   ]);
   const facts = { addr: '', type: 'std', zone: 'a', spot: false };
-  const version = store.apply([{ put: `${MACHINES}n-1`, value: { ...facts, tasks } }]);
+  const version = store.apply([{ put: `${MACHINES_PREFIX}n-1`, value: { ...facts, tasks } }]);
   recorder.machineRecords.restore('n-1', version);
   for (const [, index, number] of tasks) fleet.assignments.inherit(job, index, machine, number, 0);
   let onRecord = tasksOn('n-1')!.length;
@@ -185,7 +201,7 @@
     onRecord = Math.min(onRecord, recordedTasks);
   }
   assert.equal(onRecord, machine.tasks.size);
-  const other = aMachine(fleet, 'n-2');
+  const other = registerMachine(fleet, 'n-2');
   let index = 120;
   while (other.recordBytes + 60 <= limits.valueBytes) {
     fleet.assignments.assign(job, index, other, attempt + index++, 2);
@@ -193,14 +209,19 @@
   await flush();
   assert.ok(other.tasks.size > 55, `${other.tasks.size} tasks`);
   assert.equal(tasksOn('n-2')!.length, other.tasks.size);
-  const { value } = store.get(`${MACHINES}n-2`)!;
+  const { value } = store.get(`${MACHINES_PREFIX}n-2`)!;
   assert.ok(sizeInJson(value) <= other.recordBytes && other.recordBytes <= 2048);
   assert.ok(emptyRecordBytes({ type: 'std', zone: 'a', spot: true }) < 150);
 });
 
 test('a job whose record exceeds the limit, as written by an older version, still becomes done or cancelled', () => {
   const types = Array.from({ length: 200 }, (_, number) => `a-type-with-a-long-name-${number}`);
-  const job = aJob({ types, class: 'c'.repeat(256), image: 'é'.repeat(256), awaits: ['j-000002'] });
+  const job = makeJob({
+    types,
+    class: 'c'.repeat(256),
+    image: 'é'.repeat(256),
+    awaits: ['j-000002'],
+  });
   for (const phase of ['done', 'cancelled'] as const) {
     const value = encodeEndedJob({ job, acceptedAtMs: 1e12, phase }, 2048);
     assert.ok(sizeInJson([{ put: jobKey(job.id), value }]) <= 2048);
@@ -208,25 +229,28 @@
     assert.deepEqual([read.phase, read.job.id, read.job.tasks], [phase, job.id, job.tasks]);
     assert.deepEqual([read.job.team, read.job.cpus], [job.team, job.cpus]);
   }
-  const small = aJob();
+  const small = makeJob();
   const whole = encodeEndedJob({ job: small, acceptedAtMs: 1, phase: 'done' }, 2048);
   assert.deepEqual(decodeJob(whole, 1).job, small);
 });
 
 test('machine types that exceed one value are recorded in several, and other controllers read all of them', async () => {
   const limits = { rps: 150, writeRps: 50, valueBytes: 2048, txnOps: 8 };
-  const state = await StateWorld.start(limits);
+  const state = await StateServiceFixture.start(limits);
   const signal = new AbortController().signal;
   const make = (address: string) => {
     const runtime = state.controller(address);
     const client = state.client(runtime);
-    const caching = { client, runtime, prefix: WORLD, watchMs: 1000, syncSpacingMs: 0 };
+    const caching = { client, runtime, prefix: CLUSTER_PREFIX, watchMs: 1000, syncSpacingMs: 0 };
     const world = new PrefixCache(caching);
     void world.run(signal);
     return new MachineTypes(client, world);
   };
   const [one, other] = ['10.0.0.1', '10.0.0.2'].map(make);
-  const types = Array.from({ length: 30 }, (_, number) => ({ ...STD, name: `type-${number}` }));
+  const types = Array.from({ length: 30 }, (_, number) => ({
+    ...STANDARD_TYPE,
+    name: `type-${number}`,
+  }));
   await state.run(0.2);
   void one.publish(types, signal);
   await state.run(1);
--- a/packages/core/assignments/assignments.test.ts
+++ b/packages/core/assignments/assignments.test.ts
@@ -1,17 +1,17 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { SEEDED } from '../../testing/generators.js';
-import { aFleet, aJob, aMachine } from '../../testing/samples.js';
+import { PROPERTY_TEST_OPTIONS } from '../../testing/generators.js';
+import { makeFleet, makeJob, registerMachine } from '../../testing/samples.js';
 
 test('a task that was assigned and stopped several times is queued only once', () => {
   // Guards against a task that is assigned and stopped twice between two reads of the queue: it was queued twice and
   // started on two machines.
   fc.assert(
     fc.property(fc.array(fc.nat(9), { maxLength: 60 }), (indexes) => {
-      const fleet = aFleet();
-      const job = fleet.addJob(aJob({ tasks: 10 }), 0, 'accepted', 0);
-      const machine = aMachine(fleet, 'n-1');
+      const fleet = makeFleet();
+      const job = fleet.addJob(makeJob({ tasks: 10 }), 0, 'accepted', 0);
+      const machine = registerMachine(fleet, 'n-1');
       fleet.jobs.waitingTasks(job, 10);
       for (const i of indexes) {
         const current = job.assignments.get(i);
@@ -23,13 +23,13 @@
       assert.equal(waiting.length, fleet.jobs.waitingCount(job));
       for (const i of waiting) assert.ok(!job.assignments.has(i));
     }),
-    SEEDED,
+    PROPERTY_TEST_OPTIONS,
   );
 });
 
 test('a task that may still be on a machine is never assigned to a second one', () => {
-  const fleet = aFleet();
-  const job = fleet.addJob(aJob({ tasks: 1 }), 0, 'accepted', 0);
-  fleet.assignments.assign(job, 0, aMachine(fleet, 'n-1'), 1, 0);
-  assert.throws(() => fleet.assignments.assign(job, 0, aMachine(fleet, 'n-2'), 2, 0));
+  const fleet = makeFleet();
+  const job = fleet.addJob(makeJob({ tasks: 1 }), 0, 'accepted', 0);
+  fleet.assignments.assign(job, 0, registerMachine(fleet, 'n-1'), 1, 0);
+  assert.throws(() => fleet.assignments.assign(job, 0, registerMachine(fleet, 'n-2'), 2, 0));
 });
--- a/packages/core/autoscaling/bin-packing.test.ts
+++ b/packages/core/autoscaling/bin-packing.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import fc from 'fast-check';
 import type { Job } from '#wire';
-import { aFleet, aJob, aMachine, STD } from '../../testing/samples.js';
+import { makeFleet, makeJob, registerMachine, STANDARD_TYPE } from '../../testing/samples.js';
 import { ScaleOutRefusals } from './scale-out-requests.js';
 import { BinPacking } from './bin-packing.js';
 import { existingBins } from './bins.js';
@@ -30,12 +30,12 @@
   machineSpecs: Values<typeof machines>,
   tasksAtOnce: number,
 ): unknown {
-  const fleet = aFleet();
-  machineSpecs.forEach((own, i) => aMachine(fleet, `n-${i}`, own));
+  const fleet = makeFleet();
+  machineSpecs.forEach((own, i) => registerMachine(fleet, `n-${i}`, own));
   const existing = existingBins(fleet, 1, 0);
-  const types = new Map([[STD.name, STD]]);
+  const types = new Map([[STANDARD_TYPE.name, STANDARD_TYPE]]);
   const packing = new BinPacking({ existing, types, refusals: new ScaleOutRefusals(), now: 0 });
-  for (const own of jobSpecs) packJob(packing, aJob(own), tasksAtOnce);
+  for (const own of jobSpecs) packJob(packing, makeJob(own), tasksAtOnce);
   const bins = [...packing.existing, ...packing.provisioned];
   const used = bins.map(({ zone, spot, used: { cpus, gpus, memory } }) => [
     zone,
--- a/packages/core/autoscaling/capacity-planner.test.ts
+++ b/packages/core/autoscaling/capacity-planner.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { aFleet, aJob, aMachine, STD } from '../../testing/samples.js';
+import { makeFleet, makeJob, registerMachine, STANDARD_TYPE } from '../../testing/samples.js';
 import { CapacityPlanner } from './capacity-planner.js';
 import { NO_QUOTA } from '../fair-share/team-quota.js';
 
@@ -8,7 +8,7 @@
 const OBJECTIVES = [{ class: 'c', kind: 'wait', withinS: 4 }];
 const SETTINGS = { reserveSigmas: 0, idleHoldS: 60, memoryS: 120 };
 
-function createPlanner(fleet = aFleet()): CapacityPlanner {
+function createPlanner(fleet = makeFleet()): CapacityPlanner {
   return new CapacityPlanner({ fleet, settings: SETTINGS, objectives: OBJECTIVES, teams: TEAMS });
 }
 
@@ -19,7 +19,7 @@
 test('capacity is provisioned ahead only for replicas that arrive faster than they end', () => {
   // Guards against a growing fleet that is always one boot behind: the reserve covered only the deviation
   // of arrivals, so that in the first minutes replicas waited for a boot each time.
-  const service = aJob({ kind: 'service', tasks: 2 });
+  const service = makeJob({ kind: 'service', tasks: 2 });
   const growing = createPlanner();
   for (let t = 0; t < 120; t++) growing.jobArrived(service, t);
   const steady = createPlanner();
@@ -28,37 +28,37 @@
     steady.jobEnded(service, t);
   }
   const batch = createPlanner();
-  for (let t = 0; t < 120; t++) batch.jobArrived(aJob({ tasks: 2 }), t);
+  for (let t = 0; t < 120; t++) batch.jobArrived(makeJob({ tasks: 2 }), t);
   assert.ok(provisionedCount(growing, 120) > 10);
   assert.equal(provisionedCount(steady, 120), 0);
   assert.equal(provisionedCount(batch, 120), 0);
   // A new leader does not know which jobs have ended, and must not take all recorded jobs for growth.
-  growing.assumeSteady(120);
+  growing.assumeSteadyState(120);
   assert.equal(provisionedCount(growing, 120), 0);
 });
 
 test('the reserve of a class shrinks soon after its last job', () => {
   // Guards against a fleet that is kept for minutes after the last job because averages decay slowly.
   const planner = new CapacityPlanner({
-    fleet: aFleet(),
+    fleet: makeFleet(),
     settings: { ...SETTINGS, reserveSigmas: 2 },
     objectives: OBJECTIVES,
     teams: TEAMS,
   });
-  for (let t = 0; t < 240; t++) planner.jobArrived(aJob(), t);
+  for (let t = 0; t < 240; t++) planner.jobArrived(makeJob(), t);
   const during = provisionedCount(planner, 240);
   assert.ok(during >= 3);
-  assert.ok(provisionedCount(planner, 240 + STD.bootS) <= during / 2);
+  assert.ok(provisionedCount(planner, 240 + STANDARD_TYPE.bootS) <= during / 2);
 });
 
 test('an empty machine is held for a shorter time once no more jobs arrive', () => {
   // Guards against gangs that wait for a boot because whole machines were scaled in between two gangs, and
   // against machines that are kept without need after the last job.
   const scaleInCounts = (lastJobAt: number) => {
-    const fleet = aFleet();
+    const fleet = makeFleet();
     const planner = createPlanner(fleet);
-    planner.jobArrived(aJob(), lastJobAt);
-    aMachine(fleet, 'n-1');
+    planner.jobArrived(makeJob(), lastJobAt);
+    registerMachine(fleet, 'n-1');
     return [25, 45, 65].map((t) => planner.plan(t).scaleIn.length);
   };
   assert.deepEqual(scaleInCounts(24), [0, 0, 1]);
@@ -69,10 +69,10 @@
   // Guards against replicas that wait minutes for a machine that comes late or never, and against
   // provisioning every machine twice when all boots take longer.
   const provisionedCounts = (boots: number[]) => {
-    const fleet = aFleet();
+    const fleet = makeFleet();
     const planner = createPlanner(fleet);
     boots.forEach((bootS, i) =>
-      planner.machineUp(aMachine(fleet, `n-${i}`, { requestedAt: -bootS }), 0),
+      planner.machineUp(registerMachine(fleet, `n-${i}`, { requestedAt: -bootS }), 0),
     );
     for (const { name } of [...fleet.machines.values()]) fleet.removeMachine(name, 0);
     fleet.machines.register(
@@ -80,8 +80,10 @@
       'booting',
       0,
     );
-    fleet.addJob(aJob(), 0, 'accepted', 0);
-    return [STD.bootS, 1.5 * STD.bootS, 3 * STD.bootS].map((age) => provisionedCount(planner, age));
+    fleet.addJob(makeJob(), 0, 'accepted', 0);
+    return [STANDARD_TYPE.bootS, 1.5 * STANDARD_TYPE.bootS, 3 * STANDARD_TYPE.bootS].map((age) =>
+      provisionedCount(planner, age),
+    );
   };
   assert.deepEqual(provisionedCounts([30, 31, 29, 120]), [0, 1, 1]);
   assert.deepEqual(provisionedCounts([45, 50, 44, 48]), [0, 0, 1]);
--- a/packages/core/autoscaling/consolidation.test.ts
+++ b/packages/core/autoscaling/consolidation.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { aFleet, aJob, aMachine } from '../../testing/samples.js';
+import { makeFleet, makeJob, registerMachine } from '../../testing/samples.js';
 import { CapacityPlanner } from './capacity-planner.js';
 import { NO_QUOTA } from '../fair-share/team-quota.js';
 
@@ -8,7 +8,7 @@
 const OBJECTIVES = [{ class: 'c', kind: 'wait', withinS: 4 }];
 const SETTINGS = { reserveSigmas: 0, idleHoldS: 60, memoryS: 120 };
 
-function createPlanner(fleet = aFleet()): CapacityPlanner {
+function createPlanner(fleet = makeFleet()): CapacityPlanner {
   return new CapacityPlanner({ fleet, settings: SETTINGS, objectives: OBJECTIVES, teams: TEAMS });
 }
 
@@ -16,9 +16,9 @@
   // Guards against a fleet that ends up with many machines of one replica each, against moves to machines
   // where replicas wait for their image, and against moves into capacity that waiting tasks need.
   const planConsolidation = (image: string, waiting: number, ranS: number) => {
-    const fleet = aFleet();
-    const machines = ['n-1', 'n-2'].map((name) => aMachine(fleet, name));
-    const job = fleet.addJob(aJob({ kind: 'service', tasks: 3 }), 0, 'accepted', 0);
+    const fleet = makeFleet();
+    const machines = ['n-1', 'n-2'].map((name) => registerMachine(fleet, name));
+    const job = fleet.addJob(makeJob({ kind: 'service', tasks: 3 }), 0, 'accepted', 0);
     [0, 0, 1].forEach((at, i) => {
       const assignment = fleet.assignments.assign(
         job,
@@ -35,7 +35,7 @@
       });
     });
     machines[0].images = new Map([[image, 5]]);
-    fleet.addJob(aJob({ id: 'j-2', tasks: waiting }), 0, 'accepted', 0);
+    fleet.addJob(makeJob({ id: 'j-2', tasks: waiting }), 0, 'accepted', 0);
     const { consolidation } = createPlanner(fleet).plan(ranS);
     if (consolidation === null) return null;
     return [consolidation.machine.name, ...consolidation.moves.map(({ to }) => to.name)];
--- a/packages/core/failures/job-failures.test.ts
+++ b/packages/core/failures/job-failures.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { SEEDED } from '../../testing/generators.js';
+import { PROPERTY_TEST_OPTIONS } from '../../testing/generators.js';
 import {
   countJobFailure,
   isCrashLooping,
@@ -42,7 +42,7 @@
         if (failed.length > 6) assert.equal(previousMaxS, MAX_BACKOFF_S);
       },
     ),
-    SEEDED,
+    PROPERTY_TEST_OPTIONS,
   );
 });
 
@@ -58,7 +58,7 @@
       const failedMachines = new Set(delays.map((delay) => delay % (maxMachine + 1)));
       assert.equal(isCrashLooping(failures), failedMachines.size > 1);
     }),
-    SEEDED,
+    PROPERTY_TEST_OPTIONS,
   );
 });
 
--- a/packages/core/gang-attempts.test.ts
+++ b/packages/core/gang-attempts.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { aFleet, aJob, aMachine, aHeartbeat } from '../testing/samples.js';
+import { makeFleet, makeJob, registerMachine, makeHeartbeat } from '../testing/samples.js';
 
-const GANG = aJob({ kind: 'gang', tasks: 2 });
+const GANG = makeJob({ kind: 'gang', tasks: 2 });
 
 function runningTask(index: number, attempt: number) {
   const state = 'running' as const;
@@ -12,18 +12,18 @@
 test("the end of a task of an old attempt does not stop the gang's current attempt", () => {
   // Guards against a zone that was partitioned off: its delayed heartbeats, delivered after the partition, ended the
   // gang that had since been placed elsewhere. A late copy of a heartbeat that a new leader reads first did the same.
-  const fleet = aFleet();
+  const fleet = makeFleet();
   const job = fleet.addJob(GANG, 0, 'accepted', 0);
-  aMachine(fleet, 'n-1');
+  registerMachine(fleet, 'n-1');
   const current = ['n-2', 'n-3'].map((name, i) =>
-    fleet.assignments.assign(job, i, aMachine(fleet, name), 2, 0),
+    fleet.assignments.assign(job, i, registerMachine(fleet, name), 2, 0),
   );
   current[0].recorded = true;
   // The delayed heartbeat lists the old attempt; the heartbeat of the next agent epoch below no longer lists it.
-  fleet.heartbeats.handle(aHeartbeat({ sequence: 1, tasks: [runningTask(0, 1)] }), 1);
+  fleet.heartbeats.handle(makeHeartbeat({ sequence: 1, tasks: [runningTask(0, 1)] }), 1);
   assert.equal(job.assignments.get(0)?.length, 2);
   current[1].recorded = true;
-  const outcome = fleet.heartbeats.handle(aHeartbeat({ machine: 'n-2' }), 1.5);
+  const outcome = fleet.heartbeats.handle(makeHeartbeat({ machine: 'n-2' }), 1.5);
   const start = { op: 'start', job: GANG.id, index: 0, attempt: 2 };
   assert.deepEqual(
     outcome,
@@ -31,13 +31,13 @@
     'the old attempt does not delay the start',
   );
   fleet.heartbeats.handle(
-    aHeartbeat({ machine: 'n-2', sequence: 2, tasks: [runningTask(0, 2)] }),
+    makeHeartbeat({ machine: 'n-2', sequence: 2, tasks: [runningTask(0, 2)] }),
     2,
   );
-  fleet.heartbeats.handle(aHeartbeat({ sequence: 2, agentEpoch: 2 }), 3);
+  fleet.heartbeats.handle(makeHeartbeat({ sequence: 2, agentEpoch: 2 }), 3);
   assert.deepEqual([...job.assignments.values()].flat(), current);
   assert.ok(current.every(({ stop }) => stop === null));
   // The end of a task of the current attempt still ends the whole attempt.
-  fleet.heartbeats.handle(aHeartbeat({ machine: 'n-2', sequence: 3, tasks: [] }), 4);
+  fleet.heartbeats.handle(makeHeartbeat({ machine: 'n-2', sequence: 3, tasks: [] }), 4);
   assert.equal(job.assignments.size, 0);
 });
--- a/packages/core/heartbeats/machine-leases.test.ts
+++ b/packages/core/heartbeats/machine-leases.test.ts
@@ -1,15 +1,15 @@
 import assert from 'node:assert/strict';
 import { mock, test } from 'node:test';
-import { RandomFleet } from '../../testing/leader-load/random-steps.js';
-import { Chance } from '../../testing/random.js';
-import { aFleet, aJob, aMachine, STD } from '../../testing/samples.js';
+import { RandomFleet } from '../../testing/leader-load/random-fleet.js';
+import { SeededRandom } from '../../testing/random.js';
+import { makeFleet, makeJob, registerMachine, STANDARD_TYPE } from '../../testing/samples.js';
 import { FleetState } from '../fleet-state.js';
 
 test('a silent machine of an earlier term keeps its tasks until any lease from a former leader has expired', () => {
-  const fleet = new FleetState({ settings: aFleet().settings, term: 200, electedAt: 50 });
-  fleet.machines.setType(STD);
-  const job = fleet.addJob(aJob({ tasks: 1 }), 0, 'accepted', 50);
-  fleet.assignments.inherit(job, 0, aMachine(fleet, 'n-1'), 1, 50);
+  const fleet = new FleetState({ settings: makeFleet().settings, term: 200, electedAt: 50 });
+  fleet.machines.setType(STANDARD_TYPE);
+  const job = fleet.addJob(makeJob({ tasks: 1 }), 0, 'accepted', 50);
+  fleet.assignments.inherit(job, 0, registerMachine(fleet, 'n-1'), 1, 50);
   const { formerLeaderS, leaseS } = fleet.settings;
   fleet.leases.expire(50 + formerLeaderS + leaseS);
   assert.equal(fleet.jobs.waitingCount(job), 0);
@@ -23,7 +23,7 @@
   let calls = 0;
   let expired = 0;
   for (let seed = 1; seed <= 40; seed++) {
-    const random = new RandomFleet(new Chance(seed));
+    const random = new RandomFleet(new SeededRandom(seed));
     const { leases, machines } = random.fleet;
     for (let step = 0; step < 150; step++) {
       random.step();
--- a/packages/core/heartbeats/task-reconciler.test.ts
+++ b/packages/core/heartbeats/task-reconciler.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { TaskStatus } from '#wire';
-import { aFleet, aJob, aMachine, aHeartbeat } from '../../testing/samples.js';
+import { makeFleet, makeJob, registerMachine, makeHeartbeat } from '../../testing/samples.js';
 
-const JOB = aJob();
+const JOB = makeJob();
 const TASK = { job: JOB.id, index: 0 };
 const RUNNING: TaskStatus = {
   ...TASK,
@@ -16,11 +16,11 @@
 
 /** Creates a machine and a job, and functions that assign an attempt and that list the orders in a heartbeat's answer. */
 function createMachineWithAttempts() {
-  const fleet = aFleet();
+  const fleet = makeFleet();
   const job = fleet.addJob(JOB, 0, 'accepted', 0);
-  const machine = aMachine(fleet, 'n-1');
+  const machine = registerMachine(fleet, 'n-1');
   const heartbeat = (sequence: number, ...tasks: TaskStatus[]) => {
-    const outcome = fleet.heartbeats.handle(aHeartbeat({ sequence, tasks }), sequence / 4);
+    const outcome = fleet.heartbeats.handle(makeHeartbeat({ sequence, tasks }), sequence / 4);
     return outcome.kind === 'answer' ? outcome.orders.map(({ op }) => op) : null;
   };
   const assign = (attempt: number) => {
@@ -78,7 +78,7 @@
 
 test('a worker forgets a done task once its completion is recorded, even if that of other tasks is not', () => {
   const { fleet, machine, heartbeat } = createMachineWithAttempts();
-  const job = fleet.addJob(aJob({ id: 'j-000002', tasks: 3 }), 0, 'accepted', 0);
+  const job = fleet.addJob(makeJob({ id: 'j-000002', tasks: 3 }), 0, 'accepted', 0);
   const done = (index: number): TaskStatus => {
     return { ...RUNNING, job: 'j-000002', index, state: 'exited', cause: 'done' };
   };
@@ -86,14 +86,14 @@
     fleet.assignments.assign(job, index, machine, 1, 0).recorded = true;
   }
   assert.ok(!heartbeat(2, done(0), done(1))?.includes('forget'));
-  fleet.unrecorded.tasksRecorded(job.spec.id, [0]);
+  fleet.unrecordedChanges.tasksRecorded(job.spec.id, [0]);
   assert.deepEqual(
     heartbeat(3, done(0), done(1))?.filter((op) => op === 'forget'),
     ['forget'],
   );
   // The end of the whole job is recorded separately from the completion of single tasks.
   fleet.assignments.assign(job, 2, machine, 1, 0).recorded = true;
-  fleet.unrecorded.tasksRecorded(job.spec.id, [1]);
+  fleet.unrecordedChanges.tasksRecorded(job.spec.id, [1]);
   assert.ok(!heartbeat(4, done(2))?.includes('forget'));
   fleet.closeJob(job, 'done', 2);
   assert.deepEqual(heartbeat(5, done(2)), ['forget']);
--- a/packages/core/chained-jobs.test.ts
+++ b/packages/core/job-dependencies.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Job } from '#wire';
-import { aFleet, aJob, aMachine, aHeartbeat } from '#testing';
+import { makeFleet, makeJob, registerMachine, makeHeartbeat } from '#testing';
 import { isBestEffort } from './fair-share/best-effort.js';
 import type { FleetState } from './fleet-state.js';
 import type { JobState } from './model/entities.js';
@@ -12,7 +12,7 @@
 const TEAMS = new Map([['red', NO_GUARANTEE]]);
 
 function createScheduledFleet() {
-  const fleet = aFleet({ isBestEffort: (job) => isBestEffort(job, TEAMS.get(job.team)) });
+  const fleet = makeFleet({ isBestEffort: (job) => isBestEffort(job, TEAMS.get(job.team)) });
   const scheduler = new Scheduler(fleet, TEAMS, {
     floorWeight: 0.1,
     stopThreshold: 0.5,
@@ -29,14 +29,14 @@
   hasOpenDependencies = false,
   rank?: number,
 ): JobState {
-  const job = aJob(overrides);
+  const job = makeJob(overrides);
   const dependencies = { hasOpenDependencies, rank: rank ?? job.rank };
   return fleet.addJob(job, 0, 'accepted', 0, { dependencies });
 }
 
 test('a job with open dependencies is not queued, assigned or reserved for, and is startable once they are done', () => {
   const { fleet, scheduler } = createScheduledFleet();
-  aMachine(fleet, 'n-1');
+  registerMachine(fleet, 'n-1');
   const first = addJob(fleet, { id: 'j-1' }, true);
   const gang = addJob(fleet, { id: 'j-2', kind: 'gang', tasks: 2 }, true);
   scheduler.reservations.update(1);
@@ -67,7 +67,7 @@
 
 test('a task of a job with open dependencies, started by a version that does not support dependencies, is stopped', () => {
   const { fleet } = createScheduledFleet();
-  const machine = aMachine(fleet, 'n-1');
+  const machine = registerMachine(fleet, 'n-1');
   const job = addJob(fleet, { id: 'j-1' }, true);
   fleet.assignments.inherit(job, 0, machine, 7, 0);
   const task = {
@@ -78,13 +78,13 @@
     cause: null,
     checkpointed: false,
   };
-  const outcome = fleet.heartbeats.handle(aHeartbeat({ tasks: [task as never] }), 1);
+  const outcome = fleet.heartbeats.handle(makeHeartbeat({ tasks: [task as never] }), 1);
   assert.ok(outcome.kind === 'answer' && outcome.orders.some(({ op }) => op === 'stop'));
 });
 
 test('a waiting best-effort job that gets the rank of a dependent is no longer best-effort and is placed first', () => {
   const { fleet, scheduler } = createScheduledFleet();
-  const machine = aMachine(fleet, 'n-1');
+  const machine = registerMachine(fleet, 'n-1');
   const normal = addJob(fleet, { id: 'j-1', rank: 2, gpus: 4 });
   const low = addJob(fleet, { id: 'j-2', rank: 3, gpus: 4 });
   assert.ok(low.isBestEffort);
@@ -102,7 +102,7 @@
 
 test('running tasks of a job count under the rank of a dependent that is submitted later', () => {
   const { fleet, scheduler } = createScheduledFleet();
-  const machine = aMachine(fleet, 'n-1');
+  const machine = registerMachine(fleet, 'n-1');
   const low = addJob(fleet, { id: 'j-1', rank: 3, gpus: 1, tasks: 4 });
   scheduler.round(1);
   assert.equal(low.assignments.size, 4);
--- a/packages/core/model/free-machines.test.ts
+++ b/packages/core/model/free-machines.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { RandomFleet } from '../../testing/leader-load/random-steps.js';
-import { Chance } from '../../testing/random.js';
-import { aJob } from '../../testing/samples.js';
+import { RandomFleet } from '../../testing/leader-load/random-fleet.js';
+import { SeededRandom } from '../../testing/random.js';
+import { makeJob } from '../../testing/samples.js';
 import { type FleetState, hasCapacity, type Machine } from '../index.js';
 
 const TASKS = [
@@ -10,7 +10,7 @@
   { gpus: 4, cpus: 0 },
   { gpus: 0, cpus: 4 },
   { gpus: 0, cpus: 0 },
-].map((need) => aJob({ ...need, memory: 1 }));
+].map((need) => makeJob({ ...need, memory: 1 }));
 
 function findMachinesWithCapacity(
   fleet: FleetState,
@@ -27,12 +27,16 @@
 test('the candidates for a task include each machine with capacity that a walk over every machine finds', () => {
   let found = 0;
   for (let seed = 1; seed <= 40; seed++) {
-    const random = new RandomFleet(new Chance(seed));
+    const random = new RandomFleet(new SeededRandom(seed));
     const { fleet } = random;
     for (let step = 0; step < 150; step++) {
       random.step();
       for (const task of TASKS) {
-        const listed = findMachinesWithCapacity(fleet, fleet.machines.free.mayHold(task), task);
+        const listed = findMachinesWithCapacity(
+          fleet,
+          fleet.machines.free.candidatesFor(task),
+          task,
+        );
         const expected = findMachinesWithCapacity(fleet, fleet.machines.values(), task);
         assert.deepEqual(listed, expected);
         found += expected.length;
--- a/packages/core/model/released-machines.test.ts
+++ b/packages/core/model/released-machines.test.ts
@@ -1,16 +1,16 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { aFleet, aMachine, aHeartbeat } from '../../testing/samples.js';
+import { makeFleet, registerMachine, makeHeartbeat } from '../../testing/samples.js';
 import { ReleasedMachines } from './released-machines.js';
 
 test('a delayed heartbeat of a released machine neither registers it again nor indicates a newer leader', () => {
   // Guards against placing work on a machine that is gone, and against a leader that steps down because of a fencing
   // token that it issued itself.
-  const fleet = aFleet();
-  const machine = aMachine(fleet, 'n-1');
+  const fleet = makeFleet();
+  const machine = registerMachine(fleet, 'n-1');
   machine.fence = 'requested';
   fleet.fencing.fenceRecorded(machine, 150);
-  const heartbeat = aHeartbeat({ sequence: 3, fencingToken: 150 });
+  const heartbeat = makeHeartbeat({ sequence: 3, fencingToken: 150 });
   assert.equal(fleet.heartbeats.handle(heartbeat, 1).kind, 'answer');
   fleet.removeMachine('n-1', 2);
   assert.deepEqual(fleet.heartbeats.handle(heartbeat, 30), { kind: 'late-copy' });
--- a/packages/core/model/task-set.test.ts
+++ b/packages/core/model/task-set.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { SEEDED } from '../../testing/generators.js';
+import { PROPERTY_TEST_OPTIONS } from '../../testing/generators.js';
 import { TaskSet } from './task-set.js';
 
 test('a task set that is encoded in chunks is decoded to the same set', () => {
@@ -10,10 +10,10 @@
       const set = new TaskSet(tasks);
       for (const i of done) set.add(i);
       const copy = new TaskSet(tasks);
-      for (let c = 0; c * 64 < tasks; c++) copy.addText(c * 64, set.textOf(c * 64, 64));
+      for (let c = 0; c * 64 < tasks; c++) copy.addBase64(c * 64, set.toBase64(c * 64, 64));
       assert.equal(copy.size, set.size);
       for (let i = 0; i < tasks; i++) assert.equal(copy.has(i), set.has(i));
     }),
-    SEEDED,
+    PROPERTY_TEST_OPTIONS,
   );
 });
--- a/packages/core/placement/choose-machine.test.ts
+++ b/packages/core/placement/choose-machine.test.ts
@@ -13,8 +13,8 @@
   zoneAllowed,
   tasksByZone,
 } from '../index.js';
-import { Chance } from '../../testing/random.js';
-import { aFleet, aJob, aMachine } from '../../testing/samples.js';
+import { SeededRandom } from '../../testing/random.js';
+import { makeFleet, makeJob, registerMachine } from '../../testing/samples.js';
 
 /** Chooses the machine by applying the placement rules to every machine of the fleet. */
 function chooseByExhaustiveSearch(fleet: FleetState, state: JobState, now: number): Machine | null {
@@ -50,12 +50,12 @@
 test('choosing from the candidate lists of a round gives the same machine as an exhaustive search', () => {
   let compared = 0;
   for (let seed = 1; seed <= 40; seed++) {
-    const chance = new Chance(seed);
-    const fleet = aFleet();
+    const chance = new SeededRandom(seed);
+    const fleet = makeFleet();
     const jobs: JobState[] = [];
     for (let i = 0; i < 24; i++) {
-      const spread = chance.hit(0.3);
-      const job = aJob({
+      const spread = chance.withProbability(0.3);
+      const job = makeJob({
         id: `j-${i}`,
         class: `c${chance.int(0, 2)}`,
         kind: 'service',
@@ -65,18 +65,22 @@
         gpus: chance.int(0, 2),
         image: `i${chance.int(0, 3)}`,
         spread,
-        oneZone: !spread && chance.hit(0.2),
-        zone: chance.hit(0.15) ? 'a' : null,
-        spot: chance.hit(0.5),
+        oneZone: !spread && chance.withProbability(0.2),
+        zone: chance.withProbability(0.15) ? 'a' : null,
+        spot: chance.withProbability(0.5),
       });
       jobs.push(fleet.addJob(job, 0, 'accepted', 0));
     }
     for (let i = 0; i < 12; i++) {
-      const machine = aMachine(fleet, `n-${i}`, { zone: i % 2 ? 'a' : 'b', spot: chance.hit(0.3) });
-      if (chance.hit(0.1)) fleet.machines.drain(machine);
-      if (chance.hit(0.1)) machine.cordonedUntil = 5;
-      if (chance.hit(0.2)) fleet.holds.hold(machine, jobs[chance.int(0, 23)], 20);
-      if (chance.hit(0.1)) fleet.machines.reserve(machine, jobs[chance.int(0, 23)].spec.id);
+      const machine = registerMachine(fleet, `n-${i}`, {
+        zone: i % 2 ? 'a' : 'b',
+        spot: chance.withProbability(0.3),
+      });
+      if (chance.withProbability(0.1)) fleet.machines.drain(machine);
+      if (chance.withProbability(0.1)) machine.cordonedUntil = 5;
+      if (chance.withProbability(0.2)) fleet.holds.hold(machine, jobs[chance.int(0, 23)], 20);
+      if (chance.withProbability(0.1))
+        fleet.machines.reserve(machine, jobs[chance.int(0, 23)].spec.id);
     }
     const now = 10;
     const candidates = new PlacementCandidates(fleet, now);
--- a/packages/core/placement/gang-reservations.test.ts
+++ b/packages/core/placement/gang-reservations.test.ts
@@ -1,15 +1,15 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { aFleet, aJob, aMachine } from '../../testing/samples.js';
+import { makeFleet, makeJob, registerMachine } from '../../testing/samples.js';
 import { GangReservations } from './gang-reservations.js';
 
 test('a machine whose capacity is held for other work is not reserved for a gang', () => {
   // Guards against a machine that stays empty: capacity freed and held for a replica was reserved for a
   // gang as well, so that the replica could not be placed there and the gang kept waiting for the replica.
-  const fleet = aFleet();
-  const [held, free] = [aMachine(fleet, 'n-1'), aMachine(fleet, 'n-2')];
-  const replica = fleet.addJob(aJob({ id: 'j-1', kind: 'service', rank: 1 }), 0, 'accepted', 0);
-  const gang = fleet.addJob(aJob({ id: 'j-2', kind: 'gang', gpus: 4 }), 0, 'accepted', 0);
+  const fleet = makeFleet();
+  const [held, free] = [registerMachine(fleet, 'n-1'), registerMachine(fleet, 'n-2')];
+  const replica = fleet.addJob(makeJob({ id: 'j-1', kind: 'service', rank: 1 }), 0, 'accepted', 0);
+  const gang = fleet.addJob(makeJob({ id: 'j-2', kind: 'gang', gpus: 4 }), 0, 'accepted', 0);
   const reservations = new GangReservations(fleet);
   fleet.holds.hold(held, replica, 12);
   reservations.update(1);
--- a/packages/core/placement/scheduler.test.ts
+++ b/packages/core/placement/scheduler.test.ts
@@ -12,7 +12,7 @@
   TeamQuota,
 } from '../index.js';
 import { FairShares } from '../fair-share/fair-shares.js';
-import { aFleet, aJob, aMachine } from '../../testing/samples.js';
+import { makeFleet, makeJob, registerMachine } from '../../testing/samples.js';
 
 const NOW = 100;
 const SETTINGS = {
@@ -59,10 +59,15 @@
 
 /** Makes a fleet with the jobs and machines; equal arguments give equal fleets. */
 function createFleet(jobSpecs: Jobs, machineSpecs: Machines): FleetState {
-  const fleet = aFleet({ isBestEffort: (job) => isBestEffort(job, TEAMS.get(job.team)) });
-  const created = machineSpecs.map((own, i) => aMachine(fleet, `n-${i}`, own));
+  const fleet = makeFleet({ isBestEffort: (job) => isBestEffort(job, TEAMS.get(job.team)) });
+  const created = machineSpecs.map((own, i) => registerMachine(fleet, `n-${i}`, own));
   jobSpecs.forEach(({ acceptedAt, runs, hasEnded, isBackingOff, ...own }, i) => {
-    const state = fleet.addJob(aJob({ id: `j-${i}`, ...own }), acceptedAt, 'accepted', acceptedAt);
+    const state = fleet.addJob(
+      makeJob({ id: `j-${i}`, ...own }),
+      acceptedAt,
+      'accepted',
+      acceptedAt,
+    );
     if (isBackingOff) state.backoffUntil = NOW + 5;
     runs.slice(0, own.tasks).forEach(([assignedAt, machineIndex], index) => {
       const machine = created[machineIndex % created.length];
@@ -93,7 +98,7 @@
         job,
         tier: tierOf(job),
         team,
-        index: shares.index(team, NOW),
+        index: shares.fairShareIndex(team, NOW),
         service: job.service.read(NOW),
       };
     })
--- a/packages/core/safety.test.ts
+++ b/packages/core/safety.test.ts
@@ -1,13 +1,13 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { type LeaderMistake, type LeaderViolation, playLeaders } from '#testing';
+import { type SeededLeaderFault, type LeaderViolation, runLeaderWithWorkersModel } from '#testing';
 
 const SEEDS = 60;
 
-function findViolations(mistake: LeaderMistake, seeds: number): Set<LeaderViolation> {
+function findViolations(mistake: SeededLeaderFault, seeds: number): Set<LeaderViolation> {
   const violations = new Set<LeaderViolation>();
   for (let seed = 1; seed <= seeds; seed++) {
-    for (const rule of playLeaders(seed, mistake)) violations.add(rule);
+    for (const rule of runLeaderWithWorkersModel(seed, mistake)) violations.add(rule);
   }
   return violations;
 }
@@ -17,17 +17,17 @@
 });
 
 // Shows for each deliberate mistake that a check can fail: the check of the violated rule must detect the mistake.
-const expectedViolations: [LeaderMistake, LeaderViolation][] = [
+const expectedViolations: [SeededLeaderFault, LeaderViolation][] = [
   ['short-lease', 'ran_twice'],
-  ['trusts-former-owner', 'ran_twice'],
-  ['believes-old-copies', 'ran_twice'],
-  ['forgets-late-starts', 'unrecorded'],
-  ['wakes-entitled', 'ran_cancelled'],
-  ['order-before-record', 'unrecorded'],
-  ['no-limit', 'quota'],
-  ['any-zone', 'wrong_place'],
-  ['deaf-to-aborts', 'ran_cancelled'],
-  ['done-early', 'not_done'],
+  ['skips-former-leader-wait', 'ran_twice'],
+  ['accepts-repeated-heartbeats', 'ran_twice'],
+  ['forgets-unacknowledged-starts', 'unrecorded'],
+  ['keeps-lease-after-freeze', 'ran_cancelled'],
+  ['starts-before-record', 'unrecorded'],
+  ['ignores-quota', 'quota'],
+  ['ignores-zones', 'wrong_place'],
+  ['ignores-cancellations', 'ran_cancelled'],
+  ['completes-early', 'not_done'],
 ];
 for (const [mistake, rule] of expectedViolations) {
   test(`the check of ${rule} detects the mistake ${mistake}`, () => {
--- a/packages/dependencies/dependency-graph.test.ts
+++ b/packages/dependencies/dependency-graph.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { SEEDED } from '../testing/generators.js';
+import { PROPERTY_TEST_OPTIONS } from '../testing/generators.js';
 import { DependencyGraph, type DependencyChange, type Outcome } from './dependency-graph.js';
 import { combineUrgency, type Urgency } from './urgency.js';
 
@@ -136,7 +136,7 @@
         assert.deepEqual(records.urgencies.get(id), records.graph.urgencyOf(id), `${id} changes`);
       }
     }),
-    SEEDED,
+    PROPERTY_TEST_OPTIONS,
   );
   assert.ok(indirectCancellations > 50 && waiting > 100, `${indirectCancellations}, ${waiting}`);
 });
--- a/packages/peer/frame-codec.test.ts
+++ b/packages/peer/frame-codec.test.ts
@@ -1,35 +1,35 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { anyJobId, anyName, record, SEEDED } from '#testing';
+import { anyJobId, anyName, recordArbitrary, PROPERTY_TEST_OPTIONS } from '#testing';
 import { encodeFrame, FrameReader } from './frame-codec.js';
 import type { Frame } from './frames.js';
 
 const u32 = fc.integer({ min: 0, max: 0xffffffff });
 const u53 = fc.nat(Number.MAX_SAFE_INTEGER);
 const anyFrame: fc.Arbitrary<Frame> = fc.oneof(
-  record({ kind: fc.constant('hello' as const), name: anyName }),
-  record({ kind: fc.constant('cancel' as const), job: anyJobId, ageMs: u32 }),
-  record({
+  recordArbitrary({ kind: fc.constant('hello' as const), name: anyName }),
+  recordArbitrary({ kind: fc.constant('cancel' as const), job: anyJobId, ageMs: u32 }),
+  recordArbitrary({
     kind: fc.constant('status' as const),
     incarnation: u53,
     sequence: u32,
-    echo: fc.option(record({ incarnation: u53, sequence: u32 })),
+    echo: fc.option(recordArbitrary({ incarnation: u53, sequence: u32 })),
     servedAgoMs: u32,
     refused: fc.boolean(),
     loaded: fc.boolean(),
     leading: fc.boolean(),
     mayLead: fc.boolean(),
     unreachable: fc.boolean(),
-    newestLeader: record({ term: u53, name: anyName }),
+    newestLeader: recordArbitrary({ term: u53, name: anyName }),
     followerHeartbeats: u32,
     jobsRevision: u53,
     cancelledSince: fc.oneof(u53, fc.constant(Infinity)),
-    cancelled: fc.array(record({ job: anyJobId, ageMs: u32 }), { maxLength: 5 }),
+    cancelled: fc.array(recordArbitrary({ job: anyJobId, ageMs: u32 }), { maxLength: 5 }),
   }),
-  record({
+  recordArbitrary({
     kind: fc.constant('counts' as const),
-    jobs: fc.array(record({ job: anyJobId, done: u32, running: u32 }), { maxLength: 5 }),
+    jobs: fc.array(recordArbitrary({ job: anyJobId, done: u32, running: u32 }), { maxLength: 5 }),
   }),
 );
 
@@ -112,7 +112,7 @@
       }
       assert.deepEqual(out, frames);
     }),
-    SEEDED,
+    PROPERTY_TEST_OPTIONS,
   );
   assert.throws(() => new FrameReader().push(Buffer.from('GET / HTTP/1.1\r\n')));
 });
--- a/packages/replicas/replica-exploration.test.ts
+++ b/packages/replicas/replica-exploration.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { isDeepStrictEqual } from 'node:util';
-import { exploreReplicas, type ReplicaBudget, type ReplicaMistake } from '#testing';
+import { exploreReplicas, type ReplicaBudget, type SeededReplicaFault } from '#testing';
 
 const NO_EVENTS = { failures: 0, leaderChanges: 0, lostCommands: 0, requests: 0 };
 const FAILURE: ReplicaBudget = { ...NO_EVENTS, failures: 1 };
@@ -28,9 +28,9 @@
 
 test('no order of events breaks an answer or runs two generations, and a whole replica stays reachable', () => {
   for (const budget of budgetsToExplore()) {
-    const { states, breach, stuck } = exploreReplicas(budget, 'none');
+    const { states, violation, stuck } = exploreReplicas(budget, 'none');
     console.log(`${JSON.stringify(budget)}: ${states} states`);
-    assert.deepEqual({ breach, stuck }, { breach: null, stuck: null });
+    assert.deepEqual({ breach: violation, stuck }, { breach: null, stuck: null });
     assert.ok(states > 1000, `${states} states`);
     const known = EXPECTED_STATES.find((each) => isDeepStrictEqual(each.budget, budget));
     if (known) assert.equal(states, known.states);
@@ -38,10 +38,10 @@
 });
 
 // Shows that each guard is needed: a model that makes the mistake which the guard prevents reaches the breach.
-const harmfulMistakes: [ReplicaMistake, ReplicaBudget, string][] = [
+const harmfulMistakes: [SeededReplicaFault, ReplicaBudget, string][] = [
   ['starts-unrecorded', LEADER_CHANGES, 'two generations'],
   ['places-before-gone', FAILURE, 'two generations'],
-  ['keeps-the-rest', FAILURE, 'incomplete generation kept'],
+  ['keeps-incomplete-generation', FAILURE, 'incomplete generation kept'],
   ['adopts-incomplete', FAILURE_AND_LEADER_CHANGE, 'incomplete generation kept'],
   ['records-without-term', LEADER_CHANGES, 'two generations'],
   ['obeys-old-tokens', LEADER_CHANGES, 'two generations'],
@@ -50,6 +50,6 @@
 ];
 for (const [mistake, budget, expectedBreach] of harmfulMistakes) {
   test(`the exploration finds the expected breach with the mistake ${mistake}`, () => {
-    assert.equal(exploreReplicas(budget, mistake).breach?.what, expectedBreach);
+    assert.equal(exploreReplicas(budget, mistake).violation?.invariant, expectedBreach);
   });
 }
--- a/packages/replicas/replica-groups.test.ts
+++ b/packages/replicas/replica-groups.test.ts
@@ -10,7 +10,7 @@
   type TeamQuota,
 } from '#core';
 import type { Job } from '#wire';
-import { aFleet, aJob, aMachine, aHeartbeat } from '#testing';
+import { makeFleet, makeJob, registerMachine, makeHeartbeat } from '#testing';
 import type { Recovery } from './replica-groups.js';
 import { ReplicaGroups } from './replica-groups.js';
 
@@ -36,21 +36,23 @@
   private sequence = 0;
 
   constructor(machines: number, quota: TeamQuota = NO_QUOTA) {
-    this.fleet = aFleet({ makeReplicas: (job, shape) => this.groups.make(job, shape) });
+    this.fleet = makeFleet({
+      makeReplicas: (job, shape) => this.groups.createJobGroups(job, shape),
+    });
     this.groups.attach(this.fleet);
     for (let i = 0; i < machines; i++) this.addMachine(`n-${i}`, i % 2 === 0 ? 'a' : 'b');
     this.scheduler = new Scheduler(this.fleet, new Map([['red', quota]]), SCHEDULER_OPTIONS);
   }
 
   addMachine(name: string, zone: string) {
-    return Object.assign(aMachine(this.fleet, name, { zone }), {
+    return Object.assign(registerMachine(this.fleet, name, { zone }), {
       agentEpoch: 1,
       termConfirmed: true,
     });
   }
 
   submit(own: Partial<Job>, members: number, sameZone = false, now = 0): JobState {
-    const job = aJob({ kind: 'service', gpus: 4, rank: 1, ...own });
+    const job = makeJob({ kind: 'service', gpus: 4, rank: 1, ...own });
     return this.fleet.addJob(job, now, 'accepted', now, { shape: { members, sameZone } });
   }
 
@@ -71,7 +73,7 @@
       });
     const { zone } = machine;
     this.fleet.heartbeats.handle(
-      aHeartbeat({ machine: name, zone, sequence: ++this.sequence, tasks }),
+      makeHeartbeat({ machine: name, zone, sequence: ++this.sequence, tasks }),
       now,
     );
   }
@@ -101,7 +103,7 @@
   const setup = new GroupSetup(6, { ...NO_QUOTA, gpuLimit: 20 });
   setup.submit({ tasks: 6 }, 3);
   assert.equal(setup.scheduler.place(1), 3);
-  assert.equal(setup.fleet.usage.ofTeam('red').gpus, 12);
+  assert.equal(setup.fleet.usage.amountsOfTeam('red').gpus, 12);
 });
 
 test('members that must share a zone are placed in one zone, once a zone has capacity for all of them', () => {
@@ -140,7 +142,10 @@
   const [first, second, third] = setup.assignments();
   const countOrders = (name: string, sequence: number) => {
     const { zone } = setup.fleet.machines.get(name)!;
-    const outcome = setup.fleet.heartbeats.handle(aHeartbeat({ machine: name, zone, sequence }), 1);
+    const outcome = setup.fleet.heartbeats.handle(
+      makeHeartbeat({ machine: name, zone, sequence }),
+      1,
+    );
     return outcome.kind === 'answer' ? outcome.orders.length : -1;
   };
   setup.fleet.assignments.markRecorded(first, 1);
@@ -224,7 +229,7 @@
   [0, 1].forEach((index) =>
     setup.fleet.assignments.inherit(partial, index, machines[index + 3], 78, 0),
   );
-  setup.groups.loaded(0);
+  setup.groups.recordsLoaded(0);
   const stopped = setup.assignments().filter(({ stop }) => stop !== null);
   assert.deepEqual(new Set(stopped.map(({ job }) => job.spec.id)), new Set(['j-2']));
   assert.equal(stopped.length, 2);
@@ -235,7 +240,7 @@
   setup.submit({ id: 'j-1', tasks: 3, rank: 3 }, 3);
   setup.scheduler.place(1);
   setup.recordAndRunAll(2);
-  setup.fleet.addJob(aJob({ id: 'j-2', rank: 0, gpus: 4 }), 40, 'accepted', 40);
+  setup.fleet.addJob(makeJob({ id: 'j-2', rank: 0, gpus: 4 }), 40, 'accepted', 40);
   setup.scheduler.round(60);
   const members = setup.assignments().filter(({ job }) => job.spec.id === 'j-1');
   assert.equal(members.length, 3);
@@ -245,7 +250,7 @@
 test('tasks are preempted for a replica only if that makes room for all of its members', () => {
   const setup = new GroupSetup(2);
   const low = setup.fleet.addJob(
-    aJob({ id: 'j-1', kind: 'service', rank: 3, tasks: 2, gpus: 4 }),
+    makeJob({ id: 'j-1', kind: 'service', rank: 3, tasks: 2, gpus: 4 }),
     0,
     'accepted',
     0,
--- a/packages/replicas/replica-rows.test.ts
+++ b/packages/replicas/replica-rows.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { aFleet, aJob, aMachine } from '#testing';
+import { makeFleet, makeJob, registerMachine } from '#testing';
 import { ReplicaGroups } from './replica-groups.js';
 import { replicaRows } from './replica-rows.js';
 
@@ -11,11 +11,11 @@
     random: () => 0,
     listener: { phaseChanged() {}, recovered() {} },
   });
-  const fleet = aFleet({ makeReplicas: (job, shape) => groups.make(job, shape) });
+  const fleet = makeFleet({ makeReplicas: (job, shape) => groups.createJobGroups(job, shape) });
   groups.attach(fleet);
-  const machines = ['n-1', 'n-2'].map((name) => aMachine(fleet, name));
+  const machines = ['n-1', 'n-2'].map((name) => registerMachine(fleet, name));
   for (const [number, id] of ['j-1', 'j-2'].entries()) {
-    const spec = aJob({ id, kind: 'service', tasks: 2 });
+    const spec = makeJob({ id, kind: 'service', tasks: 2 });
     const job = fleet.addJob(spec, 0, 'accepted', 0, {
       shape: { members: 2, sameZone: false },
     });
--- a/packages/shards/migration-exploration.test.ts
+++ b/packages/shards/migration-exploration.test.ts
@@ -1,12 +1,12 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { isDeepStrictEqual } from 'node:util';
-import { exploreMigrations, type MoveBudget, type MoveMistake } from '#testing';
+import { exploreMigrations, type MigrationBudget, type SeededMigrationFault } from '#testing';
 
-const LOST_ANSWER: MoveBudget = { requests: 1, crashes: 0, lapses: 0, lostAnswers: 1 };
-const CRASH: MoveBudget = { requests: 1, crashes: 1, lapses: 0, lostAnswers: 0 };
-const LAPSE: MoveBudget = { requests: 1, crashes: 0, lapses: 1, lostAnswers: 0 };
-const TWO_REQUESTS: MoveBudget = { requests: 2, crashes: 0, lapses: 0, lostAnswers: 0 };
+const LOST_ANSWER: MigrationBudget = { requests: 1, crashes: 0, lapses: 0, lostAnswers: 1 };
+const CRASH: MigrationBudget = { requests: 1, crashes: 1, lapses: 0, lostAnswers: 0 };
+const LAPSE: MigrationBudget = { requests: 1, crashes: 0, lapses: 1, lostAnswers: 0 };
+const TWO_REQUESTS: MigrationBudget = { requests: 2, crashes: 0, lapses: 0, lostAnswers: 0 };
 
 /** Counts of states, as listed in docs/shards.md. A model that distinguishes equivalent states has more. */
 const EXPECTED_COUNTS = [
@@ -17,7 +17,7 @@
 ];
 
 /** MOVE_BUDGET=1,1,1,1 in the environment sets the numbers of requests, crashes, lease lapses and lost answers. */
-function selectBudgets(): MoveBudget[] {
+function selectBudgets(): MigrationBudget[] {
   const override = process.env.MOVE_BUDGET?.split(',').map(Number);
   if (!override) return [LOST_ANSWER, CRASH, LAPSE, TWO_REQUESTS];
   const [requests, crashes, lapses, lostAnswers] = override;
@@ -37,8 +37,8 @@
 });
 
 // Shows that each guard is needed: without it, the exploration finds two leaders.
-const unsafeMistakes: [MoveMistake, MoveBudget][] = [
-  ['trusts-its-grant', LOST_ANSWER],
+const unsafeMistakes: [SeededMigrationFault, MigrationBudget][] = [
+  ['trusts-own-lease', LOST_ANSWER],
   ['resumes-on-silence', LOST_ANSWER],
   ['resumes-on-failure', LOST_ANSWER],
   ['takes-without-record', LOST_ANSWER],
@@ -52,7 +52,7 @@
   });
 }
 
-test('the exploration finds a shard without decisions with the mistake waits-for-ever', () => {
-  const { stuck } = exploreMigrations(CRASH, 'waits-for-ever');
+test('the exploration finds a shard without decisions with the mistake waits-without-limit', () => {
+  const { stuck } = exploreMigrations(CRASH, 'waits-without-limit');
   assert.ok(stuck !== null);
 });
--- a/packages/shards/record-prefetch.test.ts
+++ b/packages/shards/record-prefetch.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { StateWorld } from '#testing';
+import { StateServiceFixture } from '#testing';
 import { listAll } from '#store';
 import { RecordPrefetch } from './record-prefetch.js';
 
@@ -10,7 +10,7 @@
 const RECORDS = 2500;
 
 async function startStateWithRecords() {
-  const state = await StateWorld.start(LIMITS);
+  const state = await StateServiceFixture.start(LIMITS);
   const client = state.client(state.controller());
   const { store } = state.service;
   for (let i = 0; i < RECORDS; i++) store.apply([{ put: `${PREFIX}n-${i}`, value: { i } }]);
--- a/packages/store/budget.test.ts
+++ b/packages/store/budget.test.ts
@@ -1,13 +1,13 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { SEEDED, StateWorld } from '#testing';
+import { PROPERTY_TEST_OPTIONS, StateServiceFixture } from '#testing';
 import { Budget } from './budget.js';
 
 const LIMITS = { rps: 100, writeRps: 100, valueBytes: 1024, txnOps: 24 };
 
 async function createBudget(perSecond: number) {
-  const world = await StateWorld.start(LIMITS);
+  const world = await StateServiceFixture.start(LIMITS);
   return { world, budget: new Budget(world.controller().clock, perSecond) };
 }
 
@@ -31,7 +31,7 @@
       await world.run(units / rate + 1.25);
       assert.equal(granted, wanted.length);
     }),
-    SEEDED,
+    PROPERTY_TEST_OPTIONS,
   );
 });
 
--- a/packages/store/fair-queue.test.ts
+++ b/packages/store/fair-queue.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { SEEDED } from '#testing';
+import { PROPERTY_TEST_OPTIONS } from '#testing';
 import { FairQueue } from './fair-queue.js';
 
 test('non-empty lanes are served in proportion to their weights, and each lane in FIFO order', () => {
@@ -26,7 +26,7 @@
       }
       assert.deepEqual(served, lengths);
     }),
-    SEEDED,
+    PROPERTY_TEST_OPTIONS,
   );
 });
 
--- a/packages/store/group-commit.test.ts
+++ b/packages/store/group-commit.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { TxnMalformed } from '#wire';
-import { StateWorld } from '#testing';
+import { StateServiceFixture } from '#testing';
 import { GroupCommit } from './group-commit.js';
 
 const LIMITS = { rps: 150, writeRps: 50, valueBytes: 8192, txnOps: 24 };
@@ -9,7 +9,7 @@
 const SHARE = 0.3;
 
 test('a burst of changes at a follower is committed as fast as its share of the rate allows', async () => {
-  const state = await StateWorld.start(LIMITS);
+  const state = await StateServiceFixture.start(LIMITS);
   const runtime = state.controller();
   const client = state.client(runtime, { share: SHARE });
   state.service.setLatency({ usualMs: [400, 400], slowShare: 0, slowMs: [0, 0] });
@@ -30,7 +30,7 @@
 });
 
 test('a change that the state service rejects as malformed does not fail others in its transaction', async () => {
-  const state = await StateWorld.start({ ...LIMITS, valueBytes: 1024 });
+  const state = await StateServiceFixture.start({ ...LIMITS, valueBytes: 1024 });
   const runtime = state.controller();
   const client = state.client(runtime, { limits: LIMITS });
   const commits = new GroupCommit({ client, runtime, maxQueue: 100 });
--- a/packages/store/hedged-request.test.ts
+++ b/packages/store/hedged-request.test.ts
@@ -1,14 +1,14 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { NoAnswer, sleep, StateRefused } from '#wire';
-import { StateWorld } from '#testing';
+import { StateServiceFixture } from '#testing';
 import { HedgedRequests } from './hedged-request.js';
 
 const LIMITS = { rps: 100, writeRps: 100, valueBytes: 8192, txnOps: 24 };
 
 /** Creates a `HedgedRequests` and a request whose attempts are answered after the given times; Infinity: never. */
 async function createHedge(answerTimesS: number[]) {
-  const world = await StateWorld.start(LIMITS);
+  const world = await StateServiceFixture.start(LIMITS);
   const { clock } = world.controller();
   const hedge = new HedgedRequests({ clock, minDelayS: 0.25, maxAttempts: 4 });
   const sent: number[] = [];
--- a/packages/store/leader-election.test.ts
+++ b/packages/store/leader-election.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { StateWorld } from '#testing';
+import { StateServiceFixture } from '#testing';
 import { PrefixCache } from './prefix-cache.js';
 import { LeaderElection } from './leader-election.js';
-import { WORLD } from './record-keys.js';
+import { CLUSTER_PREFIX } from './record-keys.js';
 
 const LIMITS = { rps: 150, writeRps: 50, valueBytes: 8192, txnOps: 24 };
 /** As in the largest deployments: the request timeout is nearly as long as the TTL of the lease. */
@@ -12,11 +12,11 @@
 
 /** Starts a controller and waits until it leads the shard. */
 async function electLeader(seed: number) {
-  const state = await StateWorld.start(LIMITS, seed);
+  const state = await StateServiceFixture.start(LIMITS, seed);
   const runtime = state.controller();
   const client = state.client(runtime, { timeoutMs: TIMEOUT_MS });
   const cacheOptions = { client, runtime, watchMs: 10_000, syncSpacingMs: 500 };
-  const cache = new PrefixCache({ ...cacheOptions, prefix: WORLD });
+  const cache = new PrefixCache({ ...cacheOptions, prefix: CLUSTER_PREFIX });
   const election = new LeaderElection({ client, runtime, cache, name: 'c', shard: 0, ttlS: TTL_S });
   const { signal } = new AbortController();
   void cache.run(signal);
@@ -47,13 +47,13 @@
 
 test('a controller that resigns just before its campaign does not campaign, and is elected later', async () => {
   // Guards against a leader key that is attached to no lease, and so would never be removed.
-  const state = await StateWorld.start(LIMITS);
+  const state = await StateServiceFixture.start(LIMITS);
   const runtime = state.controller();
   const client = state.client(runtime, { timeoutMs: TIMEOUT_MS });
   const cache = new PrefixCache({
     client,
     runtime,
-    prefix: WORLD,
+    prefix: CLUSTER_PREFIX,
     watchMs: 10_000,
     syncSpacingMs: 500,
   });
--- a/packages/store/shared-rate.test.ts
+++ b/packages/store/shared-rate.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { StateWorld } from '#testing';
+import { StateServiceFixture } from '#testing';
 import { GroupCommit } from './group-commit.js';
 import { StateRefused } from '#wire';
 
@@ -11,7 +11,7 @@
 const SECONDS = 30;
 
 test('a leader gets its minimum share while six followers ask for more than theirs', async () => {
-  const state = await StateWorld.start(LIMITS);
+  const state = await StateServiceFixture.start(LIMITS);
   const leader = state.client(state.controller('10.0.0.1'));
   leader.setChangeShares(LEADER_SHARES);
   let recorded = 0;
@@ -55,7 +55,7 @@
 });
 
 test('a controller halves its rate after a refusal, and regains its maximum once others are idle', async () => {
-  const state = await StateWorld.start(LIMITS);
+  const state = await StateServiceFixture.start(LIMITS);
   const client = state.client(state.controller());
   client.setChangeShares(FOLLOWER_SHARES);
   const most = FOLLOWER_SHARES.most * LIMITS.writeRps;
--- a/packages/testing/counting-runtime.ts
+++ b/packages/testing/counting-runtime.ts
@@ -34,7 +34,7 @@
     return nodeRuntime.random();
   }
 
-  get listening(): number {
+  get listeningServers(): number {
     return this.servers.size;
   }
 
--- a/packages/testing/failing-world.ts
+++ b/packages/testing/failing-tasks-fixture.ts
@@ -1,16 +1,16 @@
 import type { Job } from '#wire';
 import { assignmentsOf, FleetState, JobState, Machine, NO_QUOTA, Scheduler } from '#core';
-import { aFleet, aJob, aMachine } from './samples.js';
+import { makeFleet, makeJob, registerMachine } from './samples.js';
 
-/** The teams of the fleet in `FailingWorld`. */
+/** The teams of the fleet in `FailingTasksFixture`. */
 export const TEAMS = new Map([
   ['red', NO_QUOTA],
   ['blue', NO_QUOTA],
 ]);
 
 /** A fleet whose tasks run one second after their placement, and fail if a test says so. */
-export class FailingWorld {
-  readonly fleet: FleetState = aFleet();
+export class FailingTasksFixture {
+  readonly fleet: FleetState = makeFleet();
   readonly machines: Machine[];
   readonly scheduler: Scheduler;
   /** Number of task starts by job id. */
@@ -18,7 +18,9 @@
   now = 0;
 
   constructor(machineCount: number) {
-    this.machines = Array.from({ length: machineCount }, (_, i) => aMachine(this.fleet, `n-${i}`));
+    this.machines = Array.from({ length: machineCount }, (_, i) =>
+      registerMachine(this.fleet, `n-${i}`),
+    );
     this.scheduler = new Scheduler(this.fleet, TEAMS, {
       floorWeight: 0.05,
       stopThreshold: 0.5,
@@ -29,11 +31,11 @@
   }
 
   submit(overrides: Partial<Job>): JobState {
-    return this.fleet.addJob(aJob(overrides), this.now, 'accepted', this.now);
+    return this.fleet.addJob(makeJob(overrides), this.now, 'accepted', this.now);
   }
 
   /** Runs the fleet second by second; tasks for which `fails` returns true end with an error. */
-  play(seconds: number, fails: (job: JobState, machine: Machine) => boolean): void {
+  run(seconds: number, fails: (job: JobState, machine: Machine) => boolean): void {
     for (const until = this.now + seconds; this.now < until; this.now++) {
       for (const job of [...this.fleet.jobs.values()]) {
         for (const task of assignmentsOf(job)) this.processHeartbeat(task.machine, job, fails);
@@ -43,7 +45,7 @@
     }
   }
 
-  fail(job: JobState, machine: Machine): void {
+  failTask(job: JobState, machine: Machine): void {
     const attempt = this.fleet.assignments.newAttempt();
     const [index] = this.fleet.jobs.waitingTasks(job, 1);
     const task = this.fleet.assignments.assign(job, index, machine, attempt, this.now);
--- a/packages/testing/fault-combinations/cancellations-during-transfer.test.ts
+++ b/packages/testing/fault-combinations/cancellations-during-transfer.test.ts
@@ -9,7 +9,7 @@
   confirmedCancellations,
   killedTasks,
   lastTaskLeftAt,
-  playMeeting,
+  runScenarioWithSeeds,
   heartbeatsAnswered,
   tasksRunningAt,
 } from './run-queries.js';
@@ -40,7 +40,7 @@
     { kind: 'cancel-now', atS: BEGIN_S, afterTakeoverS: 0, count: 3 },
   ];
   const scenario = steadyScenario('cancelled as the work changes hands', BEGIN_S + 60, faults);
-  await playMeeting(scenario, [1, 2, 3, 4], (result) => {
+  await runScenarioWithSeeds(scenario, [1, 2, 3, 4], (result) => {
     const [crash] = result.faults.of('controller-crash');
     const successor = result.leaders.find(({ term }) => term > crash.leader!.term)!;
     const readyAt = readyTimes(result, successor.leader).find((atS) => atS > successor.atS)!;
@@ -74,7 +74,7 @@
     { kind: 'state-outage', atS: BEGIN_S, afterTakeoverS: 0.3, forS: CANCEL_S + 10 },
   ];
   const scenario = steadyScenario('two leaders crash, then an outage', BEGIN_S + 75, faults);
-  await playMeeting(scenario, [1, 2, 3, 4], (result) => {
+  await runScenarioWithSeeds(scenario, [1, 2, 3, 4], (result) => {
     const [first, second] = result.faults.of('controller-crash');
     const [outage] = result.faults.of('state-outage');
     assert.notEqual(second.leader!.leader, first.leader!.leader);
@@ -96,7 +96,7 @@
     { kind: 'state-outage', atS: BEGIN_S, afterTakeoverS: 0.3, forS: CANCEL_S + 10 },
   ];
   const scenario = steadyScenario('records not read', BEGIN_S + 75, faults);
-  await playMeeting(scenario, [1, 2, 3, 4], (result) => {
+  await runScenarioWithSeeds(scenario, [1, 2, 3, 4], (result) => {
     const [crash] = result.faults.of('controller-crash');
     const [outage] = result.faults.of('state-outage');
     const leader = outage.leader!;
--- a/packages/testing/fault-combinations/cut-or-frozen-leader.test.ts
+++ b/packages/testing/fault-combinations/cut-or-frozen-leader.test.ts
@@ -10,7 +10,7 @@
   confirmedCancellations,
   killedTasks,
   lastTaskLeftAt,
-  playMeeting,
+  runScenarioWithSeeds,
   heartbeatsAnswered,
   tasksRunningAt,
 } from './run-queries.js';
@@ -49,7 +49,7 @@
       { kind: 'cancel-now', atS: BEGIN_S + 8, count: 8 },
     ];
     const scenario = steadyScenario(`leader cut off (${mode})`, BEGIN_S + cutS + 20, faults);
-    await playMeeting(scenario, [1 + 2 * index, 2 + 2 * index], (result) => {
+    await runScenarioWithSeeds(scenario, [1 + 2 * index, 2 + 2 * index], (result) => {
       const [cut] = result.faults.of('controller-cut');
       const { leader, successor } = leaderAndSuccessor(result);
       const confirmed = confirmedCancellations(result, successor.atS, cut.untilS);
@@ -78,7 +78,7 @@
       { kind: 'state-outage', atS: outageAtS, forS: CANCEL_S + 10 },
     ];
     const scenario = steadyScenario('frozen into an outage', outageAtS + CANCEL_S + 30, faults);
-    await playMeeting(scenario, [1, 2], (result) => {
+    await runScenarioWithSeeds(scenario, [1, 2], (result) => {
       const [freeze] = result.faults.of('controller-freeze');
       const [outage] = result.faults.of('state-outage');
       const leader = freeze.leader!.leader;
@@ -114,7 +114,7 @@
     { kind: 'cancel-now', atS: BEGIN_S + 1, count: 8 },
   ];
   const scenario = steadyScenario('wakes late', BEGIN_S + cutS + 20, faults);
-  await playMeeting(scenario, [1, 2, 3], (result) => {
+  await runScenarioWithSeeds(scenario, [1, 2, 3], (result) => {
     const [freeze] = result.faults.of('controller-freeze');
     const [cut] = result.faults.of('controller-cut');
     const { leader, successor } = leaderAndSuccessor(result);
--- a/packages/testing/fault-combinations/dependencies-and-faults.test.ts
+++ b/packages/testing/fault-combinations/dependencies-and-faults.test.ts
@@ -7,7 +7,7 @@
 import type { ClusterSettings, Fault, ScenarioResult } from '../simulation/index.js';
 import { dependentJobs, countDependentJobs, prematureStarts } from './dependency-queries.js';
 import { dependentJobsScenario, chainStages, DIAMOND } from './dependent-work.js';
-import { playMeeting } from './run-queries.js';
+import { runScenarioWithSeeds } from './run-queries.js';
 import { BUSY_FROM_S, CANCEL_S } from './steady-work.js';
 
 const BEGIN_S = BUSY_FROM_S;
@@ -21,9 +21,9 @@
     { kind: 'state-outage', atS: BEGIN_S + 3, forS: outageS },
   ];
   const scenario = dependentJobsScenario('refused, outage', BEGIN_S + outageS + 130, faults, {
-    pipeline: { cancelledShare: 0.6, arrivals: { perMinute: 40, together: [1, 1] } },
+    pipeline: { cancelledShare: 0.6, arrivals: { perMinute: 40, jobsPerArrival: [1, 1] } },
   });
-  await playMeeting(scenario, [1, 2], (result) => {
+  await runScenarioWithSeeds(scenario, [1, 2], (result) => {
     const [outage] = result.faults.of('state-outage');
     assert.ok(outage.untilS - outage.fromS > CANCEL_S);
     const { done, cancelledByDependency } = countDependentJobs(result);
@@ -52,13 +52,13 @@
 
 test('jobs run that depend on a team at its limit, and jobs that depend on failing jobs are aborted with them', async () => {
   const stages = DIAMOND.stages.map((stage, number) =>
-    number === 1 ? { ...stage, jobClass: { ...stage.jobClass, mistakenShare: 0.2 } } : stage,
+    number === 1 ? { ...stage, jobClass: { ...stage.jobClass, failingShare: 0.2 } } : stage,
   );
   const scenario = dependentJobsScenario('teams', 320, [], {
     cluster: withSmallTeams,
-    pipeline: { stages, mixesTeams: true, cancelledShare: 0, lateShare: 0 },
+    pipeline: { stages, mixesTeams: true, cancelledShare: 0, lateSubmissionShare: 0 },
   });
-  await playMeeting(scenario, [1, 2], (result) => {
+  await runScenarioWithSeeds(scenario, [1, 2], (result) => {
     const { done, cancelledByDependency } = countDependentJobs(result);
     assert.ok(dependenciesAcrossTeams(result).length >= 30, 'too few dependencies across teams');
     assert.ok(done >= 30, `${done} dependent jobs were done`);
@@ -80,12 +80,12 @@
     ...stage,
     jobClass: { ...jobClass, ...shortRuns },
   }));
-  const arrivals = { perMinute: 0, together: [1, 1] as [number, number], atStart: 6 };
+  const arrivals = { perMinute: 0, jobsPerArrival: [1, 1] as [number, number], atStart: 6 };
   const pipeline = {
     stages,
     arrivals,
     fromS: 20,
-    lateShare: 0,
+    lateSubmissionShare: 0,
     cancelledShare: 0.5,
     deadlineS: 300,
   };
@@ -94,7 +94,7 @@
     ...scenario,
     workload: { ...scenario.workload, classes: [], intensity: 1 },
   };
-  await playMeeting(pipelinesOnly, [1], (result) => {
+  await runScenarioWithSeeds(pipelinesOnly, [1], (result) => {
     const { done, cancelledByDependency } = countDependentJobs(result);
     assert.ok(done >= 200, `${done} dependent jobs were done`);
     assert.ok(
--- a/packages/testing/fault-combinations/dependency-queries.ts
+++ b/packages/testing/fault-combinations/dependency-queries.ts
@@ -1,5 +1,5 @@
 /** Queries of a finished run for tests of jobs that depend on other jobs. */
-import { JOBS, MACHINES, type MachineRecord } from '#store';
+import { JOBS_PREFIX, MACHINES_PREFIX, type MachineRecord } from '#store';
 import type { Job } from '#wire';
 import type { ScenarioResult } from '../simulation/index.js';
 
@@ -76,12 +76,12 @@
   for (const [number, { changes, applied }] of timeline.of('transaction').entries()) {
     const puts = applied ? changes.filter((change) => 'put' in change) : [];
     for (const { put, value } of puts) {
-      if (put.startsWith(MACHINES)) {
+      if (put.startsWith(MACHINES_PREFIX)) {
         for (const [job] of (value as MachineRecord).tasks) {
           if (!assigned.has(job)) assigned.set(job, number);
         }
-      } else if (put.startsWith(JOBS) && (value as { phase: string }).phase === 'done') {
-        done.set(put.slice(JOBS.length), number);
+      } else if (put.startsWith(JOBS_PREFIX) && (value as { phase: string }).phase === 'done') {
+        done.set(put.slice(JOBS_PREFIX.length), number);
       }
     }
   }
--- a/packages/testing/fault-combinations/dependent-jobs.test.ts
+++ b/packages/testing/fault-combinations/dependent-jobs.test.ts
@@ -12,7 +12,7 @@
   prematureStarts,
 } from './dependency-queries.js';
 import { dependentJobsScenario } from './dependent-work.js';
-import { playMeeting } from './run-queries.js';
+import { runScenarioWithSeeds } from './run-queries.js';
 import { BUSY_FROM_S } from './steady-work.js';
 
 const BEGIN_S = BUSY_FROM_S;
@@ -52,20 +52,24 @@
     { kind: 'cancel-at-end', atS: 40, forS: 80, share: 0.25 },
     { kind: 'odd-requests', atS: 30, forS: 60 },
   ];
-  await playMeeting(dependentJobsScenario('chained', LENGTH_S, faults), [1, 2], (result) => {
-    assertPipelinesServed(result);
-    const cancelled = cancelledDependencies(result, 0, LENGTH_S);
-    assert.ok(cancelled.length >= 5, `${cancelled.length} dependencies were cancelled`);
-    const cancelledLate = cancelledAtEnd(result);
-    assert.ok(
-      cancelledLate.cancelled.length >= 3,
-      `${cancelledLate.cancelled.length} were cancelled with all tasks done`,
-    );
-    assert.ok(
-      cancelledLate.done.length >= 1,
-      `${cancelledLate.done.length} cancellations came after the end`,
-    );
-  });
+  await runScenarioWithSeeds(
+    dependentJobsScenario('chained', LENGTH_S, faults),
+    [1, 2],
+    (result) => {
+      assertPipelinesServed(result);
+      const cancelled = cancelledDependencies(result, 0, LENGTH_S);
+      assert.ok(cancelled.length >= 5, `${cancelled.length} dependencies were cancelled`);
+      const cancelledLate = cancelledAtEnd(result);
+      assert.ok(
+        cancelledLate.cancelled.length >= 3,
+        `${cancelledLate.cancelled.length} were cancelled with all tasks done`,
+      );
+      assert.ok(
+        cancelledLate.done.length >= 1,
+        `${cancelledLate.done.length} cancellations came after the end`,
+      );
+    },
+  );
 });
 
 test('pipelines run when transactions that record the end of dependencies get no answer or are late while leaders fail', async () => {
@@ -78,7 +82,7 @@
     { kind: 'controller-freeze', atS: BEGIN_S + 20, forS: 8, controllers: 'leader' },
     { kind: 'cancel-at-end', atS: BEGIN_S - 10, forS: 50, share: 0.2 },
   ];
-  await playMeeting(
+  await runScenarioWithSeeds(
     dependentJobsScenario('ends lost or late', LENGTH_S, faults),
     [1, 2],
     (result) => {
@@ -107,11 +111,15 @@
     { kind: 'controller-crash', atS: BEGIN_S + 7, controllers: 'all', downS: 1 },
     { kind: 'zone-cut', atS: BEGIN_S + 30, forS: 15, zone: 'a', mode: 'hold' },
   ];
-  await playMeeting(dependentJobsScenario('all restart', LENGTH_S, faults), [1, 2], (result) => {
-    const crashes = result.faults.of('controller-crash');
-    assert.equal(crashes.length, 2);
-    const before = countDependentJobs(result, 0, BEGIN_S).done;
-    const after = countDependentJobs(result, BEGIN_S + 10).done;
-    assert.ok(before >= 3 && after >= 10, `${before} before, ${after} after`);
-  });
+  await runScenarioWithSeeds(
+    dependentJobsScenario('all restart', LENGTH_S, faults),
+    [1, 2],
+    (result) => {
+      const crashes = result.faults.of('controller-crash');
+      assert.equal(crashes.length, 2);
+      const before = countDependentJobs(result, 0, BEGIN_S).done;
+      const after = countDependentJobs(result, BEGIN_S + 10).done;
+      assert.ok(before >= 3 && after >= 10, `${before} before, ${after} after`);
+    },
+  );
 });
--- a/packages/testing/fault-combinations/faulty-jobs.test.ts
+++ b/packages/testing/fault-combinations/faulty-jobs.test.ts
@@ -12,8 +12,8 @@
   type Scenario,
   type ScenarioResult,
 } from '../simulation/index.js';
-import { USUAL_CLASSES, type JobClass } from '../stand-ins/index.js';
-import { playMeeting } from './run-queries.js';
+import { DEFAULT_CLASSES, type JobClass } from '../stand-ins/index.js';
+import { runScenarioWithSeeds } from './run-queries.js';
 import { CANCEL_S } from './steady-work.js';
 
 const LENGTH_S = 300;
@@ -30,8 +30,8 @@
 /** A cluster with room for all jobs that are not suspect. */
 const CLUSTER = { ...SMALL_CLUSTER, capacity: [{ machines: 30 }] };
 
-const [REPLICAS, BATCHES, , GANGS] = USUAL_CLASSES;
-const SOUND_CLASSES = USUAL_CLASSES.map((jobClass) => ({ ...jobClass, mistakenShare: 0 }));
+const [REPLICAS, BATCHES, , GANGS] = DEFAULT_CLASSES;
+const SOUND_CLASSES = DEFAULT_CLASSES.map((jobClass) => ({ ...jobClass, failingShare: 0 }));
 const FAULTY = /^faulty/;
 
 /** Makes a job class whose tasks fail long before they could complete or save a checkpoint. */
@@ -46,9 +46,9 @@
       checkpointS: 0,
       saveS: 0,
     },
-    arrivals: { perMinute, together: [1, 2] },
+    arrivals: { perMinute, jobsPerArrival: [1, 2] },
     run: { medianS: 60, p95S: 80, maxS: 100 },
-    mistakenShare: 1,
+    failingShare: 1,
   };
 }
 
@@ -148,7 +148,7 @@
   test(`faulty arrays and gangs start seldom and don't delay sound jobs${when}`, async () => {
     const mixed = makeScenario([...SOUND_CLASSES, ...FAULTY_CLASSES], faults);
     const addedWaitsS: number[] = [];
-    await playMeeting(mixed, [1, 2, 4], async (result) => {
+    await runScenarioWithSeeds(mixed, [1, 2, 4], async (result) => {
       assertFaultyJobsFailed(result);
       assertAttemptsBounded(result, faults.length + 1);
       const soundOnly = await runScenario(makeScenario(SOUND_CLASSES, faults), result.seed);
@@ -162,7 +162,7 @@
   test(`faulty arrays, gangs and services cause no scale-outs once they are suspect${when}`, async () => {
     const cpuClasses = SOUND_CLASSES.filter(({ template }) => template.gpus === 0);
     const cpuScenario = makeScenario([...cpuClasses, ...FAULTY_CLASSES, FAULTY_SERVICES], faults);
-    await playMeeting(cpuScenario, [1, 2], (result) => {
+    await runScenarioWithSeeds(cpuScenario, [1, 2], (result) => {
       assertFaultyJobsFailed(result);
       assertAttemptsBounded(result, faults.length + 1);
       assert.deepEqual(avoidableScaleOuts(result, 'g8'), []);
--- a/packages/testing/fault-combinations/flood.test.ts
+++ b/packages/testing/fault-combinations/flood.test.ts
@@ -6,7 +6,7 @@
 import { test } from 'node:test';
 import { jobKey } from '#store';
 import { UserClient } from '#wire';
-import { aJob } from '../samples.js';
+import { makeJob } from '../samples.js';
 import { Cluster, formatAddress, serviceAddress, SMALL_CLUSTER } from '../simulation/index.js';
 import { describeViolation, type PlannedJob } from '../stand-ins/index.js';
 
@@ -23,9 +23,9 @@
 function planJob(
   number: number,
   submitAtS: number,
-  overrides: Parameters<typeof aJob>[0],
+  overrides: Parameters<typeof makeJob>[0],
 ): PlannedJob {
-  const job = aJob({
+  const job = makeJob({
     id: `j-${String(number).padStart(6, '0')}`,
     gpus: 0,
     imageGb: 0.5,
--- a/packages/testing/fault-combinations/large-array.test.ts
+++ b/packages/testing/fault-combinations/large-array.test.ts
@@ -4,8 +4,8 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { jobKey, PROGRESS } from '#store';
-import { aJob } from '../samples.js';
+import { jobKey, PROGRESS_PREFIX } from '#store';
+import { makeJob } from '../samples.js';
 import { Cluster, SMALL_CLUSTER } from '../simulation/index.js';
 import { describeViolation } from '../stand-ins/index.js';
 
@@ -15,7 +15,7 @@
 /** From this time on all machines are up and full. */
 const ALL_MACHINES_FULL_S = 28;
 const TASK_S = 4;
-const ARRAY = aJob({ id: 'j-1', rank: 3, cpus: 0.25, gpus: 0, memory: 0.5, imageGb: 0.5 });
+const ARRAY = makeJob({ id: 'j-1', rank: 3, cpus: 0.25, gpus: 0, memory: 0.5, imageGb: 0.5 });
 
 /** Runs an array of so many tasks until it is done, with a crash of the leader on the way. */
 async function runArray(tasks: number) {
@@ -67,7 +67,7 @@
     for (const { put, value } of values) {
       assert.ok(JSON.stringify(value).length <= LIMITS.value_kb * 1024, put);
     }
-    assert.ok(values.some(({ put }) => put.startsWith(PROGRESS)));
+    assert.ok(values.some(({ put }) => put.startsWith(PROGRESS_PREFIX)));
     // A task runs again only if it was on a machine at the crash, or ended just before.
     const completed = cluster.timeline.of('task-completed').length;
     const started = cluster.timeline.of('task-started').length;
--- a/packages/testing/fault-combinations/leader-changes.test.ts
+++ b/packages/testing/fault-combinations/leader-changes.test.ts
@@ -9,7 +9,7 @@
 import {
   killedTasks,
   machinesUp,
-  playMeeting,
+  runScenarioWithSeeds,
   heartbeatsAnswered,
   tasksRunningAt,
 } from './run-queries.js';
@@ -39,29 +39,33 @@
     ...leaderCrashes([...before, endsInOutageS, ...after]),
     { kind: 'state-outage', atS: outage.fromS, forS: outage.forS },
   ];
-  await playMeeting(steadyScenario('ten leaders', BEGIN_S + 130, faults), [1, 2, 3], (result) => {
-    const changes = result.leaders.filter(({ atS }) => atS > BEGIN_S && atS < BEGIN_S + 120);
-    assert.ok(changes.length >= 10, `${changes.length} leaders`);
-    const [record] = result.faults.of('state-outage');
-    const inOutage = result.faults
-      .of('controller-crash')
-      .filter(({ fromS }) => fromS === endsInOutageS);
-    const ended = inOutage[0].leader!.leader;
-    const renewing = standbyChanges(result).filter(
-      ({ atS, renewing }) => renewing && atS > endsInOutageS && atS < record.untilS,
-    );
-    assert.ok(renewing.length > 0, 'no standby renewed leases');
-    assert.ok(renewing.every(({ name }) => name !== ended));
-    const answered = renewing.map(({ name, atS }) =>
-      heartbeatsAnswered(result, name, atS, record.untilS),
-    );
-    assert.ok(
-      answered.some((heartbeats) => heartbeats > 3 * LEASE_S),
-      `${answered} heartbeats`,
-    );
-    assert.deepEqual(killedTasks(result, BEGIN_S, BEGIN_S + 130), []);
-    assert.ok(tasksRunningAt(result, BEGIN_S + 120) >= 10);
-  });
+  await runScenarioWithSeeds(
+    steadyScenario('ten leaders', BEGIN_S + 130, faults),
+    [1, 2, 3],
+    (result) => {
+      const changes = result.leaders.filter(({ atS }) => atS > BEGIN_S && atS < BEGIN_S + 120);
+      assert.ok(changes.length >= 10, `${changes.length} leaders`);
+      const [record] = result.faults.of('state-outage');
+      const inOutage = result.faults
+        .of('controller-crash')
+        .filter(({ fromS }) => fromS === endsInOutageS);
+      const ended = inOutage[0].leader!.leader;
+      const renewing = standbyChanges(result).filter(
+        ({ atS, renewing }) => renewing && atS > endsInOutageS && atS < record.untilS,
+      );
+      assert.ok(renewing.length > 0, 'no standby renewed leases');
+      assert.ok(renewing.every(({ name }) => name !== ended));
+      const answered = renewing.map(({ name, atS }) =>
+        heartbeatsAnswered(result, name, atS, record.untilS),
+      );
+      assert.ok(
+        answered.some((heartbeats) => heartbeats > 3 * LEASE_S),
+        `${answered} heartbeats`,
+      );
+      assert.deepEqual(killedTasks(result, BEGIN_S, BEGIN_S + 130), []);
+      assert.ok(tasksRunningAt(result, BEGIN_S + 120) >= 10);
+    },
+  );
 });
 
 test('tasks on machines that are cut off or deaf while leadership changes are killed and run again', async () => {
@@ -74,7 +78,7 @@
     { kind: 'machine-deaf', atS: cut.fromS + 1.5, forS: deafS, machines: { zone: 'b' } },
   ];
   const lengthS = BEGIN_S + 70;
-  await playMeeting(
+  await runScenarioWithSeeds(
     steadyScenario('machines out of reach', lengthS, faults),
     [1, 2, 3],
     (result) => {
@@ -124,25 +128,29 @@
     { kind: 'controller-crash', atS: endS, controllers: 'followers', downS: 15 },
     { kind: 'controller-crash', atS: endS, controllers: 'leader', downS: 0.6 },
   ];
-  await playMeeting(steadyScenario('over and back', endS + 40, faults), [1, 2, 3], (result) => {
-    const leaders = result.leaders.filter(({ atS }) => atS < endS).map(({ leader }) => leader);
-    assert.ok(leaders.length > handOvers.length);
-    assert.ok(new Set(leaders).size < leaders.length, 'nobody led a second time');
-    const [, leaderCrash] = result.faults.of('controller-crash');
-    const returned = leaderCrash.leader!.leader;
-    const next = result.leaders.find(({ term }) => term > leaderCrash.leader!.term);
-    assert.equal(next?.leader, returned);
-    assert.ok(next.atS < endS + 15);
-    assert.ok(heartbeatsAnswered(result, returned, next.atS, endS + 15) > LEASE_S);
-    assert.deepEqual(killedTasks(result, BEGIN_S, endS + 40), []);
-  });
+  await runScenarioWithSeeds(
+    steadyScenario('over and back', endS + 40, faults),
+    [1, 2, 3],
+    (result) => {
+      const leaders = result.leaders.filter(({ atS }) => atS < endS).map(({ leader }) => leader);
+      assert.ok(leaders.length > handOvers.length);
+      assert.ok(new Set(leaders).size < leaders.length, 'nobody led a second time');
+      const [, leaderCrash] = result.faults.of('controller-crash');
+      const returned = leaderCrash.leader!.leader;
+      const next = result.leaders.find(({ term }) => term > leaderCrash.leader!.term);
+      assert.equal(next?.leader, returned);
+      assert.ok(next.atS < endS + 15);
+      assert.ok(heartbeatsAnswered(result, returned, next.atS, endS + 15) > LEASE_S);
+      assert.deepEqual(killedTasks(result, BEGIN_S, endS + 40), []);
+    },
+  );
 });
 
 test('all controllers crash: tasks survive an absence of less than a second, and end when it is longer than a lease', async () => {
   for (const downS of [0.8, LEASE_S + ELECTION_LEASE_S]) {
     const faults: Fault[] = [{ kind: 'controller-crash', atS: BEGIN_S, controllers: 'all', downS }];
     const lengthS = BEGIN_S + 60;
-    await playMeeting(steadyScenario('all away', lengthS, faults), [1, 2], (result) => {
+    await runScenarioWithSeeds(steadyScenario('all away', lengthS, faults), [1, 2], (result) => {
       const running = tasksRunningAt(result, BEGIN_S);
       assert.ok(running >= 10);
       const answers = result.requests.find({ fromS: BEGIN_S + 0.01, untilS: BEGIN_S + downS });
--- a/packages/testing/fault-combinations/lost-transactions.test.ts
+++ b/packages/testing/fault-combinations/lost-transactions.test.ts
@@ -4,7 +4,7 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { JOBS, shardKey } from '#store';
+import { JOBS_PREFIX, shardKey } from '#store';
 import {
   serviceAddress,
   type ClusterSettings,
@@ -12,7 +12,12 @@
   type ScenarioResult,
   type TimedEvent,
 } from '../simulation/index.js';
-import { confirmedCancellations, killedTasks, playMeeting, tasksRunningAt } from './run-queries.js';
+import {
+  confirmedCancellations,
+  killedTasks,
+  runScenarioWithSeeds,
+  tasksRunningAt,
+} from './run-queries.js';
 import { BUSY_FROM_S, LEASE_S, HEARTBEAT_INTERVAL_S, steadyScenario } from './steady-work.js';
 
 const BEGIN_S = BUSY_FROM_S;
@@ -36,10 +41,10 @@
 
 /** Whether a newer transaction of the same controller was executed while this one was delayed. */
 function isOvertaken({ timeline }: ScenarioResult, late: Transaction): boolean {
-  const sentAtS = late.atS - late.heldS;
+  const sentAtS = late.atS - late.pendingS;
   return timeline
     .of('transaction', sentAtS, late.atS)
-    .some((other) => other.clientHost === late.clientHost && other.atS - other.heldS > sentAtS);
+    .some((other) => other.clientHost === late.clientHost && other.atS - other.pendingS > sentAtS);
 }
 
 /** Jobs whose record this transaction wrote and that another controller soon named to a user or in a transaction. */
@@ -61,8 +66,8 @@
 }
 
 function jobsOf(transaction: Transaction): string[] {
-  const keys = keysOf(transaction).filter((key) => key.startsWith(JOBS));
-  return keys.map((key) => key.slice(JOBS.length));
+  const keys = keysOf(transaction).filter((key) => key.startsWith(JOBS_PREFIX));
+  return keys.map((key) => key.slice(JOBS_PREFIX.length));
 }
 
 function hostOf(controller: string): string {
@@ -85,17 +90,21 @@
     { kind: 'late-writes', atS: CLAIM_SPAN_S[1] + 1, forS: 10, share: 0.4, delayS: [1, 6] },
     { kind: 'cancel-now', atS: BEGIN_S + 9, count: 4 },
   ];
-  await playMeeting(steadyScenario('late writes', BEGIN_S + 55, faults), [1, 2, 3], (result) => {
-    const late = unanswered(result).filter(({ heldS }) => heldS >= 1);
-    assert.ok(leaseClaims(late).length > 0, 'no claim was late');
-    const overtaken = late.filter((transaction) => isOvertaken(result, transaction));
-    assert.ok(overtaken.length >= 3, `${overtaken.length} were overtaken`);
-    assert.ok(late.some(({ applied }) => applied) && late.some(({ applied }) => !applied));
-    const [crash] = result.faults.of('controller-crash');
-    assert.ok(result.leaders.some(({ term }) => term > crash.leader!.term));
-    assert.ok(confirmedCancellations(result, crash.fromS, BEGIN_S + 20).length >= 4);
-    assert.deepEqual(killedTasks(result, BEGIN_S, BEGIN_S + 55), []);
-  });
+  await runScenarioWithSeeds(
+    steadyScenario('late writes', BEGIN_S + 55, faults),
+    [1, 2, 3],
+    (result) => {
+      const late = unanswered(result).filter(({ pendingS }) => pendingS >= 1);
+      assert.ok(leaseClaims(late).length > 0, 'no claim was late');
+      const overtaken = late.filter((transaction) => isOvertaken(result, transaction));
+      assert.ok(overtaken.length >= 3, `${overtaken.length} were overtaken`);
+      assert.ok(late.some(({ applied }) => applied) && late.some(({ applied }) => !applied));
+      const [crash] = result.faults.of('controller-crash');
+      assert.ok(result.leaders.some(({ term }) => term > crash.leader!.term));
+      assert.ok(confirmedCancellations(result, crash.fromS, BEGIN_S + 20).length >= 4);
+      assert.deepEqual(killedTasks(result, BEGIN_S, BEGIN_S + 55), []);
+    },
+  );
 });
 
 test('no task is killed when transactions and claims are executed but their answers are lost, and others read the records', async () => {
@@ -112,20 +121,24 @@
     { kind: 'lost-answers', atS: CLAIM_SPAN_S[1] + 1, forS: 20, share: 0.5 },
     { kind: 'cancel-now', atS: BEGIN_S + 8, count: 6 },
   ];
-  await playMeeting(steadyScenario('lost answers', BEGIN_S + 55, faults), [1, 2, 3], (result) => {
-    const lost = unanswered(result).filter(({ applied }) => applied);
-    const [claim] = leaseClaims(lost);
-    assert.ok(claim !== undefined, 'the answer to no claim was lost');
-    const elected = result.leaders.find(({ atS }) => atS >= claim.atS)!;
-    assert.equal(hostOf(elected.leader), claim.clientHost);
-    const readByOthers = lost.flatMap((transaction) => jobsReadByOthers(result, transaction));
-    assert.ok(
-      readByOthers.length >= 3,
-      `${readByOthers.length} jobs were read by other controllers`,
-    );
-    assert.ok(confirmedCancellations(result, BEGIN_S + 8, BEGIN_S + 20).length >= 3);
-    assert.deepEqual(killedTasks(result, BEGIN_S, BEGIN_S + 55), []);
-  });
+  await runScenarioWithSeeds(
+    steadyScenario('lost answers', BEGIN_S + 55, faults),
+    [1, 2, 3],
+    (result) => {
+      const lost = unanswered(result).filter(({ applied }) => applied);
+      const [claim] = leaseClaims(lost);
+      assert.ok(claim !== undefined, 'the answer to no claim was lost');
+      const elected = result.leaders.find(({ atS }) => atS >= claim.atS)!;
+      assert.equal(hostOf(elected.leader), claim.clientHost);
+      const readByOthers = lost.flatMap((transaction) => jobsReadByOthers(result, transaction));
+      assert.ok(
+        readByOthers.length >= 3,
+        `${readByOthers.length} jobs were read by other controllers`,
+      );
+      assert.ok(confirmedCancellations(result, BEGIN_S + 8, BEGIN_S + 20).length >= 3);
+      assert.deepEqual(killedTasks(result, BEGIN_S, BEGIN_S + 55), []);
+    },
+  );
 });
 
 /** Makes machines smaller, with room for a few tasks each, so that more machines are provisioned. */
@@ -146,7 +159,7 @@
   const steady = steadyScenario('quick boots', 75, faults);
   const workload = { ...steady.workload, intensity: 5 };
   const scenario = { ...steady, workload, cluster: withSmallMachines(steady.cluster) };
-  await playMeeting(scenario, [1, 2, 3], (result) => {
+  await runScenarioWithSeeds(scenario, [1, 2, 3], (result) => {
     const { timeline } = result;
     const busyAtOnce = timeline.of('machine-up', lag.fromS, crashAtS).filter(({ machine, atS }) => {
       const given = timeline.of('task-assigned', atS, Math.min(atS + 2, crashAtS));
@@ -154,7 +167,7 @@
     });
     assert.ok(busyAtOnce.length >= 2, `${busyAtOnce.length} new machines had work at once`);
     const inFlight = unanswered(result).filter(
-      ({ atS, heldS }) => atS > crashAtS && atS - heldS < crashAtS,
+      ({ atS, pendingS }) => atS > crashAtS && atS - pendingS < crashAtS,
     );
     assert.ok(inFlight.length > 0, 'no transaction was in flight when the leader crashed');
     const [crash] = result.faults.of('controller-crash');
--- a/packages/testing/fault-combinations/on-call/flapping-or-slow.test.ts
+++ b/packages/testing/fault-combinations/on-call/flapping-or-slow.test.ts
@@ -9,7 +9,7 @@
   confirmedCancellations,
   killedTasks,
   lastTaskLeftAt,
-  playMeeting,
+  runScenarioWithSeeds,
   tasksRunningAt,
 } from '../run-queries.js';
 import { BUSY_FROM_S, CANCEL_S, LEASE_S, steadyScenario } from '../steady-work.js';
@@ -34,7 +34,7 @@
     { kind: 'close-looks', atS: BEGIN_S, forS: 120 },
     ...periodicTimes(30, 4).map((atS): Fault => ({ kind: 'cancel-now', atS: atS + 0.5, count: 4 })),
   ];
-  await playMeeting(steadyScenario('flaps', untilS + 20, faults), [1, 2, 3], (result) => {
+  await runScenarioWithSeeds(steadyScenario('flaps', untilS + 20, faults), [1, 2, 3], (result) => {
     const leaders = result.leaders.filter(({ atS }) => atS > BEGIN_S && atS < untilS);
     assert.ok(leaders.length >= 9, `${leaders.length} leaders`);
     const confirmed = confirmedCancellations(result, BEGIN_S, untilS);
@@ -55,13 +55,17 @@
   }));
   const untilS = BEGIN_S + 80;
   const faults: Fault[] = [...cuts, { kind: 'late-writes', atS: BEGIN_S, forS: 60, share: 0.2 }];
-  await playMeeting(steadyScenario('short cuts', untilS + 20, faults), [1, 2, 3], (result) => {
-    assert.equal(result.faults.of('controller-cut').length, cuts.length);
-    const leaders = result.leaders.filter(({ atS }) => atS > BEGIN_S && atS < untilS);
-    assert.ok(leaders.length >= 4, `${leaders.length} leaders`);
-    assert.deepEqual(killedTasks(result, BEGIN_S, untilS), []);
-    assert.ok(tasksRunningAt(result, untilS) >= 10);
-  });
+  await runScenarioWithSeeds(
+    steadyScenario('short cuts', untilS + 20, faults),
+    [1, 2, 3],
+    (result) => {
+      assert.equal(result.faults.of('controller-cut').length, cuts.length);
+      const leaders = result.leaders.filter(({ atS }) => atS > BEGIN_S && atS < untilS);
+      assert.ok(leaders.length >= 4, `${leaders.length} leaders`);
+      assert.deepEqual(killedTasks(result, BEGIN_S, untilS), []);
+      assert.ok(tasksRunningAt(result, untilS) >= 10);
+    },
+  );
 });
 
 test('no task is killed while the leader freezes for a few seconds every eight seconds and the state service is slow', async () => {
@@ -79,7 +83,7 @@
     { kind: 'cancel-now', atS: BEGIN_S + 41, count: 8 },
     { kind: 'odd-requests', atS: BEGIN_S + 40, forS: 60 },
   ];
-  await playMeeting(steadyScenario('slow', untilS + 20, faults), [1, 2, 3], (result) => {
+  await runScenarioWithSeeds(steadyScenario('slow', untilS + 20, faults), [1, 2, 3], (result) => {
     assert.equal(result.faults.of('controller-freeze').length, freezes.length);
     const confirmed = confirmedCancellations(result, BEGIN_S + 41, untilS);
     assert.ok(confirmed.length >= 3, `${confirmed.length} confirmations`);
@@ -101,7 +105,7 @@
     { kind: 'controller-crash', atS: endS + 1, controllers: 'all', downS: 3 },
   ];
   const lengthS = endS + 60;
-  await playMeeting(steadyScenario('burst', lengthS, faults), [1, 2, 3], (result) => {
+  await runScenarioWithSeeds(steadyScenario('burst', lengthS, faults), [1, 2, 3], (result) => {
     const [outage] = result.faults.of('state-outage');
     const [crash] = result.faults.of('controller-crash');
     assert.ok(crash.fromS > outage.untilS && crash.controllers.length === 3);
@@ -142,16 +146,20 @@
     { kind: 'machine-deaf', atS: BEGIN_S, forS: 20, machines: { share: 0.3 } },
   ];
   const lengthS = BEGIN_S + silentS + 30;
-  await playMeeting(steadyScenario('one is left', lengthS, faults), [1, 2, 3], (result) => {
-    const silent = result.faults.of('controller-crash').flatMap(({ controllers }) => controllers);
-    assert.equal(new Set(silent).size, 2);
-    const [freeze] = result.faults.of('controller-freeze');
-    assert.ok(!silent.includes(freeze.controllers[0]));
-    const confirmed = confirmedCancellations(result, BEGIN_S - 1, BEGIN_S + silentS);
-    assert.ok(confirmed.length >= 4, `${confirmed.length} confirmations`);
-    for (const { job, atS } of confirmed) {
-      assert.ok(lastTaskLeftAt(result, job) < atS + CANCEL_S, job);
-    }
-    assert.ok(tasksRunningAt(result, lengthS - 5) >= 10);
-  });
+  await runScenarioWithSeeds(
+    steadyScenario('one is left', lengthS, faults),
+    [1, 2, 3],
+    (result) => {
+      const silent = result.faults.of('controller-crash').flatMap(({ controllers }) => controllers);
+      assert.equal(new Set(silent).size, 2);
+      const [freeze] = result.faults.of('controller-freeze');
+      assert.ok(!silent.includes(freeze.controllers[0]));
+      const confirmed = confirmedCancellations(result, BEGIN_S - 1, BEGIN_S + silentS);
+      assert.ok(confirmed.length >= 4, `${confirmed.length} confirmations`);
+      for (const { job, atS } of confirmed) {
+        assert.ok(lastTaskLeftAt(result, job) < atS + CANCEL_S, job);
+      }
+      assert.ok(tasksRunningAt(result, lengthS - 5) >= 10);
+    },
+  );
 });
--- a/packages/testing/fault-combinations/on-call/leader-cut-from-workers.test.ts
+++ b/packages/testing/fault-combinations/on-call/leader-cut-from-workers.test.ts
@@ -4,7 +4,7 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { killedTasks, playMeeting, tasksRunningAt } from '../run-queries.js';
+import { killedTasks, runScenarioWithSeeds, tasksRunningAt } from '../run-queries.js';
 import { BUSY_FROM_S, LEASE_S, steadyScenario } from '../steady-work.js';
 import type { CutMode, Fault } from '../../simulation/index.js';
 
@@ -23,7 +23,7 @@
       },
     ];
     const scenario = steadyScenario(`cut from workers (${mode})`, BUSY_FROM_S + 60, faults);
-    await playMeeting(scenario, [1, 2, 3], ({ faults, leaders, ...result }) => {
+    await runScenarioWithSeeds(scenario, [1, 2, 3], ({ faults, leaders, ...result }) => {
       const [cut] = faults.of('controller-cut');
       const successor = leaders.find(({ term }) => term > cut.leader!.term);
       assert.ok(successor && successor.atS < cut.fromS + LEASE_S, 'nobody took over in time');
--- a/packages/testing/fault-combinations/on-call/leader-cut-in-outage.test.ts
+++ b/packages/testing/fault-combinations/on-call/leader-cut-in-outage.test.ts
@@ -4,7 +4,7 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { killedTasks, machinesUp, playMeeting, tasksRunningAt } from '../run-queries.js';
+import { killedTasks, machinesUp, runScenarioWithSeeds, tasksRunningAt } from '../run-queries.js';
 import { BUSY_FROM_S, LEASE_S, steadyScenario } from '../steady-work.js';
 import type { CutMode, Fault } from '../../simulation/index.js';
 
@@ -27,7 +27,7 @@
     ];
     const endS = BEGIN_S + CUT_S + 30;
     const scenario = steadyScenario(`cut before an outage (${mode})`, endS, faults);
-    await playMeeting(scenario, [1, 2, 3], (result) => {
+    await runScenarioWithSeeds(scenario, [1, 2, 3], (result) => {
       const [cut] = result.faults.of('controller-cut');
       const [outage] = result.faults.of('state-outage');
       assert.deepEqual(outage.leader, cut.leader);
--- a/packages/testing/fault-combinations/on-call/silent-or-frozen-leader.test.ts
+++ b/packages/testing/fault-combinations/on-call/silent-or-frozen-leader.test.ts
@@ -4,7 +4,12 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { killedTasks, playMeeting, heartbeatsAnswered, tasksRunningAt } from '../run-queries.js';
+import {
+  killedTasks,
+  runScenarioWithSeeds,
+  heartbeatsAnswered,
+  tasksRunningAt,
+} from '../run-queries.js';
 import { BUSY_FROM_S, LEASE_S, steadyScenario } from '../steady-work.js';
 import type { ControllerTarget, Fault, ScenarioResult } from '../../simulation/index.js';
 
@@ -39,7 +44,7 @@
 
 test('no task is killed when a silent leader is away for over a minute, and its return changes no leader', async () => {
   const endS = BEGIN_S + DOWN_S + 30;
-  await playMeeting(
+  await runScenarioWithSeeds(
     steadyScenario('silent leader', endS, powerOffFaults('leader')),
     [1, 2, 3],
     (result) => {
@@ -57,7 +62,7 @@
 test('the remaining controller takes over and work runs when the leader and a follower are silent for over a minute', async () => {
   const faults = [...powerOffFaults('leader'), ...powerOffFaults('one-follower')];
   const endS = BEGIN_S + DOWN_S + 30;
-  await playMeeting(steadyScenario('two silent', endS, faults), [1, 2, 3], (result) => {
+  await runScenarioWithSeeds(steadyScenario('two silent', endS, faults), [1, 2, 3], (result) => {
     assert.equal(result.faults.of('controller-crash').length, 2);
     assertTakenOver(result, BEGIN_S);
     // Workers that try both silent controllers one after the other lose their leases, so their tasks start again.
@@ -74,10 +79,15 @@
       { ...freeze, atS: secondFreezeS },
     ];
     const endS = secondFreezeS + frozenS + 30;
-    await playMeeting(steadyScenario('leaders stand still', endS, faults), [1, 2, 3], (result) => {
-      for (const { fromS } of result.faults.of('controller-freeze')) assertTakenOver(result, fromS);
-      assertWorkKept(result, endS);
-    });
+    await runScenarioWithSeeds(
+      steadyScenario('leaders stand still', endS, faults),
+      [1, 2, 3],
+      (result) => {
+        for (const { fromS } of result.faults.of('controller-freeze'))
+          assertTakenOver(result, fromS);
+        assertWorkKept(result, endS);
+      },
+    );
   });
 }
 
@@ -88,7 +98,7 @@
   ];
   const endS = BEGIN_S + DOWN_S + 30;
   const scenario = steadyScenario('frozen beside a silent one', endS, faults);
-  await playMeeting(scenario, [1, 2, 3, 4], (result) => {
+  await runScenarioWithSeeds(scenario, [1, 2, 3, 4], (result) => {
     const [cut] = result.faults.of('controller-cut');
     const [freeze] = result.faults.of('controller-freeze');
     assert.notEqual(freeze.leader!.leader, cut.leader!.leader);
@@ -111,12 +121,16 @@
     },
   ];
   const endS = BEGIN_S + 40;
-  await playMeeting(steadyScenario('frozen take-over', endS, faults), [1, 2, 3], (result) => {
-    const [crash] = result.faults.of('controller-crash');
-    const [freeze] = result.faults.of('controller-freeze');
-    assert.notEqual(freeze.leader!.leader, crash.leader!.leader);
-    assert.ok(freeze.leader!.term > crash.leader!.term);
-    assertTakenOver(result, freeze.fromS);
-    assertWorkKept(result, endS);
-  });
+  await runScenarioWithSeeds(
+    steadyScenario('frozen take-over', endS, faults),
+    [1, 2, 3],
+    (result) => {
+      const [crash] = result.faults.of('controller-crash');
+      const [freeze] = result.faults.of('controller-freeze');
+      assert.notEqual(freeze.leader!.leader, crash.leader!.leader);
+      assert.ok(freeze.leader!.term > crash.leader!.term);
+      assertTakenOver(result, freeze.fromS);
+      assertWorkKept(result, endS);
+    },
+  );
 });
--- a/packages/testing/fault-combinations/on-call/silent-workers.test.ts
+++ b/packages/testing/fault-combinations/on-call/silent-workers.test.ts
@@ -8,7 +8,7 @@
 import {
   killedTasks,
   machinesUp,
-  playMeeting,
+  runScenarioWithSeeds,
   heartbeatsAnswered,
   tasksRunningAt,
 } from '../run-queries.js';
@@ -39,7 +39,7 @@
   const modes: CutMode[] = ['drop', 'hold', 'refuse'];
   for (const [index, mode] of modes.entries()) {
     const scenario = steadyScenario(`no workers (${mode})`, LENGTH_S, [leaderCutFromWorkers(mode)]);
-    await playMeeting(scenario, [1 + 2 * index, 2 + 2 * index], (result) => {
+    await runScenarioWithSeeds(scenario, [1 + 2 * index, 2 + 2 * index], (result) => {
       const { leader, fromS, untilS } = assertLeaderLostWorkers(result);
       const successor = result.leaders.find(({ term }) => term > leader.term);
       assert.ok(successor, 'nobody took over');
@@ -62,17 +62,21 @@
     },
     leaderCutFromWorkers('drop'),
   ];
-  await playMeeting(steadyScenario('one is silent', LENGTH_S, faults), [1, 2, 3], (result) => {
-    const { leader, fromS, untilS } = assertLeaderLostWorkers(result);
-    const [crash] = result.faults.of('controller-crash');
-    const others = result.controllers.map(({ name }) => name);
-    const remaining = others.filter(
-      (name) => name !== leader.leader && name !== crash.controllers[0],
-    );
-    assert.equal(remaining.length, 1);
-    assert.ok(heartbeatsAnswered(result, remaining[0], fromS, untilS) > LEASE_S);
-    assert.deepEqual(killedTasks(result, fromS, untilS), []);
-  });
+  await runScenarioWithSeeds(
+    steadyScenario('one is silent', LENGTH_S, faults),
+    [1, 2, 3],
+    (result) => {
+      const { leader, fromS, untilS } = assertLeaderLostWorkers(result);
+      const [crash] = result.faults.of('controller-crash');
+      const others = result.controllers.map(({ name }) => name);
+      const remaining = others.filter(
+        (name) => name !== leader.leader && name !== crash.controllers[0],
+      );
+      assert.equal(remaining.length, 1);
+      assert.ok(heartbeatsAnswered(result, remaining[0], fromS, untilS) > LEASE_S);
+      assert.deepEqual(killedTasks(result, fromS, untilS), []);
+    },
+  );
 });
 
 test('leadership changes at most once while no controller can reach any worker', async () => {
@@ -87,7 +91,7 @@
     },
   ];
   const scenario = steadyScenario('nobody is reached', BEGIN_S + cutS + 30, faults);
-  await playMeeting(scenario, [1, 2], (result) => {
+  await runScenarioWithSeeds(scenario, [1, 2], (result) => {
     const [{ fromS, untilS, machines }] = result.faults.of('machine-cut');
     assert.ok(machines.length >= 2);
     const changes = result.leaders.filter(({ atS }) => atS > fromS && atS < untilS);
@@ -104,13 +108,17 @@
     controllers: 'leader',
     forS: frozenS,
   }));
-  await playMeeting(steadyScenario('stands still', BEGIN_S + 50, faults), [1, 2], (result) => {
-    const freezes = result.faults.of('controller-freeze');
-    assert.equal(freezes.length, 3);
-    const stepDowns = result.controllers.flatMap(({ log }) =>
-      log.entries('leader stepped down: workers unreachable'),
-    );
-    assert.deepEqual(stepDowns, []);
-    assert.deepEqual(killedTasks(result, BEGIN_S, BEGIN_S + 50), []);
-  });
+  await runScenarioWithSeeds(
+    steadyScenario('stands still', BEGIN_S + 50, faults),
+    [1, 2],
+    (result) => {
+      const freezes = result.faults.of('controller-freeze');
+      assert.equal(freezes.length, 3);
+      const stepDowns = result.controllers.flatMap(({ log }) =>
+        log.entries('leader stepped down: workers unreachable'),
+      );
+      assert.deepEqual(stepDowns, []);
+      assert.deepEqual(killedTasks(result, BEGIN_S, BEGIN_S + 50), []);
+    },
+  );
 });
--- a/packages/testing/fault-combinations/refused-then-outage.test.ts
+++ b/packages/testing/fault-combinations/refused-then-outage.test.ts
@@ -11,7 +11,7 @@
   confirmedCancellations,
   killedTasks,
   lastTaskLeftAt,
-  playMeeting,
+  runScenarioWithSeeds,
   heartbeatsAnswered,
   tasksRunningAt,
   type ConfirmedCancellation,
@@ -70,7 +70,7 @@
 }
 
 test('cancellations confirmed while the leader alone is refused are kept in a long outage, and no task is killed', async () => {
-  await playMeeting(makeScenario('refused, then an outage'), [1, 3, 4], (result) => {
+  await runScenarioWithSeeds(makeScenario('refused, then an outage'), [1, 3, 4], (result) => {
     assertWorkKept(result, assertCancelledWhileRefused(result));
   });
 });
@@ -81,31 +81,39 @@
     { kind: 'peers-cut', atS: CANCELLED_AT_S - 0.2, forS: 0.8, mode: 'drop' },
     { kind: 'controller-crash', atS: crashAtS, controllers: 'followers', downS: 0.1 },
   ];
-  await playMeeting(makeScenario('confirmed, then crashed', extraFaults), [1, 3, 4], (result) => {
-    const observed = assertCancelledWhileRefused(result);
-    const before = observed.confirmed.filter(({ atS }) => atS < crashAtS);
-    assert.ok(before.length >= 2, `${before.length} confirmations before the crash`);
-    const [cut] = result.faults.of('peers-cut');
-    for (const { job } of before) assert.ok(lastTaskLeftAt(result, job) > cut.untilS);
-    assertWorkKept(result, observed);
-  });
+  await runScenarioWithSeeds(
+    makeScenario('confirmed, then crashed', extraFaults),
+    [1, 3, 4],
+    (result) => {
+      const observed = assertCancelledWhileRefused(result);
+      const before = observed.confirmed.filter(({ atS }) => atS < crashAtS);
+      assert.ok(before.length >= 2, `${before.length} confirmations before the crash`);
+      const [cut] = result.faults.of('peers-cut');
+      for (const { job } of before) assert.ok(lastTaskLeftAt(result, job) > cut.untilS);
+      assertWorkKept(result, observed);
+    },
+  );
 });
 
 test('confirmed cancellations are kept when the links between the controllers are cut at the time of confirmation', async () => {
   const modes: CutMode[] = ['hold', 'drop', 'refuse'];
   for (const mode of modes) {
     const extraFaults: Fault[] = [{ kind: 'peers-cut', atS: CANCELLED_AT_S - 0.2, forS: 3, mode }];
-    await playMeeting(makeScenario(`links cut (${mode})`, extraFaults), [1, 3], (result) => {
-      const observed = assertCancelledWhileRefused(result);
-      const [cut] = result.faults.of('peers-cut');
-      for (const { job } of observed.confirmed) {
-        assert.ok(
-          lastTaskLeftAt(result, job) > cut.untilS,
-          `${job} ended before the links were restored`,
-        );
-      }
-      assertWorkKept(result, observed);
-    });
+    await runScenarioWithSeeds(
+      makeScenario(`links cut (${mode})`, extraFaults),
+      [1, 3],
+      (result) => {
+        const observed = assertCancelledWhileRefused(result);
+        const [cut] = result.faults.of('peers-cut');
+        for (const { job } of observed.confirmed) {
+          assert.ok(
+            lastTaskLeftAt(result, job) > cut.untilS,
+            `${job} ended before the links were restored`,
+          );
+        }
+        assertWorkKept(result, observed);
+      },
+    );
   }
 });
 
@@ -115,7 +123,7 @@
     { kind: 'peers-cut', atS: CANCELLED_AT_S - 0.2, forS: cutS, mode: 'refuse' },
     { kind: 'controller-crash', atS: OUTAGE_AT_S + 2, controllers: 'followers', downS: 2 },
   ];
-  await playMeeting(makeScenario('peers restart', extraFaults), [1, 3, 4], (result) => {
+  await runScenarioWithSeeds(makeScenario('peers restart', extraFaults), [1, 3, 4], (result) => {
     const { leader, confirmed, outage } = assertCancelledWhileRefused(result);
     const [cut] = result.faults.of('peers-cut');
     const [crash] = result.faults.of('controller-crash');
@@ -140,7 +148,7 @@
     { kind: 'state-outage', atS: REFUSED_AT_S + 1, forS: OUTAGE_S },
   ];
   const name = 'cancelled as the leader is refused';
-  await playMeeting(steadyScenario(name, LENGTH_S, faults), [1, 2, 3], (result) => {
+  await runScenarioWithSeeds(steadyScenario(name, LENGTH_S, faults), [1, 2, 3], (result) => {
     const [refusal] = result.faults.of('state-refuses');
     const [outage] = result.faults.of('state-outage');
     const [cancellation] = result.faults.of('cancel-now');
--- a/packages/testing/fault-combinations/run-queries.ts
+++ b/packages/testing/fault-combinations/run-queries.ts
@@ -29,7 +29,7 @@
  * as intended. The environment variable `MEETING_SEEDS=4-20` replaces the seeds by these, for a wider search, and
  * `MEETING_RUNS=FILE` appends each run to a file for simulation/compare-runs.
  */
-export async function playMeeting(
+export async function runScenarioWithSeeds(
   scenario: Scenario,
   seeds: number[],
   check: (result: ScenarioResult) => void | Promise<void>,
--- a/packages/testing/fault-combinations/slow-state-service.test.ts
+++ b/packages/testing/fault-combinations/slow-state-service.test.ts
@@ -9,7 +9,7 @@
   assertAnswersAllMachines,
   confirmedCancellations,
   killedTasks,
-  playMeeting,
+  runScenarioWithSeeds,
 } from './run-queries.js';
 import { BUSY_FROM_S, CANCEL_S, LEASE_S, steadyScenario } from './steady-work.js';
 
@@ -24,7 +24,7 @@
     { kind: 'cancel-now', atS: BEGIN_S + 3, count: 5 },
     { kind: 'cancel-now', atS: BEGIN_S + 14, count: 5 },
   ];
-  await playMeeting(
+  await runScenarioWithSeeds(
     steadyScenario('slow state service', BEGIN_S + 65, faults),
     [1, 2, 3],
     (result) => {
@@ -53,7 +53,7 @@
     { kind: 'cancel-now', atS: outageAtS + 10, count: 3 },
   ];
   const scenario = steadyScenario('slow, refused, out', outageAtS + outageS + 25, faults);
-  await playMeeting(scenario, [1, 2, 3], (result) => {
+  await runScenarioWithSeeds(scenario, [1, 2, 3], (result) => {
     const [refusal] = result.faults.of('state-refuses');
     const [outage] = result.faults.of('state-outage');
     const leader = refusal.leader!.leader;
--- a/packages/testing/generators.ts
+++ b/packages/testing/generators.ts
@@ -2,10 +2,10 @@
 import type { Job, Heartbeat } from '#wire';
 
 /** Options for property tests; the fixed seed makes every run generate the same cases. */
-export const SEEDED = { seed: 20260901, numRuns: 300 };
+export const PROPERTY_TEST_OPTIONS = { seed: 20260901, numRuns: 300 };
 
 /** Generates records with the prototype of `Object`, as decoded messages have. */
-export function record<T>(model: { [K in keyof T]: fc.Arbitrary<T[K]> }): fc.Arbitrary<T> {
+export function recordArbitrary<T>(model: { [K in keyof T]: fc.Arbitrary<T[K]> }): fc.Arbitrary<T> {
   return fc.record(model, { noNullPrototype: true }) as fc.Arbitrary<T>;
 }
 
@@ -18,7 +18,7 @@
   .integer({ min: 0, max: 999_999 })
   .map((n) => `j-${String(n).padStart(6, '0')}`);
 
-export const anyJob: fc.Arbitrary<Job> = record({
+export const anyJob: fc.Arbitrary<Job> = recordArbitrary({
   id: anyJobId,
   class: anyName,
   team: anyName,
@@ -48,7 +48,7 @@
   index: fc.integer({ min: 0, max: 99_999 }),
   attempt: anyCount,
 };
-export const anyHeartbeat: fc.Arbitrary<Heartbeat> = record({
+export const anyHeartbeat: fc.Arbitrary<Heartbeat> = recordArbitrary({
   machine: anyName,
   addr: anyName,
   type: anyName,
@@ -59,7 +59,7 @@
   fencingToken: anyCount,
   noticeS: fc.option(anyAmount),
   tasks: fc.array(
-    record({
+    recordArbitrary({
       ...anyTaskRef,
       state: fc.constantFrom('fetching', 'waiting', 'running', 'saving', 'exited'),
       cause: fc.option(fc.constantFrom('done', 'stopped', 'peers', 'alone', 'error', 'no_room')),
--- a/packages/testing/leader-load/standing-fleet.ts
+++ b/packages/testing/leader-load/fleet-fixture.ts
@@ -3,7 +3,7 @@
   Assignment,
   CapacityPlanner,
   FleetState,
-  type BestEffortTest,
+  type BestEffortPredicate,
   isBestEffort,
   JobState,
   Machine,
@@ -13,10 +13,10 @@
   ScheduleSettings,
 } from '#core';
 import type { Job, MachineType, Heartbeat, TaskStatus } from '#wire';
-import { decodeJob, MACHINES, type MachineRecord } from '#store';
+import { decodeJob, MACHINES_PREFIX, type MachineRecord } from '#store';
 import type { MachineFacts } from '../../core/model/machine-facts.js';
-import { Chance } from '../random.js';
-import { aFleet } from '../samples.js';
+import { SeededRandom } from '../random.js';
+import { makeFleet } from '../samples.js';
 import type { FleetRecords } from './fleet-records.js';
 import { JobSource } from './job-source.js';
 
@@ -67,12 +67,12 @@
   private readonly sequences = new Map<string, number>();
 
   private constructor(
-    readonly chance: Chance,
+    readonly chance: SeededRandom,
     schedule: Partial<ScheduleSettings>,
     makeReplicas?: MakeReplicas,
   ) {
-    const isOnSpareCapacity: BestEffortTest = (job) => isBestEffort(job, TEAMS.get(job.team));
-    this.fleet = aFleet({ isBestEffort: isOnSpareCapacity, makeReplicas });
+    const isOnSpareCapacity: BestEffortPredicate = (job) => isBestEffort(job, TEAMS.get(job.team));
+    this.fleet = makeFleet({ isBestEffort: isOnSpareCapacity, makeReplicas });
     this.fleet.machines.setType(LARGE_MACHINE);
     this.scheduler = new Scheduler(this.fleet, TEAMS, { ...SCHEDULER_SETTINGS, ...schedule });
     this.planner = new CapacityPlanner({
@@ -87,7 +87,7 @@
   /** Creates a fleet of this number of empty machines. */
   static withMachines(
     machines: number,
-    chance: Chance,
+    chance: SeededRandom,
     schedule: Partial<ScheduleSettings> = {},
     makeReplicas?: MakeReplicas,
   ): FleetFixture {
@@ -98,7 +98,7 @@
   }
 
   /** Creates the fleet of a new leader from the records of another leader, as it is once every worker has reported. */
-  static fromRecords({ jobs, machines }: FleetRecords, chance: Chance): FleetFixture {
+  static fromRecords({ jobs, machines }: FleetRecords, chance: SeededRandom): FleetFixture {
     const fixture = new FleetFixture(chance, {});
     const { fleet } = fixture;
     for (const { value, version } of jobs) {
@@ -108,7 +108,7 @@
     }
     for (const { key, value } of machines) {
       const { tasks, ...facts } = value as MachineRecord;
-      const machine = fixture.addMachine({ name: key.slice(MACHINES.length), ...facts });
+      const machine = fixture.addMachine({ name: key.slice(MACHINES_PREFIX.length), ...facts });
       for (const [id, index, attempt] of tasks) {
         fleet.assignments.inherit(fleet.jobs.get(id)!, index, machine, attempt, FILLED_AT);
       }
@@ -122,7 +122,7 @@
   addMachineNumber(number: number, state: 'booting' | 'up', provisionedAt: number): Machine {
     const name = `n-${String(number).padStart(6, '0')}`;
     const zone = LARGE_MACHINE.zones[number % LARGE_MACHINE.zones.length];
-    const spot = this.chance.hit(SPOT_SHARE);
+    const spot = this.chance.withProbability(SPOT_SHARE);
     const facts = { name, addr: `10.1.0.${number}:9000`, type: LARGE_MACHINE.name, zone, spot };
     if (state === 'up') return this.addMachine(facts);
     return this.fleet.machines.register(facts, state, provisionedAt);
@@ -145,7 +145,7 @@
   fill(freeShare: number): void {
     const { machines, usage } = this.fleet;
     for (let draws = 0; draws < MAX_DRAWS; draws++) {
-      if (usage.ofTeam('red').gpus >= machines.totals.gpus * (1 - freeShare)) break;
+      if (usage.amountsOfTeam('red').gpus >= machines.totals.gpus * (1 - freeShare)) break;
       const state = this.submit(FILLED_AT);
       this.scheduler.place(FILLED_AT);
       if (state.assignments.size === 0) this.fleet.closeJob(state, 'cancelled', FILLED_AT);
@@ -156,7 +156,7 @@
 
   /** Marks everything as recorded, every command as executed and every machine as having reported. */
   settle(now: number): void {
-    const { machines, unrecorded, machinesWithCommands, jobs } = this.fleet;
+    const { machines, unrecordedChanges, machinesWithCommands, jobs } = this.fleet;
     for (const machine of machines.values()) {
       machine.answeredAt = now;
       for (const task of [...machine.tasks.values()]) {
@@ -164,8 +164,8 @@
         else this.fleet.assignments.end(task, 'stopped', false, now);
       }
     }
-    for (const name of [...unrecorded.machines]) unrecorded.machineCollected(name);
-    unrecorded.jobs.clear();
+    for (const name of [...unrecordedChanges.machines]) unrecordedChanges.machineCollected(name);
+    unrecordedChanges.jobs.clear();
     machinesWithCommands.clear();
     jobs.drainChangedCounts();
   }
--- a/packages/testing/leader-load/fleet-records.ts
+++ b/packages/testing/leader-load/fleet-records.ts
@@ -1,6 +1,6 @@
 /** The records of a fleet in the state service, as a new leader reads them. */
 import type { FleetState, JobState, Machine } from '#core';
-import { encodeJob, jobKey, MACHINES, progressKey } from '#store';
+import { encodeJob, jobKey, MACHINES_PREFIX, progressKey } from '#store';
 import type { Entry } from '#wire';
 
 /** Records of a fleet by kind. */
@@ -34,13 +34,13 @@
     attempt,
   ]);
   return {
-    key: MACHINES + name,
+    key: MACHINES_PREFIX + name,
     value: { addr, type, zone, spot, tasks: taskRefs },
     version: VERSION,
   };
 }
 
 function progressEntry({ spec, done }: JobState): Entry {
-  const value = { done: done.textOf(0, 8 * Math.ceil(spec.tasks / 8)) };
+  const value = { done: done.toBase64(0, 8 * Math.ceil(spec.tasks / 8)) };
   return { key: progressKey(spec.id, 0), value, version: VERSION };
 }
--- a/packages/testing/leader-load/resting-replicas.test.ts
+++ b/packages/testing/leader-load/idle-replica-groups.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { ReplicaGroups } from '#replicas';
-import { Chance } from '../random.js';
-import { aJob } from '../samples.js';
-import { FleetFixture, SETTLED_AT } from './standing-fleet.js';
+import { SeededRandom } from '../random.js';
+import { makeJob } from '../samples.js';
+import { FleetFixture, SETTLED_AT } from './fleet-fixture.js';
 
 const MACHINES = 4000;
 const GROUPS = 600;
@@ -26,13 +26,13 @@
     random: () => 0,
     listener: { phaseChanged() {}, recovered() {} },
   });
-  const makeReplicas = groups.make.bind(groups);
-  const fixture = FleetFixture.withMachines(MACHINES, new Chance(1), {}, makeReplicas);
+  const makeReplicas = groups.createJobGroups.bind(groups);
+  const fixture = FleetFixture.withMachines(MACHINES, new SeededRandom(1), {}, makeReplicas);
   const { fleet, scheduler } = fixture;
   groups.attach(fleet);
   for (let i = 0; i < GROUPS; i++) {
     const id = `j-${900_000 + i}`;
-    const job = aJob({ id, kind: 'service', tasks: MEMBERS, gpus: 8, cpus: 30, rank: 1 });
+    const job = makeJob({ id, kind: 'service', tasks: MEMBERS, gpus: 8, cpus: 30, rank: 1 });
     fleet.addJob(job, 0, 'accepted', 0, { shape: { members: MEMBERS, sameZone: true } });
   }
   while (scheduler.place(SETTLED_AT) > 0);
--- a/packages/testing/leader-load/job-source.ts
+++ b/packages/testing/leader-load/job-source.ts
@@ -1,14 +1,14 @@
 /** Random jobs in the proportions of a fleet that serves models. */
 import type { Job } from '#wire';
-import type { Chance } from '../random.js';
-import { aJob } from '../samples.js';
+import type { SeededRandom } from '../random.js';
+import { makeJob } from '../samples.js';
 
 const ID_PREFIX = 'j-';
 /** Number of images of each job class. */
 const IMAGES_PER_CLASS = 12;
 
 /** Kinds of jobs, and the share of each among the drawn jobs. */
-const JOB_KINDS: { share: number; draw: (chance: Chance) => Partial<Job> }[] = [
+const JOB_KINDS: { share: number; draw: (chance: SeededRandom) => Partial<Job> }[] = [
   {
     share: 0.12,
     draw: (chance) => ({
@@ -75,7 +75,7 @@
 export class JobSource {
   private count = 0;
 
-  constructor(private readonly chance: Chance) {}
+  constructor(private readonly chance: SeededRandom) {}
 
   /** Excludes an id that is in use: later ids are higher. */
   skipId(id: string): void {
@@ -89,6 +89,6 @@
     const drawn = kind.draw(this.chance);
     const image = `${drawn.class}-${this.chance.int(1, IMAGES_PER_CLASS)}`;
     const id = ID_PREFIX + String(++this.count).padStart(6, '0');
-    return aJob({ image, ...drawn, ...overrides, id });
+    return makeJob({ image, ...drawn, ...overrides, id });
   }
 }
--- a/packages/testing/leader-load/large-fleet.test.ts
+++ b/packages/testing/leader-load/large-fleet.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { FleetState } from '#core';
-import { Chance } from '../random.js';
+import { SeededRandom } from '../random.js';
 import { recordsOf } from './fleet-records.js';
-import { FleetFixture, SETTLED_AT } from './standing-fleet.js';
+import { FleetFixture, SETTLED_AT } from './fleet-fixture.js';
 
 const MACHINES = 4000;
 const FREE_SHARE = 0.03;
@@ -12,7 +12,7 @@
 const BURST = 500;
 
 function createFullFleet(): FleetFixture {
-  const fixture = FleetFixture.withMachines(MACHINES, new Chance(1));
+  const fixture = FleetFixture.withMachines(MACHINES, new SeededRandom(1));
   fixture.fill(FREE_SHARE);
   return fixture;
 }
@@ -32,7 +32,7 @@
   const places = placementsOf(before.fleet);
   assert.ok(places.length > 3 * MACHINES, `${places.length} tasks`);
 
-  const fixture = FleetFixture.fromRecords(recordsOf(before.fleet), new Chance(2));
+  const fixture = FleetFixture.fromRecords(recordsOf(before.fleet), new SeededRandom(2));
   const { fleet, scheduler } = fixture;
   assert.deepEqual(placementsOf(fleet), places, 'the records contain every task');
 
--- a/packages/testing/leader-load/figures.ts
+++ b/packages/testing/leader-load/leader-benchmarks.ts
@@ -11,7 +11,7 @@
 import { RecordBatch } from '../../controller/records/record-batch.js';
 import { RemovalMarker } from '../../controller/records/removal-marker.js';
 import { unusableMachines } from '../../controller/cloud/unusable-machines.js';
-import type { FleetFixture } from './standing-fleet.js';
+import type { FleetFixture } from './fleet-fixture.js';
 
 /** One kind of work of a leader. `prepare` is called before each run and is not timed. */
 export interface Benchmark {
--- a/packages/testing/leader-load/random-steps.ts
+++ b/packages/testing/leader-load/random-fleet.ts
@@ -1,7 +1,7 @@
 /** A fleet under random events, for tests that compare incremental data with a full recomputation. */
 import type { Machine } from '#core';
-import type { Chance } from '../random.js';
-import { LARGE_MACHINE, FleetFixture, SETTLED_AT } from './standing-fleet.js';
+import type { SeededRandom } from '../random.js';
+import { LARGE_MACHINE, FleetFixture, SETTLED_AT } from './fleet-fixture.js';
 
 const MACHINES = 8;
 /** Longest time from one event to the next, in seconds. A lease lasts 10 s. */
@@ -33,7 +33,7 @@
       }),
   ];
 
-  constructor(private readonly chance: Chance) {
+  constructor(private readonly chance: SeededRandom) {
     this.fixture = FleetFixture.withMachines(MACHINES, chance);
   }
 
@@ -63,10 +63,12 @@
   /** Lets most machines report. Some tasks have ended, and a few machines report a reclaim notice. */
   private heartbeats(): void {
     for (const machine of [...this.fleet.machines.values()]) {
-      if (this.chance.hit(0.1)) continue;
+      if (this.chance.withProbability(0.1)) continue;
       const tasks = [...machine.tasks.values()];
-      const ended = tasks.filter(({ stop }) => this.chance.hit(stop === null ? 0.05 : 0.5));
-      const noticeS = this.chance.hit(0.05) ? 30 : null;
+      const ended = tasks.filter(({ stop }) =>
+        this.chance.withProbability(stop === null ? 0.05 : 0.5),
+      );
+      const noticeS = this.chance.withProbability(0.05) ? 30 : null;
       const heartbeat = { ...this.fixture.heartbeatOf(machine, new Set(ended)), noticeS };
       this.fleet.heartbeats.handle(heartbeat, this.now);
     }
--- a/packages/testing/loopback/replica-groups/failing-controllers.test.ts
+++ b/packages/testing/loopback/replica-groups/failing-controllers.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { Fault, ReplicaMoment } from '../../simulation/index.js';
+import type { Fault, ReplicaPhase } from '../../simulation/index.js';
 import {
   countPhase,
   faultDuringRepair,
@@ -10,7 +10,7 @@
   REPLICAS_WHOLE_S,
 } from './replica-scenarios.js';
 
-const PHASES: ReplicaMoment[] = ['repairing', 'reserved-again', 'starting-again', 'whole-again'];
+const PHASES: ReplicaPhase[] = ['repairing', 'reserved-again', 'starting-again', 'whole-again'];
 
 /** One repair for each phase, with the fault injected when the repair reaches that phase. */
 function faultsInEachPhase(fault: object): Fault[] {
--- a/packages/testing/loopback/replica-groups/loopback-faults.ts
+++ b/packages/testing/loopback/replica-groups/loopback-faults.ts
@@ -1,5 +1,5 @@
 import { setTimeout as sleep } from 'node:timers/promises';
-import type { Chance } from '../../random.js';
+import type { SeededRandom } from '../../random.js';
 import type { LoopbackCluster } from '../sizing/cluster.js';
 
 /** Length of a hang or cut of a machine, in leases; longer than the machine takes to lose its tasks. */
@@ -20,7 +20,7 @@
 
   constructor(
     private readonly cluster: LoopbackCluster,
-    private readonly chance: Chance,
+    private readonly chance: SeededRandom,
     private readonly leaseS: number,
   ) {}
 
@@ -41,16 +41,16 @@
       return;
     }
     // Half of the machines that are cut off from the controllers can still be reached by other machines and the router.
-    const isCutFromAll = kind === 'cut' && chance.hit(0.5);
+    const isCutFromAll = kind === 'cut' && chance.withProbability(0.5);
     if (kind === 'frozen') worker.hang();
-    else worker.setDeaf(true);
-    if (kind === 'cut') worker.setMute(true);
+    else worker.setInboundBlocked(true);
+    if (kind === 'cut') worker.setHeartbeatsBlocked(true);
     if (isCutFromAll) this.isolatedMachines.add(name);
     await sleep(LONG_FAULT_LEASES * this.leaseS * 1000);
     this.isolatedMachines.delete(name);
     if (kind === 'frozen') worker.resume();
-    else worker.setDeaf(false);
-    worker.setMute(false);
+    else worker.setInboundBlocked(false);
+    worker.setHeartbeatsBlocked(false);
   }
 
   /** After a random delay, kills and restarts the leader or another controller, or stops its process for a while. */
@@ -59,9 +59,9 @@
     await sleep(chance.next() * MAX_CONTROLLER_FAULT_DELAY_S * 1000);
     const leader = cluster.leader();
     const running = cluster.controllers.filter((each) => each.running);
-    const victim = leader !== null && chance.hit(0.75) ? leader : running.at(0);
+    const victim = leader !== null && chance.withProbability(0.75) ? leader : running.at(0);
     if (!victim) return;
-    const isCrash = chance.hit(0.5);
+    const isCrash = chance.withProbability(0.5);
     this.countFault(isCrash ? 'controller killed' : 'controller stopped');
     if (isCrash) await victim.end('SIGKILL');
     else victim.setStopped(true);
--- a/packages/testing/loopback/replica-groups/loopback-run.ts
+++ b/packages/testing/loopback/replica-groups/loopback-run.ts
@@ -4,15 +4,15 @@
  */
 import { setTimeout as sleep } from 'node:timers/promises';
 import { type Job, nodeRuntime } from '#wire';
-import { Chance } from '../../random.js';
+import { SeededRandom } from '../../random.js';
 import { type Answer, brokenAnswers } from '../../simulation/replica-traffic/answers.js';
-import { Members } from '../../simulation/replica-traffic/members.js';
+import { RunningMembers } from '../../simulation/replica-traffic/running-members.js';
 import { RequestTraffic } from '../../simulation/replica-traffic/request-traffic.js';
-import { aJob } from '../../samples.js';
+import { makeJob } from '../../samples.js';
 import { LoopbackCluster } from '../sizing/cluster.js';
-import { allHealthy } from '../sizing/full-fleet.js';
+import { waitUntilAllHealthy } from '../sizing/full-fleet.js';
 import type { SizingOptions } from '../sizing/options.js';
-import { runLine } from '../sizing/sources.js';
+import { runCommand } from '../sizing/sources.js';
 import { waitFor } from '../sizing/wait.js';
 import { type PlannedJob, RuleChecker, type Violation } from '../../stand-ins/index.js';
 import { LoopbackFaults } from './loopback-faults.js';
@@ -60,7 +60,7 @@
 }
 
 /** Runs replicas and faults as the options say; calls `progress` after each fault. */
-export async function runReplicas(
+export async function runReplicaGroups(
   options: ReplicaRunOptions,
   progress: (done: number) => void = () => {},
 ): Promise<ReplicaRunResult> {
@@ -78,9 +78,9 @@
 }
 
 class ReplicaRun {
-  private readonly chance = new Chance(SEED);
+  private readonly chance = new SeededRandom(SEED);
   private readonly checker: RuleChecker;
-  private readonly members = new Members((job) => (job >= jobId(0) ? MEMBERS : 1));
+  private readonly members = new RunningMembers((job) => (job >= jobId(0) ? MEMBERS : 1));
   private readonly cluster: LoopbackCluster;
   private readonly traffic: RequestTraffic;
   private readonly faults: LoopbackFaults;
@@ -98,7 +98,7 @@
     this.cluster = new LoopbackCluster({
       shared,
       machines,
-      command: { directory: sources, command: runLine(sources, nodeOptions), logLevel: 'info' },
+      command: { directory: sources, command: runCommand(sources, nodeOptions), logLevel: 'info' },
       operator: isGrouped ? { replicaGroups: { [CLASS]: { members: MEMBERS } } } : {},
       observe: (event) => {
         this.checker.observe(event);
@@ -113,7 +113,7 @@
       now: () => nodeRuntime.clock.now(),
       schedule: (delayS, run) => void setTimeout(run, delayS * 1000).unref(),
       reaches: (from, to) => this.faults.canReach(from, to),
-      everyS: REQUEST_INTERVAL_S,
+      intervalS: REQUEST_INTERVAL_S,
       isFenced: mode === 'groups',
     });
   }
@@ -122,7 +122,7 @@
     const { cluster, options } = this;
     await cluster.listen();
     for (const controller of cluster.controllers) controller.start();
-    await allHealthy(cluster);
+    await waitUntilAllHealthy(cluster);
     const teams = cluster.options.shared.deployment.teams.map(({ name }) => name);
     cluster.users.start(planReplicas(options.replicas, teams));
     this.traffic.start();
@@ -151,7 +151,7 @@
     const pendingFaults = [faults.failMachine(member.machine)];
     if (withController) pendingFaults.push(faults.failController());
     await Promise.all(pendingFaults);
-    await allHealthy(cluster);
+    await waitUntilAllHealthy(cluster);
     const jobs = replicas.map(({ job }) => job);
     const sinceS = nodeRuntime.clock.now();
     await waitFor('repairs', REPAIR_TIMEOUT_S, () => this.allReplicasAnswerSince(jobs, sinceS));
@@ -176,7 +176,7 @@
       answers: answers.length,
       broken: brokenAnswers(answers),
       violations: this.checker.finish(),
-      generationsAtOnce: this.members.generationsAtOnce,
+      generationsAtOnce: this.members.generationOverlaps,
       faults: this.faults.counts,
       repairs,
       wholeShare: 1 - brokenS / (lengthS * this.options.replicas),
@@ -208,7 +208,7 @@
   };
   return Array.from({ length: count }, (_, index) => {
     const team = teams[index % teams.length];
-    const job = aJob({ ...fields, id: jobId(index), team, image: `model-${index % 4}` });
+    const job = makeJob({ ...fields, id: jobId(index), team, image: `model-${index % 4}` });
     return {
       program: { job, runS: Array<number>(MEMBERS).fill(0), failsAfterS: null },
       submitAtS: 0,
--- a/packages/testing/loopback/replica-groups/loopback.test.ts
+++ b/packages/testing/loopback/replica-groups/loopback.test.ts
@@ -3,14 +3,14 @@
 import { describeAnswer } from '../../simulation/replica-traffic/answers.js';
 import { readOptions } from '../sizing/options.js';
 import { describeViolation } from '../../stand-ins/index.js';
-import { runReplicas } from './loopback-run.js';
+import { runReplicaGroups } from './loopback-run.js';
 
 const SIZING = readOptions(
   '--machines 10 --controllers 3 --report-s 0.4 --lease-s 4 --settle-s 0'.split(' '),
 );
 
 test('real controllers repair replicas after machine faults, one with a controller fault, and no answer is broken', async () => {
-  const result = await runReplicas({
+  const result = await runReplicaGroups({
     sizing: SIZING,
     mode: 'groups',
     replicas: 5,
--- a/packages/testing/loopback/replica-groups/repair-times.ts
+++ b/packages/testing/loopback/replica-groups/repair-times.ts
@@ -44,8 +44,8 @@
   return times;
 }
 
-function isWhole({ marks, members }: Answer): boolean {
-  return marks.length === members;
+function isWhole({ marks, memberCount }: Answer): boolean {
+  return marks.length === memberCount;
 }
 
 function newestGeneration(answers: Answer[]): number {
--- a/packages/testing/loopback/replica-groups/replica-scenarios.ts
+++ b/packages/testing/loopback/replica-groups/replica-scenarios.ts
@@ -1,11 +1,11 @@
 /** Scenarios with replicas of several members, and checks that all these scenarios must pass. */
 import assert from 'node:assert/strict';
-import { playMeeting } from '../../fault-combinations/run-queries.js';
+import { runScenarioWithSeeds } from '../../fault-combinations/run-queries.js';
 import { describeAnswer } from '../../simulation/replica-traffic/answers.js';
 import {
   type ClusterSettings,
   type Fault,
-  type ReplicaMoment,
+  type ReplicaPhase,
   type Scenario,
   type ScenarioResult,
   SMALL_CLUSTER,
@@ -32,12 +32,12 @@
     imageGb: 6,
     types: ['g8'],
   }),
-  arrivals: { perMinute: 0.01, together: [1, 1], atStart: 4 },
+  arrivals: { perMinute: 0.01, jobsPerArrival: [1, 1], atStart: 4 },
   tasks: [MEMBERS, MEMBERS],
   run: { medianS: 3000, p95S: 3100, maxS: 3200 },
   cancelledShare: 0,
-  mistakenShare: 0,
-  images: 2,
+  failingShare: 0,
+  imageCount: 2,
 };
 
 const SHORT_BATCHES: JobClass = {
@@ -53,7 +53,7 @@
     imageGb: 1,
     types: null,
   },
-  arrivals: { perMinute: 10, together: [1, 1] },
+  arrivals: { perMinute: 10, jobsPerArrival: [1, 1] },
   tasks: [1, 2],
   run: { medianS: 6, p95S: 12, maxS: 15 },
 };
@@ -103,10 +103,10 @@
     faults: options.faults,
     lengthS,
   };
-  await playMeeting(scenario, options.seeds ?? [1, 2], (result) => {
+  await runScenarioWithSeeds(scenario, options.seeds ?? [1, 2], (result) => {
     const { replicas, faults } = result;
-    assert.deepEqual(replicas.broken.map(describeAnswer), [], 'broken answers');
-    assert.equal(replicas.members.generationsAtOnce, 0, 'two generations at once');
+    assert.deepEqual(replicas.brokenAnswers.map(describeAnswer), [], 'broken answers');
+    assert.equal(replicas.members.generationOverlaps, 0, 'two generations at once');
     for (const fault of options.faults) {
       const occurred = faults.records.some((record) => record.fault === fault);
       assert.ok(occurred, `${fault.kind} at ${fault.atReplicaPhase ?? fault.atS} did not occur`);
@@ -139,8 +139,8 @@
 }
 
 /** Counts how often replica groups reached a phase. */
-export function countPhase({ replicaMoments }: ScenarioResult, moment: ReplicaMoment): number {
-  return replicaMoments.counts.get(moment) ?? 0;
+export function countPhase({ replicaPhases }: ScenarioResult, moment: ReplicaPhase): number {
+  return replicaPhases.counts.get(moment) ?? 0;
 }
 
 /** The death of one machine of a replica, `afterS` seconds after the first replicas are whole. */
--- a/packages/testing/loopback/shard-migrations/loopback-run.ts
+++ b/packages/testing/loopback/shard-migrations/loopback-run.ts
@@ -3,12 +3,12 @@
 import { MigrationRequests, type RequestOutcome } from '#shards';
 import { nodeRuntime, StateApi } from '#wire';
 import { formatAddress } from '../../simulation/addresses.js';
-import { Chance } from '../../random.js';
+import { SeededRandom } from '../../random.js';
 import { LoopbackCluster } from '../sizing/cluster.js';
 import type { ControllerProcess } from '../sizing/controller-process.js';
-import { allHealthy, fillFleet } from '../sizing/full-fleet.js';
+import { waitUntilAllHealthy, fillFleet } from '../sizing/full-fleet.js';
 import type { SizingOptions } from '../sizing/options.js';
-import { runLine } from '../sizing/sources.js';
+import { runCommand } from '../sizing/sources.js';
 import { RuleChecker, type Violation } from '../../stand-ins/index.js';
 import { LeaderAudit, type LeaderBreach } from './leader-audit.js';
 
@@ -23,7 +23,7 @@
 const STOPPED_S = 3;
 const DOWN_S = 1;
 
-export interface MoveRunOptions {
+export interface MigrationRunOptions {
   sizing: SizingOptions;
   moves: number;
   /** Time from the end of one migration to the next request. */
@@ -33,7 +33,7 @@
 }
 
 /** The result of a run; times are in milliseconds. */
-export interface MoveRunResult {
+export interface MigrationRunResult {
   moved: number;
   /** Number of requests that did not lead to a migration, by reason. */
   notMoved: Record<string, number>;
@@ -51,10 +51,10 @@
 }
 
 /** Runs a cluster and migrates its shard repeatedly; calls `progress` after each migration. */
-export async function runMoves(
-  options: MoveRunOptions,
+export async function runMigrations(
+  options: MigrationRunOptions,
   progress: (done: number) => void,
-): Promise<MoveRunResult> {
+): Promise<MigrationRunResult> {
   const run = new MigrationRun(options);
   try {
     await run.start();
@@ -69,24 +69,27 @@
 }
 
 class MigrationRun {
-  private readonly chance = new Chance(SEED);
+  private readonly chance = new SeededRandom(SEED);
   private readonly audit = new LeaderAudit();
   private readonly checker: RuleChecker;
   private readonly cluster: LoopbackCluster;
   private readonly api: StateApi;
   private readonly requests: MigrationRequests;
-  private readonly counts: Pick<MoveRunResult, 'moved' | 'notMoved' | 'faults' | 'tasksCompleted'>;
+  private readonly counts: Pick<
+    MigrationRunResult,
+    'moved' | 'notMoved' | 'faults' | 'tasksCompleted'
+  >;
   private readonly moveMs: number[] = [];
   private readonly undecidedMs: number[] = [];
 
-  constructor(private readonly options: MoveRunOptions) {
+  constructor(private readonly options: MigrationRunOptions) {
     const { sources, nodeOptions, machines, cluster: shared } = options.sizing;
     this.counts = { moved: 0, notMoved: {}, faults: 0, tasksCompleted: 0 };
     const cancelS = shared.deployment.workers.cancel_s;
     this.checker = new RuleChecker(nodeRuntime.clock, { teams: [], cancelS });
     const command = {
       directory: sources,
-      command: runLine(sources, nodeOptions),
+      command: runCommand(sources, nodeOptions),
       logLevel: 'info',
     };
     this.cluster = new LoopbackCluster({
@@ -131,7 +134,7 @@
     const outcome = await this.requests.move(target.name, `move ${number}`, MIGRATION_TIMEOUT_S);
     this.recordOutcome(outcome, performance.now() - fromMs);
     await fault;
-    if (isFaulty) await allHealthy(cluster);
+    if (isFaulty) await waitUntilAllHealthy(cluster);
     await sleep(options.everyS * 1000);
     const isClean = !isFaulty && outcome.kind === 'moved';
     if (isClean) this.recordDecisionGap(source, target, fromMs);
@@ -164,7 +167,7 @@
   /** After a random delay, kills and restarts a controller, or stops its process for a while. */
   private async injectFault(victim: ControllerProcess): Promise<void> {
     const { chance, counts } = this;
-    const isCrash = chance.hit(0.5);
+    const isCrash = chance.withProbability(0.5);
     counts.faults++;
     await sleep(chance.next() * MAX_FAULT_DELAY_MS);
     if (isCrash) await victim.end('SIGKILL');
@@ -174,7 +177,7 @@
     else victim.setStopped(false);
   }
 
-  finish(): MoveRunResult {
+  finish(): MigrationRunResult {
     const { cluster, audit, checker, moveMs, undecidedMs } = this;
     return {
       ...this.counts,
--- a/packages/testing/loopback/shard-migrations/migration-scenarios.ts
+++ b/packages/testing/loopback/shard-migrations/migration-scenarios.ts
@@ -1,6 +1,6 @@
 /** Scenarios in which the shard migrates repeatedly while jobs run, and checks that all of them must pass. */
 import assert from 'node:assert/strict';
-import { killedTasks, playMeeting } from '../../fault-combinations/run-queries.js';
+import { killedTasks, runScenarioWithSeeds } from '../../fault-combinations/run-queries.js';
 import { BUSY_FROM_S, steadyScenario } from '../../fault-combinations/steady-work.js';
 import type { Fault, Scenario, ScenarioResult } from '../../simulation/index.js';
 
@@ -31,7 +31,7 @@
   seeds: number[],
   check: (result: ScenarioResult) => void,
 ): Promise<void> {
-  await playMeeting(migrationScenario(options), seeds, (result) => {
+  await runScenarioWithSeeds(migrationScenario(options), seeds, (result) => {
     const untilS = BUSY_FROM_S + options.movingS + 60;
     assert.deepEqual(killedTasks(result, BUSY_FROM_S, untilS), [], 'no work was lost');
     for (const fault of options.faults) {
--- a/packages/testing/loopback/sizing/cluster.ts
+++ b/packages/testing/loopback/sizing/cluster.ts
@@ -14,7 +14,7 @@
 import {
   CloudService,
   Fleet,
-  GangNetwork,
+  GangRegistry,
   JobStorage,
   LateHeartbeats,
   LoadBalancer,
@@ -196,7 +196,7 @@
   private makeFleet(observer: Observer): Fleet {
     const { workers } = this.options.shared.deployment;
     return new Fleet({
-      surroundings: {
+      workerEnvironment: {
         times: {
           heartbeatIntervalS: workers.report_s,
           leaseS: workers.lease_s,
@@ -205,7 +205,7 @@
         },
         controllers: controllerAddresses(this.options.shared, this.addresses),
         storage: this.storage,
-        gangs: new GangNetwork(nodeRuntime),
+        gangs: new GangRegistry(nodeRuntime),
         observer,
         lateHeartbeats: new LateHeartbeats(nodeRuntime),
         lateCommands: new ReplyLoss(nodeRuntime),
--- a/packages/testing/loopback/sizing/controller-process.ts
+++ b/packages/testing/loopback/sizing/controller-process.ts
@@ -8,7 +8,7 @@
   residentMemory,
   type ResidentMemory,
   resetPeak,
-} from './process-use.js';
+} from './process-usage.js';
 
 /** How controller processes are started. */
 export interface ControllerCommand {
--- a/packages/testing/loopback/sizing/full-fleet.ts
+++ b/packages/testing/loopback/sizing/full-fleet.ts
@@ -16,7 +16,7 @@
 export async function fillFleet(cluster: LoopbackCluster, options: SizingOptions): Promise<void> {
   await cluster.listen();
   for (const controller of cluster.controllers) controller.start();
-  await allHealthy(cluster);
+  await waitUntilAllHealthy(cluster);
   const { machines, jobsPerMinute, settleS } = options;
   const teams = cluster.options.shared.deployment.teams.map(({ name }) => name);
   const workload = { machines, teams, jobsPerMinute, lengthS: WORKLOAD_LENGTH_S };
@@ -28,7 +28,7 @@
 }
 
 /** Resolves once all running controllers answer that they are healthy. */
-export async function allHealthy(cluster: LoopbackCluster): Promise<void> {
+export async function waitUntilAllHealthy(cluster: LoopbackCluster): Promise<void> {
   for (const { running, index, name } of cluster.controllers) {
     if (!running) continue;
     const address = cluster.addresses.service(index);
--- a/packages/testing/loopback/sizing/health.ts
+++ b/packages/testing/loopback/sizing/health.ts
@@ -1,7 +1,7 @@
 import http from 'node:http';
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { HostPort } from '#wire';
-import { TooLate } from './wait.js';
+import { WaitTimeoutError } from './wait.js';
 
 /** Interval of the health requests, each of which costs the controller some processor time. */
 const POLL_INTERVAL_MS = 20;
@@ -9,7 +9,7 @@
 
 /**
  * Resolves once the controller answers that it is healthy, with the time of the answer in milliseconds of the
- * monotonic clock; rejects with TooLate.
+ * monotonic clock; rejects with WaitTimeoutError.
  */
 export async function waitUntilHealthy(
   address: HostPort,
@@ -21,7 +21,7 @@
     if ((await fetchHealthStatus(address)) === 200) return { atMs: performance.now() };
     await sleep(POLL_INTERVAL_MS);
   }
-  throw new TooLate(`${name}: not healthy within ${timeoutS} s`);
+  throw new WaitTimeoutError(`${name}: not healthy within ${timeoutS} s`);
 }
 
 /** The HTTP status of /healthz; null if the controller does not answer. */
--- a/packages/testing/loopback/sizing/heartbeat-log.ts
+++ b/packages/testing/loopback/sizing/heartbeat-log.ts
@@ -33,7 +33,7 @@
     for (const listener of this.listeners) listener(heartbeat);
   }
 
-  obeyed(machine: string, controller: string, fencingToken: number): void {
+  answerAccepted(machine: string, controller: string, fencingToken: number): void {
     this.onObeyed(machine, controller, fencingToken);
   }
 
--- a/packages/testing/loopback/sizing/measure-all.ts
+++ b/packages/testing/loopback/sizing/measure-all.ts
@@ -9,7 +9,7 @@
 import { measureLeader, measureStandby } from './measurements/steady.js';
 import { measureTakeOver } from './measurements/failover.js';
 import type { SizingOptions } from './options.js';
-import { runLine } from './sources.js';
+import { runCommand } from './sources.js';
 import { Throttle } from './throttle.js';
 
 /** Receives the progress of a run of measurements. */
@@ -60,6 +60,6 @@
 
 /** Makes the cluster that the options describe, without starting any of its processes and services. */
 export function makeCluster({ sources, nodeOptions, logLevel, machines, cluster }: SizingOptions) {
-  const command = { directory: sources, command: runLine(sources, nodeOptions), logLevel };
+  const command = { directory: sources, command: runCommand(sources, nodeOptions), logLevel };
   return new LoopbackCluster({ shared: cluster, machines, command });
 }
--- a/packages/testing/loopback/sizing/measurements/causes.ts
+++ b/packages/testing/loopback/sizing/measurements/causes.ts
@@ -9,12 +9,12 @@
 import type { LoopbackCluster } from '../cluster.js';
 import type { ControllerProcess } from '../controller-process.js';
 import { Figures } from '../figure.js';
-import { allHealthy } from '../full-fleet.js';
+import { waitUntilAllHealthy } from '../full-fleet.js';
 import type { MeasuredFigures } from '../measurement.js';
 import { Observation, type ObservedUsage } from '../observation.js';
 import type { SizingOptions } from '../options.js';
 import { profileClockUs, readProfile, sharesByCause, type TimeSpan } from '../profile.js';
-import { WorkerReconnection } from '../return-of-workers.js';
+import { WorkerReconnection } from '../worker-reconnection.js';
 import { profiledRunCommand } from '../sources.js';
 
 const RECONNECTION_TIMEOUT_S = 120;
@@ -50,7 +50,7 @@
   const measured: MeasuredFigures[] = [];
   for (const usage of usages) measured.push(await figuresOf(cluster, usage));
   for (const { controller } of usages) controller.start();
-  await allHealthy(cluster);
+  await waitUntilAllHealthy(cluster);
   return measured;
 }
 
@@ -62,7 +62,7 @@
   await workers.all(RECONNECTION_TIMEOUT_S);
   if (second !== undefined) startWithProfile(cluster, second);
   for (const controller of others) controller.start();
-  await allHealthy(cluster);
+  await waitUntilAllHealthy(cluster);
 }
 
 function startWithProfile(cluster: LoopbackCluster, controller: ControllerProcess): void {
--- a/packages/testing/loopback/sizing/measurements/failover.ts
+++ b/packages/testing/loopback/sizing/measurements/failover.ts
@@ -3,9 +3,9 @@
 import type { LoopbackCluster } from '../cluster.js';
 import type { ControllerProcess } from '../controller-process.js';
 import { Figures } from '../figure.js';
-import { allHealthy } from '../full-fleet.js';
+import { waitUntilAllHealthy } from '../full-fleet.js';
 import type { MeasuredFigures } from '../measurement.js';
-import { WorkerReconnection } from '../return-of-workers.js';
+import { WorkerReconnection } from '../worker-reconnection.js';
 import { waitFor } from '../wait.js';
 
 const ELECTION_TIMEOUT_S = 60;
@@ -28,7 +28,7 @@
     .count("workers' leases that ran out", cluster.heartbeats.leasesEnded - leasesEnded)
     .count('tasks killed', cluster.tasksKilled - tasksKilled);
   former.start();
-  await allHealthy(cluster);
+  await waitUntilAllHealthy(cluster);
   await sleep(COOLDOWN_S * 1000);
   return [{ measurement: 'take-over', figures: figures.all }];
 }
--- a/packages/testing/loopback/sizing/measurements/peaks.ts
+++ b/packages/testing/loopback/sizing/measurements/peaks.ts
@@ -2,7 +2,7 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import { encodeJob, jobKey, sizeInJson } from '#store';
 import type { Job } from '#wire';
-import { aJob } from '../../../samples.js';
+import { makeJob } from '../../../samples.js';
 import type { LoopbackCluster } from '../cluster.js';
 import { Figures } from '../figure.js';
 import { MACHINE_TYPE } from '../machine-type.js';
@@ -51,7 +51,7 @@
 
 function newJob(cluster: LoopbackCluster, fields: Partial<Job>): Job {
   const [team] = cluster.options.shared.deployment.teams;
-  return aJob({ ...fields, id: cluster.newJobId(), team: team.name });
+  return makeJob({ ...fields, id: cluster.newJobId(), team: team.name });
 }
 
 /** The same job with as many machine types as fit in its record. */
--- a/packages/testing/loopback/sizing/measurements/restart.ts
+++ b/packages/testing/loopback/sizing/measurements/restart.ts
@@ -2,10 +2,10 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import type { LoopbackCluster } from '../cluster.js';
 import { Figures } from '../figure.js';
-import { allHealthy } from '../full-fleet.js';
+import { waitUntilAllHealthy } from '../full-fleet.js';
 import type { MeasuredFigures } from '../measurement.js';
 import type { SizingOptions } from '../options.js';
-import { WorkerReconnection } from '../return-of-workers.js';
+import { WorkerReconnection } from '../worker-reconnection.js';
 import { waitFor } from '../wait.js';
 
 const ELECTION_TIMEOUT_S = 60;
@@ -31,7 +31,7 @@
   figures
     .count("workers' leases that ran out", heartbeats.leasesEnded - leasesEnded)
     .count('tasks killed', cluster.tasksKilled - tasksKilled);
-  await allHealthy(cluster);
+  await waitUntilAllHealthy(cluster);
   await sleep(COOLDOWN_S * 1000);
   return [{ measurement: 'restart', figures: figures.all }];
 }
--- a/packages/testing/loopback/sizing/observation.ts
+++ b/packages/testing/loopback/sizing/observation.ts
@@ -1,7 +1,7 @@
 import type { LoopbackCluster } from './cluster.js';
 import type { ControllerProcess } from './controller-process.js';
 import type { ProcessLog } from './process-log.js';
-import type { ProcessorTime } from './process-use.js';
+import type { ProcessorTime } from './process-usage.js';
 
 /** What one controller did and used over a period; all rates are per second. */
 export interface ObservedUsage {
--- a/packages/testing/loopback/sizing/sources.ts
+++ b/packages/testing/loopback/sizing/sources.ts
@@ -24,7 +24,7 @@
  * The words of the run command in deploy/service.toml, with additional Node options. The path of the settings
  * file must be appended.
  */
-export function runLine(directory: string, nodeOptions: string[]): string[] {
+export function runCommand(directory: string, nodeOptions: string[]): string[] {
   const file = path.join(directory, 'deploy/service.toml');
   if (!existsSync(file))
     throw new NotBuilt(`--sources ${directory}: deploy/service.toml is missing`);
--- a/packages/testing/loopback/sizing/return-of-workers.ts
+++ b/packages/testing/loopback/sizing/worker-reconnection.ts
@@ -29,12 +29,12 @@
     this.unsubscribe = cluster.heartbeats.onAnswered((heartbeat) => this.recordAnswer(heartbeat));
   }
 
-  /** Resolves with the first answered heartbeat; rejects with TooLate. */
+  /** Resolves with the first answered heartbeat; rejects with WaitTimeoutError. */
   first(timeoutS: number): Promise<Milestone> {
     return waitFor('an answered heartbeat', timeoutS, () => this.firstAnswer);
   }
 
-  /** Resolves with the answer that completed the set of all workers; rejects with TooLate. */
+  /** Resolves with the answer that completed the set of all workers; rejects with WaitTimeoutError. */
   async all(timeoutS: number): Promise<Milestone> {
     await waitFor('answers to all workers', timeoutS, () => this.checkComplete());
     this.unsubscribe();
--- a/packages/testing/loopback/sizing/workload.ts
+++ b/packages/testing/loopback/sizing/workload.ts
@@ -3,8 +3,8 @@
  * its full size. Short jobs use about three quarters of the remaining capacity.
  */
 import type { Job } from '#wire';
-import { aJob } from '../../samples.js';
-import { Chance } from '../../random.js';
+import { makeJob } from '../../samples.js';
+import { SeededRandom } from '../../random.js';
 import {
   type JobClass,
   jobTemplate,
@@ -45,12 +45,12 @@
     imageGb: 5,
     spot: true,
   }),
-  arrivals: { perMinute: 0.16, together: [1, 1], atStart: 0.4 },
+  arrivals: { perMinute: 0.16, jobsPerArrival: [1, 1], atStart: 0.4 },
   tasks: [1, 5],
   run: { medianS: 120, p95S: 300, maxS: 600 },
   cancelledShare: 0,
-  mistakenShare: 0,
-  images: 12,
+  failingShare: 0,
+  imageCount: 12,
 };
 
 const BATCH_CLASS: JobClass = {
@@ -64,12 +64,12 @@
     imageGb: 10,
     spot: true,
   }),
-  arrivals: { perMinute: 0.08, together: [1, 1], atStart: 0.1 },
+  arrivals: { perMinute: 0.08, jobsPerArrival: [1, 1], atStart: 0.1 },
   tasks: [1, 29],
   run: { medianS: 50, p95S: 130, maxS: 200 },
   cancelledShare: 0.02,
-  mistakenShare: 0,
-  images: 12,
+  failingShare: 0,
+  imageCount: 12,
 };
 
 const GANG_CLASS: JobClass = {
@@ -86,12 +86,12 @@
     checkpointS: 20,
     saveS: 2,
   }),
-  arrivals: { perMinute: 0.036, together: [1, 1], atStart: 0.06 },
+  arrivals: { perMinute: 0.036, jobsPerArrival: [1, 1], atStart: 0.06 },
   tasks: [1, 4],
   run: { medianS: 90, p95S: 200, maxS: 300 },
   cancelledShare: 0.03,
-  mistakenShare: 0,
-  images: 12,
+  failingShare: 0,
+  imageCount: 12,
 };
 
 /** Classes of short jobs; their arrival rates are for one machine. */
@@ -100,24 +100,24 @@
 /** All jobs of a run: the anchor jobs, followed by the short jobs. */
 export function planSizingWorkload(workload: SizingWorkload): PlannedJob[] {
   const { teams, lengthS, jobsPerMinute, machines } = workload;
-  const random = new Chance(WORKLOAD_SEED);
+  const random = new SeededRandom(WORKLOAD_SEED);
   const shortJobs = makeWorkload(() => random.next(), {
     classes: SHORT_JOB_CLASSES,
     teams,
     lengthS,
     intensity: jobsPerMinute / JOBS_PER_MACHINE_MINUTE,
   });
-  return [...planAnchors(machines, teams), ...shortJobs];
+  return [...planAnchorJobs(machines, teams), ...shortJobs];
 }
 
 /** Jobs with as many tasks as there are machines; a machine has room for only one of these tasks. */
-export function planAnchors(machines: number, teams: string[]): PlannedJob[] {
+export function planAnchorJobs(machines: number, teams: string[]): PlannedJob[] {
   const count = Math.ceil(machines / ANCHOR_TASKS);
   return Array.from({ length: count }, (_, index) => {
     const tasks = Math.min(ANCHOR_TASKS, machines - index * ANCHOR_TASKS);
     const fields: Partial<Job> = { ...ANCHOR, ...ANY_MACHINE, kind: 'service', rank: 0, tasks };
     const id = `j-${FIRST_ANCHOR_ID + index}`;
-    const job = aJob({ ...fields, id, team: teams[index % teams.length] });
+    const job = makeJob({ ...fields, id, team: teams[index % teams.length] });
     return {
       program: { job, runS: Array<number>(tasks).fill(0), failsAfterS: null },
       submitAtS: index / ANCHORS_PER_SECOND,
--- a/packages/testing/hand-clock.ts
+++ b/packages/testing/manual-clock.ts
@@ -1,7 +1,7 @@
 import type { Clock, Timer } from '#wire';
 
 /** A clock that advances only when a test moves it. */
-export class HandClock implements Clock {
+export class ManualClock implements Clock {
   private nowMs = 0;
   private readonly pending = new Set<{ atMs: number; callback: () => void }>();
 
@@ -24,7 +24,7 @@
   }
 
   /** Advances the clock without running timers, as when a computation blocks the process. */
-  compute(ms: number): void {
+  advanceWithoutTimers(ms: number): void {
     this.nowMs += ms;
   }
 
