--- a/packages/testing/measurement/costs/cost-run.ts
+++ b/packages/testing/measurement/costs/cost-run.ts
@@ -1,10 +1,10 @@
 /** Simulates an idle cluster whose machines are all in use, and counts the operations of its controllers. */
-import { aJob } from '../../samples.js';
+import { makeJob } from '../../samples.js';
 import { Cluster } from '../../simulation/cluster.js';
 import { SMALL_CLUSTER, type ClusterSettings } from '../../simulation/cluster-settings.js';
 import { type Costs, costsBetween, scaleCosts, sumCosts } from '../../simulation/costs.js';
 import { machineType } from '../../loopback/sizing/machine-type.js';
-import { planAnchors } from '../../loopback/sizing/workload.js';
+import { planAnchorJobs } from '../../loopback/sizing/workload.js';
 import { type PlannedJob, QUICK_BOOTS } from '../../stand-ins/index.js';
 
 export interface CostRunOptions {
@@ -48,7 +48,7 @@
   cluster.cloud.setBootProfile(QUICK_BOOTS);
   await cluster.start();
   const teams = cluster.settings.deployment.teams.map(({ name }) => name);
-  cluster.users.start(planAnchors(options.machines, teams));
+  cluster.users.start(planAnchorJobs(options.machines, teams));
   await cluster.world.runUntil(FILL_S);
   cluster.users.stop();
   const idle = await observe(cluster, MINUTE_S);
@@ -83,7 +83,7 @@
 
 /** Simulates this number of seconds and returns the costs. Throws if the leader changes meanwhile. */
 async function observe(cluster: Cluster, seconds: number): Promise<Observed> {
-  const { world, controllers, costs, leadership: leadership } = cluster;
+  const { world, controllers, costs, leadership } = cluster;
   const currentLeader = leadership.current();
   const before = controllers.map(({ host }) => costs.costsOf(host.address));
   await world.runUntil(world.now + seconds);
@@ -102,7 +102,7 @@
 function submitJobs(cluster: Cluster, team: string): void {
   const users = cluster.makeUsers();
   for (let index = 0; index < JOBS; index++) {
-    const job = aJob({ id: `j-${500_000 + index}`, team, spot: true });
+    const job = makeJob({ id: `j-${500_000 + index}`, team, spot: true });
     const program = { job, runS: [JOB_RUN_S], failsAfterS: null };
     const submitAtS = index * JOB_EVERY_S;
     const planned: PlannedJob = { program, submitAtS, cancelAfterS: null, repeatAfterS: null };
--- a/packages/testing/measurement/leader-measurement.ts
+++ b/packages/testing/measurement/leader-measurement.ts
@@ -7,10 +7,10 @@
 import { fork } from 'node:child_process';
 import { once } from 'node:events';
 import { fileURLToPath } from 'node:url';
-import { BENCHMARKS } from '../leader-load/figures.js';
+import { BENCHMARKS } from '../leader-load/leader-benchmarks.js';
 import { recordsOf } from '../leader-load/fleet-records.js';
-import { FleetFixture } from '../leader-load/standing-fleet.js';
-import { Chance } from '../random.js';
+import { FleetFixture } from '../leader-load/fleet-fixture.js';
+import { SeededRandom } from '../random.js';
 import type { BenchmarkRequest, BenchmarkResult } from './leader-worker.js';
 
 /** Share of the accelerators that stays free. */
@@ -31,7 +31,7 @@
 /** Runs all benchmarks with the given number of machines and prints a line for each. Resolves with the exit code. */
 export async function run([count]: string[]): Promise<number> {
   const machines = Number(count ?? DEFAULT_MACHINES);
-  const fixture = FleetFixture.withMachines(machines, new Chance(1));
+  const fixture = FleetFixture.withMachines(machines, new SeededRandom(1));
   fixture.fill(FREE_SHARE);
   const records = recordsOf(fixture.fleet);
   const tasks = [...fixture.fleet.machines.values()].reduce((sum, m) => sum + m.tasks.size, 0);
--- a/packages/testing/measurement/leader-worker.ts
+++ b/packages/testing/measurement/leader-worker.ts
@@ -1,8 +1,8 @@
 /** Entry point of the process in which the measurement `leader` runs one benchmark. */
-import { BENCHMARKS } from '../leader-load/figures.js';
+import { BENCHMARKS } from '../leader-load/leader-benchmarks.js';
 import { type FleetRecords } from '../leader-load/fleet-records.js';
-import { FleetFixture, SETTLED_AT } from '../leader-load/standing-fleet.js';
-import { Chance } from '../random.js';
+import { FleetFixture, SETTLED_AT } from '../leader-load/fleet-fixture.js';
+import { SeededRandom } from '../random.js';
 
 const EARLY_RUNS = 20;
 const LATE_RUNS = 400;
@@ -25,7 +25,7 @@
 }
 
 function measure({ records, benchmark }: BenchmarkRequest): BenchmarkResult {
-  const fixture = FleetFixture.fromRecords(records, new Chance(2));
+  const fixture = FleetFixture.fromRecords(records, new SeededRandom(2));
   const { prepare, run } = BENCHMARKS[benchmark];
   const times: number[] = [];
   for (let i = 0; i < LATE_RUNS; i++) {
--- a/packages/testing/measurement/replica-groups-measurement.ts
+++ b/packages/testing/measurement/replica-groups-measurement.ts
@@ -11,7 +11,7 @@
   type ReplicaMode,
   type ReplicaRunOptions,
   type ReplicaRunResult,
-  runReplicas,
+  runReplicaGroups,
 } from '../loopback/replica-groups/loopback-run.js';
 import { readOptions } from '../loopback/sizing/options.js';
 
@@ -89,7 +89,7 @@
 
 /** Injects the faults that the arguments ask for. Resolves with the exit code: 1 if a rule was violated. */
 export async function run(args: string[]): Promise<number> {
-  const result = await runReplicas(readArguments(args), (done) => {
+  const result = await runReplicaGroups(readArguments(args), (done) => {
     if (done % 10 === 0) process.stderr.write(`${done} faults\n`);
   });
   process.stdout.write(formatResult(result));
--- a/packages/testing/measurement/scale-measurement.ts
+++ b/packages/testing/measurement/scale-measurement.ts
@@ -8,7 +8,7 @@
 import { currentLoad, describeMachine, measureSpeed } from './machine-speed.js';
 import { median } from './median.js';
 import { type Column, formatNumber, textTable } from './text-table.js';
-import { aFleet, aJob, aMachine, aHeartbeat } from '../samples.js';
+import { makeFleet, makeJob, registerMachine, makeHeartbeat } from '../samples.js';
 
 const MACHINES = 48;
 const RUNS = 30;
@@ -59,14 +59,14 @@
 /** Creates job number `i` of a load. The CPU requests of the jobs differ slightly. */
 function createJob(i: number, { tasks }: Load): Job {
   const cpus = 0.25 * (0.7 + 0.6 * ((i * 0.618) % 1));
-  return aJob({ id: `j-${i}`, rank: 3, tasks, cpus, gpus: 0, memory: 0.5, imageGb: 0.5 });
+  return makeJob({ id: `j-${i}`, rank: 3, tasks, cpus, gpus: 0, memory: 0.5, imageGb: 0.5 });
 }
 
 function createBusyFleet({ full }: Load): FleetState {
-  const fleet = aFleet();
+  const fleet = makeFleet();
   for (let i = 0; i < MACHINES; i++) {
-    const machine = aMachine(fleet, `n-${i}`, { zone: i % 2 ? 'a' : 'b' });
-    const spec = aJob({ id: `s-${i}`, kind: 'service', rank: 1, cpus: full ? 16 : 15, gpus: 4 });
+    const machine = registerMachine(fleet, `n-${i}`, { zone: i % 2 ? 'a' : 'b' });
+    const spec = makeJob({ id: `s-${i}`, kind: 'service', rank: 1, cpus: full ? 16 : 15, gpus: 4 });
     const state = fleet.addJob(spec, 0, 'accepted', 0);
     const { assignments } = fleet;
     assignments.assign(state, 0, machine, assignments.newAttempt(), 0).reportedState = 'running';
@@ -117,7 +117,7 @@
   const running = { state: 'running' as const, cause: null, checkpointed: false };
   const tasks = [{ job: 's-1', index: 0, attempt: 6553601, ...running }];
   const nextHeartbeat = (): Heartbeat =>
-    aHeartbeat({ machine: 'n-1', sequence: ++sequence, tasks });
+    makeHeartbeat({ machine: 'n-1', sequence: ++sequence, tasks });
   return medianMs(
     nextHeartbeat,
     (heartbeat) => void fleet.heartbeats.handle(heartbeat, MEASURED_AT_S),
--- a/packages/testing/measurement/shard-migrations-measurement.ts
+++ b/packages/testing/measurement/shard-migrations-measurement.ts
@@ -6,7 +6,10 @@
 import { Command } from 'commander';
 import { DISTRIBUTION_COLUMNS, distributionRow } from './distribution.js';
 import { textTable } from './text-table.js';
-import { type MoveRunResult, runMoves } from '../loopback/shard-migrations/loopback-run.js';
+import {
+  type MigrationRunResult,
+  runMigrations,
+} from '../loopback/shard-migrations/loopback-run.js';
 import { readOptions } from '../loopback/sizing/options.js';
 
 interface Arguments {
@@ -17,7 +20,7 @@
   controllers: string;
 }
 
-function formatResult(result: MoveRunResult): string {
+function formatResult(result: MigrationRunResult): string {
   const { moveMs, undecidedMs, breaches, violations, ...counts } = result;
   const rows = [
     distributionRow('from the request to the new leader', moveMs),
@@ -44,7 +47,7 @@
     everyS: Number(every),
     faultEvery: Number(faultEvery),
   };
-  const result = await runMoves(options, (done) => {
+  const result = await runMigrations(options, (done) => {
     if (done % 20 === 0) process.stderr.write(`${done} migrations\n`);
   });
   process.stdout.write(formatResult(result));
--- a/packages/testing/measurement/simulation-measurement.ts
+++ b/packages/testing/measurement/simulation-measurement.ts
@@ -4,7 +4,7 @@
  */
 import { currentLoad, describeMachine, measureSpeed } from './machine-speed.js';
 import { type Column, formatNumber, textTable } from './text-table.js';
-import { USUAL_CLASSES } from '../stand-ins/index.js';
+import { DEFAULT_CLASSES } from '../stand-ins/index.js';
 import {
   LARGE_CLUSTER,
   SMALL_CLUSTER,
@@ -27,7 +27,7 @@
 /** Simulates one cluster and returns its row of the table. */
 async function measure(cluster: ClusterSettings, intensity: number): Promise<string[]> {
   const name = `${cluster.controllers} controllers, ${cluster.capacity[0].machines} machines`;
-  const workload = { classes: USUAL_CLASSES, intensity, untilS: LENGTH_S };
+  const workload = { classes: DEFAULT_CLASSES, intensity, untilS: LENGTH_S };
   const scenario = { name, cluster, workload, faults: [], lengthS: LENGTH_S };
   const startedAtMs = performance.now();
   const usedBefore = process.cpuUsage();
--- a/packages/testing/measurement/sizing-measurement.ts
+++ b/packages/testing/measurement/sizing-measurement.ts
@@ -11,7 +11,7 @@
 import { makeResult, type Result, resultContext } from '../loopback/sizing/result.js';
 import { NotBuilt } from '../loopback/sizing/sources.js';
 import { describeContext, formatTable } from '../loopback/sizing/table.js';
-import { TooLate } from '../loopback/sizing/wait.js';
+import { WaitTimeoutError } from '../loopback/sizing/wait.js';
 
 const ExitCode = { done: 0, notMeasured: 1, badArguments: 2 } as const;
 /** File name that stands for standard output. */
@@ -48,7 +48,7 @@
     // Commander has already printed its message or the requested help.
     if (err instanceof CommanderError) return err.exitCode === 0 ? 0 : ExitCode.badArguments;
     const badArguments = err instanceof BadArguments || err instanceof NotBuilt;
-    const isExpected = badArguments || err instanceof TooLate || err instanceof NotRunning;
+    const isExpected = badArguments || err instanceof WaitTimeoutError || err instanceof NotRunning;
     process.stderr.write(`${isExpected ? err.message : String((err as Error).stack)}\n`);
     return badArguments ? ExitCode.badArguments : ExitCode.notMeasured;
   }
--- a/packages/testing/models/exploration/explore.ts
+++ b/packages/testing/models/exploration/explore.ts
@@ -25,7 +25,7 @@
   /** Number of distinct states reached. */
   states: number;
   /** The violated invariant and a shortest trace to the violation; null if all states satisfy the invariants. */
-  breach: { what: string; trace: string[] } | null;
+  violation: { invariant: string; trace: string[] } | null;
   /**
    * A shortest trace to a state from which no quiescent state is reachable without a fault; null if there is no such
    * state.
@@ -54,11 +54,11 @@
     for (const { key, state } of frontier) {
       onState(state);
       if (model.isQuiescent(state)) quiescent.push(key);
-      const what = model.findViolation(state);
-      if (what !== null) {
+      const invariant = model.findViolation(state);
+      if (invariant !== null) {
         return {
           states: origins.size,
-          breach: { what, trace: traceTo(origins, key) },
+          violation: { invariant, trace: traceTo(origins, key) },
           stuck: null,
         };
       }
@@ -72,7 +72,11 @@
     }
     frontier = nextFrontier;
   }
-  return { states: origins.size, breach: null, stuck: findStuck(origins, predecessors, quiescent) };
+  return {
+    states: origins.size,
+    violation: null,
+    stuck: findStuck(origins, predecessors, quiescent),
+  };
 }
 
 /** Returns a shortest trace to a state from which no quiescent state is reachable without another fault. */
--- a/packages/testing/models/leader-election/checks.ts
+++ b/packages/testing/models/leader-election/checks.ts
@@ -1,6 +1,6 @@
 /** The invariants of the leader election model. */
 import type { LeadershipCluster } from './cluster.js';
-import type { LeadershipMistake, LeadershipRun } from './model.js';
+import type { SeededLeadershipFault, LeadershipRun } from './model.js';
 import type { NodeModel } from './node.js';
 import { observedStatuses } from './observed-statuses.js';
 import { CANCEL_S, FORMER_LEADER_S, GRACE_S, STEP_S } from './timing.js';
@@ -11,7 +11,7 @@
 
   constructor(
     private readonly cluster: LeadershipCluster,
-    private readonly seededFault: LeadershipMistake,
+    private readonly seededFault: SeededLeadershipFault,
   ) {}
 
   check(node: NodeModel): void {
@@ -26,7 +26,7 @@
     this.checkActing(node, node.leader.term);
     const leader = cluster.node(node.leader.name);
     if (leader?.leaseCheck && leader.term === node.leader.term) {
-      result.violations.add('renews-beside-owner');
+      result.violations.add('renews-beside-leader');
     }
   }
 
--- a/packages/testing/models/leader-election/cluster.ts
+++ b/packages/testing/models/leader-election/cluster.ts
@@ -1,5 +1,5 @@
 /** The controllers, links and state service of the model of leader election. */
-import type { Chance } from '../../random.js';
+import type { SeededRandom } from '../../random.js';
 import { LinkModel } from './link.js';
 import { NodeModel } from './node.js';
 import { ServiceModel } from './service.js';
@@ -27,7 +27,7 @@
   private readonly links = new Map<string, LinkModel>();
   private incarnations = 0;
 
-  constructor(private readonly chance: Chance) {
+  constructor(private readonly chance: SeededRandom) {
     for (const name of this.names) {
       this.start(name);
       for (const peer of this.peersOf(name)) this.links.set(`${name} ${peer}`, new LinkModel());
--- a/packages/testing/models/leader-election/faults.ts
+++ b/packages/testing/models/leader-election/faults.ts
@@ -1,5 +1,5 @@
 /** Random faults and cancellations of the leader election model. */
-import type { Chance } from '../../random.js';
+import type { SeededRandom } from '../../random.js';
 import type { LeadershipCluster } from './cluster.js';
 import { CANCEL_S, ELECTION_LEASE_S, LEASE_S, STEP_S } from './timing.js';
 
@@ -21,7 +21,7 @@
   private plannedCancellation: { peer: string; at: number } | null = null;
 
   constructor(
-    private readonly chance: Chance,
+    private readonly chance: SeededRandom,
     private readonly cluster: LeadershipCluster,
   ) {
     this.faultRateFactor = chance.next() ** 2;
@@ -42,13 +42,13 @@
     else if (node && this.faultOccurs(FREEZE_PROBABILITY))
       node.frozenUntil = now + chance.next() * LEASE_S;
     this.injectLinkFaults(name, cluster.peersOf(name)[chance.int(0, 1)]);
-    if (chance.hit(REFUSAL_THEN_OUTAGE_PROBABILITY)) this.planRefusalThenOutage();
+    if (chance.withProbability(REFUSAL_THEN_OUTAGE_PROBABILITY)) this.planRefusalThenOutage();
   }
 
   /** Cancels a job at a controller that can record the cancellation, and that may crash immediately afterwards. */
   cancelAtRandom(): void {
     const { chance, cluster } = this;
-    if (!chance.hit(CANCELLATION_PROBABILITY)) return;
+    if (!chance.withProbability(CANCELLATION_PROBABILITY)) return;
     const { now, service } = cluster;
     const node = cluster
       .running()
@@ -57,7 +57,7 @@
       );
     if (!node || service.down) return;
     cluster.cancel(node);
-    if (chance.hit(0.3)) cluster.crash(node.name);
+    if (chance.withProbability(0.3)) cluster.crash(node.name);
   }
 
   /** Carries out the cancellation and the crash that `planRefusalThenOutage` has planned, once they are due. */
@@ -72,7 +72,7 @@
   }
 
   private faultOccurs(rate: number): boolean {
-    return this.chance.hit(rate * this.faultRateFactor);
+    return this.chance.withProbability(rate * this.faultRateFactor);
   }
 
   private injectLinkFaults(from: string, to: string): void {
@@ -82,7 +82,7 @@
     if (this.faultOccurs(LINK_FAULT_PROBABILITY)) link.heldUntil = now + chance.next() * CANCEL_S;
     if (this.faultOccurs(LINK_FAULT_PROBABILITY)) link.deadUntil = now + chance.next() * LEASE_S;
     if (this.faultOccurs(LINK_FAULT_PROBABILITY)) {
-      link.delayS = chance.hit(0.5) ? STEP_S / 2 : chance.next() * 2 * CANCEL_S;
+      link.delayS = chance.withProbability(0.5) ? STEP_S / 2 : chance.next() * 2 * CANCEL_S;
     }
   }
 
@@ -98,8 +98,8 @@
     cluster.refuse(leader, now + LEASE_S);
     const from = now + STEP_S + chance.next() * ELECTION_LEASE_S;
     cluster.outage = { from, until: from + (1 + chance.next()) * CANCEL_S };
-    if (chance.hit(0.3)) this.delayStatuses(leader);
-    if (chance.hit(0.5)) return;
+    if (chance.withProbability(0.3)) this.delayStatuses(leader);
+    if (chance.withProbability(0.5)) return;
     const peer = cluster.peersOf(leader)[chance.int(0, 1)];
     cluster.link(peer, leader).deadUntil = from + STEP_S;
     this.plannedCancellation = { peer, at: from - STEP_S };
--- a/packages/testing/models/leader-election/model.ts
+++ b/packages/testing/models/leader-election/model.ts
@@ -1,11 +1,15 @@
 /** The seeded faults of the leader election model, and the result of a run. */
 /** A fault that is seeded into the model to show that its checks detect it. */
-export type LeadershipMistake =
-  'none' | 'trusts-arrival' | 'trusts-restarted' | 'ignores-cancelled' | 'renews-for-the-living';
+export type SeededLeadershipFault =
+  | 'none'
+  | 'trusts-arrival-time'
+  | 'trusts-restarted-peer'
+  | 'ignores-peer-cancellations'
+  | 'renews-for-live-leader';
 
 /** An invariant that was violated. */
 export type LeadershipViolation =
-  'acts-beside-successor' | 'acts-on-unknown-cancellation' | 'renews-beside-owner';
+  'acts-beside-successor' | 'acts-on-unknown-cancellation' | 'renews-beside-leader';
 
 /** Result of one run of the model. */
 export interface LeadershipRun {
--- a/packages/testing/models/leader-election/observed-statuses.ts
+++ b/packages/testing/models/leader-election/observed-statuses.ts
@@ -1,12 +1,12 @@
 /** The statuses of the peers as a node sees them, falsified by the seeded fault. */
 import type { PeerStatus } from '#controller';
-import type { LeadershipMistake } from './model.js';
+import type { SeededLeadershipFault } from './model.js';
 import type { NodeModel, ObservedStatuses } from './node.js';
 
 /** Returns the statuses that the node decides by, with the seeded fault applied. */
 export function observedStatuses(
   node: NodeModel,
-  seededFault: LeadershipMistake,
+  seededFault: SeededLeadershipFault,
 ): ObservedStatuses {
   const { statusTable, leader } = node;
   return {
@@ -17,16 +17,16 @@
 
 function applySeededFault(
   status: PeerStatus | null,
-  seededFault: LeadershipMistake,
+  seededFault: SeededLeadershipFault,
 ): PeerStatus | null {
   if (status === null) return null;
   const { frame, receivedAt } = status;
   switch (seededFault) {
-    case 'trusts-arrival':
+    case 'trusts-arrival-time':
       return { ...status, statedAfter: receivedAt };
-    case 'trusts-restarted':
+    case 'trusts-restarted-peer':
       return { ...status, frame: { ...frame, loaded: true } };
-    case 'renews-for-the-living':
+    case 'renews-for-live-leader':
       return { ...status, frame: { ...frame, mayLead: false } };
     default:
       return status;
--- a/packages/testing/models/leader-election/world.ts
+++ b/packages/testing/models/leader-election/simulation.ts
@@ -3,20 +3,20 @@
  * leader lease, keeps peer statuses and lists cancellations. The environment is modelled: state service, election
  * leases, connections, crashes, users who cancel. One step is a quarter of a heartbeat interval.
  */
-import { Chance } from '../../random.js';
+import { SeededRandom } from '../../random.js';
 import { LeadershipChecks } from './checks.js';
 import { LeadershipCluster } from './cluster.js';
 import { LeadershipFaults } from './faults.js';
 import type { Message } from './link.js';
-import type { LeadershipMistake, LeadershipRun } from './model.js';
+import type { SeededLeadershipFault, LeadershipRun } from './model.js';
 import type { NodeModel } from './node.js';
 import { observedStatuses } from './observed-statuses.js';
 import { HEARTBEAT_INTERVAL_S, STEP_S } from './timing.js';
 
 /** Runs the model with one seed. The result has no violations unless a fault is seeded. */
-export function playLeadership(
+export function runLeaderElectionModel(
   seed: number,
-  seededFault: LeadershipMistake,
+  seededFault: SeededLeadershipFault,
   lengthS = 200,
 ): LeadershipRun {
   return new LeadershipSimulation(seed, seededFault).run(lengthS);
@@ -29,9 +29,9 @@
 
   constructor(
     seed: number,
-    private readonly seededFault: LeadershipMistake,
+    private readonly seededFault: SeededLeadershipFault,
   ) {
-    const chance = new Chance(seed);
+    const chance = new SeededRandom(seed);
     this.cluster = new LeadershipCluster(chance);
     this.faults = new LeadershipFaults(chance, this.cluster);
     this.checks = new LeadershipChecks(this.cluster, seededFault);
@@ -80,7 +80,7 @@
     node.statusTable.accept(from, frame, now);
     node.stepDownFor(frame.newestLeader.term);
     node.recordStatuses(now, observedStatuses(node, this.seededFault));
-    if (this.seededFault === 'ignores-cancelled') return;
+    if (this.seededFault === 'ignores-peer-cancellations') return;
     for (const notice of frame.cancelled) node.cancellations.addFromPeer(notice, now);
   }
 
--- a/packages/testing/models/leader-with-workers/checks.ts
+++ b/packages/testing/models/leader-with-workers/checks.ts
@@ -1,7 +1,7 @@
 /** The invariants of the model of a leader with its workers: the rules of the protocol. */
 import { taskName } from '#wire';
 import type { DurableRecords } from './durable-records.js';
-import type { LeaderViolation } from './mistakes.js';
+import type { LeaderViolation } from './seeded-faults.js';
 import { TEAMS } from './teams.js';
 import { CANCEL_S, STEP_S } from './timing.js';
 import type { HeldTask, WorkerModel } from './worker.js';
--- a/packages/testing/models/leader-with-workers/leader.ts
+++ b/packages/testing/models/leader-with-workers/leader.ts
@@ -1,8 +1,8 @@
 /** A leader of the model: it runs the production code's fleet state and scheduler. */
 import { FleetState, Scheduler } from '#core';
-import { STD } from '../../samples.js';
+import { STANDARD_TYPE } from '../../samples.js';
 import type { DurableRecords } from './durable-records.js';
-import type { LeaderMistake } from './mistakes.js';
+import type { SeededLeaderFault } from './seeded-faults.js';
 import { markRecorded, RecorderModel } from './recorder.js';
 import { TEAMS, unlimitedTeams } from './teams.js';
 import { FORMER_LEADER_S, LEASE_S, HEARTBEAT_INTERVAL_S } from './timing.js';
@@ -35,16 +35,16 @@
 
   constructor(
     private readonly records: DurableRecords,
-    private readonly seededFault: LeaderMistake,
+    private readonly seededFault: SeededLeaderFault,
     now: number,
   ) {
     const term = records.beginTerm();
     const settings = { ...FLEET_SETTINGS };
     if (seededFault === 'short-lease') settings.leaseS = LEASE_S / 4;
-    if (seededFault === 'trusts-former-owner') settings.formerLeaderS = -LEASE_S;
+    if (seededFault === 'skips-former-leader-wait') settings.formerLeaderS = -LEASE_S;
     this.fleet = new FleetState({ settings, term, electedAt: now });
     this.load(now);
-    const teams = seededFault === 'no-limit' ? unlimitedTeams() : TEAMS;
+    const teams = seededFault === 'ignores-quota' ? unlimitedTeams() : TEAMS;
     this.scheduler = new Scheduler(this.fleet, teams, SCHEDULER_SETTINGS);
     this.recorder = new RecorderModel(records, term, this.fleet, seededFault);
   }
@@ -58,7 +58,7 @@
     this.fleet.machines.updateTotals();
     this.scheduler.reservations.update(now);
     this.scheduler.round(now);
-    if (this.seededFault === 'order-before-record') {
+    if (this.seededFault === 'starts-before-record') {
       for (const machine of this.fleet.machines.values()) markRecorded(machine);
     }
   }
@@ -67,19 +67,19 @@
   hasSteppedDown(now: number): boolean {
     const { deposedAt, frozenUntil } = this;
     if (deposedAt === null) return false;
-    if (this.seededFault === 'wakes-entitled' && frozenUntil > deposedAt) return false;
+    if (this.seededFault === 'keeps-lease-after-freeze' && frozenUntil > deposedAt) return false;
     return now > deposedAt + FORMER_LEADER_S;
   }
 
   private load(now: number): void {
     const { records, fleet } = this;
-    fleet.machines.setType(STD);
+    fleet.machines.setType(STANDARD_TYPE);
     for (const { job, phase } of records.jobs.values()) {
       const state = fleet.addJob(job, now, phase, now);
       for (const index of records.done.get(job.id) ?? []) state.done.add(index);
     }
     for (const [name, { zone, spot, tasks }] of records.machines) {
-      const facts = { name, addr: '', type: STD.name, zone, spot };
+      const facts = { name, addr: '', type: STANDARD_TYPE.name, zone, spot };
       const machine = fleet.machines.register(facts, 'up', now);
       for (const { job, index, attempt } of tasks) {
         const state = fleet.jobs.get(job);
@@ -92,8 +92,9 @@
 
   private applyJobChanges(now: number): void {
     for (const { job, phase } of this.records.jobs.values()) {
-      if (phase === 'cancelled' && this.seededFault === 'deaf-to-aborts') continue;
-      const seen = this.seededFault === 'any-zone' ? { ...job, zone: null, spread: false } : job;
+      if (phase === 'cancelled' && this.seededFault === 'ignores-cancellations') continue;
+      const seen =
+        this.seededFault === 'ignores-zones' ? { ...job, zone: null, spread: false } : job;
       this.fleet.addJob(seen, now, phase, now);
     }
   }
--- a/packages/testing/models/leader-with-workers/random-job.ts
+++ b/packages/testing/models/leader-with-workers/random-job.ts
@@ -1,18 +1,18 @@
 /** Generates random jobs for the model. */
 import type { Job } from '#wire';
-import type { Chance } from '../../random.js';
+import type { SeededRandom } from '../../random.js';
 
 const KINDS = ['array', 'array', 'service', 'gang'] as const;
 const MAX_ID_ZEROS = 4;
 
 /** Returns a random job with the given number in its id. The length of the id determines how long its tasks run. */
-export function randomJob(chance: Chance, number: number): Job {
+export function randomJob(chance: SeededRandom, number: number): Job {
   const kind = KINDS[chance.int(0, KINDS.length - 1)];
-  const zone = chance.hit(0.15) ? 'a' : null;
+  const zone = chance.withProbability(0.15) ? 'a' : null;
   const job: Job = {
     id: `j-${'0'.repeat(chance.int(0, MAX_ID_ZEROS))}${number}`,
     class: kind,
-    team: chance.hit(0.5) ? 'red' : 'blue',
+    team: chance.withProbability(0.5) ? 'red' : 'blue',
     kind,
     rank: chance.int(0, 3),
     tasks: chance.int(1, kind === 'array' ? 4 : 3),
@@ -23,9 +23,9 @@
     imageGb: 5,
     types: null,
     zone,
-    oneZone: chance.hit(0.2),
-    spread: zone === null && chance.hit(0.3),
-    spot: chance.hit(0.5),
+    oneZone: chance.withProbability(0.2),
+    spread: zone === null && chance.withProbability(0.3),
+    spot: chance.withProbability(0.5),
     estimateS: 10,
     checkpointS: 0,
     saveS: 0,
--- a/packages/testing/models/leader-with-workers/recorder.ts
+++ b/packages/testing/models/leader-with-workers/recorder.ts
@@ -1,7 +1,7 @@
 /** Writes a leader's changes to the durable records of the model. */
 import type { FleetState, JobState, Machine } from '#core';
 import type { DurableRecords } from './durable-records.js';
-import type { LeaderMistake } from './mistakes.js';
+import type { SeededLeaderFault } from './seeded-faults.js';
 
 /** Writes all changes of a leader in one transaction, on the condition that its term is the newest one. */
 export class RecorderModel {
@@ -9,7 +9,7 @@
     private readonly records: DurableRecords,
     private readonly term: number,
     private readonly fleet: FleetState,
-    private readonly seededFault: LeaderMistake,
+    private readonly seededFault: SeededLeaderFault,
   ) {}
 
   /** Records all changes since the last call. */
@@ -17,16 +17,16 @@
     const { records, fleet } = this;
     if (records.term !== this.term) return;
     records.revision++;
-    for (const id of fleet.unrecorded.jobs) {
+    for (const id of fleet.unrecordedChanges.jobs) {
       const job = fleet.jobs.get(id);
       if (!job) throw new Error(`unrecorded job ${id} is not in the fleet state`);
       this.recordProgress(job);
     }
-    fleet.unrecorded.jobs.clear();
-    if (this.seededFault !== 'order-before-record') {
-      for (const name of fleet.unrecorded.machines) this.recordMachine(name);
+    fleet.unrecordedChanges.jobs.clear();
+    if (this.seededFault !== 'starts-before-record') {
+      for (const name of fleet.unrecordedChanges.machines) this.recordMachine(name);
     }
-    fleet.unrecorded.machines.clear();
+    fleet.unrecordedChanges.machines.clear();
   }
 
   private recordProgress(job: JobState): void {
@@ -36,12 +36,12 @@
     const done = new Set<number>();
     for (let index = 0; index < tasks; index++) if (job.done.has(index)) done.add(index);
     records.done.set(id, done);
-    const isComplete = this.seededFault === 'done-early' ? done.size > 0 : done.size === tasks;
+    const isComplete = this.seededFault === 'completes-early' ? done.size > 0 : done.size === tasks;
     if (isComplete && record.phase === 'accepted') {
       record.phase = 'done';
       fleet.closeJob(job, 'done', 0);
     }
-    fleet.unrecorded.forgetJob(id);
+    fleet.unrecordedChanges.forgetJob(id);
   }
 
   private recordMachine(name: string): void {
--- a/packages/testing/models/leader-with-workers/mistakes.ts
+++ b/packages/testing/models/leader-with-workers/seeded-faults.ts
@@ -1,17 +1,17 @@
 /** The seeded faults of the model of a leader with its workers, and the violations that its checks find. */
 /** A fault that is seeded into the model to show that its checks detect it. */
-export type LeaderMistake =
+export type SeededLeaderFault =
   | 'none'
   | 'short-lease'
-  | 'trusts-former-owner'
-  | 'order-before-record'
-  | 'no-limit'
-  | 'any-zone'
-  | 'deaf-to-aborts'
-  | 'done-early'
-  | 'believes-old-copies'
-  | 'forgets-late-starts'
-  | 'wakes-entitled';
+  | 'skips-former-leader-wait'
+  | 'starts-before-record'
+  | 'ignores-quota'
+  | 'ignores-zones'
+  | 'ignores-cancellations'
+  | 'completes-early'
+  | 'accepts-repeated-heartbeats'
+  | 'forgets-unacknowledged-starts'
+  | 'keeps-lease-after-freeze';
 
 /** An invariant that was violated, named like the rule of the protocol where there is one. */
 export type LeaderViolation =
--- a/packages/testing/models/leader-with-workers/world.ts
+++ b/packages/testing/models/leader-with-workers/simulation.ts
@@ -1,9 +1,9 @@
 /** Runs the randomised model of a leader with its workers. */
-import { Chance } from '../../random.js';
+import { SeededRandom } from '../../random.js';
 import { LeaderChecks } from './checks.js';
 import { DurableRecords } from './durable-records.js';
 import { MessageQueue } from './message-queue.js';
-import type { LeaderMistake, LeaderViolation } from './mistakes.js';
+import type { SeededLeaderFault, LeaderViolation } from './seeded-faults.js';
 import { LeaderModel } from './leader.js';
 import { randomJob, taskDurationS } from './random-job.js';
 import { CAMPAIGN_PAUSE_S, LEASE_S, HEARTBEAT_INTERVAL_S, STEP_S } from './timing.js';
@@ -25,16 +25,16 @@
  * that are elected and lost, workers, and a network that delays, loses and duplicates messages, on a simulated clock.
  * The leaders run the production code of core.
  */
-export function playLeaders(
+export function runLeaderWithWorkersModel(
   seed: number,
-  seededFault: LeaderMistake,
+  seededFault: SeededLeaderFault,
   lengthS = 150,
 ): Set<LeaderViolation> {
   return new LeaderSimulation(seed, seededFault).run(lengthS);
 }
 
 class LeaderSimulation {
-  private readonly chance: Chance;
+  private readonly chance: SeededRandom;
   private readonly records = new DurableRecords();
   private readonly messageQueue = new MessageQueue();
   private readonly traffic: Traffic;
@@ -49,10 +49,10 @@
 
   constructor(
     seed: number,
-    private readonly seededFault: LeaderMistake,
+    private readonly seededFault: SeededLeaderFault,
   ) {
     const { messageQueue } = this;
-    const chance = new Chance(seed);
+    const chance = new SeededRandom(seed);
     this.chance = chance;
     const workers = Array.from({ length: WORKERS }, (_, index) => this.makeWorker(index));
     this.connections = workers.map((worker) => ({
@@ -102,10 +102,10 @@
 
   private changeJobs(): void {
     const { chance, records } = this;
-    if (chance.hit(SUBMISSION_PROBABILITY) && this.submitted < MAX_JOBS) {
+    if (chance.withProbability(SUBMISSION_PROBABILITY) && this.submitted < MAX_JOBS) {
       records.accept(randomJob(chance, ++this.submitted));
     }
-    if (!chance.hit(CANCELLATION_PROBABILITY)) return;
+    if (!chance.withProbability(CANCELLATION_PROBABILITY)) return;
     const open = records.openJobs();
     if (open.length > 0) records.cancel(open[chance.int(0, open.length - 1)], this.now);
   }
@@ -113,8 +113,8 @@
   /** Ends the leader at random: it crashes, or loses the state service and still answers workers that reach it. */
   private changeLeader(): void {
     const { chance, now, leader } = this;
-    if (leader && chance.hit(LEADER_LOSS_PROBABILITY)) {
-      if (chance.hit(0.5)) this.depose(leader);
+    if (leader && chance.withProbability(LEADER_LOSS_PROBABILITY)) {
+      if (chance.withProbability(0.5)) this.depose(leader);
       this.leader = null;
       this.campaignAt = now + CAMPAIGN_PAUSE_S;
     }
@@ -127,17 +127,18 @@
     const { chance, now, connections } = this;
     this.formerLeader = leader;
     leader.deposedAt = now;
-    if (chance.hit(0.5)) leader.frozenUntil = now + chance.next() * 0.9 * LEASE_S;
+    if (chance.withProbability(0.5)) leader.frozenUntil = now + chance.next() * 0.9 * LEASE_S;
     const lastDisconnected = chance.int(0, connections.length - 1);
     for (const [index, connection] of connections.entries()) {
-      connection.formerLeader = index <= lastDisconnected && chance.hit(0.7) ? leader : null;
+      connection.formerLeader =
+        index <= lastDisconnected && chance.withProbability(0.7) ? leader : null;
     }
   }
 
   private stepWorker(connection: WorkerConnection): void {
     const { chance, now } = this;
     // The worker is silent for a while, as if the network held back or lost its heartbeats.
-    if (chance.hit(WORKER_SILENCE_PROBABILITY))
+    if (chance.withProbability(WORKER_SILENCE_PROBABILITY))
       connection.nextHeartbeatAt = now + chance.next() * 2 * LEASE_S;
     connection.worker.advance(now);
     this.checks.recordDone(connection.worker);
--- a/packages/testing/models/leader-with-workers/traffic.ts
+++ b/packages/testing/models/leader-with-workers/traffic.ts
@@ -1,9 +1,9 @@
 /** Simulates the heartbeats, answers and direct commands between workers and leaders, with delays and losses. */
 import type { Order, Heartbeat } from '#wire';
 import type { Machine, HeartbeatOutcome } from '#core';
-import type { Chance } from '../../random.js';
+import type { SeededRandom } from '../../random.js';
 import type { MessageQueue } from './message-queue.js';
-import type { LeaderMistake } from './mistakes.js';
+import type { SeededLeaderFault } from './seeded-faults.js';
 import type { LeaderModel } from './leader.js';
 import { HEARTBEAT_TIMEOUT_S, COMMAND_TIMEOUT_S, MAX_DELAY_S, LEASE_S } from './timing.js';
 import type { WorkerModel } from './worker.js';
@@ -31,9 +31,9 @@
 
 /** Dependencies of the traffic. */
 export interface TrafficOptions {
-  chance: Chance;
+  chance: SeededRandom;
   messageQueue: MessageQueue;
-  seededFault: LeaderMistake;
+  seededFault: SeededLeaderFault;
   /** The leader of the newest term; null while there is none. */
   leader: () => LeaderModel | null;
 }
@@ -51,10 +51,10 @@
     const deliver = (at: number) => {
       this.deliverHeartbeat({ connection, heartbeat, target, sentAt: now }, at);
     };
-    if (!chance.hit(MESSAGE_LOSS_RATE))
+    if (!chance.withProbability(MESSAGE_LOSS_RATE))
       messageQueue.schedule(now + chance.next() * MAX_DELAY_S, deliver);
     // A late copy can arrive long after the lease has expired. The answer to the copy reaches nobody.
-    if (chance.hit(LATE_COPY_RATE)) {
+    if (chance.withProbability(LATE_COPY_RATE)) {
       messageQueue.schedule(now + chance.next() * MAX_COPY_DELAY_S, (at) => {
         this.deliverCopy(heartbeat, at);
       });
@@ -88,7 +88,7 @@
     const outcome = target.fleet.heartbeats.handle(heartbeat, now);
     const { fencingToken, orders } = answerTo(outcome, target, heartbeat);
     const arrivesAt = now + chance.next() * MAX_DELAY_S;
-    if (chance.hit(MESSAGE_LOSS_RATE)) return;
+    if (chance.withProbability(MESSAGE_LOSS_RATE)) return;
     messageQueue.schedule(arrivesAt, (at) => {
       if (at - sentAt > HEARTBEAT_TIMEOUT_S || connection.answerDueAt === -Infinity) return;
       connection.answerDueAt = -Infinity;
@@ -110,7 +110,7 @@
 
   /** Seeded fault: rewinds the stored sequence numbers so that a repeated heartbeat counts as new. */
   private rewindForRepeat({ fleet }: LeaderModel, heartbeat: Heartbeat): void {
-    if (this.options.seededFault !== 'believes-old-copies') return;
+    if (this.options.seededFault !== 'accepts-repeated-heartbeats') return;
     const machine = fleet.machines.get(heartbeat.machine);
     if (machine && machine.lastMessageSequence >= heartbeat.sequence) {
       machine.lastMessageSequence = machine.lastHeartbeatSequence = heartbeat.sequence - 1;
@@ -119,7 +119,7 @@
 
   /** Seeded fault: rewinds the stored sequence numbers for a late copy, and makes both numbers equal. */
   private rewindForLateCopy({ fleet }: LeaderModel, heartbeat: Heartbeat): void {
-    if (this.options.seededFault !== 'believes-old-copies') return;
+    if (this.options.seededFault !== 'accepts-repeated-heartbeats') return;
     const machine = fleet.machines.get(heartbeat.machine);
     if (!machine) return;
     const sequence = Math.min(machine.lastMessageSequence, heartbeat.sequence - 1);
@@ -132,10 +132,12 @@
     const { fencingToken, agentEpoch } = machine;
     const timesOutAt = now + COMMAND_TIMEOUT_S;
     let answered = false;
-    const maxDelayS = chance.hit(LATE_COMMAND_RATE) ? MAX_LATE_COMMAND_DELAY_S : MAX_DELAY_S;
+    const maxDelayS = chance.withProbability(LATE_COMMAND_RATE)
+      ? MAX_LATE_COMMAND_DELAY_S
+      : MAX_DELAY_S;
     messageQueue.schedule(now + chance.next() * maxDelayS, (at) => {
       const heartbeat = worker.handleCommand(fencingToken, agentEpoch, orders, at);
-      if (at >= timesOutAt || chance.hit(LOST_COMMAND_ANSWER_RATE)) return;
+      if (at >= timesOutAt || chance.withProbability(LOST_COMMAND_ANSWER_RATE)) return;
       answered = true;
       const outcome = heartbeat
         ? ({ kind: 'executed', heartbeat } as const)
@@ -145,7 +147,7 @@
     messageQueue.schedule(timesOutAt, (at) => {
       if (answered) return;
       directOrders.applyOutcome(machine, orders, { kind: 'unknown' }, at);
-      if (seededFault === 'forgets-late-starts') machine.unacknowledgedStarts.clear();
+      if (seededFault === 'forgets-unacknowledged-starts') machine.unacknowledgedStarts.clear();
     });
   }
 }
--- a/packages/testing/models/leader-with-workers/worker.ts
+++ b/packages/testing/models/leader-with-workers/worker.ts
@@ -1,6 +1,6 @@
 /** A worker of the model. */
 import { type Order, type Heartbeat, taskName, type TaskRef, type TaskStatus } from '#wire';
-import { STD } from '../../samples.js';
+import { STANDARD_TYPE } from '../../samples.js';
 
 /** A task that a worker holds. */
 export interface HeldTask extends TaskStatus {
@@ -67,7 +67,7 @@
     return {
       machine: name,
       addr: '127.0.0.1:1',
-      type: STD.name,
+      type: STANDARD_TYPE.name,
       zone,
       spot,
       agentEpoch,
--- a/packages/testing/models/replica-groups/leader.ts
+++ b/packages/testing/models/replica-groups/leader.ts
@@ -1,7 +1,7 @@
 /** The actions of a leader of the model, decided by the production code's state machine. */
 import type { Draft } from 'immer';
 import { type GroupEvent, type GroupState, mayBePlaced, mayStart, step } from '#replicas';
-import type { ReplicaMistake } from './mistakes.js';
+import type { SeededReplicaFault } from './seeded-faults.js';
 import {
   MEMBERS,
   type ModelLeader,
@@ -18,10 +18,10 @@
 export function applyEvent(
   leader: Draft<ModelLeader>,
   event: GroupEvent,
-  seededFault: ReplicaMistake,
+  seededFault: SeededReplicaFault,
 ): void {
   const { state, stop } = step(leader.group, event);
-  if (seededFault === 'keeps-the-rest' && event.kind === 'gone') {
+  if (seededFault === 'keeps-incomplete-generation' && event.kind === 'gone') {
     leader.group = { ...state, ending: false, places: state.places.map(withoutEnding) };
     return;
   }
@@ -46,7 +46,7 @@
 export function chooseMachines(
   { group, places }: ModelLeader,
   isUsable: (machine: number) => boolean,
-  seededFault: ReplicaMistake,
+  seededFault: SeededReplicaFault,
 ): number[] | null {
   const isEarly = seededFault === 'places-before-gone' && group.ending;
   if (!mayBePlaced(group) && !isEarly) return null;
@@ -61,7 +61,7 @@
 export function placeGeneration(
   leader: Draft<ModelLeader>,
   machines: number[],
-  seededFault: ReplicaMistake,
+  seededFault: SeededReplicaFault,
 ): void {
   const generation = leader.term * GENERATIONS_PER_TERM + leader.generationsStarted++;
   if (seededFault === 'places-before-gone') {
@@ -88,7 +88,7 @@
 export function shouldSendStart(
   { group }: ModelLeader,
   place: LeaderPlace,
-  seededFault: ReplicaMistake,
+  seededFault: SeededReplicaFault,
 ): boolean {
   if (place.sent || place.inherited || place.stopping) return false;
   if (seededFault === 'starts-unrecorded') return place.generation === group.generation;
@@ -98,7 +98,7 @@
 /** Returns the next leader, whose state is built from the records alone. */
 export function leaderFromRecords(
   { leader, machines }: ReplicaModelState,
-  seededFault: ReplicaMistake,
+  seededFault: SeededReplicaFault,
 ): Draft<ModelLeader> {
   const next = newLeader(leader.term + 1) as Draft<ModelLeader>;
   machines.forEach(({ record }, machineIndex) => {
--- a/packages/testing/models/replica-groups/machine-transitions.ts
+++ b/packages/testing/models/replica-groups/machine-transitions.ts
@@ -1,7 +1,7 @@
 /** Transitions of a machine, and messages between a machine and the leader. */
 import type { Draft } from 'immer';
 import type { ReplicaTransitionList } from './replica-transition-list.js';
-import type { ReplicaMistake } from './mistakes.js';
+import type { SeededReplicaFault } from './seeded-faults.js';
 import { applyEvent } from './leader.js';
 import {
   type Command,
@@ -35,7 +35,7 @@
 function executeCommand(
   machine: Draft<ModelMachine>,
   arrived: Command,
-  seededFault: ReplicaMistake,
+  seededFault: SeededReplicaFault,
 ): void {
   if (arrived.fencingToken < machine.fencingToken && seededFault !== 'obeys-old-tokens') return;
   machine.fencingToken = Math.max(machine.fencingToken, arrived.fencingToken);
@@ -78,7 +78,7 @@
   leader: Draft<ModelLeader>,
   machine: ModelMachine,
   machineIndex: number,
-  seededFault: ReplicaMistake,
+  seededFault: SeededReplicaFault,
 ): void {
   const place = placeAt(leader, machineIndex);
   const mayStillStart = machine.commands.some(
@@ -96,7 +96,7 @@
 function endPlace(
   leader: Draft<ModelLeader>,
   machineIndex: number,
-  seededFault: ReplicaMistake,
+  seededFault: SeededReplicaFault,
 ): void {
   const { member, generation } = placeAt(leader, machineIndex);
   leader.places[machineIndex] = null;
--- a/packages/testing/models/replica-groups/transitions.ts
+++ b/packages/testing/models/replica-groups/transitions.ts
@@ -4,7 +4,7 @@
 import { TransitionList } from '../exploration/transition-list.js';
 import type { ReplicaTransitionList } from './replica-transition-list.js';
 import { addCommandArrival, addMachineTransitions, addHeartbeat } from './machine-transitions.js';
-import type { ReplicaMistake } from './mistakes.js';
+import type { SeededReplicaFault } from './seeded-faults.js';
 import {
   placeGeneration,
   chooseMachines,
@@ -26,7 +26,7 @@
 /** Returns the transitions out of the state. */
 export function transitionsFrom(
   state: ReplicaModelState,
-  seededFault: ReplicaMistake,
+  seededFault: SeededReplicaFault,
 ): Transition<ReplicaModelState>[] {
   const list: ReplicaTransitionList = new TransitionList(state, seededFault);
   addPlacement(list);
@@ -176,7 +176,7 @@
 function confirmRecorded(
   leader: Draft<ModelLeader>,
   machineIndex: number,
-  seededFault: ReplicaMistake,
+  seededFault: SeededReplicaFault,
 ): void {
   const place = placeAt(leader, machineIndex);
   place.recorded = true;
--- a/packages/testing/models/shard-migration/canonical.ts
+++ b/packages/testing/models/shard-migration/canonical.ts
@@ -8,7 +8,7 @@
   'fromTerm',
   'term',
   'preparedVersion',
-  'moveVersion',
+  'migrationVersion',
 ]);
 /** Names of fields that hold lease ids. `grant` is a field of stored records, `lease` a field of changes. */
 const LEASE_IDS = new Set(['leaseId', 'grant', 'lease', 'nextLeaseId', 'liveLeases']);
--- a/packages/testing/models/shard-migration/controller.ts
+++ b/packages/testing/models/shard-migration/controller.ts
@@ -5,14 +5,14 @@
   IDLE,
   type SourceAction,
   handleSourceOutcome,
-  recordSourceRead,
+  handleSourceRead,
   stepSource,
   stepTarget,
   handleTargetOutcome,
   type Transaction,
   type TransactionOutcome,
 } from '#shards';
-import { applyTransactionFault, type MigrationMistake, trustsLease } from './mistakes.js';
+import { applyTransactionFault, type SeededMigrationFault, trustsLease } from './seeded-faults.js';
 import { type ControllerName, type ModelController, type ModelState, SHARD } from './state.js';
 
 const LIMITS = { prepareS: 1, switchS: 1 };
@@ -22,7 +22,7 @@
 /** Whether the controller acts as leader: it takes its election lease as proof that no other controller leads. */
 export function actsAsLeader(
   { term, leaseProven, source }: ModelController,
-  seededFault: MigrationMistake,
+  seededFault: SeededMigrationFault,
 ) {
   return term !== 0 && leaseProven && trustsLease(source, seededFault);
 }
@@ -64,17 +64,17 @@
   state: Draft<ModelState>,
   name: ControllerName,
   late: boolean,
-  seededFault: MigrationMistake,
+  seededFault: SeededMigrationFault,
 ): void {
   const controller = state.controllers[name];
   const { state: source, action } = stepSource(controller.source, {
-    now: late && seededFault !== 'waits-for-ever' ? LATE_S : 0,
+    now: late && seededFault !== 'waits-without-limit' ? LATE_S : 0,
     shard: SHARD,
     term: controller.term,
     name,
     migration: controller.move,
     paused: controller.paused,
-    obstacle: () => null,
+    findObstacle: () => null,
     limits: LIMITS,
   });
   controller.source = withoutTimes(source);
@@ -85,11 +85,11 @@
   state: Draft<ModelState>,
   name: ControllerName,
   action: SourceAction,
-  seededFault: MigrationMistake,
+  seededFault: SeededMigrationFault,
 ): void {
   const controller = state.controllers[name];
   if (action.kind === 'pause' || action.kind === 'resume') controller.paused = false;
-  if (action.kind === 'read') controller.source = recordSourceRead(controller.source, state.move);
+  if (action.kind === 'read') controller.source = handleSourceRead(controller.source, state.move);
   if ('transaction' in action)
     sendTransaction(state, name, 'source', action.transaction, seededFault);
 }
@@ -98,7 +98,7 @@
 export function stepTransferTarget(
   state: Draft<ModelState>,
   name: ControllerName,
-  seededFault: MigrationMistake,
+  seededFault: SeededMigrationFault,
 ): void {
   const controller = state.controllers[name];
   const { state: target, action } = stepTarget(controller.target, {
@@ -119,7 +119,7 @@
   from: ControllerName,
   kind: 'source' | 'target',
   transaction: Transaction,
-  seededFault: MigrationMistake,
+  seededFault: SeededMigrationFault,
 ): void {
   const controller = state.controllers[from];
   controller.waiting = kind;
@@ -132,7 +132,7 @@
   state: Draft<ModelState>,
   name: ControllerName,
   outcome: TransactionOutcome,
-  seededFault: MigrationMistake,
+  seededFault: SeededMigrationFault,
 ): void {
   const controller = state.controllers[name];
   const { waiting } = controller;
@@ -150,7 +150,7 @@
 function applyOutcomeFault(
   outcome: TransactionOutcome,
   { source }: ModelController,
-  seededFault: MigrationMistake,
+  seededFault: SeededMigrationFault,
 ): TransactionOutcome {
   const isTakenAsApplied =
     source.phase === 'retracting' &&
--- a/packages/testing/models/shard-migration/explore.ts
+++ b/packages/testing/models/shard-migration/explore.ts
@@ -2,7 +2,7 @@
 import { explore } from '../exploration/explore.js';
 import { canonicalKey } from './canonical.js';
 import { transitionsFrom, staleLeaders, isQuiescent } from './transitions.js';
-import type { MigrationMistake } from './mistakes.js';
+import type { SeededMigrationFault } from './seeded-faults.js';
 import { initialState, type MigrationBudget } from './state.js';
 
 /** Result of an exploration of shard migrations. */
@@ -20,10 +20,10 @@
 /** Visits every reachable state, until one has two leaders. */
 export function exploreMigrations(
   budget: MigrationBudget,
-  seededFault: MigrationMistake,
+  seededFault: SeededMigrationFault,
 ): MigrationExploration {
   let moved = 0;
-  const { states, breach, stuck } = explore(
+  const { states, violation, stuck } = explore(
     {
       initialState: initialState(budget),
       canonicalKey,
@@ -36,5 +36,5 @@
       if (shard?.leader === 'b') moved++;
     },
   );
-  return { states, moved, twoLeaders: breach?.trace ?? null, stuck };
+  return { states, moved, twoLeaders: violation?.trace ?? null, stuck };
 }
--- a/packages/testing/models/shard-migration/mistakes.ts
+++ b/packages/testing/models/shard-migration/seeded-faults.ts
@@ -4,10 +4,10 @@
 import { SHARD } from './state.js';
 
 /** A seeded fault; each one removes one safeguard of a migration. */
-export type MigrationMistake =
+export type SeededMigrationFault =
   | 'none'
   /** The leader still takes its election lease as proof after it has recorded that it makes no more decisions. */
-  | 'trusts-its-grant'
+  | 'trusts-own-lease'
   /** The leader resumes decisions after a retraction without an answer, as if the migration were undone. */
   | 'resumes-on-silence'
   /** The leader resumes decisions after a retraction whose conditions failed, as if the migration were undone. */
@@ -19,13 +19,13 @@
   /** The leader records that it has quiesced without a condition on the migration record. */
   | 'quiesces-without-record'
   /** The leader waits for the target without a time limit. */
-  | 'waits-for-ever';
+  | 'waits-without-limit';
 
 /** Returns the transaction as a controller with the seeded fault sends it. */
 export function applyTransactionFault(
   kind: 'source' | 'target',
   { conditions, changes }: Transaction,
-  seededFault: MigrationMistake,
+  seededFault: SeededMigrationFault,
 ): Transaction {
   const without = (key: string): Transaction => ({
     conditions: conditions.filter((condition) => condition.key !== key),
@@ -40,6 +40,6 @@
 }
 
 /** Whether the leader, in this state of the migration, takes its election lease as proof that no other one leads. */
-export function trustsLease(state: SourceState, seededFault: MigrationMistake): boolean {
-  return seededFault === 'trusts-its-grant' || successorPossibleSince(state) === null;
+export function trustsLease(state: SourceState, seededFault: SeededMigrationFault): boolean {
+  return seededFault === 'trusts-own-lease' || successorPossibleSince(state) === null;
 }
--- a/packages/testing/models/shard-migration/transitions.ts
+++ b/packages/testing/models/shard-migration/transitions.ts
@@ -10,7 +10,7 @@
   stepLeader,
   applyWatchUpdates,
 } from './controller.js';
-import type { MigrationMistake } from './mistakes.js';
+import type { SeededMigrationFault } from './seeded-faults.js';
 import { applyTransaction, endLease } from './service.js';
 import {
   type ControllerName,
@@ -19,12 +19,12 @@
   type ModelState,
 } from './state.js';
 
-type MigrationTransitionList = TransitionList<ModelState, MigrationMistake>;
+type MigrationTransitionList = TransitionList<ModelState, SeededMigrationFault>;
 
 /** Returns the transitions out of the state. */
 export function transitionsFrom(
   state: ModelState,
-  seededFault: MigrationMistake,
+  seededFault: SeededMigrationFault,
 ): Transition<ModelState>[] {
   const list: MigrationTransitionList = new TransitionList(state, seededFault);
   for (const name of CONTROLLERS) {
@@ -159,7 +159,10 @@
 }
 
 /** Controllers that act as leader although, by the state service, another controller leads, or none. */
-export function staleLeaders(state: ModelState, seededFault: MigrationMistake): ControllerName[] {
+export function staleLeaders(
+  state: ModelState,
+  seededFault: SeededMigrationFault,
+): ControllerName[] {
   return CONTROLLERS.filter((name) => {
     const controller = state.controllers[name];
     return actsAsLeader(controller, seededFault) && state.shard?.version !== controller.term;
@@ -169,7 +172,7 @@
 /** Whether a leader makes decisions and no migration is in progress. */
 export function isQuiescent(
   { controllers, move }: ModelState,
-  seededFault: MigrationMistake,
+  seededFault: SeededMigrationFault,
 ): boolean {
   const leaders = CONTROLLERS.map((name) => controllers[name]);
   const decides = leaders.some(
--- a/packages/testing/random.ts
+++ b/packages/testing/random.ts
@@ -2,7 +2,7 @@
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
 /** A pseudo-random number generator with a seed. */
-export class Chance {
+export class SeededRandom {
   private readonly source;
 
   constructor(seed: number) {
@@ -20,7 +20,7 @@
   }
 
   /** True with probability `p`. */
-  hit(p: number): boolean {
+  withProbability(p: number): boolean {
     return this.next() < p;
   }
 }
--- a/packages/testing/recorder-world.ts
+++ b/packages/testing/recorder-fixture.ts
@@ -4,8 +4,8 @@
 import {
   encodeJob,
   jobKey,
-  JOBS,
-  MACHINES,
+  JOBS_PREFIX,
+  MACHINES_PREFIX,
   type MachineRecord,
   shardKey,
   PrefixCache,
@@ -15,8 +15,8 @@
 import { Cancellations } from '../controller/peers/cancellations.js';
 import { JobTable } from '../controller/jobs/job-table.js';
 import { Recorder } from '../controller/records/recorder.js';
-import { aFleet } from './samples.js';
-import { StateWorld } from './state-world.js';
+import { makeFleet } from './samples.js';
+import { StateServiceFixture } from './state-service-fixture.js';
 
 const HEARTBEAT_INTERVAL_S = 1;
 export const RECORDER_LIMITS: StateLimits = {
@@ -30,11 +30,15 @@
  * Starts a recorder whose fleet state follows the jobs in the state service. `limits` apply to the recorder and the
  * service, `serviceLimits` to the service only.
  */
-export async function aRecorder(
+export async function startRecorder(
   limits: Partial<StateLimits> = {},
   serviceLimits: Partial<StateLimits> = {},
 ) {
-  const state = await StateWorld.start({ ...RECORDER_LIMITS, ...limits, ...serviceLimits });
+  const state = await StateServiceFixture.start({
+    ...RECORDER_LIMITS,
+    ...limits,
+    ...serviceLimits,
+  });
   const { store } = state.service;
   const parts = createRecorderParts(state, { ...RECORDER_LIMITS, ...limits });
   const { cache, recorder } = parts;
@@ -43,7 +47,9 @@
   /** Runs until the recorder has nothing pending. */
   const flush = (withinS = 10) => flushAll(state, recorder, withinS);
   const tasksOn = (name: string) =>
-    (store.get(MACHINES + name)?.value as MachineRecord | undefined)?.tasks.map(([job]) => job);
+    (store.get(MACHINES_PREFIX + name)?.value as MachineRecord | undefined)?.tasks.map(
+      ([job]) => job,
+    );
   await loadOnce(state, cache);
   const sync = async () => {
     void cache.sync();
@@ -53,14 +59,14 @@
 }
 
 /** Creates the recorder and its dependencies; each job record that reaches the cache is added to the fleet state. */
-function createRecorderParts(state: StateWorld, limits: StateLimits) {
+function createRecorderParts(state: StateServiceFixture, limits: StateLimits) {
   const runtime = state.controller();
   const client = state.client(runtime, { limits });
-  const cacheOptions = { client, runtime, prefix: JOBS, watchMs: 10_000, syncSpacingMs: 0 };
+  const cacheOptions = { client, runtime, prefix: JOBS_PREFIX, watchMs: 10_000, syncSpacingMs: 0 };
   const cache = new PrefixCache(cacheOptions);
   const jobs = new JobTable(cache, new Cancellations(100, 70));
   const term = state.service.store.apply([{ put: shardKey(0), value: {} }]);
-  const fleet = aFleet();
+  const fleet = makeFleet();
   const recorder = new Recorder({
     runtime,
     client,
@@ -74,23 +80,27 @@
     if (event.kind !== 'record') return;
     const { job, phase } = event.record;
     fleet.addJob(job, 0, phase, state.now);
-    if (phase !== 'accepted') recorder.jobRecords.jobEnded(job);
+    if (phase !== 'accepted') recorder.jobRecords.markJobEnded(job);
   });
   return { client, cache, fleet, recorder, term };
 }
 
 /** Loads all jobs into the cache and ends its watch; later changes reach the cache only through `sync`. */
-async function loadOnce(state: StateWorld, cache: PrefixCache): Promise<void> {
+async function loadOnce(state: StateServiceFixture, cache: PrefixCache): Promise<void> {
   const watching = new AbortController();
   void cache.run(watching.signal);
   await state.run(0.1);
   watching.abort();
 }
 
-async function flushAll(state: StateWorld, recorder: Recorder, withinS: number): Promise<void> {
+async function flushAll(
+  state: StateServiceFixture,
+  recorder: Recorder,
+  withinS: number,
+): Promise<void> {
   const { signal } = new AbortController();
   const flushPending = async () => {
-    while (recorder.pending) await recorder.flush(signal);
+    while (recorder.hasPendingChanges) await recorder.flush(signal);
   };
   let isFlushed = false;
   const flushed = flushPending().finally(() => (isFlushed = true));
--- a/packages/testing/peer-statements.ts
+++ b/packages/testing/sample-peer-status.ts
@@ -10,7 +10,7 @@
  * A peer's status, received at second `at`. The state service has refused the peer since second 10. The peer knows
  * all cancellations and has seen the leader `c-0` of term 50.
  */
-export function aPeerStatus(at: number, frame: Partial<StatusFrame> = {}): PeerStatus {
+export function makePeerStatus(at: number, frame: Partial<StatusFrame> = {}): PeerStatus {
   return {
     receivedAt: at,
     statedAfter: at - ROUND_TRIP_S,
@@ -25,7 +25,7 @@
       loaded: true,
       leading: false,
       mayLead: false,
-      newestLeader: { term: STATED_TERM, name: 'c-0' },
+      newestLeader: { term: STATUS_LEADER_TERM, name: 'c-0' },
       unreachable: false,
       followerHeartbeats: 0,
       jobsRevision: 100,
@@ -37,4 +37,4 @@
 }
 
 /** The term of the newest leader in the status. */
-export const STATED_TERM = 50;
+export const STATUS_LEADER_TERM = 50;
--- a/packages/testing/samples.ts
+++ b/packages/testing/samples.ts
@@ -2,7 +2,7 @@
 import { FleetOptions, FleetState, Machine } from '#core';
 
 /** The standard machine type of tests: 4 GPUs, in zones a and b. */
-export const STD: MachineType = {
+export const STANDARD_TYPE: MachineType = {
   name: 'std',
   cpus: 16,
   gpus: 4,
@@ -16,7 +16,7 @@
 };
 
 /** An array job of team red with one task. */
-export function aJob(overrides: Partial<Job> = {}): Job {
+export function makeJob(overrides: Partial<Job> = {}): Job {
   return {
     id: 'j-000001',
     class: 'c',
@@ -44,7 +44,7 @@
 }
 
 /** An empty fleet in term 100 that knows only the standard machine type. */
-export function aFleet(overrides: Partial<FleetOptions> = {}): FleetState {
+export function makeFleet(overrides: Partial<FleetOptions> = {}): FleetState {
   const fleet = new FleetState({
     settings: {
       leaseS: 10,
@@ -58,12 +58,12 @@
     electedAt: 0,
     ...overrides,
   });
-  fleet.machines.setType(STD);
+  fleet.machines.setType(STANDARD_TYPE);
   return fleet;
 }
 
 /** Registers a machine in state `up`, of the standard type in zone a unless overridden. */
-export function aMachine(
+export function registerMachine(
   fleet: FleetState,
   name: string,
   overrides: Partial<Machine> = {},
@@ -75,7 +75,7 @@
 }
 
 /** The first heartbeat of n-1, which has no tasks. */
-export function aHeartbeat(overrides: Partial<Heartbeat> = {}): Heartbeat {
+export function makeHeartbeat(overrides: Partial<Heartbeat> = {}): Heartbeat {
   return {
     machine: 'n-1',
     addr: '',
--- a/packages/testing/simulation/clock.ts
+++ b/packages/testing/simulation/clock.ts
@@ -23,7 +23,7 @@
 /** How the clocks of one process differ from the simulated time. */
 export interface ClockSkew {
   /** Reading of the monotonic clock at the start of the world, in seconds. */
-  zeroS: number;
+  initialS: number;
   /** Fraction by which the monotonic clock runs fast. */
   drift: number;
   /** Milliseconds by which the wall clock is ahead. */
@@ -39,7 +39,7 @@
   ) {}
 
   now(): number {
-    return this.skew.zeroS + this.world.now * (1 + this.skew.drift);
+    return this.skew.initialS + this.world.now * (1 + this.skew.drift);
   }
 
   wallMs(): number {
@@ -69,7 +69,7 @@
 export function drawSkew(world: World, processName: string, maxWallOffsetMs: number): ClockSkew {
   const chance = world.randomStream(`clock ${processName}`);
   return {
-    zeroS: chance.next() * MAX_INITIAL_S,
+    initialS: chance.next() * MAX_INITIAL_S,
     drift: chance.next() * MAX_DRIFT,
     wallOffsetMs: (2 * chance.next() - 1) * maxWallOffsetMs,
   };
--- a/packages/testing/simulation/cluster.test.ts
+++ b/packages/testing/simulation/cluster.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { USUAL_CLASSES } from '../stand-ins/index.js';
+import { DEFAULT_CLASSES } from '../stand-ins/index.js';
 import {
   describeProblems,
   runScenario,
@@ -10,7 +10,7 @@
 } from './index.js';
 
 function scenario(name: string, lengthS: number, faults: Fault[]): Scenario {
-  const workload = { classes: USUAL_CLASSES, untilS: lengthS - 60 };
+  const workload = { classes: DEFAULT_CLASSES, untilS: lengthS - 60 };
   return { name, cluster: SMALL_CLUSTER, workload, faults, lengthS };
 }
 
--- a/packages/testing/simulation/cluster.ts
+++ b/packages/testing/simulation/cluster.ts
@@ -31,7 +31,7 @@
 import { SimulatedNetwork } from './network.js';
 import { MigrationPhases } from './migration-phases.js';
 import { LeadershipHistory } from './leadership-history.js';
-import { ReplicaMoments } from './replica-moments.js';
+import { ReplicaPhases } from './replica-phases.js';
 import { RequestLog } from './request-log.js';
 import { ReplicaService } from './replica-service.js';
 import { SimulatedProcess } from './process.js';
@@ -60,7 +60,7 @@
   readonly users: Users;
   readonly leadership: LeadershipHistory;
   readonly moves: MigrationPhases;
-  readonly replicaMoments: ReplicaMoments;
+  readonly replicaPhases: ReplicaPhases;
   /** Simulated requests to replicas of several members, and their answers. */
   readonly replicas: ReplicaService;
   private readonly observer: Observer;
@@ -83,13 +83,13 @@
       this.replicas.observe(event);
     };
     this.storage = new JobStorage(this.observer);
-    this.replicaMoments = new ReplicaMoments(this.world);
+    this.replicaPhases = new ReplicaPhases(this.world);
     this.state = this.makeState();
     this.machines = this.makeMachines();
     this.cloud = this.makeCloud();
     const { world, network, requests, costs } = this;
     const onLogLine = (line: string) => {
-      this.replicaMoments.observe(line);
+      this.replicaPhases.observe(line);
     };
     const services = { world, network, cluster: settings, requests, costs, make, onLogLine };
     this.controllers = makeControllers(services);
@@ -112,7 +112,7 @@
   /** Starts a process that is always up, on a new host with an exact clock, and returns its runtime. */
   serviceRuntime(name: string, role: HostRole, address: string): Runtime {
     const host = this.network.addHost(new SimulatedHost(name, role, address, null));
-    const skew = { zeroS: 0, drift: 0, wallOffsetMs: 0 };
+    const skew = { initialS: 0, drift: 0, wallOffsetMs: 0 };
     const process = new SimulatedProcess(
       this.world,
       this.network,
--- a/packages/testing/simulation/compare-runs.test.ts
+++ b/packages/testing/simulation/compare-runs.test.ts
@@ -5,7 +5,7 @@
 import { test, type TestContext } from 'node:test';
 import { fileURLToPath } from 'node:url';
 import { CommanderError } from 'commander';
-import { agree, describeComparison } from './comparison/compare-outcomes.js';
+import { haveSameEvents, describeComparison } from './comparison/compare-outcomes.js';
 import { BadArguments, readOptions } from './comparison/options.js';
 import { planRuns, randomRuns } from './comparison/planned-runs.js';
 import type { PlayedRun, RunOutcome } from './comparison/run-outcome.js';
@@ -55,11 +55,11 @@
 }
 
 test('runs agree only if both completed with the same digest and event count', () => {
-  assert.ok(agree(PLAYED, { ...PLAYED }));
-  assert.ok(!agree(PLAYED, { ...PLAYED, digest: 'ab13' }));
-  assert.ok(!agree(PLAYED, { ...PLAYED, eventCount: 81 }));
-  assert.ok(!agree(PLAYED, FAILED));
-  assert.ok(!agree(FAILED, FAILED));
+  assert.ok(haveSameEvents(PLAYED, { ...PLAYED }));
+  assert.ok(!haveSameEvents(PLAYED, { ...PLAYED, digest: 'ab13' }));
+  assert.ok(!haveSameEvents(PLAYED, { ...PLAYED, eventCount: 81 }));
+  assert.ok(!haveSameEvents(PLAYED, FAILED));
+  assert.ok(!haveSameEvents(FAILED, FAILED));
 });
 
 test('a comparison prints one line, and one more for each broken rule', () => {
--- a/packages/testing/simulation/compare-runs.ts
+++ b/packages/testing/simulation/compare-runs.ts
@@ -5,12 +5,12 @@
  */
 import { fileURLToPath } from 'node:url';
 import { CommanderError } from 'commander';
-import { agree, describeComparison, describeRun } from './comparison/compare-outcomes.js';
+import { haveSameEvents, describeComparison, describeRun } from './comparison/compare-outcomes.js';
 import {
   BadArguments,
   type ComparisonOptions,
   readOptions,
-  simulationOf,
+  simulationModulePath,
 } from './comparison/options.js';
 import { type ExpectedRun, planRuns } from './comparison/planned-runs.js';
 import type { PlannedRun, RunOutcome } from './comparison/run-outcome.js';
@@ -32,7 +32,7 @@
   let sameCount = 0;
   for (const { run, here, there } of played) {
     const [ours, theirs] = [await here, await there];
-    if (agree(ours, theirs)) sameCount++;
+    if (haveSameEvents(ours, theirs)) sameCount++;
     process.stdout.write(describeComparison(run, ours, theirs));
   }
   process.stdout.write(`${sameCount} of ${runs.length} runs are the same\n`);
@@ -66,7 +66,7 @@
 async function run(options: ComparisonOptions): Promise<number> {
   const { mode, jobs } = options;
   const pool = new WorkerPool(jobs);
-  const simulation = simulationOf(OWN_SOURCES);
+  const simulation = simulationModulePath(OWN_SOURCES);
   const runs = planRuns(options);
   const playHere: Play = (run) => pool.play(simulation, run);
   switch (mode.kind) {
--- a/packages/testing/simulation/comparison/compare-outcomes.ts
+++ b/packages/testing/simulation/comparison/compare-outcomes.ts
@@ -2,7 +2,7 @@
 import type { PlannedRun, RunOutcome } from './run-outcome.js';
 
 /** Whether both runs completed with the same digest and event count. */
-export function agree(here: RunOutcome, there: RunOutcome): boolean {
+export function haveSameEvents(here: RunOutcome, there: RunOutcome): boolean {
   if (here.kind === 'failed' || there.kind === 'failed') return false;
   return here.digest === there.digest && here.eventCount === there.eventCount;
 }
@@ -12,7 +12,7 @@
  * follow if they differ.
  */
 export function describeComparison(run: PlannedRun, here: RunOutcome, there: RunOutcome): string {
-  const verdict = agree(here, there)
+  const verdict = haveSameEvents(here, there)
     ? `same, ${describeOutcome(here)}`
     : `DIFFERS: here ${describeOutcome(here)}; there ${describeOutcome(there)}`;
   const lines = [`${nameOf(run)}: ${verdict}`, ...problemLines('here', here)];
--- a/packages/testing/simulation/comparison/options.ts
+++ b/packages/testing/simulation/comparison/options.ts
@@ -48,7 +48,7 @@
 }
 
 /** Path of the simulation module of a built checkout; throws BadArguments if the checkout isn't built. */
-export function simulationOf(directory: string): string {
+export function simulationModulePath(directory: string): string {
   const simulation = path.join(directory, SIMULATION_MODULE);
   if (existsSync(simulation)) return simulation;
   throw new BadArguments(`--sources ${directory}: ${SIMULATION_MODULE} is missing; build it first`);
@@ -90,7 +90,8 @@
 
 function modeFrom({ sources, against, save }: RawOptions): ComparisonMode {
   const modes: ComparisonMode[] = [];
-  if (sources !== undefined) modes.push({ kind: 'sources', simulation: simulationOf(sources) });
+  if (sources !== undefined)
+    modes.push({ kind: 'sources', simulation: simulationModulePath(sources) });
   if (against !== undefined) modes.push({ kind: 'against', file: against });
   if (save !== undefined) modes.push({ kind: 'save', file: save });
   if (modes.length === 1) return modes[0];
--- a/packages/testing/simulation/comparison/planned-runs.ts
+++ b/packages/testing/simulation/comparison/planned-runs.ts
@@ -1,5 +1,5 @@
 /** Selects the runs that are compared. */
-import { Chance } from '../../random.js';
+import { SeededRandom } from '../../random.js';
 import { SMALL_CLUSTER } from '../cluster-settings.js';
 import { randomScenario } from '../random-scenario.js';
 import { BadArguments, type ComparisonOptions } from './options.js';
@@ -29,7 +29,7 @@
 /** Runs of random scenarios on the small cluster. Each seed generates the scenario and drives the run. */
 export function randomRuns(seeds: number[]): PlannedRun[] {
   return seeds.map((seed) => ({
-    scenario: randomScenario(new Chance(seed), SMALL_CLUSTER, RANDOM_SCENARIO_LENGTH_S),
+    scenario: randomScenario(new SeededRandom(seed), SMALL_CLUSTER, RANDOM_SCENARIO_LENGTH_S),
     seed,
   }));
 }
--- a/packages/testing/simulation/fault-injector.ts
+++ b/packages/testing/simulation/fault-injector.ts
@@ -37,7 +37,7 @@
       machines,
       cloud,
       world.randomStream('machine faults'),
-      () => cluster.replicaMoments.machines,
+      () => cluster.replicaPhases.machines,
     );
   }
 
@@ -62,8 +62,8 @@
 
   private beginWhenDue(fault: Fault, begin: () => void): void {
     const { afterTakeoverS, atMovePhase, atReplicaPhase } = fault;
-    const { world, leadership, moves, replicaMoments } = this.cluster;
-    if (atReplicaPhase !== undefined) replicaMoments.onNext(atReplicaPhase, begin);
+    const { world, leadership, moves, replicaPhases } = this.cluster;
+    if (atReplicaPhase !== undefined) replicaPhases.onNext(atReplicaPhase, begin);
     else if (atMovePhase !== undefined) moves.onNext(atMovePhase, begin);
     else if (afterTakeoverS === undefined) begin();
     else leadership.onNextChange(() => world.schedule(afterTakeoverS, begin));
--- a/packages/testing/simulation/faults/cloud-faults.ts
+++ b/packages/testing/simulation/faults/cloud-faults.ts
@@ -2,7 +2,7 @@
 import { QUICK_BOOTS, type CloudService } from '../../stand-ins/index.js';
 import type { CloudFault } from '../scenario.js';
 import { makeEffect, type FaultEffect } from './effect.js';
-import { OverlapCounter } from './overlap.js';
+import { OverlapCounter } from './overlap-counter.js';
 
 /** Faults of the cloud API. Outages may overlap. */
 export class CloudFaults {
--- a/packages/testing/simulation/faults/machine-faults.ts
+++ b/packages/testing/simulation/faults/machine-faults.ts
@@ -1,12 +1,12 @@
 /** Begins and ends faults of machines and of whole zones. */
-import type { Chance } from '../../random.js';
+import type { SeededRandom } from '../../random.js';
 import type { CloudService } from '../../stand-ins/index.js';
 import type { Machines, SimulatedMachine } from '../machines.js';
 import type { SimulatedNetwork } from '../network.js';
 import type { MachineFault } from '../scenario.js';
 import { makeEffect, type FaultEffect } from './effect.js';
 import { cutFrom, cutZone, dropInbound, cutOutbound } from './link-faults.js';
-import { OverlapCounter } from './overlap.js';
+import { OverlapCounter } from './overlap-counter.js';
 import { targetMachines } from './targets.js';
 
 /** Faults of machines and zones. */
@@ -17,7 +17,7 @@
     private readonly network: SimulatedNetwork,
     private readonly machines: Machines,
     private readonly cloud: CloudService,
-    private readonly chance: Chance,
+    private readonly chance: SeededRandom,
     /** Returns the machines of the replica that faults with the target `ofReplica` hit. */
     private readonly replicaMachines: () => string[],
   ) {}
@@ -32,7 +32,7 @@
         for (const name of hit) this.cloud.kill(name);
         return makeEffect({ machines: hit });
       case 'machine-taken':
-        for (const name of hit) this.cloud.takeBack(name, fault.noticeS);
+        for (const name of hit) this.cloud.reclaim(name, fault.noticeS);
         return makeEffect({ machines: hit });
       case 'machine-hang':
         return makeEffect({ machines: hit, end: this.hang(machines) });
--- a/packages/testing/simulation/faults/state-faults.ts
+++ b/packages/testing/simulation/faults/state-faults.ts
@@ -3,7 +3,7 @@
 import type { SimulatedController } from '../controllers.js';
 import type { StateFault } from '../scenario.js';
 import { makeEffect, type FaultEffect } from './effect.js';
-import { OverlapCounter } from './overlap.js';
+import { OverlapCounter } from './overlap-counter.js';
 import { type Roles, targetControllers } from './targets.js';
 
 /** Faults of the state service. Faults of the same kind may overlap. */
@@ -28,11 +28,11 @@
         return this.slow(fault.latencyMs);
       case 'late-writes':
         return this.loseAnswers((state) => {
-          state.beginLateWrites(fault.share, fault.delayS);
+          state.beginLateTransactions(fault.share, fault.delayS);
         });
       case 'lost-answers':
         return this.loseAnswers((state) => {
-          state.beginLostAnswers(fault.share);
+          state.beginLostReplies(fault.share);
         });
     }
   }
@@ -52,10 +52,10 @@
     const { state, overlap } = this;
     const ends = hit.map(({ host }) => {
       const start = () => {
-        state.refuse(host.address);
+        state.refuseClient(host.address);
       };
       return overlap.begin(host.name, start, () => {
-        state.readmit(host.address);
+        state.readmitClient(host.address);
       });
     });
     return makeEffect({
@@ -82,7 +82,7 @@
     start(this.state);
     return makeEffect({
       end: () => {
-        this.state.endLateWrites();
+        this.state.endReplyLoss();
       },
     });
   }
--- a/packages/testing/simulation/faults/targets.ts
+++ b/packages/testing/simulation/faults/targets.ts
@@ -1,5 +1,5 @@
 /** Chooses the controllers and machines that a fault hits. */
-import type { Chance } from '../../random.js';
+import type { SeededRandom } from '../../random.js';
 import type { MigrationPhases } from '../migration-phases.js';
 import type { SimulatedController } from '../controllers.js';
 import type { ControllerTarget, MachineTarget } from '../scenario.js';
@@ -43,7 +43,7 @@
 export function targetMachines<M extends { zone: string }>(
   running: M[],
   target: Exclude<MachineTarget, { ofReplica: number }>,
-  chance: Chance,
+  chance: SeededRandom,
 ): M[] {
   if ('zone' in target) return running.filter((machine) => machine.zone === target.zone);
   const wanted = 'count' in target ? target.count : Math.ceil(target.share * running.length);
--- a/packages/testing/simulation/faults/user-faults.ts
+++ b/packages/testing/simulation/faults/user-faults.ts
@@ -26,10 +26,10 @@
     case 'cancel-now':
       return cancelNow(context, fault);
     case 'cancel-at-end':
-      users.setCancelAtEnd(fault.share);
+      users.setCancelAtEndShare(fault.share);
       return makeEffect({
         end: () => {
-          users.setCancelAtEnd(0);
+          users.setCancelAtEndShare(0);
         },
       });
     case 'odd-requests':
@@ -53,7 +53,7 @@
   { world, users, machines, worldState, hang }: UserFaultContext,
   { count, hangS }: UserFault & { kind: 'cancel-now' },
 ): FaultEffect {
-  const hit = [...new Set(users.cancelNow(count, worldState))];
+  const hit = [...new Set(users.cancelRunningJobs(count, worldState))];
   if (hangS !== undefined) {
     const hanging = hit.slice(0, MAX_HUNG_MACHINES).map((name) => machines.get(name));
     const end = hang(hanging.filter((machine) => machine !== undefined));
--- a/packages/testing/simulation/incarnation.ts
+++ b/packages/testing/simulation/incarnation.ts
@@ -1,6 +1,6 @@
 /** One run of a simulated process, with a separate runtime. Its callbacks no longer run once it has ended. */
 import type { Network, Runtime } from '#wire';
-import type { Chance } from '../random.js';
+import type { SeededRandom } from '../random.js';
 import { type CallbackSource, type ClockSkew, SimulatedClock } from './clock.js';
 import type { SimulatedHost } from './host.js';
 import type { World } from './world.js';
@@ -17,7 +17,7 @@
   private frozenUntilS = -Infinity;
   private frozen = false;
   private readonly deferred: DeferredCallback[] = [];
-  private readonly chance: Chance;
+  private readonly chance: SeededRandom;
 
   constructor(
     private readonly world: World,
@@ -79,7 +79,7 @@
 }
 
 /** Picks one of three orders with equal probability: order of arrival, timers first, or network events first. */
-function orderAfterFreeze(waiting: DeferredCallback[], chance: Chance): DeferredCallback[] {
+function orderAfterFreeze(waiting: DeferredCallback[], chance: SeededRandom): DeferredCallback[] {
   const first = [null, 'timer', 'network'][chance.int(0, 2)];
   if (first === null) return waiting;
   const before = waiting.filter(({ source }) => source === first);
--- a/packages/testing/simulation/index.ts
+++ b/packages/testing/simulation/index.ts
@@ -14,7 +14,7 @@
 export * from './controllers.js';
 export * from './migration-phases.js';
 export * from './leadership-history.js';
-export * from './replica-moments.js';
+export * from './replica-phases.js';
 export * from './scenario.js';
 export * from './cluster.js';
 export * from './machines.js';
--- a/packages/testing/simulation/machines.ts
+++ b/packages/testing/simulation/machines.ts
@@ -1,7 +1,7 @@
 /** Machines of a simulated cluster and their workers. */
 import {
   Fleet,
-  GangNetwork,
+  GangRegistry,
   LateHeartbeats,
   ReplyLoss,
   type JobStorage,
@@ -9,7 +9,7 @@
   type Observer,
   type ProvisionedMachine,
   type Worker,
-  type WorkerSurroundings,
+  type WorkerEnvironment,
 } from '../stand-ins/index.js';
 import type { Runtime } from '#wire';
 import { workerAddress } from './addresses.js';
@@ -54,7 +54,7 @@
     this.lateHeartbeats = new LateHeartbeats(options.runtime);
     this.lateCommands = new ReplyLoss(options.runtime);
     this.fleet = new Fleet({
-      surroundings: this.surroundings(),
+      workerEnvironment: this.surroundings(),
       addressOf: workerAddress,
       hostFor: (machine) => this.hostFor(machine),
       ...options.cluster.faultyMachines,
@@ -92,7 +92,7 @@
     return { runtime: costs.watchServer('directCommands', runtime), powerOff };
   }
 
-  private surroundings(): WorkerSurroundings {
+  private surroundings(): WorkerEnvironment {
     const { cluster, runtime, storage, observer } = this.options;
     const { workers } = cluster.deployment;
     return {
@@ -104,7 +104,7 @@
       },
       controllers: controllerAddresses(cluster),
       storage,
-      gangs: new GangNetwork(runtime),
+      gangs: new GangRegistry(runtime),
       observer,
       lateHeartbeats: this.lateHeartbeats,
       lateCommands: this.lateCommands,
--- a/packages/testing/simulation/network.test.ts
+++ b/packages/testing/simulation/network.test.ts
@@ -65,7 +65,7 @@
 function makeWorld(seed: number) {
   const world = new World(seed);
   const network = new SimulatedNetwork(world);
-  const skew = { zeroS: 5, drift: 0.0003, wallOffsetMs: 20 };
+  const skew = { initialS: 5, drift: 0.0003, wallOffsetMs: 20 };
   const serverHost = network.addHost(new SimulatedHost('s', 'controller', SERVER.host, 'a'));
   const clientHost = network.addHost(new SimulatedHost('c', 'worker', '10.1.0.1', 'a'));
   const serve = (runtime: Runtime) => countingServer(runtime, () => accepted++);
@@ -202,7 +202,7 @@
   const holderHost = new SimulatedHost('holder', 'worker', '10.1.0.2', 'a');
   network.addHost(holderHost);
   client.crash();
-  const skew = { zeroS: 0, drift: 0, wallOffsetMs: 0 };
+  const skew = { initialS: 0, drift: 0, wallOffsetMs: 0 };
   const openTwo = (runtime: Runtime) => {
     for (let i = 0; i < 2; i++) runtime.network.connect(SERVER).on('error', () => {});
   };
--- a/packages/testing/simulation/network.ts
+++ b/packages/testing/simulation/network.ts
@@ -2,7 +2,7 @@
 import type net from 'node:net';
 import type { Duplex } from 'node:stream';
 import type { HostPort, Network } from '#wire';
-import type { Chance } from '../random.js';
+import type { SeededRandom } from '../random.js';
 import { Connection, ConnectionEnd, type ConnectionNetwork } from './connection.js';
 import type { SimulatedHost } from './host.js';
 import { LinkRule, LinkRules } from './link-rules.js';
@@ -64,7 +64,7 @@
   private readonly listeners = new Map<SimulatedHost, Map<number, Listener>>();
   private readonly connections = new Set<Connection>();
   private readonly heldAttempts = new Set<ConnectionAttempt>();
-  private readonly chance: Chance;
+  private readonly chance: SeededRandom;
 
   constructor(
     readonly world: World,
@@ -105,7 +105,7 @@
   drawLatencyS(): number {
     const { minMs, meanExtraMs, retransmittedShare, retransmitAfterMs } = this.latency;
     const extraMs = -Math.log(1 - this.chance.next()) * meanExtraMs;
-    const resentMs = this.chance.hit(retransmittedShare) ? retransmitAfterMs : 0;
+    const resentMs = this.chance.withProbability(retransmittedShare) ? retransmitAfterMs : 0;
     return (minMs + extraMs + resentMs) / 1000;
   }
 
--- a/packages/testing/simulation/random-scenario.ts
+++ b/packages/testing/simulation/random-scenario.ts
@@ -1,6 +1,6 @@
 /** Random scenarios, to search for combinations of faults that no test lists. */
-import type { Chance } from '../random.js';
-import { USUAL_CLASSES } from '../stand-ins/index.js';
+import type { SeededRandom } from '../random.js';
+import { DEFAULT_CLASSES } from '../stand-ins/index.js';
 import type { ClusterSettings } from './cluster-settings.js';
 import type {
   ControllerTarget,
@@ -19,7 +19,7 @@
 const FAULTS_PER_BURST: [number, number] = [2, 4];
 const BURST_INTERVAL_S: [number, number] = [50, 90];
 
-type FaultGenerator = (chance: Chance, atS: number) => Fault;
+type FaultGenerator = (chance: SeededRandom, atS: number) => Fault;
 
 /**
  * Draws the faults of a scenario of the given length.
@@ -27,7 +27,7 @@
  * @public For random searches for faults (docs/simulation.md).
  */
 export function randomScenario(
-  chance: Chance,
+  chance: SeededRandom,
   cluster: ClusterSettings,
   lengthS: number,
 ): Scenario {
@@ -43,7 +43,7 @@
     burstS += drawUniform(chance, BURST_INTERVAL_S);
   }
   faults.sort((first, second) => first.atS - second.atS);
-  const workload = { classes: USUAL_CLASSES, untilS: lengthS - LAST_FAULT_BEFORE_END_S / 2 };
+  const workload = { classes: DEFAULT_CLASSES, untilS: lengthS - LAST_FAULT_BEFORE_END_S / 2 };
   return { name: 'random', cluster, workload, faults, lengthS };
 }
 
@@ -131,7 +131,7 @@
     atS,
     forS: drawLengthS(chance),
     share: drawShare(chance),
-    forNextLeader: chance.hit(0.5),
+    forNextLeader: chance.withProbability(0.5),
   }),
   (chance, atS) => ({
     kind: 'late-commands',
@@ -151,9 +151,9 @@
   (chance, atS) => ({ kind: 'close-looks', atS, forS: drawLengthS(chance) }),
 ];
 
-function drawControllerCut(chance: Chance, atS: number): Fault {
+function drawControllerCut(chance: SeededRandom, atS: number): Fault {
   const kinds: CutFrom[] = ['state', 'controllers', 'workers', 'users', 'cloud'];
-  const from = kinds.filter(() => chance.hit(0.4));
+  const from = kinds.filter(() => chance.withProbability(0.4));
   if (from.length === 0) from.push('state');
   const controllers = drawControllers(chance);
   return {
@@ -166,42 +166,44 @@
   };
 }
 
-function drawCrash(chance: Chance, atS: number): Fault {
-  const downS = chance.hit(0.5) ? drawUniform(chance, [0.05, 1]) : drawUniform(chance, [1, 15]);
+function drawCrash(chance: SeededRandom, atS: number): Fault {
+  const downS = chance.withProbability(0.5)
+    ? drawUniform(chance, [0.05, 1])
+    : drawUniform(chance, [1, 15]);
   const controllers = drawControllers(chance);
-  return { kind: 'controller-crash', atS, controllers, downS, silent: chance.hit(0.3) };
+  return { kind: 'controller-crash', atS, controllers, downS, silent: chance.withProbability(0.3) };
 }
 
-function drawCancelNow(chance: Chance, atS: number): Fault {
-  const hangS = chance.hit(0.4) ? { hangS: drawUniform(chance, [5, 30]) } : {};
+function drawCancelNow(chance: SeededRandom, atS: number): Fault {
+  const hangS = chance.withProbability(0.4) ? { hangS: drawUniform(chance, [5, 30]) } : {};
   return { kind: 'cancel-now', atS, count: chance.int(2, 12), ...hangS };
 }
 
-function drawControllers(chance: Chance): ControllerTarget {
+function drawControllers(chance: SeededRandom): ControllerTarget {
   return pick<ControllerTarget>(chance, ['leader', 'leader', 'followers', 'one-follower', 'all']);
 }
 
-function drawMachines(chance: Chance): MachineTarget {
+function drawMachines(chance: SeededRandom): MachineTarget {
   return { share: drawUniform(chance, [0.1, 0.7]) };
 }
 
-function drawMode(chance: Chance): CutMode {
+function drawMode(chance: SeededRandom): CutMode {
   return pick<CutMode>(chance, ['refuse', 'hold', 'drop']);
 }
 
 /** Draws a duration from 2 s to longer than a lease; seldom longer than the time limit of a cancellation. */
-function drawLengthS(chance: Chance): number {
-  return drawUniform(chance, chance.hit(0.2) ? [20, 60] : [2, 20]);
+function drawLengthS(chance: SeededRandom): number {
+  return drawUniform(chance, chance.withProbability(0.2) ? [20, 60] : [2, 20]);
 }
 
-function drawShare(chance: Chance): number {
+function drawShare(chance: SeededRandom): number {
   return drawUniform(chance, [0.05, 0.6]);
 }
 
-function drawUniform(chance: Chance, [least, most]: [number, number]): number {
+function drawUniform(chance: SeededRandom, [least, most]: [number, number]): number {
   return Math.round((least + (most - least) * chance.next()) * 100) / 100;
 }
 
-function pick<T>(chance: Chance, items: T[]): T {
+function pick<T>(chance: SeededRandom, items: T[]): T {
   return items[chance.int(0, items.length - 1)];
 }
--- a/packages/testing/simulation/replica-moments.ts
+++ b/packages/testing/simulation/replica-phases.ts
@@ -6,7 +6,7 @@
  * A phase of a replica group. The phases that end in `-again` are reached after a member was lost, or after the
  * replica was moved or stopped.
  */
-export type ReplicaMoment = GroupPhase | 'reserved-again' | 'starting-again' | 'whole-again';
+export type ReplicaPhase = GroupPhase | 'reserved-again' | 'starting-again' | 'whole-again';
 
 /** Fields of the log line with which a leader reports a change of phase. */
 interface PhaseLine {
@@ -20,17 +20,17 @@
 const PHASE_MESSAGES = ['replica phase changed', 'replica repair started'];
 
 /** Tracks the phases of replica groups by the controllers' logs. */
-export class ReplicaMoments {
+export class ReplicaPhases {
   /** Number of times that each phase was reached. */
-  readonly counts = new Map<ReplicaMoment, number>();
+  readonly counts = new Map<ReplicaPhase, number>();
   /** Machines of the group that a fault waited for or that became `whole`, whichever came last. */
   machines: string[] = [];
-  private waiting: { phase: ReplicaMoment; callback: () => void }[] = [];
+  private waiting: { phase: ReplicaPhase; callback: () => void }[] = [];
 
   constructor(private readonly world: World) {}
 
   /** Calls back the next time that a group reaches the phase, right after the current event. */
-  onNext(phase: ReplicaMoment, callback: () => void): void {
+  onNext(phase: ReplicaPhase, callback: () => void): void {
     this.waiting.push({ phase, callback });
   }
 
@@ -42,11 +42,11 @@
     if (to === 'whole') this.machines = machines;
     this.recordPhase(to, machines);
     if (reason !== null && ['reserved', 'starting', 'whole'].includes(to)) {
-      this.recordPhase(`${to}-again` as ReplicaMoment, machines);
+      this.recordPhase(`${to}-again` as ReplicaPhase, machines);
     }
   }
 
-  private recordPhase(phase: ReplicaMoment, machines: string[]): void {
+  private recordPhase(phase: ReplicaPhase, machines: string[]): void {
     this.counts.set(phase, (this.counts.get(phase) ?? 0) + 1);
     const due = this.waiting.filter((each) => each.phase === phase);
     this.waiting = this.waiting.filter((each) => each.phase !== phase);
--- a/packages/testing/simulation/replica-service.ts
+++ b/packages/testing/simulation/replica-service.ts
@@ -1,7 +1,7 @@
 /** Simulates replicas of several members and the requests to them. */
 import { type ReplicaClasses, replicaShapeOf } from '#replicas';
 import { type Answer, brokenAnswers } from './replica-traffic/answers.js';
-import { Members } from './replica-traffic/members.js';
+import { RunningMembers } from './replica-traffic/running-members.js';
 import { RequestTraffic } from './replica-traffic/request-traffic.js';
 import type { JobStorage, WorldEvent } from '../stand-ins/index.js';
 import { USERS_HOST } from './addresses.js';
@@ -27,21 +27,21 @@
  * define no replica groups.
  */
 export class ReplicaService {
-  readonly members: Members;
+  readonly members: RunningMembers;
   private readonly traffic: RequestTraffic;
   private readonly classes: ClusterSettings['operator']['replicaGroups'];
 
   constructor(private readonly options: ReplicaServiceOptions) {
     const { world, settings } = options;
     this.classes = settings.operator.replicaGroups;
-    this.members = new Members((job) => this.membersOf(job));
+    this.members = new RunningMembers((job) => this.membersOf(job));
     this.traffic = new RequestTraffic({
       members: this.members,
       chance: world.randomStream('requests to replicas'),
       now: () => world.now,
       schedule: (delayS, run) => void world.scheduleInternal(delayS, run),
       reaches: (from, to) => this.reaches(from, to),
-      everyS: REQUEST_INTERVAL_S,
+      intervalS: REQUEST_INTERVAL_S,
       isFenced: true,
     });
   }
@@ -59,7 +59,7 @@
   }
 
   /** Answers that were not produced by all members of a single generation of the replica. */
-  get broken(): Answer[] {
+  get brokenAnswers(): Answer[] {
     return brokenAnswers(this.answers);
   }
 
--- a/packages/testing/simulation/replica-traffic/answers.ts
+++ b/packages/testing/simulation/replica-traffic/answers.ts
@@ -12,22 +12,22 @@
   atS: number;
   job: string;
   /** Index of the first task of the replica. */
-  first: number;
-  members: number;
+  firstTask: number;
+  memberCount: number;
   marks: Mark[];
 }
 
 /** Answers that lack the mark of a member or have marks of several generations. */
 export function brokenAnswers(answers: Answer[]): Answer[] {
-  return answers.filter(({ members, marks }) => {
+  return answers.filter(({ memberCount, marks }) => {
     const generations = new Set(marks.map(({ generation }) => generation));
     const marked = new Set(marks.map(({ member }) => member));
-    return generations.size > 1 || marked.size < members;
+    return generations.size > 1 || marked.size < memberCount;
   });
 }
 
 /** Describes an answer and its marks in one line. */
-export function describeAnswer({ atS, job, first, members, marks }: Answer): string {
+export function describeAnswer({ atS, job, firstTask, memberCount, marks }: Answer): string {
   const by = marks.map(({ member, generation, machine }) => `${member}@${machine}#${generation}`);
-  return `${atS.toFixed(3)} s ${job}/${first}: ${members} members, marked by ${by.join(', ')}`;
+  return `${atS.toFixed(3)} s ${job}/${firstTask}: ${memberCount} members, marked by ${by.join(', ')}`;
 }
--- a/packages/testing/simulation/replica-traffic/request-traffic.ts
+++ b/packages/testing/simulation/replica-traffic/request-traffic.ts
@@ -1,21 +1,21 @@
 /** Sends requests to replicas and passes them through the members. */
-import type { Chance } from '../../random.js';
+import type { SeededRandom } from '../../random.js';
 import type { Answer, Mark } from './answers.js';
-import type { LiveMember, Members } from './members.js';
+import type { LiveMember, RunningMembers } from './running-members.js';
 
 /** Range of the delay of a request from one member to the next, in seconds. */
 const HOP_DELAY_S: [min: number, max: number] = [0.005, 0.06];
 
 /** Dependencies and settings of the simulated traffic. */
 export interface TrafficOptions {
-  members: Members;
-  chance: Chance;
+  members: RunningMembers;
+  chance: SeededRandom;
   now: () => number;
   schedule: (delayS: number, run: () => void) => void;
   /** Whether the machine `to` can be reached from the machine `from`; null stands for the router. */
   reaches: (from: string | null, to: string) => boolean;
   /** Interval between requests to each replica, in seconds. */
-  everyS: number;
+  intervalS: number;
   /**
    * If true, members pass requests only to members of their own generation, and answer only with the marks of all
    * members. If false, they pass requests to any member that they reach, and answer without the others.
@@ -34,11 +34,11 @@
   constructor(private readonly options: TrafficOptions) {}
 
   start(): void {
-    const { everyS, members, schedule } = this.options;
+    const { intervalS, members, schedule } = this.options;
     if (!this.active) return;
     for (const replica of members.replicas())
       this.sendRequest(replica.job, replica.first, replica.members);
-    schedule(everyS, () => {
+    schedule(intervalS, () => {
       this.start();
     });
   }
@@ -82,11 +82,11 @@
     );
   }
 
-  private answer(entry: LiveMember, members: number, marks: Mark[]): void {
+  private answer(entry: LiveMember, memberCount: number, marks: Mark[]): void {
     const { now, reaches } = this.options;
     if (!this.options.members.isLive(entry) || !reaches(null, entry.machine)) return;
-    const { job, index: first } = entry.task;
-    this.answers.push({ atS: now(), job, first, members, marks });
+    const { job, index: firstTask } = entry.task;
+    this.answers.push({ atS: now(), job, firstTask, memberCount, marks });
   }
 }
 
--- a/packages/testing/simulation/replica-traffic/members.ts
+++ b/packages/testing/simulation/replica-traffic/running-members.ts
@@ -12,11 +12,11 @@
  * Running members and their machines, from the events of the stand-ins. Members of a replica find each other through
  * this class.
  */
-export class Members {
+export class RunningMembers {
   private readonly byTask = new Map<string, LiveMember[]>();
   private readonly hanging = new Set<string>();
   /** For each start of a member, counts the tasks of its replica that run in another generation at that time. */
-  generationsAtOnce = 0;
+  generationOverlaps = 0;
 
   /** `membersOf` returns the number of tasks that form one replica of a job; 1 if the job has no replica groups. */
   constructor(private readonly membersOf: (job: string) => number) {}
@@ -62,7 +62,7 @@
     const first = task.index - (task.index % members);
     for (let index = first; index < first + members; index++) {
       const others = this.byTask.get(taskName(task.job, index)) ?? [];
-      if (others.some((each) => each.task.attempt !== task.attempt)) this.generationsAtOnce++;
+      if (others.some((each) => each.task.attempt !== task.attempt)) this.generationOverlaps++;
     }
     const key = taskName(task.job, task.index);
     this.byTask.set(key, [...(this.byTask.get(key) ?? []), { machine, task }]);
--- a/packages/testing/simulation/run-scenario.ts
+++ b/packages/testing/simulation/run-scenario.ts
@@ -7,7 +7,7 @@
 import type { FaultJournal } from './fault-journal.js';
 import type { MigrationPhases } from './migration-phases.js';
 import type { LeadershipChange } from './leadership-history.js';
-import type { ReplicaMoments } from './replica-moments.js';
+import type { ReplicaPhases } from './replica-phases.js';
 import type { ReplicaService } from './replica-service.js';
 import type { RequestLog } from './request-log.js';
 import type { Scenario } from './scenario.js';
@@ -29,7 +29,7 @@
   /** Phases that migrations of the shard reached. */
   moves: MigrationPhases;
   /** Phases that replica groups reached. */
-  replicaMoments: ReplicaMoments;
+  replicaPhases: ReplicaPhases;
   /** Simulated requests to replica groups, and their answers. */
   replicas: ReplicaService;
   /** All events that the stand-ins reported. */
@@ -72,7 +72,7 @@
     faults: injector.journal,
     leaders: leadership.changes,
     moves: cluster.moves,
-    replicaMoments: cluster.replicaMoments,
+    replicaPhases: cluster.replicaPhases,
     replicas: cluster.replicas,
     timeline,
     requests: cluster.requests,
--- a/packages/testing/simulation/scenario.ts
+++ b/packages/testing/simulation/scenario.ts
@@ -3,7 +3,7 @@
 import type { ClusterSettings } from './cluster-settings.js';
 import type { LinkEffect } from './link-rules.js';
 import type { MigrationPhase } from './migration-phases.js';
-import type { ReplicaMoment } from './replica-moments.js';
+import type { ReplicaPhase } from './replica-phases.js';
 
 /** Controllers that a fault hits, chosen when the fault begins. */
 export type ControllerTarget =
@@ -46,7 +46,7 @@
   /** If given, the fault waits from `atS` on for the next migration of the shard to reach this phase. */
   atMovePhase?: MigrationPhase;
   /** If given, the fault waits from `atS` on for the next replica group to reach this phase. */
-  atReplicaPhase?: ReplicaMoment;
+  atReplicaPhase?: ReplicaPhase;
 }
 
 interface Lasting extends Timed {
--- a/packages/testing/simulation/world.ts
+++ b/packages/testing/simulation/world.ts
@@ -2,7 +2,7 @@
  * The simulated world: one clock, one event queue and one seed for all random numbers of a run. The same seed gives
  * the same sequence of events.
  */
-import { Chance } from '../random.js';
+import { SeededRandom } from '../random.js';
 import { Digest } from './digest.js';
 import { EventQueue, QueuedEvent } from './event-queue.js';
 
@@ -36,11 +36,11 @@
   }
 
   /** Makes a random number generator for one purpose; draws from other generators don't affect it. */
-  randomStream(purpose: string): Chance {
+  randomStream(purpose: string): SeededRandom {
     const mixed = new Digest();
     mixed.addNumber(this.seed);
     mixed.addText(purpose);
-    return new Chance(Number.parseInt(mixed.hex().slice(8), 16) | 0);
+    return new SeededRandom(Number.parseInt(mixed.hex().slice(8), 16) | 0);
   }
 
   /** Adds a number to the digest of the run. */
--- a/packages/testing/stand-ins/balancer/balancer.test.ts
+++ b/packages/testing/stand-ins/balancer/balancer.test.ts
@@ -43,19 +43,19 @@
       return { status: 200, body: {} };
     };
     const address = { host: `10.0.0.${i + 1}`, port: 80 };
-    const runtime = world.runtime(address.host, 'controller');
-    servers.push(await world.finish(serveCbor(runtime, address, handle)));
+    const runtime = world.createRuntime(address.host, 'controller');
+    servers.push(await world.runUntilComplete(serveCbor(runtime, address, handle)));
   }
-  const runtime = world.runtime(BALANCER.host, 'balancer');
+  const runtime = world.createRuntime(BALANCER.host, 'balancer');
   const addresses = served.map((_, i) => ({ name: `c-${i}`, address: `10.0.0.${i + 1}:80` }));
   const balancer = new LoadBalancer(runtime, addresses);
-  await world.finish(balancer.listen(BALANCER));
+  await world.runUntilComplete(balancer.listen(BALANCER));
   await world.run(15);
-  const user = world.runtime('10.7.0.1', 'users');
+  const user = world.createRuntime('10.7.0.1', 'users');
   /** Returns a function that sends a request on a connection of its own. */
   const connect = () => {
     const client = new CborClient(user, `${BALANCER.host}:${BALANCER.port}`, 1);
-    return () => world.finish(client.call('GET', '/any', { timeoutMs: 5000 }));
+    return () => world.runUntilComplete(client.call('GET', '/any', { timeoutMs: 5000 }));
   };
   return { world, balancer, served, healthy, servers, connect };
 }
--- a/packages/testing/stand-ins/checker/answer-checks.ts
+++ b/packages/testing/stand-ins/checker/answer-checks.ts
@@ -2,7 +2,7 @@
 import type { Phase } from '#wire';
 import type { UserRequest, WorldEvent } from '../events.js';
 import type { Check, CheckContext } from './check.js';
-import type { JobRecord } from './job-ledger.js';
+import type { JobRecord } from './job-records.js';
 import type { Rule } from './violation.js';
 
 interface Answer {
--- a/packages/testing/stand-ins/checker/check.ts
+++ b/packages/testing/stand-ins/checker/check.ts
@@ -2,7 +2,7 @@
 import type { Job } from '#wire';
 import type { WorldEvent } from '../events.js';
 import type { WorldState } from '../world-state.js';
-import type { JobRecords } from './job-ledger.js';
+import type { JobRecords } from './job-records.js';
 import type { Finding } from './violation.js';
 
 /** Resources that the tasks of a team may use at the same time; 0 means no limit. */
--- a/packages/testing/stand-ins/checker/sample-script.ts
+++ b/packages/testing/stand-ins/checker/event-script.ts
@@ -1,6 +1,6 @@
 /** Feeds events to a rule checker, for the tests of the checks. */
 import type { Job, Phase } from '#wire';
-import { aJob, STD } from '../../samples.js';
+import { makeJob, STANDARD_TYPE } from '../../samples.js';
 import type { RequestKind, UserRequest, WorldEvent } from '../events.js';
 import { SampleWorld } from '../sample-world.js';
 import { RuleChecker } from './rule-checker.js';
@@ -18,7 +18,7 @@
  */
 export class EventScript {
   private readonly world = new SampleWorld();
-  private readonly clock = this.world.runtime('10.9.0.1').clock;
+  private readonly clock = this.world.createRuntime('10.9.0.1').clock;
   readonly checker = new RuleChecker(this.clock, {
     teams: [{ name: 'red', cpus: 0, gpus: 6 }],
     cancelS: CANCEL_S,
@@ -33,7 +33,7 @@
   }
 
   submitJob(overrides: Partial<Job> = {}, runnable = true): void {
-    const job = aJob({ tasks: 2, ...overrides });
+    const job = makeJob({ tasks: 2, ...overrides });
     this.observe({ kind: 'job-submitted', id: job.id, job, runnable });
   }
 
@@ -44,7 +44,7 @@
   }
 
   startMachine(name: string, zone = 'a', spot = false): void {
-    const machine = { name, sound: true, address: '', type: STD, zone, spot };
+    const machine = { name, healthy: true, address: '', type: STANDARD_TYPE, zone, spot };
     this.observe({ kind: 'machine-up', machine });
   }
 
--- a/packages/testing/stand-ins/checker/rule-checker.test.ts
+++ b/packages/testing/stand-ins/checker/rule-checker.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { CANCEL_S, EventScript, type ScriptSteps } from './sample-script.js';
+import { CANCEL_S, EventScript, type ScriptSteps } from './event-script.js';
 import { describeViolation } from './violation.js';
 
 /** Sequences of events that break no rule. */
--- a/packages/testing/stand-ins/checker/mistakes.test.ts
+++ b/packages/testing/stand-ins/checker/violations.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Job } from '#wire';
-import { CANCEL_S, EventScript, type ScriptSteps } from './sample-script.js';
+import { CANCEL_S, EventScript, type ScriptSteps } from './event-script.js';
 
 /** Sequences of events that each break one rule, or are counted. */
 const VIOLATIONS: [rules: string, name: string, overrides: Partial<Job>, steps: ScriptSteps][] = [
--- a/packages/testing/stand-ins/checker/waiting-check.ts
+++ b/packages/testing/stand-ins/checker/waiting-check.ts
@@ -3,7 +3,7 @@
 import type { MachineFacts } from '../events.js';
 import type { MachineState } from '../world-state.js';
 import { exceedsLimit, totalResources, type Check, type CheckContext } from './check.js';
-import type { JobRecord } from './job-ledger.js';
+import type { JobRecord } from './job-records.js';
 
 const MAX_WAIT_S = 90;
 const RESOURCES = ['cpus', 'gpus', 'memory'] as const;
@@ -27,7 +27,9 @@
       return;
     }
     const machines = [...this.context.state.machines.values()]
-      .filter(({ facts, hanging, noticed }) => facts.sound && !hanging && !noticed)
+      .filter(
+        ({ facts, hanging, reclaimAnnounced }) => facts.healthy && !hanging && !reclaimAnnounced,
+      )
       .map((machine) => this.freeCapacityOn(machine));
     for (const record of this.context.jobRecords.all()) {
       const { id } = record.job;
@@ -55,7 +57,7 @@
   }: JobRecord): boolean {
     const isOpen =
       runnable && acceptedAt !== null && cancelRequestedAt === null && finalAnswer === null;
-    if (!isOpen || this.context.state.places(job.id).length > 0) return false;
+    if (!isOpen || this.context.state.placements(job.id).length > 0) return false;
     if (this.hasOpenDependencies(job)) return false;
     return this.context.state.completedTasks(job.id).size < job.tasks;
   }
@@ -94,7 +96,7 @@
 
   private *assignedTasksOfTeam(team: string): Generator<{ job: Job; tasks: number }> {
     for (const { job } of this.context.jobRecords.all()) {
-      if (job.team === team) yield { job, tasks: this.context.state.places(job.id).length };
+      if (job.team === team) yield { job, tasks: this.context.state.placements(job.id).length };
     }
   }
 }
--- a/packages/testing/stand-ins/cloud/cloud-service.test.ts
+++ b/packages/testing/stand-ins/cloud/cloud-service.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { CloudClient, type ListedMachine, type ProvisionOutcome } from '#wire';
 import { SampleWorld } from '../sample-world.js';
-import { STD } from '../../samples.js';
+import { STANDARD_TYPE } from '../../samples.js';
 import { QUICK_BOOTS, USUAL_BOOTS } from './boot-times.js';
 import type { CapacityLimit } from './capacity.js';
 import { CloudService } from './cloud-service.js';
@@ -20,17 +20,17 @@
     giveNotice: ({ name }: { name: string }, noticeS: number) =>
       hostingCalls.push(`notice ${name} ${noticeS}`),
   };
-  const options = { types: [STD], capacity, rps: 20, listLagS: LAG_S };
-  const cloud = new CloudService(world.runtime(SERVICE.host, 'cloud'), options, hosting);
-  await world.finish(cloud.listen(SERVICE));
+  const options = { types: [STANDARD_TYPE], capacity, rps: 20, listLagS: LAG_S };
+  const cloud = new CloudService(world.createRuntime(SERVICE.host, 'cloud'), options, hosting);
+  await world.runUntilComplete(cloud.listen(SERVICE));
   const client = new CloudClient(
-    world.runtime('10.0.0.1'),
+    world.createRuntime('10.0.0.1'),
     `${SERVICE.host}:${SERVICE.port}`,
     3000,
   );
   const provision = (request: string, count: number, spot = false) =>
-    world.finish(client.provision(request, { type: 'std', zone: 'a', spot, count }));
-  const list = async () => (await world.finish(client.list(null))).machines;
+    world.runUntilComplete(client.provision(request, { type: 'std', zone: 'a', spot, count }));
+  const list = async () => (await world.runUntilComplete(client.list(null))).machines;
   return { world, cloud, client, hostingCalls, provision, list };
 }
 
@@ -52,9 +52,9 @@
 test('spot prices vary by up to a third, and nothing else of a machine type changes', async () => {
   const { world, client } = await startCloud();
   for (let i = 0; i < 20; i++) {
-    const [type] = await world.finish(client.catalog());
-    assert.ok(Math.abs(type.spotPrice / STD.spotPrice - 1) <= 1 / 3);
-    assert.deepEqual({ ...type, spotPrice: STD.spotPrice }, STD);
+    const [type] = await world.runUntilComplete(client.catalog());
+    assert.ok(Math.abs(type.spotPrice / STANDARD_TYPE.spotPrice - 1) <= 1 / 3);
+    assert.deepEqual({ ...type, spotPrice: STANDARD_TYPE.spotPrice }, STANDARD_TYPE);
     await world.run(61);
   }
 });
@@ -67,14 +67,14 @@
   assert.deepEqual(hostingCalls.splice(0), [`on ${quick}`]);
   cloud.setBootProfile({ ...USUAL_BOOTS, neverShare: 0, slowShare: 0 });
   const [usual] = provisioned(await provision('r-2', 1));
-  await world.run(STD.bootS * 0.59);
+  await world.run(STANDARD_TYPE.bootS * 0.59);
   assert.deepEqual(hostingCalls, []);
-  await world.run(STD.bootS);
+  await world.run(STANDARD_TYPE.bootS);
   assert.deepEqual(hostingCalls.splice(0), [`on ${usual}`]);
   cloud.setBootProfile({ ...USUAL_BOOTS, neverShare: 1 });
   const never = provisioned(await provision('r-3', 1));
   await world.run(3600);
-  await world.finish(client.release([...never, 'unknown', quick]));
+  await world.runUntilComplete(client.release([...never, 'unknown', quick]));
   assert.deepEqual(hostingCalls, [`off ${quick}`]);
 });
 
@@ -92,7 +92,7 @@
     known = listed ?? known;
   }
   assert.equal(known?.state, 'running');
-  await world.finish(client.release([name]));
+  await world.runUntilComplete(client.release([name]));
   assert.equal((await list()).length, 1);
   await world.run(2 * LAG_S);
   assert.deepEqual(await list(), []);
@@ -117,8 +117,8 @@
   const [withNotice, withoutNotice] = provisioned(await provision('r-1', 2, true));
   await world.run(3);
   hostingCalls.length = 0;
-  cloud.takeBack(withNotice, 20);
-  cloud.takeBack(withoutNotice, null);
+  cloud.reclaim(withNotice, 20);
+  cloud.reclaim(withoutNotice, null);
   assert.deepEqual(hostingCalls.splice(0), [`notice ${withNotice} 20`, `off ${withoutNotice}`]);
   await world.run(9.9);
   assert.deepEqual(hostingCalls, []);
@@ -132,7 +132,7 @@
   assert.equal(await provision('r-1', 1), 'trouble');
   cloud.endOutage();
   const lists = Array.from({ length: 45 }, () => client.list(null));
-  const refused = (await world.finish(Promise.allSettled(lists))).filter(
+  const refused = (await world.runUntilComplete(Promise.allSettled(lists))).filter(
     (outcome) => outcome.status === 'rejected',
   );
   assert.ok(refused.length >= 1 && refused.length <= 5);
--- a/packages/testing/stand-ins/cloud/cloud-service.ts
+++ b/packages/testing/stand-ins/cloud/cloud-service.ts
@@ -2,13 +2,13 @@
 import { MalformedBody, type HostPort, type MachineType, type Runtime } from '#wire';
 import * as serving from '#wire/serving';
 import { NO_REPLY, serveCbor, type CborServer, type ServedRequest } from '../http-server.js';
-import { Latency, PROMPT, type LatencyProfile } from '../latency.js';
+import { Latency, NORMAL_LATENCY, type LatencyProfile } from '../latency.js';
 import { ReplyLoss } from '../lost-replies.js';
 import { RateLimit } from '../rate-limit.js';
 import { USUAL_BOOTS, type BootProfile } from './boot-times.js';
 import type { CapacityLimit } from './capacity.js';
 import { MachineList } from './machine-list.js';
-import { MachinePool } from './machine-park.js';
+import { MachinePool } from './machine-pool.js';
 import { isRunning, type MachineHosting, type ProvisionedMachine } from './provisioned-machine.js';
 import { SpotPrices } from './spot-prices.js';
 
@@ -74,7 +74,7 @@
     this.outage = false;
   }
 
-  setLatency(profile: LatencyProfile = PROMPT): void {
+  setLatency(profile: LatencyProfile = NORMAL_LATENCY): void {
     this.latency.profile = profile;
   }
 
@@ -97,7 +97,7 @@
   }
 
   /** Reclaims a machine, after a notice of about `noticeS` seconds, or without one if null. */
-  takeBack(name: string, noticeS: number | null): void {
+  reclaim(name: string, noticeS: number | null): void {
     const machine = this.pool.get(name);
     if (!machine) return;
     if (noticeS === null) this.pool.remove(machine);
@@ -112,16 +112,16 @@
 
   private async handle(request: ServedRequest): Promise<serving.WireReply | typeof NO_REPLY> {
     if (this.outage) return serving.UNAVAILABLE;
-    if (!this.rate.take(1)) return serving.TOO_MANY_REQUESTS;
+    if (!this.rate.tryTake(1)) return serving.TOO_MANY_REQUESTS;
     const parsed = serving.parseCloudRequest(request);
     const changes = parsed.op === 'rent' || parsed.op === 'release';
-    const loss = changes ? this.lostReplies.draw() : null;
+    const loss = changes ? this.lostReplies.drawFault() : null;
     if (loss) {
-      await this.lostReplies.due(loss);
+      await this.lostReplies.waitForDelay(loss);
       this.execute(parsed);
       return NO_REPLY;
     }
-    return this.latency.around(() => (this.outage ? serving.UNAVAILABLE : this.execute(parsed)));
+    return this.latency.delay(() => (this.outage ? serving.UNAVAILABLE : this.execute(parsed)));
   }
 
   private execute(request: serving.CloudRequest): serving.WireReply {
@@ -139,7 +139,7 @@
     }
   }
 
-  private provision(request: serving.RawProvisionRequest): serving.WireReply {
+  private provision(request: serving.ParsedProvisionRequest): serving.WireReply {
     const known = this.machinesOfRequest.get(request.request);
     if (known) return serving.provisionReply(known);
     const type = this.options.types.find(({ name }) => name === request.type);
--- a/packages/testing/stand-ins/events.ts
+++ b/packages/testing/stand-ins/events.ts
@@ -3,13 +3,13 @@
  * and their answers, and transactions of the state service. The scheduler under test never sees these
  * events; the rule checker does.
  */
-import type { Cause, Change, Job, MachineType, Phase, TaskRef } from '#wire';
+import type { ExitCause, Change, Job, MachineType, Phase, TaskRef } from '#wire';
 
 /** Properties of a machine that are fixed when it starts. */
 export interface MachineFacts {
   name: string;
   /** True unless tasks fail on the machine or run much slower than on other machines of its type. */
-  sound: boolean;
+  healthy: boolean;
   /** `host:port` where the worker accepts commands. */
   address: string;
   type: MachineType;
@@ -18,7 +18,7 @@
 }
 
 /** Why a task left its machine. `killed`: the worker's lease expired or the machine is gone. */
-export type LeaveCause = Cause | 'killed';
+export type LeaveCause = ExitCause | 'killed';
 
 /** An event that concerns a machine or a task on a machine. */
 export type MachineEvent =
@@ -67,7 +67,7 @@
   /** Whether the client gets an answer. */
   answered: boolean;
   /** Seconds between the arrival of the transaction and this event. */
-  heldS: number;
+  pendingS: number;
 }
 
 /** Any event that a stand-in reports. */
--- a/packages/testing/stand-ins/fleet.ts
+++ b/packages/testing/stand-ins/fleet.ts
@@ -2,7 +2,7 @@
 import type { HostPort, Runtime } from '#wire';
 import type { MachineHosting, ProvisionedMachine } from './cloud/index.js';
 import { uniform, type Span } from './distributions.js';
-import { Worker, type MachineTraits, type WorkerSurroundings } from './worker/index.js';
+import { Worker, type MachineTraits, type WorkerEnvironment } from './worker/index.js';
 
 /** The host of one machine, on which its worker runs. */
 export interface MachineHost {
@@ -13,7 +13,7 @@
 
 /** Where workers run, and what share of the machines is faulty or slow. */
 export interface FleetOptions {
-  surroundings: WorkerSurroundings;
+  workerEnvironment: WorkerEnvironment;
   /** Address on which the worker of the machine will listen; machine numbers start at 1. */
   addressOf(machineNumber: number): HostPort;
   hostFor(machine: ProvisionedMachine): MachineHost;
@@ -53,9 +53,9 @@
     const { name, type, zone, spot } = machine;
     const address = `${machine.address.host}:${machine.address.port}`;
     const traits = this.drawTraits(host.runtime, machine);
-    const sound = traits.tasksFailAfterS === null && traits.speed >= NORMAL_SPEED[0];
-    const facts = { name, sound, address, type, zone, spot };
-    const worker = new Worker(host.runtime, facts, traits, this.options.surroundings);
+    const healthy = traits.tasksFailAfterS === null && traits.speed >= NORMAL_SPEED[0];
+    const facts = { name, healthy, address, type, zone, spot };
+    const worker = new Worker(host.runtime, facts, traits, this.options.workerEnvironment);
     this.machines.set(name, { worker, host });
     void worker.start();
   }
--- a/packages/testing/stand-ins/latency.ts
+++ b/packages/testing/stand-ins/latency.ts
@@ -11,15 +11,19 @@
 }
 
 /** Response times of a service that is not slowed down by a fault. */
-export const PROMPT: LatencyProfile = { usualMs: [1, 9], slowShare: 0.002, slowMs: [100, 400] };
+export const NORMAL_LATENCY: LatencyProfile = {
+  usualMs: [1, 9],
+  slowShare: 0.002,
+  slowMs: [100, 400],
+};
 
 /** Delays requests. A random part of each delay passes before the request is executed, the rest after. */
 export class Latency {
-  profile: LatencyProfile = PROMPT;
+  profile: LatencyProfile = NORMAL_LATENCY;
 
   constructor(private readonly runtime: Runtime) {}
 
-  async around<T>(execute: () => T | Promise<T>): Promise<T> {
+  async delay<T>(execute: () => T | Promise<T>): Promise<T> {
     const totalMs = this.draw();
     const beforeMs = totalMs * this.runtime.random();
     await sleep(this.runtime.clock, beforeMs);
--- a/packages/testing/stand-ins/lost-replies.ts
+++ b/packages/testing/stand-ins/lost-replies.ts
@@ -25,13 +25,13 @@
   }
 
   /** Decides whether the next request is affected: returns the fault, or null. */
-  draw(): LostReplies | null {
+  drawFault(): LostReplies | null {
     const { fault } = this;
     return fault && this.runtime.random() < fault.share ? fault : null;
   }
 
   /** Resolves when an affected request is to be executed. */
-  async due({ delayS }: LostReplies): Promise<void> {
+  async waitForDelay({ delayS }: LostReplies): Promise<void> {
     if (delayS === null) return;
     const waitS = uniform(() => this.runtime.random(), delayS);
     await sleep(this.runtime.clock, waitS * 1000);
--- a/packages/testing/stand-ins/rate-limit.ts
+++ b/packages/testing/stand-ins/rate-limit.ts
@@ -16,7 +16,7 @@
   }
 
   /** Takes the units and returns true, or takes nothing and returns false if too few are available. */
-  take(units: number): boolean {
+  tryTake(units: number): boolean {
     this.refill();
     if (units > this.available) return false;
     this.available -= units;
--- a/packages/testing/stand-ins/sample-world.ts
+++ b/packages/testing/stand-ins/sample-world.ts
@@ -26,13 +26,13 @@
   }
 
   /** Starts a process on a new host and returns its runtime. */
-  runtime(address: string, role: HostRole = 'users'): Runtime {
+  createRuntime(address: string, role: HostRole = 'users'): Runtime {
     return this.startHost(address, role).runtime;
   }
 
   startHost(address: string, role: HostRole): { runtime: Runtime; powerOff: () => void } {
     const host = this.network.addHost(new SimulatedHost(address, role, address, null));
-    const skew = { zeroS: 100, drift: 0, wallOffsetMs: 0 };
+    const skew = { initialS: 100, drift: 0, wallOffsetMs: 0 };
     const process = new SimulatedProcess(
       this.world,
       this.network,
@@ -52,12 +52,13 @@
   }
 
   /** Creates a client on a new host. A call runs the world until the call is answered or times out. */
-  client(
+  createClient(
     from: string,
     to: string,
   ): (method: string, path: string, body?: unknown) => Promise<Answer> {
-    const http = new CborClient(this.runtime(from), to);
-    return (method, path, body) => this.finish(http.call(method, path, { timeoutMs: 5000, body }));
+    const http = new CborClient(this.createRuntime(from), to);
+    return (method, path, body) =>
+      this.runUntilComplete(http.call(method, path, { timeoutMs: 5000, body }));
   }
 
   run(seconds: number): Promise<void> {
@@ -65,7 +66,7 @@
   }
 
   /** Runs the world until the promise has settled. */
-  async finish<T>(promise: Promise<T>, withinS = 120): Promise<T> {
+  async runUntilComplete<T>(promise: Promise<T>, withinS = 120): Promise<T> {
     const progress = { finished: false };
     const record = () => (progress.finished = true);
     promise.then(record, record);
--- a/packages/testing/stand-ins/state/state-service.test.ts
+++ b/packages/testing/stand-ins/state/state-service.test.ts
@@ -14,12 +14,12 @@
 
 async function startService(limits: Partial<StateServiceLimits> = {}) {
   const world = new SampleWorld();
-  const runtime = world.runtime(SERVICE.host, 'state');
+  const runtime = world.createRuntime(SERVICE.host, 'state');
   const service = new StateService(runtime, { ...LIMITS, ...limits }, world.observer);
-  await world.finish(service.listen(SERVICE));
-  const api = new StateApi(world.runtime(CLIENT), TARGET, 2000);
-  const call = world.client('10.0.0.2', TARGET);
-  const commit = (changes: Change[]) => world.finish(api.txn([], changes));
+  await world.runUntilComplete(service.listen(SERVICE));
+  const api = new StateApi(world.createRuntime(CLIENT), TARGET, 2000);
+  const call = world.createClient('10.0.0.2', TARGET);
+  const commit = (changes: Change[]) => world.runUntilComplete(api.txn([], changes));
   const transactions = () => world.events.filter((event) => event.kind === 'transaction');
   return { world, service, api, call, commit, transactions };
 }
@@ -32,14 +32,18 @@
   const { world, api, commit } = await startService();
   assert.deepEqual(await commit([put('a/1', 'x'), put('a/2')]), { ok: true, revision: 1 });
   const stale = api.txn([{ key: 'a/1', version: 0 }], [{ delete: 'a/2' }]);
-  assert.deepEqual(await world.finish(stale), { ok: false, failed: ['a/1'], revision: 1 });
+  assert.deepEqual(await world.runUntilComplete(stale), {
+    ok: false,
+    failed: ['a/1'],
+    revision: 1,
+  });
   const entry = { key: 'a/1', value: 'x', version: 1 };
-  assert.deepEqual(await world.finish(api.get('a/1')), entry);
+  assert.deepEqual(await world.runUntilComplete(api.get('a/1')), entry);
   const removal = api.txn([{ key: 'a/2', version: 1 }], [{ delete: 'a/2' }]);
-  assert.deepEqual(await world.finish(removal), { ok: true, revision: 2 });
-  assert.equal(await world.finish(api.get('a/2')), null);
+  assert.deepEqual(await world.runUntilComplete(removal), { ok: true, revision: 2 });
+  assert.equal(await world.runUntilComplete(api.get('a/2')), null);
   const compare = api.txn([{ key: 'a/2', version: 0 }], []);
-  assert.deepEqual(await world.finish(compare), { ok: true, revision: 2 });
+  assert.deepEqual(await world.runUntilComplete(compare), { ok: true, revision: 2 });
 });
 
 test('lists are sorted by key and split into pages by number and by size', async () => {
@@ -83,14 +87,14 @@
 
 test('a lease ends up to 100 ms late and deletes its keys, and has its full time after an outage', async () => {
   const { world, api, service, commit } = await startService();
-  const lease = await world.finish(api.grantLease(2000));
+  const lease = await world.runUntilComplete(api.grantLease(2000));
   await commit([put('l/1', 1, lease), put('l/2', 1, lease)]);
   await commit([put('l/2')]);
   await world.run(1.5);
-  assert.equal(await world.finish(api.renewLease(lease)), true);
+  assert.equal(await world.runUntilComplete(api.renewLease(lease)), true);
   await world.run(1.5);
   service.beginOutage();
-  await assert.rejects(world.finish(api.renewLease(lease)), StateRefused);
+  await assert.rejects(world.runUntilComplete(api.renewLease(lease)), StateRefused);
   await world.run(3);
   service.endOutage();
   await world.run(1.99);
@@ -98,7 +102,7 @@
   await world.run(0.12);
   assert.equal(service.store.get('l/1'), undefined);
   assert.ok(service.store.get('l/2'));
-  assert.equal(await world.finish(api.renewLease(lease)), false);
+  assert.equal(await world.runUntilComplete(api.renewLease(lease)), false);
   assert.deepEqual(await commit([put('l/3', 1, lease)]), { ok: false, leaseGone: true });
 });
 
@@ -111,10 +115,10 @@
   await world.run(1);
   service.endOutage();
   const event = { key: 'w/1', value: 1, version: 1 };
-  assert.deepEqual(await world.finish(outcome), { revision: 1, events: [event] });
+  assert.deepEqual(await world.runUntilComplete(outcome), { revision: 1, events: [event] });
   await commit([put('other')]);
   const startedAt = world.world.now;
-  const nothing = await world.finish(api.changes('w/', 1, 500));
+  const nothing = await world.runUntilComplete(api.changes('w/', 1, 500));
   assert.deepEqual(nothing, { revision: 2, events: [] });
   assert.ok(world.world.now - startedAt >= 0.5);
 });
@@ -134,7 +138,7 @@
   const { world, api } = await startService({ rps: 20, writeRps: 10 });
   const failing = [{ key: 'none', version: 5 }];
   const statuses = async (calls: Promise<unknown>[]) => {
-    const outcomes = await world.finish(Promise.allSettled(calls));
+    const outcomes = await world.runUntilComplete(Promise.allSettled(calls));
     return outcomes.map((o) => (o.status === 'rejected' ? (o.reason as StateRefused).status : 0));
   };
   const changes = [put('a'), put('b')];
@@ -148,36 +152,36 @@
 test('the watch of a refused client waits and its lease expires, while others are served', async () => {
   const { world, api, call, service } = await startService();
   const watch = api.changes('r/', 0, 60_000);
-  const lease = await world.finish(api.grantLease(1000));
-  service.refuse(CLIENT);
-  await assert.rejects(world.finish(api.get('a')), { status: 503 });
+  const lease = await world.runUntilComplete(api.grantLease(1000));
+  service.refuseClient(CLIENT);
+  await assert.rejects(world.runUntilComplete(api.get('a')), { status: 503 });
   const other = await call('POST', '/multi', { apply: [{ set: 'r/1', value: 1 }] });
   assert.equal(other.status, 200);
-  await assert.rejects(world.finish(watch, 5), /not settled/);
-  service.readmit(CLIENT);
-  assert.notEqual(await world.finish(watch), 'too-old');
-  assert.equal(await world.finish(api.renewLease(lease)), false);
+  await assert.rejects(world.runUntilComplete(watch, 5), /not settled/);
+  service.readmitClient(CLIENT);
+  assert.notEqual(await world.runUntilComplete(watch), 'too-old');
+  assert.equal(await world.runUntilComplete(api.renewLease(lease)), false);
 });
 
 test('a transaction without an answer is applied late, after newer ones, or at once', async () => {
   const { world, service, api, commit, transactions } = await startService();
-  service.beginLateWrites(1);
+  service.beginLateTransactions(1);
   const late = api.txn([], [put('t', 'late')]);
   await world.run(0.1);
-  service.endLateWrites();
+  service.endReplyLoss();
   await commit([put('t', 'newer')]);
-  await assert.rejects(world.finish(late), NoAnswer);
+  await assert.rejects(world.runUntilComplete(late), NoAnswer);
   assert.equal(service.store.get('t')?.value, 'newer');
   await world.run(10.5);
   assert.equal(service.store.get('t')?.value, 'late');
-  service.beginLostAnswers(1);
+  service.beginLostReplies(1);
   const lost = api.txn([], [put('t', 'at once')]);
   await world.run(0.1);
   assert.equal(service.store.get('t')?.value, 'at once');
-  await assert.rejects(world.finish(lost), NoAnswer);
-  const seen = transactions().map(({ changes, answered, heldS }) => {
+  await assert.rejects(world.runUntilComplete(lost), NoAnswer);
+  const seen = transactions().map(({ changes, answered, pendingS }) => {
     const [change] = changes as { value: unknown }[];
-    return { value: change.value, answered, late: heldS > 1 };
+    return { value: change.value, answered, late: pendingS > 1 };
   });
   assert.deepEqual(seen, [
     { value: 'newer', answered: true, late: false },
--- a/packages/testing/stand-ins/state/state-service.ts
+++ b/packages/testing/stand-ins/state/state-service.ts
@@ -3,7 +3,7 @@
 import * as serving from '#wire/serving';
 import type { Observer } from '../events.js';
 import { NO_REPLY, serveCbor, type CborServer, type ServedRequest } from '../http-server.js';
-import { Latency, PROMPT, type LatencyProfile } from '../latency.js';
+import { Latency, NORMAL_LATENCY, type LatencyProfile } from '../latency.js';
 import { ReplyLoss, type LostReplies } from '../lost-replies.js';
 import { RateLimit } from '../rate-limit.js';
 import { Availability } from './availability.js';
@@ -90,42 +90,42 @@
   }
 
   /** Refuses the requests of one client, so that its leases expire, while all others are served. */
-  refuse(clientHost: string): void {
+  refuseClient(clientHost: string): void {
     this.availability.refuse(clientHost);
   }
 
-  readmit(clientHost: string): void {
+  readmitClient(clientHost: string): void {
     this.availability.readmit(clientHost);
   }
 
   /** Sets the response times; without a profile, the usual ones. */
-  setLatency(profile: LatencyProfile = PROMPT): void {
+  setLatency(profile: LatencyProfile = NORMAL_LATENCY): void {
     this.latency.profile = profile;
   }
 
   /** Lets this share of transactions go unanswered and be applied late, after newer transactions. */
-  beginLateWrites(share: number, delayS: LostReplies['delayS'] = LATE_TXN_DELAY_S): void {
+  beginLateTransactions(share: number, delayS: LostReplies['delayS'] = LATE_TXN_DELAY_S): void {
     this.lostReplies.begin({ share, delayS });
   }
 
   /** Lets this share of transactions go unanswered although they are applied at once. */
-  beginLostAnswers(share: number): void {
+  beginLostReplies(share: number): void {
     this.lostReplies.begin({ share, delayS: null });
   }
 
   /** Ends late writes and lost answers. Transactions that were delayed before are still applied. */
-  endLateWrites(): void {
+  endReplyLoss(): void {
     this.lostReplies.end();
   }
 
   private async handle(request: ServedRequest): Promise<serving.WireReply | typeof NO_REPLY> {
     const { clientHost } = request;
     if (!this.availability.serves(clientHost)) return serving.UNAVAILABLE;
-    if (!this.requestRate.take(1)) return serving.TOO_MANY_REQUESTS;
+    if (!this.requestRate.tryTake(1)) return serving.TOO_MANY_REQUESTS;
     const parsed = serving.parseStateRequest(request);
     if (parsed.op === 'watch') return this.watch(parsed, clientHost);
     if (parsed.op === 'txn') return this.receiveTxn(parsed, request);
-    return this.latency.around(() =>
+    return this.latency.delay(() =>
       this.availability.serves(clientHost) ? this.execute(parsed) : serving.UNAVAILABLE,
     );
   }
@@ -156,16 +156,16 @@
     request: ServedRequest,
   ): Promise<serving.WireReply | typeof NO_REPLY> {
     checkTxn(txn, request.body, this.limits);
-    if (!this.changeRate.take(txn.changes.length)) return serving.TOO_MANY_REQUESTS;
-    const loss = this.lostReplies.draw();
+    if (!this.changeRate.tryTake(txn.changes.length)) return serving.TOO_MANY_REQUESTS;
+    const loss = this.lostReplies.drawFault();
     const arrival = { atS: this.runtime.clock.now(), clientHost: request.clientHost };
     if (loss) {
-      await this.lostReplies.due(loss);
+      await this.lostReplies.waitForDelay(loss);
       await this.availability.whenUp();
       this.runTxn(txn, { ...arrival, answered: false });
       return NO_REPLY;
     }
-    return this.latency.around(() =>
+    return this.latency.delay(() =>
       this.availability.serves(request.clientHost)
         ? serving.txnReply(this.runTxn(txn, { ...arrival, answered: true }))
         : serving.UNAVAILABLE,
@@ -175,9 +175,9 @@
   private runTxn({ conditions, changes }: Transaction, arrival: TxnArrival): TxnOutcome {
     const outcome = this.applyTxn(conditions, changes);
     const { atS, clientHost, answered } = arrival;
-    const heldS = this.runtime.clock.now() - atS;
+    const pendingS = this.runtime.clock.now() - atS;
     const { ok: applied } = outcome;
-    this.observer({ kind: 'transaction', clientHost, changes, applied, answered, heldS });
+    this.observer({ kind: 'transaction', clientHost, changes, applied, answered, pendingS });
     return outcome;
   }
 
@@ -203,7 +203,7 @@
   ): Promise<serving.WireReply> {
     const until = this.runtime.clock.now() + waitMs / 1000;
     for (;;) {
-      await this.latency.around(() => undefined);
+      await this.latency.delay(() => undefined);
       await this.availability.whenServed(clientHost);
       const outcome = this.store.changesAfter(prefix, after);
       const over = this.closed || this.runtime.clock.now() >= until;
--- a/packages/testing/stand-ins/users/odd-requests.ts
+++ b/packages/testing/stand-ins/users/odd-requests.ts
@@ -1,7 +1,7 @@
 /** Requests that are unusual, invalid or about unknown jobs. */
 import { jobToWire, REQUIRED_JOB_FIELDS, type Job, type Runtime } from '#wire';
 import type { Observer } from '../events.js';
-import type { JobUser } from './job-conduct.js';
+import type { JobUser } from './job-user.js';
 import type { UserRequests } from './requests.js';
 
 /** The first of the ids that no workload gives to its jobs. */
--- a/packages/testing/stand-ins/users/users.test.ts
+++ b/packages/testing/stand-ins/users/users.test.ts
@@ -7,14 +7,14 @@
 import { JobStorage } from '../job-storage.js';
 import { SampleWorld } from '../sample-world.js';
 import { WorldState } from '../world-state.js';
-import { aJob } from '../../samples.js';
+import { makeJob } from '../../samples.js';
 import type { PlannedJob } from './planned-job.js';
 import { Users } from './users.js';
 
 const NODES = ['10.0.0.1:80', '10.0.0.2:80'];
 
 function makePlan(overrides: Partial<Job> = {}, plan: Partial<PlannedJob> = {}): PlannedJob {
-  const program = { job: aJob(overrides), runS: [100], failsAfterS: null };
+  const program = { job: makeJob(overrides), runS: [100], failsAfterS: null };
   return { program, submitAtS: 0, cancelAfterS: null, repeatAfterS: null, ...plan };
 }
 
@@ -24,17 +24,17 @@
   const requests: { node: number; atS: number; path: string; method: string; body: unknown }[] = [];
   for (const node of NODES.keys()) {
     const address = { host: `10.0.0.${node + 1}`, port: 80 };
-    const runtime = world.runtime(address.host, 'controller');
+    const runtime = world.createRuntime(address.host, 'controller');
     const server = serveCbor(runtime, address, (request) => {
       const { path, method, body } = request;
       requests.push({ node, atS: world.world.now, path, method, body });
       return reply(request) ?? new Promise(() => {});
     });
-    await world.finish(server);
+    await world.runUntilComplete(server);
   }
   const storage = new JobStorage(world.observer);
   const users = new Users({
-    runtime: world.runtime('10.7.0.1', 'users'),
+    runtime: world.createRuntime('10.7.0.1', 'users'),
     balancer: NODES[0],
     nodes: NODES.map((address, index) => ({ name: `c-${index}`, address })),
     storage,
@@ -129,19 +129,19 @@
   const state = new WorldState();
   for (let i = 1; i <= 5; i++) users.submit(makePlan({ id: `j-00000${i}`, tasks: 1 }));
   await world.run(1);
-  users.setCancelAtEnd(1);
+  users.setCancelAtEndShare(1);
   storage.complete('j-000001', 0);
   assert.equal(eventsOfKind('cancel-asked').length, 1);
-  const type = { ...aJob(), name: 'm', cpus: 9 } as never;
+  const type = { ...makeJob(), name: 'm', cpus: 9 } as never;
   state.apply({
     kind: 'machine-up',
-    machine: { name: 'm', sound: true, type, address: '', zone: 'a', spot: false },
+    machine: { name: 'm', healthy: true, type, address: '', zone: 'a', spot: false },
   });
   for (const id of ['j-000002', 'j-000003', 'j-000004']) {
     const task = { job: id, index: 0, attempt: 1 };
     state.apply({ kind: 'task-started', machine: 'm', task });
   }
-  assert.deepEqual(users.cancelNow(2, state), ['m', 'm']);
+  assert.deepEqual(users.cancelRunningJobs(2, state), ['m', 'm']);
   await world.run(0.21);
   assert.equal(eventsOfKind('cancel-asked').length, 3);
 });
--- a/packages/testing/stand-ins/users/users.ts
+++ b/packages/testing/stand-ins/users/users.ts
@@ -6,7 +6,7 @@
 import type { ControllerAddress } from '../worker/index.js';
 import type { WorldState } from '../world-state.js';
 import { PollBursts } from './poll-bursts.js';
-import { JobUser, type JobEvent } from './job-conduct.js';
+import { JobUser, type JobEvent } from './job-user.js';
 import { OddRequests } from './odd-requests.js';
 import type { PlannedJob } from './planned-job.js';
 import { UserRequests } from './requests.js';
@@ -109,7 +109,7 @@
    * Cancels up to `count` running jobs with a long remaining run, all within 0.2 s. Returns the
    * machines with tasks of these jobs.
    */
-  cancelNow(count: number, state: WorldState): string[] {
+  cancelRunningJobs(count: number, state: WorldState): string[] {
     const chosen = [...this.jobUsers.values()]
       .filter((job) => job.accepted && !job.ended && !job.cancelRequested)
       .filter((job) => state.started(job.id).length > 0 && hasLongRemainingRun(job, state))
@@ -125,7 +125,7 @@
   }
 
   /** Sets the share of jobs that are cancelled at the moment of their completion; 0 by default. */
-  setCancelAtEnd(share: number): void {
+  setCancelAtEndShare(share: number): void {
     this.cancelAtEndShare = share;
   }
 
--- a/packages/testing/stand-ins/worker/command-server.ts
+++ b/packages/testing/stand-ins/worker/command-server.ts
@@ -49,9 +49,9 @@
   }
 
   private async acceptCommand(command: DirectCommand): Promise<WireReply | typeof NO_REPLY> {
-    const loss = this.lateCommands.draw();
+    const loss = this.lateCommands.drawFault();
     if (loss === null) return this.reply(this.target.executeCommand(command) ? 200 : 409);
-    await this.lateCommands.due(loss);
+    await this.lateCommands.waitForDelay(loss);
     await this.target.whenRunning();
     if (!this.closed) this.target.executeCommand(command);
     return NO_REPLY;
--- a/packages/testing/stand-ins/worker/gang-network.ts
+++ b/packages/testing/stand-ins/worker/gang-registry.ts
@@ -4,7 +4,7 @@
 import type { GangRendezvous, RunningTask, TaskRun } from './task-host.js';
 
 /** Gang attempts by job and attempt number. */
-export class GangNetwork implements GangRendezvous {
+export class GangRegistry implements GangRendezvous {
   private readonly attempts = new Map<string, GangAttempt>();
 
   constructor(private readonly runtime: Runtime) {}
--- a/packages/testing/stand-ins/worker/heartbeat-sender.ts
+++ b/packages/testing/stand-ins/worker/heartbeat-sender.ts
@@ -1,7 +1,7 @@
 /** Sends the heartbeats of a worker and follows redirects to the leader. */
 import { CborClient, NoAnswer, pause, WakeableWait, type Answer, type Runtime } from '#wire';
 import { parseRedirect } from '#wire/serving';
-import { ControllerSelector, type ControllerAddress } from './node-choice.js';
+import { ControllerSelector, type ControllerAddress } from './controller-selector.js';
 import { HeartbeatSchedule } from './heartbeat-schedule.js';
 
 const ANSWER_TIMEOUT_S = 4;
--- a/packages/testing/stand-ins/worker/index.ts
+++ b/packages/testing/stand-ins/worker/index.ts
@@ -1,6 +1,6 @@
 /** Stand-ins for the workers of a fleet. */
-export { GangNetwork } from './gang-network.js';
+export { GangRegistry } from './gang-registry.js';
 export * from './late-heartbeats.js';
-export type { ControllerAddress } from './node-choice.js';
+export type { ControllerAddress } from './controller-selector.js';
 export * from './worker.js';
-export * from './worker-setup.js';
+export * from './worker-environment.js';
--- a/packages/testing/stand-ins/worker/late-heartbeats.ts
+++ b/packages/testing/stand-ins/worker/late-heartbeats.ts
@@ -1,7 +1,7 @@
 /** A fault in which heartbeats are delivered a second time, late. */
 import { CborClient, type Runtime } from '#wire';
 import { uniform, type Span } from '../distributions.js';
-import type { ControllerAddress } from './node-choice.js';
+import type { ControllerAddress } from './controller-selector.js';
 
 /** Share of heartbeats that are delivered again, and when: after a delay, or to the next leader. */
 export type LateHeartbeatFault =
--- a/packages/testing/stand-ins/worker/sample-workers.ts
+++ b/packages/testing/stand-ins/worker/sample-workers.ts
@@ -15,8 +15,8 @@
 import { JobStorage, type JobProgram } from '../job-storage.js';
 import { ReplyLoss } from '../lost-replies.js';
 import { SampleWorld } from '../sample-world.js';
-import { aJob, STD } from '../../samples.js';
-import { GangNetwork } from './gang-network.js';
+import { makeJob, STANDARD_TYPE } from '../../samples.js';
+import { GangRegistry } from './gang-registry.js';
 import { LateHeartbeats } from './late-heartbeats.js';
 import { Worker } from './worker.js';
 
@@ -53,19 +53,21 @@
 export class SampleFleet {
   readonly world = new SampleWorld();
   readonly storage = new JobStorage(this.world.observer);
-  readonly lateHeartbeats = new LateHeartbeats(this.world.runtime('10.9.0.3'));
-  readonly lateCommands = new ReplyLoss(this.world.runtime('10.9.0.1'));
+  readonly lateHeartbeats = new LateHeartbeats(this.world.createRuntime('10.9.0.3'));
+  readonly lateCommands = new ReplyLoss(this.world.createRuntime('10.9.0.1'));
   readonly controllers = CONTROLLER_NAMES.map(() => new ScriptedController(this.world));
-  private readonly commandRuntime = this.world.runtime('10.0.0.9', 'controller');
-  private readonly gangs = new GangNetwork(this.world.runtime('10.9.0.2'));
+  private readonly commandRuntime = this.world.createRuntime('10.0.0.9', 'controller');
+  private readonly gangs = new GangRegistry(this.world.createRuntime('10.9.0.2'));
   private started = 0;
 
   async startControllers(): Promise<this> {
     for (const [index, controller] of this.controllers.entries()) {
       const host = `10.0.0.${index + 1}`;
-      const runtime = this.world.runtime(host, 'controller');
+      const runtime = this.world.createRuntime(host, 'controller');
       const address = { host, port: CONTROLLER_PORT };
-      await this.world.finish(serveCbor(runtime, address, (req) => controller.handle(req)));
+      await this.world.runUntilComplete(
+        serveCbor(runtime, address, (req) => controller.handle(req)),
+      );
     }
     return this;
   }
@@ -74,10 +76,16 @@
   async startWorker(speed = 1, controllerCount = 1): Promise<Worker> {
     const number = ++this.started;
     const host = `10.1.0.${number}`;
-    const facts = { name: `n-${number}`, sound: true, type: STD, zone: 'a', spot: false };
-    const traits = { speed, fetchGbPerS: STD.fetchGbPerS, tasksFailAfterS: null };
+    const facts = {
+      name: `n-${number}`,
+      healthy: true,
+      type: STANDARD_TYPE,
+      zone: 'a',
+      spot: false,
+    };
+    const traits = { speed, fetchGbPerS: STANDARD_TYPE.fetchGbPerS, tasksFailAfterS: null };
     const worker = new Worker(
-      this.world.runtime(host, 'worker'),
+      this.world.createRuntime(host, 'worker'),
       { ...facts, address: `${host}:9000` },
       traits,
       {
@@ -93,12 +101,12 @@
         lateCommands: this.lateCommands,
       },
     );
-    await this.world.finish(worker.start());
+    await this.world.runUntilComplete(worker.start());
     return worker;
   }
 
   upload(overrides: Partial<Job>, program: Partial<JobProgram> = {}): Job {
-    const job = aJob(overrides);
+    const job = makeJob(overrides);
     this.storage.upload({
       job,
       runS: Array<number>(job.tasks).fill(10),
@@ -110,7 +118,7 @@
 
   /** Sends direct commands to a worker; returns the status and the tasks of its answer. */
   async sendOrders(worker: Worker, orders: Order[], fencingToken = 5, agentEpoch = 1) {
-    return this.world.finish(this.postOrders(worker, orders, fencingToken, agentEpoch));
+    return this.world.runUntilComplete(this.postOrders(worker, orders, fencingToken, agentEpoch));
   }
 
   /** Like `sendOrders`, but the caller runs the world. */
--- a/packages/testing/stand-ins/worker/task-host.ts
+++ b/packages/testing/stand-ins/worker/task-host.ts
@@ -1,5 +1,5 @@
 /** Interfaces between a task, the machine that hosts the task and the TaskRun that executes the task. */
-import type { Cause, Clock, TaskRef, TaskState } from '#wire';
+import type { ExitCause, Clock, TaskRef, TaskState } from '#wire';
 import type { Observer } from '../events.js';
 import type { JobProgram, JobStorage } from '../job-storage.js';
 import type { ImageCache } from './image-cache.js';
@@ -44,7 +44,7 @@
   readonly state: TaskState;
   setState(state: TaskState): void;
   /** Ends the task. `checkpointed`: its progress was stored immediately before. */
-  exit(cause: Cause, checkpointed?: boolean): void;
+  exit(cause: ExitCause, checkpointed?: boolean): void;
   /** Calls back after the given seconds of the machine's clock, unless the task has exited by then. */
   setTimer(seconds: number, callback: () => void): void;
 }
--- a/packages/testing/stand-ins/worker/worker-setup.ts
+++ b/packages/testing/stand-ins/worker/worker-environment.ts
@@ -2,9 +2,9 @@
 import type { Observer } from '../events.js';
 import type { JobStorage } from '../job-storage.js';
 import type { ReplyLoss } from '../lost-replies.js';
-import type { GangNetwork } from './gang-network.js';
+import type { GangRegistry } from './gang-registry.js';
 import type { LateHeartbeats } from './late-heartbeats.js';
-import type { ControllerAddress } from './node-choice.js';
+import type { ControllerAddress } from './controller-selector.js';
 import type { WorkerTimes } from './task-host.js';
 
 /** One heartbeat and the status of its answer; times in seconds of the worker's monotonic clock. */
@@ -22,17 +22,17 @@
 export interface HeartbeatObserver {
   exchanged(exchange: HeartbeatExchange): void;
   /** Called when the worker accepts an answer of the controller with the given fencing token. */
-  obeyed?(machine: string, controller: string, fencingToken: number): void;
+  answerAccepted?(machine: string, controller: string, fencingToken: number): void;
   /** Called when the lease of the machine's worker has expired. */
   leaseEnded(machine: string): void;
 }
 
 /** What all workers of a fleet share. */
-export interface WorkerSurroundings {
+export interface WorkerEnvironment {
   times: WorkerTimes;
   controllers: ControllerAddress[];
   storage: JobStorage;
-  gangs: GangNetwork;
+  gangs: GangRegistry;
   observer: Observer;
   lateHeartbeats: LateHeartbeats;
   lateCommands: ReplyLoss;
--- a/packages/testing/stand-ins/worker/worker.test.ts
+++ b/packages/testing/stand-ins/worker/worker.test.ts
@@ -193,7 +193,7 @@
   worker.resume();
   await world.run(0.1);
   assert.deepEqual(fleet.leaveCauses(), ['0:stopped']);
-  await fleet.world.finish(late);
+  await fleet.world.runUntilComplete(late);
   await fleet.sendOrders(worker, [startOrder(0, 2)]);
   worker.hang();
   await world.run(TIMES.leaseS + 2);
@@ -204,16 +204,16 @@
 
 test('a worker blocked inbound still sends heartbeats; one with blocked heartbeats still gets commands', async () => {
   const { fleet, world, controller, worker } = await startFleet();
-  worker.setDeaf(true);
+  worker.setInboundBlocked(true);
   await assert.rejects(fleet.sendOrders(worker, [startOrder()]));
   const heartbeatsBefore = controller.heartbeats.length;
   controller.orders = [startOrder()];
   await world.run(TIMES.leaseS);
   assert.ok(controller.heartbeats.length > heartbeatsBefore);
   assert.equal(controller.heartbeats.at(-1)!.tasks.length, 0);
-  worker.setDeaf(false);
+  worker.setInboundBlocked(false);
   await world.run(6);
-  worker.setMute(true);
+  worker.setHeartbeatsBlocked(true);
   const before = controller.heartbeats.length;
   assert.equal((await fleet.sendOrders(worker, [startOrder()], 5, 2)).status, 200);
   await world.run(6);
@@ -256,7 +256,7 @@
   fleet.lateCommands.end();
   controller.fencingToken = 6;
   await fleet.sendOrders(worker, [], 6);
-  await world.finish(superseded);
+  await world.runUntilComplete(superseded);
   await world.run(10);
   assert.equal(worker.nextHeartbeat().tasks.length, 1);
 });
--- a/packages/testing/stand-ins/worker/worker.ts
+++ b/packages/testing/stand-ins/worker/worker.ts
@@ -5,14 +5,14 @@
 import type { JobProgram, JobStorage } from '../job-storage.js';
 import { CommandServer } from './command-server.js';
 import { FreezableClock } from './freezable-clock.js';
-import type { GangNetwork } from './gang-network.js';
+import type { GangRegistry } from './gang-registry.js';
 import { ImageCache } from './image-cache.js';
-import type { ControllerAddress } from './node-choice.js';
+import type { ControllerAddress } from './controller-selector.js';
 import { HeartbeatSender, type HeartbeatSource } from './heartbeat-sender.js';
 import type { TaskHost, WorkerTimes } from './task-host.js';
 import { TaskTable } from './task-table.js';
 import { AgentEpochState } from './agent-epoch.js';
-import type { MachineTraits, WorkerSurroundings } from './worker-setup.js';
+import type { MachineTraits, WorkerEnvironment } from './worker-environment.js';
 
 /** Hosts tasks, sends heartbeats and executes the commands of the leader. */
 export class Worker implements TaskHost {
@@ -34,7 +34,7 @@
     runtime: Runtime,
     readonly facts: MachineFacts,
     private readonly traits: MachineTraits,
-    private readonly environment: WorkerSurroundings,
+    private readonly environment: WorkerEnvironment,
   ) {
     this.clock = new FreezableClock(runtime.clock);
     const freezableRuntime: Runtime = {
@@ -75,7 +75,7 @@
   get storage(): JobStorage {
     return this.environment.storage;
   }
-  get gangs(): GangNetwork {
+  get gangs(): GangRegistry {
     return this.environment.gangs;
   }
   get observer(): Observer {
@@ -118,13 +118,13 @@
   }
 
   /** Blocks answers and commands; heartbeats still reach the controllers. */
-  setDeaf(blocked: boolean): void {
+  setInboundBlocked(blocked: boolean): void {
     this.heartbeatSender.answersBlocked = blocked;
     this.server.commandsBlocked = blocked;
   }
 
   /** Blocks heartbeats; commands of controllers still reach the worker. */
-  setMute(blocked: boolean): void {
+  setHeartbeatsBlocked(blocked: boolean): void {
     this.heartbeatSender.heartbeatsBlocked = blocked;
   }
 
@@ -205,7 +205,11 @@
     const heartbeat = { agentEpoch: this.sentAgentEpoch, sentAt };
     if (answer === null || !this.agentEpoch.admitAnswer(answer.fencingToken, heartbeat)) return;
     const { highestFencingToken } = this.agentEpoch;
-    this.environment.heartbeatObserver?.obeyed?.(this.machine, node.name, highestFencingToken);
+    this.environment.heartbeatObserver?.answerAccepted?.(
+      this.machine,
+      node.name,
+      highestFencingToken,
+    );
     this.tasks.execute(answer.orders);
     this.environment.lateHeartbeats.answerAccepted(node);
   }
--- a/packages/testing/stand-ins/workload/workload.test.ts
+++ b/packages/testing/stand-ins/workload/workload.test.ts
@@ -1,16 +1,16 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { jobToWire, parseJob } from '#wire';
-import { Chance } from '../../random.js';
-import { USUAL_CLASSES } from './job-class.js';
+import { SeededRandom } from '../../random.js';
+import { DEFAULT_CLASSES } from './job-class.js';
 import { makeWorkload } from './workload.js';
 
 const TEAMS = ['red', 'blue'];
 const LENGTH_S = 6000;
 
 function makeTestWorkload(seed: number, intensity = 1) {
-  const chance = new Chance(seed);
-  const options = { classes: USUAL_CLASSES, teams: TEAMS, lengthS: LENGTH_S, intensity };
+  const chance = new SeededRandom(seed);
+  const options = { classes: DEFAULT_CLASSES, teams: TEAMS, lengthS: LENGTH_S, intensity };
   return makeWorkload(() => chance.next(), options);
 }
 
@@ -31,13 +31,17 @@
   }
 });
 
-for (const jobClass of USUAL_CLASSES) {
+for (const jobClass of DEFAULT_CLASSES) {
   const name = jobClass.template.class;
   test(`${name}: rates, sizes, run times and cancellations match the class`, () => {
     const plan = makeTestWorkload(4, 2).filter(({ program }) => program.job.class === name);
     const { arrivals, run, tasks, cancelledShare } = jobClass;
     const expected =
-      (arrivals.perMinute * 2 * LENGTH_S * (arrivals.together[0] + arrivals.together[1])) / 120;
+      (arrivals.perMinute *
+        2 *
+        LENGTH_S *
+        (arrivals.jobsPerArrival[0] + arrivals.jobsPerArrival[1])) /
+      120;
     assert.ok(Math.abs(plan.length / expected - 1) < 0.25, `${plan.length} of ${expected}`);
     const isService = jobClass.template.kind === 'service';
     const times = plan
--- a/packages/testing/stand-ins/workload/workload.ts
+++ b/packages/testing/stand-ins/workload/workload.ts
@@ -70,7 +70,7 @@
   for (let atS = 0; ;) {
     atS += exponential(random, perSecond);
     if (atS >= lengthS) return times;
-    const count = uniformInteger(random, arrivals.together);
+    const count = uniformInteger(random, arrivals.jobsPerArrival);
     times.push(...Array<number>(count).fill(atS));
   }
 }
@@ -102,18 +102,21 @@
 
   /** Makes the jobs of one pipeline, of which one may be cancelled. Only the last stage has a deadline. */
   makePipeline(pipeline: Pipeline, submitAtS: number): PlannedJob[] {
-    const { stages, lateShare, cancelledShare, deadlineS, mixesTeams } = pipeline;
+    const { stages, lateSubmissionShare, cancelledShare, deadlineS, mixesTeams } = pipeline;
     const team = this.teams[Math.floor(this.random() * this.teams.length)];
     const jobsOfStages: PlannedJob[][] = [];
     for (const [number, stage] of stages.entries()) {
       const isLast = number === stages.length - 1;
-      const dependencies = stage.awaits.flatMap((each) => jobsOfStages[each].map(jobIdOf));
+      const dependencies = stage.dependsOnStages.flatMap((each) => jobsOfStages[each].map(jobIdOf));
       const jobs = Array.from({ length: uniformInteger(this.random, stage.jobs) }, () => {
         const planned = this.makeJob(stage.jobClass, submitAtS);
         const { job } = planned.program;
         if (!mixesTeams) job.team = team;
         Object.assign(job, { awaits: dependencies, deadlineS: isLast ? deadlineS : null });
-        return { ...planned, submittedAfterDependenciesEnd: isLast && this.random() < lateShare };
+        return {
+          ...planned,
+          submittedAfterDependenciesEnd: isLast && this.random() < lateSubmissionShare,
+        };
       });
       jobsOfStages.push(jobs);
     }
@@ -126,7 +129,7 @@
   }
 
   private makeProgram(jobClass: JobClass): JobProgram {
-    const { template, run, images } = jobClass;
+    const { template, run, imageCount } = jobClass;
     const tasks = uniformInteger(this.random, jobClass.tasks);
     const isService = template.kind === 'service';
     const runS = Array.from({ length: tasks }, () => logNormal(this.random, run));
@@ -136,12 +139,12 @@
       id: this.drawId(),
       team: this.teams[Math.floor(this.random() * this.teams.length)],
       tasks,
-      image: `${template.class}-${uniformInteger(this.random, [1, images])}`,
+      image: `${template.class}-${uniformInteger(this.random, [1, imageCount])}`,
       estimateS,
       deadlineS: isService ? null : estimateS * DEADLINE_FACTOR + DEADLINE_EXTRA_S,
       awaits: [],
     };
-    const alwaysFails = this.random() < jobClass.mistakenShare;
+    const alwaysFails = this.random() < jobClass.failingShare;
     return { job, runS, failsAfterS: alwaysFails ? uniform(this.random, FAILS_AFTER_S) : null };
   }
 
--- a/packages/testing/stand-ins/world-state.ts
+++ b/packages/testing/stand-ins/world-state.ts
@@ -15,7 +15,7 @@
   facts: MachineFacts;
   hanging: boolean;
   /** Whether the cloud has announced that it will reclaim the machine. */
-  noticed: boolean;
+  reclaimAnnounced: boolean;
   tasks: Map<string, TaskPlacement>;
 }
 
@@ -29,12 +29,12 @@
     switch (event.kind) {
       case 'machine-up': {
         const { machine: facts } = event;
-        const state = { facts, hanging: false, noticed: false, tasks: new Map() };
+        const state = { facts, hanging: false, reclaimAnnounced: false, tasks: new Map() };
         this.machines.set(facts.name, state);
         break;
       }
       case 'machine-noticed':
-        this.machine(event.machine).noticed = true;
+        this.machine(event.machine).reclaimAnnounced = true;
         break;
       case 'machine-gone':
         this.machines.delete(event.machine);
@@ -65,13 +65,13 @@
   }
 
   /** Returns the tasks of the job on all machines, including tasks that wait for their images. */
-  places(job: string): TaskPlacement[] {
+  placements(job: string): TaskPlacement[] {
     return [...(this.placementsByJob.get(job) ?? [])];
   }
 
   /** Returns the tasks of the job whose images are complete. */
   started(job: string): TaskPlacement[] {
-    return this.places(job).filter((placement) => placement.started);
+    return this.placements(job).filter((placement) => placement.started);
   }
 
   /** Returns the jobs of which at least one task has its image. */
--- a/packages/testing/state-world.ts
+++ b/packages/testing/state-service-fixture.ts
@@ -12,12 +12,12 @@
 } from './simulation/index.js';
 import { StateService } from './stand-ins/index.js';
 
-const NO_SKEW = { zeroS: 0, drift: 0, wallOffsetMs: 0 };
+const NO_SKEW = { initialS: 0, drift: 0, wallOffsetMs: 0 };
 /** Interval in seconds at which `runUntil` checks its condition. */
 const POLL_INTERVAL_S = 0.01;
 
 /** A state service, and hosts whose processes reach it over a simulated network. */
-export class StateWorld {
+export class StateServiceFixture {
   readonly network: SimulatedNetwork;
   readonly service: StateService;
 
@@ -30,8 +30,8 @@
     this.service = new StateService(runtime, { ...limits, valueKb: limits.valueBytes / 1024 });
   }
 
-  static async start(limits: StateLimits, seed = 1): Promise<StateWorld> {
-    const state = new StateWorld(new World(seed), limits);
+  static async start(limits: StateLimits, seed = 1): Promise<StateServiceFixture> {
+    const state = new StateServiceFixture(new World(seed), limits);
     await state.service.listen(STATE_ADDRESS);
     return state;
   }
--- a/packages/wire/heartbeat.test.ts
+++ b/packages/wire/heartbeat.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { anyHeartbeat, SEEDED } from '#testing';
+import { anyHeartbeat, PROPERTY_TEST_OPTIONS } from '#testing';
 import { decode, encode } from './cbor.js';
 import { parseHeartbeat, heartbeatToWire } from './heartbeat.js';
 
@@ -10,6 +10,6 @@
     fc.property(anyHeartbeat, (heartbeat) =>
       assert.deepEqual(parseHeartbeat(decode(encode(heartbeatToWire(heartbeat)))), heartbeat),
     ),
-    SEEDED,
+    PROPERTY_TEST_OPTIONS,
   );
 });
--- a/packages/wire/job.test.ts
+++ b/packages/wire/job.test.ts
@@ -1,14 +1,14 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { anyJob, SEEDED } from '#testing';
+import { anyJob, PROPERTY_TEST_OPTIONS } from '#testing';
 import { decode, encode, MalformedBody } from './cbor.js';
 import { jobToWire, parseJob } from './job.js';
 
 test('a job that is encoded and decoded again is unchanged', () => {
   fc.assert(
     fc.property(anyJob, (job) => assert.deepEqual(parseJob(decode(encode(jobToWire(job)))), job)),
-    SEEDED,
+    PROPERTY_TEST_OPTIONS,
   );
 });
 
--- a/packages/wire/waits.test.ts
+++ b/packages/wire/waits.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { HandClock } from '#testing';
+import { ManualClock } from '#testing';
 import { every, WakeableWait } from './waits.js';
 
 test('a wait ends after its delay, on wake or when its signal aborts, and leaves no timer', async () => {
-  const clock = new HandClock();
+  const clock = new ManualClock();
   const wakeable = new WakeableWait(clock);
   const abortController = new AbortController();
   wakeable.wake();
