--- a/packages/bundle/main.ts
+++ b/packages/bundle/main.ts
@@ -8,7 +8,7 @@
 
 /** Writes the code cache in a process with a controller's options, because V8 accepts it only with equal options. */
 function writeCodeCache(): void {
-  const program = fileURLToPath(new URL('./keep-compiled.js', import.meta.url));
+  const program = fileURLToPath(new URL('./write-code-cache.js', import.meta.url));
   const { status, error } = spawnSync(process.execPath, [...nodeOptions(), program], {
     stdio: 'inherit',
   });
--- a/packages/bundle/keep-compiled.ts
+++ b/packages/bundle/write-code-cache.ts
@@ -5,7 +5,7 @@
 import { writeFileSync } from 'node:fs';
 import { setFlagsFromString } from 'node:v8';
 import { CACHE_FILE, compileProgram, loadProgram } from '../cli/launch.cjs';
-import { warmUp } from './rehearsal.js';
+import { warmUp } from './warm-up.js';
 
 // Without this flag V8 discards the compiled code of functions that have not run for a while, and the cache would
 // lack them. V8 accepts a cache only under the options with which it was written, so the default is restored first.
--- a/packages/controller/api/admission.ts
+++ b/packages/controller/api/admission.ts
@@ -22,7 +22,7 @@
 /** Dependencies of `Admission`. */
 export interface AdmissionOptions {
   runtime: Runtime;
-  client: Pick<StateClient, 'usersChangesPerS' | 'usersWaitS' | 'failingSince'>;
+  client: Pick<StateClient, 'userChangesPerS' | 'userWaitS' | 'failingSince'>;
   commits: Pick<GroupCommit, 'changesAhead' | 'shareOf' | 'isFull'>;
   heartbeatIntervalS: number;
   log: Log;
@@ -53,7 +53,7 @@
   /** Null if a submission of the team may queue; otherwise the seconds after which the user should retry. */
   refusalDelayS(team: string): number | null {
     const { client, commits, heartbeatIntervalS } = this.options;
-    const { expected, longest } = client.usersWaitS(commits.changesAhead(team) + 1);
+    const { expected, longest } = client.userWaitS(commits.changesAhead(team) + 1);
     const isWaitAcceptable =
       expected <= MAX_WAIT_INTERVALS * heartbeatIntervalS && longest <= MAX_WORST_CASE_WAIT_S;
     if (!commits.isFull && isWaitAcceptable) return null;
@@ -88,10 +88,10 @@
    */
   refuse(team: string): number {
     const { runtime, client, commits } = this.options;
-    const { expected } = client.usersWaitS(commits.changesAhead(team) + 1);
+    const { expected } = client.userWaitS(commits.changesAhead(team) + 1);
     const now = runtime.clock.now();
     const refusals = this.getOrCreateRefusals(team);
-    const recordsPerS = client.usersChangesPerS * commits.shareOf(team);
+    const recordsPerS = client.userChangesPerS * commits.shareOf(team);
     const retryAt = Math.max(refusals.lastRetryAt, now + expected) + 1 / recordsPerS;
     const hasOwnRetryTime = retryAt <= now + MAX_RETRY_AFTER_S;
     if (hasOwnRetryTime) refusals.lastRetryAt = retryAt;
--- a/packages/controller/api/cancellation-handler.ts
+++ b/packages/controller/api/cancellation-handler.ts
@@ -3,7 +3,7 @@
 import type { StateClient } from '#store';
 import { isJobId, NoAnswer } from '#wire';
 import type { JobTable } from '../jobs/job-table.js';
-import { jobEnding } from '../records/job-ending.js';
+import { createJobEnding } from '../records/job-ending.js';
 import type { JobStore } from './job-store.js';
 import { replyError, replyJob } from './replies.js';
 
@@ -35,7 +35,7 @@
     // is safe to stop the tasks early, since nobody needs the tasks of a job whose user cancelled it.
     if (record?.phase === 'accepted') onCancel(id);
     for (let attempt = 0; record?.phase === 'accepted' && attempt < MAX_WRITE_ATTEMPTS; attempt++) {
-      const { condition, change } = jobEnding(record, 'cancelled', client.limits.valueBytes);
+      const { condition, change } = createJobEnding(record, 'cancelled', client.limits.valueBytes);
       const { team } = record.job;
       const write = { id, team, value: change.value, version: condition.version };
       try {
--- a/packages/controller/api/dependency-validator.ts
+++ b/packages/controller/api/dependency-validator.ts
@@ -1,5 +1,5 @@
 /** Checks the dependencies of submitted jobs. */
-import { type Job, JOB_FIELDS } from '#wire';
+import { type Job, JOB_FIELD_NAMES } from '#wire';
 import type { EndedJob, JobTable, OpenJob } from '../jobs/job-table.js';
 
 /** Checks the dependencies of a submission against the job table, and updates the table first if necessary. */
@@ -16,9 +16,9 @@
     if (dependencies.some((id) => !this.jobs.get(id))) await this.jobs.cache.sync();
     for (const id of dependencies) {
       const dependency = this.jobs.get(id);
-      if (!dependency) return `${JOB_FIELDS.awaits}: ${id} was never accepted`;
+      if (!dependency) return `${JOB_FIELD_NAMES.awaits}: ${id} was never accepted`;
       if (isService(dependency)) {
-        return `${JOB_FIELDS.awaits}: ${id} is a service, which is never done`;
+        return `${JOB_FIELD_NAMES.awaits}: ${id} is a service, which is never done`;
       }
     }
     return null;
--- a/packages/controller/api/health-endpoint.ts
+++ b/packages/controller/api/health-endpoint.ts
@@ -32,8 +32,8 @@
       now: runtime.clock.now(),
       isLoaded: jobs.cache.isLoaded && types.all().length > 0,
       isServiceFailing: client.isFailing,
-      lastSuccessAt: client.lastOkAt,
-      lastFailureAt: client.lastFailAt,
+      lastSuccessAt: client.lastSuccessAt,
+      lastFailureAt: client.lastFailureAt,
       peers: statuses.statuses(),
       toleranceS: TOLERANCE_INTERVALS * settings.deployment.workers.report_s,
     });
--- a/packages/controller/api/socket-shares.ts
+++ b/packages/controller/api/socket-shares.ts
@@ -1,5 +1,5 @@
 /** Divides the sockets that a controller may use among their purposes. */
-import { MAX_SOCKETS } from '#wire';
+import { DEFAULT_MAX_SOCKETS } from '#wire';
 
 /** The HTTP server's share of the sockets that remain after those for peers, state service and cloud. */
 const SERVER_CONNECTION_SHARE = 5 / 6;
@@ -22,7 +22,10 @@
  * smaller share.
  */
 export function divideSockets(sockets: number, peers: number): SocketShares {
-  const reserved = Math.min(sockets / 2, SOCKETS_PER_PEER * peers + EXTERNAL_CLIENTS * MAX_SOCKETS);
+  const reserved = Math.min(
+    sockets / 2,
+    SOCKETS_PER_PEER * peers + EXTERNAL_CLIENTS * DEFAULT_MAX_SOCKETS,
+  );
   const serverConnections = Math.floor((sockets - reserved) * SERVER_CONNECTION_SHARE);
   return {
     serverConnections,
--- a/packages/controller/api/submission-check.ts
+++ b/packages/controller/api/submission-check.ts
@@ -1,7 +1,7 @@
 /** Checks the content of submissions, without looking up their ids. */
 import { type ReplicaShape, type TeamQuota, typeFits, withinLimit } from '#core';
 import { encodeJob, jobKey, type JobRecord, sizeInJson } from '#store';
-import { type Job, JOB_FIELDS, type MachineType, MalformedBody, parseJob } from '#wire';
+import { type Job, JOB_FIELD_NAMES, type MachineType, MalformedBody, parseJob } from '#wire';
 import type { ControllerServices } from '../services.js';
 import { teamQuotas } from '../settings/settings.js';
 
@@ -58,9 +58,9 @@
 
   /** The reason why a job can never run, or null. Ignores machine types until they are loaded. */
   private findPermanentObstacle(job: Job): string | null {
-    if (job.awaits.includes(job.id)) return `${JOB_FIELDS.awaits}: a job can't await itself`;
+    if (job.awaits.includes(job.id)) return `${JOB_FIELD_NAMES.awaits}: a job can't await itself`;
     const quota = this.teams.get(job.team);
-    if (!quota) return `${JOB_FIELDS.team}: unknown team`;
+    if (!quota) return `${JOB_FIELD_NAMES.team}: unknown team`;
     const types = this.services.types.all();
     return findQuotaExcess(job, quota) ?? (types.length > 0 ? findTypeMismatch(job, types) : null);
   }
@@ -98,8 +98,8 @@
   for (const amount of ['cpus', 'gpus'] as const) {
     const needed = job[amount] * tasksAtOnce;
     if (withinLimit(quota, NO_RESOURCES, { ...NO_RESOURCES, [amount]: needed })) continue;
-    const fields = tasksAtOnce > 1 ? `${JOB_FIELDS.tasks}, ` : '';
-    return `${fields}${JOB_FIELDS[amount]}: ${needed} at once is more than the team's limit`;
+    const fields = tasksAtOnce > 1 ? `${JOB_FIELD_NAMES.tasks}, ` : '';
+    return `${fields}${JOB_FIELD_NAMES[amount]}: ${needed} at once is more than the team's limit`;
   }
   return null;
 }
@@ -108,15 +108,16 @@
 function findTypeMismatch(job: Job, types: MachineType[]): string | null {
   if (types.some((type) => typeFits(job, type))) return null;
   const listed = types.filter(({ name }) => job.types === null || job.types.includes(name));
-  if (listed.length === 0) return `${JOB_FIELDS.types}: no such machine type`;
+  if (listed.length === 0) return `${JOB_FIELD_NAMES.types}: no such machine type`;
   const allowed = listed.filter(({ zones }) => job.zone === null || zones.includes(job.zone));
-  if (allowed.length === 0) return `${JOB_FIELDS.zone}: no allowed machine type is in this zone`;
+  if (allowed.length === 0)
+    return `${JOB_FIELD_NAMES.zone}: no allowed machine type is in this zone`;
   const amounts = ['cpus', 'gpus', 'memory'] as const;
   const insufficient = amounts.filter((amount) =>
     allowed.every((type) => type[amount] < job[amount]),
   );
   const fields = (insufficient.length > 0 ? insufficient : amounts).map(
-    (amount) => JOB_FIELDS[amount],
+    (amount) => JOB_FIELD_NAMES[amount],
   );
   return `${fields.join(', ')}: a task fits no allowed machine type`;
 }
--- a/packages/controller/cloud/machine-deprovisioner.ts
+++ b/packages/controller/cloud/machine-deprovisioner.ts
@@ -1,6 +1,6 @@
 /** Returns unusable machines to the cloud. */
 import type { FleetState, Machine } from '#core';
-import { type Clock, RELEASE_AT_ONCE } from '#wire';
+import { type Clock, MAX_MACHINES_PER_RELEASE } from '#wire';
 import type { Log } from '../observability/log.js';
 import type { CloudAccess } from './cloud-access.js';
 import type { MachineList } from './machine-list.js';
@@ -31,7 +31,8 @@
   async deprovisionUnusable(now: number, signal: AbortSignal): Promise<void> {
     const { fleet, leaseS } = this.options;
     const unusable = unusableMachines(fleet, now, leaseS);
-    if (unusable.length > 0) await this.deprovision(unusable.slice(0, RELEASE_AT_ONCE), signal);
+    if (unusable.length > 0)
+      await this.deprovision(unusable.slice(0, MAX_MACHINES_PER_RELEASE), signal);
   }
 
   private async deprovision(machines: Machine[], signal: AbortSignal): Promise<void> {
--- a/packages/controller/cloud/machine-provisioner.ts
+++ b/packages/controller/cloud/machine-provisioner.ts
@@ -1,6 +1,6 @@
 /** Requests the machines of a capacity plan from the cloud. */
 import type { ScaleOutRequest } from '#core';
-import { type Clock, MACHINES_PER_REQUEST, NoAnswer } from '#wire';
+import { type Clock, MAX_MACHINES_PER_REQUEST, NoAnswer } from '#wire';
 import type { ShardLeader } from '../leadership/shard-leader.js';
 import type { Log } from '../observability/log.js';
 import type { CloudAccess } from './cloud-access.js';
@@ -81,8 +81,8 @@
 /** Splits a request into requests of at most as many machines as one call may provision. */
 function splitByCall(scaleOut: ScaleOutRequest): ScaleOutRequest[] {
   const requests: ScaleOutRequest[] = [];
-  for (let left = scaleOut.count; left > 0; left -= MACHINES_PER_REQUEST) {
-    requests.push({ ...scaleOut, count: Math.min(left, MACHINES_PER_REQUEST) });
+  for (let left = scaleOut.count; left > 0; left -= MAX_MACHINES_PER_REQUEST) {
+    requests.push({ ...scaleOut, count: Math.min(left, MAX_MACHINES_PER_REQUEST) });
   }
   return requests;
 }
--- a/packages/controller/controller.ts
+++ b/packages/controller/controller.ts
@@ -17,7 +17,7 @@
 import type { Log } from './observability/log.js';
 import { loadReplicaSupport } from './replica-support.js';
 import { ONLY_SHARD } from './services.js';
-import type { MoveSettings } from './settings/operator-settings.js';
+import type { MigrationSettings } from './settings/operator-settings.js';
 import type { Settings } from './settings/settings.js';
 
 /** One controller of a cluster. Starts and stops all its components. */
@@ -71,7 +71,7 @@
     replicas.support = await loadReplicaSupport({ runtime, settings, log }, classes);
   }
 
-  private loadShardMigrator(limits: MoveSettings): Promise<ShardMigrator> {
+  private loadShardMigrator(limits: MigrationSettings): Promise<ShardMigrator> {
     const { runtime, settings, log } = this;
     const { services, state, statuses, terms } = this.components;
     const { client, election, jobs } = services;
--- a/packages/controller/heartbeats/heartbeat-endpoint.ts
+++ b/packages/controller/heartbeats/heartbeat-endpoint.ts
@@ -10,7 +10,7 @@
 } from '#wire';
 import { reply, replyError } from '../api/replies.js';
 import { readBody } from '../api/request-body.js';
-import { mayReachLeader } from '../leadership/leader-reachability.js';
+import { shouldRedirectToLeader } from '../leadership/leader-reachability.js';
 import type { ShardLeader } from '../leadership/shard-leader.js';
 import type { ControllerServices } from '../services.js';
 import type { StandbyRenewal } from '../leadership/standby-renewal.js';
@@ -100,7 +100,7 @@
 
   private isLeaderReachable(leader: string): boolean {
     const { runtime, statuses, silenceS } = this.options;
-    return mayReachLeader({
+    return shouldRedirectToLeader({
       now: runtime.clock.now(),
       leader: statuses.statusOf(leader),
       peers: statuses.statuses(),
--- a/packages/controller/jobs/job-intake.test.ts
+++ b/packages/controller/jobs/job-intake.test.ts
@@ -41,13 +41,13 @@
     [...fleet.jobs.waiting].map((job) => job.spec.id),
     ['j-2'],
   );
-  assert.deepEqual([...intake.unrecorded.keys()], ['j-1']);
+  assert.deepEqual([...intake.unrecordedCancellations.keys()], ['j-1']);
   // Tasks that an earlier term has started are stopped.
   const job = fleet.jobs.get('j-1')!;
   fleet.assignments.inherit(job, 0, aMachine(fleet, 'n-1'), 1, 0);
   assert.equal(job.assignments.get(0)?.[0].stop?.graceS, 0);
   intake.accept({ ...createAcceptedRecord('j-1'), phase: 'cancelled', version: 2 });
-  assert.equal(intake.unrecorded.size, 0);
+  assert.equal(intake.unrecordedCancellations.size, 0);
 });
 
 test('a cancellation request ends an open job, and only once', async () => {
--- a/packages/controller/jobs/job-intake.ts
+++ b/packages/controller/jobs/job-intake.ts
@@ -24,7 +24,7 @@
    * time of the cancellation or of the last attempt to record it, in steady seconds. Within the term these jobs stay
    * cancelled, whatever happens to the request.
    */
-  readonly unrecorded = new Map<string, number>();
+  readonly unrecordedCancellations = new Map<string, number>();
 
   constructor(private readonly options: JobIntakeOptions) {}
 
@@ -36,7 +36,7 @@
     const known = fleet.jobs.get(job.id);
     if (known === undefined) this.add(record, now);
     else if (phase !== 'accepted') fleet.closeJob(known, phase, now);
-    if (phase !== 'accepted') this.unrecorded.delete(job.id);
+    if (phase !== 'accepted') this.unrecordedCancellations.delete(job.id);
   }
 
   private add(record: JobRecord, now: number): void {
@@ -84,7 +84,7 @@
     if (job?.phase !== 'accepted') return false;
     const now = clock.now();
     fleet.closeJob(job, 'cancelled', now);
-    this.unrecorded.set(id, now);
+    this.unrecordedCancellations.set(id, now);
     return true;
   }
 }
--- a/packages/controller/jobs/job-table.test.ts
+++ b/packages/controller/jobs/job-table.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { setFlagsFromString } from 'node:v8';
 import { runInNewContext } from 'node:vm';
-import { encodeJob, jobKey, JOBS, PrefixCache } from '#store';
+import { encodeJob, jobKey, JOBS_PREFIX, PrefixCache } from '#store';
 import { aJob, StateWorld } from '#testing';
 import { Cancellations } from '../peers/cancellations.js';
 import { JobTable } from './job-table.js';
@@ -19,7 +19,7 @@
   const state = await StateWorld.start(LIMITS);
   const runtime = state.controller();
   const client = state.client(runtime);
-  const caching = { client, runtime, prefix: JOBS, watchMs: 10_000, syncSpacingMs: 0 };
+  const caching = { client, runtime, prefix: JOBS_PREFIX, watchMs: 10_000, syncSpacingMs: 0 };
   const cache = new PrefixCache(caching);
   return { state, cache, jobs: new JobTable(cache, new Cancellations(100, 70)) };
 }
--- a/packages/controller/jobs/job-table.ts
+++ b/packages/controller/jobs/job-table.ts
@@ -159,7 +159,7 @@
   }
 
   /** Sets the leader's counts of done and running tasks of an open job, for `view`. */
-  recordTaskCounts(id: string, done: number, running: number): void {
+  setTaskCounts(id: string, done: number, running: number): void {
     if (this.records.get(id)?.phase === 'accepted') this.taskCounts.set(id, { done, running });
   }
 
--- a/packages/controller/leadership/core-from-settings.ts
+++ b/packages/controller/leadership/core-from-settings.ts
@@ -2,7 +2,7 @@
 import { CapacityPlanner, FleetListener, FleetState, isBestEffort, Random, Scheduler } from '#core';
 import type { ReplicaGroups } from '#replicas';
 import type { Term } from '#store';
-import { graceAfterLoss } from '../settings/time-bounds.js';
+import { leaderGraceS } from '../settings/time-bounds.js';
 import { Settings, teamQuotas } from '../settings/settings.js';
 
 /** Maximum decisions in one scheduling round. A round that reaches it is followed by the next one immediately. */
@@ -43,7 +43,9 @@
     listener,
     random,
     isBestEffort: (job) => isBestEffort(job, teams.get(job.team)),
-    makeReplicas: replicaGroups ? (job, shape) => replicaGroups.make(job, shape) : undefined,
+    makeReplicas: replicaGroups
+      ? (job, shape) => replicaGroups.createJobGroups(job, shape)
+      : undefined,
   });
   replicaGroups?.attach(fleet);
   return fleet;
@@ -51,7 +53,7 @@
 
 /** How long workers may still receive answers of a former leader after the new leader was elected, in seconds. */
 function formerLeaderActiveS(cancelS: number, leaseS: number, heartbeatIntervalS: number): number {
-  const graceS = graceAfterLoss(cancelS, leaseS, heartbeatIntervalS);
+  const graceS = leaderGraceS(cancelS, leaseS, heartbeatIntervalS);
   return graceS + ANSWER_DELIVERY_INTERVALS * heartbeatIntervalS;
 }
 
--- a/packages/controller/leadership/leader-components.ts
+++ b/packages/controller/leadership/leader-components.ts
@@ -85,7 +85,7 @@
     client,
     commits: options.commits,
     jobs,
-    unrecorded: intake.unrecorded,
+    unrecordedCancellations: intake.unrecordedCancellations,
     heartbeatIntervalS,
     log,
   });
@@ -123,7 +123,7 @@
       intake.accept(record);
     },
     onJobsAccepted: (now) => {
-      planner.assumeSteady(now);
+      planner.assumeSteadyState(now);
     },
     now: () => runtime.clock.now(),
   });
@@ -164,7 +164,7 @@
 }
 
 function observeNewJob(record: JobRecord, { support }: OptionalReplicaSupport, log: Log): void {
-  if (support !== null) support.recordJob(record);
+  if (support !== null) support.logJobWithoutGroups(record);
   else if (record.replicas) {
     log.info({ job: record.job.id }, 'job needs replica groups, which are switched off');
   }
--- a/packages/controller/leadership/leader-lease-check.test.ts
+++ b/packages/controller/leadership/leader-lease-check.test.ts
@@ -4,7 +4,7 @@
 import { aPeerStatus, SEEDED, STATED_TERM as TERM } from '#testing';
 import { isIsolatedFromWorkers, LeaderLeaseCheck, LeaderLeaseView } from './leader-lease-check.js';
 import type { PeerStatus } from '../peers/peer-status.js';
-import { checkTimes, graceAfterLoss } from '../settings/time-bounds.js';
+import { checkWorkerTimes, leaderGraceS } from '../settings/time-bounds.js';
 
 const LIMITS = { peerCount: 2, silenceS: 2, graceS: 12 };
 
@@ -109,11 +109,7 @@
 
 test('the grace period leaves workers time to end tasks before the cancellation deadline', () => {
   const heartbeats = { cancelS: 40, leaseS: 15, heartbeatIntervalS: 2.5 };
-  const grace = graceAfterLoss(
-    heartbeats.cancelS,
-    heartbeats.leaseS,
-    heartbeats.heartbeatIntervalS,
-  );
+  const grace = leaderGraceS(heartbeats.cancelS, heartbeats.leaseS, heartbeats.heartbeatIntervalS);
   assert.ok(
     grace > 0 && grace + heartbeats.leaseS + 2 * heartbeats.heartbeatIntervalS < heartbeats.cancelS,
   );
@@ -121,11 +117,11 @@
 
 test('settings that leave a leader no time to learn of a cancellation are rejected', () => {
   const workers = { report_s: 1, lease_s: 10, gang_wait_s: 45, gang_peer_s: 8, cancel_s: 35 };
-  assert.equal(checkTimes(workers), null);
-  const problem = checkTimes({ ...workers, cancel_s: 13 });
+  assert.equal(checkWorkerTimes(workers), null);
+  const problem = checkWorkerTimes({ ...workers, cancel_s: 13 });
   assert.equal(problem?.field, 'deployment.workers.cancel_s');
   assert.match(problem.reason, /^must be at least 14\.0[2-3]/);
-  assert.equal(checkTimes({ ...workers, cancel_s: 14.03 }), null);
+  assert.equal(checkWorkerTimes({ ...workers, cancel_s: 14.03 }), null);
 });
 
 test('a leader steps down if and only if almost no worker reaches it while some reach its peers', () => {
--- a/packages/controller/leadership/leader-lease-check.ts
+++ b/packages/controller/leadership/leader-lease-check.ts
@@ -25,7 +25,7 @@
   peerCount: number;
   /** A peer that has sent no status for this long is unreachable. */
   silenceS: number;
-  /** How long the leader may act after the last moment at which both conditions were proven; see graceAfterLoss. */
+  /** How long the leader may act after the last moment at which both conditions were proven; see leaderGraceS. */
   graceS: number;
 }
 
@@ -56,13 +56,13 @@
     const { now } = view;
     const { graceS, silenceS } = this.limits;
     this.proof.record(view);
-    const informedAt = Math.max(view.jobsCurrentAt, this.proof.informedAt);
+    const informedAt = Math.max(view.jobsCurrentAt, this.proof.cancellationsKnownAt);
     if (now >= informedAt + graceS) return 'none';
     if (now < view.leaseProvenUntil) return 'granted';
     if (view.peers.some((peer) => isSuccessor(view, peer, silenceS))) return 'none';
     const soleLeaderAt = Math.max(view.leaseRenewedAt, this.proof.soleLeaderAt);
     if (now >= soleLeaderAt + graceS) return 'none';
-    const attestedAt = Math.min(this.proof.soleLeaderAt, this.proof.informedAt);
+    const attestedAt = Math.min(this.proof.soleLeaderAt, this.proof.cancellationsKnownAt);
     return now < attestedAt + silenceS ? 'attested' : 'grace';
   }
 }
--- a/packages/controller/leadership/leader-lease.ts
+++ b/packages/controller/leadership/leader-lease.ts
@@ -8,7 +8,7 @@
 import type { PlatformSettings } from '../settings/platform-settings.js';
 import type { ControllerServices } from '../services.js';
 import type { StatusExchange } from '../peers/status-exchange.js';
-import { graceAfterLoss } from '../settings/time-bounds.js';
+import { leaderGraceS } from '../settings/time-bounds.js';
 
 /** Heartbeat intervals without a status after which a peer counts as unreachable. */
 const SILENCE_INTERVALS = 2;
@@ -43,7 +43,7 @@
     return this.check.evaluate({
       now: runtime.clock.now(),
       term,
-      leaseProvenUntil: election.provenUntil,
+      leaseProvenUntil: election.soleLeaderUntil,
       leaseRenewedAt: election.soleLeaderAt,
       jobsCurrentAt: jobs.cache.syncedAt,
       jobsRevision: jobs.cache.revision,
@@ -62,6 +62,6 @@
   return {
     peerCount: nodes - 1,
     silenceS: SILENCE_INTERVALS * workers.report_s,
-    graceS: graceAfterLoss(workers.cancel_s, workers.lease_s, workers.report_s),
+    graceS: leaderGraceS(workers.cancel_s, workers.lease_s, workers.report_s),
   };
 }
--- a/packages/controller/leadership/leader-reachability.test.ts
+++ b/packages/controller/leadership/leader-reachability.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
-  mayReachLeader,
+  shouldRedirectToLeader,
   nextControllerForWorkers,
   wouldLoseWorkerLeases,
 } from './leader-reachability.js';
@@ -16,7 +16,12 @@
 }
 
 function redirects(leader: PeerStatus | null, ...others: (PeerStatus | null)[]): boolean {
-  return mayReachLeader({ now: NOW, leader, peers: [leader, ...others], silenceS: SILENCE_S });
+  return shouldRedirectToLeader({
+    now: NOW,
+    leader,
+    peers: [leader, ...others],
+    silenceS: SILENCE_S,
+  });
 }
 
 test('workers are redirected to a leader that is reachable or has sent no status yet', () => {
--- a/packages/controller/leadership/leader-reachability.ts
+++ b/packages/controller/leadership/leader-reachability.ts
@@ -17,7 +17,12 @@
  * makes the worker wait several seconds for an answer, which may use up the rest of the worker's lease. A worker that
  * tries the other controllers instead soon finds the next leader.
  */
-export function mayReachLeader({ now, leader, peers, silenceS }: LeaderReachabilityView): boolean {
+export function shouldRedirectToLeader({
+  now,
+  leader,
+  peers,
+  silenceS,
+}: LeaderReachabilityView): boolean {
   if (leader === null) return true;
   if (isReachable(leader, now, silenceS)) return !leader.frame.unreachable;
   // If this controller reaches no peer at all, it can't tell whether other controllers still reach the leader.
--- a/packages/controller/leadership/shard-leader.ts
+++ b/packages/controller/leadership/shard-leader.ts
@@ -121,13 +121,13 @@
   /** Applies a heartbeat and returns the answer; null if it is a duplicate that arrived late. */
   acceptHeartbeat(heartbeat: Heartbeat): HeartbeatAnswer | null {
     const { recorder, flushLoop } = this.components;
-    const wasPending = recorder.pending;
+    const wasPending = recorder.hasPendingChanges;
     const outcome = this.fleet.heartbeats.handle(heartbeat, this.options.runtime.clock.now());
     if (outcome.kind === 'late-copy') return null;
     const { orders } = outcome;
     const fencingToken = this.fleet.machines.get(heartbeat.machine)?.fencingToken ?? this.term.term;
     logOrders(this.options.log, heartbeat.machine, orders);
-    if (recorder.pending && !wasPending) {
+    if (recorder.hasPendingChanges && !wasPending) {
       flushLoop.wake();
       this.requestRound();
     }
@@ -139,7 +139,7 @@
     for (const type of types()) this.fleet.machines.setType(type);
     const loader = composeRecordLoader(this.options, this.components);
     this.foundNoMachines = (await loader.load(signal)) === 0;
-    this.replicaGroups?.loaded(runtime.clock.now());
+    this.replicaGroups?.recordsLoaded(runtime.clock.now());
   }
 
   /** Applies changes of jobs to the fleet state until the subscription ends. */
@@ -154,7 +154,7 @@
     if (event.kind === 'record') {
       const { record } = event;
       intake.accept(record);
-      if (record.phase !== 'accepted') recorder.jobRecords.jobEnded(record.job);
+      if (record.phase !== 'accepted') recorder.jobRecords.markJobEnded(record.job);
     } else intake.applyDependencyChange(event);
     this.requestRound();
   }
@@ -177,7 +177,7 @@
     const { schedulingRound, recorder, flushLoop, cancellationRecorder } = this.components;
     const now = this.options.runtime.clock.now();
     const decisions = schedulingRound.run(now);
-    if (recorder.pending) flushLoop.wake();
+    if (recorder.hasPendingChanges) flushLoop.wake();
     this.pushCommands(signal);
     cancellationRecorder.recordDue();
     this.summaryLog.update(now);
--- a/packages/controller/leadership/shard-migration.ts
+++ b/packages/controller/leadership/shard-migration.ts
@@ -1,7 +1,7 @@
 /** Connects this controller to the package `shards`, which carries out planned moves of the shard. */
 import type { ShardMigrator, TransferableLeader } from '#shards';
-import { MACHINES, type PrefixCache, PROGRESS } from '#store';
-import type { MoveSettings } from '../settings/operator-settings.js';
+import { MACHINES_PREFIX, type PrefixCache, PROGRESS_PREFIX } from '#store';
+import type { MigrationSettings } from '../settings/operator-settings.js';
 import type { LeadershipTerms } from './leadership-terms.js';
 import type { ControllerServices } from '../services.js';
 import type { StatusExchange } from '../peers/status-exchange.js';
@@ -28,11 +28,11 @@
 /** Loads the package and creates the migrator. Must be called only if the operators have switched moves on. */
 export async function loadShardMigrator(
   options: ShardMigrationOptions,
-  limits: MoveSettings,
+  limits: MigrationSettings,
 ): Promise<ShardMigrator> {
   const { runtime, settings, client, election, jobs, world, shard, terms, log } = options;
   const { ShardMigrator, RecordPrefetch } = await import('#shards');
-  const recordPrefetch = new RecordPrefetch(client, [MACHINES, PROGRESS]);
+  const recordPrefetch = new RecordPrefetch(client, [MACHINES_PREFIX, PROGRESS_PREFIX]);
   terms.setRecordReader((prefix, signal) => recordPrefetch.read(prefix, signal));
   return new ShardMigrator({
     runtime,
@@ -44,9 +44,9 @@
     limits,
     pollIntervalMs: (settings.deployment.workers.report_s * 1000) / POLLS_PER_HEARTBEAT,
     leader: () => transferableLeader(terms),
-    obstacle: (controller) => obstacleToLeading(controller, options),
+    findObstacle: (controller) => obstacleToLeading(controller, options),
     canLead: () => jobs.cache.isLoaded && !client.isFailing,
-    ahead: recordPrefetch,
+    prefetch: recordPrefetch,
     log,
   });
 }
--- a/packages/controller/leadership/standby-renewal-check.ts
+++ b/packages/controller/leadership/standby-renewal-check.ts
@@ -33,7 +33,7 @@
     const leadsTerm = leader?.frame.leading && leader.frame.newestLeader.term === view.term;
     if (leadsTerm) this.leaderIncarnation = leader.frame.incarnation;
     if (this.leaderHasEnded(leader)) this.proof.record(view);
-    else this.proof.recordInformed(view);
+    else this.proof.recordKnownCancellations(view);
   }
 
   /** Whether leases may be renewed at `view.now`. */
@@ -41,7 +41,7 @@
     const { graceS, silenceS } = this.limits;
     if (view.mayLead || !this.leaderHasEnded(leader)) return false;
     if (view.peers.some((peer) => isSuccessor(view, peer, silenceS))) return false;
-    const informedAt = Math.max(view.jobsCurrentAt, this.proof.informedAt);
+    const informedAt = Math.max(view.jobsCurrentAt, this.proof.cancellationsKnownAt);
     return view.now < Math.min(informedAt, this.proof.soleLeaderAt) + graceS;
   }
 
--- a/packages/controller/observability/fleet-summary.ts
+++ b/packages/controller/observability/fleet-summary.ts
@@ -49,7 +49,7 @@
     addToCount(summary.waitingTasks, job.spec.class, fleet.jobs.waitingCount(job));
   }
   for (const team of teams) {
-    summary.gpusInUse[team] = fleet.usage.ofTeam(team).gpus;
+    summary.gpusInUse[team] = fleet.usage.amountsOfTeam(team).gpus;
     summary.fairShareIndex[team] = Number(scheduler.index(team, now).toFixed(INDEX_DECIMAL_PLACES));
   }
   return summary;
--- a/packages/controller/peers/own-status.ts
+++ b/packages/controller/peers/own-status.ts
@@ -16,7 +16,7 @@
 export function readOwnStatus(sources: OwnStatusSources, now: number): OwnStatus {
   const { client, jobs, election, followerHeartbeats } = sources;
   return {
-    servedAgoMs: (now - client.lastOkAt) * 1000,
+    servedAgoMs: (now - client.lastSuccessAt) * 1000,
     refused: client.isFailing,
     loaded: jobs.cache.isLoaded,
     leading: sources.isLeading(),
--- a/packages/controller/peers/peer-proof.ts
+++ b/packages/controller/peers/peer-proof.ts
@@ -27,14 +27,14 @@
   }
 
   /** This controller knows every cancellation that any peer had confirmed by this moment. */
-  get informedAt(): number {
+  get cancellationsKnownAt(): number {
     return this.peerCount === 0 ? Infinity : Math.min(...this.knownAtByPeer);
   }
 
   /** Records both proofs. */
   record(view: ProofView): void {
     this.recordSoleLeader(view);
-    this.recordInformed(view);
+    this.recordKnownCancellations(view);
   }
 
   /** Updates `soleLeaderAt` with what the statuses prove about leaders of newer terms. */
@@ -46,8 +46,8 @@
     this.soleLeaderAt = Math.max(this.soleLeaderAt, Math.min(now, ...soleLeaderAt));
   }
 
-  /** Updates `informedAt` with what the statuses prove about known cancellations. */
-  recordInformed(view: ProofView): void {
+  /** Updates `cancellationsKnownAt` with what the statuses prove about known cancellations. */
+  recordKnownCancellations(view: ProofView): void {
     const { peers } = view;
     if (peers.length !== this.peerCount) return;
     peers.forEach((peer, index) => {
--- a/packages/controller/peers/task-count-exchange.ts
+++ b/packages/controller/peers/task-count-exchange.ts
@@ -36,6 +36,6 @@
   /** Records the counts of a leader, in this process or at a peer. */
   record(counts: CountsFrame['jobs']): void {
     for (const { job, done, running } of counts)
-      this.options.jobs.recordTaskCounts(job, done, running);
+      this.options.jobs.setTaskCounts(job, done, running);
   }
 }
--- a/packages/controller/records/batch-collector.ts
+++ b/packages/controller/records/batch-collector.ts
@@ -30,19 +30,19 @@
 
   /** Whether there are changes to record that must not wait for spare budget. */
   get hasUrgentChanges(): boolean {
-    return this.options.fleet.unrecorded.anyUrgent;
+    return this.options.fleet.unrecordedChanges.hasUrgentChanges;
   }
 
   /** Whether there are changes to record once the budget has spare capacity. */
   get hasDeferredChanges(): boolean {
     const { fleet, jobRecords } = this.options;
-    return fleet.unrecorded.machines.size > 0 || jobRecords.obsoleteChunkCount > 0;
+    return fleet.unrecordedChanges.machines.size > 0 || jobRecords.obsoleteChunkCount > 0;
   }
 
   /** Counts the changes that are waiting for the next transaction, regardless of its limits. */
   countWantedChanges(includeDeferred: boolean): number {
     const { fleet, jobRecords } = this.options;
-    const { urgentMachines, machines, jobs } = fleet.unrecorded;
+    const { urgentMachines, machines, jobs } = fleet.unrecordedChanges;
     if (!includeDeferred) return urgentMachines.size + jobs.size;
     // One more for the change of the removal marker.
     return machines.size + jobs.size + jobRecords.obsoleteChunkCount + 1;
@@ -60,7 +60,7 @@
     this.addMachines(batch, this.urgentMachines());
     this.addJobs(batch, maxChanges);
     if (includeDeferred) {
-      this.addMachines(batch, [...fleet.unrecorded.machines]);
+      this.addMachines(batch, [...fleet.unrecordedChanges.machines]);
       this.addRemovals(batch);
     }
     return batch;
@@ -68,7 +68,7 @@
 
   /** Names of the machines whose records must be written before waiting tasks can start, the most urgent first. */
   private urgentMachines(): string[] {
-    const namesWithRank = [...this.options.fleet.unrecorded.urgentMachines];
+    const namesWithRank = [...this.options.fleet.unrecordedChanges.urgentMachines];
     return namesWithRank.sort(([, one], [, other]) => one - other).map(([name]) => name);
   }
 
@@ -77,7 +77,7 @@
     for (const name of names) {
       const change = machineRecords.changeOf(name);
       if (change && !batch.add(change)) return;
-      fleet.unrecorded.machineCollected(name);
+      fleet.unrecordedChanges.machineCollected(name);
     }
   }
 
@@ -91,7 +91,7 @@
 
   private addJobs(batch: RecordBatch, maxChanges: number): void {
     const { fleet, jobRecords } = this.options;
-    const { jobs } = fleet.unrecorded;
+    const { jobs } = fleet.unrecordedChanges;
     for (const id of [...jobs]) {
       const job = fleet.jobs.get(id);
       const changes = job ? jobRecords.changesOf(job) : [];
--- a/packages/controller/records/batch-sender.ts
+++ b/packages/controller/records/batch-sender.ts
@@ -1,7 +1,7 @@
 /** Sends a batch of record changes as one transaction. */
 import { HedgedRequests, shardKey, type StateClient, type Term } from '#store';
 import type { Clock } from '#wire';
-import type { FailedBatchResolver } from './batch-settlement.js';
+import type { FailedBatchResolver } from './failed-batch-resolver.js';
 import type { RecordBatch } from './record-batch.js';
 import { TermLostError } from './term-lost-error.js';
 
--- a/packages/controller/records/cancellation-recorder.ts
+++ b/packages/controller/records/cancellation-recorder.ts
@@ -3,7 +3,7 @@
 import type { Clock } from '#wire';
 import type { JobTable } from '../jobs/job-table.js';
 import type { Log } from '../observability/log.js';
-import { jobEnding } from './job-ending.js';
+import { createJobEnding } from './job-ending.js';
 
 /**
  * Time that the controller which accepted a request gets to record the cancellation, and time between
@@ -18,7 +18,7 @@
   commits: GroupCommit;
   jobs: JobTable;
   /** Jobs whose cancellation is not recorded yet, and the steady seconds since when; see `JobIntake.unrecorded`. */
-  unrecorded: Map<string, number>;
+  unrecordedCancellations: Map<string, number>;
   heartbeatIntervalS: number;
   log: Log;
 }
@@ -33,12 +33,12 @@
 
   /** Starts to record all cancellations that are due. Failures are logged at debug level and retried later. */
   recordDue(): void {
-    const { clock, client, unrecorded, heartbeatIntervalS, log } = this.options;
-    if (unrecorded.size === 0 || client.isFailing) return;
+    const { clock, client, unrecordedCancellations, heartbeatIntervalS, log } = this.options;
+    if (unrecordedCancellations.size === 0 || client.isFailing) return;
     const now = clock.now();
-    for (const [id, waitingSince] of unrecorded) {
+    for (const [id, waitingSince] of unrecordedCancellations) {
       if (now < waitingSince + RECORD_DELAY_INTERVALS * heartbeatIntervalS) continue;
-      unrecorded.set(id, now);
+      unrecordedCancellations.set(id, now);
       this.record(id).catch((err: unknown) => {
         log.debug({ job: id, err: String(err) }, 'cancellation not recorded, will be retried');
       });
@@ -49,7 +49,7 @@
     const { client, jobs, commits, log } = this.options;
     const record = jobs.get(id);
     if (record?.phase !== 'accepted') return;
-    const { condition, change } = jobEnding(record, 'cancelled', client.limits.valueBytes);
+    const { condition, change } = createJobEnding(record, 'cancelled', client.limits.valueBytes);
     const outcome = await commits.commit(record.job.team, [condition], [change]);
     if (!outcome.ok) {
       await jobs.cache.sync();
--- a/packages/controller/records/batch-settlement.ts
+++ b/packages/controller/records/failed-batch-resolver.ts
@@ -1,5 +1,5 @@
 /** Determines the outcome of a batch whose transaction failed on its conditions. */
-import { JOBS, type StateClient, type Term } from '#store';
+import { JOBS_PREFIX, type StateClient, type Term } from '#store';
 import type { Change } from '#wire';
 import type { JobTable } from '../jobs/job-table.js';
 import type { Log } from '../observability/log.js';
@@ -71,7 +71,7 @@
 }
 
 function isJobKey(key: string): boolean {
-  return key.startsWith(JOBS);
+  return key.startsWith(JOBS_PREFIX);
 }
 
 function isPut(change: Change): change is Extract<Change, { put: string }> {
--- a/packages/controller/records/flush-loop.ts
+++ b/packages/controller/records/flush-loop.ts
@@ -27,7 +27,7 @@
   async run(signal: AbortSignal): Promise<void> {
     const { recorder, idleMs, onFlushed } = this.options;
     while (!signal.aborted) {
-      if (recorder.pending && !this.paused) {
+      if (recorder.hasPendingChanges && !this.paused) {
         await recorder.flush(signal);
         onFlushed(signal);
       } else {
--- a/packages/controller/records/job-ending.ts
+++ b/packages/controller/records/job-ending.ts
@@ -10,7 +10,7 @@
 }
 
 /** Builds the change that puts an open job into its final phase; the value takes at most `valueBytes` of JSON. */
-export function jobEnding(
+export function createJobEnding(
   record: OpenJob,
   phase: EndedJob['phase'],
   valueBytes: number,
--- a/packages/controller/records/job-records.test.ts
+++ b/packages/controller/records/job-records.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { type FleetState, LARGEST_ENTRY } from '#core';
+import { type FleetState, MAX_ENTRY_BYTES } from '#core';
 import { jobKey, MAX_VALUE_BYTES, progressKey } from '#store';
 import { aJob, aMachine, aRecorder, RECORDER_LIMITS } from '#testing';
 
@@ -28,18 +28,18 @@
     const job = ensureJobWithDoneTasks(fleet, done);
     const machine = aMachine(fleet, 'n-1');
     let tasks = 0;
-    while (tasks < 700 && machine.recordBytes + LARGEST_ENTRY <= valueBytes)
+    while (tasks < 700 && machine.recordBytes + MAX_ENTRY_BYTES <= valueBytes)
       fleet.assignments.assign(job, ++tasks, machine, Number.MAX_SAFE_INTEGER, 0);
     assert.ok(tasks >= valueBytes / 64 - 4 || tasks === 700);
     await flush();
     assert.equal(tasksOn('n-1')?.length, tasks);
-    assert.equal(fleet.unrecorded.doneTasksOf(job.spec.id).size, 0);
+    assert.equal(fleet.unrecordedChanges.doneTasksOf(job.spec.id).size, 0);
     const revision = state.service.store.revision;
     ensureJobWithDoneTasks(fleet, [60_001]);
     await flush();
     // Only the changed chunk is written.
     assert.equal(state.service.store.revision, revision + 1);
-    assert.equal(fleet.unrecorded.doneTasksOf(job.spec.id).size, 0);
+    assert.equal(fleet.unrecordedChanges.doneTasksOf(job.spec.id).size, 0);
     assert.equal(state.service.store.get('jobs/j-1')?.version, 2);
   }
 });
@@ -102,11 +102,11 @@
     value: { done: 'AQ==' },
     version: leftoverVersion,
   });
-  assert.ok(recorder.pending);
+  assert.ok(recorder.hasPendingChanges);
   // Another caller uses most of the budget.
   const others = Array.from({ length: RECORDER_LIMITS.txnOps + 10 }, () => ({ delete: 'x' }));
   client.txnInBackground([], others).catch(() => {});
-  assert.ok(!recorder.pending);
+  assert.ok(!recorder.hasPendingChanges);
   await state.run(0.6);
-  assert.ok(recorder.pending);
+  assert.ok(recorder.hasPendingChanges);
 });
--- a/packages/controller/records/job-records.ts
+++ b/packages/controller/records/job-records.ts
@@ -9,7 +9,7 @@
 } from '#store';
 import type { Job } from '#wire';
 import type { JobTable } from '../jobs/job-table.js';
-import { jobEnding } from './job-ending.js';
+import { createJobEnding } from './job-ending.js';
 import type { RecordChange } from './record-change.js';
 
 /** Tasks per byte of a chunk: each task has one bit. */
@@ -56,7 +56,7 @@
     const job = this.options.fleet.jobs.get(id);
     if (job?.phase === 'accepted') {
       const first = this.layout.firstTask(label, value);
-      job.done.addText(first, value.done);
+      job.done.addBase64(first, value.done);
       this.setChunkVersion(id, key, version);
       this.markTasksBeyondChunk(job, first, value);
     } else if (this.hasJobEnded(id)) this.obsoleteChunks.set(key, version);
@@ -72,13 +72,13 @@
     first: number,
     { done: text }: ProgressValue,
   ): void {
-    const { unrecorded } = this.options.fleet;
+    const { unrecordedChanges } = this.options.fleet;
     const chunk = this.layout.chunkOf(spec.id, spec.tasks, first);
     const end = Math.min(spec.tasks, first + Buffer.byteLength(text, 'base64') * TASKS_PER_BYTE);
     for (let task = chunk.first + chunk.tasks; task < end; task++) {
       if (!done.has(task)) continue;
-      unrecorded.taskDone(spec.id, task);
-      unrecorded.jobs.add(spec.id);
+      unrecordedChanges.taskDone(spec.id, task);
+      unrecordedChanges.jobs.add(spec.id);
     }
   }
 
@@ -94,7 +94,7 @@
   }
 
   /** Marks the chunk records of a job as obsolete; called once the job's record says that it has ended. */
-  jobEnded({ id }: Job): void {
+  markJobEnded({ id }: Job): void {
     for (const [key, version] of this.chunkVersions.get(id) ?? [])
       this.obsoleteChunks.set(key, version);
     this.chunkVersions.delete(id);
@@ -126,11 +126,11 @@
     const { id } = job.spec;
     const record = jobs.get(id);
     if (record?.phase !== 'accepted') return [];
-    const { condition, change } = jobEnding(record, 'done', limits.valueBytes);
+    const { condition, change } = createJobEnding(record, 'done', limits.valueBytes);
     const onDurable = (revision: number) => {
       jobs.cache.applyLocal(change.put, change.value, revision);
     };
-    const onNotApplied = () => void fleet.unrecorded.jobs.add(id);
+    const onNotApplied = () => void fleet.unrecordedChanges.jobs.add(id);
     return [{ ...condition, change, onDurable, onNotApplied }];
   }
 
@@ -139,15 +139,15 @@
     const { id } = job.spec;
     return this.unrecordedChunks(job).map((chunk) => {
       const { key, unrecordedTasks, version } = chunk;
-      const onNotApplied = () => void fleet.unrecorded.jobs.add(id);
+      const onNotApplied = () => void fleet.unrecordedChanges.jobs.add(id);
       const onDurable = (revision: number) => {
         // A user may have cancelled the job while the transaction was in progress.
         if (this.hasJobEnded(id)) this.obsoleteChunks.set(key, revision);
         else this.setChunkVersion(id, key, revision);
-        fleet.unrecorded.tasksRecorded(id, unrecordedTasks);
+        fleet.unrecordedChanges.tasksRecorded(id, unrecordedTasks);
       };
-      const done = job.done.textOf(chunk.first, chunk.tasks);
-      const change = { put: key, value: this.layout.valueOf(chunk, done) };
+      const done = job.done.toBase64(chunk.first, chunk.tasks);
+      const change = { put: key, value: this.layout.encodeChunk(chunk, done) };
       return { key, version, change, onDurable, onNotApplied };
     });
   }
@@ -156,7 +156,7 @@
   private unrecordedChunks({ spec }: JobState): UnrecordedChunk[] {
     const versions = this.chunkVersions.get(spec.id);
     const byKey = new Map<string, UnrecordedChunk>();
-    for (const task of this.options.fleet.unrecorded.doneTasksOf(spec.id)) {
+    for (const task of this.options.fleet.unrecordedChanges.doneTasksOf(spec.id)) {
       const chunk = this.layout.chunkOf(spec.id, spec.tasks, task);
       const known = byKey.get(chunk.key);
       const version = versions?.get(chunk.key) ?? 0;
--- a/packages/controller/records/machine-records.ts
+++ b/packages/controller/records/machine-records.ts
@@ -1,6 +1,6 @@
 /** Builds the changes of machine records. */
 import type { Assignment, FleetState, Machine } from '#core';
-import { jobKey, MACHINES, type MachineRecord, type StateLimits } from '#store';
+import { jobKey, MACHINES_PREFIX, type MachineRecord, type StateLimits } from '#store';
 import type { Clock, Condition } from '#wire';
 import type { JobTable } from '../jobs/job-table.js';
 import { RecordBatch } from './record-batch.js';
@@ -44,7 +44,7 @@
   private createDeletion(name: string): RecordChange | null {
     const version = this.versionOf(name);
     if (version === 0) return null;
-    const key = MACHINES + name;
+    const key = MACHINES_PREFIX + name;
     const onDurable = () => {
       this.versions.delete(name);
     };
@@ -74,7 +74,7 @@
       fleet.fencing.fenceRecorded(machine, revision);
       if (!isComplete) onNotApplied();
     };
-    const key = MACHINES + name;
+    const key = MACHINES_PREFIX + name;
     const change = { put: key, value: encodeMachine(machine, assignments) };
     return { key, version, change, guards, onDurable, onNotApplied };
   }
@@ -86,11 +86,11 @@
 
   /** Returns a callback that marks the machine as unrecorded again, with the urgency that it has now. */
   private createRetry(name: string): () => void {
-    const { unrecorded } = this.options.fleet;
-    const rank = unrecorded.urgentMachines.get(name);
+    const { unrecordedChanges } = this.options.fleet;
+    const rank = unrecordedChanges.urgentMachines.get(name);
     return () => {
-      if (rank === undefined) unrecorded.machines.add(name);
-      else unrecorded.markMachineUrgent(name, rank);
+      if (rank === undefined) unrecordedChanges.machines.add(name);
+      else unrecordedChanges.markMachineUrgent(name, rank);
     };
   }
 
--- a/packages/controller/records/record-batch.ts
+++ b/packages/controller/records/record-batch.ts
@@ -5,7 +5,7 @@
   sizeInJson,
   type StateLimits,
   type Term,
-  TXN_BYTES,
+  MAX_TXN_BYTES,
 } from '#store';
 import type { Condition } from '#wire';
 import type { RecordChange } from './record-change.js';
@@ -77,7 +77,7 @@
   private hasCapacity(conditionCount: number, bytes: number): boolean {
     const maxConditions = this.limits.txnOps * CONDITIONS_PER_CHANGE;
     const isWithinConditions = this.conditions.size + conditionCount <= maxConditions;
-    return isWithinConditions && this.bytes + bytes <= TXN_BYTES;
+    return isWithinConditions && this.bytes + bytes <= MAX_TXN_BYTES;
   }
 }
 
--- a/packages/controller/records/record-loader.ts
+++ b/packages/controller/records/record-loader.ts
@@ -4,9 +4,9 @@
   decodeJob,
   jobKey,
   type JobRecord,
-  MACHINES,
+  MACHINES_PREFIX,
   type MachineRecord,
-  PROGRESS,
+  PROGRESS_PREFIX,
   type ProgressValue,
   removalsKey,
   type StateClient,
@@ -59,8 +59,8 @@
     // them.
     await jobs.cache.sync();
     const [machines, progress, removals] = await Promise.all([
-      readRecords(MACHINES, signal),
-      readRecords(PROGRESS, signal),
+      readRecords(MACHINES_PREFIX, signal),
+      readRecords(PROGRESS_PREFIX, signal),
       client.callUrgent(signal, (api) => api.get(removalsKey(term.shard), signal)),
     ]);
     const assignedJobIds = new Set(machines.flatMap(jobIdsOnMachine));
@@ -102,7 +102,7 @@
   }
 
   private acceptProgress({ key, value, version }: Entry): void {
-    const [id, label] = key.slice(PROGRESS.length).split('/');
+    const [id, label] = key.slice(PROGRESS_PREFIX.length).split('/');
     const recorded = { label: Number(label), value: value as ProgressValue, version };
     this.options.recorder.jobRecords.restore(id, recorded);
   }
@@ -110,7 +110,7 @@
   private acceptMachine({ key, value, version }: Entry, now: number): void {
     const { fleet, recorder, term } = this.options;
     const { addr, type, zone, spot, tasks } = value as MachineRecord;
-    const name = key.slice(MACHINES.length);
+    const name = key.slice(MACHINES_PREFIX.length);
     recorder.machineRecords.restore(name, version);
     const machine = fleet.machines.register({ name, addr, type, zone, spot }, 'up', now);
     // While the records were read, this term's leader has renewed worker leases without the fleet state
--- a/packages/controller/records/recorder.test.ts
+++ b/packages/controller/records/recorder.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { MACHINES } from '#store';
+import { MACHINES_PREFIX } from '#store';
 import { aJob, aMachine, aRecorder } from '#testing';
 import { TermLostError, type TermLossReason } from './term-lost-error.js';
 
@@ -76,7 +76,7 @@
   assert.equal(fenced.fence, 'recorded');
   await flushed;
   assert.equal(tasksOn('n-1'), undefined);
-  assert.equal(fenced.fencingToken, state.service.store.get(`${MACHINES}n-2`)?.version);
+  assert.equal(fenced.fencingToken, state.service.store.get(`${MACHINES_PREFIX}n-2`)?.version);
   assert.ok(fenced.fencingToken > term);
   fleet.assignments.stop(job.assignments.get(2)![0], 0, 0);
   await flush();
@@ -136,7 +136,7 @@
   record(aJob({ id: 'j-1' }), 'accepted');
   await sync();
   fleet.assignments.assign(fleet.jobs.get('j-1')!, 0, aMachine(fleet, 'n-1'), 1, 0);
-  store.apply([{ put: `${MACHINES}n-1`, value: { tasks: [] } }]);
+  store.apply([{ put: `${MACHINES_PREFIX}n-1`, value: { tasks: [] } }]);
   await assert.rejects(flush(), isTermLostError(term, 'record-changed'));
 });
 
@@ -165,9 +165,9 @@
   assert.ok(!client.hasSpareChanges);
   for (const assignment of endingAssignments)
     fleet.assignments.end(assignment, 'lost', false, state.now);
-  assert.ok(!recorder.pending);
+  assert.ok(!recorder.hasPendingChanges);
   jobs.slice(20).forEach((job, i) => fleet.assignments.assign(job, 0, machines[20 + i], 1, 0));
-  assert.ok(recorder.pending);
+  assert.ok(recorder.hasPendingChanges);
   void recorder.flush(new AbortController().signal);
   await state.run(0.9);
   const countRecordedStarts = (rank: number) =>
--- a/packages/controller/records/recorder.ts
+++ b/packages/controller/records/recorder.ts
@@ -6,7 +6,7 @@
 import type { Log } from '../observability/log.js';
 import { BatchCollector } from './batch-collector.js';
 import { BatchSender } from './batch-sender.js';
-import { FailedBatchResolver } from './batch-settlement.js';
+import { FailedBatchResolver } from './failed-batch-resolver.js';
 import { JobRecords } from './job-records.js';
 import { MachineRecords } from './machine-records.js';
 import type { RecordBatch } from './record-batch.js';
@@ -60,7 +60,7 @@
   }
 
   /** Whether there are changes that `flush` would write now. */
-  get pending(): boolean {
+  get hasPendingChanges(): boolean {
     const { hasUrgentChanges, hasDeferredChanges } = this.collector;
     return hasUrgentChanges || (hasDeferredChanges && this.options.client.hasSpareChanges);
   }
--- a/packages/controller/replica-support.ts
+++ b/packages/controller/replica-support.ts
@@ -24,7 +24,7 @@
   /** The current state of all replicas, for operators. */
   listReplicas(groups: ReplicaGroups): ReplicaRow[];
   /** Logs an open job that was accepted before replica groups were enabled for its class. */
-  recordJob(record: JobRecord): void;
+  logJobWithoutGroups(record: JobRecord): void;
   /** Measurements of replica repairs. */
   readonly metrics: ReplicaMetrics;
 }
@@ -53,7 +53,7 @@
     metrics,
     shapeOf: (job) => replicas.replicaShapeOf(job, classes),
     unplaceableReason: replicas.unplaceableReason,
-    recordJob: ({ job, replicas: shape }) => {
+    logJobWithoutGroups: ({ job, replicas: shape }) => {
       if (shape || replicas.replicaShapeOf(job, classes) === null) return;
       log.info({ job: job.id, class: job.class }, 'job predates its replica groups');
     },
@@ -74,7 +74,7 @@
       const machines = [...group.assignments()].map(({ machine }) => machine.name);
       const fields = { ...replicaLogFields(group), from, to, reason, machines };
       if (to === 'repairing')
-        log.info({ ...fields, lostBy: group.lostBy }, 'replica repair started');
+        log.info({ ...fields, lostBy: group.lastLossCause }, 'replica repair started');
       else log.debug(fields, 'replica phase changed');
     },
     recovered: ({ group, reason, tookS }) => {
--- a/packages/controller/settings/operator-settings.ts
+++ b/packages/controller/settings/operator-settings.ts
@@ -8,14 +8,14 @@
   /** Time to live of the election lease, in seconds; `ownerTtlS` in the file. */
   electionLeaseTtlS: number;
   /** Time limits of planned shard migrations; null if they are disabled, so that their code is not loaded. */
-  moves: MoveSettings | null;
+  moves: MigrationSettings | null;
   /** Classes whose replicas have several members; null if disabled, so that the code for them is not loaded. */
   replicaGroups: ReplicaClasses | null;
 }
 
 /** Content of the operators' settings file; every setting is optional. */
 export type OperatorFile = Partial<NumberSettings> & {
-  moves?: Partial<MoveSettings>;
+  moves?: Partial<MigrationSettings>;
   replicaGroups?: Record<string, ReplicaClassFields>;
 };
 
@@ -26,7 +26,7 @@
 }
 
 /** Time limits of the phases of a planned shard migration, in seconds. */
-export interface MoveSettings {
+export interface MigrationSettings {
   prepareS: number;
   switchS: number;
 }
@@ -118,7 +118,7 @@
   },
 };
 
-const moveFields: Record<keyof MoveSettings, OperatorField> = {
+const moveFields: Record<keyof MigrationSettings, OperatorField> = {
   prepareS: {
     description:
       'How long the leader waits until the target of a move is ready and the leader itself has stopped making decisions, seconds.',
--- a/packages/controller/settings/settings.ts
+++ b/packages/controller/settings/settings.ts
@@ -13,7 +13,7 @@
 import { platformSchema, PlatformSettings, TeamSettings } from './platform-settings.js';
 import { checkReplicaClasses } from './replica-classes.js';
 import { SettingsError, type SettingsProblem, WHOLE_FILE } from './settings-error.js';
-import { checkMigrationTimes, checkTimes } from './time-bounds.js';
+import { checkMigrationTimes, checkWorkerTimes } from './time-bounds.js';
 
 /** Guarantees and limits by team, with the field names of the core. */
 export function teamQuotas(teams: TeamSettings[]): Map<string, TeamQuota> {
@@ -53,7 +53,7 @@
   const settings = { ...platform, operator: withDefaults(operatorValues, platform) };
   const { workers } = platform.deployment;
   const { moves, replicaGroups } = settings.operator;
-  throwIfProblem(platformFile, checkTimes(workers));
+  throwIfProblem(platformFile, checkWorkerTimes(workers));
   throwIfProblem(operatorName, checkMigrationTimes(workers, moves));
   throwIfProblem(operatorName, checkReplicaClasses(platform, replicaGroups));
   return settings;
--- a/packages/controller/settings/time-bounds.ts
+++ b/packages/controller/settings/time-bounds.ts
@@ -1,5 +1,5 @@
 /** Bounds between the times in the settings, so that guarantees to users and workers can be kept. */
-import type { MoveSettings } from './operator-settings.js';
+import type { MigrationSettings } from './operator-settings.js';
 import type { PlatformSettings } from './platform-settings.js';
 import type { SettingsProblem } from './settings-error.js';
 
@@ -22,19 +22,15 @@
  * extended by clock drift and a heartbeat in flight. Zero or negative if the settings leave no time for a grace
  * period.
  */
-export function graceAfterLoss(
-  cancelS: number,
-  leaseS: number,
-  heartbeatIntervalS: number,
-): number {
+export function leaderGraceS(cancelS: number, leaseS: number, heartbeatIntervalS: number): number {
   return cancelS - leaseS * LEASE_DRIFT_FACTOR - MARGIN_HEARTBEATS * heartbeatIntervalS;
 }
 
 /** The problem if no leader could keep the times guaranteed to workers and users; null if one can. */
-export function checkTimes(workers: WorkerSettings): SettingsProblem | null {
+export function checkWorkerTimes(workers: WorkerSettings): SettingsProblem | null {
   const { cancel_s: cancelS, lease_s: leaseS, report_s: heartbeatIntervalS } = workers;
   const missingS =
-    MIN_GRACE_HEARTBEATS * heartbeatIntervalS - graceAfterLoss(cancelS, leaseS, heartbeatIntervalS);
+    MIN_GRACE_HEARTBEATS * heartbeatIntervalS - leaderGraceS(cancelS, leaseS, heartbeatIntervalS);
   if (missingS <= 0) return null;
   const minCancelS = Math.ceil((cancelS + missingS) * 100) / 100;
   const heartbeats = MARGIN_HEARTBEATS + MIN_GRACE_HEARTBEATS;
@@ -55,10 +51,10 @@
 /** The problem if a planned migration may exceed its share of the grace period, or null. */
 export function checkMigrationTimes(
   workers: WorkerSettings,
-  moves: MoveSettings | null,
+  moves: MigrationSettings | null,
 ): SettingsProblem | null {
   const { cancel_s: cancelS, lease_s: leaseS, report_s: heartbeatIntervalS } = workers;
-  const maxSwitchS = graceAfterLoss(cancelS, leaseS, heartbeatIntervalS) * MAX_MIGRATION_SHARE;
+  const maxSwitchS = leaderGraceS(cancelS, leaseS, heartbeatIntervalS) * MAX_MIGRATION_SHARE;
   if (moves === null || moves.switchS <= maxSwitchS) return null;
   const bound = Math.floor(maxSwitchS * 100) / 100;
   return {
--- a/packages/controller/state-access.ts
+++ b/packages/controller/state-access.ts
@@ -1,5 +1,12 @@
 /** Access of this controller to the state service: the client, its share of the rates, and the caches. */
-import { JOBS, MAX_VALUE_BYTES, PrefixCache, StateClient, type StateLimits, WORLD } from '#store';
+import {
+  JOBS_PREFIX,
+  MAX_VALUE_BYTES,
+  PrefixCache,
+  StateClient,
+  type StateLimits,
+  CLUSTER_PREFIX,
+} from '#store';
 import { type Runtime, StateApi } from '#wire';
 import type { StateSettings } from './settings/platform-settings.js';
 import type { Settings } from './settings/settings.js';
@@ -67,7 +74,7 @@
     (isLeading() ? LEADER_WATCH_PAUSE_INTERVALS : FOLLOWER_WATCH_PAUSE_INTERVALS);
   return {
     client,
-    world: new PrefixCache({ ...cacheOptions, prefix: WORLD }),
-    jobs: new PrefixCache({ ...cacheOptions, prefix: JOBS, gatherMs: watchPauseMs }),
+    world: new PrefixCache({ ...cacheOptions, prefix: CLUSTER_PREFIX }),
+    jobs: new PrefixCache({ ...cacheOptions, prefix: JOBS_PREFIX, watchPauseMs }),
   };
 }
--- a/packages/controller/state-limits.test.ts
+++ b/packages/controller/state-limits.test.ts
@@ -9,15 +9,15 @@
   encodeEndedJob,
   decodeJob,
   jobKey,
-  MACHINES,
+  MACHINES_PREFIX,
   PrefixCache,
   progressKey,
   ProgressLayout,
-  PROGRESS,
+  PROGRESS_PREFIX,
   sizeInJson,
   TYPES_KEY,
   type ProgressValue,
-  WORLD,
+  CLUSTER_PREFIX,
 } from '#store';
 import { aJob, aMachine, aRecorder, STD, StateWorld } from '#testing';
 import { MachineTypes } from './cloud/machine-types.js';
@@ -32,7 +32,7 @@
 function readAsOlderVersion(records: [string, unknown][], unit: number): Set<number> {
   const done = new Set<number>();
   for (const [key, value] of records) {
-    const [, label] = key.slice(PROGRESS.length).split('/');
+    const [, label] = key.slice(PROGRESS_PREFIX.length).split('/');
     const bytes = Buffer.from((value as { done: string }).done, 'base64');
     for (let i = 0; i < bytes.length * 8; i++) {
       if (bytes[i >> 3] & (1 << (i & 7))) done.add(Number(label) * unit + i);
@@ -93,9 +93,9 @@
         const { key, first, tasks: size } = layout.chunkOf('j-1', tasks, task);
         assert.ok(task >= first && task < first + size && first % 8 === 0 && size % 8 === 0);
         const label = Number(key.split('/').at(-1));
-        assert.equal(label * old.unit, first, `${layoutBytes} ${valueBytes}: ${key}`);
+        assert.equal(label * old.legacyChunkTasks, first, `${layoutBytes} ${valueBytes}: ${key}`);
         const bytes = Math.ceil(Math.min(size, tasks - first) / 8);
-        const value = layout.valueOf(
+        const value = layout.encodeChunk(
           { key, first, tasks: size },
           'x'.repeat(4 * Math.ceil(bytes / 3)),
         );
@@ -112,15 +112,25 @@
 test('chunks recorded by an older version under a larger limit are read, and rewritten within the smaller limit', async () => {
   const limits = { valueBytes: 2048, layoutBytes: 8192 };
   const { state, store, fleet, record, recorder, sync, flush } = await aRecorder(limits);
-  const { unit } = new ProgressLayout({ valueBytes: 8192 });
+  const { legacyChunkTasks } = new ProgressLayout({ valueBytes: 8192 });
   const tasks = 100_000;
   record(aJob({ id: 'j-1', tasks }), 'accepted');
   await sync();
-  const done = [0, 7, 6143, 6144, 20_000, unit - 1, unit, 2 * unit + 5, tasks - 1];
+  const done = [
+    0,
+    7,
+    6143,
+    6144,
+    20_000,
+    legacyChunkTasks - 1,
+    legacyChunkTasks,
+    2 * legacyChunkTasks + 5,
+    tasks - 1,
+  ];
   for (const label of [0, 1, 2, 4]) {
-    const bits = Buffer.alloc(Math.min(unit, tasks - label * unit) / 8);
+    const bits = Buffer.alloc(Math.min(legacyChunkTasks, tasks - label * legacyChunkTasks) / 8);
     for (const task of done) {
-      const bit = task - label * unit;
+      const bit = task - label * legacyChunkTasks;
       if (bit >= 0 && bit < bits.length * 8) bits[bit >> 3] |= 1 << (bit & 7);
     }
     const value = { done: bits.toString('base64') };
@@ -135,11 +145,11 @@
   assert.equal(job.done.size, done.length);
   for (const task of [1, 30_000]) fleet.jobs.markDone(job, task);
   await flush();
-  const written = store.list(PROGRESS, '', 1000).entries;
+  const written = store.list(PROGRESS_PREFIX, '', 1000).entries;
   const records = written.map(({ key, value }): [string, unknown] => [key, value]);
   const expected = [...done, 1, 30_000].sort((one, other) => one - other);
   assert.deepEqual(
-    [...readAsOlderVersion(records, unit)].sort((a, b) => a - b),
+    [...readAsOlderVersion(records, legacyChunkTasks)].sort((a, b) => a - b),
     expected,
   );
   for (const { key, value, version } of written) {
@@ -172,7 +182,7 @@
     attempt + index,
   ]);
   const facts = { addr: '', type: 'std', zone: 'a', spot: false };
-  const version = store.apply([{ put: `${MACHINES}n-1`, value: { ...facts, tasks } }]);
+  const version = store.apply([{ put: `${MACHINES_PREFIX}n-1`, value: { ...facts, tasks } }]);
   recorder.machineRecords.restore('n-1', version);
   for (const [, index, number] of tasks) fleet.assignments.inherit(job, index, machine, number, 0);
   let onRecord = tasksOn('n-1')!.length;
@@ -193,7 +203,7 @@
   await flush();
   assert.ok(other.tasks.size > 55, `${other.tasks.size} tasks`);
   assert.equal(tasksOn('n-2')!.length, other.tasks.size);
-  const { value } = store.get(`${MACHINES}n-2`)!;
+  const { value } = store.get(`${MACHINES_PREFIX}n-2`)!;
   assert.ok(sizeInJson(value) <= other.recordBytes && other.recordBytes <= 2048);
   assert.ok(emptyRecordBytes({ type: 'std', zone: 'a', spot: true }) < 150);
 });
@@ -220,7 +230,7 @@
   const make = (address: string) => {
     const runtime = state.controller(address);
     const client = state.client(runtime);
-    const caching = { client, runtime, prefix: WORLD, watchMs: 1000, syncSpacingMs: 0 };
+    const caching = { client, runtime, prefix: CLUSTER_PREFIX, watchMs: 1000, syncSpacingMs: 0 };
     const world = new PrefixCache(caching);
     void world.run(signal);
     return new MachineTypes(client, world);
--- a/packages/core/assignments/assignment-accounting.ts
+++ b/packages/core/assignments/assignment-accounting.ts
@@ -1,6 +1,6 @@
 /** Sums over assignments: per machine, per team and rank, and per job. */
 import type { FleetData } from '../fleet-data.js';
-import { addAmounts } from '../model/amounts.js';
+import { addResources } from '../model/resources.js';
 import { entryBytes } from '../model/machine-record-size.js';
 import { type Assignment, assignmentsOf, type JobState } from '../model/entities.js';
 
@@ -12,9 +12,9 @@
   count(assignment: Assignment, sign: 1 | -1, now: number): void {
     const { machine, job } = assignment;
     machine.assignmentVersion++;
-    addAmounts(machine.used, job.spec, sign);
+    addResources(machine.used, job.spec, sign);
     machine.recordBytes += sign * entryBytes(assignment);
-    this.fleet.machines.useChanged(machine);
+    this.fleet.machines.usageChanged(machine);
     this.countRank(assignment, sign);
     this.fleet.usage.count(assignment, sign, now);
     this.fleet.jobs.countsChanged(job);
@@ -23,8 +23,8 @@
   /** Counts an assignment that is to stop. Must be called before the assignment's stop request is set. */
   countStopRequest(assignment: Assignment): void {
     const { machines } = this.fleet;
-    if (isPersistentReplica(assignment)) machines.countReplica(assignment.machine, -1);
-    machines.countStop(assignment.machine, 1);
+    if (isPersistentReplica(assignment)) machines.adjustStayingReplicas(assignment.machine, -1);
+    machines.adjustStoppingTasks(assignment.machine, 1);
   }
 
   /** Changes the effective rank of the job, and counts its assignments under the new rank. */
@@ -36,7 +36,7 @@
       const { machine } = each;
       this.countRank(each, 1);
       machine.assignmentVersion++;
-      machines.useChanged(machine);
+      machines.usageChanged(machine);
       if (job.isBestEffort && machine.firmTasks === 0) machine.idleSince = now;
     }
   }
@@ -44,10 +44,10 @@
   /** Updates the sums that depend on the effective rank of the assignment's job. */
   private countRank(assignment: Assignment, sign: 1 | -1): void {
     const { machine, job } = assignment;
-    if (job.isBestEffort) addAmounts(machine.usedBestEffort, job.spec, sign);
+    if (job.isBestEffort) addResources(machine.usedBestEffort, job.spec, sign);
     else machine.firmTasks += sign;
-    if (isPersistentReplica(assignment)) this.fleet.machines.countReplica(machine, sign);
-    this.fleet.usage.countRank(assignment, sign);
+    if (isPersistentReplica(assignment)) this.fleet.machines.adjustStayingReplicas(machine, sign);
+    this.fleet.usage.countByRank(assignment, sign);
   }
 }
 
--- a/packages/core/assignments/assignments.ts
+++ b/packages/core/assignments/assignments.ts
@@ -1,10 +1,10 @@
 /** The life cycle of assignments: a task is assigned to a machine, is stopped there, and ends. */
 import { taskName } from '#wire';
 import type { FleetData } from '../fleet-data.js';
-import { dominantShare } from '../model/amounts.js';
+import { dominantShare } from '../model/resources.js';
 import type { EndCause } from '../model/end-cause.js';
 import { type Assignment, assignmentsOf, type JobState, type Machine } from '../model/entities.js';
-import type { PlaceOrigin } from '../model/replica-shape.js';
+import type { AssignmentOrigin } from '../model/replica-shape.js';
 import { AssignmentAccounting } from './assignment-accounting.js';
 import { AttemptNumbers } from './attempt-numbers.js';
 import { recordImageUse } from './image-cache.js';
@@ -39,8 +39,8 @@
       throw new Error(`task ${job.spec.id}/${index} does not wait for a machine`);
     }
     const assignment = this.add({ job, index, machine, attempt }, 'placed', now);
-    this.fleet.unrecorded.markMachineUrgent(machine.name, job.rank);
-    this.fleet.jobs.leaveQueueIfNoneWaits(job);
+    this.fleet.unrecordedChanges.markMachineUrgent(machine.name, job.rank);
+    this.fleet.jobs.dequeueIfNoTaskWaits(job);
     return assignment;
   }
 
@@ -49,7 +49,7 @@
     const assignment = this.add({ job, index, machine, attempt }, 'inherited', now);
     // A task whose job has open dependencies was started by a version that does not support dependencies.
     if (job.phase !== 'accepted' || job.hasOpenDependencies) this.stop(assignment, 0, now);
-    this.fleet.jobs.leaveQueueIfNoneWaits(job);
+    this.fleet.jobs.dequeueIfNoTaskWaits(job);
   }
 
   /**
@@ -68,7 +68,7 @@
     return assignment;
   }
 
-  private add(options: AssignmentOptions, origin: PlaceOrigin, now: number): Assignment {
+  private add(options: AssignmentOptions, origin: AssignmentOrigin, now: number): Assignment {
     const { job, index, machine } = options;
     const { jobs, machines, holds, machinesWithCommands } = this.fleet;
     const assignment = newAssignment(options, dominantShare(job.spec, machines.totals), now);
@@ -78,12 +78,12 @@
     machinesWithCommands.add(machine);
     holds.releaseIfHeldFor(machine, job);
     this.accounting.count(assignment, 1, now);
-    jobs.waiting.placesChanged(job);
+    jobs.waiting.assignmentsChanged(job);
     if (origin === 'inherited') {
       assignment.recorded = true;
       assignment.inherited = true;
     }
-    job.replicas?.placeAdded(assignment, origin, now);
+    job.replicas?.memberAssigned(assignment, origin, now);
     return assignment;
   }
 
@@ -95,7 +95,7 @@
   /** Marks the assignment as durable in its machine's record. */
   markRecorded(assignment: Assignment, now: number): void {
     assignment.recorded = true;
-    assignment.job.replicas?.placeRecorded(assignment, now);
+    assignment.job.replicas?.memberRecorded(assignment, now);
   }
 
   /** Asks the task to stop within `graceS` seconds. Its assignment is kept until the task is proven gone. */
@@ -137,16 +137,16 @@
   /** Ends an assignment whose task is proven gone from its machine (docs/safety.md, point 5). */
   end(assignment: Assignment, cause: EndCause, checkpointed: boolean, now: number): void {
     const { job, machine } = assignment;
-    const { jobs, unrecorded, listener } = this.fleet;
+    const { jobs, unrecordedChanges, listener } = this.fleet;
     if (!this.removeFromMachine(assignment)) return;
     removeFromJob(assignment);
     this.accounting.count(assignment, -1, now);
     if (!job.isBestEffort && machine.firmTasks === 0) machine.idleSince = now;
-    unrecorded.machines.add(machine.name);
+    unrecordedChanges.machines.add(machine.name);
     this.requeueTask(assignment, cause, now);
-    job.replicas?.placeEnded(assignment, cause, now);
+    job.replicas?.memberEnded(assignment, cause, now);
     // The job joins the queue after all charges for the end, because the queues are ordered by received service.
-    jobs.joinQueueIfAnyWaits(job, now);
+    jobs.enqueueIfTasksWait(job, now);
     listener.taskEnded({ assignment, cause, checkpointed }, now);
   }
 
@@ -156,7 +156,7 @@
     const name = taskName(job.spec.id, index);
     if (machine.tasks.get(name) !== assignment) return false;
     machine.tasks.delete(name);
-    if (stop !== null) this.fleet.machines.countStop(machine, -1);
+    if (stop !== null) this.fleet.machines.adjustStoppingTasks(machine, -1);
     return true;
   }
 
@@ -164,7 +164,7 @@
   private requeueTask(assignment: Assignment, cause: EndCause, now: number): void {
     const { job, index } = assignment;
     if (job.phase !== 'accepted' || job.done.has(index)) return;
-    if (index < job.scanFrom) job.returnedTasks.add(index);
+    if (index < job.scanFrom) job.requeuedTasks.add(index);
     this.fleet.failures.taskEnded(assignment, cause, now);
     if (job.spec.kind === 'gang') this.stopRestOfAttempt(assignment, now);
   }
--- a/packages/core/autoscaling/arrival-statistics.ts
+++ b/packages/core/autoscaling/arrival-statistics.ts
@@ -78,7 +78,7 @@
   }
 
   /** Sets the rate of ended tasks to that of arrivals: a new leader does not know how many tasks ended before. */
-  assumeSteady(now: number): void {
+  assumeSteadyState(now: number): void {
     for (const arrivals of this.byClass.values()) {
       this.decay(arrivals, now);
       arrivals.taskEndRate = arrivals.taskArrivalRate;
--- a/packages/core/autoscaling/bin-packing.ts
+++ b/packages/core/autoscaling/bin-packing.ts
@@ -1,6 +1,6 @@
 /** Packs tasks into the bins of a plan, and adds bins for tasks that find no capacity. */
 import type { Job, MachineType } from '#wire';
-import { addAmounts, ZERO_AMOUNTS } from '../model/amounts.js';
+import { addResources, ZERO_RESOURCES } from '../model/resources.js';
 import { isReservedForOther } from '../placement/availability.js';
 import {
   type MachineKind,
@@ -113,7 +113,7 @@
 
   /** Adds the amounts that best-effort tasks use to the use of the existing machines. */
   includeBestEffortUse(): void {
-    for (const { machine, used } of this.existing) addAmounts(used, machine.usedBestEffort, 1);
+    for (const { machine, used } of this.existing) addResources(used, machine.usedBestEffort, 1);
   }
 
   /** The machines to provision, by kind. */
@@ -147,7 +147,7 @@
     const kinds: PricedKind[] = [];
     for (const type of types.values()) {
       if (!typeFits(job, type)) continue;
-      const fittingTasks = taskCapacity(job, ZERO_AMOUNTS, type);
+      const fittingTasks = taskCapacity(job, ZERO_RESOURCES, type);
       const priceDivisor = Math.max(1, Math.min(MAX_PRICE_DIVISOR, fittingTasks));
       for (const kind of kindsOfType(job, type)) {
         if (refusals.isRefused(kind, now)) continue;
--- a/packages/core/autoscaling/bins.ts
+++ b/packages/core/autoscaling/bins.ts
@@ -2,7 +2,12 @@
 import type { Job, MachineType } from '#wire';
 import { firmUse } from '../fair-share/best-effort.js';
 import type { FleetState } from '../fleet-state.js';
-import { addAmounts, type Amounts, multipliedAmounts, ZERO_AMOUNTS } from '../model/amounts.js';
+import {
+  addResources,
+  type Resources,
+  multiplyResources,
+  ZERO_RESOURCES,
+} from '../model/resources.js';
 import type { Machine } from '../model/entities.js';
 import { canTakeTasks } from '../placement/availability.js';
 import { hasCapacity, kindAllowed, type MachineKind } from '../placement/task-requirements.js';
@@ -12,7 +17,7 @@
   /** The existing machine; null if it would be provisioned. */
   machine: Machine | null;
   /** Amounts used by firm tasks and by the tasks that the plan has packed. */
-  used: Amounts;
+  used: Resources;
   /** Whether the machine runs firm tasks or the plan has packed tasks into it. */
   isNeeded: boolean;
   /** Id of the gang that the machine is reserved for. */
@@ -53,7 +58,7 @@
 function existingBin(machine: Machine, type: MachineType): ExistingBin {
   const { zone, spot, reservedForGang } = machine;
   // A reserved machine will be empty when its gang starts. Best-effort tasks are stopped when needed.
-  const used = reservedForGang === null ? firmUse(machine) : { ...ZERO_AMOUNTS };
+  const used = reservedForGang === null ? firmUse(machine) : { ...ZERO_RESOURCES };
   return { machine, type, zone, spot, used, isNeeded: machine.firmTasks > 0, reservedForGang };
 }
 
@@ -66,7 +71,7 @@
  * that all bins share one hidden class of the JavaScript engine: plans scan many bins.
  */
 export function emptyBin({ type, zone, spot }: MachineKind): Bin {
-  const used = { ...ZERO_AMOUNTS };
+  const used = { ...ZERO_RESOURCES };
   return { machine: null, type, zone, spot, used, isNeeded: false, reservedForGang: null };
 }
 
@@ -78,6 +83,6 @@
 
 /** Packs tasks of the job into the bin. */
 export function packTasks(bin: Bin, job: Job, tasks: number): void {
-  addAmounts(bin.used, multipliedAmounts(job, tasks), 1);
+  addResources(bin.used, multiplyResources(job, tasks), 1);
   bin.isNeeded = true;
 }
--- a/packages/core/autoscaling/capacity-planner.test.ts
+++ b/packages/core/autoscaling/capacity-planner.test.ts
@@ -33,7 +33,7 @@
   assert.equal(provisionedCount(steady, 120), 0);
   assert.equal(provisionedCount(batch, 120), 0);
   // A new leader does not know which jobs have ended, and must not take all recorded jobs for growth.
-  growing.assumeSteady(120);
+  growing.assumeSteadyState(120);
   assert.equal(provisionedCount(growing, 120), 0);
 });
 
--- a/packages/core/autoscaling/capacity-planner.ts
+++ b/packages/core/autoscaling/capacity-planner.ts
@@ -78,8 +78,8 @@
   }
 
   /** Assumes that tasks have ended at the rate at which they arrived, for a leader that has just taken over. */
-  assumeSteady(now: number): void {
-    this.arrivals.assumeSteady(now);
+  assumeSteadyState(now: number): void {
+    this.arrivals.assumeSteadyState(now);
   }
 
   /** Observes the first heartbeat of a provisioned machine. */
--- a/packages/core/autoscaling/consolidation.ts
+++ b/packages/core/autoscaling/consolidation.ts
@@ -2,11 +2,11 @@
 import type { Job, MachineType } from '#wire';
 import { firmUse } from '../fair-share/best-effort.js';
 import type { FleetState } from '../fleet-state.js';
-import { addAmounts, type Amounts, ROUNDING } from '../model/amounts.js';
+import { addResources, type Resources, ROUNDING_TOLERANCE } from '../model/resources.js';
 import type { Assignment, Machine } from '../model/entities.js';
 import { isUsable } from '../placement/availability.js';
 import { hasCapacity, kindAllowed } from '../placement/task-requirements.js';
-import { isPastStartWindow } from '../preemption/start-window.js';
+import { hasRunMinimumTime } from '../preemption/minimum-run-time.js';
 import type { ExistingBin } from './bins.js';
 
 /** Largest share of a machine that firm tasks may use for the machine to be emptied. */
@@ -53,7 +53,8 @@
   if (machine.firmTasks === 0 || load(machine, type) > MAX_LOAD) return false;
   if (!isUsable(machine, fleet.settings.machineRecordBytes, now)) return false;
   // A machine is kept if it is reserved for a gang or the plan has packed further tasks into it.
-  if (reservedForGang !== null || used.cpus > firmUse(machine).cpus + ROUNDING) return false;
+  if (reservedForGang !== null || used.cpus > firmUse(machine).cpus + ROUNDING_TOLERANCE)
+    return false;
   return firmTasksOf(machine).every((task) => isMovable(task, now));
 }
 
@@ -67,7 +68,7 @@
 }
 
 function isMovable({ job, stop, reportedState, runningSince }: Assignment, now: number): boolean {
-  const hasStarted = runningSince !== null && isPastStartWindow(runningSince, now);
+  const hasStarted = runningSince !== null && hasRunMinimumTime(runningSince, now);
   // A replica with several members would have to move as a whole, so only single replicas are moved.
   const isSingle = job.spec.kind === 'service' && job.replicas === null;
   return isSingle && stop === null && hasStarted && reportedState === 'running';
@@ -80,7 +81,7 @@
   bins: ExistingBin[],
   now: number,
 ): Move[] | null {
-  const plannedUse = new Map<ExistingBin, Amounts>();
+  const plannedUse = new Map<ExistingBin, Resources>();
   const moves: Move[] = [];
   for (const task of firmTasksOf(from.machine)) {
     const { spec } = task.job;
@@ -92,7 +93,7 @@
     );
     if (!target) return null;
     const used = plannedUse.get(target) ?? { ...target.used };
-    addAmounts(used, spec, 1);
+    addResources(used, spec, 1);
     plannedUse.set(target, used);
     moves.push({ task, to: target.machine });
   }
--- a/packages/core/autoscaling/idle-machines.ts
+++ b/packages/core/autoscaling/idle-machines.ts
@@ -1,6 +1,6 @@
 /** Idle machines: machines that no task and no plan needs, and that can be deprovisioned. */
 import type { MachineType } from '#wire';
-import { dominantShare } from '../model/amounts.js';
+import { dominantShare } from '../model/resources.js';
 import type { Machine } from '../model/entities.js';
 import type { ExistingBin } from './bins.js';
 
--- a/packages/core/autoscaling/waiting-work.ts
+++ b/packages/core/autoscaling/waiting-work.ts
@@ -3,9 +3,9 @@
 import { mayScaleOutFor } from '../fair-share/best-effort.js';
 import { byAge } from '../fair-share/job-order.js';
 import { type TeamQuota, timesWithinLimit } from '../fair-share/team-quota.js';
-import { oldestFirst } from '../fair-share/waiting-order.js';
+import { iterateByRankAndAge } from '../fair-share/waiting-order.js';
 import type { FleetState } from '../fleet-state.js';
-import { addAmounts, type Amounts, multipliedAmounts } from '../model/amounts.js';
+import { addResources, type Resources, multiplyResources } from '../model/resources.js';
 import type { JobState } from '../model/entities.js';
 import { needsOneZone } from '../model/replica-groups.js';
 import type { BinPacking } from './bin-packing.js';
@@ -25,7 +25,7 @@
   private readonly firm: JobState[] = [];
   private readonly starvedBestEffort: JobState[];
   /** Amounts used by team, including the tasks that the plan has packed. */
-  private readonly usage = new Map<string, Amounts>();
+  private readonly usage = new Map<string, Resources>();
 
   constructor(
     private readonly fleet: FleetState,
@@ -36,7 +36,7 @@
     const bestEffort: JobState[] = [];
     for (const bucket of fleet.jobs.waiting.buckets()) {
       const jobs = takeFirst(
-        this.allowedToRequestCapacity(oldestFirst([bucket])),
+        this.allowedToRequestCapacity(iterateByRankAndAge([bucket])),
         MAX_JOBS_PER_BUCKET,
       );
       (bucket.isBestEffort ? bestEffort : this.firm).push(...jobs);
@@ -75,14 +75,14 @@
     for (let left = maxTasks; left > 0; left -= groupSize) {
       const tasks = Math.min(left, groupSize);
       const packed = this.packTogether(job, tasks, zones, maxMachines);
-      addAmounts(used, multipliedAmounts(spec, packed), 1);
+      addResources(used, multiplyResources(spec, packed), 1);
       if (packed < tasks) return;
     }
   }
 
-  private usageOf(team: string): Amounts {
+  private usageOf(team: string): Resources {
     let used = this.usage.get(team);
-    if (!used) this.usage.set(team, (used = { ...this.fleet.usage.ofTeam(team) }));
+    if (!used) this.usage.set(team, (used = { ...this.fleet.usage.amountsOfTeam(team) }));
     return used;
   }
 
--- a/packages/core/fair-share/best-effort.ts
+++ b/packages/core/fair-share/best-effort.ts
@@ -1,6 +1,6 @@
 /** Best-effort work: it runs on spare capacity only and is preempted without a wait (docs/design.md). */
 import type { Job, MachineType } from '#wire';
-import { addAmounts, Amounts, ROUNDING } from '../model/amounts.js';
+import { addResources, Resources, ROUNDING_TOLERANCE } from '../model/resources.js';
 import type { FleetData } from '../fleet-data.js';
 import type { Assignment, JobState, Machine } from '../model/entities.js';
 import { LOWEST_RANK } from './ranks.js';
@@ -25,9 +25,9 @@
 }
 
 /** The amounts that firm (not best-effort) tasks use on the machine. */
-export function firmUse({ used, usedBestEffort }: Machine): Amounts {
+export function firmUse({ used, usedBestEffort }: Machine): Resources {
   const firm = { ...used };
-  addAmounts(firm, usedBestEffort, -1);
+  addResources(firm, usedBestEffort, -1);
   return firm;
 }
 
@@ -48,8 +48,8 @@
   if (job.gpus > 0 || type.gpus === 0) return true;
   const freeShare = (type.gpus - used.gpus) / type.gpus;
   return (
-    type.cpus - used.cpus - job.cpus >= type.cpus * freeShare - ROUNDING &&
-    type.memory - used.memory - job.memory >= type.memory * freeShare - ROUNDING
+    type.cpus - used.cpus - job.cpus >= type.cpus * freeShare - ROUNDING_TOLERANCE &&
+    type.memory - used.memory - job.memory >= type.memory * freeShare - ROUNDING_TOLERANCE
   );
 }
 
--- a/packages/core/fair-share/precedence-tiers.ts
+++ b/packages/core/fair-share/precedence-tiers.ts
@@ -1,6 +1,6 @@
 /** Sorts waiting jobs into tiers of equal precedence, each with one queue for each team. */
 import type { FleetState } from '../fleet-state.js';
-import type { Amounts } from '../model/amounts.js';
+import type { Resources } from '../model/resources.js';
 import type { JobState } from '../model/entities.js';
 import type { FairShares } from './fair-shares.js';
 import { RANKS } from './ranks.js';
@@ -33,7 +33,7 @@
 ): PrecedenceTier[] {
   const tiers = new TierBuilder(isSkipped, now);
   for (const bucket of fleet.jobs.waiting.buckets()) {
-    if (!shares.isKnown(bucket.sample.team)) continue;
+    if (!shares.isKnown(bucket.representative.team)) continue;
     if (bucket.isBestEffort) tiers.addBestEffort(bucket);
     else tiers.addFirm(bucket, shares);
   }
@@ -55,12 +55,12 @@
   /** Adds a bucket of firm (not best-effort) jobs. If only some are within the guarantee, it goes into two tiers. */
   addFirm(bucket: WaitingBucket, shares: FairShares): void {
     const { isSkipped } = this;
-    const { rank, members, minAmounts, maxCpus, sample } = bucket;
-    const isTaskWithin = shares.guaranteeCheck(sample.team);
-    const isWithin = ({ cpus, gpus }: Pick<Amounts, 'cpus' | 'gpus'>) =>
-      isTaskWithin({ cpus: cpus * members, gpus: gpus * members });
+    const { rank, membersPerReplica, minAmounts, maxCpus, representative } = bucket;
+    const isTaskWithin = shares.guaranteeCheck(representative.team);
+    const isWithin = ({ cpus, gpus }: Pick<Resources, 'cpus' | 'gpus'>) =>
+      isTaskWithin({ cpus: cpus * membersPerReplica, gpus: gpus * membersPerReplica });
     const isAnyWithin = isWithin(minAmounts);
-    const areAllWithin = isWithin({ cpus: maxCpus, gpus: sample.gpus });
+    const areAllWithin = isWithin({ cpus: maxCpus, gpus: representative.gpus });
     const skipBorrowers = (job: JobState) => !isWithin(job.spec) || isSkipped(job);
     const skipGuaranteed = (job: JobState) => isWithin(job.spec) || isSkipped(job);
     if (isAnyWithin) this.enqueue(rank, bucket, areAllWithin ? isSkipped : skipBorrowers);
@@ -76,7 +76,7 @@
   }
 
   private enqueue(precedence: number, bucket: WaitingBucket, isSkipped: JobFilter): void {
-    const { team } = bucket.sample;
+    const { team } = bucket.representative;
     let tier = this.byPrecedence.get(precedence);
     if (!tier) {
       tier = { isBestEffort: bucket.isBestEffort, queues: [] };
--- a/packages/core/fair-share/team-quota.ts
+++ b/packages/core/fair-share/team-quota.ts
@@ -1,5 +1,5 @@
 /** Team quotas: the capacity that is guaranteed to a team, and the most that it may use. */
-import { type Amounts, ROUNDING } from '../model/amounts.js';
+import { type Resources, ROUNDING_TOLERANCE } from '../model/resources.js';
 
 /** A team's guarantee and limit, in processors and accelerators. A limit of 0 means that there is no limit. */
 export interface TeamQuota {
@@ -23,7 +23,7 @@
 }
 
 /** The team's weight: its guaranteed share of the fleet's totals, but at least `floorWeight`. */
-export function teamWeight(quota: TeamQuota, totals: Amounts, floorWeight: number): number {
+export function teamWeight(quota: TeamQuota, totals: Resources, floorWeight: number): number {
   return Math.max(
     floorWeight,
     totals.cpus > 0 ? quota.guaranteedCpus / totals.cpus : 0,
@@ -32,7 +32,7 @@
 }
 
 /** How many times `more` fits between `used` and the team's limit; Infinity if no limit applies. */
-export function timesWithinLimit(quota: TeamQuota, used: Amounts, more: Amounts): number {
+export function timesWithinLimit(quota: TeamQuota, used: Resources, more: Resources): number {
   return Math.min(
     timesWithin(quota.cpuLimit, used.cpus, more.cpus),
     timesWithin(quota.gpuLimit, used.gpus, more.gpus),
@@ -40,15 +40,15 @@
 }
 
 function timesWithin(limit: number, used: number, more: number): number {
-  if (limit === 0 || (more === 0 && used <= limit + ROUNDING)) return Infinity;
-  if (used + more > limit + ROUNDING) return 0;
-  return Math.floor((limit + ROUNDING - used) / more);
+  if (limit === 0 || (more === 0 && used <= limit + ROUNDING_TOLERANCE)) return Infinity;
+  if (used + more > limit + ROUNDING_TOLERANCE) return 0;
+  return Math.floor((limit + ROUNDING_TOLERANCE - used) / more);
 }
 
 /** Whether the team's limit allows `more` in addition to `used`. */
-export function withinLimit(quota: TeamQuota, used: Amounts, more: Amounts): boolean {
+export function withinLimit(quota: TeamQuota, used: Resources, more: Resources): boolean {
   return (
-    (quota.cpuLimit === 0 || used.cpus + more.cpus <= quota.cpuLimit + ROUNDING) &&
-    (quota.gpuLimit === 0 || used.gpus + more.gpus <= quota.gpuLimit + ROUNDING)
+    (quota.cpuLimit === 0 || used.cpus + more.cpus <= quota.cpuLimit + ROUNDING_TOLERANCE) &&
+    (quota.gpuLimit === 0 || used.gpus + more.gpus <= quota.gpuLimit + ROUNDING_TOLERANCE)
   );
 }
--- a/packages/core/fair-share/usage-ledger.ts
+++ b/packages/core/fair-share/usage-ledger.ts
@@ -1,5 +1,5 @@
 /** Records the amounts and tasks that teams and classes have assigned, and the service that teams have received. */
-import { addAmounts, type Amounts, ZERO_AMOUNTS } from '../model/amounts.js';
+import { addResources, type Resources, ZERO_RESOURCES } from '../model/resources.js';
 import type { Assignment, JobState } from '../model/entities.js';
 import { ServiceCounter } from './service-counter.js';
 
@@ -14,7 +14,7 @@
 
 /** Keeps counts of the current assignments by team, by rank, and by class and zone. */
 export class UsageLedger {
-  private readonly amountsByTeam = new Map<string, Amounts>();
+  private readonly amountsByTeam = new Map<string, Resources>();
   private readonly serviceByTeam = new Map<string, ServiceCounter>();
   private readonly groupsByKey = new Map<string, TaskGroup>();
   private readonly tasksByClassAndZone = new Map<string, Map<string, number>>();
@@ -28,14 +28,14 @@
     const zones = this.tasksByZone(job.spec.class);
     zones.set(machine.zone, (zones.get(machine.zone) ?? 0) + sign);
     let used = this.amountsByTeam.get(team);
-    if (!used) this.amountsByTeam.set(team, (used = { ...ZERO_AMOUNTS }));
-    addAmounts(used, job.spec, sign);
+    if (!used) this.amountsByTeam.set(team, (used = { ...ZERO_RESOURCES }));
+    addResources(used, job.spec, sign);
     this.service(team, now).changeRate(sign * share, now);
     job.service.changeRate(sign * share, now);
   }
 
   /** Adds the assignment to the task count of its job's team and rank (`sign` 1), or removes it (`sign` -1). */
-  countRank({ job }: Assignment, sign: 1 | -1): void {
+  countByRank({ job }: Assignment, sign: 1 | -1): void {
     this.groupOf(job).tasks += sign;
   }
 
@@ -49,8 +49,8 @@
   }
 
   /** Amounts of all assignments of the team, including those that may have ended already (docs/safety.md, point 9). */
-  ofTeam(team: string): Readonly<Amounts> {
-    return this.amountsByTeam.get(team) ?? ZERO_AMOUNTS;
+  amountsOfTeam(team: string): Readonly<Resources> {
+    return this.amountsByTeam.get(team) ?? ZERO_RESOURCES;
   }
 
   /** The counter of the decayed service that the team has received (share of the fleet multiplied by seconds). */
--- a/packages/core/fair-share/waiting-bucket.ts
+++ b/packages/core/fair-share/waiting-bucket.ts
@@ -1,6 +1,6 @@
 /** Groups similar waiting jobs and keeps them in the order in which they are served. */
 import type { Job } from '#wire';
-import type { Amounts } from '../model/amounts.js';
+import type { Resources } from '../model/resources.js';
 import type { JobState } from '../model/entities.js';
 import { membersOf } from '../model/replica-groups.js';
 import { byAge } from './job-order.js';
@@ -24,7 +24,7 @@
   /** Jobs with at least one assigned task, in no order. */
   readonly active = new Set<JobState>();
   /** Lower bounds of the amounts that a task in the bucket needs. */
-  readonly minAmounts: Amounts;
+  readonly minAmounts: Resources;
   /** Upper bound of the processors that a task in the bucket needs. */
   maxCpus: number;
   private readonly entries = new Map<JobState, IdleEntry>();
@@ -33,19 +33,19 @@
    * The job that the bucket was created for. All jobs of the bucket have its team, accelerators and constraints, and
    * are gangs if it is a gang.
    */
-  readonly sample: Job;
+  readonly representative: Job;
   /** Effective rank of the bucket's jobs (`JobState.rank`). */
   readonly rank: number;
   /** Whether the bucket's jobs are best-effort. */
   readonly isBestEffort: boolean;
   /** Number of members of each replica of the bucket's jobs; 1 if a replica is a single task. */
-  readonly members: number;
+  readonly membersPerReplica: number;
 
   constructor(firstJob: JobState) {
-    this.sample = firstJob.spec;
+    this.representative = firstJob.spec;
     this.rank = firstJob.rank;
     this.isBestEffort = firstJob.isBestEffort;
-    this.members = membersOf(firstJob);
+    this.membersPerReplica = membersOf(firstJob);
     const { cpus, gpus, memory } = firstJob.spec;
     this.minAmounts = { cpus, gpus, memory };
     this.maxCpus = cpus;
--- a/packages/core/fair-share/waiting-jobs.ts
+++ b/packages/core/fair-share/waiting-jobs.ts
@@ -75,7 +75,7 @@
   }
 
   /** To be called after a task of the job was assigned or an assignment of the job has ended. */
-  placesChanged(job: JobState): void {
+  assignmentsChanged(job: JobState): void {
     this.bucketOf.get(job)?.assignmentsChanged(job);
   }
 }
--- a/packages/core/fair-share/waiting-order.ts
+++ b/packages/core/fair-share/waiting-order.ts
@@ -14,7 +14,7 @@
  * Yields the buckets' jobs by rank, the most urgent first, and within a rank by age, the oldest first. After each
  * job `isExhausted` is called with the job's bucket; if it returns true, the bucket's other jobs are left out.
  */
-export function* oldestFirst(
+export function* iterateByRankAndAge(
   buckets: WaitingBucket[],
   isExhausted: (bucket: WaitingBucket) => boolean = () => false,
 ): Generator<JobState> {
--- a/packages/core/fleet-data.ts
+++ b/packages/core/fleet-data.ts
@@ -1,7 +1,7 @@
 /** The data of a shard's fleet that all operations on it share. */
 import { FailureTracker } from './failures/failure-tracker.js';
 import type { Random } from './failures/job-failures.js';
-import { type BestEffortTest, JobRegistry } from './model/job-registry.js';
+import { type BestEffortPredicate, JobRegistry } from './model/job-registry.js';
 import { type FleetListener, NO_LISTENER } from './model/listener.js';
 import { MachineRegistry } from './model/machine-registry.js';
 import type { FleetSettings } from './model/fleet-settings.js';
@@ -23,7 +23,7 @@
   /** Source of jitter for retries; without it, each backoff has its full length. */
   random?: Random;
   /** Decides which jobs are best-effort and run on spare capacity only; without it, no job is. */
-  isBestEffort?: BestEffortTest;
+  isBestEffort?: BestEffortPredicate;
   /** Groups the tasks of services into replicas of several members; without it, tasks are not grouped. */
   makeReplicas?: MakeReplicas;
 }
@@ -38,11 +38,11 @@
   readonly electedAt: number;
   readonly listener: FleetListener;
   /** Changes that are not yet durable in the state service. */
-  readonly unrecorded = new UnrecordedChanges();
+  readonly unrecordedChanges = new UnrecordedChanges();
   readonly jobs: JobRegistry;
   readonly machines: MachineRegistry;
   /** Names of machines that the cloud has deprovisioned. */
-  readonly released: ReleasedMachines;
+  readonly releasedMachines: ReleasedMachines;
   readonly usage: UsageLedger;
   /** Free capacity that is held for one job, for example after preemption. */
   readonly holds = new CapacityHolds();
@@ -56,9 +56,9 @@
     this.electedAt = options.electedAt;
     this.listener = options.listener ?? NO_LISTENER;
     const isBestEffort = options.isBestEffort ?? (() => false);
-    this.jobs = new JobRegistry(options.settings.halfLifeS, this.unrecorded, isBestEffort);
+    this.jobs = new JobRegistry(options.settings.halfLifeS, this.unrecordedChanges, isBestEffort);
     this.machines = new MachineRegistry(options.term);
-    this.released = new ReleasedMachines(options.settings.leaseS);
+    this.releasedMachines = new ReleasedMachines(options.settings.leaseS);
     this.usage = new UsageLedger(options.settings.halfLifeS);
     const { settings, machines, usage, holds, listener } = this;
     const random = options.random ?? (() => 0);
--- a/packages/core/fleet-state.ts
+++ b/packages/core/fleet-state.ts
@@ -3,7 +3,7 @@
 import { taskRef } from './heartbeats/answer-orders.js';
 import { Assignments } from './assignments/assignments.js';
 import { DirectOrders } from './heartbeats/direct-orders.js';
-import { type Dependencies, independent } from './model/job-dependencies.js';
+import { type Dependencies, withoutDependencies } from './model/job-dependencies.js';
 import { type FleetOptions, FleetData } from './fleet-data.js';
 import { MachineLeases } from './heartbeats/machine-leases.js';
 import { assignmentsOf, type JobReplicas, type JobState } from './model/entities.js';
@@ -57,7 +57,7 @@
     acceptedAt: number,
     phase: JobState['phase'],
     now: number,
-    { shape, dependencies = independent(job) }: JobOptions = {},
+    { shape, dependencies = withoutDependencies(job) }: JobOptions = {},
   ): JobState {
     const known = this.jobs.get(job.id);
     if (!known) {
@@ -101,9 +101,9 @@
     if (!machine) return;
     this.assignments.endAllOn(machine, now);
     this.machines.remove(machine);
-    this.released.add(name, now);
+    this.releasedMachines.add(name, now);
     this.holds.release(machine);
     this.machinesWithCommands.delete(machine);
-    this.unrecorded.machines.add(name);
+    this.unrecordedChanges.machines.add(name);
   }
 }
--- a/packages/core/heartbeats/direct-orders.test.ts
+++ b/packages/core/heartbeats/direct-orders.test.ts
@@ -18,7 +18,7 @@
     const heartbeat = aHeartbeat({ sequence: 2, tasks: [{ ...task, state: 'fetching' }] });
     fleet.directOrders.applyOutcome(machine, orders, { kind: 'executed', heartbeat }, 21);
     assert.equal(job.assignments.size, 0, lost);
-    assert.equal(fleet.usage.ofTeam('red').gpus, 0, lost);
+    assert.equal(fleet.usage.amountsOfTeam('red').gpus, 0, lost);
   }
 });
 
@@ -30,9 +30,9 @@
   fleet.heartbeats.handle(aHeartbeat(), 1);
   fleet.assignments.assign(job, 0, machine, 1, 1).recorded = true;
   assert.equal(fleet.directOrders.nextOrders(machine, 1.5).length, 1);
-  fleet.unrecorded.machines.clear();
+  fleet.unrecordedChanges.machines.clear();
   fleet.closeJob(job, 'cancelled', 1.6);
-  assert.deepEqual([...fleet.unrecorded.machines], ['n-1']);
+  assert.deepEqual([...fleet.unrecordedChanges.machines], ['n-1']);
   fleet.fencing.fenceRecorded(machine, 150);
   fleet.heartbeats.handle(aHeartbeat({ sequence: 2 }), 2);
   assert.equal(machine.fencingToken, 150, 'the answer carries the new fencing token');
--- a/packages/core/heartbeats/heartbeat-processor.ts
+++ b/packages/core/heartbeats/heartbeat-processor.ts
@@ -40,7 +40,7 @@
 
   /** Applies a heartbeat and returns the answer to it. */
   handle(heartbeat: Heartbeat, now: number): HeartbeatOutcome {
-    if (this.fleet.released.has(heartbeat.machine)) return LATE_COPY;
+    if (this.fleet.releasedMachines.has(heartbeat.machine)) return LATE_COPY;
     const machine = this.getOrRegisterMachine(heartbeat, now);
     if (heartbeat.agentEpoch < machine.agentEpoch) return LATE_COPY;
     if (heartbeat.agentEpoch === machine.agentEpoch) {
--- a/packages/core/heartbeats/start-fencing.ts
+++ b/packages/core/heartbeats/start-fencing.ts
@@ -71,7 +71,7 @@
   private requestFence(machine: Machine): void {
     if (machine.fence !== 'none') return;
     machine.fence = 'requested';
-    this.fleet.unrecorded.markMachineUrgent(machine.name, MOST_URGENT);
+    this.fleet.unrecordedChanges.markMachineUrgent(machine.name, MOST_URGENT);
   }
 
   /** Raises the machine's fencing token to the revision at which its requested record was written. */
--- a/packages/core/heartbeats/task-reconciler.test.ts
+++ b/packages/core/heartbeats/task-reconciler.test.ts
@@ -86,14 +86,14 @@
     fleet.assignments.assign(job, index, machine, 1, 0).recorded = true;
   }
   assert.ok(!heartbeat(2, done(0), done(1))?.includes('forget'));
-  fleet.unrecorded.tasksRecorded(job.spec.id, [0]);
+  fleet.unrecordedChanges.tasksRecorded(job.spec.id, [0]);
   assert.deepEqual(
     heartbeat(3, done(0), done(1))?.filter((op) => op === 'forget'),
     ['forget'],
   );
   // The end of the whole job is recorded separately from the completion of single tasks.
   fleet.assignments.assign(job, 2, machine, 1, 0).recorded = true;
-  fleet.unrecorded.tasksRecorded(job.spec.id, [1]);
+  fleet.unrecordedChanges.tasksRecorded(job.spec.id, [1]);
   assert.ok(!heartbeat(4, done(2))?.includes('forget'));
   fleet.closeJob(job, 'done', 2);
   assert.deepEqual(heartbeat(5, done(2)), ['forget']);
--- a/packages/core/heartbeats/task-reconciler.ts
+++ b/packages/core/heartbeats/task-reconciler.ts
@@ -118,7 +118,7 @@
   private isCompletionUnrecorded({ phase, done, spec }: JobState, index: number): boolean {
     if (phase !== 'accepted' || !done.has(index)) return false;
     const isAllDone = done.size === spec.tasks;
-    return isAllDone || this.fleet.unrecorded.doneTasksOf(spec.id).has(index);
+    return isAllDone || this.fleet.unrecordedChanges.doneTasksOf(spec.id).has(index);
   }
 
   /** Handles a task that is assigned to the machine and that the heartbeat does not list. */
--- a/packages/core/index.ts
+++ b/packages/core/index.ts
@@ -5,12 +5,12 @@
 export * from './fleet-state.js';
 export type { FleetOptions } from './fleet-data.js';
 
-export * from './model/amounts.js';
+export * from './model/resources.js';
 export type * from './model/fleet-settings.js';
 export type { Dependencies } from './model/job-dependencies.js';
-export type { BestEffortTest } from './model/job-registry.js';
+export type { BestEffortPredicate } from './model/job-registry.js';
 export * from './model/listener.js';
-export { LARGEST_ENTRY } from './model/machine-record-size.js';
+export { MAX_ENTRY_BYTES } from './model/machine-record-size.js';
 export * from './model/entities.js';
 export * from './model/replica-groups.js';
 export type * from './model/replica-shape.js';
--- a/packages/core/model/end-cause.ts
+++ b/packages/core/model/end-cause.ts
@@ -1,5 +1,5 @@
 /** Why an assignment ended. */
-import type { Cause } from '#wire';
+import type { ExitCause } from '#wire';
 
 /** The cause that the worker reports, or `lost` if the leader concludes that the task is gone (docs/safety.md, point 5). */
-export type EndCause = Cause | 'lost';
+export type EndCause = ExitCause | 'lost';
--- a/packages/core/model/entities.ts
+++ b/packages/core/model/entities.ts
@@ -9,7 +9,7 @@
 import type { EndCause } from './end-cause.js';
 import type { MachineFacts } from './machine-facts.js';
 import type { MachineUsage } from './machine-usage.js';
-import type { PlaceOrigin, ReplicaShape } from './replica-shape.js';
+import type { AssignmentOrigin, ReplicaShape } from './replica-shape.js';
 import type { TaskSet } from './task-set.js';
 import type { WorkerState } from './worker-state.js';
 
@@ -76,10 +76,10 @@
   done: TaskSet;
   /** Assignments by task index, until the task is proven gone; several for a task if an unrecorded attempt of it runs. */
   assignments: Map<number, Assignment[]>;
-  /** Index where the scan for waiting tasks starts. Waiting tasks with a lower index are in `returnedTasks`. */
+  /** Index where the scan for waiting tasks starts. Waiting tasks with a lower index are in `requeuedTasks`. */
   scanFrom: number;
   /** Indexes of tasks that lost their assignment. Some of these tasks may be assigned again or done. */
-  returnedTasks: Set<number>;
+  requeuedTasks: Set<number>;
   /** Failures of its tasks since the last success of one. */
   failures: JobFailures;
   /** Backoff after failures: none of its tasks is placed before this time. */
@@ -140,15 +140,15 @@
  */
 export interface JobReplicas extends Readonly<ReplicaShape> {
   /** A member was assigned to a machine. */
-  placeAdded(assignment: Assignment, origin: PlaceOrigin, now: number): void;
+  memberAssigned(assignment: Assignment, origin: AssignmentOrigin, now: number): void;
   /** The member's assignment is durable in its machine's record. */
-  placeRecorded(assignment: Assignment, now: number): void;
+  memberRecorded(assignment: Assignment, now: number): void;
   /** The member was first reported as running. */
   memberRunning(assignment: Assignment, now: number): void;
   /** The member was asked to stop. */
   memberStopping(assignment: Assignment, now: number): void;
   /** The member is proven gone, and its assignment has ended. */
-  placeEnded(assignment: Assignment, cause: EndCause, now: number): void;
+  memberEnded(assignment: Assignment, cause: EndCause, now: number): void;
   /** Whether the member's start may be sent. */
   mayStart(assignment: Assignment): boolean;
   /** Stops the whole replica that the assignment belongs to, to free its capacity for other work. */
@@ -156,9 +156,9 @@
   /** Moves the whole replica off a machine that the cloud reclaims, once it fits elsewhere or little time is left. */
   moveOff(assignment: Assignment, now: number): void;
   /** All assignments of the replica's generation that the given assignment belongs to. */
-  placesWith(assignment: Assignment): Assignment[];
+  assignmentsOfReplica(assignment: Assignment): Assignment[];
   /** Numbers of up to `limit` replicas that have no assignments and may be placed now. */
-  waiting(limit: number, now: number): number[];
+  waitingReplicas(limit: number, now: number): number[];
   /** The job was done or cancelled. */
   jobClosed(): void;
 }
--- a/packages/core/model/free-machines.test.ts
+++ b/packages/core/model/free-machines.test.ts
@@ -32,7 +32,11 @@
     for (let step = 0; step < 150; step++) {
       random.step();
       for (const task of TASKS) {
-        const listed = findMachinesWithCapacity(fleet, fleet.machines.free.mayHold(task), task);
+        const listed = findMachinesWithCapacity(
+          fleet,
+          fleet.machines.free.candidatesFor(task),
+          task,
+        );
         const expected = findMachinesWithCapacity(fleet, fleet.machines.values(), task);
         assert.deepEqual(listed, expected);
         found += expected.length;
--- a/packages/core/model/free-machines.ts
+++ b/packages/core/model/free-machines.ts
@@ -1,11 +1,11 @@
 /** Finds machines with free capacity without a walk over all machines. */
 import type { MachineType } from '#wire';
-import { type Amounts, ROUNDING } from './amounts.js';
+import { type Resources, ROUNDING_TOLERANCE } from './resources.js';
 import type { Machine } from './entities.js';
 import { OrderedMachines } from './ordered-machines.js';
 
 /** A need above this certainly exceeds the rounding error of the free capacity. */
-const SIGNIFICANT_NEED = 3 * ROUNDING;
+const SIGNIFICANT_NEED = 3 * ROUNDING_TOLERANCE;
 
 /**
  * Lists of the machines that are up, and of those with free CPUs or GPUs, updated when tasks are added or removed. In a
@@ -20,8 +20,8 @@
   update(machine: Machine, type: MachineType | undefined): void {
     const isUp = machine.state === 'up' && type !== undefined;
     this.up.setMember(machine, isUp);
-    this.withCpus.setMember(machine, isUp && type.cpus - machine.used.cpus > ROUNDING);
-    this.withGpus.setMember(machine, isUp && type.gpus - machine.used.gpus > ROUNDING);
+    this.withCpus.setMember(machine, isUp && type.cpus - machine.used.cpus > ROUNDING_TOLERANCE);
+    this.withGpus.setMember(machine, isUp && type.gpus - machine.used.gpus > ROUNDING_TOLERANCE);
   }
 
   /** Removes a machine that is gone. */
@@ -30,7 +30,7 @@
   }
 
   /** All machines that may have capacity for such a task, in the order in which they became known. */
-  mayHold({ cpus, gpus }: Pick<Amounts, 'cpus' | 'gpus'>): readonly Machine[] {
+  candidatesFor({ cpus, gpus }: Pick<Resources, 'cpus' | 'gpus'>): readonly Machine[] {
     if (gpus > SIGNIFICANT_NEED) return this.withGpus.machines;
     if (cpus > SIGNIFICANT_NEED) return this.withCpus.machines;
     return this.up.machines;
--- a/packages/core/model/job-dependencies.ts
+++ b/packages/core/model/job-dependencies.ts
@@ -10,6 +10,6 @@
 }
 
 /** The effect on a job that has neither dependencies nor dependents. */
-export function independent({ rank }: Job): Dependencies {
+export function withoutDependencies({ rank }: Job): Dependencies {
   return { hasOpenDependencies: false, rank };
 }
--- a/packages/core/model/job-registry.ts
+++ b/packages/core/model/job-registry.ts
@@ -1,14 +1,14 @@
 /** The jobs of a shard, and which of their tasks wait for a machine. */
 import type { Job } from '#wire';
 import { WaitingJobs } from '../fair-share/waiting-jobs.js';
-import { type Dependencies, independent } from './job-dependencies.js';
+import { type Dependencies, withoutDependencies } from './job-dependencies.js';
 import type { JobReplicas, JobState } from './entities.js';
 import { newJobState } from './new-job.js';
 import type { UnrecordedChanges } from './unrecorded-changes.js';
 import { countWaitingTasks, findWaitingTasks } from './waiting-tasks.js';
 
 /** Tells whether jobs of a team and rank run on spare capacity only. */
-export type BestEffortTest = (job: Pick<Job, 'team' | 'rank'>) => boolean;
+export type BestEffortPredicate = (job: Pick<Job, 'team' | 'rank'>) => boolean;
 
 /** Optional properties of a new job that its submission does not contain. */
 export interface NewJobOptions {
@@ -30,7 +30,7 @@
   constructor(
     private readonly halfLifeS: number,
     private readonly unrecorded: UnrecordedChanges,
-    private readonly isBestEffort: BestEffortTest,
+    private readonly isBestEffort: BestEffortPredicate,
   ) {}
 
   /** The job, or undefined if it is not known or was removed. */
@@ -54,7 +54,7 @@
     acceptedAt: number,
     phase: JobState['phase'],
     now: number,
-    { replicasOf, dependencies = independent(job) }: NewJobOptions = {},
+    { replicasOf, dependencies = withoutDependencies(job) }: NewJobOptions = {},
   ): JobState {
     const isBestEffort = this.isBestEffort({ team: job.team, rank: dependencies.rank });
     const { halfLifeS } = this;
@@ -72,7 +72,7 @@
     if (!job.hasOpenDependencies) return;
     job.hasOpenDependencies = false;
     job.startableAt = now;
-    this.joinQueueIfAnyWaits(job, now);
+    this.enqueueIfTasksWait(job, now);
   }
 
   /** Changes the job's effective rank. The caller updates the counts by rank. */
@@ -140,17 +140,17 @@
     this.countsChanged(job);
     if (job.done.size < job.spec.tasks) this.unrecorded.taskDone(job.spec.id, index);
     this.unrecorded.jobs.add(job.spec.id);
-    this.leaveQueueIfNoneWaits(job);
+    this.dequeueIfNoTaskWaits(job);
   }
 
   /** Removes the job from the queue if none of its tasks waits. Called after tasks were assigned or completed. */
-  leaveQueueIfNoneWaits(job: JobState): void {
+  dequeueIfNoTaskWaits(job: JobState): void {
     if (countWaitingTasks(job) === 0) this.waiting.delete(job);
   }
 
   /** Adds the job to the queue if any of its tasks waits. Called after a task lost its machine or became startable. */
-  joinQueueIfAnyWaits(job: JobState, now: number): void {
-    this.waiting.placesChanged(job);
+  enqueueIfTasksWait(job: JobState, now: number): void {
+    this.waiting.assignmentsChanged(job);
     if (countWaitingTasks(job) === 0 || this.waiting.has(job)) return;
     job.waitingSince = now;
     this.waiting.add(job);
--- a/packages/core/model/machine-groups.test.ts
+++ b/packages/core/model/machine-groups.test.ts
@@ -2,7 +2,13 @@
 import { test } from 'node:test';
 import { Chance } from '../../testing/random.js';
 import { RandomFleet } from '../../testing/leader-load/random-steps.js';
-import { addAmounts, type Amounts, type FleetState, type Machine, ZERO_AMOUNTS } from '../index.js';
+import {
+  addResources,
+  type Resources,
+  type FleetState,
+  type Machine,
+  ZERO_RESOURCES,
+} from '../index.js';
 import { MachineGroups } from './machine-groups.js';
 
 const SEEDS = 40;
@@ -63,9 +69,9 @@
   for (const count of seen) assert.ok(count > SEEDS, `members seen: ${seen.join(', ')}`);
 });
 
-function computeTotals({ machines }: FleetState): Amounts {
-  const totals = { ...ZERO_AMOUNTS };
-  for (const machine of machines.values()) addAmounts(totals, machines.typeOf(machine)!, 1);
+function computeTotals({ machines }: FleetState): Resources {
+  const totals = { ...ZERO_RESOURCES };
+  for (const machine of machines.values()) addResources(totals, machines.typeOf(machine)!, 1);
   return totals;
 }
 
--- a/packages/core/model/machine-record-size.ts
+++ b/packages/core/model/machine-record-size.ts
@@ -10,7 +10,7 @@
 /** Bytes of the brackets, quotes and commas in the entry of one task. */
 const ENTRY_SYNTAX_BYTES = '["",,],'.length;
 /** Bytes of the largest entry of a task. */
-export const LARGEST_ENTRY =
+export const MAX_ENTRY_BYTES =
   ENTRY_SYNTAX_BYTES + MAX_JOB_ID_LENGTH + MAX_INDEX_DIGITS + MAX_ATTEMPT_DIGITS;
 
 /** The longest address of a machine. */
@@ -29,6 +29,6 @@
 }
 
 /** Maximum bytes of the entry of one of the job's tasks. */
-export function mostEntryBytes({ id, tasks }: Job): number {
+export function maxTaskEntryBytes({ id, tasks }: Job): number {
   return ENTRY_SYNTAX_BYTES + id.length + String(tasks - 1).length + MAX_ATTEMPT_DIGITS;
 }
--- a/packages/core/model/machine-registry.ts
+++ b/packages/core/model/machine-registry.ts
@@ -1,6 +1,6 @@
 /** The machines of a shard and the machine types of the cloud. */
 import type { MachineType } from '#wire';
-import { addAmounts, type Amounts, ZERO_AMOUNTS } from './amounts.js';
+import { addResources, type Resources, ZERO_RESOURCES } from './resources.js';
 import { FreeMachines } from './free-machines.js';
 import { MachineGroups } from './machine-groups.js';
 import type { Machine } from './entities.js';
@@ -20,7 +20,7 @@
   /** Machines with free capacity. */
   readonly free = new FreeMachines();
   /** Total resources of all machines, as of the last `updateTotals`. */
-  totals: Readonly<Amounts> = ZERO_AMOUNTS;
+  totals: Readonly<Resources> = ZERO_RESOURCES;
   /** Whether machines or the sizes of machine types have changed since the last `updateTotals`. */
   private totalsAreStale = false;
   /** Boot time in seconds of the machine type that boots fastest; 0 while no type is known. */
@@ -150,19 +150,19 @@
   }
 
   /** Counts a task on the machine that was asked to stop (1), or the end of such a task (-1). */
-  countStop(machine: MutableMachine, sign: 1 | -1): void {
+  adjustStoppingTasks(machine: MutableMachine, sign: 1 | -1): void {
     machine.stoppingTasks += sign;
     if (this.isKnown(machine)) this.groups.stopsChanged(machine);
   }
 
   /** Counts a replica that is to stay on the machine (1), or no longer is (-1). */
-  countReplica(machine: MutableMachine, sign: 1 | -1): void {
+  adjustStayingReplicas(machine: MutableMachine, sign: 1 | -1): void {
     machine.stayingReplicas += sign;
     if (this.isKnown(machine)) this.groups.replicasChanged(machine);
   }
 
   /** Updates the lists of free machines after the resources that the machine's tasks use changed. */
-  useChanged(machine: Machine): void {
+  usageChanged(machine: Machine): void {
     if (this.isKnown(machine)) this.free.update(machine, this.typeOf(machine));
   }
 
@@ -175,10 +175,10 @@
   updateTotals(): void {
     if (!this.totalsAreStale) return;
     this.totalsAreStale = false;
-    const totals = { ...ZERO_AMOUNTS };
+    const totals = { ...ZERO_RESOURCES };
     for (const machine of this.byName.values()) {
       const type = this.typeOf(machine);
-      if (type) addAmounts(totals, type, 1);
+      if (type) addResources(totals, type, 1);
     }
     this.totals = totals;
   }
--- a/packages/core/model/machine-usage.ts
+++ b/packages/core/model/machine-usage.ts
@@ -1,5 +1,5 @@
 /** Sums over the tasks of a machine, updated with each change so that they need not be recomputed. */
-import type { Amounts } from './amounts.js';
+import type { Resources } from './resources.js';
 
 /**
  * Resources that a machine's tasks use, and counts of the tasks. Only the MachineRegistry changes the read-only fields,
@@ -9,9 +9,9 @@
   /** Size of the machine's record in bytes of JSON. */
   recordBytes: number;
   /** Resources that all its tasks use. */
-  used: Amounts;
+  used: Resources;
   /** The part of `used` that best-effort tasks use. */
-  usedBestEffort: Amounts;
+  usedBestEffort: Resources;
   /** Number of tasks on it that are not best-effort. */
   firmTasks: number;
   /** Number of tasks on it that were asked to stop. */
--- a/packages/core/model/new-job.ts
+++ b/packages/core/model/new-job.ts
@@ -33,7 +33,7 @@
     phase,
     done: new TaskSet(job.tasks),
     assignments: new Map(),
-    returnedTasks: new Set(),
+    requeuedTasks: new Set(),
     scanFrom: 0,
     failures: noJobFailures(),
     backoffUntil: 0,
--- a/packages/core/model/new-machine.ts
+++ b/packages/core/model/new-machine.ts
@@ -1,6 +1,6 @@
 /** Creates the state of a new machine. */
 import { noMachineFailures } from '../failures/machine-failures.js';
-import { ZERO_AMOUNTS } from './amounts.js';
+import { ZERO_RESOURCES } from './resources.js';
 import type { MachineFacts } from './machine-facts.js';
 import { emptyRecordBytes } from './machine-record-size.js';
 import type { Machine } from './entities.js';
@@ -56,8 +56,8 @@
     tasks: new Map(),
     images: new Map(),
     recordBytes: emptyRecordBytes(facts),
-    used: { ...ZERO_AMOUNTS },
-    usedBestEffort: { ...ZERO_AMOUNTS },
+    used: { ...ZERO_RESOURCES },
+    usedBestEffort: { ...ZERO_RESOURCES },
     firmTasks: 0,
     stoppingTasks: 0,
     stayingReplicas: 0,
--- a/packages/core/model/replica-shape.ts
+++ b/packages/core/model/replica-shape.ts
@@ -8,7 +8,7 @@
 }
 
 /** How a member of a replica came to its assignment. */
-export type PlaceOrigin =
+export type AssignmentOrigin =
   /** Placed in this term. */
   | 'placed'
   /** Read from the records of an earlier term. */
--- a/packages/core/model/amounts.ts
+++ b/packages/core/model/resources.ts
@@ -1,7 +1,7 @@
 /** Amounts of resources, and sums and shares of them. */
 
 /** Resources that a task needs or a machine has. */
-export interface Amounts {
+export interface Resources {
   cpus: number;
   gpus: number;
   /** GB. */
@@ -9,25 +9,25 @@
 }
 
 /** Amounts are floating-point sums; differences below this are rounding errors. */
-export const ROUNDING = 1e-9;
+export const ROUNDING_TOLERANCE = 1e-9;
 
 /** No resources. Shared, so copy it before adding to it. */
-export const ZERO_AMOUNTS: Readonly<Amounts> = { cpus: 0, gpus: 0, memory: 0 };
+export const ZERO_RESOURCES: Readonly<Resources> = { cpus: 0, gpus: 0, memory: 0 };
 
 /** Adds amounts in place, or subtracts them if `sign` is -1. */
-export function addAmounts(sum: Amounts, more: Amounts, sign: 1 | -1): void {
+export function addResources(sum: Resources, more: Resources, sign: 1 | -1): void {
   sum.cpus += sign * more.cpus;
   sum.gpus += sign * more.gpus;
   sum.memory += sign * more.memory;
 }
 
 /** The amounts of `count` tasks together. */
-export function multipliedAmounts({ cpus, gpus, memory }: Amounts, count: number): Amounts {
+export function multiplyResources({ cpus, gpus, memory }: Resources, count: number): Resources {
   return { cpus: cpus * count, gpus: gpus * count, memory: memory * count };
 }
 
 /** The largest share of the fleet's totals that the amounts take. */
-export function dominantShare(amounts: Amounts, totals: Amounts): number {
+export function dominantShare(amounts: Resources, totals: Resources): number {
   return Math.max(
     shareOf(amounts.cpus, totals.cpus),
     shareOf(amounts.gpus, totals.gpus),
--- a/packages/core/model/task-set.test.ts
+++ b/packages/core/model/task-set.test.ts
@@ -10,7 +10,7 @@
       const set = new TaskSet(tasks);
       for (const i of done) set.add(i);
       const copy = new TaskSet(tasks);
-      for (let c = 0; c * 64 < tasks; c++) copy.addText(c * 64, set.textOf(c * 64, 64));
+      for (let c = 0; c * 64 < tasks; c++) copy.addBase64(c * 64, set.toBase64(c * 64, 64));
       assert.equal(copy.size, set.size);
       for (let i = 0; i < tasks; i++) assert.equal(copy.has(i), set.has(i));
     }),
--- a/packages/core/model/task-set.ts
+++ b/packages/core/model/task-set.ts
@@ -29,14 +29,14 @@
   }
 
   /** Encodes the bits of `count` indexes from `first` on in base64; `count` and `first` must be multiples of 8. */
-  textOf(first: number, count: number): string {
+  toBase64(first: number, count: number): string {
     const from = first >> 3;
     const to = Math.min(this.bits.length, from + (count >> 3));
     return Buffer.from(this.bits.subarray(from, to)).toString('base64');
   }
 
-  /** Adds the indexes that `textOf` encoded from `first` on. */
-  addText(first: number, text: string): void {
+  /** Adds the indexes that `toBase64` encoded from `first` on. */
+  addBase64(first: number, text: string): void {
     const bytes = Buffer.from(text, 'base64');
     for (let i = 0; i < bytes.length * 8; i++) {
       if (bytes[i >> 3] & (1 << (i & 7))) this.add(first + i);
--- a/packages/core/model/unrecorded-changes.ts
+++ b/packages/core/model/unrecorded-changes.ts
@@ -55,7 +55,7 @@
   }
 
   /** Whether some change is urgent, so that it may not wait until the recorder's budget has changes to spare. */
-  get anyUrgent(): boolean {
+  get hasUrgentChanges(): boolean {
     return this.urgentMachines.size > 0 || this.jobs.size > 0;
   }
 }
--- a/packages/core/placement/availability.ts
+++ b/packages/core/placement/availability.ts
@@ -1,5 +1,5 @@
 /** Availability: whether a machine accepts new tasks, regardless of what these tasks require. */
-import { LARGEST_ENTRY } from '../model/machine-record-size.js';
+import { MAX_ENTRY_BYTES } from '../model/machine-record-size.js';
 import type { Machine } from '../model/entities.js';
 
 /** Whether the machine is drained, or the cloud has given notice that it will reclaim it. */
@@ -16,7 +16,7 @@
     machine.state === 'up' &&
     !isLeaving(machine) &&
     !machine.failedInList &&
-    machine.recordBytes + LARGEST_ENTRY <= machineRecordBytes
+    machine.recordBytes + MAX_ENTRY_BYTES <= machineRecordBytes
   );
 }
 
--- a/packages/core/placement/blocked-shapes.ts
+++ b/packages/core/placement/blocked-shapes.ts
@@ -1,6 +1,6 @@
 /** Blocked shapes: requirements that found no capacity in a round, so that equal or larger ones are not tried again. */
 import type { Job } from '#wire';
-import type { Amounts } from '../model/amounts.js';
+import type { Resources } from '../model/resources.js';
 import type { JobState } from '../model/entities.js';
 import { constraintsKey, dependsOnTaskZones } from './task-requirements.js';
 
@@ -14,7 +14,7 @@
 
 /** Amounts for which no capacity was found, and the rank of the job that needed them. */
 interface BlockedShape {
-  need: Readonly<Amounts>;
+  need: Readonly<Resources>;
   rank: number;
 }
 
@@ -35,7 +35,7 @@
   }
 
   /** Whether a task of the job that needs `need` (by default the job's amounts) is known to find no capacity. */
-  has(job: Job, rank: number, access: CapacityAccess, need: Readonly<Amounts> = job): boolean {
+  has(job: Job, rank: number, access: CapacityAccess, need: Readonly<Resources> = job): boolean {
     if (this.byConstraints.size === 0) return false;
     const shapes = this.byConstraints.get(shapeKey(job, access));
     return shapes?.some((shape) => covers(shape, { need, rank })) ?? false;
--- a/packages/core/placement/choose-machines-together.ts
+++ b/packages/core/placement/choose-machines-together.ts
@@ -1,6 +1,6 @@
 /** Chooses machines for tasks that are placed together: a gang, or the members of one replica. */
 import type { FleetState } from '../fleet-state.js';
-import { mostEntryBytes } from '../model/machine-record-size.js';
+import { maxTaskEntryBytes } from '../model/machine-record-size.js';
 import type { JobState, Machine } from '../model/entities.js';
 import { isReservedForOther } from './availability.js';
 import {
@@ -63,7 +63,7 @@
 ): MachineOption[] {
   const { spec } = job;
   const { machineRecordBytes } = fleet.settings;
-  const maxEntryBytes = mostEntryBytes(spec);
+  const maxEntryBytes = maxTaskEntryBytes(spec);
   const options: MachineOption[] = [];
   for (const candidate of candidates.forJob(job)) {
     const { machine, type } = candidate;
--- a/packages/core/placement/gang-reservations.ts
+++ b/packages/core/placement/gang-reservations.ts
@@ -1,6 +1,6 @@
 /** Gang reservations: machines that are kept free until a waiting gang can start. */
 import type { MachineType } from '#wire';
-import { ZERO_AMOUNTS } from '../model/amounts.js';
+import { ZERO_RESOURCES } from '../model/resources.js';
 import { isCordoned, isLeaving } from './availability.js';
 import { kindAllowed, taskCapacity } from './task-requirements.js';
 import type { FleetState } from '../fleet-state.js';
@@ -149,7 +149,7 @@
     let collected = byZone.get(zone);
     if (!collected) byZone.set(zone, (collected = { machines: [], capacity: 0 }));
     collected.machines.push(machine);
-    collected.capacity += taskCapacity(spec, ZERO_AMOUNTS, type);
+    collected.capacity += taskCapacity(spec, ZERO_RESOURCES, type);
     if (collected.capacity < spec.tasks) continue;
     chosen = collected.machines;
     break;
--- a/packages/core/placement/placement-candidates.ts
+++ b/packages/core/placement/placement-candidates.ts
@@ -1,6 +1,6 @@
 /** Lists the machines with capacity for a task, once per round for all tasks with the same requirements. */
 import type { Job, MachineType } from '#wire';
-import type { Amounts } from '../model/amounts.js';
+import type { Resources } from '../model/resources.js';
 import { isUsable } from './availability.js';
 import { hasCapacity, kindAllowed } from './task-requirements.js';
 import type { FleetState } from '../fleet-state.js';
@@ -63,9 +63,9 @@
   }
 
   /** Whether any usable machine, reserved or not, meets the job's constraints and has capacity for `need`. */
-  anyCapacityFor(job: Job, need: Readonly<Amounts>): boolean {
+  anyCapacityFor(job: Job, need: Readonly<Resources>): boolean {
     const { machines } = this.fleet;
-    const candidates = machines.free.mayHold(need);
+    const candidates = machines.free.candidatesFor(need);
     if (candidates.length === 0) return false;
     const task = { ...job, ...need };
     for (const machine of candidates) {
@@ -82,7 +82,7 @@
     if (!candidates) {
       this.byRequirements.set(requirementsKey, (candidates = []));
       const { machines } = this.fleet;
-      for (const machine of machines.free.mayHold(spec)) {
+      for (const machine of machines.free.candidatesFor(spec)) {
         const type = machines.typeOf(machine);
         if (!type || !hasCapacity(spec, machine.used, type)) continue;
         if (!kindAllowed(spec, type, machine.zone, machine.spot)) continue;
--- a/packages/core/placement/placement-round.ts
+++ b/packages/core/placement/placement-round.ts
@@ -43,11 +43,11 @@
   }
 
   /** Whether not even the bucket's smallest task can be placed, for lack of capacity or by its team's limit. */
-  canPlaceNone({ sample, minAmounts }: WaitingBucket): boolean {
-    if (sample.kind === 'gang') return false;
+  canPlaceNone({ representative, minAmounts }: WaitingBucket): boolean {
+    if (representative.kind === 'gang') return false;
     return (
-      !this.shares.withinLimit(sample.team, minAmounts) ||
-      !this.candidates.anyCapacityFor(sample, minAmounts)
+      !this.shares.withinLimit(representative.team, minAmounts) ||
+      !this.candidates.anyCapacityFor(representative, minAmounts)
     );
   }
 
@@ -85,7 +85,7 @@
     if (this.isBlocked(job) || this.fleet.failures.maxStartableTasks(job) === 0) return 0;
     const request = { tasks: members, oneZone: needsOneZone(job) };
     let placed = 0;
-    for (const replica of replicas.waiting(Math.ceil(TASKS_PER_TURN / members), this.now)) {
+    for (const replica of replicas.waitingReplicas(Math.ceil(TASKS_PER_TURN / members), this.now)) {
       const placedNow = this.placeTogether(job, request, replica * members);
       if (placedNow === 0) break;
       placed += placedNow;
--- a/packages/core/placement/scheduler.test.ts
+++ b/packages/core/placement/scheduler.test.ts
@@ -93,7 +93,7 @@
         job,
         tier: tierOf(job),
         team,
-        index: shares.index(team, NOW),
+        index: shares.fairShareIndex(team, NOW),
         service: job.service.read(NOW),
       };
     })
--- a/packages/core/placement/scheduler.ts
+++ b/packages/core/placement/scheduler.ts
@@ -39,7 +39,7 @@
 
   /** The team's fair-share index; the team with the lowest index is served first. */
   index(team: string, now: number): number {
-    return this.shares.index(team, now);
+    return this.shares.fairShareIndex(team, now);
   }
 
   /** Runs one round of placement and preemption. Returns how many tasks were assigned to a machine. */
--- a/packages/core/placement/task-requirements.ts
+++ b/packages/core/placement/task-requirements.ts
@@ -3,7 +3,7 @@
  * spread over zones or stay in one also depend on the zones of their other tasks.
  */
 import type { Job, MachineType } from '#wire';
-import { type Amounts, ROUNDING } from '../model/amounts.js';
+import { type Resources, ROUNDING_TOLERANCE } from '../model/resources.js';
 import { assignmentsOf, JobState } from '../model/entities.js';
 
 /** A machine type in one zone, as spot or on-demand machines: what the cloud offers. */
@@ -18,9 +18,9 @@
   return (
     (job.types === null || job.types.includes(type.name)) &&
     (job.zone === null || type.zones.includes(job.zone)) &&
-    job.cpus <= type.cpus + ROUNDING &&
-    job.gpus <= type.gpus + ROUNDING &&
-    job.memory <= type.memory + ROUNDING
+    job.cpus <= type.cpus + ROUNDING_TOLERANCE &&
+    job.gpus <= type.gpus + ROUNDING_TOLERANCE &&
+    job.memory <= type.memory + ROUNDING_TOLERANCE
   );
 }
 
@@ -33,16 +33,16 @@
 }
 
 /** Whether the machine type has capacity for one more task of the job in addition to what is used. */
-export function hasCapacity(job: Job, used: Readonly<Amounts>, type: MachineType): boolean {
+export function hasCapacity(job: Job, used: Readonly<Resources>, type: MachineType): boolean {
   return (
-    used.cpus + job.cpus <= type.cpus + ROUNDING &&
-    used.gpus + job.gpus <= type.gpus + ROUNDING &&
-    used.memory + job.memory <= type.memory + ROUNDING
+    used.cpus + job.cpus <= type.cpus + ROUNDING_TOLERANCE &&
+    used.gpus + job.gpus <= type.gpus + ROUNDING_TOLERANCE &&
+    used.memory + job.memory <= type.memory + ROUNDING_TOLERANCE
   );
 }
 
 /** Number of further tasks of the job that the machine type has capacity for; Infinity if they need nothing. */
-export function taskCapacity(job: Job, used: Readonly<Amounts>, type: MachineType): number {
+export function taskCapacity(job: Job, used: Readonly<Resources>, type: MachineType): number {
   return Math.max(
     0,
     Math.min(
@@ -54,7 +54,7 @@
 }
 
 function wholeUnits(free: number, need: number): number {
-  return need > 0 ? Math.floor((free + ROUNDING) / need) : Infinity;
+  return need > 0 ? Math.floor((free + ROUNDING_TOLERANCE) / need) : Infinity;
 }
 
 /** Maximum number of the job's tasks in one zone. */
--- a/packages/core/preemption/start-window.ts
+++ b/packages/core/preemption/minimum-run-time.ts
@@ -4,6 +4,6 @@
 const MINIMUM_RUN_TIME_S = 30;
 
 /** Whether a task has run for the minimum time since `runningSince`. Times are seconds of the monotonic clock. */
-export function isPastStartWindow(runningSince: number, now: number): boolean {
+export function hasRunMinimumTime(runningSince: number, now: number): boolean {
   return now - runningSince >= MINIMUM_RUN_TIME_S;
 }
--- a/packages/core/preemption/preemption-cost.ts
+++ b/packages/core/preemption/preemption-cost.ts
@@ -12,7 +12,9 @@
 /** Adds the other members of each victim's replica, since a replica is stopped as a whole. */
 function wholeReplicas(victims: Assignment[]): Assignment[] {
   if (victims.every(({ job }) => job.replicas === null)) return victims;
-  return [...new Set(victims.flatMap((each) => each.job.replicas?.placesWith(each) ?? [each]))];
+  return [
+    ...new Set(victims.flatMap((each) => each.job.replicas?.assignmentsOfReplica(each) ?? [each])),
+  ];
 }
 
 /** Accelerator seconds that are lost if the task is stopped, plus one, so that fewer stops are preferred. */
--- a/packages/core/preemption/preemption-rules.ts
+++ b/packages/core/preemption/preemption-rules.ts
@@ -3,7 +3,7 @@
 import type { UsageLedger } from '../fair-share/usage-ledger.js';
 import type { WaitingBucket } from '../fair-share/waiting-bucket.js';
 import { type Assignment, assignmentsOf, type JobState } from '../model/entities.js';
-import { isPastStartWindow } from './start-window.js';
+import { hasRunMinimumTime } from './minimum-run-time.js';
 
 /** Settings that decide when work may preempt other work. */
 export interface PreemptionSettings {
@@ -36,8 +36,8 @@
   }
 
   /** Whether any assigned task, on whatever machine, could be preempted for jobs of the bucket. */
-  mayPreemptAny({ sample, rank, minAmounts, isBestEffort }: WaitingBucket): boolean {
-    const { kind, team } = sample;
+  mayPreemptAny({ representative, rank, minAmounts, isBestEffort }: WaitingBucket): boolean {
+    const { kind, team } = representative;
     if (kind === 'gang' || isBestEffort) return false;
     const isWithinGuarantee = this.shares.guaranteeCheck(team)(minAmounts);
     return this.usage.groups().some((group) => {
@@ -75,8 +75,8 @@
       ...[...assignmentsOf(gang)].map(({ runningSince }) => runningSince ?? now),
     );
     if (now - startedAt < gangLeaseS) return false;
-    const gangIndex = this.shares.index(gang.spec.team, now);
-    return this.shares.index(waiting.spec.team, now) < stopThreshold * gangIndex;
+    const gangIndex = this.shares.fairShareIndex(gang.spec.team, now);
+    return this.shares.fairShareIndex(waiting.spec.team, now) < stopThreshold * gangIndex;
   }
 }
 
@@ -86,5 +86,5 @@
  * jobs of the most urgent rank.
  */
 function isInMinimumRunTime({ runningSince }: Assignment, forJob: JobState, now: number): boolean {
-  return forJob.rank !== 0 && runningSince !== null && !isPastStartWindow(runningSince, now);
+  return forJob.rank !== 0 && runningSince !== null && !hasRunMinimumTime(runningSince, now);
 }
--- a/packages/core/preemption/preemption.ts
+++ b/packages/core/preemption/preemption.ts
@@ -1,7 +1,7 @@
 /** Preemption: stops tasks so that waiting jobs of higher precedence can start, on a few machines in each round. */
 import type { FairShares } from '../fair-share/fair-shares.js';
 import type { WaitingBucket } from '../fair-share/waiting-bucket.js';
-import { oldestFirst } from '../fair-share/waiting-order.js';
+import { iterateByRankAndAge } from '../fair-share/waiting-order.js';
 import type { FleetState } from '../fleet-state.js';
 import type { JobState, Machine } from '../model/entities.js';
 import { membersOf } from '../model/replica-groups.js';
@@ -51,7 +51,7 @@
     if (buckets.length === 0) return;
     const round = this.beginRound(buckets, now);
     let machines = 0;
-    for (const job of oldestFirst(buckets, (bucket) => this.isBlocked(bucket, round))) {
+    for (const job of iterateByRankAndAge(buckets, (bucket) => this.isBlocked(bucket, round))) {
       if (machines >= MACHINES_PER_ROUND) break;
       if (this.isSkipped(job, round)) continue;
       const held = round.heldMachines.get(job) ?? 0;
@@ -77,9 +77,10 @@
 
   /** Whether no victims were found for the bucket's smallest task, or the team's limit allows no more tasks. */
   private isBlocked(bucket: WaitingBucket, { blocked }: PreemptionRound): boolean {
-    const { sample, rank, minAmounts } = bucket;
-    const isShapeBlocked = blocked.get(bucket)?.has(sample, rank, 'firm', minAmounts) ?? false;
-    return isShapeBlocked || !this.shares.withinLimit(sample.team, minAmounts);
+    const { representative, rank, minAmounts } = bucket;
+    const isShapeBlocked =
+      blocked.get(bucket)?.has(representative, rank, 'firm', minAmounts) ?? false;
+    return isShapeBlocked || !this.shares.withinLimit(representative.team, minAmounts);
   }
 
   /** Whether nothing is preempted for the job in this round. */
--- a/packages/core/preemption/victim-selection.ts
+++ b/packages/core/preemption/victim-selection.ts
@@ -1,7 +1,7 @@
 /** Selects the tasks whose preemption loses the least work. */
 import { firmUse } from '../fair-share/best-effort.js';
 import type { FleetState } from '../fleet-state.js';
-import { addAmounts } from '../model/amounts.js';
+import { addResources } from '../model/resources.js';
 import type { Assignment, JobState, Machine } from '../model/entities.js';
 import { membersOf, needsOneZone } from '../model/replica-groups.js';
 import { isLeaving } from '../placement/availability.js';
@@ -106,7 +106,7 @@
     const used = { ...machine.used };
     for (const assignment of preemptible) {
       if (hasCapacity(job.spec, used, type)) break;
-      addAmounts(used, assignment.job.spec, -1);
+      addResources(used, assignment.job.spec, -1);
       victims.push(assignment);
     }
     return victims.length > 0 && hasCapacity(job.spec, used, type) ? victims : null;
--- a/packages/replicas/job-replica-groups.ts
+++ b/packages/replicas/job-replica-groups.ts
@@ -1,5 +1,12 @@
 /** The replica groups of one job. */
-import type { Assignment, JobReplicas, JobState, PlaceOrigin, ReplicaShape, TaskEnd } from '#core';
+import type {
+  Assignment,
+  JobReplicas,
+  JobState,
+  AssignmentOrigin,
+  ReplicaShape,
+  TaskEnd,
+} from '#core';
 import { ReplicaGroup } from './replica-group.js';
 import {
   type EndReason,
@@ -59,7 +66,7 @@
     return this.groups.values();
   }
 
-  placeAdded(assignment: Assignment, origin: PlaceOrigin, now: number): void {
+  memberAssigned(assignment: Assignment, origin: AssignmentOrigin, now: number): void {
     if (this.closed) return;
     const group = this.findOrCreateGroup(assignment.index, now);
     const beginsGeneration = mayBePlaced(group.state);
@@ -68,7 +75,7 @@
     if (beginsGeneration) group.placedAt = now;
   }
 
-  placeRecorded(assignment: Assignment, now: number): void {
+  memberRecorded(assignment: Assignment, now: number): void {
     this.applyEvent('recorded', assignment, now);
   }
 
@@ -80,10 +87,10 @@
     this.applyEvent('stopping', assignment, now);
   }
 
-  placeEnded(assignment: Assignment, cause: TaskEnd['cause'], now: number): void {
+  memberEnded(assignment: Assignment, cause: TaskEnd['cause'], now: number): void {
     if (this.closed) return;
     const group = this.findOrCreateGroup(assignment.index, now);
-    if (cause !== 'stopped') group.lostBy = cause;
+    if (cause !== 'stopped') group.lastLossCause = cause;
     this.coordinator.apply(group, { kind: 'gone', ...this.refOf(assignment) }, now);
     if (mayBePlaced(group.state)) this.withoutPlaces.add(group);
   }
@@ -101,12 +108,12 @@
     this.coordinator.moveOff(this.findOrCreateGroup(assignment.index, now), now);
   }
 
-  placesWith({ index, attempt }: Assignment): Assignment[] {
+  assignmentsOfReplica({ index, attempt }: Assignment): Assignment[] {
     const group = this.groups.get(this.replicaIndexOf(index));
     return group ? [...group.assignments()].filter((each) => each.attempt === attempt) : [];
   }
 
-  waiting(limit: number, now: number): number[] {
+  waitingReplicas(limit: number, now: number): number[] {
     const indices: number[] = [];
     for (const group of this.withoutPlaces) {
       if (indices.length === limit) return indices;
--- a/packages/replicas/replica-group.ts
+++ b/packages/replicas/replica-group.ts
@@ -32,7 +32,7 @@
   /** When a generation first had to end since the group was last whole; null if none had to. */
   incompleteSince: number | null = null;
   /** Cause of the latest end of a member with another cause than `stopped`; null if there was none. */
-  lostBy: TaskEnd['cause'] | null = null;
+  lastLossCause: TaskEnd['cause'] | null = null;
   /** When the newest generation got its first place. */
   placedAt = 0;
   /** Starts that failed since the group was last whole. */
--- a/packages/replicas/replica-groups.test.ts
+++ b/packages/replicas/replica-groups.test.ts
@@ -36,7 +36,7 @@
   private sequence = 0;
 
   constructor(machines: number, quota: TeamQuota = NO_QUOTA) {
-    this.fleet = aFleet({ makeReplicas: (job, shape) => this.groups.make(job, shape) });
+    this.fleet = aFleet({ makeReplicas: (job, shape) => this.groups.createJobGroups(job, shape) });
     this.groups.attach(this.fleet);
     for (let i = 0; i < machines; i++) this.addMachine(`n-${i}`, i % 2 === 0 ? 'a' : 'b');
     this.scheduler = new Scheduler(this.fleet, new Map([['red', quota]]), SCHEDULER_OPTIONS);
@@ -101,7 +101,7 @@
   const setup = new GroupSetup(6, { ...NO_QUOTA, gpuLimit: 20 });
   setup.submit({ tasks: 6 }, 3);
   assert.equal(setup.scheduler.place(1), 3);
-  assert.equal(setup.fleet.usage.ofTeam('red').gpus, 12);
+  assert.equal(setup.fleet.usage.amountsOfTeam('red').gpus, 12);
 });
 
 test('members that must share a zone are placed in one zone, once a zone has capacity for all of them', () => {
@@ -224,7 +224,7 @@
   [0, 1].forEach((index) =>
     setup.fleet.assignments.inherit(partial, index, machines[index + 3], 78, 0),
   );
-  setup.groups.loaded(0);
+  setup.groups.recordsLoaded(0);
   const stopped = setup.assignments().filter(({ stop }) => stop !== null);
   assert.deepEqual(new Set(stopped.map(({ job }) => job.spec.id)), new Set(['j-2']));
   assert.equal(stopped.length, 2);
--- a/packages/replicas/replica-groups.ts
+++ b/packages/replicas/replica-groups.ts
@@ -67,7 +67,7 @@
   }
 
   /** Creates and registers the groups of a job. */
-  make(job: JobState, shape: ReplicaShape): JobReplicas {
+  createJobGroups(job: JobState, shape: ReplicaShape): JobReplicas {
     const groups = new JobReplicaGroups(job, shape, this);
     this.groupsByJob.set(job, groups);
     return groups;
@@ -77,7 +77,7 @@
    * Must be called when all records of earlier terms have been loaded. Adopts the replicas whose members are all named by
    * the records, and ends all others.
    */
-  loaded(now: number): void {
+  recordsLoaded(now: number): void {
     for (const group of [...this.groups()]) this.apply(group, { kind: 'loaded' }, now);
   }
 
--- a/packages/replicas/replica-rows.test.ts
+++ b/packages/replicas/replica-rows.test.ts
@@ -11,7 +11,7 @@
     random: () => 0,
     listener: { phaseChanged() {}, recovered() {} },
   });
-  const fleet = aFleet({ makeReplicas: (job, shape) => groups.make(job, shape) });
+  const fleet = aFleet({ makeReplicas: (job, shape) => groups.createJobGroups(job, shape) });
   groups.attach(fleet);
   const machines = ['n-1', 'n-2'].map((name) => aMachine(fleet, name));
   for (const [number, id] of ['j-1', 'j-2'].entries()) {
--- a/packages/replicas/replica-shapes.ts
+++ b/packages/replicas/replica-shapes.ts
@@ -1,6 +1,6 @@
 /** Determines which jobs have replicas of several members, and which of these replicas can never be placed. */
 import { type ReplicaShape, typeFits, zoneCapacity } from '#core';
-import { type Job, JOB_FIELDS, type MachineType } from '#wire';
+import { type Job, JOB_FIELD_NAMES, type MachineType } from '#wire';
 
 /** The operators' settings for the replicas of a job class. */
 export interface ReplicaClass {
@@ -31,13 +31,13 @@
   types: MachineType[],
 ): string | null {
   if (job.tasks % members !== 0) {
-    return `${JOB_FIELDS.tasks}: ${job.tasks} tasks are no whole number of replicas of ${members} members`;
+    return `${JOB_FIELD_NAMES.tasks}: ${job.tasks} tasks are no whole number of replicas of ${members} members`;
   }
   const oneZone = sameZone || job.oneZone;
   const zones = oneZone ? 1 : usableZones(job, types);
   if (types.length === 0 || zones * zoneCapacity(job) >= members) return null;
   const where = oneZone ? 'the one zone of a replica' : `${zones} zones with allowed machine types`;
-  return `${JOB_FIELDS.spread}: ${where} may not hold the ${members} members of a replica`;
+  return `${JOB_FIELD_NAMES.spread}: ${where} may not hold the ${members} members of a replica`;
 }
 
 function usableZones(job: Job, types: MachineType[]): number {
--- a/packages/shards/migration-record.ts
+++ b/packages/shards/migration-record.ts
@@ -1,5 +1,5 @@
 /** Records of shard migrations in the state service. */
-import { WORLD } from '#store';
+import { CLUSTER_PREFIX } from '#store';
 
 /** Fields that a migration record has in every phase. */
 interface MigrationBase {
@@ -40,10 +40,10 @@
 
 /** Key of the record of the migration under way. */
 export function migrationKey(shard: number): string {
-  return `${WORLD}moves/${shard}`;
+  return `${CLUSTER_PREFIX}moves/${shard}`;
 }
 
 /** Key of the record of how the last migration ended. */
 export function migrationResultKey(shard: number): string {
-  return `${WORLD}move-results/${shard}`;
+  return `${CLUSTER_PREFIX}move-results/${shard}`;
 }
--- a/packages/shards/source-state-machine.test.ts
+++ b/packages/shards/source-state-machine.test.ts
@@ -20,7 +20,7 @@
     name: 'c-0',
     migration: null,
     paused: false,
-    obstacle: () => null,
+    findObstacle: () => null,
     limits: { prepareS: 8, switchS: 2 },
     ...overrides,
   };
@@ -46,11 +46,11 @@
     /changed its owner/,
   );
   assert.equal(
-    findRefusalReason({ migration: toObserved(PREPARED), obstacle: unreachable }),
+    findRefusalReason({ migration: toObserved(PREPARED), findObstacle: unreachable }),
     'c-1 was not heard lately',
   );
   assert.equal(
-    findRefusalReason({ migration: toObserved(REQUEST), obstacle: unreachable }),
+    findRefusalReason({ migration: toObserved(REQUEST), findObstacle: unreachable }),
     null,
     'the target may become reachable in time',
   );
--- a/packages/shards/source-state-machine.ts
+++ b/packages/shards/source-state-machine.ts
@@ -34,7 +34,7 @@
   /** All decisions have stopped, and none is in flight to the state service. */
   paused: boolean;
   /** Returns what keeps the controller from becoming the leader now; null if nothing does. */
-  obstacle: (controller: string) => string | null;
+  findObstacle: (controller: string) => string | null;
   limits: MigrationLimits;
 }
 
@@ -153,7 +153,7 @@
   if (record.fromTerm < view.term) return 'the part has changed its owner since';
   if (record.phase === 'quiesced') return 'it was undone';
   if (record.target === view.name) return `${record.target} owns the part already`;
-  const obstacle = view.obstacle(record.target);
+  const obstacle = view.findObstacle(record.target);
   if (obstacle !== null && record.phase === 'prepared') return obstacle;
   if (waitedS <= view.limits.prepareS) return null;
   return obstacle ?? `${record.target} was not prepared in time`;
@@ -221,7 +221,7 @@
 }
 
 /** Handles a read of the migration record; `lastRead` is null if there is none. */
-export function recordSourceRead(
+export function handleSourceRead(
   state: SourceState,
   lastRead: ObservedMigration | null,
 ): SourceState {
--- a/packages/shards/target-state-machine.ts
+++ b/packages/shards/target-state-machine.ts
@@ -38,7 +38,7 @@
 export type TargetState =
   | { phase: 'idle' }
   /** The transaction that makes this controller the leader was sent, and may be applied even if no answer arrives. */
-  | { phase: 'switching'; moveVersion: number; fromTerm: number };
+  | { phase: 'switching'; migrationVersion: number; fromTerm: number };
 
 /** What the target does next. */
 export type TargetAction =
@@ -83,7 +83,7 @@
   const transaction = switchTransaction(record, migration.version, leaseId, view);
   const switching: TargetState = {
     phase: 'switching',
-    moveVersion: migration.version,
+    migrationVersion: migration.version,
     fromTerm: shardVersion,
   };
   return { state: switching, action: { kind: 'switch', transaction } };
@@ -93,7 +93,7 @@
 function dropObsoleteSwitch(state: TargetState, view: TargetView): TargetState {
   if (state.phase !== 'switching') return state;
   const mayBeApplied =
-    view.migration?.version === state.moveVersion && view.shardVersion === state.fromTerm;
+    view.migration?.version === state.migrationVersion && view.shardVersion === state.fromTerm;
   return mayBeApplied ? state : IDLE;
 }
 
--- a/packages/shards/transfer-source.ts
+++ b/packages/shards/transfer-source.ts
@@ -9,7 +9,7 @@
   type MigrationLimits,
   type SourceAction,
   handleSourceOutcome,
-  recordSourceRead,
+  handleSourceRead,
   type SourceState,
   type SourceView,
   stepSource,
@@ -34,7 +34,7 @@
   /** The leader in this controller; null while this controller does not lead. */
   leader: () => TransferableLeader | null;
   /** Returns what keeps a controller from becoming the leader now; null if nothing does. */
-  obstacle: (controller: string) => string | null;
+  findObstacle: (controller: string) => string | null;
   log: MigrationLog;
 }
 
@@ -62,7 +62,7 @@
     const term = leader?.ready ? leader.term.term : 0;
     if (term !== this.term) this.beginTerm(term);
     if (leader === null || term === 0) return false;
-    const { shard, name, obstacle, limits } = this.options;
+    const { shard, name, findObstacle, limits } = this.options;
     const { paused } = this;
     const now = this.clock.now();
     const view: SourceView = {
@@ -72,7 +72,7 @@
       name,
       migration,
       paused,
-      obstacle,
+      findObstacle,
       limits,
     };
     const { state, action } = stepSource(this.state, view);
@@ -160,7 +160,7 @@
       const entry = await client.callUrgent(signal, (api) => api.get(migrationKey(shard), signal));
       if (!this.isCurrent(leader)) return false;
       const lastRead = entry && { record: decodeMigration(entry.value), version: entry.version };
-      this.setState(recordSourceRead(this.state, lastRead));
+      this.setState(handleSourceRead(this.state, lastRead));
       return true;
     } catch {
       // After any failure the state still requires the read, so the next step tries again.
--- a/packages/shards/transfer-target.ts
+++ b/packages/shards/transfer-target.ts
@@ -27,7 +27,7 @@
   /** Whether the state service serves this controller and all jobs are loaded. */
   canLead: () => boolean;
   /** Prefetches the records that a new leader loads. */
-  ahead: Pick<RecordPrefetch, 'prepare' | 'clear'>;
+  prefetch: Pick<RecordPrefetch, 'prepare' | 'clear'>;
   log: MigrationLog;
 }
 
@@ -39,16 +39,16 @@
 
   /** Takes one step; true if another may be possible at once. */
   async step(migration: ObservedMigration | null, signal: AbortSignal): Promise<boolean> {
-    const { ahead, election, shard, name, canLead, leader } = this.options;
+    const { prefetch, election, shard, name, canLead, leader } = this.options;
     const { state, action } = stepTarget(this.state, {
       shard,
       name,
-      leaseId: election.provenLeaseId,
+      leaseId: election.validLeaseId,
       shardVersion: election.currentLeader?.version ?? 0,
       migration,
       ready: canLead() && leader() === null,
     });
-    if (migration?.record?.target !== name && leader() === null) ahead.clear();
+    if (migration?.record?.target !== name && leader() === null) prefetch.clear();
     // The state is set before the transaction is sent: from then on this controller may lead without knowing.
     this.setState(state);
     return this.act(action, signal);
@@ -77,7 +77,7 @@
   /** Loads the records that have not been prefetched yet; false if a read failed. */
   private async prefetch(signal: AbortSignal): Promise<boolean> {
     try {
-      await this.options.ahead.prepare(signal);
+      await this.options.prefetch.prepare(signal);
       return true;
     } catch {
       // A failed read changes nothing: the next step prefetches what is missing.
--- a/packages/store/commit-batch.ts
+++ b/packages/store/commit-batch.ts
@@ -1,6 +1,6 @@
 /** Batches the changes of several commit requests into one transaction. */
 import type { Change, Condition } from '#wire';
-import { TXN_BYTES } from './state-limits.js';
+import { MAX_TXN_BYTES } from './state-limits.js';
 
 /** Changes that are applied atomically, and the conditions on which they depend. */
 export interface CommitRequest {
@@ -27,7 +27,7 @@
     if (first === undefined) return true;
     if (first.needsOwnTxn || request.needsOwnTxn) return false;
     if (this.changeCount + request.changes.length > this.maxChanges) return false;
-    if (this.bytes + request.bytes > TXN_BYTES) return false;
+    if (this.bytes + request.bytes > MAX_TXN_BYTES) return false;
     return !request.conditions.some(({ key }) => this.keys.has(key));
   }
 
--- a/packages/store/former-records.test.ts
+++ b/packages/store/former-records.test.ts
@@ -9,7 +9,7 @@
 import { decodeJob, encodeJob } from './codecs/job-codec.js';
 import { decodeLeader, encodeLeader } from './codecs/leader-codec.js';
 import { ProgressLayout, progressKey, type ProgressValue } from './progress-layout.js';
-import { jobKey, MACHINES, shardKey, TYPES_KEY } from './record-keys.js';
+import { jobKey, MACHINES_PREFIX, shardKey, TYPES_KEY } from './record-keys.js';
 
 interface FormerRecord<Value> {
   key: string;
@@ -50,22 +50,22 @@
     const layout = new ProgressLayout({ valueBytes, layoutBytes: VALUE_BYTES });
     const done = new TaskSet(TASKS);
     for (const { key, value } of FORMER.progress) {
-      done.addText(layout.firstTask(Number(key.split('/').at(-1)), value), value.done);
+      done.addBase64(layout.firstTask(Number(key.split('/').at(-1)), value), value.done);
     }
     assert.equal(done.size, FORMER.done.length);
     assert.ok(FORMER.done.every((task) => done.has(task)));
     if (valueBytes < VALUE_BYTES) continue;
     for (const [index, { key, value }] of FORMER.progress.entries()) {
       assert.equal(key, progressKey('j-000412', index));
-      const chunk = layout.chunkOf('j-000412', TASKS, index * layout.unit);
+      const chunk = layout.chunkOf('j-000412', TASKS, index * layout.legacyChunkTasks);
       assert.equal(chunk.key, key);
-      assert.deepEqual(layout.valueOf(chunk, done.textOf(chunk.first, chunk.tasks)), value);
+      assert.deepEqual(layout.encodeChunk(chunk, done.toBase64(chunk.first, chunk.tasks)), value);
     }
   }
 });
 
 test('all other records of the older version have the keys under which they are read', () => {
-  assert.ok(FORMER.machines.every(({ key }) => key.startsWith(MACHINES)));
+  assert.ok(FORMER.machines.every(({ key }) => key.startsWith(MACHINES_PREFIX)));
   assert.deepEqual([FORMER.part.key, FORMER.types.key], [shardKey(0), TYPES_KEY]);
 });
 
--- a/packages/store/group-commit.ts
+++ b/packages/store/group-commit.ts
@@ -170,7 +170,7 @@
     const { client, runtime } = this.options;
     const delayMs = MIN_RETRY_DELAY_MS + runtime.random() * RETRY_JITTER_MS;
     // If the client closes meanwhile, the next transaction fails and rejects the remaining requests.
-    await pause(runtime.clock, delayMs, client.closed);
+    await pause(runtime.clock, delayMs, client.closeSignal);
   }
 
   /** Puts requests back at the front of their teams' lanes, in the same order. */
--- a/packages/store/leader-election.test.ts
+++ b/packages/store/leader-election.test.ts
@@ -3,7 +3,7 @@
 import { StateWorld } from '#testing';
 import { PrefixCache } from './prefix-cache.js';
 import { LeaderElection } from './leader-election.js';
-import { WORLD } from './record-keys.js';
+import { CLUSTER_PREFIX } from './record-keys.js';
 
 const LIMITS = { rps: 150, writeRps: 50, valueBytes: 8192, txnOps: 24 };
 /** As in the largest deployments: the request timeout is nearly as long as the TTL of the lease. */
@@ -16,7 +16,7 @@
   const runtime = state.controller();
   const client = state.client(runtime, { timeoutMs: TIMEOUT_MS });
   const cacheOptions = { client, runtime, watchMs: 10_000, syncSpacingMs: 500 };
-  const cache = new PrefixCache({ ...cacheOptions, prefix: WORLD });
+  const cache = new PrefixCache({ ...cacheOptions, prefix: CLUSTER_PREFIX });
   const election = new LeaderElection({ client, runtime, cache, name: 'c', shard: 0, ttlS: TTL_S });
   const { signal } = new AbortController();
   void cache.run(signal);
@@ -53,7 +53,7 @@
   const cache = new PrefixCache({
     client,
     runtime,
-    prefix: WORLD,
+    prefix: CLUSTER_PREFIX,
     watchMs: 10_000,
     syncSpacingMs: 500,
   });
--- a/packages/store/leader-election.ts
+++ b/packages/store/leader-election.ts
@@ -86,7 +86,7 @@
   }
 
   /** Time until which the lease guarantees that no other controller leads, in seconds of the monotonic clock. */
-  get provenUntil(): number {
+  get soleLeaderUntil(): number {
     return this.capByTransfer(this.lease.validUntil);
   }
 
@@ -96,7 +96,7 @@
   }
 
   /** ID of a lease that certainly lives, to which the leader key can be attached; null if there is none. */
-  get provenLeaseId(): number | null {
+  get validLeaseId(): number | null {
     const isAlive = this.options.runtime.clock.now() < this.lease.validUntil;
     return isAlive ? this.lease.id : null;
   }
--- a/packages/store/prefix-cache.ts
+++ b/packages/store/prefix-cache.ts
@@ -34,7 +34,7 @@
    * Pause after each answer of the watch, 0 by default. Without a pause each change of any job wakes every
    * controller at once, and these wake-ups were most of the work of the followers.
    */
-  gatherMs?: () => number;
+  watchPauseMs?: () => number;
 }
 
 /**
@@ -108,7 +108,7 @@
 
   /** Loads the keys if needed, then waits for the next changes. */
   private async watchOnce(signal: AbortSignal): Promise<void> {
-    const { client, runtime, prefix, watchMs, gatherMs } = this.options;
+    const { client, runtime, prefix, watchMs, watchPauseMs } = this.options;
     if (this.loadedRevision === null) await this.load(signal);
     const after = this.loadedRevision;
     // A concurrent `sync` may have found that the revision is too old (compacted).
@@ -123,7 +123,7 @@
       this.applyAll(outcome.events, outcome.revision);
       this.syncedAt = Math.max(this.syncedAt, sentAt);
     }
-    await sleep(runtime.clock, gatherMs?.() ?? 0, signal);
+    await sleep(runtime.clock, watchPauseMs?.() ?? 0, signal);
   }
 
   private async pauseBeforeRetry(signal: AbortSignal): Promise<void> {
@@ -147,7 +147,7 @@
     const { client, runtime, prefix, syncSpacingMs } = this.options;
     const { clock } = runtime;
     const delayMs = (this.lastSyncAt - clock.now()) * 1000 + syncSpacingMs;
-    if (delayMs > 0) await sleep(clock, delayMs, client.closed);
+    if (delayMs > 0) await sleep(clock, delayMs, client.closeSignal);
     const sentAt = clock.now();
     this.lastSyncAt = sentAt;
     const after = this.loadedRevision;
--- a/packages/store/progress-layout.ts
+++ b/packages/store/progress-layout.ts
@@ -1,6 +1,6 @@
 /** Divides the completed tasks of a job into progress records. */
 import { MAX_TASKS } from '#wire';
-import { PROGRESS } from './record-keys.js';
+import { PROGRESS_PREFIX } from './record-keys.js';
 
 /** The value of one progress record. */
 export interface ProgressValue {
@@ -34,7 +34,7 @@
  */
 export class ProgressLayout {
   /** Tasks per chunk in older versions. */
-  readonly unit: number;
+  readonly legacyChunkTasks: number;
   /** Tasks in the largest chunk that fits in a value. */
   private readonly maxChunkTasks: number;
   /** Tasks per chunk for jobs with more than `maxChunkTasks` tasks. */
@@ -42,32 +42,32 @@
 
   /** `valueBytes` is the value limit in force, `layoutBytes` that of older versions; both in bytes. */
   constructor({ valueBytes, layoutBytes }: { valueBytes: number; layoutBytes?: number }) {
-    this.unit = chunkTasks(layoutBytes ?? valueBytes);
+    this.legacyChunkTasks = chunkTasks(layoutBytes ?? valueBytes);
     this.maxChunkTasks = chunkTasks(valueBytes);
-    this.dividedChunkTasks = largestExactSize(this.unit, this.maxChunkTasks);
+    this.dividedChunkTasks = largestExactSize(this.legacyChunkTasks, this.maxChunkTasks);
   }
 
   /** Returns the chunk that contains `task` of a job with `tasks` tasks. */
   chunkOf(id: string, tasks: number, task: number): ProgressChunk {
-    const size = tasks <= this.maxChunkTasks ? this.unit : this.dividedChunkTasks;
+    const size = tasks <= this.maxChunkTasks ? this.legacyChunkTasks : this.dividedChunkTasks;
     const first = Math.floor(task / size) * size;
-    return { key: progressKey(id, labelOfTask(first, this.unit)), first, tasks: size };
+    return { key: progressKey(id, labelOfTask(first, this.legacyChunkTasks)), first, tasks: size };
   }
 
   /** Index of the first task of a record; `label` is the last segment of its key. */
   firstTask(label: number, { first }: ProgressValue): number {
-    return first ?? Math.round(label * this.unit);
+    return first ?? Math.round(label * this.legacyChunkTasks);
   }
 
   /** Encodes the value of a chunk, without `first` for the chunks that older versions write, too. */
-  valueOf({ first }: ProgressChunk, done: string): ProgressValue {
-    return first % this.unit === 0 ? { done } : { done, first };
+  encodeChunk({ first }: ProgressChunk, done: string): ProgressValue {
+    return first % this.legacyChunkTasks === 0 ? { done } : { done, first };
   }
 }
 
 /** Key of a progress record of a job; `label` is the chunk's position in multiples of the unit. */
 export function progressKey(id: string, label: number): string {
-  return `${PROGRESS}${id}/${label}`;
+  return `${PROGRESS_PREFIX}${id}/${label}`;
 }
 
 /** Number of tasks whose bitmap fits in a value of `valueBytes`. */
--- a/packages/store/record-keys.ts
+++ b/packages/store/record-keys.ts
@@ -4,19 +4,19 @@
  */
 
 /** Prefix of all job records. */
-export const JOBS = 'jobs/';
+export const JOBS_PREFIX = 'jobs/';
 /** Prefix of the cluster-wide records: shard leaders, machine types, shard migrations. */
-export const WORLD = 'world/';
+export const CLUSTER_PREFIX = 'world/';
 /** Prefix of all machine records. */
-export const MACHINES = 'machines/';
+export const MACHINES_PREFIX = 'machines/';
 /** Prefix of all progress records (`ProgressLayout`). */
-export const PROGRESS = 'progress/';
+export const PROGRESS_PREFIX = 'progress/';
 /** Key of the first page of the machine types. */
 export const TYPES_KEY = 'world/types';
 
 /** Key of a job's record. */
 export function jobKey(id: string): string {
-  return JOBS + id;
+  return JOBS_PREFIX + id;
 }
 
 /** Key of the leader record of a shard; the version of this key is the leader's term. */
--- a/packages/store/state-client.ts
+++ b/packages/store/state-client.ts
@@ -51,7 +51,7 @@
   }
 
   /** A signal that aborts once this client is closed. */
-  get closed(): AbortSignal {
+  get closeSignal(): AbortSignal {
     return this.closing.signal;
   }
 
@@ -62,12 +62,12 @@
   }
 
   /** Send time of the latest request that succeeded, in seconds of the monotonic clock. */
-  get lastOkAt(): number {
+  get lastSuccessAt(): number {
     return this.health.lastSuccessAt;
   }
 
   /** Send time of the latest request that was refused or got no answer, in seconds of the monotonic clock. */
-  get lastFailAt(): number {
+  get lastFailureAt(): number {
     return this.health.lastFailureAt;
   }
 
@@ -87,12 +87,12 @@
   }
 
   /** Seconds until so many user changes are sent: at the present rate, and at this controller's minimum rate. */
-  usersWaitS(changes: number): { expected: number; longest: number } {
+  userWaitS(changes: number): { expected: number; longest: number } {
     return this.changeBudget.userWaitS(changes);
   }
 
   /** Rate that is available to user changes, in changes per second. */
-  get usersChangesPerS(): number {
+  get userChangesPerS(): number {
     return this.changeBudget.userChangesPerS;
   }
 
@@ -144,7 +144,7 @@
    * changes after this resolves, so changes that arrive during the wait can be included.
    */
   reserveForUsers(wanted: number): Promise<number> {
-    return this.changeBudget.reserveForUsers(wanted, this.closed);
+    return this.changeBudget.reserveForUsers(wanted, this.closeSignal);
   }
 
   /** Sends a transaction of user changes; `reserved` is the number of changes reserved for it. */
@@ -178,7 +178,7 @@
     changes: Change[],
     signal?: AbortSignal,
   ): Promise<TxnOutcome> {
-    await this.changeBudget.acquire(consumer, changes.length, signal ?? this.closed);
+    await this.changeBudget.acquire(consumer, changes.length, signal ?? this.closeSignal);
     return this.send(consumer, conditions, changes, signal);
   }
 
@@ -206,7 +206,7 @@
     signal: AbortSignal | undefined,
     run: Request<T>,
   ): Promise<T> {
-    await this.requestBudget.acquireFor(consumer, 1, signal ?? this.closed);
+    await this.requestBudget.acquireFor(consumer, 1, signal ?? this.closeSignal);
     const sentAt = this.clock.now();
     this.requestsSent++;
     try {
--- a/packages/store/state-limits.ts
+++ b/packages/store/state-limits.ts
@@ -18,7 +18,7 @@
 }
 
 /** Bytes of conditions and changes in one transaction: its limit of 64 KiB less 4 KiB for the enclosing message. */
-export const TXN_BYTES = 60 * 1024;
+export const MAX_TXN_BYTES = 60 * 1024;
 /** Maximum size of a written value, whatever the settings allow: its key must fit in the transaction, too. */
 export const MAX_VALUE_BYTES = 56 * 1024;
 /** A transaction may have this many conditions for each change that it may have. */
--- a/packages/testing/fault-combinations/dependency-queries.ts
+++ b/packages/testing/fault-combinations/dependency-queries.ts
@@ -1,5 +1,5 @@
 /** What tests of chained jobs ask a run. */
-import { JOBS, MACHINES, type MachineRecord } from '#store';
+import { JOBS_PREFIX, MACHINES_PREFIX, type MachineRecord } from '#store';
 import type { Job } from '#wire';
 import type { ScenarioResult } from '../simulation/index.js';
 
@@ -67,12 +67,12 @@
   for (const [number, { changes, applied }] of timeline.of('transaction').entries()) {
     const puts = applied ? changes.filter((change) => 'put' in change) : [];
     for (const { put, value } of puts) {
-      if (put.startsWith(MACHINES)) {
+      if (put.startsWith(MACHINES_PREFIX)) {
         for (const [job] of (value as MachineRecord).tasks) {
           if (!named.has(job)) named.set(job, number);
         }
-      } else if (put.startsWith(JOBS) && (value as { phase: string }).phase === 'done') {
-        done.set(put.slice(JOBS.length), number);
+      } else if (put.startsWith(JOBS_PREFIX) && (value as { phase: string }).phase === 'done') {
+        done.set(put.slice(JOBS_PREFIX.length), number);
       }
     }
   }
--- a/packages/testing/fault-combinations/large-array.test.ts
+++ b/packages/testing/fault-combinations/large-array.test.ts
@@ -1,7 +1,7 @@
 /** One array of very many short tasks, across a crash of the leader. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { jobKey, PROGRESS } from '#store';
+import { jobKey, PROGRESS_PREFIX } from '#store';
 import { aJob } from '../samples.js';
 import { Cluster, SMALL_CLUSTER } from '../simulation/index.js';
 import { describeViolation } from '../stand-ins/index.js';
@@ -64,7 +64,7 @@
     for (const { put, value } of values) {
       assert.ok(JSON.stringify(value).length <= LIMITS.value_kb * 1024, put);
     }
-    assert.ok(values.some(({ put }) => put.startsWith(PROGRESS)));
+    assert.ok(values.some(({ put }) => put.startsWith(PROGRESS_PREFIX)));
     // A task runs again only if the crash found it on a machine, or just ended.
     const completed = cluster.timeline.of('task-completed').length;
     const started = cluster.timeline.of('task-started').length;
--- a/packages/testing/fault-combinations/lost-transactions.test.ts
+++ b/packages/testing/fault-combinations/lost-transactions.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { JOBS, shardKey } from '#store';
+import { JOBS_PREFIX, shardKey } from '#store';
 import {
   serviceAddress,
   type ClusterSettings,
@@ -57,8 +57,8 @@
 }
 
 function jobsOf(transaction: Transaction): string[] {
-  const keys = keysOf(transaction).filter((key) => key.startsWith(JOBS));
-  return keys.map((key) => key.slice(JOBS.length));
+  const keys = keysOf(transaction).filter((key) => key.startsWith(JOBS_PREFIX));
+  return keys.map((key) => key.slice(JOBS_PREFIX.length));
 }
 
 function hostOf(controller: string): string {
--- a/packages/testing/leader-load/fleet-records.ts
+++ b/packages/testing/leader-load/fleet-records.ts
@@ -1,6 +1,6 @@
 /** What a state service holds of a fleet, as an owner reads it when it takes over. */
 import type { FleetState, JobState, Machine } from '#core';
-import { encodeJob, jobKey, MACHINES, progressKey } from '#store';
+import { encodeJob, jobKey, MACHINES_PREFIX, progressKey } from '#store';
 import type { Entry } from '#wire';
 
 /** All records, by kind. */
@@ -30,13 +30,13 @@
 function machineEntry({ name, addr, type, zone, spot, tasks }: Machine): Entry {
   const named = [...tasks.values()].map(({ job, index, attempt }) => [job.spec.id, index, attempt]);
   return {
-    key: MACHINES + name,
+    key: MACHINES_PREFIX + name,
     value: { addr, type, zone, spot, tasks: named },
     version: VERSION,
   };
 }
 
 function progressEntry({ spec, done }: JobState): Entry {
-  const value = { done: done.textOf(0, 8 * Math.ceil(spec.tasks / 8)) };
+  const value = { done: done.toBase64(0, 8 * Math.ceil(spec.tasks / 8)) };
   return { key: progressKey(spec.id, 0), value, version: VERSION };
 }
--- a/packages/testing/leader-load/resting-replicas.test.ts
+++ b/packages/testing/leader-load/resting-replicas.test.ts
@@ -26,7 +26,7 @@
     random: () => 0,
     listener: { phaseChanged() {}, recovered() {} },
   });
-  const makeReplicas = groups.make.bind(groups);
+  const makeReplicas = groups.createJobGroups.bind(groups);
   const standing = StandingFleet.ofMachines(MACHINES, new Chance(1), {}, makeReplicas);
   const { fleet, scheduler } = standing;
   groups.attach(fleet);
--- a/packages/testing/leader-load/standing-fleet.ts
+++ b/packages/testing/leader-load/standing-fleet.ts
@@ -3,7 +3,7 @@
   Assignment,
   CapacityPlanner,
   FleetState,
-  type BestEffortTest,
+  type BestEffortPredicate,
   isBestEffort,
   JobState,
   Machine,
@@ -13,7 +13,7 @@
   ScheduleSettings,
 } from '#core';
 import type { Job, MachineType, Heartbeat, TaskStatus } from '#wire';
-import { decodeJob, MACHINES, type MachineRecord } from '#store';
+import { decodeJob, MACHINES_PREFIX, type MachineRecord } from '#store';
 import type { MachineFacts } from '../../core/model/machine-facts.js';
 import { Chance } from '../random.js';
 import { aFleet } from '../samples.js';
@@ -71,7 +71,7 @@
     schedule: Partial<ScheduleSettings>,
     makeReplicas?: MakeReplicas,
   ) {
-    const isOnSpareCapacity: BestEffortTest = (job) => isBestEffort(job, TEAMS.get(job.team));
+    const isOnSpareCapacity: BestEffortPredicate = (job) => isBestEffort(job, TEAMS.get(job.team));
     this.fleet = aFleet({ isBestEffort: isOnSpareCapacity, makeReplicas });
     this.fleet.machines.setType(LARGE);
     this.scheduler = new Scheduler(this.fleet, TEAMS, { ...SCHEDULE, ...schedule });
@@ -108,7 +108,7 @@
     }
     for (const { key, value } of machines) {
       const { tasks, ...facts } = value as MachineRecord;
-      const machine = standing.addMachine({ name: key.slice(MACHINES.length), ...facts });
+      const machine = standing.addMachine({ name: key.slice(MACHINES_PREFIX.length), ...facts });
       for (const [id, index, attempt] of tasks) {
         fleet.assignments.inherit(fleet.jobs.get(id)!, index, machine, attempt, FILLED_AT);
       }
@@ -145,7 +145,7 @@
   fill(freeShare: number): void {
     const { machines, usage } = this.fleet;
     for (let draws = 0; draws < MOST_DRAWS; draws++) {
-      if (usage.ofTeam('red').gpus >= machines.totals.gpus * (1 - freeShare)) break;
+      if (usage.amountsOfTeam('red').gpus >= machines.totals.gpus * (1 - freeShare)) break;
       const state = this.submit(FILLED_AT);
       this.scheduler.place(FILLED_AT);
       if (state.assignments.size === 0) this.fleet.closeJob(state, 'cancelled', FILLED_AT);
@@ -156,7 +156,7 @@
 
   /** All is recorded and every order was carried out. */
   settle(now: number): void {
-    const { machines, unrecorded, machinesWithCommands, jobs } = this.fleet;
+    const { machines, unrecordedChanges, machinesWithCommands, jobs } = this.fleet;
     for (const machine of machines.values()) {
       machine.answeredAt = now;
       for (const task of [...machine.tasks.values()]) {
@@ -164,8 +164,8 @@
         else this.fleet.assignments.end(task, 'stopped', false, now);
       }
     }
-    for (const name of [...unrecorded.machines]) unrecorded.machineCollected(name);
-    unrecorded.jobs.clear();
+    for (const name of [...unrecordedChanges.machines]) unrecordedChanges.machineCollected(name);
+    unrecordedChanges.jobs.clear();
     machinesWithCommands.clear();
     jobs.drainChangedCounts();
   }
--- a/packages/testing/models/leader-with-workers/recorder.ts
+++ b/packages/testing/models/leader-with-workers/recorder.ts
@@ -17,16 +17,16 @@
     const { records, fleet } = this;
     if (records.term !== this.term) return;
     records.revision++;
-    for (const id of fleet.unrecorded.jobs) {
+    for (const id of fleet.unrecordedChanges.jobs) {
       const job = fleet.jobs.get(id);
       if (!job) throw new Error(`unrecorded job ${id} is not in the fleet state`);
       this.recordProgress(job);
     }
-    fleet.unrecorded.jobs.clear();
+    fleet.unrecordedChanges.jobs.clear();
     if (this.mistake !== 'order-before-record') {
-      for (const name of fleet.unrecorded.machines) this.recordMachine(name);
+      for (const name of fleet.unrecordedChanges.machines) this.recordMachine(name);
     }
-    fleet.unrecorded.machines.clear();
+    fleet.unrecordedChanges.machines.clear();
   }
 
   private recordProgress(job: JobState): void {
@@ -41,7 +41,7 @@
       record.phase = 'done';
       fleet.closeJob(job, 'done', 0);
     }
-    fleet.unrecorded.forgetJob(id);
+    fleet.unrecordedChanges.forgetJob(id);
   }
 
   private recordMachine(name: string): void {
--- a/packages/testing/models/shard-migration/canonical.ts
+++ b/packages/testing/models/shard-migration/canonical.ts
@@ -8,7 +8,7 @@
   'fromTerm',
   'term',
   'preparedVersion',
-  'moveVersion',
+  'migrationVersion',
 ]);
 /** Names of fields that hold ids of leases; `grant` and `lease` are those of stored records and changes. */
 const LEASE_IDS = new Set(['leaseId', 'grant', 'lease', 'nextLeaseId', 'liveLeases']);
--- a/packages/testing/models/shard-migration/controller.ts
+++ b/packages/testing/models/shard-migration/controller.ts
@@ -5,7 +5,7 @@
   IDLE,
   type SourceAction,
   handleSourceOutcome,
-  recordSourceRead,
+  handleSourceRead,
   stepSource,
   stepTarget,
   handleTargetOutcome,
@@ -71,7 +71,7 @@
     name,
     migration: controller.move,
     paused: controller.paused,
-    obstacle: () => null,
+    findObstacle: () => null,
     limits: LIMITS,
   });
   controller.source = untimed(source);
@@ -86,7 +86,7 @@
 ): void {
   const controller = state.controllers[name];
   if (action.kind === 'pause' || action.kind === 'resume') controller.paused = false;
-  if (action.kind === 'read') controller.source = recordSourceRead(controller.source, state.move);
+  if (action.kind === 'read') controller.source = handleSourceRead(controller.source, state.move);
   if ('transaction' in action) send(state, name, 'source', action.transaction, mistake);
 }
 
--- a/packages/testing/recorder-world.ts
+++ b/packages/testing/recorder-world.ts
@@ -4,8 +4,8 @@
 import {
   encodeJob,
   jobKey,
-  JOBS,
-  MACHINES,
+  JOBS_PREFIX,
+  MACHINES_PREFIX,
   type MachineRecord,
   shardKey,
   PrefixCache,
@@ -40,7 +40,9 @@
   /** Runs until nothing is left to record. */
   const flush = (withinS = 10) => flushAll(state, recorder, withinS);
   const tasksOn = (name: string) =>
-    (store.get(MACHINES + name)?.value as MachineRecord | undefined)?.tasks.map(([job]) => job);
+    (store.get(MACHINES_PREFIX + name)?.value as MachineRecord | undefined)?.tasks.map(
+      ([job]) => job,
+    );
   await loadOnce(state, cache);
   const sync = async () => {
     void cache.sync();
@@ -53,7 +55,7 @@
 function makeRecorder(state: StateWorld, limits: StateLimits) {
   const runtime = state.controller();
   const client = state.client(runtime, { limits });
-  const caching = { client, runtime, prefix: JOBS, watchMs: 10_000, syncSpacingMs: 0 };
+  const caching = { client, runtime, prefix: JOBS_PREFIX, watchMs: 10_000, syncSpacingMs: 0 };
   const cache = new PrefixCache(caching);
   const jobs = new JobTable(cache, new Cancellations(100, 70));
   const term = state.service.store.apply([{ put: shardKey(0), value: {} }]);
@@ -71,7 +73,7 @@
     if (event.kind !== 'record') return;
     const { job, phase } = event.record;
     fleet.addJob(job, 0, phase, state.now);
-    if (phase !== 'accepted') recorder.jobRecords.jobEnded(job);
+    if (phase !== 'accepted') recorder.jobRecords.markJobEnded(job);
   });
   return { client, cache, fleet, recorder, term };
 }
@@ -87,7 +89,7 @@
 async function flushAll(state: StateWorld, recorder: Recorder, withinS: number): Promise<void> {
   const { signal } = new AbortController();
   const flushPending = async () => {
-    while (recorder.pending) await recorder.flush(signal);
+    while (recorder.hasPendingChanges) await recorder.flush(signal);
   };
   let isOver = false;
   const flushed = flushPending().finally(() => (isOver = true));
--- a/packages/testing/stand-ins/cloud/cloud-service.ts
+++ b/packages/testing/stand-ins/cloud/cloud-service.ts
@@ -137,7 +137,7 @@
     }
   }
 
-  private provision(request: serving.RawProvisionRequest): serving.WireReply {
+  private provision(request: serving.ParsedProvisionRequest): serving.WireReply {
     const known = this.machinesOfRequest.get(request.request);
     if (known) return serving.provisionReply(known);
     const type = this.options.types.find(({ name }) => name === request.type);
--- a/packages/testing/stand-ins/events.ts
+++ b/packages/testing/stand-ins/events.ts
@@ -3,7 +3,7 @@
  * machines, all that users ask and are told, and the transactions of the state service. The rule checker
  * reads these events.
  */
-import type { Cause, Change, Job, MachineType, Phase, TaskRef } from '#wire';
+import type { ExitCause, Change, Job, MachineType, Phase, TaskRef } from '#wire';
 
 /** What is known of a machine from its start on. */
 export interface MachineFacts {
@@ -18,7 +18,7 @@
 }
 
 /** Why a task is on its machine no more; `killed`: its lease ended or the machine is gone. */
-export type LeaveCause = Cause | 'killed';
+export type LeaveCause = ExitCause | 'killed';
 
 /** Something that happens to a machine or to a task on it. */
 export type MachineEvent =
--- a/packages/testing/stand-ins/worker/hosted-task.ts
+++ b/packages/testing/stand-ins/worker/hosted-task.ts
@@ -1,5 +1,5 @@
 /** One attempt of a task on one machine. */
-import type { Cause, TaskRef, TaskStatus, TaskState, Timer } from '#wire';
+import type { ExitCause, TaskRef, TaskStatus, TaskState, Timer } from '#wire';
 import type { LeaveCause } from '../events.js';
 import type { JobProgram } from '../job-storage.js';
 import type { ImageClaim } from './image-cache.js';
@@ -9,7 +9,7 @@
 /** One attempt of a task on one machine, from its start command until it is forgotten. */
 export class HostedTask implements RunningTask {
   state: TaskState = 'fetching';
-  private cause: Cause | null = null;
+  private cause: ExitCause | null = null;
   private checkpointed = false;
   private claim: ImageClaim | null = null;
   private run: TaskRun | null = null;
@@ -53,7 +53,7 @@
     if (!this.exited) this.leave('killed');
   }
 
-  exit(cause: Cause, checkpointed = false): void {
+  exit(cause: ExitCause, checkpointed = false): void {
     if (this.exited) return;
     this.cause = cause;
     this.checkpointed = checkpointed;
--- a/packages/testing/stand-ins/worker/task-host.ts
+++ b/packages/testing/stand-ins/worker/task-host.ts
@@ -1,5 +1,5 @@
 /** The interfaces between a task, the machine that hosts it and the way it runs. */
-import type { Cause, Clock, TaskRef, TaskState } from '#wire';
+import type { ExitCause, Clock, TaskRef, TaskState } from '#wire';
 import type { Observer } from '../events.js';
 import type { JobProgram, JobStorage } from '../job-storage.js';
 import type { ImageCache } from './image-cache.js';
@@ -44,7 +44,7 @@
   readonly state: TaskState;
   enter(state: TaskState): void;
   /** The task leaves its machine; `checkpointed` if its progress was written just before. */
-  exit(cause: Cause, checkpointed?: boolean): void;
+  exit(cause: ExitCause, checkpointed?: boolean): void;
   /** Calls back after so many seconds of the machine's clock unless the task has left by then. */
   after(seconds: number, callback: () => void): void;
 }
--- a/packages/testing/stand-ins/worker/task-table.ts
+++ b/packages/testing/stand-ins/worker/task-table.ts
@@ -1,5 +1,5 @@
 /** The tasks of one worker, and the commands about them. */
-import type { Cause, MachineType, Order, TaskRef, TaskStatus } from '#wire';
+import type { ExitCause, MachineType, Order, TaskRef, TaskStatus } from '#wire';
 import type { JobProgram } from '../job-storage.js';
 import { attemptKey } from '../world-state.js';
 import { HostedTask } from './hosted-task.js';
@@ -56,7 +56,7 @@
     }
   }
 
-  private refuse(ref: TaskRef, cause: Cause): void {
+  private refuse(ref: TaskRef, cause: ExitCause): void {
     this.refusals.set(attemptKey(ref), { ...ref, state: 'exited', cause, checkpointed: false });
     this.host.taskChanged();
   }
--- a/packages/wire/cbor-client.ts
+++ b/packages/wire/cbor-client.ts
@@ -35,7 +35,7 @@
 }
 
 /** Default limit on the number of connections that one client opens. */
-export const MAX_SOCKETS = 16;
+export const DEFAULT_MAX_SOCKETS = 16;
 
 /** An HTTP client that exchanges CBOR with one host over keep-alive connections. */
 export class CborClient {
@@ -48,7 +48,7 @@
   constructor(
     private readonly runtime: Runtime,
     address: string,
-    maxSockets = MAX_SOCKETS,
+    maxSockets = DEFAULT_MAX_SOCKETS,
   ) {
     this.address = parseHostPort(address);
     this.agent = new NetworkAgent(runtime.network, maxSockets);
--- a/packages/wire/cloud-client.ts
+++ b/packages/wire/cloud-client.ts
@@ -85,9 +85,9 @@
 const PAGE_SIZE = 500;
 const MAX_SOCKETS = 4;
 /** Maximum number of machines that one call may release. */
-export const RELEASE_AT_ONCE = 100;
+export const MAX_MACHINES_PER_RELEASE = 100;
 /** Maximum number of machines that one call may provision. */
-export const MACHINES_PER_REQUEST = 50;
+export const MAX_MACHINES_PER_REQUEST = 50;
 
 /** A client with one method per call of the cloud's API. Calls reject with NoAnswer or CloudRefused. */
 export class CloudClient {
@@ -131,7 +131,7 @@
       rig: type,
       yard: zone,
       loaner: spot,
-      number: Math.min(count, MACHINES_PER_REQUEST),
+      number: Math.min(count, MAX_MACHINES_PER_REQUEST),
     };
     const answer = await this.http.call('POST', '/hosts', {
       timeoutMs: this.timeoutMs,
--- a/packages/wire/heartbeat.ts
+++ b/packages/wire/heartbeat.ts
@@ -6,14 +6,14 @@
 /** State of a task on its machine; a task stays `exited` until a controller orders the worker to forget it. */
 export type TaskState = 'fetching' | 'waiting' | 'running' | 'saving' | 'exited';
 /** Why a task exited (docs/glossary.md). */
-export type Cause =
+export type ExitCause =
   'done' | 'stopped' | 'peers' | 'alone' | 'error' | 'no_room' | 'busy' | 'unknown';
 
 /** Status of one task on its worker. */
 export interface TaskStatus extends TaskRef {
   state: TaskState;
   /** Null unless the task has exited. */
-  cause: Cause | null;
+  cause: ExitCause | null;
   /** Whether the task's progress was saved when it was stopped. */
   checkpointed: boolean;
 }
@@ -44,7 +44,7 @@
   flushing: 'saving',
   ended: 'exited',
 };
-const CAUSES: Record<string, Cause> = {
+const CAUSES: Record<string, ExitCause> = {
   done: 'done',
   halted: 'stopped',
   mates_gone: 'peers',
--- a/packages/wire/job.ts
+++ b/packages/wire/job.ts
@@ -188,7 +188,7 @@
 }
 
 /** Protocol names of the fields that decide whether a job can run, for error messages about a job. */
-export const JOB_FIELDS = {
+export const JOB_FIELD_NAMES = {
   team: 'crew',
   tasks: 'pieces',
   cpus: 'cores',
--- a/packages/wire/serving/cloud.ts
+++ b/packages/wire/serving/cloud.ts
@@ -1,8 +1,8 @@
 /** The server side of the cloud's API: decodes requests and encodes answers. */
 import { MalformedBody } from '../cbor.js';
 import {
-  RELEASE_AT_ONCE,
-  MACHINES_PER_REQUEST,
+  MAX_MACHINES_PER_RELEASE,
+  MAX_MACHINES_PER_REQUEST,
   type ListedMachine,
   type MachineType,
 } from '../cloud-client.js';
@@ -19,12 +19,12 @@
 /** A decoded request to the cloud. */
 export type CloudRequest =
   | { op: 'catalog' }
-  | RawProvisionRequest
+  | ParsedProvisionRequest
   | { op: 'release'; machines: string[] }
   | { op: 'list'; after: string | null; limit: number };
 
 /** A request to provision machines of one type, zone and kind (spot or not). */
-export interface RawProvisionRequest {
+export interface ParsedProvisionRequest {
   op: 'rent';
   /** Name that makes the request idempotent. */
   request: string;
@@ -53,7 +53,7 @@
   throw new MalformedBody(`${method} ${path} is not part of the cloud's API`);
 }
 
-function parseProvisionRequest(body: unknown): RawProvisionRequest {
+function parseProvisionRequest(body: unknown): ParsedProvisionRequest {
   const fields = asFields(body);
   return {
     op: 'rent',
@@ -61,13 +61,13 @@
     type: textField(fields, 'rig'),
     zone: textField(fields, 'yard'),
     spot: booleanField(fields, 'loaner'),
-    count: integerField(fields, 'number', 1, MACHINES_PER_REQUEST),
+    count: integerField(fields, 'number', 1, MAX_MACHINES_PER_REQUEST),
   };
 }
 
 function parseRelease(body: unknown): CloudRequest {
   const machines = listField(asFields(body), 'hosts');
-  if (machines.length > RELEASE_AT_ONCE) throw new MalformedBody('too many hosts');
+  if (machines.length > MAX_MACHINES_PER_RELEASE) throw new MalformedBody('too many hosts');
   if (!machines.every((name) => typeof name === 'string')) {
     throw new MalformedBody('a host is not a string');
   }
