--- a/packages/testing/loopback/sizing/heartbeat-log.ts
+++ b/packages/testing/loopback/sizing/heartbeat-log.ts
@@ -33,7 +33,7 @@
     for (const listener of this.listeners) listener(heartbeat);
   }
 
-  answerAccepted(machine: string, controller: string, fencingToken: number): void {
+  onAccepted(machine: string, controller: string, fencingToken: number): void {
     this.onObeyed(machine, controller, fencingToken);
   }
 
--- a/packages/testing/stand-ins/worker/worker-environment.ts
+++ b/packages/testing/stand-ins/worker/worker-environment.ts
@@ -22,7 +22,7 @@
 export interface HeartbeatObserver {
   exchanged(exchange: HeartbeatExchange): void;
   /** Called when the worker accepts an answer of the controller with the given fencing token. */
-  answerAccepted?(machine: string, controller: string, fencingToken: number): void;
+  onAccepted?(machine: string, controller: string, fencingToken: number): void;
   /** Called when the lease of the machine's worker has expired. */
   leaseEnded(machine: string): void;
 }
--- a/packages/testing/stand-ins/worker/worker.ts
+++ b/packages/testing/stand-ins/worker/worker.ts
@@ -205,11 +205,7 @@
     const heartbeat = { agentEpoch: this.sentAgentEpoch, sentAt };
     if (answer === null || !this.agentEpoch.admitAnswer(answer.fencingToken, heartbeat)) return;
     const { highestFencingToken } = this.agentEpoch;
-    this.environment.heartbeatObserver?.answerAccepted?.(
-      this.machine,
-      node.name,
-      highestFencingToken,
-    );
+    this.environment.heartbeatObserver?.onAccepted?.(this.machine, node.name, highestFencingToken);
     this.tasks.execute(answer.orders);
     this.environment.lateHeartbeats.answerAccepted(node);
   }
