--- a/packages/controller/jobs/job-intake.ts
+++ b/packages/controller/jobs/job-intake.ts
@@ -21,8 +21,8 @@
 export class JobIntake {
   /**
    * Jobs that were cancelled here on request although their records still say that they are open. The value is the
-   * time of the cancellation or of the last attempt to record it, in steady seconds. Within the term these jobs stay
-   * cancelled, whatever happens to the request.
+   * time of the cancellation or of the last attempt to record it, in seconds of the monotonic clock. Within the term
+   * these jobs stay cancelled, whatever happens to the request.
    */
   readonly unrecordedCancellations = new Map<string, number>();
 
--- a/packages/controller/records/cancellation-recorder.ts
+++ b/packages/controller/records/cancellation-recorder.ts
@@ -17,7 +17,10 @@
   client: StateClient;
   commits: GroupCommit;
   jobs: JobTable;
-  /** Jobs whose cancellation is not recorded yet, and the steady seconds since when; see `JobIntake.unrecorded`. */
+  /**
+   * Jobs whose cancellation is not recorded yet, each with the time of the cancellation or of the last attempt to
+   * record it, in seconds of the monotonic clock; see `JobIntake.unrecordedCancellations`.
+   */
   unrecordedCancellations: Map<string, number>;
   heartbeatIntervalS: number;
   log: Log;
--- a/packages/controller/records/record-loader.ts
+++ b/packages/controller/records/record-loader.ts
@@ -30,9 +30,11 @@
   term: Term;
   /** Adds a job to the fleet state. */
   acceptJob: (record: JobRecord) => void;
-  /** Called with the time in steady seconds once all jobs are loaded, before progress and machines are. */
+  /**
+   * Called once all jobs are loaded, before progress and machines are. Gets the time in seconds of the monotonic clock.
+   */
   onJobsAccepted: (now: number) => void;
-  /** Returns the time in steady seconds. */
+  /** Returns the time in seconds of the monotonic clock. */
   now: () => number;
 }
 
--- a/packages/core/assignments/assignments.ts
+++ b/packages/core/assignments/assignments.ts
@@ -12,7 +12,7 @@
 
 /**
  * Assigns tasks to machines, stops them, and removes their assignments once they are proven gone. At most one
- * assignment of a task is made at a time (docs/safety.md, point 5). Times are seconds of the steady clock.
+ * assignment of a task is made at a time (docs/safety.md, point 5). Times are seconds of the monotonic clock.
  */
 export class Assignments {
   private readonly attempts: AttemptNumbers;
--- a/packages/core/failures/failure-tracker.ts
+++ b/packages/core/failures/failure-tracker.ts
@@ -51,7 +51,7 @@
 /**
  * Decides whether failures are the job's fault or the machine's, limits what a crash-looping job may use, and drains
  * faulty machines (docs/design.md, "Failing jobs"). Failures are not recorded: a new leader counts them from zero.
- * Times are seconds of the steady clock.
+ * Times are seconds of the monotonic clock.
  */
 export class FailureTracker {
   /** Jobs whose tasks failed on several machines while none succeeded. */
--- a/packages/core/failures/job-failures.ts
+++ b/packages/core/failures/job-failures.ts
@@ -18,7 +18,7 @@
 /** Returns a random number in [0, 1). */
 export type Random = () => number;
 
-/** A job's failures since one of its tasks last succeeded. Times are seconds of the steady clock. */
+/** A job's failures since one of its tasks last succeeded. Times are seconds of the monotonic clock. */
 export interface JobFailures {
   /** Consecutive failed attempts; attempts that overlap in time count as one. */
   attempts: number;
@@ -32,7 +32,7 @@
   unknownStarts: number;
 }
 
-/** A task of the job that has failed. Times are seconds of the steady clock. */
+/** A task of the job that has failed. Times are seconds of the monotonic clock. */
 export interface FailedTask {
   /** Name of the machine on which it failed. */
   machine: string;
--- a/packages/core/failures/machine-failures.ts
+++ b/packages/core/failures/machine-failures.ts
@@ -17,7 +17,7 @@
   isConfirmed: boolean;
 }
 
-/** Failures that may be the machine's fault. Times are seconds of the steady clock. */
+/** Failures that may be the machine's fault. Times are seconds of the monotonic clock. */
 export interface MachineFailures {
   /** By job id. */
   jobs: Map<string, JobFailuresOnMachine>;
--- a/packages/core/fleet-data.ts
+++ b/packages/core/fleet-data.ts
@@ -17,7 +17,7 @@
   settings: FleetSettings;
   /** The leader's term, which is also its fencing token (docs/safety.md, points 1 and 3). */
   term: number;
-  /** When the leader was elected, in seconds of the steady clock. */
+  /** When the leader was elected, in seconds of the monotonic clock. */
   electedAt: number;
   listener?: FleetListener;
   /** Source of jitter for retries; without it, each backoff has its full length. */
--- a/packages/core/heartbeats/heartbeat-processor.ts
+++ b/packages/core/heartbeats/heartbeat-processor.ts
@@ -24,7 +24,7 @@
  */
 const MAX_LISTED_ORDERS = 400;
 
-/** Applies heartbeats, in the order of their agent epochs and sequences. Times are seconds of the steady clock. */
+/** Applies heartbeats, in the order of their agent epochs and sequences. Times are seconds of the monotonic clock. */
 export class HeartbeatProcessor {
   private readonly deliverySettings: DeliverySettings;
 
--- a/packages/core/heartbeats/machine-leases.ts
+++ b/packages/core/heartbeats/machine-leases.ts
@@ -3,12 +3,12 @@
 import type { FleetData } from '../fleet-data.js';
 import type { Machine } from '../model/entities.js';
 
-/** Relative drift between two steady clocks; each deviates by up to 0.05%. */
+/** Relative drift between two monotonic clocks; each deviates by up to 0.05%. */
 const MAX_CLOCK_DRIFT = 0.001;
 
 /** Ends the assignments on machines whose workers' leases have certainly expired (docs/safety.md, point 5). */
 export class MachineLeases {
-  /** No lease can expire before this time, in seconds of the steady clock. */
+  /** No lease can expire before this time, in seconds of the monotonic clock. */
   private noExpiryBefore = -Infinity;
   /** Seconds from the answer to a heartbeat until its worker's lease has certainly expired. */
   private readonly expiryDelayS: number;
@@ -50,7 +50,7 @@
     machines.reserve(machine, null);
   }
 
-  /** Latest time at which the worker can still hold its lease, in seconds of the steady clock. */
+  /** Latest time at which the worker can still hold its lease, in seconds of the monotonic clock. */
   latestLeaseEnd({ termConfirmed, answeredAt }: Machine): number {
     const { settings, electedAt } = this.fleet;
     const renewedByFormerLeader = termConfirmed ? -Infinity : electedAt + settings.formerLeaderS;
--- a/packages/core/heartbeats/task-reconciler.ts
+++ b/packages/core/heartbeats/task-reconciler.ts
@@ -9,7 +9,7 @@
 /** How many heartbeat answers may carry a start without effect before the machine is cordoned. */
 const MAX_MISSED_STARTS = 3;
 
-/** Applies what heartbeats report of single tasks, listed or missing. Times are seconds of the steady clock. */
+/** Applies what heartbeats report of single tasks, listed or missing. Times are seconds of the monotonic clock. */
 export class TaskReconciler {
   constructor(
     private readonly fleet: FleetData,
--- a/packages/core/model/entities.ts
+++ b/packages/core/model/entities.ts
@@ -23,7 +23,7 @@
 
 /**
  * One attempt of a task on one machine, from the placement decision until the attempt is proven gone. Times are seconds
- * of the steady clock.
+ * of the monotonic clock.
  */
 export interface Assignment {
   job: JobState;
@@ -53,7 +53,7 @@
   runningSince: number | null;
 }
 
-/** A job that was accepted, and the state of its tasks. Times are seconds of the steady clock. */
+/** A job that was accepted, and the state of its tasks. Times are seconds of the monotonic clock. */
 export interface JobState {
   /** The job as its user submitted it. */
   spec: Job;
@@ -97,12 +97,12 @@
 /** Capacity that was freed by preemption, and the job that it is held for. */
 export interface CapacityHold {
   job: JobState;
-  /** Seconds of the steady clock. */
+  /** Seconds of the monotonic clock. */
   until: number;
 }
 
 /**
- * A provisioned machine and its worker. Times are seconds of this process's steady clock. Only the MachineRegistry
+ * A provisioned machine and its worker. Times are seconds of this process's monotonic clock. Only the MachineRegistry
  * changes the read-only fields, since they decide which groups of machines the machine belongs to.
  */
 export interface Machine extends MachineFacts, WorkerState, MachineUsage {
--- a/packages/core/model/job-registry.ts
+++ b/packages/core/model/job-registry.ts
@@ -18,7 +18,10 @@
   dependencies?: Dependencies;
 }
 
-/** The accepted jobs, their phases, and which of their tasks wait for a machine. Times are seconds of the steady clock. */
+/**
+ * The accepted jobs, their phases, and which of their tasks wait for a machine. Times are seconds of the monotonic
+ * clock.
+ */
 export class JobRegistry {
   /** Jobs with at least one waiting task. */
   readonly waiting = new WaitingJobs();
--- a/packages/core/model/listener.ts
+++ b/packages/core/model/listener.ts
@@ -12,7 +12,7 @@
 
 /**
  * Called synchronously while the state changes: listeners must not change it themselves. Times are seconds of the
- * steady clock.
+ * monotonic clock.
  */
 export interface FleetListener {
   /** An assignment of a task ended. */
--- a/packages/core/model/machine-registry.ts
+++ b/packages/core/model/machine-registry.ts
@@ -13,7 +13,7 @@
  */
 type MutableMachine = { -readonly [Field in keyof Machine]: Machine[Field] };
 
-/** The known machines and machine types. Times are seconds of the steady clock. */
+/** The known machines and machine types. Times are seconds of the monotonic clock. */
 export class MachineRegistry {
   /** Groups of machines with a property that few machines have. */
   readonly groups = new MachineGroups();
--- a/packages/core/model/machine-usage.ts
+++ b/packages/core/model/machine-usage.ts
@@ -20,6 +20,6 @@
   readonly stayingReplicas: number;
   /** Rises whenever an assignment on the machine is added or removed. */
   assignmentVersion: number;
-  /** Since when `firmTasks` is 0, in seconds of the steady clock; meaningless while it is not 0. */
+  /** Since when `firmTasks` is 0, in seconds of the monotonic clock; meaningless while it is not 0. */
   idleSince: number;
 }
--- a/packages/core/model/new-job.ts
+++ b/packages/core/model/new-job.ts
@@ -7,7 +7,7 @@
 import type { JobState } from './entities.js';
 import { TaskSet } from './task-set.js';
 
-/** Inputs for the state of a new job. Times are seconds of the steady clock. */
+/** Inputs for the state of a new job. Times are seconds of the monotonic clock. */
 interface NewJob {
   job: Job;
   dependencies: Dependencies;
--- a/packages/core/model/new-machine.ts
+++ b/packages/core/model/new-machine.ts
@@ -10,7 +10,7 @@
   facts: MachineFacts;
   number: number;
   state: Machine['state'];
-  /** Seconds of the steady clock. */
+  /** Seconds of the monotonic clock. */
   requestedAt: number;
   fencingToken: number;
 }
--- a/packages/core/model/released-machines.ts
+++ b/packages/core/model/released-machines.ts
@@ -8,7 +8,7 @@
  * arrives from such a machine is a delayed one.
  */
 export class ReleasedMachines {
-  /** Time of release by machine name, oldest first, in seconds of the steady clock. */
+  /** Time of release by machine name, oldest first, in seconds of the monotonic clock. */
   private readonly releasedAt = new Map<string, number>();
   private readonly retentionS: number;
 
--- a/packages/core/model/worker-state.ts
+++ b/packages/core/model/worker-state.ts
@@ -9,7 +9,7 @@
   /** The record is written; earlier starts have no effect once a heartbeat carries the new fencing token. */
   | 'recorded';
 
-/** The worker on a machine. Times are seconds of this process's steady clock. */
+/** The worker on a machine. Times are seconds of this process's monotonic clock. */
 export interface WorkerState {
   /** The worker's agent epoch: rises whenever its lease has expired. */
   agentEpoch: number;
