--- a/packages/cli/launch.cts
+++ b/packages/cli/launch.cts
@@ -11,7 +11,7 @@
 import { Script } from 'node:vm';
 import type * as ProgramModule from './main.js' with { 'resolution-mode': 'import' };
 
-/** What the bundled program exports. */
+/** Exports of the bundled program, whose entry point is `main.ts`. */
 export type Program = typeof ProgramModule;
 
 const PROGRAM_FILE = join(__dirname, '..', 'bin', 'sorreldale.cjs');
--- a/packages/cli/main.ts
+++ b/packages/cli/main.ts
@@ -10,5 +10,5 @@
   });
 }
 
-/** For the build, which simulates a small cluster with the bundled program so that V8 compiles its code. */
+/** Exported for the build, which simulates a small cluster with the bundled program so that V8 compiles its code. */
 export { Controller, loadSettings, makeLog } from '#controller';
--- a/packages/controller/api/health.ts
+++ b/packages/controller/api/health.ts
@@ -1,7 +1,7 @@
 /** Decides whether the load balancer should send users to this controller. */
 import { isReachable, type PeerStatus } from '../peers/peer-status.js';
 
-/** What the health check evaluates. Times are in seconds of the monotonic clock. */
+/** Inputs of the health check. Times are in seconds of the monotonic clock. */
 export interface HealthInputs {
   now: number;
   /** Whether the jobs and the machine types are loaded. */
--- a/packages/controller/cloud/cloud-reconciler.ts
+++ b/packages/controller/cloud/cloud-reconciler.ts
@@ -20,7 +20,7 @@
 /** Share of the allowed rate that is used: a former leader's last requests may still count towards it. */
 const RATE_SHARE = 0.85;
 
-/** What a `CloudReconciler` works on. */
+/** Dependencies and settings of a `CloudReconciler`. */
 export interface CloudReconcilerOptions {
   runtime: Runtime;
   cloud: CloudClient;
--- a/packages/controller/cloud/machine-catalog.ts
+++ b/packages/controller/cloud/machine-catalog.ts
@@ -6,7 +6,7 @@
 /** Heartbeat intervals from one read of the catalog to the next. */
 const CATALOG_INTERVALS = 30;
 
-/** What a `MachineCatalog` works on. */
+/** Dependencies and settings of a `MachineCatalog`. */
 export interface MachineCatalogOptions extends CloudAccess {
   fleet: FleetState;
   heartbeatIntervalS: number;
--- a/packages/controller/cloud/machine-deprovisioner.ts
+++ b/packages/controller/cloud/machine-deprovisioner.ts
@@ -6,7 +6,7 @@
 import type { MachineList } from './machine-list.js';
 import { unusableMachines } from './unusable-machines.js';
 
-/** What a `MachineDeprovisioner` works on. */
+/** Dependencies and settings of a `MachineDeprovisioner`. */
 export interface MachineDeprovisionerOptions extends CloudAccess {
   clock: Clock;
   fleet: FleetState;
--- a/packages/controller/cloud/machine-list.ts
+++ b/packages/controller/cloud/machine-list.ts
@@ -10,7 +10,7 @@
 /** Time for which a deprovisioned machine is remembered, as a multiple of the list's lag. */
 const DEPROVISIONED_MEMORY_LAGS = 20;
 
-/** What a `MachineList` works on. */
+/** Dependencies and settings of a `MachineList`. */
 export interface MachineListOptions extends CloudAccess {
   clock: Clock;
   fleet: FleetState;
--- a/packages/controller/cloud/machine-provisioner.ts
+++ b/packages/controller/cloud/machine-provisioner.ts
@@ -10,7 +10,7 @@
 /** Maximum calls for one request; a call is repeated if its outcome is unknown or the cloud could not serve it. */
 const PROVISION_ATTEMPTS = 4;
 
-/** What a `MachineProvisioner` works on. */
+/** Dependencies and settings of a `MachineProvisioner`. */
 export interface MachineProvisionerOptions extends CloudAccess {
   clock: Clock;
   leader: Pick<ShardLeader, 'fleet' | 'planner' | 'term'>;
--- a/packages/controller/leadership/leader-reachability.ts
+++ b/packages/controller/leadership/leader-reachability.ts
@@ -1,7 +1,7 @@
 /** Tells workers where to find the leader, and whether they could fail over if the leader fell silent. */
 import { isReachable, type PeerStatus } from '../peers/peer-status.js';
 
-/** What a follower knows about the leader's reachability. Times are seconds of the monotonic clock. */
+/** Statuses that a follower has received from the other controllers. Times are seconds of the monotonic clock. */
 export interface LeaderReachabilityView {
   now: number;
   /** The latest status of the leader; null if none has arrived. */
--- a/packages/controller/leadership/leadership-attempt.ts
+++ b/packages/controller/leadership/leadership-attempt.ts
@@ -25,8 +25,8 @@
 }
 
 /**
- * What follows an attempt. `retry`: another attempt, unless the term has ended by then. `over`: no further attempt in
- * this term.
+ * Whether an attempt that has ended is followed by another one. `retry`: the term is attempted again, unless it has
+ * ended by then. `over`: the term is not attempted again.
  */
 export type AttemptOutcome = 'retry' | 'over';
 
--- a/packages/controller/leadership/shard-leader.ts
+++ b/packages/controller/leadership/shard-leader.ts
@@ -69,7 +69,7 @@
 
   /**
    * Leads until the signal aborts, and resolves once everything that it started has ended. Rejects with
-   * TermLostError if the term must be given up, or with the error that made loading the records fail.
+   * TermLostError if the leader must step down because of the records, or with the error that made loading them fail.
    */
   async run(signal: AbortSignal): Promise<void> {
     await this.loadRecords(signal);
--- a/packages/controller/leadership/standby-renewal-check.ts
+++ b/packages/controller/leadership/standby-renewal-check.ts
@@ -4,7 +4,10 @@
 import { PeerProof, type ProofView } from '../peers/peer-proof.js';
 import type { PeerStatus } from '../peers/peer-status.js';
 
-/** What a follower knows. Times are seconds of this process's monotonic clock. */
+/**
+ * State of a follower and statuses of its peers, as input of the check. Times are seconds of this process's monotonic
+ * clock.
+ */
 export interface StandbyView extends ProofView, SuccessorView {
   /** Whether this controller leads or may still win a campaign that it has started. */
   mayLead: boolean;
--- a/packages/controller/leadership/write-shares.ts
+++ b/packages/controller/leadership/write-shares.ts
@@ -2,7 +2,7 @@
 import type { StateClient } from '#store';
 
 /**
- * Shares of the rate for the leader: `least` is reserved for it, and it may use up to `most` while the other
+ * Shares of the rate for the leader: `least` is reserved for the leader, which may use up to `most` while the other
  * controllers leave capacity unused.
  */
 const LEADER_WRITE_SHARES = { least: 0.6, most: 0.8 };
--- a/packages/controller/peers/own-status.ts
+++ b/packages/controller/peers/own-status.ts
@@ -1,4 +1,4 @@
-/** What this controller states about itself in its status frames. */
+/** Reads the fields of the status frames that this controller sends to its peers. */
 import type { FollowerHeartbeats } from '../heartbeats/follower-heartbeats.js';
 import type { ControllerServices } from '../services.js';
 import type { OwnStatus } from './status-exchange.js';
--- a/packages/controller/peers/step-down.ts
+++ b/packages/controller/peers/step-down.ts
@@ -36,7 +36,7 @@
     });
   }
 
-  /** Steps down if a peer has seen a newer leader: the term of this process's leader is over. */
+  /** Steps down if a peer has seen a newer leader, since the term of this process's leader has then ended. */
   checkNewestLeader(newestLeader: StatusFrame['newestLeader']): void {
     const { leader, log, election } = this.options;
     const term = leader()?.term.term;
--- a/packages/controller/records/batch-collector.ts
+++ b/packages/controller/records/batch-collector.ts
@@ -44,7 +44,7 @@
     const { fleet, jobRecords } = this.options;
     const { urgentMachines, machines, jobs } = fleet.unrecordedChanges;
     if (!includeDeferred) return urgentMachines.size + jobs.size;
-    // One more for the change of the removal marker.
+    // The 1 is the removal marker, which every transaction that deletes records must also change.
     return machines.size + jobs.size + jobRecords.obsoleteChunkCount + 1;
   }
 
--- a/packages/controller/records/term-lost-error.ts
+++ b/packages/controller/records/term-lost-error.ts
@@ -4,7 +4,7 @@
 export type TermLossReason =
   /** The lease on which the leader's key depends has ended. */
   | 'election-lease-gone'
-  /** The shard's leader key has changed since this term's election, so the term is over. */
+  /** The shard's leader key has changed since this term's election, so the term has ended. */
   | 'leader-key-changed'
   /** Another writer has changed a record that only the shard's leader may change. */
   | 'record-changed'
--- a/packages/controller/settings/settings-error.ts
+++ b/packages/controller/settings/settings-error.ts
@@ -1,10 +1,10 @@
 /** Errors in settings files. */
 
-/** One field that can't be used. */
+/** A field of a settings file whose value can't be used. */
 export interface SettingsProblem {
   /** Path of the field in its file, like `deployment.workers.cancel_s`. */
   field: string;
-  /** Why it can't be used. */
+  /** Why the value can't be used. */
   reason: string;
 }
 
--- a/packages/core/assignments/assignments.ts
+++ b/packages/core/assignments/assignments.ts
@@ -160,7 +160,7 @@
     return true;
   }
 
-  /** Lets the task of an ended assignment wait again, unless the task is done or its job is over. */
+  /** Lets the task of an ended assignment wait again, unless the task is done or its job was done or cancelled. */
   private requeueTask(assignment: Assignment, cause: EndCause, now: number): void {
     const { job, index } = assignment;
     if (job.phase !== 'accepted' || job.done.has(index)) return;
--- a/packages/core/assignments/new-assignment.ts
+++ b/packages/core/assignments/new-assignment.ts
@@ -12,7 +12,7 @@
 
 /**
  * Creates an assignment that is not recorded, whose start was not sent, and that no heartbeat has listed. `share` is
- * the share of the fleet that is booked for it.
+ * the share of the fleet's resources that is charged for the assignment.
  */
 export function newAssignment(
   { job, index, machine, attempt }: AssignmentOptions,
--- a/packages/core/autoscaling/scale-out-requests.ts
+++ b/packages/core/autoscaling/scale-out-requests.ts
@@ -19,7 +19,7 @@
     this.until.set(kindKey(type, zone, spot), until);
   }
 
-  /** Whether the kind was refused so recently that it is not requested. */
+  /** Whether the cloud refused the kind so recently that machines of this kind are not requested yet. */
   isRefused({ type, zone, spot }: MachineKind, now: number): boolean {
     return (this.until.get(kindKey(type.name, zone, spot)) ?? 0) > now;
   }
--- a/packages/core/failures/failure-tracker.ts
+++ b/packages/core/failures/failure-tracker.ts
@@ -91,7 +91,7 @@
     if (job.failures.attempts > 0) this.jobSucceeded(job, machine, now);
   }
 
-  /** Forgets the failures of a job that is over. */
+  /** Forgets the failures of a job that was done or cancelled. */
   jobClosed(job: JobState): void {
     this.crashLoopingJobs.delete(job);
     this.forgetMachineFailuresOf(job);
--- a/packages/core/fleet-state.ts
+++ b/packages/core/fleet-state.ts
@@ -22,7 +22,7 @@
 }
 
 /**
- * What the leader of a shard knows of its machines, jobs and tasks. It is a pure state machine: time and messages are
+ * The leader's view of the machines, jobs and tasks of a shard. It is a pure state machine: time and messages are
  * passed in as arguments, and changes that must be made durable are listed in `unrecorded`. An assignment is removed
  * only when its task is proven gone (docs/safety.md, point 5). Times are seconds of the monotonic clock.
  */
--- a/packages/core/heartbeats/answer-delivery.ts
+++ b/packages/core/heartbeats/answer-delivery.ts
@@ -29,8 +29,8 @@
   now: number,
 ): void {
   const { leaseS, heartbeatIntervalS, term } = settings;
-  // After a network partition, delayed heartbeats arrive together, then one of a new agent epoch.
-  // That does not show that answers are lost.
+  // After a network partition, delayed heartbeats arrive together, followed by one of a new agent epoch.
+  // Such a sequence does not show that answers are lost.
   if (now - machine.answeredAt > MAX_ANSWER_GAP_INTERVALS * heartbeatIntervalS)
     machine.answeredSince = now;
   const showsOldFencingToken = heartbeat.fencingToken < term && machine.answeredSince < now;
--- a/packages/core/model/entities.ts
+++ b/packages/core/model/entities.ts
@@ -32,21 +32,24 @@
   /** Attempt number, unique to this start across all terms; the tasks of a gang share it. */
   attempt: number;
   machine: Machine;
-  /** Whether it is durable in the machine's record; only then may the start be sent (docs/safety.md, point 4). */
+  /**
+   * Whether the assignment is durable in the machine's record. Only then may the start be sent (docs/safety.md,
+   * point 4).
+   */
   recorded: boolean;
-  /** Whether it was read from the record of an earlier term and is not yet listed in a heartbeat. */
+  /** Whether the assignment was read from the record of an earlier term and no heartbeat has listed the task yet. */
   inherited: boolean;
   /** Whether the start was sent, in a heartbeat answer or in a direct command. */
   startSent: boolean;
   /** Sequence of the first heartbeat whose answer carried the start. */
   startAnswerSequence: number | null;
-  /** Number of heartbeats that did not list the task although the answer before them carried its start. */
+  /** Number of heartbeats that did not list the task although the answer before them carried the task's start. */
   missedStarts: number;
   /** State that the worker reported last, or null before the first report. */
   reportedState: TaskState | null;
   /** Set once the task is to stop. */
   stop: StopRequest | null;
-  /** Share of the fleet's resources that is charged for it. */
+  /** Share of the fleet's resources that is charged for the assignment. */
   share: number;
   assignedAt: number;
   /** When a worker first reported the attempt as running. */
@@ -57,18 +60,21 @@
 export interface JobState {
   /** The job as its user submitted it. */
   spec: Job;
-  /** Effective rank: its own, or that of a dependent if that is more urgent; 0 is the most urgent. */
+  /** Effective rank: the job's own, or that of a dependent if that is more urgent; 0 is the most urgent. */
   rank: number;
-  /** Whether a job that it depends on is not done. Until all are done, none of its tasks is placed. */
+  /** Whether some job that this job depends on is not done. Until all are done, no task of this job is placed. */
   hasOpenDependencies: boolean;
-  /** Whether it runs on spare capacity only; see `isBestEffort`. */
+  /** Whether the job runs on spare capacity only; see `isBestEffort`. */
   isBestEffort: boolean;
-  /** Its replicas, if each has several members; null if its tasks run independently of each other. */
+  /** The job's replicas, if each has several members; null if the tasks run independently of each other. */
   replicas: JobReplicas | null;
-  /** Equal for jobs whose tasks fit the same machines, apart from constraints by the zones of their other tasks. */
+  /**
+   * Key that is equal for jobs whose tasks fit the same machines. It ignores the constraints that the zones of a job's
+   * other tasks impose.
+   */
   requirementsKey: string;
   acceptedAt: number;
-  /** Since when its tasks may start: when it was accepted, or when its last open dependency was done. */
+  /** When the job's tasks could first start: when the job was accepted, or when its last open dependency was done. */
   startableAt: number;
   /** `cancelled` and `done` are final. */
   phase: 'accepted' | 'cancelled' | 'done';
@@ -80,15 +86,15 @@
   scanFrom: number;
   /** Indexes of tasks that lost their assignment. Some of these tasks may be assigned again or done. */
   requeuedTasks: Set<number>;
-  /** Failures of its tasks since the last success of one. */
+  /** Failures of the job's tasks since one of them last succeeded. */
   failures: JobFailures;
-  /** Backoff after failures: none of its tasks is placed before this time. */
+  /** Backoff after failures: no task of the job is placed before this time. */
   backoffUntil: number;
   /** Number of best-effort tasks that were stopped to empty their machines. */
   tasksMoved: number;
   /** Service that the job has received. */
   service: ServiceCounter;
-  /** Since when at least one of its tasks waits. */
+  /** Time since which at least one task of the job has been waiting. */
   waitingSince: number;
   /** Ascending number in the order in which jobs began to wait. */
   waitingOrder: number;
@@ -108,29 +114,29 @@
 export interface Machine extends MachineFacts, WorkerState, MachineUsage {
   /** Ascending number in the order in which machines became known. */
   readonly number: number;
-  /** `expired`: its worker's lease has certainly expired, and no task is on it (docs/safety.md, point 5). */
+  /** `expired`: the worker's lease has certainly expired, and no task is on the machine (docs/safety.md, point 5). */
   readonly state: 'booting' | 'up' | 'expired';
   requestedAt: number;
-  /** When its worker's lease was found to have expired. */
+  /** When the lease of the machine's worker was found to have expired. */
   expiredAt: number;
   /** When the cloud reclaims the machine; null without a reclaim notice. */
   readonly reclaimAt: number | null;
-  /** Whether the cloud lists it as failed. */
+  /** Whether the cloud lists the machine as failed. */
   readonly failedInList: boolean;
 
-  /** Whether it takes no new work and is deprovisioned once it is empty. */
+  /** Whether the machine takes no new work and is deprovisioned once it is empty. */
   readonly draining: boolean;
-  /** It takes no new work before this time. */
+  /** The machine takes no new work before this time. */
   cordonedUntil: number;
   /** Task failures that the machine may have caused. */
   failures: MachineFailures;
-  /** Id of the gang that it is kept free for. */
+  /** Id of the gang that the machine is kept free for. */
   readonly reservedForGang: string | null;
   capacityHold: CapacityHold | null;
 
   /** Assignments by task name, of all tasks that are or may be on the machine. */
   tasks: Map<string, Assignment>;
-  /** Images that its worker should have in its cache: size in GB by name, most recently used last. */
+  /** Images that the worker should have in its cache: size in GB by name, most recently used last. */
   images: Map<string, number>;
 }
 
--- a/packages/core/model/job-dependencies.ts
+++ b/packages/core/model/job-dependencies.ts
@@ -1,9 +1,9 @@
 /** How dependencies between jobs affect a single job; the package `dependencies` keeps the graph. */
 import type { Job } from '#wire';
 
-/** How a job's dependencies and dependents affect it. */
+/** How the dependencies and dependents of a job affect that job. */
 export interface Dependencies {
-  /** Whether a job that it depends on is not done. */
+  /** Whether some job that this job depends on is not done. */
   hasOpenDependencies: boolean;
   /** The most urgent rank of the job and of its dependents. */
   rank: number;
--- a/packages/core/model/listener.ts
+++ b/packages/core/model/listener.ts
@@ -35,7 +35,7 @@
   // Events are ignored.
 }
 
-/** For tests and simulations that need no events. */
+/** Ignores all events; for tests and simulations that need none. */
 export const NO_LISTENER: FleetListener = {
   taskEnded: noop,
   taskRunning: noop,
--- a/packages/core/model/machine-facts.ts
+++ b/packages/core/model/machine-facts.ts
@@ -8,6 +8,6 @@
   /** Name of its machine type. */
   type: string;
   zone: string;
-  /** Whether it is a spot instance, which the cloud may reclaim. */
+  /** Whether the machine is a spot instance, which the cloud may reclaim. */
   spot: boolean;
 }
--- a/packages/core/model/machine-usage.ts
+++ b/packages/core/model/machine-usage.ts
@@ -8,18 +8,21 @@
 export interface MachineUsage {
   /** Size of the machine's record in bytes of JSON. */
   recordBytes: number;
-  /** Resources that all its tasks use. */
+  /** Resources that all tasks on the machine use. */
   used: Resources;
   /** The part of `used` that best-effort tasks use. */
   usedBestEffort: Resources;
-  /** Number of tasks on it that are not best-effort. */
+  /** Number of firm (not best-effort) tasks on the machine. */
   firmTasks: number;
-  /** Number of tasks on it that were asked to stop. */
+  /** Number of tasks on the machine that were asked to stop. */
   readonly stoppingTasks: number;
-  /** Number of service replicas on it that are not best-effort and were not asked to stop. */
+  /** Number of service replicas on the machine that are not best-effort and were not asked to stop. */
   readonly stayingReplicas: number;
   /** Rises whenever an assignment on the machine is added or removed. */
   assignmentVersion: number;
-  /** Since when `firmTasks` is 0, in seconds of the monotonic clock; meaningless while it is not 0. */
+  /**
+   * Time since which the machine has had no firm task, in seconds of the monotonic clock. Meaningless while `firmTasks`
+   * is not 0.
+   */
   idleSince: number;
 }
--- a/packages/core/model/unrecorded-changes.ts
+++ b/packages/core/model/unrecorded-changes.ts
@@ -10,20 +10,23 @@
 export class UnrecordedChanges {
   /** Names of machines whose assignments or fence changed, including machines that are gone. */
   readonly machines = new Set<string>();
-  /** Names from `machines` whose record some work waits for, with the most urgent rank of that work; 0 comes first. */
+  /**
+   * Names from `machines` whose record must be written before some work can continue, with the most urgent rank of that
+   * work; 0 is the most urgent.
+   */
   readonly urgentMachines = new Map<string, number>();
   /** Ids of jobs with new done tasks. */
   readonly jobs = new Set<string>();
   /** Unrecorded done tasks by job id. Those that end a job are recorded with the job's end. */
   private readonly doneTasks = new Map<string, Set<number>>();
 
-  /** Notes that work of that rank waits for the machine's record to be written. */
+  /** Marks the machine's record as urgent: work of the given rank cannot continue before the record is written. */
   markMachineUrgent(name: string, rank: number): void {
     this.machines.add(name);
     this.urgentMachines.set(name, Math.min(rank, this.urgentMachines.get(name) ?? Infinity));
   }
 
-  /** Clears the machine, whose current record is now part of a transaction. */
+  /** Removes the machine from the changes, since its current record is now part of a transaction. */
   machineCollected(name: string): void {
     this.machines.delete(name);
     this.urgentMachines.delete(name);
@@ -54,7 +57,7 @@
     this.doneTasks.delete(job);
   }
 
-  /** Whether some change is urgent, so that it may not wait until the recorder's budget has changes to spare. */
+  /** Whether some change is urgent: it must not wait until the recorder's budget has spare capacity. */
   get hasUrgentChanges(): boolean {
     return this.urgentMachines.size > 0 || this.jobs.size > 0;
   }
--- a/packages/core/model/worker-state.ts
+++ b/packages/core/model/worker-state.ts
@@ -1,4 +1,4 @@
-/** What the leader knows of the worker on a machine, from its heartbeats and the commands sent to it. */
+/** The leader's state for the worker on a machine, from the worker's heartbeats and the commands sent to it. */
 
 /** Progress of raising the machine's fencing token above that of unacknowledged starts. */
 export type Fence =
@@ -11,21 +11,27 @@
 
 /** The worker on a machine. Times are seconds of this process's monotonic clock. */
 export interface WorkerState {
-  /** The worker's agent epoch: rises whenever its lease has expired. */
+  /** Agent epoch of the worker, which rises whenever the worker's lease has expired. */
   agentEpoch: number;
   /** Sequence of the newest message of the epoch: a heartbeat, or the answer to a direct command. */
   lastMessageSequence: number;
   /** Sequence of the newest heartbeat that was answered. */
   lastHeartbeatSequence: number;
-  /** Fencing token that answers carry: the term, or the revision of the last record that raised it, if that is later. */
+  /**
+   * Fencing token that answers carry: the term, or the revision of the last record that raised the token, if that is
+   * later.
+   */
   fencingToken: number;
   /** Whether a heartbeat has carried this term's fencing token, so that older commands and answers have no effect. */
   termConfirmed: boolean;
   /** When the last heartbeat that was answered arrived. */
   answeredAt: number;
-  /** Since when its heartbeats have been answered without a gap. */
+  /** Time since which the worker's heartbeats have been answered without a gap. */
   answeredSince: number;
-  /** Since when its heartbeats have carried a fencing token older than the term of the answers; null if they don't. */
+  /**
+   * Time since which the worker's heartbeats have carried a fencing token older than the term of the answers; null if
+   * they don't.
+   */
   oldFencingTokenSince: number | null;
 
   /** State of the fencing of unacknowledged starts. */
--- a/packages/core/preemption/preemption-rules.ts
+++ b/packages/core/preemption/preemption-rules.ts
@@ -81,9 +81,9 @@
 }
 
 /**
- * Whether the task has begun to run so recently that it may not be preempted for the job. A start that is undone at
- * once is of no use to anyone. The rule also bounds how often two jobs can displace each other. It does not apply to
- * jobs of the most urgent rank.
+ * Whether the task has not yet run for the minimum run time, so that the job may not preempt it. Preemption right after
+ * a start would make the start useless. The rule also bounds how often two jobs can displace each other. It does not
+ * apply to waiting jobs of the most urgent rank.
  */
 function isInMinimumRunTime({ runningSince }: Assignment, forJob: JobState, now: number): boolean {
   return forJob.rank !== 0 && runningSince !== null && !hasRunMinimumTime(runningSince, now);
--- a/packages/replicas/job-replica-groups.ts
+++ b/packages/replicas/job-replica-groups.ts
@@ -28,7 +28,7 @@
   moveOff(group: ReplicaGroup, now: number): void;
   /** Whether the replica may start now; the number of replicas under repair that start together is limited. */
   mayStartRepair(group: ReplicaGroup): boolean;
-  /** The job is over for its user. */
+  /** The job was done or cancelled; some of its tasks may still have to stop. */
   jobClosed(job: JobState, groups: JobReplicaGroups): void;
 }
 
@@ -37,7 +37,7 @@
   readonly members: number;
   readonly sameZone: boolean;
   private readonly groups = new Map<number, ReplicaGroup>();
-  /** Groups that had places and have none now. */
+  /** Groups that lost all their places, so that their replicas wait to be placed again. */
   private readonly withoutPlaces = new Set<ReplicaGroup>();
   /** All groups below this index had a place; the search for groups that never had one starts here. */
   private firstNeverPlaced = 0;
--- a/packages/replicas/replica-groups.ts
+++ b/packages/replicas/replica-groups.ts
@@ -142,7 +142,7 @@
     return this.startingRepairs.size < maxConcurrentRepairs(machines.size);
   }
 
-  /** Removes the groups of a job that is over for its user. */
+  /** Removes the groups of a job that was done or cancelled; some of its tasks may still have to stop. */
   jobClosed(job: JobState, groups: JobReplicaGroups): void {
     this.groupsByJob.delete(job);
     for (const group of groups.everPlaced()) {
--- a/packages/shards/source-state-machine.ts
+++ b/packages/shards/source-state-machine.ts
@@ -38,9 +38,9 @@
   limits: MigrationLimits;
 }
 
-/** How long the leader waits in each phase; seconds. */
+/** Maximum waits of the leader during a migration, in seconds. */
 export interface MigrationLimits {
-  /** From when the leader first sees a request until its target is prepared; also for decisions to stop. */
+  /** For the target to be prepared, from when the leader first sees the request; also for decisions to stop. */
   prepareS: number;
   /** For the target to become the leader once decisions have stopped. */
   switchS: number;
@@ -67,7 +67,7 @@
   lastRead?: ObservedMigration | null;
 }
 
-/** What the leader does next. */
+/** Next action of the source, which is the leader that hands the shard over. */
 export type SourceAction =
   | { kind: 'wait' }
   /** Stop all decisions. */
--- a/packages/shards/target-state-machine.ts
+++ b/packages/shards/target-state-machine.ts
@@ -40,7 +40,7 @@
   /** The transaction that makes this controller the leader was sent, and may be applied even if no answer arrives. */
   | { phase: 'switching'; migrationVersion: number; fromTerm: number };
 
-/** What the target does next. */
+/** Next action of the target, which is the controller that is to take over the shard. */
 export type TargetAction =
   | { kind: 'wait' }
   /** Prefetch the records, then record that the target is ready. */
--- a/packages/shards/transfer-source.ts
+++ b/packages/shards/transfer-source.ts
@@ -20,7 +20,7 @@
 
 const MS_PER_S = 1000;
 
-/** What the source of a transfer needs. */
+/** Dependencies and limits of a `TransferSource`. */
 export interface TransferSourceOptions {
   runtime: Pick<Runtime, 'clock'>;
   client: StateClient;
--- a/packages/shards/transfer-target.ts
+++ b/packages/shards/transfer-target.ts
@@ -13,7 +13,7 @@
 } from './target-state-machine.js';
 import type { MigrationLog, TransferableLeader } from './transferable-leader.js';
 
-/** What the target of a transfer needs. */
+/** Dependencies of a `TransferTarget`. */
 export interface TransferTargetOptions {
   client: StateClient;
   /** Holds the records of the shard and of its migrations. */
--- a/packages/store/election-lease.ts
+++ b/packages/store/election-lease.ts
@@ -15,7 +15,10 @@
   sentAt: number;
 }
 
-/** Outcome of a renewal: the lease lives on, has ended, or was given up or replaced by this process meanwhile. */
+/**
+ * Outcome of a renewal. `alive`: the lease was renewed. `ended`: the state service no longer has the lease. `replaced`:
+ * this process dropped or replaced the lease before the answer arrived, or had none.
+ */
 export type RenewalOutcome = 'alive' | 'ended' | 'replaced';
 
 /** Dependencies and TTL of an `ElectionLease`. */
--- a/packages/store/group-commit.ts
+++ b/packages/store/group-commit.ts
@@ -59,7 +59,10 @@
     return this.queue.length >= this.options.maxQueue;
   }
 
-  /** Requests that are sent before one that the team would add now, if no other is added meanwhile. */
+  /**
+   * Estimated number of queued requests that are sent before a new request of the team, if no other request is added in
+   * the meantime.
+   */
   changesAhead(team: string): number {
     const untilTeamServed = this.queue.laneLength(team) / this.queue.shareOf(team);
     return Math.min(this.queue.length, untilTeamServed);
--- a/packages/store/leader-election.ts
+++ b/packages/store/leader-election.ts
@@ -131,7 +131,10 @@
     this.term.next(null);
   }
 
-  /** Caps a time that the lease guarantees: after a transfer the lease lives on, but a successor may lead. */
+  /**
+   * Caps a time for which the lease proves sole leadership. From the time at which a transfer allows a successor to
+   * lead, the lease proves nothing, although it may still be alive.
+   */
   private capByTransfer(provenAt: number): number {
     return Math.min(provenAt, this.transfer.successorPossibleSince ?? Infinity);
   }
@@ -215,7 +218,10 @@
     this.stepPause.wake();
   }
 
-  /** Begins a term if the leader key is attached to our lease, and ends a term that is over. */
+  /**
+   * Begins a term if the leader key is attached to this controller's lease. Otherwise ends the current term if the key
+   * was removed or belongs to a newer leader.
+   */
   private updateTerm(): void {
     const { term, lease, currentLeader } = this;
     if (currentLeader && lease.id !== null && currentLeader.leaseId === lease.id) {
--- a/packages/testing/loopback/sizing/figure.ts
+++ b/packages/testing/loopback/sizing/figure.ts
@@ -5,7 +5,7 @@
 /** Units of figures; `processor s` and `processor ms` are processor time, `s` and `ms` elapsed time. */
 export type Unit = 'cores' | 'processor s' | 'processor ms' | 's' | 'ms' | 'MB' | 'a second' | '';
 
-/** One measured figure. */
+/** A measured value with its name, its unit and its relation to the controller's limit. */
 export interface Figure {
   name: string;
   value: number;
--- a/packages/testing/models/leader-with-workers/traffic.ts
+++ b/packages/testing/models/leader-with-workers/traffic.ts
@@ -53,7 +53,7 @@
     };
     if (!chance.withProbability(MESSAGE_LOSS_RATE))
       messageQueue.schedule(now + chance.next() * MAX_DELAY_S, deliver);
-    // A late copy can arrive long after the lease has expired. The answer to the copy reaches nobody.
+    // A late copy of the heartbeat can arrive long after the worker's lease has expired. Its answer is discarded.
     if (chance.withProbability(LATE_COPY_RATE)) {
       messageQueue.schedule(now + chance.next() * MAX_COPY_DELAY_S, (at) => {
         this.deliverCopy(heartbeat, at);
--- a/packages/testing/models/replica-groups/requests.ts
+++ b/packages/testing/models/replica-groups/requests.ts
@@ -35,7 +35,10 @@
   }
 }
 
-/** A request can be given up at any time. The member that accepted it answers it once all members have marked it. */
+/**
+ * Adds the transitions that end a request. A request can end without an answer at any time. The member that accepted
+ * the request answers it once all members have marked it.
+ */
 function addRequestEnd(list: ReplicaTransitionList, { generation, marks }: ModelRequest): void {
   const { state, seededFault } = list;
   list.add('request given up', false, (draft) => (draft.request = null));
--- a/packages/testing/simulation/clock.ts
+++ b/packages/testing/simulation/clock.ts
@@ -2,7 +2,7 @@
 import type { Clock, Timer } from '#wire';
 import type { World } from './world.js';
 
-/** What triggered a callback of a process. */
+/** Trigger of a callback of a simulated process: one of its timers, or an event of the simulated network. */
 export type CallbackSource = 'timer' | 'network';
 
 /** Runs the callbacks of a process. */
--- a/packages/testing/stand-ins/checker/violation.ts
+++ b/packages/testing/stand-ins/checker/violation.ts
@@ -34,7 +34,7 @@
   job: string | null;
   task: string | null;
   machines: string[];
-  /** What happened, in one line. */
+  /** One-line description of the violation or counted event. */
   explanation: string;
 }
 
