--- a/packages/controller/cloud/cloud-reconciler.ts
+++ b/packages/controller/cloud/cloud-reconciler.ts
@@ -15,7 +15,7 @@
 const STEP_PAUSE_SHARE = 1 / 4;
 /** Additional pause after a failed step, as a share of a heartbeat interval. */
 const FAILURE_PAUSE_SHARE = 1 / 2;
-/** Lower bound of the random factor on each pause; the upper bound is as far above 1. */
+/** Lower bound of the random factor on each pause; the upper bound is as far above 1 as this one is below. */
 const MIN_JITTER = 0.75;
 /** Share of the allowed rate that is used: a former leader's last requests may still count towards it. */
 const RATE_SHARE = 0.85;
--- a/packages/controller/heartbeats/heartbeat-endpoint.ts
+++ b/packages/controller/heartbeats/heartbeat-endpoint.ts
@@ -19,7 +19,7 @@
 import { WorkerConnections } from './worker-connections.js';
 import type { ProcessStatistics } from '../observability/process-statistics.js';
 
-/** Lower than the fencing token of any term, so that every worker drops the answer. */
+/** Fencing token of answers that every worker must drop: lower than the token of any term. */
 const NO_FENCING_TOKEN = 0;
 
 type Services = Pick<ControllerServices, 'runtime' | 'settings' | 'jobs' | 'election' | 'log'>;
--- a/packages/controller/heartbeats/worker-silence.ts
+++ b/packages/controller/heartbeats/worker-silence.ts
@@ -3,7 +3,7 @@
 
 /** Heartbeat intervals without any heartbeat after which the leader counts as isolated from its workers. */
 const SILENT_INTERVALS = 2;
-/** The silence of a single worker may be a failure of its machine alone. */
+/** Minimum number of workers: the silence of a single worker may be a failure of its machine alone. */
 const MIN_WORKERS = 2;
 /** Sample intervals between two samples above which this process counts as having been suspended. */
 const LATE_SAMPLE_INTERVALS = 2;
--- a/packages/core/assignments/assignments.ts
+++ b/packages/core/assignments/assignments.ts
@@ -121,7 +121,10 @@
     for (const each of toStop) this.stop(each, graceS, now);
   }
 
-  /** Ends the assignment if its start was never sent to the worker, and so never will be. Returns whether it did. */
+  /**
+   * Ends the assignment if its start was never sent to the worker; the start then never will be sent. Returns whether
+   * the assignment was ended.
+   */
   endIfUnsent(assignment: Assignment, now: number): boolean {
     const { startSent, inherited, reportedState } = assignment;
     if (startSent || inherited || reportedState !== null) return false;
--- a/packages/core/autoscaling/consolidation.ts
+++ b/packages/core/autoscaling/consolidation.ts
@@ -100,7 +100,7 @@
   return moves;
 }
 
-/** Whether replicas of the job may move from the bin `from` to this one; free capacity is not checked. */
+/** Whether replicas of the job may move from the bin `from` to the first bin; free capacity is not checked. */
 function canReceive(
   fleet: FleetState,
   { machine, type, reservedForGang }: ExistingBin,
--- a/packages/core/failures/job-failures.ts
+++ b/packages/core/failures/job-failures.ts
@@ -34,7 +34,7 @@
 
 /** A task of the job that has failed. Times are seconds of the monotonic clock. */
 export interface FailedTask {
-  /** Name of the machine on which it failed. */
+  /** Name of the machine on which the task failed. */
   machine: string;
   assignedAt: number;
   /** Seconds from when the task was first seen to run until it failed. */
--- a/packages/core/failures/machine-failures.ts
+++ b/packages/core/failures/machine-failures.ts
@@ -21,7 +21,7 @@
 export interface MachineFailures {
   /** By job id. */
   jobs: Map<string, JobFailuresOnMachine>;
-  /** End of the quarantine; the machine takes no new work before. */
+  /** End of the quarantine; the machine takes no new work before this time. */
   quarantinedUntil: number;
 }
 
--- a/packages/core/fleet-state.ts
+++ b/packages/core/fleet-state.ts
@@ -23,8 +23,8 @@
 
 /**
  * The leader's view of the machines, jobs and tasks of a shard. It is a pure state machine: time and messages are
- * passed in as arguments, and changes that must be made durable are listed in `unrecorded`. An assignment is removed
- * only when its task is proven gone (docs/safety.md, point 5). Times are seconds of the monotonic clock.
+ * passed in as arguments, and changes that must be made durable are listed in `unrecordedChanges`. An assignment is
+ * removed only when its task is proven gone (docs/safety.md, point 5). Times are seconds of the monotonic clock.
  */
 export class FleetState extends FleetData {
   /** Assigns, stops and ends tasks. */
--- a/packages/core/heartbeats/direct-orders.ts
+++ b/packages/core/heartbeats/direct-orders.ts
@@ -13,11 +13,11 @@
 
 /** The outcome of a direct command. */
 export type DirectOutcome =
-  /** The worker executed it; its answer lists its tasks like a heartbeat. */
+  /** The worker executed the command; the answer lists the worker's tasks like a heartbeat. */
   | { kind: 'executed'; heartbeat: Heartbeat }
   /** The worker answered that it executed nothing. */
   | { kind: 'refused' }
-  /** No answer or an inconclusive one: the command may have been executed, or may still be. */
+  /** No answer or an inconclusive one: the command may have been executed, or may still be executed later. */
   | { kind: 'unknown' };
 
 /**
--- a/packages/core/model/listener.ts
+++ b/packages/core/model/listener.ts
@@ -21,7 +21,10 @@
   taskRunning(assignment: Assignment, now: number): void;
   /** The first heartbeat of a provisioned machine arrived. */
   machineUp(machine: Machine, now: number): void;
-  /** Tasks of the job failed on several machines and none succeeded; its retries are limited until one does. */
+  /**
+   * Tasks of the job failed on several machines and none succeeded. The job's retries are limited until one of its
+   * tasks succeeds.
+   */
   jobCrashLooping(job: JobState, now: number): void;
   /** A task of a crash-looping job succeeded. */
   jobRecovered(job: JobState, now: number): void;
--- a/packages/core/model/machine-facts.ts
+++ b/packages/core/model/machine-facts.ts
@@ -5,7 +5,7 @@
   name: string;
   /** `host:port` of the worker; empty until its first heartbeat. */
   addr: string;
-  /** Name of its machine type. */
+  /** Name of the machine's type. */
   type: string;
   zone: string;
   /** Whether the machine is a spot instance, which the cloud may reclaim. */
--- a/packages/core/model/machine-groups.ts
+++ b/packages/core/model/machine-groups.ts
@@ -77,7 +77,10 @@
     setMember(this.stoppingMachines, machine, machine.stoppingTasks > 0);
   }
 
-  /** Updates the groups after the number of replicas that stay on the machine, or whether it is kept itself, changed. */
+  /**
+   * Updates the groups after the number of replicas that are to stay on the machine changed, or the machine's state,
+   * draining or reclaim notice.
+   */
   replicasChanged(machine: Machine): void {
     const { state, draining, reclaimAt, stayingReplicas } = machine;
     const stays = state !== 'expired' && !draining && reclaimAt === null;
--- a/packages/core/model/machine-registry.ts
+++ b/packages/core/model/machine-registry.ts
@@ -155,7 +155,7 @@
     if (this.isKnown(machine)) this.groups.stopsChanged(machine);
   }
 
-  /** Counts a replica that is to stay on the machine (1), or no longer is (-1). */
+  /** Counts a replica that is to stay on the machine (1), or one that is no longer to stay (-1). */
   adjustStayingReplicas(machine: MutableMachine, sign: 1 | -1): void {
     machine.stayingReplicas += sign;
     if (this.isKnown(machine)) this.groups.replicasChanged(machine);
--- a/packages/core/model/ordered-machines.ts
+++ b/packages/core/model/ordered-machines.ts
@@ -5,7 +5,7 @@
 export class OrderedMachines {
   private readonly list: Machine[] = [];
 
-  /** The members. */
+  /** The listed machines, in the order in which they became known. */
   get machines(): readonly Machine[] {
     return this.list;
   }
--- a/packages/core/placement/task-requirements.ts
+++ b/packages/core/placement/task-requirements.ts
@@ -26,7 +26,7 @@
 
 /**
  * Whether the job allows machines of this type and zone, and spot machines if `spot` is true. The zones of
- * the job's other tasks are not considered. In the protocol, a machine that is not allowed is a wrong place.
+ * the job's other tasks are not considered. The protocol forbids tasks of the job on machines that are not allowed.
  */
 export function kindAllowed(job: Job, type: MachineType, zone: string, spot: boolean): boolean {
   return (!spot || job.spot) && (job.zone === null || job.zone === zone) && typeFits(job, type);
