--- a/packages/controller/cloud/unusable-machines.ts
+++ b/packages/controller/cloud/unusable-machines.ts
@@ -3,7 +3,7 @@
 
 /** Multiple of a type's boot time after which a machine without a heartbeat counts as never booted. */
 const BOOT_TIMEOUT_FACTOR = 4;
-/** Number of lease lengths after which a machine whose worker lease has expired is deprovisioned. */
+/** Number of lease lengths from the expiry of a worker lease until its machine is deprovisioned. */
 const LEASES_AFTER_EXPIRY = 2;
 
 /**
