--- a/packages/core/assignments/assignments.ts
+++ b/packages/core/assignments/assignments.ts
@@ -12,7 +12,7 @@
 
 /**
  * Assigns tasks to machines, stops them, and removes their assignments once they are proven gone. At most one
- * assignment of a task is made at a time (docs/safety.md, point 5). Times are seconds of the steady clock.
+ * assignment of a task is made at a time (docs/safety.md, point 5). Times are seconds of the monotonic clock.
  */
 export class Assignments {
   private readonly attempts: AttemptNumbers;
@@ -121,7 +121,10 @@
     for (const each of toStop) this.stop(each, graceS, now);
   }
 
-  /** Ends the assignment if its start was never sent to the worker, and so never will be. Returns whether it did. */
+  /**
+   * Ends the assignment if its start was never sent to the worker; the start then never will be sent. Returns whether
+   * the assignment was ended.
+   */
   endIfUnsent(assignment: Assignment, now: number): boolean {
     const { startSent, inherited, reportedState } = assignment;
     if (startSent || inherited || reportedState !== null) return false;
@@ -160,7 +163,7 @@
     return true;
   }
 
-  /** Lets the task of an ended assignment wait again, unless the task is done or its job is over. */
+  /** Lets the task of an ended assignment wait again, unless the task is done or its job was done or cancelled. */
   private requeueTask(assignment: Assignment, cause: EndCause, now: number): void {
     const { job, index } = assignment;
     if (job.phase !== 'accepted' || job.done.has(index)) return;
--- a/packages/core/failures/machine-failures.ts
+++ b/packages/core/failures/machine-failures.ts
@@ -17,11 +17,11 @@
   isConfirmed: boolean;
 }
 
-/** Failures that may be the machine's fault. Times are seconds of the steady clock. */
+/** Failures that may be the machine's fault. Times are seconds of the monotonic clock. */
 export interface MachineFailures {
   /** By job id. */
   jobs: Map<string, JobFailuresOnMachine>;
-  /** End of the quarantine; the machine takes no new work before. */
+  /** End of the quarantine; the machine takes no new work before this time. */
   quarantinedUntil: number;
 }
 
--- a/packages/core/model/listener.ts
+++ b/packages/core/model/listener.ts
@@ -12,7 +12,7 @@
 
 /**
  * Called synchronously while the state changes: listeners must not change it themselves. Times are seconds of the
- * steady clock.
+ * monotonic clock.
  */
 export interface FleetListener {
   /** An assignment of a task ended. */
@@ -21,7 +21,10 @@
   taskRunning(assignment: Assignment, now: number): void;
   /** The first heartbeat of a provisioned machine arrived. */
   machineUp(machine: Machine, now: number): void;
-  /** Tasks of the job failed on several machines and none succeeded; its retries are limited until one does. */
+  /**
+   * Tasks of the job failed on several machines and none succeeded. The job's retries are limited until one of its
+   * tasks succeeds.
+   */
   jobCrashLooping(job: JobState, now: number): void;
   /** A task of a crash-looping job succeeded. */
   jobRecovered(job: JobState, now: number): void;
@@ -35,7 +38,7 @@
   // Events are ignored.
 }
 
-/** For tests and simulations that need no events. */
+/** Ignores all events; for tests and simulations that need none. */
 export const NO_LISTENER: FleetListener = {
   taskEnded: noop,
   taskRunning: noop,
--- a/packages/core/model/machine-facts.ts
+++ b/packages/core/model/machine-facts.ts
@@ -5,9 +5,9 @@
   name: string;
   /** `host:port` of the worker; empty until its first heartbeat. */
   addr: string;
-  /** Name of its machine type. */
+  /** Name of the machine's type. */
   type: string;
   zone: string;
-  /** Whether it is a spot instance, which the cloud may reclaim. */
+  /** Whether the machine is a spot instance, which the cloud may reclaim. */
   spot: boolean;
 }
--- a/packages/core/model/machine-registry.ts
+++ b/packages/core/model/machine-registry.ts
@@ -13,7 +13,7 @@
  */
 type MutableMachine = { -readonly [Field in keyof Machine]: Machine[Field] };
 
-/** The known machines and machine types. Times are seconds of the steady clock. */
+/** The known machines and machine types. Times are seconds of the monotonic clock. */
 export class MachineRegistry {
   /** Groups of machines with a property that few machines have. */
   readonly groups = new MachineGroups();
@@ -155,7 +155,7 @@
     if (this.isKnown(machine)) this.groups.stopsChanged(machine);
   }
 
-  /** Counts a replica that is to stay on the machine (1), or no longer is (-1). */
+  /** Counts a replica that is to stay on the machine (1), or one that is no longer to stay (-1). */
   adjustStayingReplicas(machine: MutableMachine, sign: 1 | -1): void {
     machine.stayingReplicas += sign;
     if (this.isKnown(machine)) this.groups.replicasChanged(machine);
