--- a/packages/testing/fault-combinations/dependencies-and-faults.test.ts
+++ b/packages/testing/fault-combinations/dependencies-and-faults.test.ts
@@ -21,7 +21,7 @@
     { kind: 'state-outage', atS: BEGIN_S + 3, forS: outageS },
   ];
   const scenario = dependentJobsScenario('refused, outage', BEGIN_S + outageS + 130, faults, {
-    pipeline: { cancelledShare: 0.6, arrivals: { perMinute: 40, jobsPerArrival: [1, 1] } },
+    pipeline: { cancelledShare: 0.6, arrivals: { perMinute: 40, together: [1, 1] } },
   });
   await runScenarioWithSeeds(scenario, [1, 2], (result) => {
     const [outage] = result.faults.of('state-outage');
@@ -52,11 +52,11 @@
 
 test('jobs run that depend on a team at its limit, and jobs that depend on failing jobs are aborted with them', async () => {
   const stages = DIAMOND.stages.map((stage, number) =>
-    number === 1 ? { ...stage, jobClass: { ...stage.jobClass, failingShare: 0.2 } } : stage,
+    number === 1 ? { ...stage, jobClass: { ...stage.jobClass, mistakenShare: 0.2 } } : stage,
   );
   const scenario = dependentJobsScenario('teams', 320, [], {
     cluster: withSmallTeams,
-    pipeline: { stages, mixesTeams: true, cancelledShare: 0, lateSubmissionShare: 0 },
+    pipeline: { stages, mixesTeams: true, cancelledShare: 0, lateShare: 0 },
   });
   await runScenarioWithSeeds(scenario, [1, 2], (result) => {
     const { done, cancelledByDependency } = countDependentJobs(result);
@@ -80,12 +80,12 @@
     ...stage,
     jobClass: { ...jobClass, ...shortRuns },
   }));
-  const arrivals = { perMinute: 0, jobsPerArrival: [1, 1] as [number, number], atStart: 6 };
+  const arrivals = { perMinute: 0, together: [1, 1] as [number, number], atStart: 6 };
   const pipeline = {
     stages,
     arrivals,
     fromS: 20,
-    lateSubmissionShare: 0,
+    lateShare: 0,
     cancelledShare: 0.5,
     deadlineS: 300,
   };
--- a/packages/testing/fault-combinations/dependent-work.ts
+++ b/packages/testing/fault-combinations/dependent-work.ts
@@ -13,12 +13,12 @@
     memory: 2,
     imageGb: 0.5,
   }),
-  arrivals: { perMinute: 0, jobsPerArrival: [1, 1] },
+  arrivals: { perMinute: 0, together: [1, 1] },
   tasks: [1, 5],
   run: { medianS: 4, p95S: 8, maxS: 10 },
   cancelledShare: 0,
-  failingShare: 0,
-  imageCount: 2,
+  mistakenShare: 0,
+  images: 2,
 };
 const JOINING_STAGE: JobClass = {
   ...STAGE,
@@ -36,13 +36,13 @@
  */
 export const DIAMOND: Pipeline = {
   stages: [
-    { jobClass: STAGE, jobs: [1, 1], dependsOnStages: [] },
-    { jobClass: STAGE, jobs: [2, 2], dependsOnStages: [0] },
-    { jobClass: JOINING_STAGE, jobs: [1, 1], dependsOnStages: [1] },
-    { jobClass: LAST_STAGE, jobs: [1, 1], dependsOnStages: [2, 0] },
+    { jobClass: STAGE, jobs: [1, 1], awaits: [] },
+    { jobClass: STAGE, jobs: [2, 2], awaits: [0] },
+    { jobClass: JOINING_STAGE, jobs: [1, 1], awaits: [1] },
+    { jobClass: LAST_STAGE, jobs: [1, 1], awaits: [2, 0] },
   ],
-  arrivals: { perMinute: 20, jobsPerArrival: [1, 1] },
-  lateSubmissionShare: 0.15,
+  arrivals: { perMinute: 20, together: [1, 1] },
+  lateShare: 0.15,
   cancelledShare: 0.25,
   deadlineS: 60,
 };
@@ -80,6 +80,6 @@
   return numbers.map((number) => ({
     jobClass: number === length - 1 ? LAST_STAGE : STAGE,
     jobs: [1, 1],
-    dependsOnStages: number === 0 ? [] : [number - 1],
+    awaits: number === 0 ? [] : [number - 1],
   }));
 }
--- a/packages/testing/fault-combinations/faulty-jobs.test.ts
+++ b/packages/testing/fault-combinations/faulty-jobs.test.ts
@@ -31,7 +31,7 @@
 const CLUSTER = { ...SMALL_CLUSTER, capacity: [{ machines: 30 }] };
 
 const [REPLICAS, BATCHES, , GANGS] = DEFAULT_CLASSES;
-const SOUND_CLASSES = DEFAULT_CLASSES.map((jobClass) => ({ ...jobClass, failingShare: 0 }));
+const SOUND_CLASSES = DEFAULT_CLASSES.map((jobClass) => ({ ...jobClass, mistakenShare: 0 }));
 const FAULTY = /^faulty/;
 
 /** Makes a job class whose tasks fail long before they could complete or save a checkpoint. */
@@ -46,9 +46,9 @@
       checkpointS: 0,
       saveS: 0,
     },
-    arrivals: { perMinute, jobsPerArrival: [1, 2] },
+    arrivals: { perMinute, together: [1, 2] },
     run: { medianS: 60, p95S: 80, maxS: 100 },
-    failingShare: 1,
+    mistakenShare: 1,
   };
 }
 
--- a/packages/testing/fault-combinations/steady-work.ts
+++ b/packages/testing/fault-combinations/steady-work.ts
@@ -39,12 +39,12 @@
     checkpointS: 10,
     saveS: 1,
   },
-  arrivals: { perMinute: 9, jobsPerArrival: [1, 1] },
+  arrivals: { perMinute: 9, together: [1, 1] },
   tasks: [2, 5],
   run: LONG_RUN,
   cancelledShare: 0,
-  failingShare: 0,
-  imageCount: 2,
+  mistakenShare: 0,
+  images: 2,
 };
 
 const REPLICAS: JobClass = {
@@ -58,21 +58,21 @@
     checkpointS: 0,
     saveS: 0,
   },
-  arrivals: { perMinute: 6, jobsPerArrival: [1, 1] },
+  arrivals: { perMinute: 6, together: [1, 1] },
   tasks: [1, 3],
 };
 
 const LONG_GANGS: JobClass = {
   ...LONG_BATCHES,
   template: { ...LONG_BATCHES.template, class: 'long-gang', kind: 'gang', cpus: 16, gpus: 2 },
-  arrivals: { perMinute: 3, jobsPerArrival: [1, 1] },
+  arrivals: { perMinute: 3, together: [1, 1] },
   tasks: [2, 3],
 };
 
 const SHORT_BATCHES: JobClass = {
   ...LONG_BATCHES,
   template: { ...LONG_BATCHES.template, class: 'short-batch', rank: 3, cpus: 2 },
-  arrivals: { perMinute: 12, jobsPerArrival: [1, 1] },
+  arrivals: { perMinute: 12, together: [1, 1] },
   tasks: [1, 2],
   run: { medianS: 6, p95S: 12, maxS: 15 },
 };
--- a/packages/testing/fault-combinations/upgrade.test.ts
+++ b/packages/testing/fault-combinations/upgrade.test.ts
@@ -75,11 +75,11 @@
     },
   },
 ];
-const ARRIVALS: Arrivals = { perMinute: 24, jobsPerArrival: [1, 1] };
+const ARRIVALS: Arrivals = { perMinute: 24, together: [1, 1] };
 /** An array with so many tasks that its recorded progress exceeds the next limit of value sizes. */
 const LARGE_ARRAY: JobClass = {
   ...DIAMOND.stages[0].jobClass,
-  arrivals: { perMinute: 0, jobsPerArrival: [1, 1], atStart: 2 },
+  arrivals: { perMinute: 0, together: [1, 1], atStart: 2 },
   tasks: [20_000, 20_000],
   run: { medianS: 20, p95S: 30, maxS: 40 },
 };
--- a/packages/testing/loopback/replica-groups/replica-scenarios.ts
+++ b/packages/testing/loopback/replica-groups/replica-scenarios.ts
@@ -32,12 +32,12 @@
     imageGb: 6,
     types: ['g8'],
   }),
-  arrivals: { perMinute: 0.01, jobsPerArrival: [1, 1], atStart: 4 },
+  arrivals: { perMinute: 0.01, together: [1, 1], atStart: 4 },
   tasks: [MEMBERS, MEMBERS],
   run: { medianS: 3000, p95S: 3100, maxS: 3200 },
   cancelledShare: 0,
-  failingShare: 0,
-  imageCount: 2,
+  mistakenShare: 0,
+  images: 2,
 };
 
 const SHORT_BATCHES: JobClass = {
@@ -53,7 +53,7 @@
     imageGb: 1,
     types: null,
   },
-  arrivals: { perMinute: 10, jobsPerArrival: [1, 1] },
+  arrivals: { perMinute: 10, together: [1, 1] },
   tasks: [1, 2],
   run: { medianS: 6, p95S: 12, maxS: 15 },
 };
--- a/packages/testing/loopback/sizing/workload.ts
+++ b/packages/testing/loopback/sizing/workload.ts
@@ -45,12 +45,12 @@
     imageGb: 5,
     spot: true,
   }),
-  arrivals: { perMinute: 0.16, jobsPerArrival: [1, 1], atStart: 0.4 },
+  arrivals: { perMinute: 0.16, together: [1, 1], atStart: 0.4 },
   tasks: [1, 5],
   run: { medianS: 120, p95S: 300, maxS: 600 },
   cancelledShare: 0,
-  failingShare: 0,
-  imageCount: 12,
+  mistakenShare: 0,
+  images: 12,
 };
 
 const BATCH_CLASS: JobClass = {
@@ -64,12 +64,12 @@
     imageGb: 10,
     spot: true,
   }),
-  arrivals: { perMinute: 0.08, jobsPerArrival: [1, 1], atStart: 0.1 },
+  arrivals: { perMinute: 0.08, together: [1, 1], atStart: 0.1 },
   tasks: [1, 29],
   run: { medianS: 50, p95S: 130, maxS: 200 },
   cancelledShare: 0.02,
-  failingShare: 0,
-  imageCount: 12,
+  mistakenShare: 0,
+  images: 12,
 };
 
 const GANG_CLASS: JobClass = {
@@ -86,12 +86,12 @@
     checkpointS: 20,
     saveS: 2,
   }),
-  arrivals: { perMinute: 0.036, jobsPerArrival: [1, 1], atStart: 0.06 },
+  arrivals: { perMinute: 0.036, together: [1, 1], atStart: 0.06 },
   tasks: [1, 4],
   run: { medianS: 90, p95S: 200, maxS: 300 },
   cancelledShare: 0.03,
-  failingShare: 0,
-  imageCount: 12,
+  mistakenShare: 0,
+  images: 12,
 };
 
 /** Classes of short jobs; their arrival rates are for one machine. */
--- a/packages/testing/stand-ins/workload/job-class.ts
+++ b/packages/testing/stand-ins/workload/job-class.ts
@@ -7,7 +7,7 @@
   /** Mean rate of arrivals, which are independent of each other. */
   perMinute: number;
   /** Jobs of one arrival, submitted at the same time. */
-  jobsPerArrival: Span;
+  together: Span;
   /** Further jobs that are submitted at the start of the run; 0 by default. */
   atStart?: number;
 }
@@ -50,9 +50,9 @@
   /** Share of jobs that are cancelled; not for services, which always are. */
   cancelledShare: number;
   /** Share of jobs whose tasks fail on every machine. */
-  failingShare: number;
+  mistakenShare: number;
   /** Number of different images that the jobs of the class use. */
-  imageCount: number;
+  images: number;
 }
 
 /** Service replicas that run for minutes, spread over the zones. */
@@ -67,12 +67,12 @@
     imageGb: 4,
     spread: true,
   }),
-  arrivals: { perMinute: 5, jobsPerArrival: [1, 1] },
+  arrivals: { perMinute: 5, together: [1, 1] },
   tasks: [1, 4],
   run: { medianS: 90, p95S: 240, maxS: 400 },
   cancelledShare: 0,
-  failingShare: 0,
-  imageCount: 3,
+  mistakenShare: 0,
+  images: 3,
 };
 
 /** Batches of independent tasks that write checkpoints and may run on spot machines. */
@@ -89,12 +89,12 @@
     checkpointS: 10,
     saveS: 2,
   }),
-  arrivals: { perMinute: 4, jobsPerArrival: [1, 2] },
+  arrivals: { perMinute: 4, together: [1, 2] },
   tasks: [4, 24],
   run: { medianS: 25, p95S: 60, maxS: 100 },
   cancelledShare: 0.12,
-  failingShare: 0.01,
-  imageCount: 4,
+  mistakenShare: 0.01,
+  images: 4,
 };
 
 /** Small urgent service replicas that arrive several at a time and run for a short time. */
@@ -108,12 +108,12 @@
     memory: 24,
     imageGb: 2,
   }),
-  arrivals: { perMinute: 1.5, jobsPerArrival: [2, 6] },
+  arrivals: { perMinute: 1.5, together: [2, 6] },
   tasks: [1, 2],
   run: { medianS: 35, p95S: 80, maxS: 150 },
   cancelledShare: 0,
-  failingShare: 0,
-  imageCount: 1,
+  mistakenShare: 0,
+  images: 1,
 };
 
 /** Gangs whose tasks each take a whole machine, all in one zone. */
@@ -131,12 +131,12 @@
     checkpointS: 15,
     saveS: 3,
   }),
-  arrivals: { perMinute: 1, jobsPerArrival: [1, 1] },
+  arrivals: { perMinute: 1, together: [1, 1] },
   tasks: [1, 3],
   run: { medianS: 50, p95S: 110, maxS: 180 },
   cancelledShare: 0.08,
-  failingShare: 0.02,
-  imageCount: 2,
+  mistakenShare: 0.02,
+  images: 2,
 };
 
 /** The default mix of classes, for a fleet of a dozen machines with eight accelerators each. */
--- a/packages/testing/stand-ins/workload/pipeline.ts
+++ b/packages/testing/stand-ins/workload/pipeline.ts
@@ -7,7 +7,9 @@
   jobClass: JobClass;
   jobs: Span;
   /** Indexes of the stages on whose jobs the jobs of this stage depend. */
-  dependsOnStages: number[];
+
+  // eslint-disable-next-line local/retired-words -- a field of saved runs
+  awaits: number[];
 }
 
 /** A pipeline of stages, usually of one team. Only the jobs of the last stage have a deadline. */
@@ -17,7 +19,7 @@
   /** Seconds from the start of the run before which no pipeline is submitted; 0 by default. */
   fromS?: number;
   /** Share of the last stage's jobs that are submitted only once their dependencies have ended. */
-  lateSubmissionShare: number;
+  lateShare: number;
   /** Share of pipelines in which one job is cancelled. */
   cancelledShare: number;
   deadlineS: number;
--- a/packages/testing/stand-ins/workload/workload.test.ts
+++ b/packages/testing/stand-ins/workload/workload.test.ts
@@ -37,11 +37,7 @@
     const plan = makeTestWorkload(4, 2).filter(({ program }) => program.job.class === name);
     const { arrivals, run, tasks, cancelledShare } = jobClass;
     const expected =
-      (arrivals.perMinute *
-        2 *
-        LENGTH_S *
-        (arrivals.jobsPerArrival[0] + arrivals.jobsPerArrival[1])) /
-      120;
+      (arrivals.perMinute * 2 * LENGTH_S * (arrivals.together[0] + arrivals.together[1])) / 120;
     assert.ok(Math.abs(plan.length / expected - 1) < 0.25, `${plan.length} of ${expected}`);
     const isService = jobClass.template.kind === 'service';
     const times = plan
--- a/packages/testing/stand-ins/workload/workload.ts
+++ b/packages/testing/stand-ins/workload/workload.ts
@@ -70,7 +70,7 @@
   for (let atS = 0; ;) {
     atS += exponential(random, perSecond);
     if (atS >= lengthS) return times;
-    const count = uniformInteger(random, arrivals.jobsPerArrival);
+    const count = uniformInteger(random, arrivals.together);
     times.push(...Array<number>(count).fill(atS));
   }
 }
@@ -102,12 +102,12 @@
 
   /** Makes the jobs of one pipeline, of which one may be cancelled. Only the last stage has a deadline. */
   makePipeline(pipeline: Pipeline, submitAtS: number): PlannedJob[] {
-    const { stages, lateSubmissionShare, cancelledShare, deadlineS, mixesTeams } = pipeline;
+    const { stages, lateShare, cancelledShare, deadlineS, mixesTeams } = pipeline;
     const team = this.teams[Math.floor(this.random() * this.teams.length)];
     const jobsOfStages: PlannedJob[][] = [];
     for (const [number, stage] of stages.entries()) {
       const isLast = number === stages.length - 1;
-      const dependencies = stage.dependsOnStages.flatMap((each) => jobsOfStages[each].map(jobIdOf));
+      const dependencies = stage.awaits.flatMap((each) => jobsOfStages[each].map(jobIdOf));
       const jobs = Array.from({ length: uniformInteger(this.random, stage.jobs) }, () => {
         const planned = this.makeJob(stage.jobClass, submitAtS);
         const { job } = planned.program;
@@ -115,7 +115,7 @@
         Object.assign(job, { awaits: dependencies, deadlineS: isLast ? deadlineS : null });
         return {
           ...planned,
-          submittedAfterDependenciesEnd: isLast && this.random() < lateSubmissionShare,
+          submittedAfterDependenciesEnd: isLast && this.random() < lateShare,
         };
       });
       jobsOfStages.push(jobs);
@@ -129,7 +129,7 @@
   }
 
   private makeProgram(jobClass: JobClass): JobProgram {
-    const { template, run, imageCount } = jobClass;
+    const { template, run, images } = jobClass;
     const tasks = uniformInteger(this.random, jobClass.tasks);
     const isService = template.kind === 'service';
     const runS = Array.from({ length: tasks }, () => logNormal(this.random, run));
@@ -139,12 +139,12 @@
       id: this.drawId(),
       team: this.teams[Math.floor(this.random() * this.teams.length)],
       tasks,
-      image: `${template.class}-${uniformInteger(this.random, [1, imageCount])}`,
+      image: `${template.class}-${uniformInteger(this.random, [1, images])}`,
       estimateS,
       deadlineS: isService ? null : estimateS * DEADLINE_FACTOR + DEADLINE_EXTRA_S,
       awaits: [],
     };
-    const alwaysFails = this.random() < jobClass.failingShare;
+    const alwaysFails = this.random() < jobClass.mistakenShare;
     return { job, runS, failsAfterS: alwaysFails ? uniform(this.random, FAILS_AFTER_S) : null };
   }
 
